--- /dev/null
+++ b/tests/test_golden.py
@@ -0,0 +1,126 @@
+"""What commit 6fdac00 wrote is read, and written again byte for byte: messages, stored files, a bundle of the rules."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any, get_args
+
+import msgspec
+import pytest
+
+from tealwing.gossip import messages as gossip
+from tealwing.gossip import written
+from tealwing.peers import echo, frames
+from tealwing.peers import messages as peers
+from tealwing.replica import commands, outcomes
+from tealwing.replica import messages as replica
+from tealwing.replica.disk import Disk
+from tealwing.replica.state import State
+from tealwing.replica.storage import Storage, verify
+from tealwing.rollout.mark import Mark
+from tealwing.rules import bundle
+from tests.golden import samples
+
+GOLDEN: dict[str, str] = msgspec.json.decode((samples.HERE / "messages.json").read_bytes())
+MESSAGES = {name: (sample, data) for name, sample, data in samples.messages()}
+BUNDLE_DIGEST = "289a05239b2b47313f02d07cc857d5d9"
+
+
+def _of_key(name: str, key: bytes, data: bytes, signature: bytes) -> bool:
+    return name == "n1" and key == samples.KEY.key and signature == samples.KEY.sign(data)
+
+
+def _entry(data: bytes) -> replica.Entry:
+    return replica.Entry(1, 1, replica.Kind.MEMBERS, data)
+
+
+DECODERS: dict[str, Callable[[bytes], Any]] = {
+    "replica": replica.decode,
+    "peers": peers.decode,
+    "echo": msgspec.msgpack.Decoder(echo.Ask | echo.Answer).decode,
+    "forwarded": outcomes.decode,
+    "gossip": lambda data: gossip.decode(data, _of_key),
+    "command": commands.decode,
+    "result": commands.decode_result,
+    "members": lambda data: replica.members_of(_entry(data)),
+    "learners": lambda data: replica.learners_of(_entry(data)),
+    "frame": lambda data: frames.Parser().feed(data)[0],
+}
+
+
+def test_there_is_a_sample_of_each_message() -> None:
+    assert set(GOLDEN) == set(MESSAGES)
+    unions: tuple[tuple[Any, tuple[Any, ...]], ...] = (
+        (replica.Message, samples.REPLICA),
+        (peers.Message, samples.PEERS),
+        (gossip.Body, samples.BODIES),
+        (gossip.Rumour, tuple(samples.RUMOURS)),
+        (commands.Body, samples.COMMAND_BODIES),
+    )
+    for union, found in unions:
+        assert set(get_args(union)) == {type(sample) for sample in found}
+
+
+@pytest.mark.parametrize("name", GOLDEN)
+def test_a_message_is_written_as_it_was(name: str) -> None:
+    assert MESSAGES[name][1].hex() == GOLDEN[name]
+
+
+@pytest.mark.parametrize("name", GOLDEN)
+def test_a_message_is_read_as_it_was_meant(name: str) -> None:
+    decode = DECODERS[name.partition("/")[0]]
+    assert decode(bytes.fromhex(GOLDEN[name])) == MESSAGES[name][0]
+
+
+@pytest.mark.parametrize("name", samples.WRITERS)
+def test_stored_files_are_written_as_they_were(name: str, tmp_path: Path) -> None:
+    samples.WRITERS[name](tmp_path / name)
+    before = {path.name: path.read_bytes() for path in (samples.HERE / name).iterdir()}
+    assert before and {path.name: path.read_bytes() for path in (tmp_path / name).iterdir()} == before
+
+
+def test_a_stored_log_and_snapshot_are_read(tmp_path: Path) -> None:
+    for path in (samples.HERE / "replica").iterdir():
+        (tmp_path / path.name).write_bytes(path.read_bytes())
+    assert verify(tmp_path) == []
+    storage = Storage(tmp_path)
+    found = storage.open()
+    assert (found.term, found.vote, found.commit, found.cut, found.fresh) == (3, "n2", 15, 0, False)
+    assert (found.snapshot.index, found.snapshot.term) == (15, 2)
+    assert (found.snapshot.members, found.snapshot.learners) == (("n1", "n2"), ("n3",))
+    assert [entry.index for entry in found.log] == [16]
+    assert replica.learners_of(found.log[0]) == ("n3",)
+    state = State()
+    state.load(15, storage.body(found.snapshot))
+    storage.close()
+    assert state.digest() == samples.state().digest() and all(state.counts().values())
+
+
+def test_a_stored_marker_is_read() -> None:
+    assert Mark(samples.HERE / "marker", Disk()).read() == samples.MARKED_VERSION
+
+
+def test_a_stored_gossip_file_is_read() -> None:
+    found = written.load(samples.HERE / "gossip" / "members", "n1")
+    assert found is not None and found.boot == 1234567890123 and found.trust == {"n2": 0.75}
+    assert found.members == [rumour for rumour in samples.SIGNED if isinstance(rumour, gossip.Alive)]
+
+
+def test_a_bundle_is_read_and_has_its_digest() -> None:
+    assert bundle.digest(samples.BUNDLE) == BUNDLE_DIGEST
+    assert msgspec.to_builtins(bundle.parse(samples.BUNDLE)) == {
+        "levels": "",
+        "attempts": {"most": 2},
+        "classes": {"lookup": {"aim-ms": 500, "deadline-ms": 2500, "effect": "keyed", "worth": 1.5}},
+        "tenants": {"public": {"share": 0.25}},
+        "routes": ({"first": 1, "last": 40, "sites": ("bloemfontein", "upington")},),
+    }
+
+
+def test_the_adapter_answers_recorded_batches_as_it_did() -> None:
+    batches = (samples.HERE / "adapter-input.bin").read_bytes()
+    done = subprocess.run([sys.executable, "-m", "tealwing.adapter"], input=batches, capture_output=True, timeout=60)
+    assert done.returncode == 0 and done.stdout == (samples.HERE / "adapter-output.bin").read_bytes()
