--- a/tealwing/config.py
+++ b/tealwing/config.py
@@ -63,7 +63,7 @@
     @property
     def most_threads(self) -> int:
         """Threads that serve clients at most: one for each command under way, whatever the number of clients."""
-        return min(self.most_clients, max(LEAST_THREADS, BUSIEST * TASKS // max(1, self.settings.gateways)))
+        return min(self.most_clients, max(LEAST_THREADS, BUSIEST * TASKS // max(1, self.settings.gateway_count)))
 
 
 def address(text: Any, key: str, least: int = 1) -> Address:
--- a/tealwing/coordinator/updates.py
+++ b/tealwing/coordinator/updates.py
@@ -30,7 +30,7 @@
     name: str
     host: str
     port: int
-    entry: interface.ListEntry  # numbered by the settings that it was read or placed under; else -1
+    entry: interface.EngineListEntry  # numbered by the settings that it was read or placed under; else -1
     zone: str = ""
     kind: str = ""
 
@@ -75,7 +75,7 @@
 
 def placed(member: Member, settings: interface.Settings) -> Member:
     """The member as the settings number its zone and kind, which others number otherwise; UpdateError without them."""
-    kinds = [kind.name for kind in settings.kinds]
+    kinds = [kind.name for kind in settings.machine_kinds]
     if member.zone not in settings.zones:
         raise UpdateError(f"locality is not in the settings: {member.zone!r}")
     if member.kind not in kinds:
@@ -95,7 +95,7 @@
     zone, kind = data.get("locality"), data.get("flavor")
     if not isinstance(zone, str) or not isinstance(kind, str):
         raise UpdateError(f"locality or flavor is not a name: {zone!r}, {kind!r}")
-    entry = interface.ListEntry(
+    entry = interface.EngineListEntry(
         engine=engine_number(name),
         zone=-1,
         kind=-1,
--- a/tealwing/exchange.py
+++ b/tealwing/exchange.py
@@ -7,11 +7,11 @@
 from typing import Any, Protocol
 
 
-class Unusable(ValueError):
+class InvalidRequestError(ValueError):
     """A request that can't be taken; the text says why."""
 
 
-class Outdated(Unusable):
+class SettingsChangedError(InvalidRequestError):
     """The settings changed while the request was read; it may be read anew under `settings`."""
 
     def __init__(self, settings: Any) -> None:
@@ -19,7 +19,7 @@
         self.settings = settings
 
 
-def _stays() -> bool:
+def _never_left() -> bool:
     return False
 
 
@@ -27,19 +27,19 @@
 class Query:
     """A client's request; times are seconds, need is megabytes, cls and tenant are places in the settings."""
 
-    call: bytes
+    request_id: bytes
     cls: int
     tenant: int
     ttl: float
     statement: bytes
-    dedupe: bytes = b""
+    idempotency_key: bytes = b""
     cost: float | None = None
-    need: float = 0.0
+    memory_estimate: float = 0.0
     tables: int = 0
-    taken: float = 0.0  # monotonic, when its last byte had been read
-    has_left: Callable[[], bool] = field(default=_stays, compare=False)  # whether its client has left; never waits
+    received_at: float = 0.0  # monotonic, when its last byte had been read
+    has_left: Callable[[], bool] = field(default=_never_left, compare=False)  # whether its client has left; never waits
 
-    def asks(self, has_left: Callable[[], bool]) -> None:
+    def set_client_check(self, has_left: Callable[[], bool]) -> None:
         """Have this asked whether the client has left, before anybody else has the request.
 
         It is set in place: a copy takes 8 microseconds, longer than all else that a client's leaving costs a request.
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class Rejected:
     """A refusal: trying again does no harm, after retry_after seconds if that is not 0."""
 
     retry_after: float
@@ -67,11 +67,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Abandoned:
+class Cancelled:
     """The client gave the request up; nothing is owed."""
 
 
-Reply = Served | Refused | Failed | Abandoned
+Reply = Served | Rejected | Failed | Cancelled
 
 
 class Exchange(Protocol):
@@ -80,30 +80,30 @@
     def run(self) -> Reply:
         """See the request through to its one reply; blocks until then."""
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """Give the request up, from any thread."""
 
 
 @dataclass(frozen=True, slots=True)
-class Entered:
+class Admitted:
     """A request may be decided; held: the rules may have changed since it was read, and it must be read anew."""
 
-    held: bool
+    waited: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
+class Deferred:
     """A request may not be decided now: it is refused harmlessly, to be tried again after pushback seconds."""
 
-    pushback: float
-    why: str
+    retry_after: float
+    reason: str
 
 
-class Gate(Protocol):
+class AdmissionGate(Protocol):
     """What requests pass before they are opened; see `tealwing.rollout.gate`."""
 
-    def enter(self, cls: str | None, tenant: str, group: int, until: float) -> Entered | Turned:
+    def admit(self, cls: str | None, tenant: str, group: int, until: float) -> Admitted | Deferred:
         """Let a request in, at once or when it may be, by the monotonic time `until` at the latest."""
 
 
-Open = Callable[[Query, Any], Exchange]  # a query and the settings it was read under; may raise Unusable
+OpenExchange = Callable[[Query, Any], Exchange]  # a query and the settings it was read under; may raise Unusable
--- a/tealwing/federation/shell.py
+++ b/tealwing/federation/shell.py
@@ -98,7 +98,7 @@
         self._decides = leads
         self._woken.set()
 
-    def _applied(self, index: int, command: c.Command | None, result: c.Result | None) -> None:
+    def _applied(self, index: int, command: c.Command | None, result: c.CommandResult | None) -> None:
         body = command.body if command is not None else None
         if not isinstance(body, records.Body):
             self.seen = replace(self.seen, index=index, me=replace(self.seen.me, index=index))
@@ -129,7 +129,7 @@
                 self._look()
             except Exception:  # one fault must not leave the site without a voice: the next look begins anew
                 log.event("federation_failed", trace=traceback.format_exc(limit=-3))
-                log.must_hold(False, "a look at the federation's log goes through")
+                log.check_invariant(False, "a look at the federation's log goes through")
 
     def _look(self) -> None:
         now = self._clock.now()
--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -15,7 +15,7 @@
 from tealwing.peers.echo import Echo
 from tealwing.peers.link import Link, LinkFault
 from tealwing.peers.plan import Plan
-from tealwing.replica.commands import Command, Result, Settings
+from tealwing.replica.commands import Command, CommandResult, Settings
 from tealwing.replica.feed import Feed
 from tealwing.replica.group import SITE, Group
 from tealwing.replica.node import Replica
@@ -174,7 +174,7 @@
         if self.replica is not None and (best := self.replica.state.last_good()):
             self._take(best, self.replica.state.tables["settings"][str(best)].text)
 
-    def _applied(self, index: int, command: Command | None, result: Result | None) -> None:
+    def _applied(self, index: int, command: Command | None, result: CommandResult | None) -> None:
         body = command.body if command is not None else None
         if isinstance(body, Settings) and result is not None and result.ok and body.good:
             self._take(body.version, body.text)
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -18,7 +18,7 @@
 from tealwing.coordinator.follower import End, Follower
 from tealwing.coordinator.starts import StartTimes
 from tealwing.coordinator.updates import Member, Update
-from tealwing.exchange import Outdated, Query
+from tealwing.exchange import Query, SettingsChangedError
 from tealwing.gateway import standing
 from tealwing.gateway.decisions import Decisions
 from tealwing.gateway.life import Life, Signal
@@ -88,7 +88,7 @@
         """
         force, zones = self._decisions.force, None
         if force.number and settings is not None and settings is not force.settings:
-            raise Outdated(force.settings)
+            raise SettingsChangedError(force.settings)
         if force.table is not None:
             zones = self._allowed(force.table, query.tables, force.settings.zones, self._decisions.ready)
         settings = settings or force.settings
@@ -139,7 +139,7 @@
         return self._from_file
 
     @property
-    def listed(self) -> tuple[api.ListEntry, ...]:
+    def listed(self) -> tuple[api.EngineListEntry, ...]:
         """The engine list as it was last heard."""
         return self._decisions.listed
 
@@ -187,7 +187,7 @@
                 )
             if changed and (self._vitals is not None or self._link is not None):
                 raise ConfigError("settings: a change of settings needs a restart where levels or gossip are on")
-            if changed and self._peering is not None and not config.settings.limits.peers:
+            if changed and self._peering is not None and not config.settings.limits.peer_messages:
                 raise ConfigError("settings: Allowed.Peers forbids the link to the peers, which is on: restart")
             self._follower.move(config.coordinator)
             if changed:  # else the file says what it said, and the fleet's version may be in force
@@ -205,7 +205,7 @@
         self._engines.limit(settings.limits)
         self.figures.keep(cls.name for cls in settings.classes)
         self.on_settings(settings)
-        classes = {cls.name: cls.effect.name for cls in settings.classes}
+        classes = {cls.name: cls.idempotency.name for cls in settings.classes}
         log.event("settings_changed", version=version, classes=classes)
 
     def _fleet_settings(self, version: int, text: bytes) -> None:
@@ -265,7 +265,7 @@
                 raise LinkFault("peers, replica, rules, federation: a section changed; allowed: a restart")
             return
         assert plan is not None
-        if not self._settings.limits.peers:
+        if not self._settings.limits.peer_messages:
             raise LinkFault("peers: the platform's settings forbid talk among gateways (Allowed.Peers)")
         peering = Peering(plan, replica, self._fleet_settings, federation)
         if rules is not None:
@@ -282,7 +282,7 @@
             return
         from tealwing.gossip.transport import GossipFault, Link  # only where gossip is on, or was
 
-        if plan is not None and not self._settings.limits.peers:
+        if plan is not None and not self._settings.limits.peer_messages:
             raise GossipFault("gossip: the platform's settings forbid talk among gateways (Allowed.Peers)")
         if plan is not None and link is not None:
             link.change(plan)
@@ -292,7 +292,7 @@
         elif link is not None:
             self._link = None
             link.stop()
-            self._decisions.submit(api.Beliefs({}))
+            self._decisions.submit(api.EngineHealthEstimates({}))
 
     def _levels_now(self, plan: Plan | None) -> None:
         """Begin, change or end service levels."""
@@ -348,9 +348,9 @@
         """
         members = update.members + update.unplaced  # the second for settings that are still to come
         self._engines.update(members, update.complete)
-        kind = api.ListKind.FULL if update.complete else api.ListKind.DELTA
+        kind = api.EngineListKind.FULL if update.complete else api.EngineListKind.DELTA
         if cached:
-            kind = api.ListKind.CACHED
+            kind = api.EngineListKind.CACHED
         if not self._decisions.tell_list(kind, update.revision, self._dated(members)):
             raise ListFault(f"event {update.index} could not be decided on")
         self._pass_on(update, update.members)
@@ -378,7 +378,7 @@
         for member in update.members + update.unplaced:
             try:
                 self._engines.update((member,), False)
-                if not self._decisions.tell_list(api.ListKind.DELTA, update.revision, self._dated((member,))):
+                if not self._decisions.tell_list(api.EngineListKind.DELTA, update.revision, self._dated((member,))):
                     raise ListFault("it could not be decided on")
             except Exception as error:
                 log.event("engine_unusable", why=f"{member.name}: {error!r}")
@@ -387,7 +387,7 @@
         try:
             self._pass_on(update, taken)
         except Exception:  # nothing here may end the watch once more
-            log.must_hold(False, f"a watch update is passed on: {traceback.format_exc(limit=-3)}")
+            log.check_invariant(False, f"a watch update is passed on: {traceback.format_exc(limit=-3)}")
 
     def _say(self, name: str, fields: dict[str, Any]) -> None:
         """What the governor tells: to the log, and a level that changes to the fleet too."""
--- a/tealwing/gateway/decisions.py
+++ b/tealwing/gateway/decisions.py
@@ -13,7 +13,7 @@
 from tealwing import interface as api
 from tealwing import log
 from tealwing.coordinator.updates import Member
-from tealwing.exchange import Unusable
+from tealwing.exchange import InvalidRequestError
 from tealwing.gateway.timers import Timers
 from tealwing.gateway.versions import InForce, Module, Versions, Wrap
 from tealwing.resp.engines import Engines
@@ -56,7 +56,7 @@
         return len(self._mailboxes)
 
     @property
-    def listed(self) -> tuple[api.ListEntry, ...]:
+    def listed(self) -> tuple[api.EngineListEntry, ...]:
         """The engine list as it was last heard."""
         with self._lock:
             return self._versions.listed
@@ -90,7 +90,7 @@
         """
         with self._lock:
             if call in self._calls:
-                raise Unusable("call is that of an open request")
+                raise InvalidRequestError("call is that of an open request")
             version = self._versions.version
             if settings is not None and settings is not self._versions.settings:
                 self._recall(settings)
@@ -134,7 +134,7 @@
                     self._handle(event, (self._versions.version,))
                 if self._list_faults != faults:  # one engine that can't be taken must not hide the others
                     for entry in self._versions.listed:
-                        alone = api.EngineList(api.ListKind.DELTA, 0, (entry,))
+                        alone = api.EngineList(api.EngineListKind.DELTA, 0, (entry,))
                         self._handle(alone, (self._versions.version,))
             return self._versions.version
 
@@ -157,7 +157,7 @@
         with self._lock:
             self._versions.module = how(self._versions.module, time.monotonic() + self.offset)
 
-    def tell_list(self, kind: api.ListKind, number: int, members: tuple[Member, ...]) -> bool:
+    def tell_list(self, kind: api.EngineListKind, number: int, members: tuple[Member, ...]) -> bool:
         """Tell the modules of a watch update, each as its settings number it; whether all took it in whole."""
         idle: list[int] = []
         with self._lock:
@@ -210,20 +210,20 @@
             log.event("decision_failed", of=type(event).__name__, trace=traceback.format_exc(limit=-3))
             if isinstance(event, api.EngineList):
                 self._list_faults += 1
-            actions = [api.Fail(event.id)] if isinstance(event, api.Request | api.Outcome) else []
+            actions = [api.Fail(event.id)] if isinstance(event, api.Request | api.AttemptOutcome) else []
         for action in actions:
             match action:
                 case api.SetTimer(delay, token):
                     self._timers.set(now + delay, token, version)
                 case api.Log(text):
                     log.event("decision_log", text=text)
-                case api.CloseIdle(engine):
+                case api.CloseIdleConnections(engine):
                     idle.append(engine)
-                case api.Send() | api.Tune() | api.Cancel() | api.Refuse() | api.Fail():
+                case api.Send() | api.SetResources() | api.CancelAttempt() | api.Reject() | api.Fail():
                     mailbox = self._mailboxes.get(action.id)
                     if mailbox is not None:
                         mailbox.put(action)
-                    log.must_hold(mailbox is not None, "an action names a request that is open")
+                    log.check_invariant(mailbox is not None, "an action names a request that is open")
                 case _:
-                    log.must_hold(False, f"{type(action).__name__} is not allowed here")
+                    log.check_invariant(False, f"{type(action).__name__} is not allowed here")
         return idle
--- a/tealwing/gateway/life.py
+++ b/tealwing/gateway/life.py
@@ -11,7 +11,7 @@
 from tealwing import interface as api
 from tealwing import log
 from tealwing.admin import figures as counted
-from tealwing.exchange import Abandoned, Failed, Query, Refused, Reply, Served
+from tealwing.exchange import Cancelled, Failed, Query, Rejected, Reply, Served
 from tealwing.gateway.decisions import GRAIN, Decisions, Mailbox
 from tealwing.gateway.vitals import Vitals
 from tealwing.resp import messages
@@ -28,7 +28,7 @@
 MOST_PAGES = MOST_RESULT // COLUMNS  # a page has a row or more, and a row as many bytes as columns or more
 PAGES_AT_ONCE = 64  # asked for in one write: what an engine's connection takes without a wait
 PAGES_LIMIT = 0.5  # s for the pages asked for at once: an engine has them ready, so what is later is lost
-NOTES = {"frac": api.NoteKind.PROGRESS, "missing": api.NoteKind.SPILLS, "parked": api.NoteKind.WAITS}
+NOTES = {"frac": api.ProgressKind.PROGRESS, "missing": api.ProgressKind.SPILLING, "parked": api.ProgressKind.WAITING}
 
 
 class Signal(Enum):
@@ -99,13 +99,13 @@
         self._class = settings.classes[query.cls].name
         self._mailbox: Mailbox = SimpleQueue()
         # A late try of a client may have less than we need ourselves: the module hears that no time is left
-        self._deadline = (query.taken or time.monotonic()) + query.ttl - TIME_KEPT
-        self._id = decisions.enter(query.call, self._mailbox, settings)
+        self._deadline = (query.received_at or time.monotonic()) + query.ttl - TIME_KEPT
+        self._id = decisions.enter(query.request_id, self._mailbox, settings)
         self._repeat_until = inf  # monotonic: a keyed request is not sent again after it, whatever a send waits for
         self._clear = 0.0  # when the engine of an attempt given up knows of it
         self._ahead: list[object] = []  # taken out of the mailbox before their turn, to see whether an end is there
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """The client has given the request up."""
         self._mailbox.put(Signal.ABANDONED)
 
@@ -114,7 +114,7 @@
         reply = self._run()
         if self._figures is not None:
             figure = counted.OK if isinstance(reply, Served) else counted.SHED
-            if isinstance(reply, (Failed, Abandoned)):
+            if isinstance(reply, (Failed, Cancelled)):
                 figure = counted.ERRORS
             self._figures.count(figure, self._class)
         return reply
@@ -127,17 +127,17 @@
         try:
             while True:
                 match self._next(attempt):
-                    case api.Tune(_, priority, _):
+                    case api.SetResources(_, priority, _):
                         if attempt is not None and attempt.stream is not None:
                             attempt.stream.hurry(priority)
 
                     case api.Send(_, engine, timeout):
-                        log.must_hold(attempt is None, "one attempt out at a time")
+                        log.check_invariant(attempt is None, "one attempt out at a time")
                         attempt = Attempt(sends, engine, timeout)
                         sends += 1
                         failure = self._send(attempt, priority)
                         if self._vitals is not None and not attempt.number:
-                            self._vitals.lagged(time.monotonic() - self._query.taken)
+                            self._vitals.lagged(time.monotonic() - self._query.received_at)
                         if failure is not None:
                             # of a request given up meanwhile no other attempt may be chosen, and count as sent
                             over = any(isinstance(item, Signal) for item in self._ahead)
@@ -150,7 +150,7 @@
                         result = self._take(attempt, answer)
                         if result is None:
                             continue  # not over yet
-                        served = result is api.Result.OK
+                        served = result is api.AttemptResult.OK
                         self._outcome(attempt, result, over=served)
                         pages, attempt = attempt.pages, None
                         if served:
@@ -158,45 +158,45 @@
 
                     case Lost(stream):
                         if attempt is not None and stream is attempt.stream:
-                            self._outcome(attempt, api.Result.RESET)
+                            self._outcome(attempt, api.AttemptResult.RESET)
                             attempt = None
 
-                    case api.Cancel(_, number):
+                    case api.CancelAttempt(_, number):
                         if attempt is not None and attempt.number == number:
                             self._give_up(attempt)
-                            self._outcome(attempt, api.Result.CANCELLED)
+                            self._outcome(attempt, api.AttemptResult.CANCELLED)
                             attempt = None
 
                     case None:  # the attempt's time is over
                         if attempt is None:
-                            log.must_hold(False, "the module answers by the deadline")
-                            self._decisions.submit(api.HungUp(self._id))
+                            log.check_invariant(False, "the module answers by the deadline")
+                            self._decisions.submit(api.ClientGone(self._id))
                             return Failed()
                         self._give_up(attempt)
                         lost = attempt.pages  # it was done in time, and its pages are lost
-                        self._outcome(attempt, api.Result.ERROR if lost else api.Result.TIMEOUT)
+                        self._outcome(attempt, api.AttemptResult.ERROR if lost else api.AttemptResult.TIMEOUT)
                         attempt = None
 
-                    case api.Refuse(_, retry_after, _):
-                        return Refused(retry_after)
+                    case api.Reject(_, retry_after, _):
+                        return Rejected(retry_after)
 
                     case api.Fail():
                         return Failed()
 
                     case Signal() as signal:
-                        self._decisions.submit(api.HungUp(self._id))  # what is out ends below
-                        return Abandoned() if signal is Signal.ABANDONED else Failed()
+                        self._decisions.submit(api.ClientGone(self._id))  # what is out ends below
+                        return Cancelled() if signal is Signal.ABANDONED else Failed()
         finally:
             if attempt is not None:
                 self._give_up(attempt)
-                self._outcome(attempt, api.Result.CANCELLED, over=True)
+                self._outcome(attempt, api.AttemptResult.CANCELLED, over=True)
             self._leave(sends)
 
     def _leave(self, sends: int) -> None:
         """Forget the request. A send still in the mailbox, which the end overtook, was never sent."""
-        for left in self._ahead + self._decisions.leave(self._id, self._query.call):
+        for left in self._ahead + self._decisions.leave(self._id, self._query.request_id):
             if isinstance(left, api.Send):
-                self._outcome(Attempt(sends, left.engine, left.timeout), api.Result.MOOT, over=True)
+                self._outcome(Attempt(sends, left.engine, left.timeout), api.AttemptResult.NOT_SENT, over=True)
         self._decisions.forget(self._id)
 
     def _request(self) -> api.Request:
@@ -204,11 +204,11 @@
         return api.Request(
             id=self._id,
             cls=query.cls,
-            time_left=self._deadline - time.monotonic(),
+            time_remaining=self._deadline - time.monotonic(),
             dataset=float(query.tables),
             cost=query.cost,
             tenant=query.tenant,
-            need=query.need,
+            memory_estimate=query.memory_estimate,
             zones=self._zones,
         )
 
@@ -231,35 +231,35 @@
         while not self._mailbox.empty():  # only this thread takes from it
             self._ahead.append(self._mailbox.get())
         return bool(self._ahead) and any(
-            isinstance(item, Signal | api.Refuse | api.Fail)
-            or (isinstance(item, api.Cancel) and item.attempt == attempt.number)
+            isinstance(item, Signal | api.Reject | api.Fail)
+            or (isinstance(item, api.CancelAttempt) and item.attempt == attempt.number)
             for item in self._ahead
         )
 
-    def _send(self, attempt: Attempt, priority: int) -> api.Result | None:
+    def _send(self, attempt: Attempt, priority: int) -> api.AttemptResult | None:
         """Hand the request to the engine; how that failed, or None."""
         if (self._ahead or not self._mailbox.empty()) and self._withdrawn(attempt):  # no connect for it, which may last
-            return api.Result.MOOT
+            return api.AttemptResult.NOT_SENT
         if (gap := self._clear - time.monotonic()) > 0:  # a sleep of 0 gives the interpreter away
             time.sleep(gap)
         left = min(attempt.due, self._deadline) - time.monotonic()
         if left <= 0:
-            return api.Result.MOOT  # never sent: its time had run out
+            return api.AttemptResult.NOT_SENT  # never sent: its time had run out
         try:
             attempt.stream = self._engines.send(
                 attempt.engine,
-                self._query.call,
+                self._query.request_id,
                 partial(self._head, attempt, priority),
                 self._query.statement,
                 partial(self._hear, attempt),
                 left,
             )
         except Withdrawn:
-            return api.Result.MOOT
+            return api.AttemptResult.NOT_SENT
         except ConnectFailed:
-            return api.Result.CONNECT_FAILED
+            return api.AttemptResult.CONNECT_FAILED
         except Broken:
-            return api.Result.RESET
+            return api.AttemptResult.RESET
         if self._figures is not None:
             self._figures.count(counted.TRIES, self._class)
         return None
@@ -281,24 +281,24 @@
             self._ahead.insert(0, Signal.ABANDONED)
             raise Withdrawn("its client left before it was sent")
         fields = b"lane=%b,ttl=%d" % (self._settings.classes[query.cls].name.encode(), ceil(left * 1e3))
-        if query.dedupe:
-            fields += b",dedupe=" + query.dedupe
+        if query.idempotency_key:
+            fields += b",dedupe=" + query.idempotency_key
         if priority != USUAL_PRIORITY:
             fields += b",urgency=%d" % priority
         return fields
 
-    def _take(self, attempt: Attempt, answer: Answer) -> api.Result | None:
+    def _take(self, attempt: Attempt, answer: Answer) -> api.AttemptResult | None:
         """What an answer of the engine makes of the attempt; None while it goes on."""
         try:
             attempt.report = messages.report(answer.fields, self._settings.report_fields) or attempt.report
             if answer.word == b"503" and not attempt.pages:
-                return self._ended(attempt, api.Result.FULL)
+                return self._ended(attempt, api.AttemptResult.FULL)
             if answer.word == b"504" and not attempt.pages:
-                return self._ended(attempt, api.Result.MOOT)
+                return self._ended(attempt, api.AttemptResult.NOT_SENT)
             if answer.word == b"500":
                 if attempt.pages:
                     self._give_up(attempt)  # its other pages must not reach a later attempt
-                return self._ended(attempt, api.Result.ERROR)
+                return self._ended(attempt, api.AttemptResult.ERROR)
             if answer.word == b"200" and attempt.pages:
                 return None  # a second copy
             if answer.word == b"200":
@@ -316,14 +316,14 @@
         except messages.RespError as error:
             log.event("engine_answer_unusable", error=str(error))
             answer.stream.spoilt()
-            return api.Result.ERROR
+            return api.AttemptResult.ERROR
         if not attempt.is_whole:
             return None
         if len(attempt.pages) > 1:
             answer.stream.shut()
-        return self._ended(attempt, api.Result.OK)
+        return self._ended(attempt, api.AttemptResult.OK)
 
-    def _ended(self, attempt: Attempt, result: api.Result) -> api.Result:
+    def _ended(self, attempt: Attempt, result: api.AttemptResult) -> api.AttemptResult:
         if attempt.stream is not None:
             attempt.stream.ended()
         return result
@@ -334,16 +334,16 @@
             self._mailbox.put(item)
         elif (kind := NOTES.get(item.fields.get("why", ""))) is not None:
             value = messages.number(item.fields.get("val", ""), 0.0)
-            self._decisions.submit(api.Note(self._id, attempt.number, attempt.engine, kind, value))
+            self._decisions.submit(api.AttemptProgress(self._id, attempt.number, attempt.engine, kind, value))
 
-    def _outcome(self, attempt: Attempt, result: api.Result, over: bool = False) -> None:
+    def _outcome(self, attempt: Attempt, result: api.AttemptResult, over: bool = False) -> None:
         cls = self._settings.classes[self._query.cls]
-        if cls.effect is api.Effect.KEYED and result not in api.NEVER_RAN:
-            self._repeat_until = min(self._repeat_until, attempt.sent + cls.window)
+        if cls.idempotency is api.Idempotency.KEYED and result not in api.NEVER_RAN:
+            self._repeat_until = min(self._repeat_until, attempt.sent + cls.idempotency_window)
         attempt.stream = None  # it leads back here: a circle would keep the pages until a collection
         elapsed = time.monotonic() - attempt.sent
         self._decisions.submit(
-            api.Outcome(self._id, attempt.number, attempt.engine, result, elapsed, over, report=attempt.report)
+            api.AttemptOutcome(self._id, attempt.number, attempt.engine, result, elapsed, over, report=attempt.report)
         )
 
 
--- a/tealwing/gateway/versions.py
+++ b/tealwing/gateway/versions.py
@@ -13,14 +13,20 @@
 from tealwing import log
 from tealwing.coordinator import updates
 from tealwing.coordinator.updates import Member
-from tealwing.exchange import Outdated
+from tealwing.exchange import SettingsChangedError
 from tealwing.policy import Gateway
 
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
     from tealwing.routing.table import Table
 
 REPLACED = 4  # changes of settings after which a request that is still being read under the first is turned back
-OWN = (api.Request, api.Outcome, api.StreamStarted, api.Note, api.HungUp)  # events of one request: to its module
+OWN = (
+    api.Request,
+    api.AttemptOutcome,
+    api.StreamStarted,
+    api.AttemptProgress,
+    api.ClientGone,
+)  # events of one request: to its module
 
 
 class Module(Protocol):
@@ -67,7 +73,7 @@
         self._held: dict[int, int] = {}  # version: its requests still open
         self._members: dict[int, Member] = {}  # the engine list by names, as settings number zones and kinds anew
         self._list_version = 0
-        self._beliefs: api.Beliefs | None = None  # the last ones, for a new module
+        self._beliefs: api.EngineHealthEstimates | None = None  # the last ones, for a new module
         self.share(0)
 
     @property
@@ -76,7 +82,7 @@
         return self.force.settings
 
     @property
-    def listed(self) -> tuple[api.ListEntry, ...]:
+    def listed(self) -> tuple[api.EngineListEntry, ...]:
         """The engine list as it was last heard, numbered by the settings in force."""
         return _numbered(self._members.values(), self.settings)
 
@@ -93,7 +99,7 @@
         for version, (older, _) in self._older.items():
             if older is settings:
                 return version
-        raise Outdated(self.settings)
+        raise SettingsChangedError(self.settings)
 
     def at(self, version: int) -> Module | None:
         """The module of a version, while there is one."""
@@ -155,7 +161,7 @@
     def _first(self, settings: api.Settings) -> list[api.Event]:
         """What a new module of the settings is told before anything else, numbered as they do."""
         listed = _numbered(self._members.values(), settings)
-        told: list[api.Event] = [api.EngineList(api.ListKind.FULL, self._list_version, listed)]
+        told: list[api.Event] = [api.EngineList(api.EngineListKind.FULL, self._list_version, listed)]
         return told + ([self._beliefs] if self._beliefs is not None else [])
 
     def concerned(self, event: api.Event) -> tuple[int, ...]:
@@ -163,22 +169,24 @@
         if isinstance(event, OWN):
             return (self._owners.get(event.id, self.version),)
         if isinstance(event, api.EngineList):  # its entries are numbered by the settings in force
-            if event.kind is not api.ListKind.FAILED:
+            if event.kind is not api.EngineListKind.FAILED:
                 named = (_named(entry, self.settings) for entry in event.entries)
                 self._note_list(event.kind, event.version, named)
-        elif isinstance(event, api.Beliefs):
+        elif isinstance(event, api.EngineHealthEstimates):
             self._beliefs = event
         return self.version, *self._older
 
-    def listing(self, kind: api.ListKind, number: int, members: tuple[Member, ...]) -> list[tuple[int, api.EngineList]]:
+    def listing(
+        self, kind: api.EngineListKind, number: int, members: tuple[Member, ...]
+    ) -> list[tuple[int, api.EngineList]]:
         """Keep a watch update; by version, what its module is told of it, numbered by the module's own settings."""
         self._note_list(kind, number, members)
         held = [(self.version, self.settings), *((version, older[0]) for version, older in self._older.items())]
         return [(version, api.EngineList(kind, number, _numbered(members, settings))) for version, settings in held]
 
-    def _note_list(self, kind: api.ListKind, number: int, members: Iterable[Member]) -> None:
+    def _note_list(self, kind: api.EngineListKind, number: int, members: Iterable[Member]) -> None:
         """Keep the list that a module made now would need."""
-        if kind is not api.ListKind.DELTA:
+        if kind is not api.EngineListKind.DELTA:
             self._members.clear()
         for member in members:
             if member.entry.health is api.Health.GONE:
@@ -192,7 +200,7 @@
         self.ready = frozenset(entry.zone for entry in self.listed if entry.health is api.Health.READY)
 
 
-def _numbered(members: Iterable[Member], settings: api.Settings) -> tuple[api.ListEntry, ...]:
+def _numbered(members: Iterable[Member], settings: api.Settings) -> tuple[api.EngineListEntry, ...]:
     """Their entries as the settings number zones and kinds; those that they do not know are left out."""
     found = []
     for member in members:
@@ -201,6 +209,6 @@
     return tuple(found)
 
 
-def _named(entry: api.ListEntry, settings: api.Settings) -> Member:
+def _named(entry: api.EngineListEntry, settings: api.Settings) -> Member:
     """The member of an entry that the settings number."""
-    return Member("", "", 0, entry, settings.zones[entry.zone], settings.kinds[entry.kind].name)
+    return Member("", "", 0, entry, settings.zones[entry.zone], settings.machine_kinds[entry.kind].name)
--- a/tealwing/gossip/transport.py
+++ b/tealwing/gossip/transport.py
@@ -180,7 +180,7 @@
                 if (engine, started) not in self._believed:
                     log.event("gossip_doubt", engine=engine, started_ms=started, factor=round(doubt, 2))
             self._believed = doubts
-            self._tell(api.Beliefs(doubts))
+            self._tell(api.EngineHealthEstimates(doubts))
 
     def _send(self, out: Sequence[tuple[tuple[str, int], bytes]]) -> None:
         for to, data in out:
--- a/tealwing/interface.py
+++ b/tealwing/interface.py
@@ -10,15 +10,15 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What repeating a request does."""
 
-    SAFE = "safe"
+    IDEMPOTENT = "safe"
     KEYED = "keyed"
-    UNSAFE = "unsafe"
+    NOT_IDEMPOTENT = "unsafe"
 
 
-class Group(Enum):
+class IdempotencyScope(Enum):
     """Which engines discard the repeats of a keyed request."""
 
     ALL = "all"
@@ -34,7 +34,7 @@
     DRAINING = 2
 
 
-class ListKind(Enum):
+class EngineListKind(Enum):
     """What a list event carries."""
 
     DELTA = 0
@@ -43,7 +43,7 @@
     FAILED = 3
 
 
-class Result(Enum):
+class AttemptResult(Enum):
     """How an attempt or a probe ended."""
 
     OK = "ok"
@@ -53,28 +53,28 @@
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
-class NoteKind(Enum):
+class ProgressKind(Enum):
     """What a progress note tells."""
 
     PROGRESS = 1
-    SPILLS = 2
-    WAITS = 3
+    SPILLING = 2
+    WAITING = 3
 
 
 # What the contract says
 
-NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
-MAY_STILL_RUN = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
-FOR_A_LOAD = 2.0  # the amount of a note of NoteKind.WAITS when a load holds the attempt's tables
-SHARES = (1, 4, 8, 16)  # of short cores and disks, by priority
-USUAL_RANK = 1  # the priority of a query for which none was named
-COLD_LOAD = 0.85  # busy share of the cores that the fail-back rule calls capacity
+NEVER_RAN = (AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
+MAY_STILL_RUN = (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
+WAITING_FOR_LOAD = 2.0  # the amount of a note of NoteKind.WAITS when a load holds the attempt's tables
+PRIORITY_SHARES = (1, 4, 8, 16)  # of short cores and disks, by priority
+DEFAULT_PRIORITY = 1  # the priority of a query for which none was named
+CAPACITY_UTILIZATION = 0.85  # busy share of the cores that the fail-back rule calls capacity
 
 
-def _need(holds: bool, name: str, value: object) -> None:
+def _require(holds: bool, name: str, value: object) -> None:
     if not holds:
         raise ValueError(f"impossible setting {name}: {value!r}")
 
@@ -84,31 +84,31 @@
     """One class of requests."""
 
     name: str
-    aim: float
-    aim_stretch: float
+    latency_objective: float
+    objective_per_work: float
     deadline: float
-    worth: float
-    late_share: float
-    effect: Effect
-    group: Group
-    window: float
+    priority_weight: float
+    late_weight_share: float
+    idempotency: Idempotency
+    idempotency_scope: IdempotencyScope
+    idempotency_window: float
     ordered: bool
     threads: int
     zones: frozenset[int] | None
-    kinds: frozenset[int] | None
-    holds: bool = False  # its group of tables, on its engine, while it runs
-    waits: bool = False  # while another holds its group there
+    machine_kinds: frozenset[int] | None
+    locks_tables: bool = False  # its group of tables, on its engine, while it runs
+    waits_for_locks: bool = False  # while another holds its group there
 
     def __post_init__(self) -> None:
-        _need(self.aim > 0, "class aim", self.aim)
-        _need(self.deadline > 0, "class deadline", self.deadline)
-        _need(self.worth >= 0, "class worth", self.worth)
-        _need(self.threads >= 1, "class threads", self.threads)
-        _need(self.window >= 0, "class window", self.window)
+        _require(self.latency_objective > 0, "class aim", self.latency_objective)
+        _require(self.deadline > 0, "class deadline", self.deadline)
+        _require(self.priority_weight >= 0, "class worth", self.priority_weight)
+        _require(self.threads >= 1, "class threads", self.threads)
+        _require(self.idempotency_window >= 0, "class window", self.idempotency_window)
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class MachineKind:
     """One kind of machine."""
 
     name: str
@@ -116,31 +116,31 @@
     memory: float
 
     def __post_init__(self) -> None:
-        _need(self.cores >= 1, "kind cores", self.cores)
-        _need(self.memory >= 0, "kind memory", self.memory)
+        _require(self.cores >= 1, "kind cores", self.cores)
+        _require(self.memory >= 0, "kind memory", self.memory)
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
     """What the deployment allows."""
 
-    cancel: bool
-    duplicates: bool
-    probes: bool
-    peers: bool
+    cancellation: bool
+    hedging: bool
+    health_checks: bool
+    peer_messages: bool
     retry_after: bool
     max_attempts: int
     max_retry_after: float
     connect_timeout: float = 1.0
-    idle_time: float = 30.0
-    multiplex: int = 100
+    idle_timeout: float = 30.0
+    attempts_per_connection: int = 100
 
     def __post_init__(self) -> None:
-        _need(self.connect_timeout > 0, "connect timeout", self.connect_timeout)
-        _need(self.idle_time > 0, "connection idle time", self.idle_time)
-        _need(self.multiplex >= 1, "multiplex", self.multiplex)
-        _need(self.max_attempts >= 1, "max attempts", self.max_attempts)
-        _need(self.max_retry_after >= 0, "max retry-after", self.max_retry_after)
+        _require(self.connect_timeout > 0, "connect timeout", self.connect_timeout)
+        _require(self.idle_timeout > 0, "connection idle time", self.idle_timeout)
+        _require(self.attempts_per_connection >= 1, "multiplex", self.attempts_per_connection)
+        _require(self.max_attempts >= 1, "max attempts", self.max_attempts)
+        _require(self.max_retry_after >= 0, "max retry-after", self.max_retry_after)
 
 
 @dataclass(frozen=True, slots=True)
@@ -148,23 +148,23 @@
     """Figures of the rules; the optional ones are None where the rule is not set."""
 
     answer_slack: float
-    ask_within: float
-    cold_share: float
-    cold_time: float
+    poll_interval: float
+    slow_start_share: float
+    slow_start_time: float
     drain_grace: float
-    fall_multiple: float
-    fall_time: float
-    order_settle: float
-    ration_free: float | None
-    ration_share: float
-    ration_window: float
+    overload_multiple: float
+    overload_time: float
+    ordering_settle_time: float
+    retry_budget_floor: float | None
+    retry_budget_share: float
+    retry_budget_window: float
 
     def __post_init__(self) -> None:
-        _need(0 < self.cold_share <= 1, "cold share", self.cold_share)
-        _need(self.fall_multiple > 0, "fall multiple", self.fall_multiple)
-        _need(self.fall_time > 0, "fall time", self.fall_time)
-        for name in ("answer_slack", "ask_within", "cold_time", "drain_grace", "order_settle"):
-            _need(getattr(self, name) >= 0, name.replace("_", " "), getattr(self, name))
+        _require(0 < self.slow_start_share <= 1, "cold share", self.slow_start_share)
+        _require(self.overload_multiple > 0, "fall multiple", self.overload_multiple)
+        _require(self.overload_time > 0, "fall time", self.overload_time)
+        for name in ("answer_slack", "poll_interval", "slow_start_time", "drain_grace", "ordering_settle_time"):
+            _require(getattr(self, name) >= 0, name.replace("_", " "), getattr(self, name))
 
 
 @dataclass(frozen=True, slots=True)
@@ -177,7 +177,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Account:
+class TenantQuota:
     """One client account: its share of the service, and the requests a second that lie within it, over all gateways."""
 
     name: str
@@ -185,48 +185,48 @@
     rate: float
 
     def __post_init__(self) -> None:
-        _need(0 <= self.share <= 1, "account share", self.share)
-        _need(self.rate >= 0, "account rate", self.rate)
+        _require(0 <= self.share <= 1, "account share", self.share)
+        _require(self.rate >= 0, "account rate", self.rate)
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
     """All that one gateway is told at its start."""
 
-    me: int
-    gateways: int
+    instance_number: int
+    gateway_count: int
     zone: int
     zones: tuple[str, ...]
-    kinds: tuple[Kind, ...]
+    machine_kinds: tuple[MachineKind, ...]
     classes: tuple[RequestClass, ...]
     limits: Limits
     rules: Rules
     prices: Prices
-    ask: bool
+    polls_discovery: bool
     report_fields: tuple[str, ...]
-    grants: bool
-    priorities: bool
-    most_grant: float
-    notes_every: float
-    tells_cost: bool
-    when_short: str
-    marks_retry: bool
+    heeds_memory_grants: bool
+    heeds_priorities: bool
+    max_grant_share: float
+    progress_interval: float
+    reports_cost: bool
+    memory_shortage_policy: str
+    clients_mark_retries: bool
     tick: float
     tenants: tuple[str, ...] = ()
-    accounts: tuple[Account, ...] = ()  # in the order of tenants; empty where shares are not told
+    tenant_quotas: tuple[TenantQuota, ...] = ()  # in the order of tenants; empty where shares are not told
 
     def __post_init__(self) -> None:
-        _need(self.gateways >= 1, "gateways", self.gateways)
-        _need(bool(self.classes), "classes", self.classes)
-        _need(bool(self.kinds), "kinds", self.kinds)
-        _need(self.tick >= 0, "tick", self.tick)
+        _require(self.gateway_count >= 1, "gateways", self.gateway_count)
+        _require(bool(self.classes), "classes", self.classes)
+        _require(bool(self.machine_kinds), "kinds", self.machine_kinds)
+        _require(self.tick >= 0, "tick", self.tick)
 
 
 # Events
 
 
 @dataclass(frozen=True, slots=True)
-class ListEntry:
+class EngineListEntry:
     """One engine of the engine list; started is 0 where it runs since long ago."""
 
     engine: int
@@ -242,9 +242,9 @@
 class EngineList:
     """News of the engine list."""
 
-    kind: ListKind
+    kind: EngineListKind
     version: int
-    entries: tuple[ListEntry, ...]
+    entries: tuple[EngineListEntry, ...]
 
 
 @dataclass(slots=True)
@@ -256,29 +256,29 @@
 
     id: int
     cls: int
-    time_left: float
+    time_remaining: float
     dataset: float = 0.0
     cost: float | None = None
     key: int = 0
     tenant: int = 0
-    need: float = 0.0
-    resubmitted: bool = False
-    write: bool = False
+    memory_estimate: float = 0.0
+    is_client_retry: bool = False
+    is_write: bool = False
     zones: frozenset[int] | None = None
 
 
 @dataclass(slots=True)
-class Outcome:
+class AttemptOutcome:
     """The end of one attempt; report has the values of Settings.report_fields, or is empty."""
 
     id: int
     attempt: int
     engine: int
-    result: Result
+    result: AttemptResult
     elapsed: float
-    over: bool
+    request_ended: bool
     cost: float = 0.0
-    need: float = 0.0
+    memory_used: float = 0.0
     report: tuple[float, ...] = field(default=())
 
 
@@ -293,22 +293,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class AttemptProgress:
     """Word of an attempt that is still out."""
 
     id: int
     attempt: int
     engine: int
-    kind: NoteKind
+    kind: ProgressKind
     amount: float
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeResult:
+class HealthCheckResult:
     """The result of a probe."""
 
     engine: int
-    result: Result
+    result: AttemptResult
     elapsed: float
     report: tuple[float, ...]
 
@@ -322,7 +322,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HungUp:
+class ClientGone:
     """The client has gone; nothing is owed any more."""
 
     id: int
@@ -346,24 +346,24 @@
 
     number: int
     name: str
-    admitted: tuple[tuple[float, ...], ...]
-    attempts: tuple[int, ...]
-    pushback: tuple[float, float]
+    admission_probability: tuple[tuple[float, ...], ...]
+    max_attempts: tuple[int, ...]
+    retry_after_range: tuple[float, float]
 
     @property
-    def full(self) -> bool:
+    def is_full_service(self) -> bool:
         """Whether nothing is reduced."""
-        return not self.number and all(chance >= 1 for chances in self.admitted for chance in chances)
+        return not self.number and all(chance >= 1 for chances in self.admission_probability for chance in chances)
 
 
 @dataclass(frozen=True, slots=True)
-class Beliefs:
+class EngineHealthEstimates:
     """What peers are believed about engines, from tealwing.gossip: all of it, each time.
 
     By engine and start (ms of the Unix clock, 0 long ago), the factor, above 1, on the latency to expect there.
     """
 
-    doubts: dict[tuple[int, int], float]
+    latency_factors: dict[tuple[int, int], float]
 
 
 @dataclass(frozen=True, slots=True)
@@ -374,24 +374,24 @@
     the time that this process took of its share of the processor.
     """
 
-    lag: float
-    unread: float
-    processor: float
+    dispatch_delay: float
+    unread_age: float
+    cpu_utilization: float
 
 
 Event = (
     EngineList
     | Request
-    | Outcome
+    | AttemptOutcome
     | StreamStarted
-    | Note
-    | ProbeResult
+    | AttemptProgress
+    | HealthCheckResult
     | PeerMessage
-    | HungUp
+    | ClientGone
     | TimerFired
     | ServiceLevel
     | HostLoad
-    | Beliefs
+    | EngineHealthEstimates
 )
 
 
@@ -408,7 +408,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tune:
+class SetResources:
     """Memory and priority of the request's next attempts; the priority also of those out."""
 
     id: int
@@ -417,12 +417,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """A final no; retry_after 0 gives no advice. shed: a service level turned it away, not the fleet's state."""
 
     id: int
     retry_after: float
-    shed: bool = False
+    is_load_shedding: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -433,7 +433,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for one attempt."""
 
     id: int
@@ -449,21 +449,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class CheckHealth:
     """Ask an engine how it is."""
 
     engine: int
 
 
 @dataclass(frozen=True, slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close idle connections to an engine."""
 
     engine: int
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendToPeer:
     """Bytes for one gateway, or for all where peer is None."""
 
     peer: int | None
@@ -474,11 +474,11 @@
 class Subscribe:
     """Ask for changes of the engine list from now on, or end that."""
 
-    wanted: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchEngineList:
     """Ask for the whole engine list once."""
 
 
@@ -489,4 +489,17 @@
     text: str
 
 
-Action = Send | Tune | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | Tell | Subscribe | FetchList | Log
+Action = (
+    Send
+    | SetResources
+    | Reject
+    | Fail
+    | CancelAttempt
+    | SetTimer
+    | CheckHealth
+    | CloseIdleConnections
+    | SendToPeer
+    | Subscribe
+    | FetchEngineList
+    | Log
+)
--- a/tealwing/lab/processes.py
+++ b/tealwing/lab/processes.py
@@ -105,9 +105,9 @@
         return own, len(truth)
 
     def tell(event: api.Event) -> None:
-        if isinstance(event, api.Beliefs):
+        if isinstance(event, api.EngineHealthEstimates):
             doubts.clear()
-            doubts.update(event.doubts)
+            doubts.update(event.latency_factors)
 
     log.logger.disabled = True
     link = Link(Plan(names[number], listen, key, allowed, seeds, Times(), None, None), evidence, tell)
--- a/tealwing/lab/rumours.py
+++ b/tealwing/lab/rumours.py
@@ -204,7 +204,7 @@
     """A deployment of modelled engines whose gateways gossip, or do not."""
 
     def __init__(self, seed: int, gateways: int, seconds: float, load: float, liars: int, talk: bool) -> None:
-        settings = replace(site.settings(gateways), gateways=gateways)
+        settings = replace(site.settings(gateways), gateway_count=gateways)
         draws = site.draws(np.random.default_rng((seed, 30)), ENGINES)
         mean = sum(mix.share * mix.work for mix in arrivals.BRIEF)
         asked = arrivals.draw(np.random.default_rng((seed, 31)), site.rate(draws, mean, load), seconds, gateways)
@@ -234,7 +234,7 @@
             doubts = node.beliefs.weigh(clock.now, own, node.members.live, len(module.ready))
             if doubts != self._believed[number]:
                 self._believed[number] = doubts
-                module.handle(clock.now, api.Beliefs(doubts))
+                module.handle(clock.now, api.EngineHealthEstimates(doubts))
 
     def run(self, trouble: Callable[[Deployment], None]) -> worth.Worth:
         """What it was worth."""
--- a/tealwing/leases/keeper.py
+++ b/tealwing/leases/keeper.py
@@ -229,7 +229,7 @@
 
     # The replica's thread
 
-    def _applied(self, index: int, command: c.Command | None, result: c.Result | None) -> None:
+    def _applied(self, index: int, command: c.Command | None, result: c.CommandResult | None) -> None:
         if command is None or result is None or not result.ok:
             return
         now = self.clock.now()
--- a/tealwing/leases/sweep.py
+++ b/tealwing/leases/sweep.py
@@ -49,7 +49,7 @@
                     result = replica.write(c.Command("", 0, body, held.fence()), WAIT)
                 except (Unknown, Unavailable):
                     break
-                log.event("drain_swept", engine=drain.engine, ok=result.ok, why=result.why)
+                log.event("drain_swept", engine=drain.engine, ok=result.ok, why=result.reason)
             held.wait(EVERY)
 
     keeper.task(NAME, TTL, sweep)
--- a/tealwing/levels/governor.py
+++ b/tealwing/levels/governor.py
@@ -46,14 +46,14 @@
                 return []
             case api.Request():
                 self.signals.came(now, event, self.gateway.flows[event.cls].goal())
-            case api.Outcome():
+            case api.AttemptOutcome():
                 self.signals.outcome(now, event)
-            case api.HungUp():
+            case api.ClientGone():
                 self.signals.gave_up(now, event.id)
         actions = self.gateway.handle(now, event)
         for action in actions:
-            if isinstance(action, api.Refuse):
-                self.signals.refused(now, action.id, action.shed)
+            if isinstance(action, api.Reject):
+                self.signals.refused(now, action.id, action.is_load_shedding)
             elif isinstance(action, api.Fail):
                 self.signals.gave_up(now, action.id)
         if not self._begun:
--- a/tealwing/levels/signals.py
+++ b/tealwing/levels/signals.py
@@ -90,21 +90,21 @@
         """A request; goal is the aim of a usual one of its class, in seconds."""
         cls = self._settings.classes[request.cls]
         if request.cost is not None:  # the aim grows with the work over its threads
-            goal = cls.aim + cls.aim_stretch * request.cost / cls.threads
-        self._open[request.id] = Open(request.cls, now + goal, cls.worth, cls.late_share)
+            goal = cls.latency_objective + cls.objective_per_work * request.cost / cls.threads
+        self._open[request.id] = Open(request.cls, now + goal, cls.priority_weight, cls.late_weight_share)
         self._now.counts[request.cls][CAME] += 1
         self._now.accounts[request.tenant if request.tenant < len(self._now.accounts) else 0][request.cls] += 1
 
-    def outcome(self, now: float, event: api.Outcome) -> None:
+    def outcome(self, now: float, event: api.AttemptOutcome) -> None:
         """An attempt ended, and with it the request where it was served."""
         found = self._open.get(event.id)
         if found is None:
             return
         counts = self._now.counts[found.cls]
         counts[ATTEMPTS] += 1
-        counts[TIMEOUTS] += event.result is api.Result.TIMEOUT
-        if event.over:
-            self._ended(now, event.id, found, event.result is api.Result.OK)
+        counts[TIMEOUTS] += event.result is api.AttemptResult.TIMEOUT
+        if event.request_ended:
+            self._ended(now, event.id, found, event.result is api.AttemptResult.OK)
 
     def gave_up(self, now: float, request: int) -> None:
         """The client went, or the module failed the request."""
@@ -161,8 +161,8 @@
         for tenant, counts in zip(self._settings.tenants, self._sum.accounts, strict=False):
             signals[f"account.{tenant}.rate"] = sum(counts) / seconds
         if self._host is not None:
-            signals["own.lag"], signals["own.unread"] = self._host.lag, self._host.unread
-            signals["own.processor"] = self._host.processor
+            signals["own.lag"], signals["own.unread"] = self._host.dispatch_delay, self._host.unread_age
+            signals["own.processor"] = self._host.cpu_utilization
         return signals
 
     def resize(self, window: float, every: float) -> None:
@@ -234,9 +234,9 @@
         total = sum(map(sum, self._sum.accounts))
         seconds = max(len(self._ring), 1) * self._every
         found = {}
-        for account, counts in zip(self._settings.accounts, self._sum.accounts, strict=False):
+        for account, counts in zip(self._settings.tenant_quotas, self._sum.accounts, strict=False):
             asked = sum(counts)
-            quota = account.rate / self._settings.gateways * seconds
+            quota = account.rate / self._settings.gateway_count * seconds
             due = max(account.share * total, quota)
             found[account.name] = max(0.0, 1 - due / asked) if asked >= LEAST else 0.0
         return found
--- a/tealwing/log.py
+++ b/tealwing/log.py
@@ -18,13 +18,13 @@
 import orjson
 
 _lock = threading.Lock()
-_broken: Counter[str] = Counter()
+_violations: Counter[str] = Counter()
 
 
-LONGEST = select.PIPE_BUF  # bytes of a line: a pipe that takes anything takes so many at once
+MAX_LINE_BYTES = select.PIPE_BUF  # bytes of a line: a pipe that takes anything takes so many at once
 
 
-class Lines(logging.Handler):
+class JsonLineHandler(logging.Handler):
     """Writes each record as one line of JSON; the handler's lock keeps lines of two threads apart.
 
     It never waits: a line that standard output does not take now, or that is longer than a pipe takes at once, is left
@@ -37,16 +37,20 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one record."""
-        told: dict[str, Any] = {"at": record.created, "event": record.msg, **getattr(record, "fields", {})}
-        if not _takes():
+        line_fields: dict[str, Any] = {"at": record.created, "event": record.msg, **getattr(record, "fields", {})}
+        if not _is_writable():
             self._left_out += 1
             return
         if self._left_out:
-            told["left_out"] = self._left_out
-        line = orjson.dumps(told, default=repr)
-        if len(line) >= LONGEST:
+            line_fields["left_out"] = self._left_out
+        line = orjson.dumps(line_fields, default=repr)
+        if len(line) >= MAX_LINE_BYTES:
             line = orjson.dumps(
-                {"at": record.created, "event": record.msg, "cut": line[: LONGEST // 2].decode("utf-8", "replace")}
+                {
+                    "at": record.created,
+                    "event": record.msg,
+                    "cut": line[: MAX_LINE_BYTES // 2].decode("utf-8", "replace"),
+                }
             )
         try:
             sys.stdout.buffer.write(line + b"\n")
@@ -56,7 +60,7 @@
             self._left_out += 1
 
 
-def _takes() -> bool:
+def _is_writable() -> bool:
     """Whether standard output takes a line now; True where that can't be asked."""
     with contextlib.suppress(OSError, ValueError):
         ready = select.poll()
@@ -68,7 +72,7 @@
 logger = logging.getLogger("tealwing")
 logger.setLevel(logging.INFO)
 logger.propagate = False
-logger.addHandler(Lines())
+logger.addHandler(JsonLineHandler())
 
 
 def event(name: str, /, **fields: Any) -> None:
@@ -79,13 +83,13 @@
     logger.handle(record)
 
 
-def must_hold(holds: bool, what: str) -> None:
+def check_invariant(holds: bool, what: str) -> None:
     """Assert in debug builds; under -O count, and log the count."""
     if holds:
         return
     if __debug__:
         raise AssertionError(what)
     with _lock:
-        _broken[what] += 1
-        count = _broken[what]
+        _violations[what] += 1
+        count = _violations[what]
     event("must_hold_broken", what=what, count=count)
--- a/tealwing/mysql/server.py
+++ b/tealwing/mysql/server.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable
 
 from tealwing import interface, log, threads
-from tealwing.exchange import Gate, Open
+from tealwing.exchange import AdmissionGate, OpenExchange
 from tealwing.mysql.departures import LEAVING
 from tealwing.mysql.lingering import Lingering
 from tealwing.mysql.session import Session
@@ -65,7 +65,7 @@
         address: Address,
         most: int,
         settings: interface.Settings,
-        open_: Open,
+        open_: OpenExchange,
         inherited: int | None = None,
         most_threads: int | None = None,
     ) -> None:
@@ -74,7 +74,7 @@
         most is the number of clients at once; most_threads that of commands under way at once (most if None).
         """
         self.settings, self.open = settings, open_
-        self.gate: Gate | None = None  # what requests pass first, where rules are agreed on
+        self.gate: AdmissionGate | None = None  # what requests pass first, where rules are agreed on
         self.unread: Callable[[float], None] | None = None  # hears how long what was read had waited
         self._most, self._spare = most, max(1, most // SPARE)
         self._most_threads = min(most, most_threads or most)
@@ -232,7 +232,7 @@
                 if session.run(buffer, time.monotonic() - since if since else 0.0):
                     self._await(session)  # from here on it may be another thread's
             except Exception:  # a fault of ours ends one session, not the thread that other clients need
-                log.must_hold(False, f"a session ends by itself: {traceback.format_exc(limit=-3)}")
+                log.check_invariant(False, f"a session ends by itself: {traceback.format_exc(limit=-3)}")
             with self._changed:
                 enough = self._free >= FREE_THREADS[1]
                 self._free += not enough
@@ -284,7 +284,7 @@
                 if not full:
                     session = self._take_client()
                 crowded = self._held() > self._most - self._spare
-                log.must_hold(self._held() <= self._most, "clients hold no more descriptors than they may")
+                log.check_invariant(self._held() <= self._most, "clients hold no more descriptors than they may")
         except OSError as error:  # taken by another; or descriptors have run out for now
             if not isinstance(error, BlockingIOError) and error.errno not in ABORTED:
                 self._accept_later(error)
@@ -459,7 +459,7 @@
                     if session is not None:
                         self._serve_brief(session, buffer)
             except Exception:  # a fault of ours must not end the looking
-                log.must_hold(False, f"standing in goes on: {traceback.format_exc(limit=-3)}")
+                log.check_invariant(False, f"standing in goes on: {traceback.format_exc(limit=-3)}")
                 return
 
     def _serve_brief(self, session: Session, buffer: memoryview) -> None:
--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -13,17 +13,17 @@
 
 from tealwing import log, threads
 from tealwing.exchange import (
-    Abandoned,
+    AdmissionGate,
+    Cancelled,
+    Deferred,
     Exchange,
     Failed,
-    Gate,
-    Outdated,
+    InvalidRequestError,
     Query,
-    Refused,
+    Rejected,
     Reply,
     Served,
-    Turned,
-    Unusable,
+    SettingsChangedError,
 )
 from tealwing.mysql import departures, lingering, overdue, packets, statements
 from tealwing.sockets import MEMORY_PAUSE, has_unread, is_short_of_memory, prepare, send_all, silence
@@ -180,7 +180,7 @@
                 return False
             self._cut = True
             if self._exchange is not None:
-                self._exchange.abandon()  # first, and it never waits: nothing more is sent once the client has heard
+                self._exchange.cancel()  # first, and it never waits: nothing more is sent once the client has heard
             left = packets.packet(1, FAILED)
             with contextlib.suppress(OSError):  # the client has gone, or takes nothing
                 while left:
@@ -203,7 +203,7 @@
         with self._lock:  # while there is an exchange its thread does not close the socket
             exchange = self._exchange if self._exchange is not None and self.left() else None
         if exchange is not None:
-            exchange.abandon()
+            exchange.cancel()
 
     def close(self) -> None:
         """It is over."""
@@ -228,7 +228,7 @@
             exchange = self._exchange
             self._killed = exchange is None and (self._due or self._unread())
         if exchange is not None:
-            exchange.abandon()
+            exchange.cancel()
         if not query_only:
             self._cut_off()
 
@@ -452,13 +452,13 @@
         """The answer to a request."""
         if self._refusing:
             self._refusing = False
-            return answer(Refused(OVERDUE_PUSHBACK))
+            return answer(Rejected(OVERDUE_PUSHBACK))
         try:
             if self.server.gate is not None:
                 passed = self._pass(text, self.server.gate)
-                if isinstance(passed, Turned):
-                    return answer(Refused(passed.pushback))
-                if isinstance(passed, Abandoned):
+                if isinstance(passed, Deferred):
+                    return answer(Rejected(passed.retry_after))
+                if isinstance(passed, Cancelled):
                     return answer(passed)
                 query, exchange = passed
             else:
@@ -466,12 +466,12 @@
                 query = statements.query(text, settings, self._taken)
                 if self._late:  # its time has run since it came: past its deadline it is refused at once
                     query = dataclasses.replace(query, ttl=query.ttl - self._late)
-                self._deadline.begin(query.taken + query.ttl)
-                query.asks(self.left)
+                self._deadline.begin(query.received_at + query.ttl)
+                query.set_client_check(self.left)
                 if self._killed or (self._late and self.left()):
-                    return answer(Abandoned())
+                    return answer(Cancelled())
                 exchange = self.server.open(query, settings)
-        except Unusable as error:
+        except InvalidRequestError as error:
             log.event("request_unusable", error=str(error))
             return packets.packet(1, packets.error(1210, "HY000", f"Incorrect arguments: {error}"))
         except Exception as error:
@@ -479,7 +479,7 @@
         with self._lock:
             self._exchange, killed = exchange, self._killed
         if killed:
-            exchange.abandon()
+            exchange.cancel()
         self.server.watch(self)
         begun = time.monotonic()
         try:
@@ -489,7 +489,7 @@
         finally:
             took = time.monotonic() - begun
             if took > query.ttl:
-                log.event("answer_late", call=query.call.decode(), ttl=query.ttl, took=took)
+                log.event("answer_late", call=query.request_id.decode(), ttl=query.ttl, took=took)
 
     def _failed_by(self, error: Exception) -> bytes:
         """The answer to a request that a fault of ours ended: its client is owed one all the same.
@@ -501,7 +501,7 @@
         log.event("request_fault", error=repr(error), trace=traceback.format_exc(limit=-3))
         return packets.packet(1, FAILED)
 
-    def _pass(self, text: bytes, gate: Gate) -> tuple[Query, Exchange] | Turned | Abandoned:
+    def _pass(self, text: bytes, gate: AdmissionGate) -> tuple[Query, Exchange] | Deferred | Cancelled:
         """Open a request that the gate lets in, read under the version of the rules that then decides it.
 
         One that was given up while it was held is not opened.
@@ -513,30 +513,30 @@
             now = time.monotonic()
             try:
                 query = statements.query(text, settings, taken)
-                self._deadline.begin(query.taken + query.ttl - late)
+                self._deadline.begin(query.received_at + query.ttl - late)
                 tenant = settings.tenants[query.tenant] if settings.tenants else ""
                 until = now + _patience(query.ttl - late)
-                entered = gate.enter(settings.classes[query.cls].name, tenant, query.tables, until)
-            except Unusable:  # under a version that may be going
-                entered = gate.enter(None, "", 0, now + UNREAD_WAITS)
-                if not (isinstance(entered, Turned) or entered.held):
+                entered = gate.admit(settings.classes[query.cls].name, tenant, query.tables, until)
+            except InvalidRequestError:  # under a version that may be going
+                entered = gate.admit(None, "", 0, now + UNREAD_WAITS)
+                if not (isinstance(entered, Deferred) or entered.waited):
                     raise
-            if isinstance(entered, Turned):
+            if isinstance(entered, Deferred):
                 return entered
-            if entered.held:
+            if entered.waited:
                 held = time.monotonic() - now
                 late, taken, settings = late + held, taken + held, self.server.settings
                 query = statements.query(text, settings, taken)
-            if self._killed or (entered.held and self.left()):
-                return Abandoned()
+            if self._killed or (entered.waited and self.left()):
+                return Cancelled()
             if late:  # its time has run since it came: past its deadline it is refused at once
                 query = dataclasses.replace(query, ttl=query.ttl - late)
-            query.asks(self.left)
+            query.set_client_check(self.left)
             try:
                 return query, self.server.open(query, settings)
-            except Outdated as error:
+            except SettingsChangedError as error:
                 settings = error.settings
-        return Turned(STILL_CHANGING, "the rules change faster than the request can be read")
+        return Deferred(STILL_CHANGING, "the rules change faster than the request can be read")
 
 
 def _patience(ttl: float) -> float:
@@ -550,12 +550,12 @@
         case Served(pages):
             rows = (line.split(b"\t") for page in pages for line in page.split(b"\n")[:-1])
             return packets.result_set(COLUMNS, rows, 1)
-        case Refused(retry_after):
+        case Rejected(retry_after):
             text = f"The query was refused, pushback={round(retry_after * 1e3)}"
             return packets.packet(1, packets.error(1226, "42000", text))
         case Failed():
             return packets.packet(1, FAILED)
-        case Abandoned():
+        case Cancelled():
             return packets.packet(1, INTERRUPTED)
 
 
--- a/tealwing/mysql/statements.py
+++ b/tealwing/mysql/statements.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from tealwing import interface
-from tealwing.exchange import Query, Unusable
+from tealwing.exchange import InvalidRequestError, Query
 
 MOST_TTL_MS = 24 * 3600 * 1000
 MOST_WORK_MS = 1e9
@@ -30,7 +30,7 @@
 _GROUP = re.compile(rb".*_(\d{1,7})\Z", re.DOTALL)
 
 
-class FieldError(Unusable):
+class FieldError(InvalidRequestError):
     """A request whose fields can't be used."""
 
 
@@ -63,7 +63,7 @@
         raise FieldError(f"call is not 16 hexadecimal digits: {call!r}")
     if settings.tenants and fields.get("org") not in settings.tenants:
         raise FieldError(f"org is missing or unknown: {fields.get('org')!r}")
-    keyed = settings.classes[cls].effect is interface.Effect.KEYED
+    keyed = settings.classes[cls].idempotency is interface.Idempotency.KEYED
     if (keyed or "dedupe" in fields) and not _DEDUPE.match(dedupe):
         raise FieldError(f"dedupe is missing or out of range: {dedupe!r}")
     ttl = fields.get("ttl", "")
@@ -73,16 +73,16 @@
     if not statement.strip():
         raise FieldError("there is no statement")
     return Query(
-        call=call.encode(),
+        request_id=call.encode(),
         cls=cls,
         tenant=settings.tenants.index(fields["org"]) if settings.tenants else 0,
         ttl=int(ttl) / 1e3,
         statement=statement,
-        dedupe=dedupe.encode(),
+        idempotency_key=dedupe.encode(),
         cost=_number(fields, "work", MOST_WORK_MS) / 1e3 if "work" in fields else None,
-        need=_number(fields, "heap_mb", MOST_NEED_MB) if "heap_mb" in fields else 0.0,
+        memory_estimate=_number(fields, "heap_mb", MOST_NEED_MB) if "heap_mb" in fields else 0.0,
         tables=tables(statement),
-        taken=taken,
+        received_at=taken,
     )
 
 
--- a/tealwing/policy/attempts.py
+++ b/tealwing/policy/attempts.py
@@ -28,18 +28,18 @@
     def _send(self, job: Job, engine: Engine) -> None:
         if job.attempts:
             self.extra.append(self.now)
-        elif job.flow.rank != api.USUAL_RANK:
-            self.actions.append(api.Tune(job.request.id, job.flow.rank, 0.0))
+        elif job.flow.rank != api.DEFAULT_PRIORITY:
+            self.actions.append(api.SetResources(job.request.id, job.flow.rank, 0.0))
         job.attempts.append(Attempt(engine, self.now))
         engine.estimates[job.request.cls].unseen += 1
         self._count(job, engine, 1)
         if engine.warmth(self.now) < 1:
             engine.sent.append((self.now, job.flow.work))
         self.actions.append(api.Send(job.request.id, engine.id, job.deadline - self.now))
-        if self.settings.limits.cancel and self.settings.notes_every > 0:
+        if self.settings.limits.cancellation and self.settings.progress_interval > 0:
             self._expect(job, SILENT[0])
 
-    def _outcome(self, event: api.Outcome) -> None:
+    def _outcome(self, event: api.AttemptOutcome) -> None:
         job = self.jobs.get(event.id)
         if job is None or event.attempt >= len(job.attempts) or job.attempts[event.attempt].done:
             return
@@ -47,9 +47,9 @@
         attempt.done, attempt.may_have_run = True, event.result not in api.NEVER_RAN
         self._learn(job, attempt, event)
         if job.key and event.result in api.MAY_STILL_RUN:
-            rest = self.now + self.settings.rules.order_settle
+            rest = self.now + self.settings.rules.ordering_settle_time
             self.rests[job.key] = max(rest, self.rests.get(job.key, 0.0))
-        if event.over:
+        if event.request_ended:
             job.over = True
         elif not job.over and not job.out():
             if job.deadline - self.now > job.flow.usual and not job.faulty():
@@ -58,7 +58,7 @@
                 self._end(job)
         self._tidy(job)
 
-    def _learn(self, job: Job, attempt: Attempt, event: api.Outcome) -> None:
+    def _learn(self, job: Job, attempt: Attempt, event: api.AttemptOutcome) -> None:
         """Settle the counts of an attempt; learn from it, unless its engine started anew since."""
         engine = self.engines.get(attempt.engine.id, attempt.engine)
         self._count(job, engine, -1)
@@ -68,18 +68,18 @@
         if attempt.report == engine.reports:
             estimate.unseen = max(0, estimate.unseen - 1)
         self._report(engine, event.report)
-        if event.result is api.Result.OK:
+        if event.result is api.AttemptResult.OK:
             self.pace.done, engine.pace.done = self.pace.done + 1, engine.pace.done + 1
             self.answers, engine.tries = self.answers + 1, engine.tries + 1
             estimate.answered(event.elapsed)
             job.flow.answered(event.elapsed, event.cost)
-        elif event.result is api.Result.FULL:
+        elif event.result is api.AttemptResult.FULL:
             engine.full_until = self.now + FULL_WAIT
-        elif event.result is api.Result.TIMEOUT:
+        elif event.result is api.AttemptResult.TIMEOUT:
             self._given_up(job, attempt)
             estimate.answered(max(event.elapsed, job.flow.latency))
-        elif event.result in (api.Result.ERROR, api.Result.CONNECT_FAILED, api.Result.RESET):
-            attempt.blame = float(event.result is api.Result.ERROR)
+        elif event.result in (api.AttemptResult.ERROR, api.AttemptResult.CONNECT_FAILED, api.AttemptResult.RESET):
+            attempt.blame = float(event.result is api.AttemptResult.ERROR)
             if attempt.blame or self.now > engine.lost_at + LOST_ONCE:
                 engine.tries, engine.fails = engine.tries + 1, engine.fails + 1
             engine.lost_at = self.now
@@ -90,20 +90,20 @@
     def _given_up(self, job: Job, attempt: Attempt) -> None:
         """A time-out or a hang-up: a loss past m where it frees the engine, so that theta is a departure."""
         self.answers, self.timeouts = self.answers + 1, self.timeouts + 1
-        if self.settings.limits.cancel:
+        if self.settings.limits.cancellation:
             job.flow.lost += attempt.engine.estimates[job.request.cls].past
 
-    def _note(self, event: api.Note) -> None:
+    def _note(self, event: api.AttemptProgress) -> None:
         """Word of an attempt. One far below the usual pace (a bad plan, a slow engine) is dropped once."""
         job = self.jobs.get(event.id)
         if job is None or job.over or event.attempt + 1 != len(job.attempts):
             return
         attempt, flow = job.attempts[event.attempt], job.flow
-        if event.kind is api.NoteKind.WAITS:
+        if event.kind is api.ProgressKind.WAITING:
             attempt.due = inf  # no notes are promised while it waits
-            if event.amount == api.FOR_A_LOAD:
+            if event.amount == api.WAITING_FOR_LOAD:
                 attempt.engine.held[job.request.dataset] = self.now + self.rest
-        if event.kind is not api.NoteKind.PROGRESS or not self.settings.limits.cancel or attempt.done:
+        if event.kind is not api.ProgressKind.PROGRESS or not self.settings.limits.cancellation or attempt.done:
             return
         self._expect(job, SILENT[1])
         to_go = (self.now - attempt.sent) * (1 / max(event.amount, PROGRESS_FLOOR) - 1)
@@ -113,19 +113,19 @@
         if slow and not self._fleet_index(job.request.cls):
             self._drop(job)  # once, and not where all are slow or the query is long by itself
         elif to_go > left:  # it would only fill the engine, and jam it for others, until its time is out
-            self.actions.append(api.Cancel(event.id, event.attempt))
+            self.actions.append(api.CancelAttempt(event.id, event.attempt))
             self._given_up(job, attempt)
             self._end(job)
 
     def _expect(self, job: Job, periods: float) -> None:
         """Be woken when the last attempt's next note is overdue."""
-        job.attempts[-1].due = self.now + periods * self.settings.notes_every
-        self._timer(periods * self.settings.notes_every, job.request.id << 1 | 1)
+        job.attempts[-1].due = self.now + periods * self.settings.progress_interval
+        self._timer(periods * self.settings.progress_interval, job.request.id << 1 | 1)
 
     def _drop(self, job: Job) -> None:
         """Cancel the last attempt where another may follow; its outcome leads on."""
-        if job.cls.effect is api.Effect.SAFE and len(job.attempts) < self.settings.limits.max_attempts:
-            self.actions.append(api.Cancel(job.request.id, len(job.attempts) - 1))
+        if job.cls.idempotency is api.Idempotency.IDEMPOTENT and len(job.attempts) < self.settings.limits.max_attempts:
+            self.actions.append(api.CancelAttempt(job.request.id, len(job.attempts) - 1))
 
     def _silent(self, job: Job) -> None:
         """An attempt without the notes that are due is not running: its answer is lost, or its engine."""
@@ -143,11 +143,11 @@
         if job.refusable():
             lot = self.random.uniform(*RETRY_SPREAD)
             wait = limits.max_retry_after * lot
-            if self.reduced and self.reduced.pushback[1]:
-                (low, high), (least, most) = self.reduced.pushback, RETRY_SPREAD
+            if self.reduced and self.reduced.retry_after_range[1]:
+                (low, high), (least, most) = self.reduced.retry_after_range, RETRY_SPREAD
                 wait = min(low + (high - low) * (lot - least) / (most - least), limits.max_retry_after)
-            self.actions.append(api.Refuse(job.request.id, wait if limits.retry_after else 0.0, shed))
-            if not self.settings.marks_retry and not job.attempts:
+            self.actions.append(api.Reject(job.request.id, wait if limits.retry_after else 0.0, shed))
+            if not self.settings.clients_mark_retries and not job.attempts:
                 job.flow.came -= 1  # it may come back as new: lam counts what is let in
         else:
             self.actions.append(api.Fail(job.request.id))
--- a/tealwing/policy/engines.py
+++ b/tealwing/policy/engines.py
@@ -67,12 +67,12 @@
 class Engine:
     """One engine as this gateway sees it."""
 
-    def __init__(self, entry: api.ListEntry, settings: api.Settings, now: float) -> None:
+    def __init__(self, entry: api.EngineListEntry, settings: api.Settings, now: float) -> None:
         self.id, self.zone, self.kind, self.cell = entry.engine, entry.zone, entry.kind, entry.cell
         self.ready, self.started = entry.health is api.Health.READY, entry.started
-        kind, self.rules = settings.kinds[min(self.kind, len(settings.kinds) - 1)], settings.rules
+        kind, self.rules = settings.machine_kinds[min(self.kind, len(settings.machine_kinds) - 1)], settings.rules
         self.cores, self.ram = kind.cores, max(kind.memory, 1.0)
-        self.cold_until = self.started + self.rules.cold_time if self.started > 0 else -inf
+        self.cold_until = self.started + self.rules.slow_start_time if self.started > 0 else -inf
         self.estimates = [Estimate(now) for _ in settings.classes]
         self.report, self.values = dict[str, float](), tuple[float, ...]()
         self.reports, self.heard = 0, -inf  # distinct reports seen; when the last came
@@ -95,13 +95,13 @@
         """Share of its capacity, by the contract's figures: a straight slow start."""
         if now >= self.cold_until:
             return 1.0
-        passed = max(now - self.started, 0.0) / self.rules.cold_time
-        return self.rules.cold_share + (1 - self.rules.cold_share) * passed
+        passed = max(now - self.started, 0.0) / self.rules.slow_start_time
+        return self.rules.slow_start_share + (1 - self.rules.slow_start_share) * passed
 
     def takes(self, cls: api.RequestClass, within: frozenset[int] | None = None) -> bool:
         """Whether the class may be placed there, and a request of it that is kept within some zones."""
         placed = (cls.zones is None or self.zone in cls.zones) and (within is None or self.zone in within)
-        return placed and (cls.kinds is None or self.kind in cls.kinds)
+        return placed and (cls.machine_kinds is None or self.kind in cls.machine_kinds)
 
     def holds(self, group: float, now: float) -> bool:
         """Whether a load holds the group of tables there, as far as we know."""
@@ -148,7 +148,7 @@
     """A request from its arrival until it is over and nothing of it is out."""
 
     def __init__(self, request: api.Request, flow: Flow, now: float, lot: float) -> None:
-        self.request, self.flow, self.cls, self.deadline = request, flow, flow.cls, now + request.time_left
+        self.request, self.flow, self.cls, self.deadline = request, flow, flow.cls, now + request.time_remaining
         self.key, self.over = request.key if flow.cls.ordered else 0, False  # 0: no order
         self.attempts, self.lot = list[Attempt](), lot  # its lot decides where fixed shares are too small
 
@@ -166,5 +166,7 @@
 
     def refusable(self) -> bool:
         """Whether a refusal keeps the effect rule."""
-        discarded = self.cls.effect is api.Effect.KEYED and self.cls.group is api.Group.ALL
-        return discarded or self.cls.effect is api.Effect.SAFE or not self.doubtful()
+        discarded = (
+            self.cls.idempotency is api.Idempotency.KEYED and self.cls.idempotency_scope is api.IdempotencyScope.ALL
+        )
+        return discarded or self.cls.idempotency is api.Idempotency.IDEMPOTENT or not self.doubtful()
--- a/tealwing/policy/fleet.py
+++ b/tealwing/policy/fleet.py
@@ -34,7 +34,7 @@
         self.begun, self.echo = False, 1  # echo: what a send of ours since a report stands for, with others'
 
     def _list(self, event: api.EngineList) -> None:
-        if event.kind is not api.ListKind.DELTA:
+        if event.kind is not api.EngineListKind.DELTA:
             for left in self.engines.keys() - {entry.engine for entry in event.entries}:
                 self.engines[left].ready, self.engines[left].gone = False, True
         for entry in event.entries:
@@ -75,7 +75,7 @@
         busy = any(self.fleet.get(name, 0.0) > FLEET_BUSY * limit for name, limit in BUSY.items())
         fresh = self.reports - self.heard >= len(self.ready)
         self.pressed = (busy or self.slow > FAR_ABOVE) and not fresh
-        self.echo, self.heard = self.settings.gateways if fresh else 1, self.reports
+        self.echo, self.heard = self.settings.gateway_count if fresh else 1, self.reports
         self.common = max((engine.success for engine in self.ready), default=1.0)
         for engine in self.ready:
             engine.held = {group: until for group, until in engine.held.items() if until > self.now}
@@ -125,9 +125,9 @@
         job.flow.out += by
         engine.estimates[job.request.cls].out += by
         engine.threads, engine.queries = engine.threads + by * job.cls.threads, engine.queries + by
-        engine.need += by * job.request.need
+        engine.need += by * job.request.memory_estimate
         engine.view_until = -inf
-        if job.cls.holds:
+        if job.cls.locks_tables:
             engine.loads[job.request.dataset] += by
             if engine.loads[job.request.dataset] <= 0:
                 del engine.loads[job.request.dataset]
@@ -151,7 +151,7 @@
                 if now < engine.full_until:
                     estimate.index = inf
                 elif j * J_SPREAD[1] + 1 > m:
-                    estimate.j, estimate.m, estimate.table = j, m, flow.table(mu, m, self.settings.gateways)
+                    estimate.j, estimate.m, estimate.table = j, m, flow.table(mu, m, self.settings.gateway_count)
                     estimate.past = max(0.0, 1 - m / j)
         engine.view_until = engine.full_until if now < engine.full_until else now + REBUILD
 
@@ -164,7 +164,7 @@
         total = sum(f.out * f.cls.threads * w for f, w in zip(self.flows, flow.weights, strict=True))
         ours, others = sum(f.out for f in self.flows), self.fleet.get("others", 0.0) * self.cores
         due = self.usual / self.told * (ours + others) if self.told else ours  # our part, by the reports
-        factor = (BOOKS + ours) / (BOOKS + due) if self.counted else float(self.settings.gateways)
+        factor = (BOOKS + ours) / (BOOKS + due) if self.counted else float(self.settings.gateway_count)
         j = factor * (total + others * flow.others) / flow.cls.threads / max(len(self.ready), 1)
-        table = flow.table(1 / max(flow.latency, LEAST_LATENCY), m, self.settings.gateways)
+        table = flow.table(1 / max(flow.latency, LEAST_LATENCY), m, self.settings.gateway_count)
         return read(table, j) if j + 1 > m else 0.0
--- a/tealwing/policy/gateway.py
+++ b/tealwing/policy/gateway.py
@@ -19,32 +19,32 @@
         if not self.begun:
             self.begun = True
             self._timer(REBUILD, 0)
-            if self.settings.ask:
+            if self.settings.polls_discovery:
                 self.actions.append(api.Subscribe(True))
         match event:
             case api.Request():
                 self._arrive(event)
-            case api.Outcome():
+            case api.AttemptOutcome():
                 self._outcome(event)
             case api.TimerFired(token=0):
                 self._rebuild()
             case api.TimerFired(token=token):
                 self._wake(token >> 1)
-            case api.EngineList(kind=api.ListKind.FAILED):
+            case api.EngineList(kind=api.EngineListKind.FAILED):
                 self.actions.append(api.Subscribe(True))
             case api.EngineList():
                 self._list(event)
-            case api.HungUp():
+            case api.ClientGone():
                 self._hung_up(event.id)
-            case api.Note():
+            case api.AttemptProgress():
                 self._note(event)
             case api.ServiceLevel():
-                self.reduced = None if event.full else event
-            case api.Beliefs():
+                self.reduced = None if event.is_full_service else event
+            case api.EngineHealthEstimates():
                 for engine in self.engines.values():
-                    engine.doubt = event.doubts.get((engine.id, round(engine.started * 1e3)), 1.0)
+                    engine.doubt = event.latency_factors.get((engine.id, round(engine.started * 1e3)), 1.0)
                     engine.view_until = now
-            case _ if not isinstance(event, api.StreamStarted | api.PeerMessage | api.ProbeResult):
+            case _ if not isinstance(event, api.StreamStarted | api.PeerMessage | api.HealthCheckResult):
                 raise TypeError(f"not an event: {event!r}")
         return self.actions
 
@@ -52,21 +52,21 @@
         flow = self.flows[request.cls]
         job = self.jobs[request.id] = Job(request, flow, self.now, self.random.random())
         self.arrived += 1
-        if self.settings.rules.ration_free is not None:
+        if self.settings.rules.retry_budget_floor is not None:
             self.taken.append(self.now)
-        if not (self.settings.marks_retry and request.resubmitted):
+        if not (self.settings.clients_mark_retries and request.is_client_retry):
             flow.came += 1  # a refused query that returns must not swell lam
         if request.cost:
             self.costs, self.costed = self.costs + request.cost, self.costed + 1
             flow.hints, length = min(flow.hints + 1, 2 / LEARN), request.cost / flow.cls.threads
             flow.work += (request.cost - flow.work) / flow.hints
-            flow.held, self.needs = flow.held + length, self.needs + length * request.need
+            flow.held, self.needs = flow.held + length, self.needs + length * request.memory_estimate
         if not self._admitted(job):
             self._end(job, shed=True)
             return
         if job.key:
             self.lines[job.key].append(job)
-            if len(self.lines[job.key]) * flow.usual > request.time_left + flow.cls.aim:
+            if len(self.lines[job.key]) * flow.usual > request.time_remaining + flow.cls.latency_objective:
                 self._end(job)  # its turn would come too late
             elif not self._in_turn(job):
                 self._timer(job.deadline - self.margin - self.now, request.id << 1 | 1)
@@ -76,7 +76,7 @@
 
     def _admitted(self, job: Job) -> bool:
         """Whether the service level lets a new request in: a lot, of digits that no other choice reads."""
-        chances = self.reduced.admitted[job.request.cls] if self.reduced else (1.0,)
+        chances = self.reduced.admission_probability[job.request.cls] if self.reduced else (1.0,)
         return job.lot * LOT_DIGITS % 1.0 < chances[min(job.request.tenant, len(chances) - 1)]
 
     def _hung_up(self, id_: int) -> None:
@@ -86,8 +86,8 @@
             for number, attempt in enumerate(job.attempts):
                 if not attempt.done:
                     self._given_up(job, attempt)
-                    if self.settings.limits.cancel:
-                        self.actions.append(api.Cancel(id_, number))
+                    if self.settings.limits.cancellation:
+                        self.actions.append(api.CancelAttempt(id_, number))
             self._tidy(job)
 
     def _wake(self, id_: int) -> None:
--- a/tealwing/policy/placement.py
+++ b/tealwing/policy/placement.py
@@ -44,7 +44,9 @@
         # While reports are fresh each query reads j within a spread, so that not all turn away at once.
         low, high = J_SPREAD if self.echo > 1 else (1.0, 1.0)  # few old reports differ enough by themselves
         spread = low + (high - low) * (job.lot / GOLDEN % 1.0)
-        stands = job.cls.holds or job.cls.waits  # behind a load that holds its tables, at the cost h a second
+        stands = (
+            job.cls.locks_tables or job.cls.waits_for_locks
+        )  # behind a load that holds its tables, at the cost h a second
         least = self._fleet_index(cls)
         flow.asked += 1  # for the lots of the cold budget
         for engine in self.targets[cls] if at is None else [e for e in self.targets[cls] if e.zone in at]:
@@ -61,10 +63,10 @@
         while found:
             tie = min(index for index, _ in found) * (1 + NEAR_TIE)
             near = [n for n, (index, _) in enumerate(found) if index <= tie]
-            few = max(COMPARED[0], ceil(COMPARED[1] * len(near) / self.settings.gateways))
+            few = max(COMPARED[0], ceil(COMPARED[1] * len(near) / self.settings.gateway_count))
             if few < len(near):  # and the cold, which few queries may go to at all
                 near = self.random.sample(near, few) + [n for n in near if self.now < found[n][1].cold_until]
-            engine = found.pop(min(near, key=lambda n: self._crowding(job.cls.worth, *found[n])))[1]
+            engine = found.pop(min(near, key=lambda n: self._crowding(job.cls.priority_weight, *found[n])))[1]
             if self._may_send(job, engine):
                 return engine
         return None
@@ -76,7 +78,7 @@
             return 1.0
         # Of others' loads we know little: a group's keep to its homes, by its number, its readers away.
         home = (engine.id * GOLDEN - group * TURN) % 1.0 < HOMES
-        return HOME_ODDS if home != job.cls.holds and self.settings.gateways > 1 else 0.0
+        return HOME_ODDS if home != job.cls.locks_tables and self.settings.gateway_count > 1 else 0.0
 
     def _crowding(self, worth: float, index: float, engine: Engine) -> float:
         """What decides between near-ties: threads a core, weighed by the index with the price of crossing."""
@@ -97,36 +99,36 @@
 
     def _attempt_left(self, job: Job) -> bool:
         limits, rules, most = self.settings.limits, self.settings.rules, self.settings.limits.max_attempts
-        if self.reduced and job.cls.effect is api.Effect.SAFE:
-            most = min(most, self.reduced.attempts[job.request.cls] or most)
-        if len(job.attempts) >= most or (job.out() and not limits.duplicates):
+        if self.reduced and job.cls.idempotency is api.Idempotency.IDEMPOTENT:
+            most = min(most, self.reduced.max_attempts[job.request.cls] or most)
+        if len(job.attempts) >= most or (job.out() and not limits.hedging):
             return False
-        if rules.ration_free is None:
+        if rules.retry_budget_floor is None:
             return True
         for times in (self.taken, self.extra):
-            while times and times[0] <= self.now - rules.ration_window:
+            while times and times[0] <= self.now - rules.retry_budget_window:
                 times.popleft()
-        return len(self.extra) + 1 <= rules.ration_free + rules.ration_share * len(self.taken)
+        return len(self.extra) + 1 <= rules.retry_budget_floor + rules.retry_budget_share * len(self.taken)
 
     def _effect_kept(self, job: Job, engine: Engine) -> bool:
         first = next(iter(job.doubtful()), None)
-        if job.cls.effect is api.Effect.SAFE or first is None:
+        if job.cls.idempotency is api.Idempotency.IDEMPOTENT or first is None:
             return True
-        same = job.cls.group is api.Group.ALL or engine.cell == first.engine.cell
-        same = same or (job.cls.group is api.Group.ZONE and engine.zone == first.engine.zone)
-        same = same and self.now + 2 * self.settings.tick < first.sent + job.cls.window
-        return same and job.cls.effect is api.Effect.KEYED
+        same = job.cls.idempotency_scope is api.IdempotencyScope.ALL or engine.cell == first.engine.cell
+        same = same or (job.cls.idempotency_scope is api.IdempotencyScope.ZONE and engine.zone == first.engine.zone)
+        same = same and self.now + 2 * self.settings.tick < first.sent + job.cls.idempotency_window
+        return same and job.cls.idempotency is api.Idempotency.KEYED
 
     def _cold_budget(self, job: Job, engine: Engine) -> bool:
         """The fail-back rule over any window: this gateway's share or, where that is too small, a lot."""
         if self.now >= engine.cold_until:
             return True
-        rules, flow, gateways, now = self.settings.rules, job.flow, self.settings.gateways, self.now
-        while engine.sent and engine.sent[0][0] <= now - rules.fall_time:
+        rules, flow, gateways, now = self.settings.rules, job.flow, self.settings.gateway_count, self.now
+        while engine.sent and engine.sent[0][0] <= now - rules.overload_time:
             engine.sent.popleft()
         carried = self.told * self.costs / (self.costed + CARRIED[0]) / max(self.planned, 1)  # work a core
-        budget = rules.fall_multiple * rules.fall_time * engine.warmth(now - rules.fall_time) * engine.cores
-        budget *= min(max(carried, api.COLD_LOAD), CARRIED[1])
+        budget = rules.overload_multiple * rules.overload_time * engine.warmth(now - rules.overload_time) * engine.cores
+        budget *= min(max(carried, api.CAPACITY_UTILIZATION), CARRIED[1])
         share = COLD_SAFETY * budget / gateways
         if share >= COLD_FEW * flow.work:
             return sum(work for _, work in engine.sent) + flow.work <= share
@@ -134,8 +136,8 @@
         last = engine.estimates[job.request.cls]
         lot = (job.lot * RETRY_DIGITS ** len(job.attempts) + engine.id * GOLDEN) % 1.0  # for each attempt
         if lot != last.lot:
-            last.lot, last.gap, last.drawn = lot, min(now - last.drawn, rules.fall_time), now
-        part = last.gap / rules.fall_time / gateways  # no more than the budget: most lots end here
+            last.lot, last.gap, last.drawn = lot, min(now - last.drawn, rules.overload_time), now
+        part = last.gap / rules.overload_time / gateways  # no more than the budget: most lots end here
         return lot * flow.work < part * budget and lot < part * self._let_in(flow, budget, share)
 
     def _let_in(self, flow: Flow, budget: float, share: float) -> float:
--- a/tealwing/policy/rates.py
+++ b/tealwing/policy/rates.py
@@ -34,14 +34,25 @@
 
     def __init__(self, cls: api.RequestClass) -> None:
         self.cls = cls
-        self.h, self.nu = cls.worth / cls.aim, cls.worth * cls.deadline / cls.aim
+        self.h, self.nu = (
+            cls.priority_weight / cls.latency_objective,
+            cls.priority_weight * cls.deadline / cls.latency_objective,
+        )
         self.lam, self.came = 1.0, 0.0  # per second; of one second
-        self.asked = 1 / (cls.aim * cls.threads)  # choices, fading; beforehand a second's work of each
-        self.latency, self.late, self.best, self.answers = cls.aim, 0.0, cls.aim, 0.0  # s: mean, late, best
-        self.usual, self.work = 0.0, cls.aim * cls.threads  # s: the mean once known; s of one thread, a mean
+        self.asked = 1 / (cls.latency_objective * cls.threads)  # choices, fading; beforehand a second's work of each
+        self.latency, self.late, self.best, self.answers = (
+            cls.latency_objective,
+            0.0,
+            cls.latency_objective,
+            0.0,
+        )  # s: mean, late, best
+        self.usual, self.work = (
+            0.0,
+            cls.latency_objective * cls.threads,
+        )  # s: the mean once known; s of one thread, a mean
         self.held, self.hints = 0.0, 0.0  # s that queries take by their estimates, fading; estimates heard
         self.lost, self.excess = 1.0, cls.deadline  # losses and query-seconds past m: theta's prior
-        self.rank, self.out = api.USUAL_RANK, 0  # priority; attempts out
+        self.rank, self.out = api.DEFAULT_PRIORITY, 0  # priority; attempts out
         self.weights, self.others, self.part = list[float](), 0.0, 1.0  # what a thread of each class counts
         self.tables: dict[tuple[int, int], list[float]] = {}
 
@@ -60,13 +71,13 @@
 
     def goal(self) -> float:
         """The aim of a usual query."""
-        return self.cls.aim + self.cls.aim_stretch * min(self.best, self.latency)
+        return self.cls.latency_objective + self.cls.objective_per_work * min(self.best, self.latency)
 
     def table(self, mu: float, m: float, gateways: int) -> list[float]:
         """The indices at mu and m, made when first asked for; near values share one table."""
         key = (round(TABLE_STEPS[0] * log(mu)), round(TABLE_STEPS[1] * m))
         if key not in self.tables:
-            n, c = ceil(N_OVER_M * m), self.cls.worth
+            n, c = ceil(N_OVER_M * m), self.cls.priority_weight
             self.tables[key] = mpi_table(self.lam * gateways, mu, self.lost / self.excess, m, n, self.h, c)
         return self.tables[key]
 
@@ -77,8 +88,8 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.random, self.now = settings, Random(seed), 0.0
         self.actions, self.flows = list[api.Action](), [Flow(cls) for cls in settings.classes]
-        self.told = sum(account.rate for account in settings.accounts)  # queries a second of the whole fleet
-        self.usual = self.told / settings.gateways  # our part of told, a mean
+        self.told = sum(account.rate for account in settings.tenant_quotas)  # queries a second of the whole fleet
+        self.usual = self.told / settings.gateway_count  # our part of told, a mean
         self.arrived = self.age = self.costs = self.costed = self.planned = 0.0  # counts
         self.width, self.need, self.needs = 1.0, 0.0, 0.0  # threads, MB of one in flight; MB times s, fading
         self.level, self.answers, self.timeouts = THREADS_A_CORE, 0, 0  # m in threads a core; of one second
@@ -86,16 +97,18 @@
 
     def _mix(self) -> None:
         """Priorities, and the mix of classes among the queries in flight."""
-        self.rest = HELD_FOR * max((flow.latency for flow in self.flows if flow.cls.holds), default=0.0)
-        best = max(flow.cls.worth / flow.work for flow in self.flows)
-        for flow in self.flows if self.settings.priorities else ():
-            flow.rank = RANKS[0] if flow.cls.worth / flow.work >= best else RANKS[1]
+        self.rest = HELD_FOR * max((flow.latency for flow in self.flows if flow.cls.locks_tables), default=0.0)
+        best = max(flow.cls.priority_weight / flow.work for flow in self.flows)
+        for flow in self.flows if self.settings.heeds_priorities else ():
+            flow.rank = RANKS[0] if flow.cls.priority_weight / flow.work >= best else RANKS[1]
         held = [f.held or f.lam * f.latency for f in self.flows]  # in a jam those that ended mislead
         total = sum(held) or 1.0
         self.width = sum(n * flow.cls.threads for n, flow in zip(held, self.flows, strict=True)) / total
         self.need = self.needs / total
         for flow in self.flows:  # threads of a lower priority take less from a query
-            flow.weights = [min(1.0, api.SHARES[other.rank] / api.SHARES[flow.rank]) for other in self.flows]
+            flow.weights = [
+                min(1.0, api.PRIORITY_SHARES[other.rank] / api.PRIORITY_SHARES[flow.rank]) for other in self.flows
+            ]
             mixed = zip(held, self.flows, flow.weights, strict=True)
             flow.others = sum(n * other.cls.threads * weight for n, other, weight in mixed) / total
             flow.part = flow.others / (self.width or 1.0)
--- a/tealwing/reader.py
+++ b/tealwing/reader.py
@@ -84,7 +84,7 @@
                     self._read(number, buffer)
                 self._expire()
             except Exception:  # a fault of ours must not end all reading
-                log.must_hold(False, f"the {self._name} goes on: {traceback.format_exc(limit=-3)}")
+                log.check_invariant(False, f"the {self._name} goes on: {traceback.format_exc(limit=-3)}")
                 time.sleep(FAULT_PAUSE)
 
     def _patience(self) -> float | None:
@@ -103,7 +103,7 @@
         except (EOFError, OSError, ValueError) as error:
             self._end(number, connection, error)
         except Exception as error:  # a fault of ours ends one connection, not the others
-            log.must_hold(False, f"the {self._name} reads a connection: {traceback.format_exc(limit=-3)}")
+            log.check_invariant(False, f"the {self._name} reads a connection: {traceback.format_exc(limit=-3)}")
             self._end(number, connection, error)
         else:
             if limit is None:
--- a/tealwing/replica/commands.py
+++ b/tealwing/replica/commands.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from tealwing.record import Big, Record
-from tealwing.record import Result as Result
+from tealwing.record import CommandResult as CommandResult
+from tealwing.record import Record, UnsignedInt63
 from tealwing.rules import records
 
 Word = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 Text = Annotated[str, msgspec.Meta(max_length=4096)]
-Ms = Big  # milliseconds of the Unix clock, told by whoever saw it; nothing is decided by it
+Ms = UnsignedInt63  # milliseconds of the Unix clock, told by whoever saw it; nothing is decided by it
 LARGEST = 512 * 1024  # bytes of one command
 
 
@@ -26,7 +26,7 @@
 
     key: Word
     value: bytes
-    expect: Big | None = None
+    expect: UnsignedInt63 | None = None
 
 
 class Delete(Record, tag="del", frozen=True):
@@ -38,7 +38,7 @@
 class Settings(Record, tag="settings", frozen=True):
     """A version of the operators' settings: one more than the last, or it is refused."""
 
-    version: Big
+    version: UnsignedInt63
     text: bytes
     good: bool = True  # checked by whoever proposes it; a bad one is kept for the record and never the last good
 
@@ -46,7 +46,7 @@
 class Drain(Record, tag="drain", frozen=True):
     """An engine's start drains, as told at a time, with its cut-off; over: it is forgotten."""
 
-    engine: Big
+    engine: UnsignedInt63
     started: Ms
     told: Ms = 0
     cutoff: Ms = 0
@@ -56,7 +56,7 @@
 class Note(Record, tag="note", frozen=True):
     """Something about an engine's start: `cold` or `aside` since then; over: it is forgotten."""
 
-    engine: Big
+    engine: UnsignedInt63
     started: Ms
     what: Word
     since: Ms = 0
@@ -84,22 +84,22 @@
     """The holder goes on, where the grant is still the newest and was not found expired."""
 
     name: Word
-    token: Big
+    token: UnsignedInt63
 
 
 class Release(Record, tag="release", frozen=True):
     """The holder gives it back."""
 
     name: Word
-    token: Big
+    token: UnsignedInt63
 
 
 class Expire(Record, tag="expire", frozen=True):
     """The leader found that a grant, as last renewed by the entry at an index, has run out by its clock."""
 
     name: Word
-    token: Big
-    renewed: Big
+    token: UnsignedInt63
+    renewed: UnsignedInt63
 
 
 Body = Put | Delete | Settings | Drain | Note | Level | Acquire | Renew | Release | Expire | records.Body
@@ -109,14 +109,14 @@
     """The lease under which something is done, and its token."""
 
     name: Word
-    token: Big
+    token: UnsignedInt63
 
 
 class Command(Record, frozen=True):
     """An entry's data."""
 
     client: Annotated[str, msgspec.Meta(max_length=100)]
-    sequence: Big  # 0: sent once, never again
+    sequence: UnsignedInt63  # 0: sent once, never again
     body: Body
     fence: Fence | None = None
 
@@ -152,7 +152,7 @@
 _encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(Command)
 _shapes = msgspec.msgpack.Decoder(_Shape)
-_results = msgspec.msgpack.Decoder(Result)
+_results = msgspec.msgpack.Decoder(CommandResult)
 
 
 def encode(command: Command) -> bytes:
@@ -203,12 +203,12 @@
     return what
 
 
-def encode_result(result: Result) -> bytes:
+def encode_result(result: CommandResult) -> bytes:
     """A result as bytes."""
     return _encode(result)
 
 
-def decode_result(data: bytes) -> Result:
+def decode_result(data: bytes) -> CommandResult:
     """The result of some bytes; ValueError for anything else."""
     try:
         return _results.decode(data)
--- a/tealwing/replica/feed.py
+++ b/tealwing/replica/feed.py
@@ -25,7 +25,9 @@
 COLD = "cold"
 
 
-def words(entries: Iterable[api.ListEntry], state: State, now_ms: int, grace_ms: int, cold_ms: int) -> list[c.Body]:
+def words(
+    entries: Iterable[api.EngineListEntry], state: State, now_ms: int, grace_ms: int, cold_ms: int
+) -> list[c.Body]:
     """What of the engine list the state does not have yet."""
     found: list[c.Body] = []
     drains, notes = state.tables["drains"], state.tables["notes"]
@@ -68,11 +70,11 @@
         with self._changed:
             self._changed.notify_all()
 
-    def engines(self, entries: tuple[api.ListEntry, ...], rules: api.Rules) -> None:
+    def engines(self, entries: tuple[api.EngineListEntry, ...], rules: api.Rules) -> None:
         """News of the engine list."""
         with self._replica.lock:
             now = int(time.time() * 1e3)
-            grace, cold = round(rules.drain_grace * 1e3), round(rules.cold_time * 1e3)
+            grace, cold = round(rules.drain_grace * 1e3), round(rules.slow_start_time * 1e3)
             found = words(entries, self._replica.state, now, grace, cold)
         self._put(found)
 
@@ -112,5 +114,5 @@
                 self._stopped.wait(self._backoff.next())
                 continue
             self._backoff.heard()
-            if result.ok and not result.why:
+            if result.ok and not result.reason:
                 log.event("fleet_told", what=type(body).__name__.lower(), index=result.index)
--- a/tealwing/replica/listeners.py
+++ b/tealwing/replica/listeners.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from tealwing.replica.commands import Command, Result
+from tealwing.replica.commands import Command, CommandResult
 
-Applied = Callable[[int, Command | None, Result | None], None]
+Applied = Callable[[int, Command | None, CommandResult | None], None]
 Led = Callable[[bool], None]
 
 
--- a/tealwing/replica/messages.py
+++ b/tealwing/replica/messages.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from tealwing.record import Big as Big
 from tealwing.record import Record as Record
+from tealwing.record import UnsignedInt63 as UnsignedInt63
 
 CHANNEL = 2  # of the peer link
 CHUNK = 256 * 1024  # bytes of a snapshot in one message
@@ -25,8 +25,8 @@
 class Entry(Record, frozen=True):
     """One entry of the log."""
 
-    index: Big
-    term: Big
+    index: UnsignedInt63
+    term: UnsignedInt63
     kind: Kind
     data: bytes
 
@@ -34,9 +34,9 @@
 class VoteAsk(Record, tag=1, frozen=True):
     """Vote for me in this term; `pre`: would you, without a word that binds either of us."""
 
-    term: Big
-    last_index: Big
-    last_term: Big
+    term: UnsignedInt63
+    last_index: UnsignedInt63
+    last_term: UnsignedInt63
     pre: bool
     handed: bool = False  # the leader asked for it: it does not matter that it was heard just now
 
@@ -44,86 +44,86 @@
 class VoteReply(Record, tag=2, frozen=True):
     """The answer; `asked` is the term that was asked for."""
 
-    term: Big
-    asked: Big
+    term: UnsignedInt63
+    asked: UnsignedInt63
     pre: bool
     granted: bool
-    start: Big  # of the sender: see Raft
+    start: UnsignedInt63  # of the sender: see Raft
     unsure: bool
 
 
 class Append(Record, tag=3, frozen=True):
     """The leader's word: it leads, what comes after `prev`, and how far all is committed."""
 
-    term: Big
-    prev_index: Big
-    prev_term: Big
+    term: UnsignedInt63
+    prev_index: UnsignedInt63
+    prev_term: UnsignedInt63
     entries: Annotated[tuple[Entry, ...], msgspec.Meta(max_length=1024)]
-    commit: Big
-    round: Big
+    commit: UnsignedInt63
+    round: UnsignedInt63
 
 
 class AppendReply(Record, tag=4, frozen=True):
     """Whether what was sent fits; up to where the logs agree, or where to look for that."""
 
-    term: Big
+    term: UnsignedInt63
     ok: bool
-    match: Big  # if ok
-    hint_index: Big  # else: the logs can't agree beyond this
-    hint_term: Big  # of the entry there, 0 if there is none
-    round: Big
-    start: Big
+    match: UnsignedInt63  # if ok
+    hint_index: UnsignedInt63  # else: the logs can't agree beyond this
+    hint_term: UnsignedInt63  # of the entry there, 0 if there is none
+    round: UnsignedInt63
+    start: UnsignedInt63
     unsure: bool
 
 
 class Snap(Record, tag=5, frozen=True):
     """A piece of a snapshot of the state up to an index."""
 
-    term: Big
-    index: Big
-    index_term: Big
-    offset: Big
-    total: Big
+    term: UnsignedInt63
+    index: UnsignedInt63
+    index_term: UnsignedInt63
+    offset: UnsignedInt63
+    total: UnsignedInt63
     data: Annotated[bytes, msgspec.Meta(max_length=CHUNK)]
-    round: Big
+    round: UnsignedInt63
 
 
 class SnapReply(Record, tag=6, frozen=True):
     """How much of that snapshot is on disk; `done`: it is the state now."""
 
-    term: Big
-    index: Big
-    offset: Big
+    term: UnsignedInt63
+    index: UnsignedInt63
+    offset: UnsignedInt63
     done: bool
-    round: Big
-    start: Big
+    round: UnsignedInt63
+    start: UnsignedInt63
     unsure: bool
 
 
 class Sure(Record, tag=7, frozen=True):
     """The leader's word that the member of that start has caught up with all that it may have forgotten."""
 
-    term: Big
-    start: Big
+    term: UnsignedInt63
+    start: UnsignedInt63
 
 
 class Hand(Record, tag=8, frozen=True):
     """The leader goes: stand for election at once."""
 
-    term: Big
+    term: UnsignedInt63
 
 
 class Hold(Record, tag=9, frozen=True):
     """A candidate that has its votes, where disks may come back older: are you still who gave me yours?"""
 
-    term: Big
+    term: UnsignedInt63
 
 
 class Held(Record, tag=10, frozen=True):
     """The answer: the term that the sender is in, and its start."""
 
-    term: Big
-    start: Big
+    term: UnsignedInt63
+    start: UnsignedInt63
 
 
 class Names(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/tealwing/replica/node.py
+++ b/tealwing/replica/node.py
@@ -20,7 +20,7 @@
 from tealwing.peers.link import Link
 from tealwing.replica import commands, gathering, messages, outcomes, roles, views
 from tealwing.replica.asking import Asking
-from tealwing.replica.commands import Command, Result
+from tealwing.replica.commands import Command, CommandResult
 from tealwing.replica.disk import Disk
 from tealwing.replica.durability import Backoff
 from tealwing.replica.group import SITE, Group
@@ -76,7 +76,7 @@
 
     # For other threads
 
-    def write(self, command: Command, wait: float) -> Result:
+    def write(self, command: Command, wait: float) -> CommandResult:
         """Have a command applied, wherever the leader is. Unknown or Unavailable where that is not seen in time.
 
         One with a sequence is tried again until the time is over: the state applies it once.
@@ -158,7 +158,7 @@
             self.broken = str(error)
         except Exception:
             self.broken = f"a fault of ours: {traceback.format_exc(limit=-3)}"
-            log.must_hold(False, f"the replica goes on: {self.broken}")
+            log.check_invariant(False, f"the replica goes on: {self.broken}")
         finally:
             self._withdraw()
             self.storage.close()
--- a/tealwing/replica/outcomes.py
+++ b/tealwing/replica/outcomes.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from tealwing.replica import commands
-from tealwing.replica.commands import Result
+from tealwing.replica.commands import CommandResult
 
 MOST_PENDING = 1024  # proposals and reads that wait for their outcome
 
@@ -77,7 +77,7 @@
         super().__init__()
         self.number, self.answer = number, answer
 
-    def set(self, outcome: tuple[Result, int] | None) -> None:
+    def set(self, outcome: tuple[CommandResult, int] | None) -> None:
         """It has come; None: its place in the log is another's."""
         if outcome is None:
             self.answer(Told(self.number, "lost", b"", 0))
--- a/tealwing/replica/raft/following.py
+++ b/tealwing/replica/raft/following.py
@@ -24,7 +24,7 @@
         self.votes, self.held = {}, set()
 
     def _hear_leader(self, now: float, source: str) -> None:
-        log.must_hold(self.role is not Role.LEADER, "one leader in a term")
+        log.check_invariant(self.role is not Role.LEADER, "one leader in a term")
         self._follow(now, self.term, source)
         self.heard = now
         self._reset_deadline(now)
--- a/tealwing/replica/raft/log.py
+++ b/tealwing/replica/raft/log.py
@@ -118,7 +118,7 @@
 
     def _cut(self, index: int) -> None:
         """Drop the entries from an index on; none of them was committed."""
-        log.must_hold(index > self.commit, "what is committed is never cut")
+        log.check_invariant(index > self.commit, "what is committed is never cut")
         del self.log[index - self.base[0] - 1 :]
         self.stable = min(self.stable, index - 1)
         self._look_for_members()
--- a/tealwing/replica/raft/sending.py
+++ b/tealwing/replica/raft/sending.py
@@ -92,7 +92,7 @@
         prev = progress.next - 1
         term = self.term_at(prev)
         if term is None:
-            log.must_hold(False, "what a follower needs is in the log, or in the snapshot")
+            log.check_invariant(False, "what a follower needs is in the log, or in the snapshot")
             return
         self._send(name, Append(self.term, prev, term, tuple(entries), self.commit, self.round))
         progress.told = max(progress.told, min(self.commit, prev + len(entries)))
--- a/tealwing/replica/reading.py
+++ b/tealwing/replica/reading.py
@@ -9,7 +9,7 @@
 
 import itertools
 
-from tealwing.replica.commands import Result
+from tealwing.replica.commands import CommandResult
 from tealwing.replica.outcomes import Answering, Told
 from tealwing.replica.raft import NotLeader, Raft, Role
 
@@ -61,7 +61,7 @@
     def done(self, number: int, index: int) -> None:
         """A quorum has confirmed the index."""
         for pending in self._begun.pop(number):
-            pending.set((Result(True, index), index))
+            pending.set((CommandResult(True, index), index))
 
     def failed(self, number: int) -> None:
         """We lead no more: they have to be asked again."""
--- a/tealwing/replica/service.py
+++ b/tealwing/replica/service.py
@@ -131,6 +131,6 @@
             raise Denied(str(error)) from None
 
 
-def _told(result: c.Result) -> dict[str, Any]:
+def _told(result: c.CommandResult) -> dict[str, Any]:
     word = "ok" if result.ok else "refused"
-    return {"word": word, "index": result.index, "version": result.version, "why": result.why}
+    return {"word": word, "index": result.index, "version": result.version, "why": result.reason}
--- a/tealwing/replica/state.py
+++ b/tealwing/replica/state.py
@@ -34,7 +34,7 @@
     """The last command of a client, and what came of it."""
 
     sequence: int
-    result: c.Result
+    result: c.CommandResult
 
 
 class Lease(Record, frozen=True):
@@ -94,7 +94,7 @@
 
     # Commands
 
-    def apply(self, index: int, data: bytes) -> c.Result:
+    def apply(self, index: int, data: bytes) -> c.CommandResult:
         """Apply the entry at an index, once, in order. c.NewerEntry, with nothing changed, where it can't be known."""
         try:
             command = c.decode(data)
@@ -102,7 +102,7 @@
             raise
         except ValueError as error:  # the same at every member
             self.applied = index
-            return c.Result(False, index, why=str(error))
+            return c.CommandResult(False, index, reason=str(error))
         self.applied = index
         sessions = self.tables["sessions"]
         if command.sequence:
@@ -110,7 +110,7 @@
             if known is not None and command.sequence <= known.sequence:
                 if command.sequence == known.sequence:
                     return known.result
-                return c.Result(False, index, why=f"sequence {command.sequence} came after {known.sequence}")
+                return c.CommandResult(False, index, reason=f"sequence {command.sequence} came after {known.sequence}")
         result = self._fenced(index, command)
         if command.sequence:
             sessions.pop(command.client, None)  # to the end: the order is that of the last commands
@@ -119,23 +119,23 @@
                 del sessions[next(iter(sessions))]
         return result
 
-    def _fenced(self, index: int, command: c.Command) -> c.Result:
+    def _fenced(self, index: int, command: c.Command) -> c.CommandResult:
         fence = command.fence
         if fence is not None:
             newest = self.tables["fences"].get(fence.name, 0)
             if fence.token != newest or not newest:  # an older grant's, or one that there never was
                 self.refused_stale += 1
                 why = f"stale token {fence.token} of {fence.name}: {newest} is the newest"
-                return c.Result(False, index, newest, why)
+                return c.CommandResult(False, index, newest, why)
         return self._apply(index, command.body)
 
-    def _apply(self, index: int, body: c.Body) -> c.Result:
+    def _apply(self, index: int, body: c.Body) -> c.CommandResult:
         match body:
             case c.Put(key, value, expect):
                 return self._put(index, key, value, expect)
             case c.Delete(key):
                 gone = self.tables["values"].pop(key, None)
-                return c.Result(gone is not None, index, why="" if gone else f"no value under {key}")
+                return c.CommandResult(gone is not None, index, reason="" if gone else f"no value under {key}")
             case c.Settings(version, text, good):
                 return self._settings(index, version, text, good)
             case c.Drain(engine, started):
@@ -153,71 +153,71 @@
             case c.Expire(name, token, renewed):
                 lease: Lease | None = self.tables["leases"].get(name)
                 if lease is None or lease.renewed != renewed:  # renewed meanwhile: it has not run out
-                    return c.Result(False, index, why=f"{name} is renewed or another's")
+                    return c.CommandResult(False, index, reason=f"{name} is renewed or another's")
                 return self._end(index, name, token)
             case _:
                 return registry.apply(self.tables, index, body)
 
-    def _put(self, index: int, key: str, value: bytes, expect: int | None) -> c.Result:
+    def _put(self, index: int, key: str, value: bytes, expect: int | None) -> c.CommandResult:
         before: Value | None = self.tables["values"].get(key)
         version = before.version if before else 0
         if expect is not None and expect != version:
-            return c.Result(False, index, version, f"version {version} and not {expect} is under {key}")
+            return c.CommandResult(False, index, version, f"version {version} and not {expect} is under {key}")
         self.tables["values"][key] = Value(value, index)
-        return c.Result(True, index, index)
+        return c.CommandResult(True, index, index)
 
-    def _settings(self, index: int, version: int, text: bytes, good: bool) -> c.Result:
+    def _settings(self, index: int, version: int, text: bytes, good: bool) -> c.CommandResult:
         table = self.tables["settings"]
         last = max(map(int, table), default=0)
         if version != last + 1:
-            return c.Result(False, index, last, f"version {version} after {last}")
+            return c.CommandResult(False, index, last, f"version {version} after {last}")
         table[str(version)] = Version(text, good, index)
         best = self.last_good()
         for number in sorted(map(int, table))[:-KEPT_SETTINGS]:
             if number != best:
                 del table[str(number)]
-        return c.Result(True, index, version)
+        return c.CommandResult(True, index, version)
 
     def last_good(self) -> int:
         """The newest version of the settings that is good; 0 where there is none."""
         return max((int(key) for key, version in self.tables["settings"].items() if version.good), default=0)
 
-    def _keep(self, index: int, table: str, key: str, value: Any, over: bool, first: bool = False) -> c.Result:
+    def _keep(self, index: int, table: str, key: str, value: Any, over: bool, first: bool = False) -> c.CommandResult:
         """Put or forget; with first the earliest word stays: a drain's cut-off counts from when it was first told."""
         if over:
             gone = self.tables[table].pop(key, None)
-            return c.Result(gone is not None, index, why="" if gone else f"no {key} in {table}")
+            return c.CommandResult(gone is not None, index, reason="" if gone else f"no {key} in {table}")
         if first and key in self.tables[table]:
-            return c.Result(True, index, why="known already")
+            return c.CommandResult(True, index, reason="known already")
         self.tables[table][key] = value
-        return c.Result(True, index, index)
+        return c.CommandResult(True, index, index)
 
     # Leases: see tealwing.leases
 
-    def _acquire(self, index: int, name: str, holder: str, ttl: int) -> c.Result:
+    def _acquire(self, index: int, name: str, holder: str, ttl: int) -> c.CommandResult:
         lease: Lease | None = self.tables["leases"].get(name)
         if lease is not None and lease.held and lease.holder == holder:  # its answer was lost: it goes on with it
             self.tables["leases"][name] = msgspec.structs.replace(lease, ttl=ttl, renewed=index)
-            return c.Result(True, index, lease.token)
+            return c.CommandResult(True, index, lease.token)
         if lease is not None and lease.held:
-            return c.Result(False, index, lease.token, f"{lease.holder} holds {name}")
+            return c.CommandResult(False, index, lease.token, f"{lease.holder} holds {name}")
         self.tables["leases"][name] = Lease(holder, ttl, index, index)
         self.tables["fences"][name] = index
-        return c.Result(True, index, index)
+        return c.CommandResult(True, index, index)
 
-    def _renew(self, index: int, name: str, token: int) -> c.Result:
+    def _renew(self, index: int, name: str, token: int) -> c.CommandResult:
         lease: Lease | None = self.tables["leases"].get(name)
         if lease is None or lease.token != token or not lease.held:
-            return c.Result(False, index, lease.token if lease else 0, f"the grant {token} of {name} is over")
+            return c.CommandResult(False, index, lease.token if lease else 0, f"the grant {token} of {name} is over")
         self.tables["leases"][name] = msgspec.structs.replace(lease, renewed=index)
-        return c.Result(True, index, token)
+        return c.CommandResult(True, index, token)
 
-    def _end(self, index: int, name: str, token: int) -> c.Result:
+    def _end(self, index: int, name: str, token: int) -> c.CommandResult:
         lease: Lease | None = self.tables["leases"].get(name)
         if lease is None or lease.token != token or not lease.held:
-            return c.Result(False, index, lease.token if lease else 0, f"the grant {token} of {name} is over")
+            return c.CommandResult(False, index, lease.token if lease else 0, f"the grant {token} of {name} is over")
         self.tables["leases"][name] = msgspec.structs.replace(lease, held=False)
-        return c.Result(True, index, token)
+        return c.CommandResult(True, index, token)
 
     # The whole
 
--- a/tealwing/replica/views.py
+++ b/tealwing/replica/views.py
@@ -42,7 +42,7 @@
     core, terms = replica.core, replica.terms
     if not core.leader or terms.get(core.term) == core.leader:
         return
-    log.must_hold(core.term not in terms, "one leader in a term")
+    log.check_invariant(core.term not in terms, "one leader in a term")
     terms[core.term] = core.leader
     if len(terms) > RECENT_TERMS:
         del terms[min(terms)]
--- a/tealwing/replica/waiting.py
+++ b/tealwing/replica/waiting.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tealwing.replica.commands import Result
+from tealwing.replica.commands import CommandResult
 from tealwing.replica.messages import Entry
 from tealwing.replica.outcomes import Pending
 
@@ -24,12 +24,14 @@
             older.set(None)
         self._proposed[index] = pending
 
-    def applied(self, entry: Entry, result: Result | None) -> None:
+    def applied(self, entry: Entry, result: CommandResult | None) -> None:
         """An entry is applied."""
         pending = self._proposed.pop(entry.index, None)
         if pending is not None:
             # another's entry at the index of ours: ours is lost, or was cut and may be proposed again
-            pending.set((result or Result(True, entry.index), entry.index) if pending.term == entry.term else None)
+            pending.set(
+                (result or CommandResult(True, entry.index), entry.index) if pending.term == entry.term else None
+            )
 
     def at(self, index: int, pending: Pending) -> None:
         """It waits for the state to be at an index."""
--- a/tealwing/resp/engine.py
+++ b/tealwing/resp/engine.py
@@ -173,7 +173,7 @@
                     raise Ended("the connection has ended")
                 data = messages.encode(b"want", stream.call, head(), body)
                 with self._lock:
-                    log.must_hold(stream.call not in self._streams, "one attempt of an id on a connection")
+                    log.check_invariant(stream.call not in self._streams, "one attempt of an id on a connection")
                     self._places.discard(stream.call)
                     self._streams[stream.call] = stream
                 try:
--- a/tealwing/resp/engines.py
+++ b/tealwing/resp/engines.py
@@ -32,7 +32,7 @@
             self._limits = limits
             engines = [engine for _, engine in self._engines.values()]
         for engine in engines:
-            engine.limit(limits.multiplex, limits.connect_timeout, limits.idle_time)
+            engine.limit(limits.attempts_per_connection, limits.connect_timeout, limits.idle_timeout)
 
     def update(self, members: tuple[Member, ...], complete: bool) -> None:
         """Take in a watch update. Once this returns, nothing more is sent to what drains or has gone."""
@@ -45,7 +45,7 @@
                 number, health = member.entry.engine, member.entry.health
                 before = self._engines.get(number)
                 alone = before is None or before[0].name == member.name
-                log.must_hold(alone, "no two engines share a number")
+                log.check_invariant(alone, "no two engines share a number")
                 engine = before[1] if before is not None and _same(before[0], member) else None
                 if before is not None and (engine is None or health is interface.Health.GONE):
                     # a reused address or a new process: the old connections must not serve it
@@ -84,7 +84,12 @@
         limits = self._limits
         address = member.host, member.port
         return Engine(
-            address, limits.multiplex, limits.connect_timeout, limits.idle_time, self._reader.watch, self._quota
+            address,
+            limits.attempts_per_connection,
+            limits.connect_timeout,
+            limits.idle_timeout,
+            self._reader.watch,
+            self._quota,
         )
 
 
--- a/tealwing/rollout/deeds.py
+++ b/tealwing/rollout/deeds.py
@@ -71,7 +71,7 @@
             self._follow()
             steering = self._steering
             wanted = steering.shown.number if steering.shown is not None else 0
-            log.must_hold(wanted == steering.in_force or not steering.is_open, "nobody is let in meanwhile")
+            log.check_invariant(wanted == steering.in_force or not steering.is_open, "nobody is let in meanwhile")
         if wanted == steering.in_force or time.monotonic() < self._next_try:
             return
         try:
--- a/tealwing/rollout/gate.py
+++ b/tealwing/rollout/gate.py
@@ -14,9 +14,9 @@
 from random import Random
 from typing import Protocol
 
-from tealwing.exchange import Entered, Turned
+from tealwing.exchange import Admitted, Deferred
 
-PASSED, HELD = Entered(False), Entered(True)
+PASSED, HELD = Admitted(False), Admitted(True)
 SPREAD = (0.5, 1.0)  # of the pushback, at random: those turned away together must not return together
 
 
@@ -107,7 +107,7 @@
         with self._changed:
             return Figures(self._held, self._turned, self._waiting, self._longest)
 
-    def enter(self, cls: str | None, tenant: str, group: int, until: float) -> Entered | Turned:
+    def admit(self, cls: str | None, tenant: str, group: int, until: float) -> Admitted | Deferred:
         """Let a request pass, now or when it may, by the monotonic time `until` at the latest; else turn it away.
 
         cls is the name of its class, tenant of its account, group its group of tables. A request that can't be read
@@ -118,7 +118,7 @@
         found = self._judge(cls, tenant, group, PASSED)
         if found is None:
             return self._wait(cls, tenant, group, until)
-        if isinstance(found, Turned):
+        if isinstance(found, Deferred):
             with self._changed:
                 self._turned += 1
         return found
@@ -130,7 +130,7 @@
             self._is_open = isinstance(state, _Open)
             self._changed.notify_all()
 
-    def _judge(self, cls: str | None, tenant: str, group: int, passed: Entered) -> Entered | Turned | None:
+    def _judge(self, cls: str | None, tenant: str, group: int, passed: Admitted) -> Admitted | Deferred | None:
         """What becomes of a request as things stand; None: it waits."""
         state = self._state
         if isinstance(state, _Shut):
@@ -141,7 +141,7 @@
             return self._away(self._pushback, "the permit to decide is over")
         return passed
 
-    def _wait(self, cls: str | None, tenant: str, group: int, until: float) -> Entered | Turned:
+    def _wait(self, cls: str | None, tenant: str, group: int, until: float) -> Admitted | Deferred:
         begun = time.monotonic()
         with self._changed:
             if self._waiting >= self._queue:
@@ -158,8 +158,8 @@
             finally:
                 self._waiting -= 1
                 self._longest = max(self._longest, time.monotonic() - begun)
-            self._turned += isinstance(found, Turned)
+            self._turned += isinstance(found, Deferred)
             return found
 
-    def _away(self, pushback: float, why: str) -> Turned:
-        return Turned(pushback * self._random.uniform(*SPREAD), why)
+    def _away(self, pushback: float, why: str) -> Deferred:
+        return Deferred(pushback * self._random.uniform(*SPREAD), why)
--- a/tealwing/rollout/here.py
+++ b/tealwing/rollout/here.py
@@ -24,7 +24,7 @@
         """What the configuration says, before any version of the rules."""
 
     @property
-    def listed(self) -> tuple[api.ListEntry, ...]:
+    def listed(self) -> tuple[api.EngineListEntry, ...]:
         """The engine list as it was last heard."""
 
     @property
--- a/tealwing/rollout/service.py
+++ b/tealwing/rollout/service.py
@@ -9,7 +9,7 @@
 
 from tealwing.peers.control import MOST_CALLERS, Control, Denied, Fields, field, wait_of
 from tealwing.replica import commands as c
-from tealwing.replica.messages import Big
+from tealwing.replica.messages import UnsignedInt63
 from tealwing.replica.node import Replica, Unavailable, Unknown
 from tealwing.rollout.outcomes import version
 from tealwing.rollout.seen import Seen
@@ -43,7 +43,7 @@
         """Propose a bundle; what is wrong with it here is told at once, and nothing is proposed."""
         text, who = field(fields, "text", bytes), field(fields, "who", records.Word)
         why = field(fields, "why", records.Text, "")
-        parent = field(fields, "parent", Big) if "parent" in fields else None
+        parent = field(fields, "parent", UnsignedInt63) if "parent" in fields else None
         if len(text) > records.LARGEST:
             raise Denied(f"text: {len(text)} bytes; allowed: {records.LARGEST}")
         faults = self._shell.here.faults(text)
@@ -69,7 +69,7 @@
                      " propose a version: tealwing rules propose FILE --control HOST:PORT --why TEXT")  # fmt: skip
 
     def _show(self, fields: Fields) -> Fields:
-        number = field(fields, "number", Big)
+        number = field(fields, "number", UnsignedInt63)
         found = self._shell.seen.version(number)
         if found is None:
             kept = ", ".join(sorted(self._shell.seen.tables["rules"], key=int)) or "none yet"
@@ -78,7 +78,7 @@
 
     def _withdraw(self, fields: Fields) -> Fields:
         body = records.Withdraw(
-            field(fields, "number", Big), field(fields, "who", records.Word),
+            field(fields, "number", UnsignedInt63), field(fields, "who", records.Word),
             field(fields, "why", records.Text, ""),
         )  # fmt: skip
         return self._outcome(lambda wait: self._write(self._changes, body, wait), fields)
@@ -115,7 +115,7 @@
         client = f"{where.core.me}/{where.start_number}/rules/{turn}"
         result = where.write(c.Command(client, number, body), wait)
         word = "ok" if result.ok else "refused"
-        return {"word": word, "index": result.index, "version": result.version, "why": result.why}
+        return {"word": word, "index": result.index, "version": result.version, "why": result.reason}
 
     def _outcome(self, run: Callable[[float], Fields], fields: Fields) -> Fields:
         """What came of it, in a word: ok, refused (by the state), unavailable (surely not done), unknown."""
--- a/tealwing/rollout/shell.py
+++ b/tealwing/rollout/shell.py
@@ -144,7 +144,7 @@
 
     # The replica's thread: quick, and it waits for nobody but our own quick looks
 
-    def _applied(self, index: int, command: c.Command | None, result: c.Result | None) -> None:
+    def _applied(self, index: int, command: c.Command | None, result: c.CommandResult | None) -> None:
         body = command.body if command is not None else None
         if not isinstance(body, records.Body):
             me = replace(self._seen.me, index=index)
--- a/tealwing/rollout/talk.py
+++ b/tealwing/rollout/talk.py
@@ -27,7 +27,7 @@
 class Log(Protocol):
     """The replicated log, as far as it is needed here."""
 
-    def write(self, command: c.Command, wait: float) -> c.Result:
+    def write(self, command: c.Command, wait: float) -> c.CommandResult:
         """Have a command applied."""
 
     def pass_on(self, data: bytes) -> None:
@@ -96,9 +96,9 @@
             pass
         else:
             ok = result.ok
-            if not ok and result.why != self.refusal:
-                log.event("rules_word_refused", word=type(action.body).__name__.lower(), why=result.why)
-            self.refusal = "" if ok else result.why
+            if not ok and result.reason != self.refusal:
+                log.event("rules_word_refused", word=type(action.body).__name__.lower(), why=result.reason)
+            self.refusal = "" if ok else result.reason
         with self._lock:
             self._machine.said(self._clock.now(), action, ok)
         self._changed()
--- a/tealwing/rules/closing.py
+++ b/tealwing/rules/closing.py
@@ -4,7 +4,7 @@
 
 from msgspec.structs import replace
 
-from tealwing.record import Result
+from tealwing.record import CommandResult
 from tealwing.rules import kept
 from tealwing.rules.cover import settle, witnesses_needed
 from tealwing.rules.kept import Tables, no, yes
@@ -12,7 +12,7 @@
 from tealwing.rules.records import Close, Closed, Lapse, Witness
 
 
-def close(tables: Tables, index: int, body: Close) -> Result:
+def close(tables: Tables, index: int, body: Close) -> CommandResult:
     """Every member closes as it applies this."""
     found = kept.version(tables, body.number)
     if found is None or found.phase != "checked":
@@ -22,7 +22,7 @@
     return yes(index, body.number)
 
 
-def closed(tables: Tables, index: int, body: Closed) -> Result:
+def closed(tables: Tables, index: int, body: Closed) -> CommandResult:
     """A member has closed, and its disk says so."""
     found = kept.version(tables, body.number)
     if found is None or found.phase not in ("preparing", "agreed"):
@@ -35,7 +35,7 @@
     return yes(index, body.number)
 
 
-def lapse(tables: Tables, index: int, body: Lapse) -> Result:
+def lapse(tables: Tables, index: int, body: Lapse) -> CommandResult:
     """No permit of that start is given after this entry; those given before run out."""
     member = kept.members(tables).get(body.member)
     if member is None or member.start != body.start or member.lapsed:
@@ -47,7 +47,7 @@
     return yes(index, index)
 
 
-def witness(tables: Tables, index: int, body: Witness) -> Result:
+def witness(tables: Tables, index: int, body: Witness) -> CommandResult:
     """By another member's clock, what was given before a lapse is over; two must say so, where there are two."""
     table = kept.members(tables)
     member, other = table.get(body.member), table.get(body.by)
--- a/tealwing/rules/deciding.py
+++ b/tealwing/rules/deciding.py
@@ -2,21 +2,21 @@
 
 from __future__ import annotations
 
-from tealwing.log import must_hold
-from tealwing.record import Result
+from tealwing.log import check_invariant
+from tealwing.record import CommandResult
 from tealwing.rules import history, kept
 from tealwing.rules.cover import uncovered
 from tealwing.rules.kept import Tables, no, yes
 from tealwing.rules.records import IN_FLIGHT, Abort, Activate, Facts, Version, Withdraw
 
 
-def activate(tables: Tables, index: int, body: Activate) -> Result:
+def activate(tables: Tables, index: int, body: Activate) -> CommandResult:
     """In force from here on. Refused where some member may still decide under the old rules, whoever leads."""
     found = kept.version(tables, body.number)
     if found is None or found.phase != "agreed":
         return no(index, f"version {body.number} is {found.phase if found else 'unknown'}, not agreed", body.number)
     missing = uncovered(tables, body.number)
-    must_hold(not missing, "an agreed version is covered")
+    check_invariant(not missing, "an agreed version is covered")
     if missing:
         return no(index, f"version {body.number} is not closed for at {', '.join(missing)}", body.number)
     if found.federated and not body.decided:
@@ -30,7 +30,7 @@
     return yes(index, body.number)
 
 
-def abort(tables: Tables, index: int, body: Abort) -> Result:
+def abort(tables: Tables, index: int, body: Abort) -> CommandResult:
     """It will never be in force; who has closed for it opens under the rules there were."""
     found = kept.version(tables, body.number)
     if found is None or found.phase not in IN_FLIGHT:
@@ -41,7 +41,7 @@
     return yes(index, body.number)
 
 
-def withdraw(tables: Tables, index: int, body: Withdraw) -> Result:
+def withdraw(tables: Tables, index: int, body: Withdraw) -> CommandResult:
     """An operator takes it back before anyone closes for it."""
     found = kept.version(tables, body.number)
     if found is None or found.phase not in ("proposed", "checked"):
--- a/tealwing/rules/kept.py
+++ b/tealwing/rules/kept.py
@@ -7,7 +7,7 @@
 
 from msgspec.structs import replace
 
-from tealwing.record import Result
+from tealwing.record import CommandResult
 from tealwing.rules.records import IN_FLIGHT, NOW, Facts, Member, Phase, Version
 
 Tables = dict[str, dict[str, Any]]
@@ -52,14 +52,14 @@
     put(tables, replace(found, phase=phase, changed=index, outcome=outcome or found.outcome, decided=decided))
 
 
-def no(index: int, why: str, number: int = 0) -> Result:
+def no(index: int, why: str, number: int = 0) -> CommandResult:
     """The registry refuses a command."""
-    return Result(False, index, number, why)
+    return CommandResult(False, index, number, why)
 
 
-def yes(index: int, number: int) -> Result:
+def yes(index: int, number: int) -> CommandResult:
     """The registry has applied a command."""
-    return Result(True, index, number)
+    return CommandResult(True, index, number)
 
 
 def moment(when: int) -> str:
--- a/tealwing/rules/members.py
+++ b/tealwing/rules/members.py
@@ -4,7 +4,7 @@
 
 from msgspec.structs import replace
 
-from tealwing.record import Result
+from tealwing.record import CommandResult
 from tealwing.rules import kept
 from tealwing.rules.cover import settle
 from tealwing.rules.kept import Tables, no, yes
@@ -13,7 +13,7 @@
 MOST = 1100  # members: as many as the section `peers` takes
 
 
-def begin(tables: Tables, index: int, body: Begin) -> Result:
+def begin(tables: Tables, index: int, body: Begin) -> CommandResult:
     """A member's new start; what was said and closed in the one before counts no more.
 
     It says anew that it has closed, whatever its mode: this entry may come late, from a process that is no more, and
@@ -39,7 +39,7 @@
     return yes(index, index)
 
 
-def forget(tables: Tables, index: int, body: Forget) -> Result:
+def forget(tables: Tables, index: int, body: Forget) -> CommandResult:
     """Take a member out: at once where an operator vouches for it, else when it surely decides no more."""
     table = kept.members(tables)
     member = table.get(body.member)
--- a/tealwing/rules/overlay.py
+++ b/tealwing/rules/overlay.py
@@ -16,15 +16,15 @@
         if all(cls.name != name for cls in settings.classes):
             _unknown(f"classes.{name}", "class", [cls.name for cls in settings.classes])
     for name in bundle.tenants:
-        if all(account.name != name for account in settings.accounts):
-            _unknown(f"tenants.{name}", "account", [account.name for account in settings.accounts])
+        if all(account.name != name for account in settings.tenant_quotas):
+            _unknown(f"tenants.{name}", "account", [account.name for account in settings.tenant_quotas])
     limits, most = settings.limits, bundle.attempts.most
     if most is not None and most > limits.max_attempts:
         raise BeyondPlatform("attempts.most", f"{most}; allowed: 1 to {limits.max_attempts}")
     return replace(
         settings,
         classes=tuple(_class(cls, bundle) for cls in settings.classes),
-        accounts=tuple(_account(account, bundle) for account in settings.accounts),
+        tenant_quotas=tuple(_account(account, bundle) for account in settings.tenant_quotas),
         limits=limits if most is None else replace(limits, max_attempts=most),
     )
 
@@ -35,14 +35,14 @@
         return cls
     return replace(
         cls,
-        aim=cls.aim if said.aim_ms is None else said.aim_ms / 1e3,
+        latency_objective=cls.latency_objective if said.aim_ms is None else said.aim_ms / 1e3,
         deadline=cls.deadline if said.deadline_ms is None else said.deadline_ms / 1e3,
-        effect=cls.effect if said.effect is None else interface.Effect(said.effect),
-        worth=cls.worth if said.worth is None else said.worth,
+        idempotency=cls.idempotency if said.effect is None else interface.Idempotency(said.effect),
+        priority_weight=cls.priority_weight if said.worth is None else said.worth,
     )
 
 
-def _account(account: interface.Account, bundle: Bundle) -> interface.Account:
+def _account(account: interface.TenantQuota, bundle: Bundle) -> interface.TenantQuota:
     said = bundle.tenants.get(account.name)
     return account if said is None or said.share is None else replace(account, share=said.share)
 
--- a/tealwing/rules/proposing.py
+++ b/tealwing/rules/proposing.py
@@ -4,7 +4,7 @@
 
 from msgspec.structs import replace
 
-from tealwing.record import Result
+from tealwing.record import CommandResult
 from tealwing.rules import history, kept
 from tealwing.rules.cover import settle
 from tealwing.rules.digests import digest
@@ -12,7 +12,7 @@
 from tealwing.rules.records import Facts, Propose, Said, Verdict, Version
 
 
-def propose(tables: Tables, index: int, body: Propose) -> Result:
+def propose(tables: Tables, index: int, body: Propose) -> CommandResult:
     """Take a version up. Refused where another is in flight, or it was made from one that is not in force."""
     now = kept.facts(tables)
     if digest(body.text) != body.digest:
@@ -54,7 +54,7 @@
     )
 
 
-def verdict(tables: Tables, index: int, body: Verdict) -> Result:
+def verdict(tables: Tables, index: int, body: Verdict) -> CommandResult:
     """A member's word. One no ends it; when all have said yes, it is checked."""
     found = kept.version(tables, body.number)
     if found is None:
--- a/tealwing/rules/records.py
+++ b/tealwing/rules/records.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tealwing.record import Big, Record
+from tealwing.record import Record, UnsignedInt63
 
 Word = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 Text = Annotated[str, msgspec.Meta(max_length=2000)]
@@ -28,23 +28,23 @@
 class Propose(Record, tag="rules.propose", frozen=True):
     """A new version with that parent; number 0 takes the next one, else the federation's."""
 
-    parent: Big
+    parent: UnsignedInt63
     digest: Word  # of the text: bundle.digest
     text: Bundled
     who: Word
-    when: Big  # ms of the Unix clock at the proposer; nothing is decided by it
+    when: UnsignedInt63  # ms of the Unix clock at the proposer; nothing is decided by it
     why: Text = ""
-    number: Big = 0
+    number: UnsignedInt63 = 0
     federated: bool = False  # decided in the federation's log, not here
-    needs: Big = 1  # the least build that can put it in force
+    needs: UnsignedInt63 = 1  # the least build that can put it in force
 
 
 class Verdict(Record, tag="rules.verdict", frozen=True):
     """A member's word on a proposed version, as checked in that start of it."""
 
-    number: Big
+    number: UnsignedInt63
     member: Word
-    start: Big
+    start: UnsignedInt63
     yes: bool
     reason: Text = ""
 
@@ -52,15 +52,15 @@
 class Close(Record, tag="rules.close", frozen=True):
     """Every member stops deciding what the change touches as it applies this."""
 
-    number: Big
+    number: UnsignedInt63
 
 
 class Closed(Record, tag="rules.closed", frozen=True):
     """A member has closed in that start of it, and its disk says so."""
 
-    number: Big
+    number: UnsignedInt63
     member: Word
-    start: Big
+    start: UnsignedInt63
 
 
 class Words(Record, tag="rules.words", frozen=True):
@@ -72,22 +72,22 @@
 class Activate(Record, tag="rules.activate", frozen=True):
     """The version is in force; refused where it is not covered."""
 
-    number: Big
-    decided: Big = 0  # of a federated version: the index in the federation's log
+    number: UnsignedInt63
+    decided: UnsignedInt63 = 0  # of a federated version: the index in the federation's log
 
 
 class Abort(Record, tag="rules.abort", frozen=True):
     """The version will never be in force."""
 
-    number: Big
+    number: UnsignedInt63
     reason: Text = ""
-    decided: Big = 0
+    decided: UnsignedInt63 = 0
 
 
 class Withdraw(Record, tag="rules.withdraw", frozen=True):
     """Its proposer, or another operator, takes it back before anyone closes for it."""
 
-    number: Big
+    number: UnsignedInt63
     who: Word
     why: Text = ""
 
@@ -100,25 +100,25 @@
     """
 
     member: Word
-    start: Big
+    start: UnsignedInt63
     lost_touch: LostTouch
-    build: Big = 1
-    permit: Big = 0  # ms that a permit of it lasts (hold)
-    replaces: Big = 0  # the start that the table has; 0: the member is not in it
+    build: UnsignedInt63 = 1
+    permit: UnsignedInt63 = 0  # ms that a permit of it lasts (hold)
+    replaces: UnsignedInt63 = 0  # the start that the table has; 0: the member is not in it
 
 
 class Lapse(Record, tag="rules.lapse", frozen=True):
     """No permit of that start is given any more (hold only)."""
 
     member: Word
-    start: Big
+    start: UnsignedInt63
 
 
 class Witness(Record, tag="rules.witness", frozen=True):
     """By its own clock, a member has waited until a permit given before that lapse must be over."""
 
     member: Word
-    lapse: Big  # index of the lapse
+    lapse: UnsignedInt63  # index of the lapse
     by: Word
 
 
@@ -138,7 +138,7 @@
 class Said(Record, frozen=True):
     """A member's verdict."""
 
-    start: Big
+    start: UnsignedInt63
     yes: bool
     reason: Text = ""
 
@@ -146,33 +146,33 @@
 class Version(Record, frozen=True):
     """One version, and all that was said of it."""
 
-    number: Big
-    parent: Big
+    number: UnsignedInt63
+    parent: UnsignedInt63
     digest: Word
     text: Bundled
     who: Word
-    when: Big
+    when: UnsignedInt63
     why: Text
     phase: Phase
-    index: Big  # of its proposal
-    changed: Big  # index of the entry that gave it its phase
+    index: UnsignedInt63  # of its proposal
+    changed: UnsignedInt63  # index of the entry that gave it its phase
     federated: bool = False
-    needs: Big = 1
+    needs: UnsignedInt63 = 1
     said: dict[str, Said] = {}  # by member
     outcome: Text = ""  # why it was rejected, aborted or withdrawn, and by whom
-    decided: Big = 0
+    decided: UnsignedInt63 = 0
 
 
 class Member(Record, frozen=True):
     """One member in its present start."""
 
-    start: Big
+    start: UnsignedInt63
     lost_touch: LostTouch
-    build: Big = 1
-    permit: Big = 0  # ms
-    begun: Big = 0  # index of its Begin
-    closed: Big = 0  # number of the version that it has closed for, in this start
-    lapsed: Big = 0  # index of its Lapse; 0: none
+    build: UnsignedInt63 = 1
+    permit: UnsignedInt63 = 0  # ms
+    begun: UnsignedInt63 = 0  # index of its Begin
+    closed: UnsignedInt63 = 0  # number of the version that it has closed for, in this start
+    lapsed: UnsignedInt63 = 0  # index of its Lapse; 0: none
     witnesses: tuple[str, ...] = ()
     over: bool = False  # every permit given before the lapse is over
     leaving: bool = False  # it is forgotten once that is so
@@ -181,8 +181,8 @@
 class Facts(Record, frozen=True):
     """What holds of all versions."""
 
-    last: Big = 0  # number given last
-    active: Big = 0  # number of the version in force; 0: none yet
+    last: UnsignedInt63 = 0  # number given last
+    active: UnsignedInt63 = 0  # number of the version in force; 0: none yet
 
 
 NOW = "now"  # the one key of the table of facts
--- a/tealwing/rules/registry.py
+++ b/tealwing/rules/registry.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from tealwing.record import Result
+from tealwing.record import CommandResult
 from tealwing.rules import closing, deciding, members, proposing, records
 from tealwing.rules.cover import covered, uncovered
 from tealwing.rules.kept import Tables, active, facts, in_flight, yes
@@ -15,7 +15,7 @@
 __all__ = ["active", "apply", "covered", "facts", "in_flight", "uncovered"]
 
 
-def apply(tables: Tables, index: int, body: records.Body) -> Result:
+def apply(tables: Tables, index: int, body: records.Body) -> CommandResult:
     """Apply a command at its index of the log; the result says what was done, or why not."""
     match body:
         case records.Propose():
--- a/tealwing/service.py
+++ b/tealwing/service.py
@@ -51,7 +51,7 @@
     daemon.start()
     server.start()
     serving.set()
-    kinds = {kind.name: kind.cores for kind in config.settings.kinds}
+    kinds = {kind.name: kind.cores for kind in config.settings.machine_kinds}
     gc.freeze()  # what is here now stays: collections need not walk it
     gc.set_threshold(COLLECT)
     log.event("started", gateway=config.name, listen=server.address, admin=admin and admin.address, kinds=kinds)
