--- a/tealwing/wire.py
+++ b/tealwing/wire.py
@@ -18,16 +18,20 @@
 LONGEST_TIMER_NS = 71 * 60 * NS
 
 RESULTS = {
-    100: api.Result.OK,
-    301: api.Result.ERROR,
-    302: api.Result.FULL,
-    303: api.Result.TIMEOUT,
-    304: api.Result.CONNECT_FAILED,
-    305: api.Result.RESET,
-    306: api.Result.CANCELLED,
-    307: api.Result.MOOT,
+    100: api.AttemptResult.OK,
+    301: api.AttemptResult.ERROR,
+    302: api.AttemptResult.FULL,
+    303: api.AttemptResult.TIMEOUT,
+    304: api.AttemptResult.CONNECT_FAILED,
+    305: api.AttemptResult.RESET,
+    306: api.AttemptResult.CANCELLED,
+    307: api.AttemptResult.NOT_SENT,
+}
+EFFECTS = {
+    "repeatable": api.Idempotency.IDEMPOTENT,
+    "by_key": api.Idempotency.KEYED,
+    "once": api.Idempotency.NOT_IDEMPOTENT,
 }
-EFFECTS = {"repeatable": api.Effect.SAFE, "by_key": api.Effect.KEYED, "once": api.Effect.UNSAFE}
 HEAD = struct.Struct(">QII")
 ENTRY = struct.Struct(">IBHHBfQ")
 
@@ -86,7 +90,7 @@
         raise WireError(f"unknown {kind.__name__} {value}") from None
 
 
-def _result(code: int) -> api.Result:
+def _result(code: int) -> api.AttemptResult:
     if code not in RESULTS:
         raise WireError(f"unknown outcome {code}")
     return RESULTS[code]
@@ -96,9 +100,9 @@
     return reader.unpack(struct.Struct(f">{count}f")) if count else ()
 
 
-def _entry(fields: tuple[Any, ...]) -> api.ListEntry:
+def _entry(fields: tuple[Any, ...]) -> api.EngineListEntry:
     engine, zone, kind, cell, health, weight, started = fields
-    return api.ListEntry(engine, zone, kind, cell, _enum(api.Health, health), weight, started / NS)
+    return api.EngineListEntry(engine, zone, kind, cell, _enum(api.Health, health), weight, started / NS)
 
 
 WireEvent = api.Event | Init | Teardown
@@ -108,7 +112,7 @@
     """Turns batches into events; keeps the numbered lists, which belong to the process."""
 
     def __init__(self) -> None:
-        self.lists: dict[int, tuple[api.ListEntry, ...]] = {}
+        self.lists: dict[int, tuple[api.EngineListEntry, ...]] = {}
 
     def events(self, body: bytes, count: int) -> Iterator[tuple[int, WireEvent]]:
         """Each event of a batch with its instance, in order."""
@@ -128,7 +132,7 @@
     def _event(self, code: int, reader: Reader) -> WireEvent:
         if code == 20:
             id_, attempt, engine, result, elapsed, over, cost, n = reader.unpack(_FINISHED)
-            return api.Outcome(
+            return api.AttemptOutcome(
                 id_,
                 attempt,
                 engine,
@@ -157,15 +161,15 @@
             return api.TimerFired(*reader.unpack(_TOKEN))
         if code == 30:
             id_, attempt, engine, kind, amount = reader.unpack(_HINT)
-            return api.Note(id_, attempt, engine, _enum(api.NoteKind, kind), amount)
+            return api.AttemptProgress(id_, attempt, engine, _enum(api.ProgressKind, kind), amount)
         if code == 70:
-            return api.HungUp(*reader.unpack(_ID))
+            return api.ClientGone(*reader.unpack(_ID))
         if code == 120:
             kind, version, number = reader.unpack(_UPDATE)
-            kind = _enum(api.ListKind, kind)
-            if kind is not api.ListKind.FAILED and number not in self.lists:
+            kind = _enum(api.EngineListKind, kind)
+            if kind is not api.EngineListKind.FAILED and number not in self.lists:
                 raise WireError(f"list {number} was never sent")
-            entries = () if kind is api.ListKind.FAILED else self.lists[number]
+            entries = () if kind is api.EngineListKind.FAILED else self.lists[number]
             return api.EngineList(kind, version, entries)
         if code == 80:
             seed, length = reader.unpack(_INIT)
@@ -174,7 +178,7 @@
             return Teardown()
         if code == 40:
             engine, result, elapsed, n = reader.unpack(_STATUS)
-            return api.ProbeResult(engine, _result(result), elapsed / NS, _report(reader, n))
+            return api.HealthCheckResult(engine, _result(result), elapsed / NS, _report(reader, n))
         if code == 110:
             id_, attempt, engine, elapsed = reader.unpack(_FLOWING)
             return api.StreamStarted(id_, attempt, engine, elapsed / NS)
@@ -225,27 +229,27 @@
     match action:
         case api.Send(id_, engine, timeout):
             return _SEND.pack(10, instance, id_, int(timeout * NS), engine)
-        case api.Tune(id_, priority, memory):
+        case api.SetResources(id_, priority, memory):
             return _TUNE.pack(130, instance, id_, priority, memory)
         case api.SetTimer(delay, token):
             return _TIMER.pack(50, instance, min(_ns(delay), LONGEST_TIMER_NS), token)
-        case api.Refuse(id_, retry_after, _):
+        case api.Reject(id_, retry_after, _):
             return _REFUSE.pack(20, instance, id_, _ns(retry_after))
         case api.Fail(id_):
             return _TWO.pack(30, instance, id_)
-        case api.Cancel(id_, attempt):
+        case api.CancelAttempt(id_, attempt):
             return _CANCEL.pack(40, instance, id_, attempt)
-        case api.Probe(engine):
+        case api.CheckHealth(engine):
             return _TWO.pack(60, instance, engine)
-        case api.CloseIdle(engine):
+        case api.CloseIdleConnections(engine):
             return _TWO.pack(70, instance, engine)
-        case api.Tell(peer, data):
+        case api.SendToPeer(peer, data):
             return _TELL.pack(80, instance, EVERY_PEER if peer is None else peer, len(data)) + data
         case api.Log(text):
             return _text(90, instance, text)
         case api.Subscribe(wanted):
             return _WANT.pack(110, instance, wanted)
-        case api.FetchList():
+        case api.FetchEngineList():
             return _BARE.pack(120, instance)
     raise TypeError(f"not an action: {action!r}")
 
@@ -307,29 +311,29 @@
 
 
 def _class(facts: Facts, threads: int, holds: bool, waits: bool) -> api.RequestClass:
-    groups = {group.value: group for group in api.Group}
+    groups = {group.value: group for group in api.IdempotencyScope}
     return api.RequestClass(
         name=facts.get("Name", str),
-        aim=facts.seconds("TargetNs"),
-        aim_stretch=facts.get("AimStretch", float, 0.0),
+        latency_objective=facts.seconds("TargetNs"),
+        objective_per_work=facts.get("AimStretch", float, 0.0),
         deadline=facts.seconds("DeadlineNs"),
-        worth=facts.get("Credit", float),
-        late_share=facts.get("LateShare", float, 0.0),
-        effect=facts.choice("Effect", EFFECTS),
-        group=facts.choice("Group", groups) if "Group" in facts.data else api.Group.ALL,
-        window=facts.seconds("WindowNs", 0.0),
+        priority_weight=facts.get("Credit", float),
+        late_weight_share=facts.get("LateShare", float, 0.0),
+        idempotency=facts.choice("Effect", EFFECTS),
+        idempotency_scope=facts.choice("Group", groups) if "Group" in facts.data else api.IdempotencyScope.ALL,
+        idempotency_window=facts.seconds("WindowNs", 0.0),
         ordered=facts.get("FifoByKey", bool, False),
         threads=threads,
         zones=facts.places("ConfinedTo"),
-        kinds=facts.places("BoundTo"),
-        holds=holds,
-        waits=waits,
+        machine_kinds=facts.places("BoundTo"),
+        locks_tables=holds,
+        waits_for_locks=waits,
     )
 
 
-def _account(facts: Facts) -> api.Account:
+def _account(facts: Facts) -> api.TenantQuota:
     share, rate = facts.get("Share", float, 1.0), facts.get("QuotaRps", float, 0.0)
-    return api.Account(facts.get("Name", str), share, rate)
+    return api.TenantQuota(facts.get("Name", str), share, rate)
 
 
 def _listed(facts: Facts, name: str, length: int) -> list[Any]:
@@ -357,54 +361,56 @@
     if len(holds) < len(grades) or len(waits) < len(grades):
         raise ValueError(f"impossible setting {family.path}: HoldsTables or ClassWaits is too short")
     return api.Settings(
-        me=facts.get("Me", int),
-        gateways=facts.get("Siblings", int),
+        instance_number=facts.get("Me", int),
+        gateway_count=facts.get("Siblings", int),
         zone=facts.get("Zone", int),
         zones=tuple(facts.get("Zones", list)),
-        kinds=tuple(api.Kind(str(k), c, float(m)) for k, c, m in zip(kinds, cores, memory, strict=False)),
+        machine_kinds=tuple(
+            api.MachineKind(str(k), c, float(m)) for k, c, m in zip(kinds, cores, memory, strict=False)
+        ),
         classes=tuple(
             _class(Facts(g, f"Grades[{i}]"), threads[i], bool(holds[i]), bool(waits[i])) for i, g in enumerate(grades)
         ),
         limits=api.Limits(
-            cancel=allowed.get("Cancelling", bool),
-            duplicates=allowed.get("MayDuplicate", bool),
-            probes=allowed.get("Probing", bool, False),
-            peers=allowed.get("Peers", bool, False),
+            cancellation=allowed.get("Cancelling", bool),
+            hedging=allowed.get("MayDuplicate", bool),
+            health_checks=allowed.get("Probing", bool, False),
+            peer_messages=allowed.get("Peers", bool, False),
             retry_after=allowed.get("RetryAfter", bool),
             max_attempts=allowed.get("MaxAttempts", int),
             max_retry_after=allowed.seconds("MaxRetryAfterNs", 0.0),
             connect_timeout=allowed.seconds("ConnectTimeoutNs", 1.0),
-            idle_time=allowed.seconds("ConnIdleNs", 30.0),
-            multiplex=allowed.get("Multiplex", int, 100),
+            idle_timeout=allowed.seconds("ConnIdleNs", 30.0),
+            attempts_per_connection=allowed.get("Multiplex", int, 100),
         ),
         rules=api.Rules(
             answer_slack=rules.seconds("AnswerSlackNs"),
-            ask_within=rules.seconds("AskWithinNs", 0.0),
-            cold_share=rules.get("ColdShare", float),
-            cold_time=rules.seconds("ColdNs"),
+            poll_interval=rules.seconds("AskWithinNs", 0.0),
+            slow_start_share=rules.get("ColdShare", float),
+            slow_start_time=rules.seconds("ColdNs"),
             drain_grace=rules.seconds("DrainGraceNs"),
-            fall_multiple=rules.get("FallMultiple", float),
-            fall_time=rules.seconds("TipAfterNs"),
-            order_settle=rules.seconds("SettleAfterDoubtNs", 0.0),
-            ration_free=rules.get("ExtraFree", float, None),
-            ration_share=rules.get("ExtraPerRequest", float, 0.0),
-            ration_window=rules.seconds("BudgetSpanNs", 0.0),
+            overload_multiple=rules.get("FallMultiple", float),
+            overload_time=rules.seconds("TipAfterNs"),
+            ordering_settle_time=rules.seconds("SettleAfterDoubtNs", 0.0),
+            retry_budget_floor=rules.get("ExtraFree", float, None),
+            retry_budget_share=rules.get("ExtraPerRequest", float, 0.0),
+            retry_budget_window=rules.seconds("BudgetSpanNs", 0.0),
         ),
         prices=api.Prices(
             prices.get("CrossZone", float, 0.0),
             prices.get("Waste", float, 0.0),
             prices.get("LateFail", float, 0.0),
         ),
-        ask=facts.choice("Discovery", {"push": False, "ask": True}),
+        polls_discovery=facts.choice("Discovery", {"push": False, "ask": True}),
         report_fields=() if report.get("Via", str) == "silent" else tuple(report.get("Columns", list, [])),
-        grants=family.get("TakesGrants", bool, False),
-        priorities=family.get("RanksHeeded", bool, False),
-        most_grant=family.get("MostGrant", float, 1.0),
-        notes_every=family.seconds("TellsEveryNs", 0.0),
-        tells_cost=family.get("TellsCost", bool, False),
-        when_short=family.get("Overbooked", str, "wait"),
-        marks_retry=facts.sub("Clients").get("MarksRetry", bool, False),
+        heeds_memory_grants=family.get("TakesGrants", bool, False),
+        heeds_priorities=family.get("RanksHeeded", bool, False),
+        max_grant_share=family.get("MostGrant", float, 1.0),
+        progress_interval=family.seconds("TellsEveryNs", 0.0),
+        reports_cost=family.get("TellsCost", bool, False),
+        memory_shortage_policy=family.get("Overbooked", str, "wait"),
+        clients_mark_retries=facts.sub("Clients").get("MarksRetry", bool, False),
         tick=facts.seconds("TickNs"),
         tenants=tuple(Facts(a, f"Accounts[{i}]").get("Name", str) for i, a in enumerate(accounts)),
-        accounts=tuple(_account(Facts(a, f"Accounts[{i}]")) for i, a in enumerate(accounts)),
+        tenant_quotas=tuple(_account(Facts(a, f"Accounts[{i}]")) for i, a in enumerate(accounts)),
     )
