--- a/tealwing/admin/http.py
+++ b/tealwing/admin/http.py
@@ -4,17 +4,17 @@
 
 from dataclasses import dataclass
 
-MOST_HEAD = 8 * 1024  # bytes of a request line and its headers: the calls have no body worth more
+MAX_HEAD_BYTES = 8 * 1024  # bytes of a request line and its headers: the calls have no body worth more
 METHODS = frozenset({b"GET", b"HEAD", b"POST", b"PUT", b"DELETE", b"PATCH", b"OPTIONS", b"TRACE", b"CONNECT"})
 REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 503: "Service Unavailable"}
 
 
-class BadRequest(ValueError):
+class BadRequestError(ValueError):
     """A request head that can't be read; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class HttpRequest:
     """What a caller asks: the method and the path, without its query."""
 
     method: str
@@ -26,27 +26,27 @@
 
     Raises BadRequest once more than MOST_HEAD bytes have come without an end.
     """
-    end = data.find(b"\r\n\r\n", 0, MOST_HEAD + 4)
+    end = data.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES + 4)
     if end >= 0:
         return end + 4
-    if len(data) > MOST_HEAD:
-        raise BadRequest(f"a request head of more than {MOST_HEAD} bytes")
+    if len(data) > MAX_HEAD_BYTES:
+        raise BadRequestError(f"a request head of more than {MAX_HEAD_BYTES} bytes")
     return 0
 
 
-def call(head: bytes) -> Call:
+def parse_request(head: bytes) -> HttpRequest:
     """The call of a whole request head (as end_of_head found it). Raises BadRequest."""
     line, _, headers = head.partition(b"\r\n")
     words = line.split(b" ")
     if len(words) != 3 or words[0] not in METHODS or words[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
-        raise BadRequest("the request line is not METHOD PATH HTTP/1.1")
+        raise BadRequestError("the request line is not METHOD PATH HTTP/1.1")
     if not words[1].startswith(b"/") or any(byte < 0x21 or byte > 0x7E for byte in words[1]):
-        raise BadRequest("the path is not an absolute path of printable characters")
+        raise BadRequestError("the path is not an absolute path of printable characters")
     for field in headers.split(b"\r\n"):
         if field and (b":" not in field or field[:1] in (b" ", b"\t")):
-            raise BadRequest("a header line without a name and a colon")
+            raise BadRequestError("a header line without a name and a colon")
     path = words[1].split(b"?", 1)[0].decode("ascii")
-    return Call(words[0].decode("ascii"), path)
+    return HttpRequest(words[0].decode("ascii"), path)
 
 
 def response(status: int, body: bytes, allow: str = "") -> bytes:
--- a/tealwing/admin/figures.py
+++ b/tealwing/admin/metrics.py
@@ -10,7 +10,7 @@
 CONFIG = ("config_applied", "config_rejected")  # files taken and files turned down at SIGHUP
 
 
-class Figures:
+class Metrics:
     """Counts by class name, from 0 at the start of the process; a class that is dropped leaves with its counts.
 
     An addition takes a lock that nothing holds for longer than a few dictionary steps.
@@ -38,23 +38,23 @@
         with self._lock:
             return tuple(self._totals)
 
-    def watch_ended(self, reason: str) -> None:
+    def count_watch_end(self, reason: str) -> None:
         """A watch of the engine list ended; the next begins after a pause."""
         with self._lock:
             self._watches[reason] = self._watches.get(reason, 0) + 1
 
-    def configured(self, applied: bool) -> None:
+    def count_configuration(self, applied: bool) -> None:
         """A file was taken at SIGHUP, or turned down."""
         with self._lock:
             self._config[0 if applied else 1] += 1
 
-    def keep(self, classes: Iterable[str]) -> None:
+    def set_classes(self, classes: Iterable[str]) -> None:
         """The classes from now on: new ones start at 0, and those dropped are forgotten."""
         names = list(classes)
         with self._lock:
             self._counts = {name: self._counts.get(name) or [0] * len(BY_CLASS) for name in names}
 
-    def lines(self) -> bytes:
+    def statsd_lines(self) -> bytes:
         """All figures as StatsD lines, one a figure: counters as `|c`, levels as `|g`."""
         with self._lock:
             counts = {name: list(values) for name, values in self._counts.items()}
--- a/tealwing/admin/server.py
+++ b/tealwing/admin/server.py
@@ -19,7 +19,7 @@
 BACKLOG = 64
 
 
-class Admin:
+class AdminServer:
     """Answers GET /ops/readiness and GET /ops/stats; nothing here reaches the request path."""
 
     def __init__(
@@ -52,9 +52,9 @@
     def answer(self, head: bytes) -> bytes:
         """The whole response to a whole request head."""
         try:
-            call = http.call(head)
-        except http.BadRequest as error:
-            self._complain(str(error))
+            call = http.parse_request(head)
+        except http.BadRequestError as error:
+            self._log_unusable(str(error))
             return http.response(400, f"{error}\n".encode())
         if call.path == "/ops/readiness":
             ready, reason = self._ready(), self._reason()
@@ -100,12 +100,12 @@
                 buffer += data
         except BlockingIOError:
             return http.response(400, b"the request did not come whole in time\n")
-        except http.BadRequest as error:
-            self._complain(str(error))
+        except http.BadRequestError as error:
+            self._log_unusable(str(error))
             return http.response(400, f"{error}\n".encode())
         return self.answer(bytes(buffer[:end]))
 
-    def _complain(self, why: str) -> None:
+    def _log_unusable(self, why: str) -> None:
         self._complaints += 1
         if self._complaints & (self._complaints - 1) == 0:
             log.event("admin_request_unusable", why=why, so_far=self._complaints)
--- a/tealwing/config.py
+++ b/tealwing/config.py
@@ -13,25 +13,25 @@
 from tealwing.sockets import Address
 
 SOCKETS = 1024  # descriptors, where the file names no limit
-MOST_CORES = 1024  # beyond which a limit is a mistake
+MAX_CORES = 1024  # beyond which a limit is a mistake
 CORES = 1.0  # of the processor, where the file names no limit
 # tasks that the gateways of one deployment may fill with commands under way, should they all share one machine: a
 # quarter of Linux's usual kernel.pid_max of 32,768, as each has further threads and other programs want theirs
 TASKS = 8192
 BUSIEST = 4  # times its even share of TASKS for one gateway: a few see several times the mean, so all stay near TASKS
-LEAST_THREADS = 128  # commands under way at once that a gateway can take however many there are: some 5 MB of stacks
+MIN_THREADS = 128  # commands under way at once that a gateway can take however many there are: some 5 MB of stacks
 
 
 class ConfigError(ValueError):
     """A configuration that can't be used; the message names the key."""
 
 
-class ConfigRejected(ConfigError):
+class ConfigRejectedError(ConfigError):
     """Settings of the configuration that what the fleet has agreed on goes before; says what an operator can do."""
 
-    def __init__(self, why: str, remedy: str) -> None:
-        super().__init__(f"{why}; {remedy}")
-        self.why, self.remedy = why, remedy
+    def __init__(self, reason: str, remedy: str) -> None:
+        super().__init__(f"{reason}; {remedy}")
+        self.reason, self.remedy = reason, remedy
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,20 +56,20 @@
         return descriptors.budget(self.sockets)
 
     @property
-    def most_clients(self) -> int:
+    def max_clients(self) -> int:
         """Client connections held at once."""
         return self.descriptors.clients
 
     @property
-    def most_threads(self) -> int:
+    def max_threads(self) -> int:
         """Threads that serve clients at most: one for each command under way, whatever the number of clients."""
-        return min(self.most_clients, max(LEAST_THREADS, BUSIEST * TASKS // max(1, self.settings.gateway_count)))
+        return min(self.max_clients, max(MIN_THREADS, BUSIEST * TASKS // max(1, self.settings.gateway_count)))
 
 
-def address(text: Any, key: str, least: int = 1) -> Address:
+def address(text: Any, key: str, min_port: int = 1) -> Address:
     """HOST:PORT as a pair, the port at least so much."""
     try:
-        return updates.address(text, least)
+        return updates.address(text, min_port)
     except updates.UpdateError as error:
         raise ConfigError(f"{key}: {error}") from None
 
@@ -106,17 +106,17 @@
         raise ConfigError(f"seed: {seed!r} is not a hexadecimal number") from None
     limits = _section(data.get("limits", {}), "limits")
     sockets, cores = limits.get("sockets", SOCKETS), limits.get("cores", CORES)
-    if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < descriptors.LEAST:
-        raise ConfigError(f"limits.sockets: {sockets!r} is not a whole number of {descriptors.LEAST} or more")
-    if not isinstance(cores, (int, float)) or isinstance(cores, bool) or not 0 < cores <= MOST_CORES:
-        raise ConfigError(f"limits.cores: {cores!r} is not a number above 0 and up to {MOST_CORES}")
+    if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < descriptors.MIN_DESCRIPTORS:
+        raise ConfigError(f"limits.sockets: {sockets!r} is not a whole number of {descriptors.MIN_DESCRIPTORS} or more")
+    if not isinstance(cores, (int, float)) or isinstance(cores, bool) or not 0 < cores <= MAX_CORES:
+        raise ConfigError(f"limits.cores: {cores!r} is not a number above 0 and up to {MAX_CORES}")
     facts = _section(data.get("settings"), "settings")
     try:
         settings = wire.settings(orjson.dumps(facts))
     except (ValueError, wire.WireError) as error:
         raise ConfigError(f"settings: {error}") from None
     try:
-        index, events = updates.known(data.get("known"), settings)
+        index, events = updates.cached_updates(data.get("known"), settings)
     except updates.UpdateError as error:
         raise ConfigError(f"known: {error}") from None
     admin = environ.get("LB_ADMIN") or data.get("admin")
--- a/tealwing/reader.py
+++ b/tealwing/connection_reader.py
@@ -17,9 +17,9 @@
 from tealwing import log, threads
 
 BUFFER = 64 * 1024  # bytes, which last: one made for each read and cut to what came left holes in the heap
-AT_ONCE = 64  # connections read between two looks at the time limits
-FRESH = 0.5  # s between two looks for new connections' limits, where none else is due
-FAULT_PAUSE = 0.05  # s before waiting again after a fault of the wait itself: no spinning
+MAX_EVENTS = 64  # connections read between two looks at the time limits
+NEW_LIMITS_INTERVAL = 0.5  # s between two looks for new connections' limits, where none else is due
+ERROR_PAUSE = 0.05  # s before waiting again after a fault of the wait itself: no spinning
 
 
 class Readable(Protocol):
@@ -38,7 +38,7 @@
         """It is read no more: close it."""
 
 
-class Reader:
+class ConnectionReader:
     """Reads the connections that it is given, on one thread of that name that starts with the first."""
 
     def __init__(self, name: str = "engine-reader", limited: bool = False) -> None:
@@ -80,19 +80,19 @@
         buffer = memoryview(bytearray(BUFFER))
         while True:
             try:
-                for number, _ in self._poll.poll(self._patience(), AT_ONCE):
+                for number, _ in self._poll.poll(self._time_to_next_limit(), MAX_EVENTS):
                     self._read(number, buffer)
                 self._expire()
             except Exception:  # a fault of ours must not end all reading
                 log.check_invariant(False, f"the {self._name} goes on: {traceback.format_exc(limit=-3)}")
-                time.sleep(FAULT_PAUSE)
+                time.sleep(ERROR_PAUSE)
 
-    def _patience(self) -> float | None:
+    def _time_to_next_limit(self) -> float | None:
         """Seconds until the first time limit, or until new connections' limits are looked at."""
         left = max(0.0, min(self._limits.values()) - time.monotonic()) if self._limits else None
         if not self._limited:
             return left
-        return FRESH if left is None else min(left, FRESH)
+        return NEW_LIMITS_INTERVAL if left is None else min(left, NEW_LIMITS_INTERVAL)
 
     def _read(self, number: int, buffer: memoryview) -> None:
         connection = self._watched.get(number)
--- a/tealwing/coordinator/backoff.py
+++ b/tealwing/coordinator/backoff.py
@@ -13,15 +13,15 @@
     Each follows from the one before it, not from a count of calls, so callers that began together drift apart.
     """
 
-    def __init__(self, least: float, most: float, seed: int | None = None) -> None:
-        self._least, self._most, self._random = least, most, random.Random(seed)
-        self._last = least
+    def __init__(self, min_wait: float, max_wait: float, seed: int | None = None) -> None:
+        self._min_wait, self._max_wait, self._random = min_wait, max_wait, random.Random(seed)
+        self._last = min_wait
 
     def next(self) -> float:
         """The next wait."""
-        self._last = min(self._most, self._random.uniform(self._least, GROWTH * self._last))
+        self._last = min(self._max_wait, self._random.uniform(self._min_wait, GROWTH * self._last))
         return self._last
 
-    def heard(self) -> None:
+    def reset(self) -> None:
         """All is well again: the next trouble begins with short waits."""
-        self._last = self._least
+        self._last = self._min_wait
--- a/tealwing/coordinator/starts.py
+++ b/tealwing/coordinator/start_times.py
@@ -15,7 +15,7 @@
 
 DISCOVERY = 3.0  # s from an engine's start until it is listed, at most: the checks are a second or two apart
 EARLY = 0.1  # s by which a start may seem to lie ahead: two machines' clocks are that near
-MOST_DATES = 1 << 14  # engines whose start is kept: five times the largest fleet, as replaced ones are new engines
+MAX_START_TIMES = 1 << 14  # engines whose start is kept: five times the largest fleet, as replaced ones are new engines
 STEPPED = 1.0  # s between two readings of the wall clock that mean a step: slewing is 0.5 ms a second at most
 
 
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self._dated: dict[int, tuple[float, float]] = {}  # by engine: its start as listed, and as dated
 
-    def dated(self, member: Member, now: float, wall: float, unknown: float) -> Member:
+    def with_start_time(self, member: Member, now: float, wall: float, unknown: float) -> Member:
         """The member with its start on the clock of now, the gateway's Unix time that no step changes.
 
         wall is the machine's Unix time; unknown the seconds for which the list may have lacked something, infinite
@@ -42,7 +42,7 @@
             if started + EARLY > listed > started - EARLY:
                 started = listed  # as all gateways have it
             self._dated[member.entry.engine] = listed, started
-            if len(self._dated) > MOST_DATES:
+            if len(self._dated) > MAX_START_TIMES:
                 del self._dated[next(iter(self._dated))]
         return replace(member, entry=replace(member.entry, started=started))
 
--- a/tealwing/coordinator/updates.py
+++ b/tealwing/coordinator/updates.py
@@ -11,7 +11,7 @@
 
 from tealwing import interface
 
-LONGEST_LINE = 1 << 20  # bytes: some thousand engines
+MAX_LINE_BYTES = 1 << 20  # bytes: some thousand engines
 STATES = {
     "up": interface.Health.READY,
     "draining": interface.Health.DRAINING,
@@ -52,15 +52,15 @@
     return zlib.crc32(name.encode())
 
 
-def address(text: Any, least: int = 1) -> tuple[str, int]:
+def address(text: Any, min_port: int = 1) -> tuple[str, int]:
     """HOST:PORT as a pair, the port at least so much."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not colon or not host or not (port.isascii() and port.isdigit()) or not least <= int(port[:6]) < 65536:
+    if not colon or not host or not (port.isascii() and port.isdigit()) or not min_port <= int(port[:6]) < 65536:
         raise UpdateError(f"not HOST:PORT: {text!r}")
     return host, int(port)
 
 
-def _whole(value: Any, what: str) -> int:
+def _integer(value: Any, what: str) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise UpdateError(f"{what} is not a whole number: {value!r}")
     return value
@@ -73,7 +73,7 @@
     return float(value)
 
 
-def placed(member: Member, settings: interface.Settings) -> Member:
+def renumbered(member: Member, settings: interface.Settings) -> Member:
     """The member as the settings number its zone and kind, which others number otherwise; UpdateError without them."""
     kinds = [kind.name for kind in settings.machine_kinds]
     if member.zone not in settings.zones:
@@ -99,7 +99,7 @@
         engine=engine_number(name),
         zone=-1,
         kind=-1,
-        cell=_whole(data.get("cell", 0), "cell"),
+        cell=_integer(data.get("cell", 0), "cell"),
         health=STATES[state],
         weight=_number(data.get("size", 1), "size"),
         started=_number(data.get("up_since_ms", 0), "up_since_ms") / 1e3,
@@ -107,7 +107,7 @@
     return Member(name, *address(data.get("host_port")), entry, zone, kind)
 
 
-def update(data: Any, settings: interface.Settings) -> Update:
+def parse_update(data: Any, settings: interface.Settings) -> Update:
     """One event from its JSON object."""
     if not isinstance(data, dict) or not isinstance(data.get("endpoints"), dict):
         raise UpdateError("an event holds no endpoints")
@@ -120,14 +120,14 @@
         member = None
         try:
             member = _member(item)
-            usable.append(placed(member, settings))
+            usable.append(renumbered(member, settings))
         except UpdateError as error:
             unusable.append(str(error))
             if member is not None:
                 unplaced.append(member)
     return Update(
-        _whole(data.get("index"), "index"),
-        _whole(points.get("revision", 0), "revision"),
+        _integer(data.get("index"), "index"),
+        _integer(points.get("revision", 0), "revision"),
         points["complete"],
         tuple(usable),
         tuple(unusable),
@@ -135,25 +135,25 @@
     )
 
 
-def line(text: bytes, settings: interface.Settings) -> Update | int:
+def parse_line(text: bytes, settings: interface.Settings) -> Update | int:
     """One line: an event, or the last number alone."""
     try:
         data = orjson.loads(text)
     except orjson.JSONDecodeError as error:
         raise UpdateError(f"not JSON: {error}") from None
     if isinstance(data, dict) and "endpoints" in data:
-        return update(data, settings)
-    return _whole(data.get("index") if isinstance(data, dict) else data, "index")
+        return parse_update(data, settings)
+    return _integer(data.get("index") if isinstance(data, dict) else data, "index")
 
 
-def known(data: Any, settings: interface.Settings) -> tuple[int, tuple[Update, ...]]:
+def cached_updates(data: Any, settings: interface.Settings) -> tuple[int, tuple[Update, ...]]:
     """The last number and the events of the configuration's known."""
     if not isinstance(data, dict) or not isinstance(data.get("updates"), list):
         raise UpdateError("missing, or without updates")
-    return _whole(data.get("index"), "index"), tuple(update(item, settings) for item in data["updates"])
+    return _integer(data.get("index"), "index"), tuple(parse_update(item, settings) for item in data["updates"])
 
 
-class Lines:
+class LineParser:
     """Cuts a stream into lines, of bounded length."""
 
     def __init__(self) -> None:
@@ -162,6 +162,6 @@
     def feed(self, data: bytes) -> list[bytes]:
         """The whole lines, now that data has come."""
         *whole, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > LONGEST_LINE:
-            raise UpdateError(f"a line is longer than {LONGEST_LINE} bytes")
+        if len(self._rest) > MAX_LINE_BYTES:
+            raise UpdateError(f"a line is longer than {MAX_LINE_BYTES} bytes")
         return [text for text in whole if text.strip()]
--- a/tealwing/coordinator/follower.py
+++ b/tealwing/coordinator/watch.py
@@ -19,12 +19,15 @@
 from tealwing.coordinator.backoff import Backoff
 from tealwing.sockets import Address
 
-CONNECT_LIMIT = 1.0  # s
-SILENCE = (1.4, 1.8)  # s without a whole line, at random: one comes each second, and all gateways lose it at once
-RETRY = (0.1, 1.5)  # s between connects, least and most: what it has to tell counts as told 2 s after a break
+CONNECT_TIMEOUT = 1.0  # s
+SILENCE_TIMEOUT = (
+    1.4,
+    1.8,
+)  # s without a whole line, at random: one comes each second, and all gateways lose it at once
+RETRY_INTERVAL = (0.1, 1.5)  # s between connects, least and most: what it has to tell counts as told 2 s after a break
 
 
-class End(Enum):
+class WatchEnd(Enum):
     """Why a watch ended: in its log line, and in the figures."""
 
     UNREACHED = "unreached"  # no connection came up
@@ -37,17 +40,17 @@
     MOVED = "moved"  # another coordinator is followed from now on
 
 
-class _Ended(Exception):
-    def __init__(self, end: End, why: str) -> None:
+class _WatchEndedError(Exception):
+    def __init__(self, end: WatchEnd, why: str) -> None:
         super().__init__(why)
         self.end = end
 
 
-class Gap(updates.UpdateError):
+class MissingEventsError(updates.UpdateError):
     """Events between the last one known and this one have not come."""
 
 
-class Follower:
+class WatchClient:
     """Hands each event on once and in turn; what is known stays while the coordinator is away."""
 
     def __init__(
@@ -55,30 +58,30 @@
         address: Address,
         index: int,
         settings: interface.Settings,
-        tell: Callable[[updates.Update], None],
-        ended: Callable[[str], None] = lambda end: None,
+        on_update: Callable[[updates.Update], None],
+        on_watch_end: Callable[[str], None] = lambda end: None,
     ) -> None:
         """tell takes an update in whole or raises, and hears it again; ended hears the reason of each watch's end."""
         self.settings = settings  # those in force: updates are read under them
-        self._tell, self._heard_end = tell, ended
+        self._on_update, self._on_watch_end = on_update, on_watch_end
         self._address = address
         self._lock = threading.Lock()  # round the address and the socket, which move changes
         self._sock: socket.socket | None = None  # from before its connect: a move must not wait for that
         self._moves, self._moved = 0, threading.Event()
-        self._backoff = Backoff(*RETRY)
-        self._whole = time.monotonic()  # when the list was last known to lack nothing
+        self._backoff = Backoff(*RETRY_INTERVAL)
+        self._complete_at = time.monotonic()  # when the list was last known to lack nothing
         self.index = index  # of the last event handed on
 
     @property
     def age(self) -> float:
         """Seconds since the coordinator last said something by which the list lacks nothing."""
-        return time.monotonic() - self._whole
+        return time.monotonic() - self._complete_at
 
     def start(self) -> None:
         """Follow, in a thread of its own."""
         threading.Thread(target=self._run, name="coordinator", daemon=True).start()
 
-    def move(self, address: Address) -> None:
+    def move_to(self, address: Address) -> None:
         """Follow another coordinator from the last event on; at once, as the old one tells no more."""
         with self._lock:
             self._address = address
@@ -98,7 +101,7 @@
         """Follow one connection to its end, and say why it ended."""
         with self._lock:
             address, moves = self._address, self._moves
-        end, why, trace = End.CLOSED, "the coordinator closed the connection", None
+        end, why, trace = WatchEnd.CLOSED, "the coordinator closed the connection", None
         try:
             with self._connect(address, moves) as sock:
                 try:
@@ -106,30 +109,33 @@
                 finally:
                     with self._lock:  # before its descriptor is closed: a move must not shut down another's
                         self._sock = None
-        except _Ended as error:
+        except _WatchEndedError as error:
             end, why = error.end, str(error)
-            trace = traceback.format_exc(limit=-3) if end is End.FAULT else None
-        except Gap as error:
-            end, why = End.GAP, str(error)
+            trace = traceback.format_exc(limit=-3) if end is WatchEnd.FAULT else None
+        except MissingEventsError as error:
+            end, why = WatchEnd.GAP, str(error)
         except updates.UpdateError as error:
-            end, why = End.MALFORMED, str(error)
+            end, why = WatchEnd.MALFORMED, str(error)
         except OSError as error:
-            end, why = End.BROKEN, str(error)
+            end, why = WatchEnd.BROKEN, str(error)
         except Exception as error:  # a fault of ours must not end the watch for good: what it met is asked for again
-            end, why, trace = End.FAULT, repr(error), traceback.format_exc(limit=-3)
+            end, why, trace = WatchEnd.FAULT, repr(error), traceback.format_exc(limit=-3)
         with self._lock:
             if moves != self._moves:
-                end, why = End.MOVED, f"{self._address[0]}:{self._address[1]} is followed from now on; before: {why}"
+                end, why = (
+                    WatchEnd.MOVED,
+                    f"{self._address[0]}:{self._address[1]} is followed from now on; before: {why}",
+                )
         fields = {"trace": trace} if trace else {}
         log.event("watch_ended", reason=end.value, error=why, index=self.index, age=round(self.age, 3), **fields)
-        self._heard_end(end.value)
+        self._on_watch_end(end.value)
 
     def _connect(self, address: Address, moves: int) -> socket.socket:
         """A connection to the address. It begins under the lock, so that a move finds it and shuts it down."""
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:  # descriptors have run out, though the budget has some for this
-            raise _Ended(End.UNREACHED, str(error)) from None
+            raise _WatchEndedError(WatchEnd.UNREACHED, str(error)) from None
         try:
             sock.setblocking(False)
             with self._lock:
@@ -141,7 +147,7 @@
                 raise OSError(code, os.strerror(code))
             poll = select.poll()
             poll.register(sock, select.POLLOUT)
-            if not poll.poll(CONNECT_LIMIT * 1e3):
+            if not poll.poll(CONNECT_TIMEOUT * 1e3):
                 raise TimeoutError("no connection in time")
             if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 raise OSError(code, os.strerror(code))
@@ -149,18 +155,18 @@
             with self._lock:  # a move must not shut down a descriptor that is another's by then
                 self._sock = None
             sock.close()
-            raise _Ended(End.UNREACHED, f"{address[0]}:{address[1]}: {error}") from None
+            raise _WatchEndedError(WatchEnd.UNREACHED, f"{address[0]}:{address[1]}: {error}") from None
         return sock
 
     def _follow(self, sock: socket.socket) -> None:
-        limit = random.uniform(*SILENCE)
-        lines, until = updates.Lines(), time.monotonic() + limit
+        limit = random.uniform(*SILENCE_TIMEOUT)
+        lines, until = updates.LineParser(), time.monotonic() + limit
         sock.settimeout(limit)
         sock.sendall(b"follow %d\n" % self.index)
         while True:
             left = until - time.monotonic()  # a peer that drips bytes without an end of a line is silent too
             if left <= 0:
-                raise _Ended(End.SILENT, f"no whole line in {limit:.1f} s")
+                raise _WatchEndedError(WatchEnd.SILENT, f"no whole line in {limit:.1f} s")
             sock.settimeout(left)
             try:
                 data = sock.recv(64 * 1024)
@@ -169,23 +175,23 @@
             if not data:
                 return
             for text in lines.feed(data):
-                self.take(updates.line(text, self.settings))
-                self._backoff.heard()  # a connection that tells nothing, or nothing that can be read, is none
+                self.apply(updates.parse_line(text, self.settings))
+                self._backoff.reset()  # a connection that tells nothing, or nothing that can be read, is none
                 until = time.monotonic() + limit
 
-    def take(self, item: updates.Update | int) -> None:
+    def apply(self, item: updates.Update | int) -> None:
         """One line. A repeat is dropped; a gap ends the connection, and the next asks for what is missing."""
         if isinstance(item, int):
             if item > self.index:  # what came before on this connection is not all that there was
-                raise Gap(f"the last event is {item}, and {self.index} is the last that came")
-            self._whole = time.monotonic()
+                raise MissingEventsError(f"the last event is {item}, and {self.index} is the last that came")
+            self._complete_at = time.monotonic()
             return
         if item.index <= self.index:
             return
         if item.index != self.index + 1:
-            raise Gap(f"event {item.index} came after {self.index}")
+            raise MissingEventsError(f"event {item.index} came after {self.index}")
         try:
-            self._tell(item)
+            self._on_update(item)
         except Exception as error:  # whatever it is: it must not pass for the connection's
-            raise _Ended(End.FAULT, f"event {item.index}: {error!r}") from error
+            raise _WatchEndedError(WatchEnd.FAULT, f"event {item.index}: {error!r}") from error
         self.index = item.index
--- a/tealwing/descriptors.py
+++ b/tealwing/descriptors.py
@@ -19,8 +19,8 @@
 MARGIN = 16  # what the interpreter, libraries and a debugger open for a moment; and connections being closed
 CLIENT_SHARE = 3  # usual clients hold at most one in so many descriptors
 SPARE = 10  # one in so many of those more for who comes next while the longest idle one is evicted
-LEAST_ENGINES = 4  # connections to engines that the smallest limit still has room for
-LEAST = 64  # descriptors with which a gateway can work at all: a third for clients and a few for engines
+MIN_ENGINE_CONNECTIONS = 4  # connections to engines that the smallest limit still has room for
+MIN_DESCRIPTORS = 64  # descriptors with which a gateway can work at all: a third for clients and a few for engines
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     fixed: int  # all others, with the margin
 
     @property
-    def whole(self) -> int:
+    def total(self) -> int:
         """All of it; never more than the limit."""
         return self.clients + self.engines + self.fixed
 
@@ -41,5 +41,5 @@
     """The shares of a limit of at least LEAST: clients a third and a tenth of that more, engines what is left."""
     fixed = STANDARD + LISTENING + WAITING + DISCOVERY + READING + ADMIN_LISTENING + ADMIN_THREADS + MARGIN
     clients = limit * (SPARE + 1) // (SPARE * CLIENT_SHARE)
-    clients = min(clients, limit - fixed - LEAST_ENGINES)
+    clients = min(clients, limit - fixed - MIN_ENGINE_CONNECTIONS)
     return Budget(clients, limit - fixed - clients, fixed)
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -13,18 +13,18 @@
 
 from tealwing import interface as api
 from tealwing import log, wire
-from tealwing.admin.figures import Figures
-from tealwing.config import Config, ConfigError, ConfigRejected
-from tealwing.coordinator.follower import End, Follower
-from tealwing.coordinator.starts import StartTimes
+from tealwing.admin.metrics import Metrics
+from tealwing.config import Config, ConfigError, ConfigRejectedError
+from tealwing.coordinator.start_times import StartTimes
 from tealwing.coordinator.updates import Member, Update
+from tealwing.coordinator.watch import WatchClient, WatchEnd
 from tealwing.exchange import Query, SettingsChangedError
-from tealwing.gateway import standing
+from tealwing.gateway import service_levels
 from tealwing.gateway.decisions import Decisions
-from tealwing.gateway.life import Life, Signal
-from tealwing.gateway.versions import InForce
-from tealwing.gateway.vitals import Vitals
-from tealwing.resp.engines import Engines
+from tealwing.gateway.host_load import HostLoadMonitor
+from tealwing.gateway.module_versions import InForce
+from tealwing.gateway.request_handler import RequestHandler, Signal
+from tealwing.resp.engine_pool import EnginePool
 
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
     from tealwing.federation.plan import Plan as FederationPlan
@@ -39,10 +39,12 @@
     from tealwing.routing.table import Table
 
 
-MOST_FAULTS = 3  # readings of one watch update that may fail: some tenths of a second apart, then it goes in parts
+MAX_LIST_FAILURES = (
+    3  # readings of one watch update that may fail: some tenths of a second apart, then it goes in parts
+)
 
 
-class ListFault(RuntimeError):
+class EngineListError(RuntimeError):
     """A module could not take an update of the engine list in whole; it is told again."""
 
 
@@ -57,23 +59,26 @@
         self._peering: Peering | None = None  # where the section `peers` is
         self.gate: Gate | None = None  # where the section `rules` is: what requests pass first
         self.sections: frozenset[str] = frozenset()  # of the operators' file, that are on
-        self._vitals: Vitals | None = None  # measured where service levels are on
+        self._host_load: HostLoadMonitor | None = None  # measured where service levels are on
         self._levels_file: Plan | None = None  # of the operators' file, and of the rules: the second goes before
         self._levels_rules: Plan | None = None
         self._allowed: Callable[..., frozenset[int] | None] = lambda *_: None  # routing's, once there is a table
         self._changing = threading.RLock()  # one change of settings or levels at a time, whoever brings it
-        self._engines = Engines(config.settings.limits, config.descriptors.engines)
+        self._engines = EnginePool(config.settings.limits, config.descriptors.engines)
         self._decisions = Decisions(config.settings, config.seed, self._engines)
-        self.figures = Figures((cls.name for cls in config.settings.classes), (end.value for end in End))
-        self.figures.gauges = self._gauges
-        self._starts, self._reads_known = StartTimes(), True  # known: the events of the configuration
-        self._faults = (0, 0)  # the index of the last watch update that could not be taken in whole, and how often
-        self._follower = Follower(
-            config.coordinator, config.index, config.settings, self._watch_update, self.figures.watch_ended
+        self.metrics = Metrics((cls.name for cls in config.settings.classes), (end.value for end in WatchEnd))
+        self.metrics.gauges = self._gauges
+        self._starts, self._reads_cached_list = StartTimes(), True  # known: the events of the configuration
+        self._list_failures = (
+            0,
+            0,
+        )  # the index of the last watch update that could not be taken in whole, and how often
+        self._follower = WatchClient(
+            config.coordinator, config.index, config.settings, self._on_watch_update, self.metrics.count_watch_end
         )
         for number, update in enumerate(config.known):
-            self._known(update, cached=number == 0)
-        self._reads_known = False
+            self._apply_cached_update(update, cached=number == 0)
+        self._reads_cached_list = False
 
     def start(self) -> None:
         """Follow the coordinator and let timers fire."""
@@ -81,29 +86,29 @@
         self._decisions.start()
         self._follower.start()
 
-    def open(self, query: Query, settings: api.Settings | None = None) -> Life:
+    def open(self, query: Query, settings: api.Settings | None = None) -> RequestHandler:
         """The life of a request that has come, read under the settings (the ones in force if None).
 
         Raises Unusable, and Outdated where settings and a routing table of different versions would bind it.
         """
-        force, zones = self._decisions.force, None
+        force, zones = self._decisions.in_force, None
         if force.number and settings is not None and settings is not force.settings:
             raise SettingsChangedError(force.settings)
         if force.table is not None:
-            zones = self._allowed(force.table, query.tables, force.settings.zones, self._decisions.ready)
+            zones = self._allowed(force.table, query.tables, force.settings.zones, self._decisions.ready_zones)
         settings = settings or force.settings
-        return Life(query, settings, self._decisions, self._engines, self._vitals, self.figures, zones)
+        return RequestHandler(query, settings, self._decisions, self._engines, self._host_load, self.metrics, zones)
 
     def _gauges(self) -> dict[str, int]:
         """Requests open, engines listed, those of them that the module does not send to now, and threads.
 
         Read without the module's lock: lengths of its tables are whole at any moment.
         """
-        gateway = standing.behind(self._decisions.module)
+        gateway = service_levels.innermost_module(self._decisions.module)
         listed = len(gateway.engines) if gateway is not None else 0
         ready = len(gateway.ready) if gateway is not None else 0
         found = {
-            "active": self._decisions.open,
+            "active": self._decisions.open_requests,
             "pool_size": listed,
             "pool_ejected": max(0, listed - ready),
             "threads": threading.active_count(),
@@ -123,25 +128,25 @@
         is_ready, reason, _ = self._peering.readiness()
         return is_ready, reason
 
-    def unread(self, seconds: float) -> None:
+    def record_unread_age(self, seconds: float) -> None:
         """What a client sent was read so long after it had come."""
-        if self._vitals is not None:
-            self._vitals.waited(seconds)
+        if self._host_load is not None:
+            self._host_load.record_unread_age(seconds)
 
     @property
-    def agreed(self) -> int:
+    def agreed_version(self) -> int:
         """Number of the version of the rules that the fleet agreed on and that is in force here; 0: none."""
-        return self._decisions.force.number
+        return self._decisions.in_force.number
 
     @property
-    def platform(self) -> api.Settings:
+    def platform_settings(self) -> api.Settings:
         """What the configuration says, before any version of the rules."""
         return self._from_file
 
     @property
-    def listed(self) -> tuple[api.EngineListEntry, ...]:
+    def engine_list(self) -> tuple[api.EngineListEntry, ...]:
         """The engine list as it was last heard."""
-        return self._decisions.listed
+        return self._decisions.engine_list
 
     def put_in_force(
         self, settings: api.Settings | None, table: Table | None, levels: Plan | None, version: int
@@ -162,11 +167,11 @@
                 self._allowed = allowed
             self._levels_rules = levels
             renewed = settings is not self._settings
-            wrap = None if plan is None else standing.wrapper(settings, plan, self._say)
+            wrap = None if plan is None else service_levels.level_wrapper(settings, plan, self._on_level_change)
             number = self._decisions.put_in_force(InForce(settings, table, version), wrap)
             if renewed:
-                self._tell_settings(settings, number)
-            self._levels_now(plan)
+                self._on_settings_changed(settings, number)
+            self._apply_levels(plan)
         log.event("rules_in_force", version=version, settings=renewed, routes=len(table.routes) if table else 0)
 
     def reconfigure(self, config: Config) -> api.Settings:
@@ -179,31 +184,31 @@
         """
         with self._changing:
             changed = config.settings not in (self._settings, self._from_file)
-            if changed and self.agreed:
-                self._follower.move(config.coordinator)
-                raise ConfigRejected(
-                    f"settings: version {self.agreed} of the rules is in force, as the fleet has agreed",
+            if changed and self.agreed_version:
+                self._follower.move_to(config.coordinator)
+                raise ConfigRejectedError(
+                    f"settings: version {self.agreed_version} of the rules is in force, as the fleet has agreed",
                     "propose them: tealwing rules propose FILE --control HOST:PORT --why TEXT",
                 )
-            if changed and (self._vitals is not None or self._link is not None):
+            if changed and (self._host_load is not None or self._link is not None):
                 raise ConfigError("settings: a change of settings needs a restart where levels or gossip are on")
             if changed and self._peering is not None and not config.settings.limits.peer_messages:
                 raise ConfigError("settings: Allowed.Peers forbids the link to the peers, which is on: restart")
-            self._follower.move(config.coordinator)
+            self._follower.move_to(config.coordinator)
             if changed:  # else the file says what it said, and the fleet's version may be in force
-                self._take(config.settings)
+                self._apply_settings(config.settings)
                 self._from_file = config.settings
         log.event("reconfigured", coordinator=config.coordinator)
         return self._settings
 
-    def _take(self, settings: api.Settings) -> None:
+    def _apply_settings(self, settings: api.Settings) -> None:
         """Put settings in force for new requests."""
-        self._tell_settings(settings, self._decisions.renew(settings))
+        self._on_settings_changed(settings, self._decisions.replace_settings(settings))
 
-    def _tell_settings(self, settings: api.Settings, version: int) -> None:
+    def _on_settings_changed(self, settings: api.Settings, version: int) -> None:
         self._settings = self._follower.settings = settings
-        self._engines.limit(settings.limits)
-        self.figures.keep(cls.name for cls in settings.classes)
+        self._engines.set_limits(settings.limits)
+        self.metrics.set_classes(cls.name for cls in settings.classes)
         self.on_settings(settings)
         classes = {cls.name: cls.idempotency.name for cls in settings.classes}
         log.event("settings_changed", version=version, classes=classes)
@@ -216,35 +221,39 @@
             log.event("fleet_settings_unusable", version=version, error=str(error))
             return
         with self._changing:
-            if self.agreed or self._vitals is not None or self._link is not None:
-                why = "rules are in force: propose it as rules" if self.agreed else "levels or gossip are on: restart"
+            if self.agreed_version or self._host_load is not None or self._link is not None:
+                why = (
+                    "rules are in force: propose it as rules"
+                    if self.agreed_version
+                    else "levels or gossip are on: restart"
+                )
                 log.event("fleet_settings_unusable", version=version, error=why)
                 return
             log.event("fleet_settings", version=version)
             if settings != self._settings:
-                self._take(settings)
+                self._apply_settings(settings)
 
-    def operate(self, records: dict[str, Any]) -> None:
+    def apply_operators_file(self, records: dict[str, Any]) -> None:
         """Take the operators' file in whole: its records by section. A ValueError leaves all as it is."""
         levels: Plan | None = records.get("levels")
         if levels is not None:
             levels.measures(self._settings)  # may not fit; what comes after it can't fail on the levels
-        self._gossip(records.get("gossip"))
+        self._apply_gossip(records.get("gossip"))
         self.sections = frozenset(records)
-        self._peers(*(records.get(name) for name in ("peers", "replica", "rules", "federation")))
+        self._apply_peers(*(records.get(name) for name in ("peers", "replica", "rules", "federation")))
         with self._changing:
             self._levels_file = levels
             if self._levels_rules is None:  # else those of the rules go before it
-                self._levels_now(levels)
+                self._apply_levels(levels)
 
-    def leave(self) -> None:
+    def stop(self) -> None:
         """The gateway ends: the other instances need not find out."""
         if self._link is not None:
             self._link.stop()
         if self._peering is not None:
             self._peering.stop()
 
-    def _peers(
+    def _apply_peers(
         self, plan: PeersPlan | None, replica: ReplicaPlan | None, rules: RulesPlan | None,
         federation: FederationPlan | None,
     ) -> None:  # fmt: skip
@@ -273,9 +282,9 @@
         self._peering = peering
         self._peering.start()
         if self._peering.feed is not None:
-            self._peering.feed.engines(self._decisions.listed, self._settings.rules)
+            self._peering.feed.engines(self._decisions.engine_list, self._settings.rules)
 
-    def _gossip(self, plan: GossipPlan | None) -> None:
+    def _apply_gossip(self, plan: GossipPlan | None) -> None:
         """Begin, change or end gossip; a GossipFault leaves it as it is."""
         link = self._link
         if plan is None and link is None:
@@ -287,61 +296,63 @@
         if plan is not None and link is not None:
             link.change(plan)
         elif plan is not None:
-            self._link = Link(plan, partial(standing.evidence, self._decisions.change), self._decisions.submit)
+            self._link = Link(
+                plan, partial(service_levels.fleet_evidence, self._decisions.change_module), self._decisions.submit
+            )
             self._link.start()
         elif link is not None:
             self._link = None
             link.stop()
             self._decisions.submit(api.EngineHealthEstimates({}))
 
-    def _levels_now(self, plan: Plan | None) -> None:
+    def _apply_levels(self, plan: Plan | None) -> None:
         """Begin, change or end service levels."""
-        if plan is None and self._vitals is None:
+        if plan is None and self._host_load is None:
             return
-        self._decisions.change(standing.changer(self._settings, plan, self._say))
-        if plan is None and self._vitals is not None:
-            self._vitals.stop()
-            self._vitals = None
-        elif plan is not None and self._vitals is None:
-            self._vitals = Vitals(self._decisions, self._cores)
-            self._vitals.start()
-
-    def fail_open(self) -> int:
+        self._decisions.change_module(service_levels.level_changer(self._settings, plan, self._on_level_change))
+        if plan is None and self._host_load is not None:
+            self._host_load.stop()
+            self._host_load = None
+        elif plan is not None and self._host_load is None:
+            self._host_load = HostLoadMonitor(self._decisions, self._cores)
+            self._host_load.start()
+
+    def fail_open_requests(self) -> int:
         """Fail all that is still open, as the gateway ends; how many there were."""
-        return self._decisions.tell_all(Signal.SHUTDOWN)
+        return self._decisions.broadcast(Signal.SHUTDOWN)
 
     @property
-    def deadline(self) -> float:
+    def longest_deadline(self) -> float:
         """The longest deadline in seconds, of the settings in force and of those that open requests are under."""
-        return self._decisions.deadline
+        return self._decisions.longest_deadline
 
     @property
     def open_requests(self) -> int:
         """Requests taken and not yet ended."""
-        return self._decisions.open
+        return self._decisions.open_requests
 
-    def _known(self, update: Update, cached: bool) -> None:
+    def _apply_cached_update(self, update: Update, cached: bool) -> None:
         """An event of the configuration, which is not asked for again."""
         try:
-            self._take_list(update, cached)
+            self._apply_update(update, cached)
         except Exception:
-            self._take_apart(update)
+            self._apply_member_by_member(update)
 
-    def _watch_update(self, update: Update) -> None:
+    def _on_watch_update(self, update: Update) -> None:
         """An event of the watch: a fault ends the watch, and the next one tells it again, whole.
 
         One that can't be taken at the third time is taken member by member: it must not hide what comes after it.
         """
         try:
-            self._take_list(update)
+            self._apply_update(update)
         except Exception:
-            index, faults = self._faults
-            self._faults = update.index, faults + 1 if index == update.index else 1
-            if self._faults[1] < MOST_FAULTS:
+            index, faults = self._list_failures
+            self._list_failures = update.index, faults + 1 if index == update.index else 1
+            if self._list_failures[1] < MAX_LIST_FAILURES:
                 raise
-            self._take_apart(update)
+            self._apply_member_by_member(update)
 
-    def _take_list(self, update: Update, cached: bool = False) -> None:
+    def _apply_update(self, update: Update, cached: bool = False) -> None:
         """The connections first: the module may choose a new engine as soon as it knows of it.
 
         A second time it changes nothing that the first did.
@@ -351,17 +362,17 @@
         kind = api.EngineListKind.FULL if update.complete else api.EngineListKind.DELTA
         if cached:
             kind = api.EngineListKind.CACHED
-        if not self._decisions.tell_list(kind, update.revision, self._dated(members)):
-            raise ListFault(f"event {update.index} could not be decided on")
-        self._pass_on(update, update.members)
+        if not self._decisions.update_engine_list(kind, update.revision, self._with_start_times(members)):
+            raise EngineListError(f"event {update.index} could not be decided on")
+        self._publish_update(update, update.members)
 
-    def _dated(self, members: tuple[Member, ...]) -> tuple[Member, ...]:
+    def _with_start_times(self, members: tuple[Member, ...]) -> tuple[Member, ...]:
         """The members with their starts on the clock of the decisions, for them alone: see `StartTimes`."""
         now, wall = self._decisions.now, time.time()
-        unknown = inf if self._reads_known else self._follower.age
-        return tuple(self._starts.dated(member, now, wall, unknown) for member in members)
+        unknown = inf if self._reads_cached_list else self._follower.age
+        return tuple(self._starts.with_start_time(member, now, wall, unknown) for member in members)
 
-    def _pass_on(self, update: Update, taken: Sequence[Member]) -> None:
+    def _publish_update(self, update: Update, taken: Sequence[Member]) -> None:
         """Tell the fleet, and the log."""
         entries = tuple(member.entry for member in taken)
         if self._peering is not None and self._peering.feed is not None:
@@ -371,25 +382,27 @@
         for why in update.unusable:
             log.event("engine_unusable", why=why)
 
-    def _take_apart(self, update: Update) -> None:
+    def _apply_member_by_member(self, update: Update) -> None:
         """Take the members that can be taken, one by one."""
         log.event("watch_update_in_parts", index=update.index, trace=traceback.format_exc(limit=-3))
         taken = []
         for member in update.members + update.unplaced:
             try:
                 self._engines.update((member,), False)
-                if not self._decisions.tell_list(api.EngineListKind.DELTA, update.revision, self._dated((member,))):
-                    raise ListFault("it could not be decided on")
+                if not self._decisions.update_engine_list(
+                    api.EngineListKind.DELTA, update.revision, self._with_start_times((member,))
+                ):
+                    raise EngineListError("it could not be decided on")
             except Exception as error:
                 log.event("engine_unusable", why=f"{member.name}: {error!r}")
             else:
                 taken.append(member)
         try:
-            self._pass_on(update, taken)
+            self._publish_update(update, taken)
         except Exception:  # nothing here may end the watch once more
             log.check_invariant(False, f"a watch update is passed on: {traceback.format_exc(limit=-3)}")
 
-    def _say(self, name: str, fields: dict[str, Any]) -> None:
+    def _on_level_change(self, name: str, fields: dict[str, Any]) -> None:
         """What the governor tells: to the log, and a level that changes to the fleet too."""
         log.event(name, **fields)
         if name == "service_level" and self._peering is not None and self._peering.feed is not None:
--- a/tealwing/gateway/decisions.py
+++ b/tealwing/gateway/decisions.py
@@ -14,27 +14,27 @@
 from tealwing import log
 from tealwing.coordinator.updates import Member
 from tealwing.exchange import InvalidRequestError
+from tealwing.gateway.module_versions import InForce, Module, ModuleVersions, WrapModule
 from tealwing.gateway.timers import Timers
-from tealwing.gateway.versions import InForce, Module, Versions, Wrap
-from tealwing.resp.engines import Engines
+from tealwing.resp.engine_pool import EnginePool
 
-GRAIN = 0.02  # s: timers fire at its multiples, some together; none is due more exactly
+TIMER_GRANULARITY = 0.02  # s: timers fire at its multiples, some together; none is due more exactly
 Mailbox = SimpleQueue[Any]  # of the module's actions and the engines' answers for one request
 
 
 class Decisions:
     """Nothing here waits for a socket while it holds the lock; mailboxes and the timers' heap never block."""
 
-    def __init__(self, settings: api.Settings, seed: int, engines: Engines) -> None:
-        self._versions = Versions(settings, seed)
+    def __init__(self, settings: api.Settings, seed: int, engines: EnginePool) -> None:
+        self._versions = ModuleVersions(settings, seed)
         self._engines = engines
         self._lock = threading.Lock()
-        self.offset = time.time() - time.monotonic()  # Unix time that a step of the clock can't turn back
+        self.clock_offset = time.time() - time.monotonic()  # Unix time that a step of the clock can't turn back
         self._mailboxes: dict[int, Mailbox] = {}
-        self._calls: set[bytes] = set()  # the clients' ids of the open requests
+        self._request_ids: set[bytes] = set()  # the clients' ids of the open requests
         self._ids = itertools.count(1)
         self._list_faults = 0  # engine lists that a module did not take in whole
-        self._timers = Timers(max(settings.tick, GRAIN), self._fire)
+        self._timers = Timers(max(settings.tick, TIMER_GRANULARITY), self._on_timers)
 
     def start(self) -> None:
         """Let timers fire from now on."""
@@ -48,18 +48,18 @@
     @property
     def now(self) -> float:
         """The modules' time: Unix seconds by the clock of the start, which no step changes."""
-        return time.monotonic() + self.offset
+        return time.monotonic() + self.clock_offset
 
     @property
-    def open(self) -> int:
+    def open_requests(self) -> int:
         """Requests taken and not yet ended."""
         return len(self._mailboxes)
 
     @property
-    def listed(self) -> tuple[api.EngineListEntry, ...]:
+    def engine_list(self) -> tuple[api.EngineListEntry, ...]:
         """The engine list as it was last heard."""
         with self._lock:
-            return self._versions.listed
+            return self._versions.engine_list
 
     @property
     def settings(self) -> api.Settings:
@@ -67,44 +67,44 @@
         return self._versions.settings
 
     @property
-    def force(self) -> InForce:
+    def in_force(self) -> InForce:
         """The settings and the routing table that bind a new request, of one version."""
-        return self._versions.force
+        return self._versions.in_force
 
     @property
-    def deadline(self) -> float:
+    def longest_deadline(self) -> float:
         """The longest deadline in seconds, of the settings in force and of those that open requests are under."""
         with self._lock:
-            return self._versions.deadline
+            return self._versions.longest_deadline
 
     @property
-    def ready(self) -> frozenset[int]:
+    def ready_zones(self) -> frozenset[int]:
         """The zones in which an engine is ready."""
-        return self._versions.ready
+        return self._versions.ready_zones
 
-    def enter(self, call: bytes, mailbox: Mailbox, settings: api.Settings | None = None) -> int:
+    def register(self, call: bytes, mailbox: Mailbox, settings: api.Settings | None = None) -> int:
         """A number for a new request, whose actions go to the mailbox; it was read under those settings.
 
         Engines tell requests apart by these ids: a second one of an open id would get the first's rows.
         Raises Unusable for an open call, and Outdated for settings of which no module is left.
         """
         with self._lock:
-            if call in self._calls:
+            if call in self._request_ids:
                 raise InvalidRequestError("call is that of an open request")
             version = self._versions.version
             if settings is not None and settings is not self._versions.settings:
-                self._recall(settings)
-                version = self._versions.of(settings)
-            self._calls.add(call)
+                self._restore_module(settings)
+                version = self._versions.version_of(settings)
+            self._request_ids.add(call)
             number = next(self._ids)
             self._mailboxes[number] = mailbox
-            self._versions.take(number, version)
+            self._versions.assign(number, version)
             return number
 
-    def leave(self, number: int, call: bytes) -> list[object]:
+    def unregister(self, number: int, call: bytes) -> list[object]:
         """The request has its final answer; what is left in its mailbox. Its module still hears of it until forget."""
         with self._lock:
-            self._calls.remove(call)
+            self._request_ids.remove(call)
             mailbox = self._mailboxes.pop(number)
             return [mailbox.get_nowait() for _ in range(mailbox.qsize())]
 
@@ -113,56 +113,56 @@
         with self._lock:
             self._versions.forget(number)
 
-    def renew(self, settings: api.Settings) -> int:
+    def replace_settings(self, settings: api.Settings) -> int:
         """New requests go to a new module of these settings, told the engine list; the old keeps what it holds.
 
         Gives the new version's number.
         """
         return self.put_in_force(InForce(settings))
 
-    def put_in_force(self, force: InForce, wrap: Wrap | None = None) -> int:
+    def put_in_force(self, force: InForce, wrap: WrapModule | None = None) -> int:
         """New requests are bound by this; settings that are others than before get a new module, as in `renew`.
 
         wrap puts something before a new module. Gives the number of the module's version.
         """
         with self._lock:
             if force.settings is self._versions.settings:
-                self._versions.force = force
+                self._versions.in_force = force
             else:
                 faults = self._list_faults
-                for event in self._versions.renew(force, wrap):
+                for event in self._versions.replace_settings(force, wrap):
                     self._handle(event, (self._versions.version,))
                 if self._list_faults != faults:  # one engine that can't be taken must not hide the others
-                    for entry in self._versions.listed:
+                    for entry in self._versions.engine_list:
                         alone = api.EngineList(api.EngineListKind.DELTA, 0, (entry,))
                         self._handle(alone, (self._versions.version,))
             return self._versions.version
 
-    def _recall(self, settings: api.Settings) -> None:
+    def _restore_module(self, settings: api.Settings) -> None:
         """Have a module of settings that were replaced as a request was read under them; under the lock."""
-        if (recalled := self._versions.recall(settings)) is not None:
+        if (recalled := self._versions.restore(settings)) is not None:
             version, told = recalled
             for event in told:
                 self._handle(event, (version,))
 
-    def tell_all(self, word: object) -> int:
+    def broadcast(self, item: object) -> int:
         """Put a word into the mailbox of every open request; how many there are."""
         with self._lock:
             for mailbox in self._mailboxes.values():
-                mailbox.put(word)
+                mailbox.put(item)
             return len(self._mailboxes)
 
-    def change(self, how: Callable[[Module, float], Module]) -> None:
+    def change_module(self, how: Callable[[Module, float], Module]) -> None:
         """Put something before the module, or take it away; no event comes between."""
         with self._lock:
-            self._versions.module = how(self._versions.module, time.monotonic() + self.offset)
+            self._versions.module = how(self._versions.module, time.monotonic() + self.clock_offset)
 
-    def tell_list(self, kind: api.EngineListKind, number: int, members: tuple[Member, ...]) -> bool:
+    def update_engine_list(self, kind: api.EngineListKind, number: int, members: tuple[Member, ...]) -> bool:
         """Tell the modules of a watch update, each as its settings number it; whether all took it in whole."""
         idle: list[int] = []
         with self._lock:
             faults = self._list_faults
-            for version, event in self._versions.listing(kind, number, members):
+            for version, event in self._versions.engine_list_events(kind, number, members):
                 idle += self._handle(event, (version,))
             whole = self._list_faults == faults
         for engine in idle:
@@ -174,11 +174,11 @@
         idle: list[int] = []
         with self._lock:
             for event in events:
-                idle += self._handle(event, self._versions.concerned(event))
+                idle += self._handle(event, self._versions.versions_for(event))
         for engine in idle:
             self._engines.close_idle(engine)
 
-    def _fire(self, due: list[tuple[int, int]]) -> None:
+    def _on_timers(self, due: list[tuple[int, int]]) -> None:
         """Timers, each to the module that set it; those of a module let go are dropped."""
         idle: list[int] = []
         with self._lock:
@@ -194,18 +194,18 @@
         """
         idle: list[int] = []
         for version in versions:
-            module = self._versions.at(version)
+            module = self._versions.module_at(version)
             if module is not None:
                 idle += self._decide(module, version, event)
                 if event.__class__ is api.EngineList:  # a quarter of isinstance's cost, on each event
-                    self._versions.share(version)
+                    self._versions.share_slow_start(version)
         return idle
 
     def _decide(self, module: Module, version: int, event: api.Event) -> list[int]:
         idle: list[int] = []
         now = time.monotonic()
         try:
-            actions = module.handle(now + self.offset, event)
+            actions = module.handle(now + self.clock_offset, event)
         except Exception:  # a fault in a decision fails its request, not the gateway
             log.event("decision_failed", of=type(event).__name__, trace=traceback.format_exc(limit=-3))
             if isinstance(event, api.EngineList):
--- a/tealwing/gateway/vitals.py
+++ b/tealwing/gateway/host_load.py
@@ -8,17 +8,17 @@
 from tealwing import interface as api
 from tealwing.gateway.decisions import Decisions
 
-EVERY = 0.25  # s between two events: levels are looked at about as often
-MEMORY = 0.5  # weight of the last quarter of a second in the means: a memory of half a second
+REPORT_INTERVAL = 0.25  # s between two events: levels are looked at about as often
+SAMPLE_DECAY = 0.5  # weight of the last quarter of a second in the means: a memory of half a second
 
 
-class Vitals:
+class HostLoadMonitor:
     """Takes measured times from any thread; tells the module of them from a thread of its own."""
 
     def __init__(self, decisions: Decisions, cores: float) -> None:
         self._decisions, self._cores = decisions, cores
         self._lock = threading.Lock()
-        self._lag, self._unread = (0.0, 0), (0.0, 0)  # sum and count since the last event
+        self._dispatch_delay, self._unread_age = (0.0, 0), (0.0, 0)  # sum and count since the last event
         self._stopped = threading.Event()
 
     def start(self) -> None:
@@ -29,28 +29,28 @@
         """Tell no more."""
         self._stopped.set()
 
-    def lagged(self, seconds: float) -> None:
+    def record_dispatch_delay(self, seconds: float) -> None:
         """A request's first attempt went out so long after its last byte had been read."""
         with self._lock:
-            self._lag = self._lag[0] + seconds, self._lag[1] + 1
+            self._dispatch_delay = self._dispatch_delay[0] + seconds, self._dispatch_delay[1] + 1
 
-    def waited(self, seconds: float) -> None:
+    def record_unread_age(self, seconds: float) -> None:
         """What was read now had come so long ago."""
         with self._lock:
-            self._unread = self._unread[0] + seconds, self._unread[1] + 1
+            self._unread_age = self._unread_age[0] + seconds, self._unread_age[1] + 1
 
     def _run(self) -> None:
         lag = unread = processor = 0.0
         at, used = time.monotonic(), time.process_time()
-        while not self._stopped.wait(EVERY):
+        while not self._stopped.wait(REPORT_INTERVAL):
             now, took = time.monotonic(), time.process_time()
             with self._lock:
-                lags, self._lag = self._lag, (0.0, 0)
-                ages, self._unread = self._unread, (0.0, 0)
+                lags, self._dispatch_delay = self._dispatch_delay, (0.0, 0)
+                ages, self._unread_age = self._unread_age, (0.0, 0)
             # nothing came: nothing waits, as far as is known; a wake-up that is late is lag itself
-            late = max(0.0, now - at - EVERY)
-            lag += MEMORY * (max(lags[0] / lags[1] if lags[1] else 0.0, late) - lag)
-            unread += MEMORY * ((ages[0] / ages[1] if ages[1] else 0.0) - unread)
-            processor += MEMORY * ((took - used) / ((now - at) * self._cores) - processor)
+            late = max(0.0, now - at - REPORT_INTERVAL)
+            lag += SAMPLE_DECAY * (max(lags[0] / lags[1] if lags[1] else 0.0, late) - lag)
+            unread += SAMPLE_DECAY * ((ages[0] / ages[1] if ages[1] else 0.0) - unread)
+            processor += SAMPLE_DECAY * ((took - used) / ((now - at) * self._cores) - processor)
             at, used = now, took
             self._decisions.submit(api.HostLoad(lag, unread, processor))
--- a/tealwing/gateway/versions.py
+++ b/tealwing/gateway/module_versions.py
@@ -19,8 +19,10 @@
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
     from tealwing.routing.table import Table
 
-REPLACED = 4  # changes of settings after which a request that is still being read under the first is turned back
-OWN = (
+MAX_REPLACED_SETTINGS = (
+    4  # changes of settings after which a request that is still being read under the first is turned back
+)
+REQUEST_EVENTS = (
     api.Request,
     api.AttemptOutcome,
     api.StreamStarted,
@@ -45,54 +47,54 @@
     number: int = 0  # of the version of the rules; 0: none is in force
 
 
-Wrap = Callable[[Gateway], Module]  # what stands before a new module
+WrapModule = Callable[[Gateway], Module]  # what stands before a new module
 Spent = deque[tuple[float, float]]  # times and work of what was sent to a cold engine
 
 
-def behind(module: Module) -> Gateway | None:
+def innermost_module(module: Module) -> Gateway | None:
     """The module itself."""
     gateway = module if isinstance(module, Gateway) else getattr(module, "gateway", None)
     return gateway if isinstance(gateway, Gateway) else None
 
 
-class Versions:
+class ModuleVersions:
     """The module that takes new requests, and those of earlier settings that still hold some."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.module: Module = Gateway(settings, seed)  # of the settings below; it takes new requests
-        self.force, self.version = InForce(settings), 0
-        self.ready: frozenset[int] = frozenset()  # zones with a ready engine
+        self.in_force, self.version = InForce(settings), 0
+        self.ready_zones: frozenset[int] = frozenset()  # zones with a ready engine
         self._seed = seed
         # What rules count over the gateway, whichever module made it, and nothing of it by class: the modules share it.
         self._taken, self._extra = deque[float](), deque[float]()
         self._spent: dict[tuple[int, float], Spent] = {}  # by engine and its start
         self._numbers = itertools.count(1)  # of versions
-        self._replaced = deque[api.Settings](maxlen=REPLACED)  # no longer in force, the last at the end
+        self._replaced = deque[api.Settings](maxlen=MAX_REPLACED_SETTINGS)  # no longer in force, the last at the end
         self._older: dict[int, tuple[api.Settings, Module]] = {}  # by version: modules that still hold requests
         self._owners: dict[int, int] = {}  # request id: the version of the module that decides it
         self._held: dict[int, int] = {}  # version: its requests still open
         self._members: dict[int, Member] = {}  # the engine list by names, as settings number zones and kinds anew
         self._list_version = 0
-        self._beliefs: api.EngineHealthEstimates | None = None  # the last ones, for a new module
-        self.share(0)
+        self._health_estimates: api.EngineHealthEstimates | None = None  # the last ones, for a new module
+        self.share_slow_start(0)
 
     @property
     def settings(self) -> api.Settings:
         """Those of the module that takes new requests."""
-        return self.force.settings
+        return self.in_force.settings
 
     @property
-    def listed(self) -> tuple[api.EngineListEntry, ...]:
+    def engine_list(self) -> tuple[api.EngineListEntry, ...]:
         """The engine list as it was last heard, numbered by the settings in force."""
-        return _numbered(self._members.values(), self.settings)
+        return _entries_for(self._members.values(), self.settings)
 
     @property
-    def deadline(self) -> float:
+    def longest_deadline(self) -> float:
         """The longest deadline in seconds, of the settings in force and of those that open requests are under."""
         held = [self.settings, *(settings for settings, _ in self._older.values())]
         return max(cls.deadline for settings in held for cls in settings.classes)
 
-    def of(self, settings: api.Settings) -> int:
+    def version_of(self, settings: api.Settings) -> int:
         """The version of those very settings; Outdated where no module of them is left."""
         if settings is self.settings:
             return self.version
@@ -101,14 +103,14 @@
                 return version
         raise SettingsChangedError(self.settings)
 
-    def at(self, version: int) -> Module | None:
+    def module_at(self, version: int) -> Module | None:
         """The module of a version, while there is one."""
         if version == self.version:
             return self.module
         older = self._older.get(version)
         return older[1] if older is not None else None
 
-    def take(self, number: int, version: int) -> None:
+    def assign(self, number: int, version: int) -> None:
         """The request is the version's from now on."""
         self._owners[number] = version
         self._held[version] = self._held.get(version, 0) + 1
@@ -122,18 +124,18 @@
             if self._older.pop(version, None) is not None:
                 log.event("settings_retired", version=version)
 
-    def renew(self, force: InForce, wrap: Wrap | None = None) -> list[api.Event]:
+    def replace_settings(self, force: InForce, wrap: WrapModule | None = None) -> list[api.Event]:
         """A new module takes new requests, the old keeps what it holds; gives what the new one is to be told."""
         if self._held.get(self.version):
             self._older[self.version] = self.settings, self.module
         self._replaced.append(self.settings)
         self.version = next(self._numbers)
         gateway = Gateway(force.settings, self._seed + self.version)
-        self.force, self.module = force, wrap(gateway) if wrap is not None else gateway
-        self._see_ready()
-        return self._first(force.settings)
+        self.in_force, self.module = force, wrap(gateway) if wrap is not None else gateway
+        self._update_ready_zones()
+        return self._initial_events(force.settings)
 
-    def recall(self, settings: api.Settings) -> tuple[int, list[api.Event]] | None:
+    def restore(self, settings: api.Settings) -> tuple[int, list[api.Event]] | None:
         """A module anew for settings of which none is left; its version, and what it is to be told; None: no need.
 
         They were in force when a request was read, and a change has come between that and its being opened.
@@ -143,12 +145,12 @@
             return None
         version = next(self._numbers)
         self._older[version] = settings, Gateway(settings, self._seed + version)
-        return version, self._first(settings)
+        return version, self._initial_events(settings)
 
-    def share(self, version: int) -> None:
+    def share_slow_start(self, version: int) -> None:
         """Have a version's module, which has heard of the engine list, count together with the others."""
-        module = self.at(version)
-        gateway = behind(module) if module is not None else None
+        module = self.module_at(version)
+        gateway = innermost_module(module) if module is not None else None
         if gateway is None:
             return
         gateway.taken, gateway.extra = self._taken, self._extra
@@ -158,33 +160,33 @@
             known = {(engine.id, engine.started) for engine in gateway.engines.values()}
             self._spent = {key: spent for key, spent in self._spent.items() if key in known}
 
-    def _first(self, settings: api.Settings) -> list[api.Event]:
+    def _initial_events(self, settings: api.Settings) -> list[api.Event]:
         """What a new module of the settings is told before anything else, numbered as they do."""
-        listed = _numbered(self._members.values(), settings)
+        listed = _entries_for(self._members.values(), settings)
         told: list[api.Event] = [api.EngineList(api.EngineListKind.FULL, self._list_version, listed)]
-        return told + ([self._beliefs] if self._beliefs is not None else [])
+        return told + ([self._health_estimates] if self._health_estimates is not None else [])
 
-    def concerned(self, event: api.Event) -> tuple[int, ...]:
+    def versions_for(self, event: api.Event) -> tuple[int, ...]:
         """The versions whose modules an event is for: a request's own to its module, else all."""
-        if isinstance(event, OWN):
+        if isinstance(event, REQUEST_EVENTS):
             return (self._owners.get(event.id, self.version),)
         if isinstance(event, api.EngineList):  # its entries are numbered by the settings in force
             if event.kind is not api.EngineListKind.FAILED:
-                named = (_named(entry, self.settings) for entry in event.entries)
-                self._note_list(event.kind, event.version, named)
+                named = (_member_for(entry, self.settings) for entry in event.entries)
+                self._store_list(event.kind, event.version, named)
         elif isinstance(event, api.EngineHealthEstimates):
-            self._beliefs = event
+            self._health_estimates = event
         return self.version, *self._older
 
-    def listing(
+    def engine_list_events(
         self, kind: api.EngineListKind, number: int, members: tuple[Member, ...]
     ) -> list[tuple[int, api.EngineList]]:
         """Keep a watch update; by version, what its module is told of it, numbered by the module's own settings."""
-        self._note_list(kind, number, members)
+        self._store_list(kind, number, members)
         held = [(self.version, self.settings), *((version, older[0]) for version, older in self._older.items())]
-        return [(version, api.EngineList(kind, number, _numbered(members, settings))) for version, settings in held]
+        return [(version, api.EngineList(kind, number, _entries_for(members, settings))) for version, settings in held]
 
-    def _note_list(self, kind: api.EngineListKind, number: int, members: Iterable[Member]) -> None:
+    def _store_list(self, kind: api.EngineListKind, number: int, members: Iterable[Member]) -> None:
         """Keep the list that a module made now would need."""
         if kind is not api.EngineListKind.DELTA:
             self._members.clear()
@@ -194,21 +196,21 @@
             else:
                 self._members[member.entry.engine] = member
         self._list_version = number
-        self._see_ready()
+        self._update_ready_zones()
 
-    def _see_ready(self) -> None:
-        self.ready = frozenset(entry.zone for entry in self.listed if entry.health is api.Health.READY)
+    def _update_ready_zones(self) -> None:
+        self.ready_zones = frozenset(entry.zone for entry in self.engine_list if entry.health is api.Health.READY)
 
 
-def _numbered(members: Iterable[Member], settings: api.Settings) -> tuple[api.EngineListEntry, ...]:
+def _entries_for(members: Iterable[Member], settings: api.Settings) -> tuple[api.EngineListEntry, ...]:
     """Their entries as the settings number zones and kinds; those that they do not know are left out."""
     found = []
     for member in members:
         with contextlib.suppress(updates.UpdateError):
-            found.append(updates.placed(member, settings).entry)
+            found.append(updates.renumbered(member, settings).entry)
     return tuple(found)
 
 
-def _named(entry: api.EngineListEntry, settings: api.Settings) -> Member:
+def _member_for(entry: api.EngineListEntry, settings: api.Settings) -> Member:
     """The member of an entry that the settings number."""
     return Member("", "", 0, entry, settings.zones[entry.zone], settings.machine_kinds[entry.kind].name)
--- a/tealwing/gateway/standing.py
+++ b/tealwing/gateway/service_levels.py
@@ -6,26 +6,26 @@
 from typing import TYPE_CHECKING, Any
 
 from tealwing import interface as api
-from tealwing.gateway.versions import Module, Wrap
-from tealwing.gateway.versions import behind as behind
+from tealwing.gateway.module_versions import Module, WrapModule
+from tealwing.gateway.module_versions import innermost_module as innermost_module
 from tealwing.policy import Gateway
 
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
     from tealwing.gossip.observe import Evidence
     from tealwing.levels.plan import Plan
 
-Change = Callable[[Module, float], Module]
-Say = Callable[[str, dict[str, Any]], None]
+ChangeModule = Callable[[Module, float], Module]
+LogLevelChange = Callable[[str, dict[str, Any]], None]
 
 
-def evidence(change: Callable[[Change], None]) -> Evidence:
+def fleet_evidence(change: Callable[[ChangeModule], None]) -> Evidence:
     """What the module shows of its engines, and how many are ready; change is that of the decisions."""
     from tealwing.gossip import observe
 
     found: list[Evidence] = []
 
     def look(module: Module, _: float) -> Module:
-        gateway = behind(module)
+        gateway = innermost_module(module)
         assert gateway is not None
         found.append((observe.words(gateway), len(gateway.ready)))
         return module
@@ -34,14 +34,14 @@
     return found[0]
 
 
-def wrapper(settings: api.Settings, plan: Plan, say: Say) -> Wrap:
+def level_wrapper(settings: api.Settings, plan: Plan, log_change: LogLevelChange) -> WrapModule:
     """What puts the levels of the plan before a new module of the settings."""
     from tealwing.levels.governor import Governor
 
-    return lambda gateway: Governor(settings, gateway, plan, say)
+    return lambda gateway: Governor(settings, gateway, plan, log_change)
 
 
-def changer(settings: api.Settings, plan: Plan | None, say: Say) -> Change:
+def level_changer(settings: api.Settings, plan: Plan | None, log_change: LogLevelChange) -> ChangeModule:
     """What begins, changes or ends levels on a module that runs; the same plan again changes nothing."""
     from tealwing.levels.governor import Governor
 
@@ -53,6 +53,6 @@
                 module.adopt(plan, now)
             return module
         assert isinstance(module, Gateway)
-        return Governor(settings, module, plan, say)
+        return Governor(settings, module, plan, log_change)
 
     return change
--- a/tealwing/gateway/timers.py
+++ b/tealwing/gateway/timers.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from math import ceil
 
-MOST_AT_ONCE = 32  # timers handled before others may have the lock round the decisions
+MAX_FIRED_TOGETHER = 32  # timers handled before others may have the lock round the decisions
 
 
 class Timers:
     """Nothing here is waited for while the lock of the heap is held, so `set` never blocks."""
 
-    def __init__(self, grain: float, fire: Callable[[list[tuple[int, int]]], None]) -> None:
+    def __init__(self, granularity: float, fire: Callable[[list[tuple[int, int]]], None]) -> None:
         """Timers fire at multiples of grain seconds, some together; fire hears their tokens and versions."""
-        self._grain, self._fire = grain, fire
+        self._granularity, self._fire = granularity, fire
         self._timers: list[tuple[float, int, int]] = []  # due (monotonic), token, version of the module
         self._changed = threading.Condition(threading.Lock())
 
@@ -26,7 +26,7 @@
 
     def set(self, due: float, token: int, version: int) -> None:
         """Have a timer fire at the monotonic time, or up to a grain later."""
-        due = ceil(due / self._grain) * self._grain  # as the simulator's ticks do: one wake serves many
+        due = ceil(due / self._granularity) * self._granularity  # as the simulator's ticks do: one wake serves many
         with self._changed:
             heapq.heappush(self._timers, (due, token, version))
             if self._timers[0] == (due, token, version):
@@ -38,7 +38,7 @@
                 while not self._timers or self._timers[0][0] > time.monotonic():
                     self._changed.wait(self._timers[0][0] - time.monotonic() if self._timers else None)
                 now, due = time.monotonic(), list[tuple[int, int]]()
-                while self._timers and self._timers[0][0] <= now and len(due) < MOST_AT_ONCE:
+                while self._timers and self._timers[0][0] <= now and len(due) < MAX_FIRED_TOGETHER:
                     _, token, version = heapq.heappop(self._timers)
                     due.append((token, version))
             self._fire(due)
--- a/tealwing/lab/client.py
+++ b/tealwing/lab/client.py
@@ -41,7 +41,9 @@
         self._sock = socket.create_connection(address, LOGIN_LIMIT)
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._parser = packets.Parser()
-        login = FLAGS.to_bytes(4, "little") + (packets.LARGEST).to_bytes(4, "little") + bytes([packets.UTF8MB4])
+        login = (
+            FLAGS.to_bytes(4, "little") + (packets.MAX_PACKET_BYTES).to_bytes(4, "little") + bytes([packets.UTF8MB4])
+        )
         login += bytes(23) + user.encode() + b"\0\0" + database.encode() + b"\0" + packets.PLUGIN + b"\0"
         self._sock.sendall(packets.packet(1, login))
         greeting = self._next()
--- a/tealwing/lab/hollow/member.py
+++ b/tealwing/lab/hollow/member.py
@@ -27,12 +27,12 @@
         self.in_force: dict[int, float] = {}  # monotonic time by version; the system's clock, the same in all processes
 
     @property
-    def platform(self) -> api.Settings:
+    def platform_settings(self) -> api.Settings:
         """What the configuration would say."""
         return self._settings
 
     @property
-    def listed(self) -> tuple[api.EngineListEntry, ...]:
+    def engine_list(self) -> tuple[api.EngineListEntry, ...]:
         """No engines."""
         return ()
 
--- a/tealwing/leases/keeper.py
+++ b/tealwing/leases/keeper.py
@@ -181,7 +181,7 @@
                 log.event("lease_gained", name=wanted.holder.name, token=wanted.token)
                 try:
                     threads.start(lambda held=held: wanted.gained(held), f"task-{wanted.holder.name}")  # type: ignore[misc]
-                except threads.NoThread:  # nobody acts; it runs out, or is renewed until there is one
+                except threads.ThreadUnavailableError:  # nobody acts; it runs out, or is renewed until there is one
                     continue
 
     # The asking threads: one a lease, as a call may wait
--- a/tealwing/mysql/departures.py
+++ b/tealwing/mysql/departures.py
@@ -40,26 +40,26 @@
         return not is_short_of_memory(error)
 
 
-class Departure:
+class ClientDeparture:
     """Whether the client of one session has left, asked by any thread: a poll object is one thread's at a time."""
 
-    __slots__ = ("_lock", "_poll", "_sock", "is_known")
+    __slots__ = ("_lock", "_poll", "_sock", "has_departed")
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock, self._lock = sock, threading.Lock()  # nothing is waited for under the lock
         self._poll: select.poll | None = None  # made with the first request
-        self.is_known = False
+        self.has_departed = False
 
     def check(self) -> bool:
         """Ask the socket, unless the client is known to have left; never waits."""
         with self._lock:
             if self._poll is None:
                 self._poll = watcher(self._sock)
-            self.is_known = self.is_known or has_left(self._sock, self._poll)
-            return self.is_known
+            self.has_departed = self.has_departed or has_left(self._sock, self._poll)
+            return self.has_departed
 
 
-def brief(sock: socket.socket, inside: bool, buffer: memoryview) -> int | None:
+def brief_commands_length(sock: socket.socket, inside: bool, buffer: memoryview) -> int | None:
     """How many bytes have come, if all are whole commands that are answered at once, of which KILL is one.
 
     None where anything else has come, or the client does not take what it is answered: that may have to wait. inside
@@ -76,7 +76,7 @@
     try:
         while (message := parser.next()) is not None:
             command, inside = inside, True  # what comes before the commands is the login
-            if command and message[1][:1] == bytes([QUERY]) and statements.kill(message[1][1:]) is None:
+            if command and message[1][:1] == bytes([QUERY]) and statements.parse_kill(message[1][1:]) is None:
                 return None
     except packets.PacketError:
         return None
--- a/tealwing/mysql/lingering.py
+++ b/tealwing/mysql/lingering.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-TIME = 0.5  # s after its last answer: several round trips, so that an idle client's connection needs none
-BYTES = 256 * 1024  # that are dropped: two of the largest messages
+LINGER_TIME = 0.5  # s after its last answer: several round trips, so that an idle client's connection needs none
+MAX_LINGER_BYTES = 256 * 1024  # that are dropped: two of the largest messages
 
 
 class Linger:
@@ -21,7 +21,7 @@
 
     def __init__(self, until: float) -> None:
         """until is the monotonic time of its end."""
-        self.until, self.left = until, BYTES
+        self.until, self.left = until, MAX_LINGER_BYTES
 
     def drop(self, sock: socket.socket, buffer: memoryview, clock: Callable[[], float]) -> bool:
         """Read what has come; whether more is waited for. Never blocks."""
@@ -40,39 +40,39 @@
         return False
 
 
-Kept = TypeVar("Kept")
+Item = TypeVar("Item")
 
 
-class Lingering(Generic[Kept]):
+class Lingering(Generic[Item]):
     """The connections that linger, by number, oldest first; bounded. Its owner's lock guards it."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._kept: dict[int, tuple[Kept, float]] = {}  # with the time of its end
+    def __init__(self, max_items: int) -> None:
+        self._max_items = max_items
+        self._items: dict[int, tuple[Item, float]] = {}  # with the time of its end
         self._closing: set[int] = set()  # told to close, but not closed yet: their descriptors are still held
 
     def __len__(self) -> int:
-        return len(self._kept) + len(self._closing)
+        return len(self._items) + len(self._closing)
 
-    def add(self, number: int, kept: Kept, until: float) -> Kept | None:
+    def add(self, number: int, item: Item, until: float) -> Item | None:
         """Keep one more until then; the oldest, which is to close for it, where they are too many."""
-        self._kept[number] = kept, until
-        return self.oldest() if len(self._kept) > self._most else None
+        self._items[number] = item, until
+        return self.oldest() if len(self._items) > self._max_items else None
 
     def remove(self, number: int) -> None:
         """It is closed."""
-        self._kept.pop(number, None)
+        self._items.pop(number, None)
         self._closing.discard(number)
 
-    def oldest(self) -> Kept | None:
+    def oldest(self) -> Item | None:
         """The one that has lingered for longest, which is to close now."""
-        number = next(iter(self._kept), None)
+        number = next(iter(self._items), None)
         return None if number is None else self._take(number)
 
-    def over(self, now: float) -> list[Kept]:
+    def expired(self, now: float) -> list[Item]:
         """Those whose time is over, which are to close now."""
-        return [self._take(number) for number, (_, until) in list(self._kept.items()) if now >= until]
+        return [self._take(number) for number, (_, until) in list(self._items.items()) if now >= until]
 
-    def _take(self, number: int) -> Kept:
+    def _take(self, number: int) -> Item:
         self._closing.add(number)
-        return self._kept.pop(number)[0]
+        return self._items.pop(number)[0]
--- a/tealwing/mysql/overdue.py
+++ b/tealwing/mysql/overdue.py
@@ -13,7 +13,7 @@
 
 # s past its time that an open request's own thread has first: it gives the attempt up before the client hears, and may
 # ask elsewhere. The answer is still there within half a second with LOOK, the time between two looks.
-OWN_THREAD_FIRST = 0.15
+OWN_THREAD_GRACE = 0.15
 
 _TIME_TO_LIVE = re.compile(rb"/\*[^*]*?\bttl=(\d{1,12})\s*[,*]")
 
@@ -41,12 +41,12 @@
 
     def is_overdue(self, now: float) -> bool:
         """Whether the open request's time may be over: a cheap look, without the lock."""
-        return now >= self._due + OWN_THREAD_FIRST
+        return now >= self._due + OWN_THREAD_GRACE
 
     def claim_overdue(self, now: float) -> bool:
         """Whether the open request's time is over and nobody has answered it: then the caller is to, at once."""
         with self._lock:
-            if now < self._due + OWN_THREAD_FIRST or self._answered:
+            if now < self._due + OWN_THREAD_GRACE or self._answered:
                 return False
             self._answered = True
             return True
--- a/tealwing/mysql/packets.py
+++ b/tealwing/mysql/packets.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 VERSION = b"8.0.0-tealwing"
-LARGEST = 0xFFFFFF  # bytes of one packet; a longer message goes on in the next
-MOST_MESSAGE = 128 * 1024  # max_allowed_packet: a third of the descriptors times this must fit the memory
+MAX_PACKET_BYTES = 0xFFFFFF  # bytes of one packet; a longer message goes on in the next
+MAX_MESSAGE_BYTES = 128 * 1024  # max_allowed_packet: a third of the descriptors times this must fit the memory
 PLUGIN = b"mysql_native_password"
 
 # capability flags
@@ -64,7 +64,7 @@
         return bytes(self._message + self._data)
 
     @property
-    def wanted(self) -> int:
+    def missing_bytes(self) -> int:
         """Bytes to the end of the packet that has begun, or of its header as long as that is not whole."""
         if len(self._data) < HEADER:
             return HEADER - len(self._data)
@@ -80,14 +80,14 @@
             length, sequence = int.from_bytes(self._data[:3], "little"), self._data[3]
             if self._open and sequence != (self._sequence + 1) % 256:
                 raise PacketError("Got packets out of order", 1156, "08S01", sequence)
-            if len(self._message) + length > MOST_MESSAGE:  # known before its bytes are kept
+            if len(self._message) + length > MAX_MESSAGE_BYTES:  # known before its bytes are kept
                 text = "Got a packet bigger than 'max_allowed_packet' bytes"
                 raise PacketError(text, 1153, "08S01", sequence)
             if len(self._data) < 4 + length:
                 return None
             self._message += self._data[4 : 4 + length]
             del self._data[: 4 + length]
-            self._open, self._sequence = length == LARGEST, sequence
+            self._open, self._sequence = length == MAX_PACKET_BYTES, sequence
             if not self._open:
                 message, self._message = bytes(self._message), bytearray()
                 return sequence, message
--- a/tealwing/mysql/server.py
+++ b/tealwing/mysql/server.py
@@ -30,7 +30,7 @@
 FREE_THREADS = (4, 8)  # least and most that wait for clients: each is a task of a table that all processes share
 BACKLOG = 256
 ACCEPT_PAUSE = 0.05  # s before a failed accept is tried again
-LOOK = 0.25  # s between two looks at the time limits of clients, and at who is late to leave
+TIME_LIMIT_CHECK_INTERVAL = 0.25  # s between two looks at the time limits of clients, and at who is late to leave
 SHORT = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}  # an accept fails with: a close may help
 # What Linux tells of the connection that was to be accepted, by an accept that fails (accept(2)): the next one may be
 # well, and is taken at once.
@@ -63,11 +63,11 @@
     def __init__(
         self,
         address: Address,
-        most: int,
+        max_clients: int,
         settings: interface.Settings,
         open_: OpenExchange,
         inherited: int | None = None,
-        most_threads: int | None = None,
+        max_threads: int | None = None,
     ) -> None:
         """Listen on the address, or on the listening socket of descriptor `inherited` (OSError if it is none).
 
@@ -75,18 +75,18 @@
         """
         self.settings, self.open = settings, open_
         self.gate: AdmissionGate | None = None  # what requests pass first, where rules are agreed on
-        self.unread: Callable[[float], None] | None = None  # hears how long what was read had waited
-        self._most, self._spare = most, max(1, most // SPARE)
-        self._most_threads = min(most, most_threads or most)
+        self.on_unread_age: Callable[[float], None] | None = None  # hears how long what was read had waited
+        self._max_clients, self._spare = max_clients, max(1, max_clients // SPARE)
+        self._max_threads = min(max_clients, max_threads or max_clients)
         self._numbers = itertools.count(1)
         self._changed = threading.Condition()
         self._sessions: dict[int, Session] = {}
         self._lingering: Lingering[Session] = Lingering(self._spare)  # whose session is over, but not yet closed
         self._waiting: dict[int, Session] = {}  # by descriptor: those in the epoll set
         self._armed: set[int] = set()  # of these, those armed for reading: who has the event takes its descriptor out
-        self._aside: deque[Session] = deque()  # ready, and taken out of the epoll set by who stands in
+        self._deferred: deque[Session] = deque()  # ready, and taken out of the epoll set by who stands in
         self._threads = self._free = 0  # all, and those that wait for something to do
-        self._short = 0.0  # monotonic, since when no thread has been free; 0: one has
+        self._is_short_of_descriptors = 0.0  # monotonic, since when no thread has been free; 0: one has
         self._busy = threading.Event()  # no thread is free
         self._unarmed: deque[Session] = deque()  # that wait for their client, but could not be armed
         self._accept_fails = False  # since the last client that was accepted
@@ -105,11 +105,11 @@
         """Accept clients from now on."""
         if not self._start_thread():
             raise OSError("no thread can be started to serve clients")
-        threads.start(self._look, "session-limits")
+        threads.start(self._check_time_limits, "session-limits")
 
-    def renew(self, settings: interface.Settings, most_threads: int) -> None:
+    def apply_settings(self, settings: interface.Settings, max_threads: int) -> None:
         """Read what comes under these settings; threads above their number go as they have nothing to do."""
-        self.settings, self._most_threads = settings, min(self._most, most_threads)
+        self.settings, self._max_threads = settings, min(self._max_clients, max_threads)
 
     @property
     def address(self) -> Address:
@@ -121,7 +121,7 @@
     def connections(self) -> int:
         """Clients' connections that are open, those among them that linger."""
         with self._changed:
-            return self._held()
+            return self._descriptor_count()
 
     def session(self, number: int) -> Session | None:
         """The session of a connection id."""
@@ -150,7 +150,7 @@
             full, self._full = self._full, False
             self._changed.notify_all()
         if oldest is not None:
-            oldest.hasten()
+            oldest.end_linger()
         if full:  # what lingers goes before a client has to wait
             self._listen()
 
@@ -167,7 +167,7 @@
                 self._listener.shutdown(socket.SHUT_RD)
         for session in waiting:
             if session.run(memoryview(b"")):  # the greeting: what its client sends is then waited for
-                self._await(session)
+                self._wait_for_client(session)
 
     def finish(self, seconds: float) -> bool:
         """Let each session end with its open request; whether all did in time. Then the threads end."""
@@ -178,7 +178,7 @@
         until = time.monotonic() + seconds
         while True:  # a thread may take one more client while it has not yet seen that none is wanted
             with self._changed:
-                self._changed.wait_for(self._empty, min(LOOK, until - time.monotonic()))
+                self._changed.wait_for(self._empty, min(TIME_LIMIT_CHECK_INTERVAL, until - time.monotonic()))
                 late = [session for session in self._sessions.values() if session not in sessions]
                 left, empty = len(self._sessions), self._empty()
             if empty or (not left and time.monotonic() >= until):
@@ -189,11 +189,11 @@
                 session.stop()
             sessions.extend(late)
         with self._changed:  # nothing is owed any more
-            lingering = self._lingering.over(float("inf"))
+            lingering = self._lingering.expired(float("inf"))
         for session in lingering:
-            session.hasten()
+            session.end_linger()
         with self._changed:
-            self._changed.wait_for(self._empty, LOOK)
+            self._changed.wait_for(self._empty, TIME_LIMIT_CHECK_INTERVAL)
         self._end()
         return True
 
@@ -207,7 +207,7 @@
             self._busy.set()
             os.close(self._alive)
 
-    def _work(self) -> None:
+    def _run_worker(self) -> None:
         """Serve one client after another, each as far as what it has sent goes.
 
         The thread is there before its client: starting one takes too long. Its buffer lasts as it does: one made
@@ -215,22 +215,22 @@
         """
         buffer = memoryview(bytearray(READ_SIZE))
         while True:
-            session = self._next()
+            session = self._next_session()
             if session is None:
                 return
             with self._changed:
                 self._free -= 1
-                more = self._free < FREE_THREADS[0] and self._threads < self._most_threads
-                since = self._short
+                more = self._free < FREE_THREADS[0] and self._threads < self._max_threads
+                since = self._is_short_of_descriptors
                 if self._free <= 0 and not since:
-                    self._short = time.monotonic()
+                    self._is_short_of_descriptors = time.monotonic()
             if more:
                 self._start_thread()
             if self._free <= 0:  # each that takes a client looks here: the last free one too
-                self._all_busy()
+                self._all_threads_busy()
             try:
                 if session.run(buffer, time.monotonic() - since if since else 0.0):
-                    self._await(session)  # from here on it may be another thread's
+                    self._wait_for_client(session)  # from here on it may be another thread's
             except Exception:  # a fault of ours ends one session, not the thread that other clients need
                 log.check_invariant(False, f"a session ends by itself: {traceback.format_exc(limit=-3)}")
             with self._changed:
@@ -243,16 +243,16 @@
             if enough:
                 return
 
-    def _next(self) -> Session | None:
+    def _next_session(self) -> Session | None:
         """A new client, or one that has said something or gone; None at the end."""
         while not self._over.is_set():
-            if self._aside:
+            if self._deferred:
                 with contextlib.suppress(IndexError):  # another thread has had it
-                    return self._aside.popleft()
-            short = self._short
+                    return self._deferred.popleft()
+            short = self._is_short_of_descriptors
             ready = self._ready.poll(0 if short else None, 1)
             if not ready:  # nobody waits for a thread any more
-                self._short = 0.0
+                self._is_short_of_descriptors = 0.0
                 continue
             number = ready[0][0]
             session = self._accept() if number == self._listener.fileno() else self._claim(number)
@@ -271,7 +271,7 @@
             self._armed.discard(number)
         if session is None or mine:
             return session
-        session.look()
+        session.check_departure()
         return None
 
     def _accept(self) -> Session | None:
@@ -280,11 +280,13 @@
             with self._changed:  # accepting never blocks here; what is taken after the stop would be nobody's
                 if self._stopping.is_set():
                     return None
-                full = self._full = self._held() >= self._most
+                full = self._full = self._descriptor_count() >= self._max_clients
                 if not full:
                     session = self._take_client()
-                crowded = self._held() > self._most - self._spare
-                log.check_invariant(self._held() <= self._most, "clients hold no more descriptors than they may")
+                crowded = self._descriptor_count() > self._max_clients - self._spare
+                log.check_invariant(
+                    self._descriptor_count() <= self._max_clients, "clients hold no more descriptors than they may"
+                )
         except OSError as error:  # taken by another; or descriptors have run out for now
             if not isinstance(error, BlockingIOError) and error.errno not in ABORTED:
                 self._accept_later(error)
@@ -303,7 +305,7 @@
         """Take the clients that wait to be accepted, as far as there is room for them. Under the lock."""
         found = []
         with contextlib.suppress(OSError):  # none waits, or descriptors have run out
-            while self._held() < self._most:
+            while self._descriptor_count() < self._max_clients:
                 found.append(self._take_client())
         return found
 
@@ -332,7 +334,7 @@
         except OSError:  # or stopped between the two
             self._listener_unarmed = True
 
-    def _await(self, session: Session) -> None:
+    def _wait_for_client(self, session: Session) -> None:
         """Have the session served when its client says something; another thread may have it at once."""
         number = session.descriptor
         try:
@@ -371,33 +373,33 @@
     def _start_thread(self) -> bool:
         """Whether a further thread waits for clients now; where none can be had, those that are there go on."""
         with self._changed:
-            if self._threads >= self._most_threads:  # another has started one since this was looked at
+            if self._threads >= self._max_threads:  # another has started one since this was looked at
                 return False
             self._threads, self._free = self._threads + 1, self._free + 1
             if self._busy.is_set():
                 self._busy.clear()
         try:
-            threads.start(self._work, "session")
-        except threads.NoThread:  # logged there, once an episode
+            threads.start(self._run_worker, "session")
+        except threads.ThreadUnavailableError:  # logged there, once an episode
             with self._changed:
                 self._threads, self._free = self._threads - 1, self._free - 1
             return False
         return True
 
-    def _look(self) -> None:
+    def _check_time_limits(self) -> None:
         """Evict the clients whose time is over, close what has lingered long enough, and answer overdue requests."""
         buffer = memoryview(bytearray(READ_SIZE))
-        while not self._pause(LOOK):
+        while not self._pause(TIME_LIMIT_CHECK_INTERVAL):
             self._arm_again()
             self._answer_overdue(buffer)
             now = time.monotonic()
             with self._changed:
-                over = [session for session in self._sessions.values() if session.waited(now) >= 1]
-                lingered = self._lingering.over(now)
+                over = [session for session in self._sessions.values() if session.idle_share(now) >= 1]
+                lingered = self._lingering.expired(now)
             for session in over:
                 session.evict()
             for session in lingered:
-                session.hasten()
+                session.end_linger()
 
     def _arm_again(self) -> None:
         """Arm what could not be armed when it was due."""
@@ -405,34 +407,34 @@
             self._listener_unarmed = False
             self._listen()
         for _ in range(len(self._unarmed)):
-            self._await(self._unarmed.popleft())
+            self._wait_for_client(self._unarmed.popleft())
 
     def _answer_overdue(self, buffer: memoryview) -> None:
         """Answer each request whose time is over: one that its thread holds up, or that waits for a thread."""
         now = time.monotonic()
         with self._changed:
             served = [session for session in self._sessions.values() if session.is_served]
-            aside = list(self._aside)
-            self._aside.clear()  # from here on these are ours
+            aside = list(self._deferred)
+            self._deferred.clear()  # from here on these are ours
         failed = sum(session.answer_overdue(now) for session in served)
         overdue = [session for session in aside if session.unread_overdue(now, buffer)]
         for session in overdue:
             if session.refuse_overdue(buffer):
-                self._await(session)
-        self._put_back([session for session in aside if session not in overdue])
+                self._wait_for_client(session)
+        self._requeue_deferred([session for session in aside if session not in overdue])
         if failed or overdue:
             log.event("requests_overdue", failed=failed, refused=len(overdue))
 
-    def _put_back(self, aside: list[Session]) -> None:
+    def _requeue_deferred(self, aside: list[Session]) -> None:
         """Have sessions that were taken out of what is put aside served next, in their order."""
         with self._changed:
             if self._free <= 0:
-                self._aside.extendleft(reversed(aside))
+                self._deferred.extendleft(reversed(aside))
                 return
         for session in aside:  # a thread has become free meanwhile, and has found nothing: it is woken by each
-            self._await(session)
+            self._wait_for_client(session)
 
-    def _held(self) -> int:
+    def _descriptor_count(self) -> int:
         """Descriptors that clients hold. Under the lock."""
         return len(self._sessions) + len(self._lingering)
 
@@ -467,12 +469,12 @@
         if going is None:
             with self._changed:
                 if self._free <= 0:  # who is free next looks there first
-                    self._aside.append(session)
+                    self._deferred.append(session)
                     return
         if going is not False:
-            self._await(session)
+            self._wait_for_client(session)
 
-    def _all_busy(self) -> None:
+    def _all_threads_busy(self) -> None:
         with self._changed:
             if self._free <= 0 and not self._busy.is_set():
                 self._busy.set()
@@ -485,15 +487,15 @@
         with self._changed:
             oldest = self._lingering.oldest()
         if oldest is not None:
-            oldest.hasten()
+            oldest.end_linger()
         else:
-            self._evict_longest(at_once)
+            self._evict_longest_idle(at_once)
 
-    def _evict_longest(self, at_once: bool) -> None:
+    def _evict_longest_idle(self, at_once: bool) -> None:
         """Evict the client that has been idle for longest, of those that have sent nothing: nothing is owed to it."""
         now = time.monotonic()
         with self._changed:
-            waiting = [session for session in self._sessions.values() if session.waited(now) > 0]
+            waiting = [session for session in self._sessions.values() if session.idle_share(now) > 0]
         waiting.sort(key=Session.eviction_order)
         for session in waiting:
             if session.evict(at_once):
--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -26,7 +26,7 @@
     SettingsChangedError,
 )
 from tealwing.mysql import departures, lingering, overdue, packets, statements
-from tealwing.sockets import MEMORY_PAUSE, has_unread, is_short_of_memory, prepare, send_all, silence
+from tealwing.sockets import MEMORY_PAUSE, has_unread, is_short_of_memory, prepare, seconds_since_data, send_all
 
 if TYPE_CHECKING:  # the server knows its sessions, and they know it
     from tealwing.mysql.server import Server
@@ -42,7 +42,7 @@
 OVERDUE_PUSHBACK = 0.2  # s of pushback for one that no thread came to in its time: most bursts are over by then
 STILL_CHANGING = 0.2  # s of pushback for one that met a change at each reading
 RESERVE, RESERVE_SHARE = 0.25, 0.5  # of a held request's time, that is kept for what follows: at most s, and a share
-LEAST_WAIT = 0.02  # s unread that count: less is the usual way to a thread, and far below the slack of a deadline
+MIN_WAIT = 0.02  # s unread that count: less is the usual way to a thread, and far below the slack of a deadline
 SAMPLED = 4  # of so many sessions one tells how long what it reads has waited: enough for a mean
 
 QUIT, INIT_DB, QUERY, PROCESS_KILL, PING, RESET_CONNECTION = 0x01, 0x02, 0x03, 0x0C, 0x0E, 0x1F
@@ -60,7 +60,7 @@
         self.server, self.number = server, number
         self._sock = sock
         self.descriptor = sock.fileno()  # for the thread that has the session: its number, as long as it is open
-        self._departure = departures.Departure(sock)
+        self._departure = departures.ClientDeparture(sock)
         prepare(sock, WRITE_LIMIT)
         self._parser = packets.Parser()
         self._lock = threading.Lock()
@@ -96,17 +96,17 @@
         """
         going = False
         try:
-            going = self._go_on(buffer, short)
+            going = self._serve_or_drain(buffer, short)
         finally:
             if not going:
                 self.close()
         return going
 
-    def _go_on(self, buffer: memoryview, short: float) -> bool:
+    def _serve_or_drain(self, buffer: memoryview, short: float) -> bool:
         """Serve, or drop what comes after the end."""
         try:
             if self._serve(buffer, short):
-                if self._wait():
+                if self._wait_for_command():
                     return True
             elif self._gone:
                 return False
@@ -123,7 +123,7 @@
         """After its last answer: end our side, and drop what comes; whether more of that is waited for."""
         with self._lock:
             new = self._linger is None
-            linger = self._linger = self._linger or lingering.Linger(time.monotonic() + lingering.TIME)
+            linger = self._linger = self._linger or lingering.Linger(time.monotonic() + lingering.LINGER_TIME)
         if new and not self._quit:  # at once, so that nobody sends what would be dropped
             self._end_sending()
         before = linger.left
@@ -145,7 +145,7 @@
         """As run, and never waits; None, with nothing read, where what has come may have to: a request most of all."""
         if not self._greeted:
             return self.run(buffer[:0])
-        size = None if self._parser.begun else departures.brief(self._sock, self._in, buffer)
+        size = None if self._parser.begun else departures.brief_commands_length(self._sock, self._in, buffer)
         return None if size is None else self.run(buffer[:size])
 
     def unread_overdue(self, now: float, buffer: memoryview) -> bool:
@@ -155,14 +155,14 @@
             with contextlib.suppress(OSError):  # nothing more has come
                 size = self._sock.recv_into(buffer, 0, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             if (left := overdue.time_to_live(self._parser.unread + bytes(buffer[:size]))) is not None:
-                self._unread_due = now - silence(self._sock) + left
+                self._unread_due = now - seconds_since_data(self._sock) + left
         return self._unread_due is not None and now >= self._unread_due
 
     def refuse_overdue(self, buffer: memoryview) -> bool:
         """Refuse the request that has waited unread for too long, and wait for nothing; as run. It reads no further."""
         going, self._refusing = True, True
-        while going and self._refusing and self._has_come():
-            going = self.run(buffer[: self._parser.wanted])
+        while going and self._refusing and self._has_input():
+            going = self.run(buffer[: self._parser.missing_bytes])
         self._refusing = False
         return going
 
@@ -188,20 +188,20 @@
                 self._sock.shutdown(socket.SHUT_WR)
         return True
 
-    def left(self) -> bool:
+    def client_has_left(self) -> bool:
         """Whether the client of the open request has left; one that has shut its sending half has too.
 
         We never shut our reading side under an open request: what would seem the same.
         """
         return self._departure.check()
 
-    def look(self) -> None:
+    def check_departure(self) -> None:
         """The client may have left: if it has, give its open request up.
 
         What is asked is the socket, not the event that came: that may be older than the request, or our own doing.
         """
         with self._lock:  # while there is an exchange its thread does not close the socket
-            exchange = self._exchange if self._exchange is not None and self.left() else None
+            exchange = self._exchange if self._exchange is not None and self.client_has_left() else None
         if exchange is not None:
             exchange.cancel()
 
@@ -211,7 +211,7 @@
         with self._lock:  # no other thread shuts a descriptor that may be another's by then
             self._sock.close()
 
-    def hasten(self) -> None:
+    def end_linger(self) -> None:
         """It has lingered for long enough: have its thread close it."""
         with self._lock:
             if self._linger is not None:
@@ -240,9 +240,9 @@
         """
         with self._lock:
             self._closing = True
-            lingers = self._idle and not self._has_come() and self._end_waiting()
+            lingers = self._idle and not self._has_input() and self._end_waiting()
         if lingers:
-            self._hand_over()
+            self._queue_for_service()
 
     def _unread(self) -> bool:
         """Whether the client that is waited for has sent something. Under the lock."""
@@ -258,14 +258,14 @@
             self._cut = True
             lingers = self._waiting is not None and self._end_waiting()
         if lingers:
-            self._hand_over()
+            self._queue_for_service()
 
     @property
     def is_served(self) -> bool:
         """Whether a thread has it, and not the wait for its client: a request may be open."""
         return self._waiting is None
 
-    def waited(self, now: float) -> float:
+    def idle_share(self, now: float) -> float:
         """The share of its time that the client has let pass; 0 while it waits for us."""
         waiting = self._waiting
         return (now - waiting[0]) / (waiting[1] - waiting[0]) if waiting else 0.0
@@ -280,14 +280,14 @@
         at_once: its descriptor is needed now, so it does not linger.
         """
         with self._lock:
-            if self._waiting is None or self._has_come():
+            if self._waiting is None or self._has_input():
                 return False
             lingers = self._end_waiting(at_once)
         if lingers:
-            self._hand_over()
+            self._queue_for_service()
         return True
 
-    def _has_come(self) -> bool:
+    def _has_input(self) -> bool:
         """Whether there is something to read: bytes, or the client's end. Under the lock.
 
         What is done upon it comes next: the last look is one after which no other thread has the interpreter.
@@ -307,17 +307,17 @@
         nothing is lost with a reset: such a session is closed by the thread that this shutdown wakes.
         """
         self._idle, self._waiting = False, None
-        linger = self._linger = lingering.Linger(0.0 if at_once else self._since + lingering.TIME)
+        linger = self._linger = lingering.Linger(0.0 if at_once else self._since + lingering.LINGER_TIME)
         lingers = time.monotonic() < linger.until
         with contextlib.suppress(OSError):  # it may have gone by itself
             self._sock.shutdown(socket.SHUT_WR if lingers else socket.SHUT_RDWR)
         return lingers
 
-    def _hand_over(self) -> None:
+    def _queue_for_service(self) -> None:
         if self._linger is not None:
             self.server.lingers(self, self._linger.until)
 
-    def _wait(self) -> bool:
+    def _wait_for_command(self) -> bool:
         """Give the client its time to say something; whether it may.
 
         The limits are on the whole of a command: a client that drips must not stay, nor a silent one.
@@ -326,7 +326,7 @@
         self._rest = (self._rest or now + PACKET_LIMIT) if begun else 0.0
         limit = self._first or self._since + IDLE_LIMIT
         with self._lock:
-            if self._cut or (self._closing and not self._first and not begun and not self._has_come()):
+            if self._cut or (self._closing and not self._first and not begun and not self._has_input()):
                 return False
             self._waiting = self._since, min(limit, self._rest) if self._rest else limit
             self._idle = not self._first and not begun
@@ -345,7 +345,7 @@
             self._greeted = True
         if not buffer:
             return True
-        self._late = self._waited(short)
+        self._late = self._unread_age(short)
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
         except BlockingIOError:  # nothing has come yet
@@ -377,22 +377,22 @@
             return False
         try:
             reply = self._command(payload)
-        except threads.NoThread:  # a thread the request needed: it gets its whole answer still
+        except threads.ThreadUnavailableError:  # a thread the request needed: it gets its whole answer still
             reply = packets.packet(1, FAILED)
         if not self._deadline.claim():  # its time was over, and it has been answered
             return False
         self._send(reply)
         return True
 
-    def _waited(self, short: float) -> float:
+    def _unread_age(self, short: float) -> float:
         """Seconds that what has come has waited to be read, by the kernel's books; 0 for what is usual.
 
         short is for how long no thread has been free, at most. Without that the processor may have been elsewhere.
         """
-        waited = silence(self._sock)
-        if self._is_sampled and self.server.unread is not None:
-            self.server.unread(waited)
-        return min(short, waited) if short else waited * (waited >= LEAST_WAIT)
+        waited = seconds_since_data(self._sock)
+        if self._is_sampled and self.server.on_unread_age is not None:
+            self.server.on_unread_age(waited)
+        return min(short, waited) if short else waited * (waited >= MIN_WAIT)
 
     def _send(self, data: bytes) -> None:
         send_all(self._sock, data, WRITE_LIMIT)
@@ -416,7 +416,7 @@
         """The whole answer to one command, as packets."""
         command, body = payload[0] if payload else 0, payload[1:]
         if command == QUERY:
-            killed = statements.kill(body)
+            killed = statements.parse_kill(body)
             return packets.packet(1, self._kill(killed)) if killed else self._query(body)
         if command in (PING, RESET_CONNECTION):
             return packets.packet(1, packets.ok())
@@ -440,22 +440,22 @@
         with self._lock:
             self._due = True
         try:
-            reply = self._ask(text)
+            reply = self._run_request(text)
         finally:
             with self._lock:  # from here on a KILL, or an event of the descriptor, is not for this request
                 self._exchange, self._due, self._killed = None, False, False
-        if self._departure.is_known:
+        if self._departure.has_departed:
             raise ConnectionAbortedError("it left while its request was open")
         return reply
 
-    def _ask(self, text: bytes) -> bytes:
+    def _run_request(self, text: bytes) -> bytes:
         """The answer to a request."""
         if self._refusing:
             self._refusing = False
             return answer(Rejected(OVERDUE_PUSHBACK))
         try:
             if self.server.gate is not None:
-                passed = self._pass(text, self.server.gate)
+                passed = self._open_admitted(text, self.server.gate)
                 if isinstance(passed, Deferred):
                     return answer(Rejected(passed.retry_after))
                 if isinstance(passed, Cancelled):
@@ -463,12 +463,12 @@
                 query, exchange = passed
             else:
                 settings = self.server.settings  # one version for the reading and the deciding
-                query = statements.query(text, settings, self._taken)
+                query = statements.parse_query(text, settings, self._taken)
                 if self._late:  # its time has run since it came: past its deadline it is refused at once
                     query = dataclasses.replace(query, ttl=query.ttl - self._late)
                 self._deadline.begin(query.received_at + query.ttl)
-                query.set_client_check(self.left)
-                if self._killed or (self._late and self.left()):
+                query.set_client_check(self.client_has_left)
+                if self._killed or (self._late and self.client_has_left()):
                     return answer(Cancelled())
                 exchange = self.server.open(query, settings)
         except InvalidRequestError as error:
@@ -496,12 +496,12 @@
 
         What must hold still ends a debug build's session: tests have to see it.
         """
-        if isinstance(error, AssertionError | threads.NoThread):
+        if isinstance(error, AssertionError | threads.ThreadUnavailableError):
             raise error
         log.event("request_fault", error=repr(error), trace=traceback.format_exc(limit=-3))
         return packets.packet(1, FAILED)
 
-    def _pass(self, text: bytes, gate: AdmissionGate) -> tuple[Query, Exchange] | Deferred | Cancelled:
+    def _open_admitted(self, text: bytes, gate: AdmissionGate) -> tuple[Query, Exchange] | Deferred | Cancelled:
         """Open a request that the gate lets in, read under the version of the rules that then decides it.
 
         One that was given up while it was held is not opened.
@@ -512,10 +512,10 @@
         for _ in range(READINGS):
             now = time.monotonic()
             try:
-                query = statements.query(text, settings, taken)
+                query = statements.parse_query(text, settings, taken)
                 self._deadline.begin(query.received_at + query.ttl - late)
                 tenant = settings.tenants[query.tenant] if settings.tenants else ""
-                until = now + _patience(query.ttl - late)
+                until = now + _max_admission_wait(query.ttl - late)
                 entered = gate.admit(settings.classes[query.cls].name, tenant, query.tables, until)
             except InvalidRequestError:  # under a version that may be going
                 entered = gate.admit(None, "", 0, now + UNREAD_WAITS)
@@ -526,12 +526,12 @@
             if entered.waited:
                 held = time.monotonic() - now
                 late, taken, settings = late + held, taken + held, self.server.settings
-                query = statements.query(text, settings, taken)
-            if self._killed or (entered.waited and self.left()):
+                query = statements.parse_query(text, settings, taken)
+            if self._killed or (entered.waited and self.client_has_left()):
                 return Cancelled()
             if late:  # its time has run since it came: past its deadline it is refused at once
                 query = dataclasses.replace(query, ttl=query.ttl - late)
-            query.set_client_check(self.left)
+            query.set_client_check(self.client_has_left)
             try:
                 return query, self.server.open(query, settings)
             except SettingsChangedError as error:
@@ -539,7 +539,7 @@
         return Deferred(STILL_CHANGING, "the rules change faster than the request can be read")
 
 
-def _patience(ttl: float) -> float:
+def _max_admission_wait(ttl: float) -> float:
     """Seconds that a request with so many left may be held: what is left then must do to refuse or to serve it."""
     return ttl - min(RESERVE_SHARE * ttl, RESERVE)
 
--- a/tealwing/mysql/statements.py
+++ b/tealwing/mysql/statements.py
@@ -9,15 +9,15 @@
 from tealwing import interface
 from tealwing.exchange import InvalidRequestError, Query
 
-MOST_TTL_MS = 24 * 3600 * 1000
-MOST_WORK_MS = 1e9
-MOST_NEED_MB = 1e9
+MAX_TTL_MS = 24 * 3600 * 1000
+MAX_WORK_MS = 1e9
+MAX_MEMORY_MB = 1e9
 FIELDS = {"op", "call", "ttl", "org", "dedupe", "work", "heap_mb"}
 
 _HEAD = re.compile(rb"\s*/\*(.*?)\*/\s*", re.DOTALL)
 _KILL = re.compile(rb"\s*KILL\s+(?:(QUERY|CONNECTION)\s+)?(\d{1,10})\s*;?\s*\Z", re.IGNORECASE)
-_CALL = re.compile(r"[0-9a-f]{16}\Z")
-_DEDUPE = re.compile(r"[0-9A-Za-z_.:-]{1,128}\Z")
+_REQUEST_ID = re.compile(r"[0-9a-f]{16}\Z")
+_IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_.:-]{1,128}\Z")
 _NUMBER = re.compile(r"\d{1,12}(?:\.\d{1,9})?\Z", re.ASCII)
 _QUOTED = re.compile(  # strings, comments and quoted names; one without its end reaches to the last byte
     rb"""'(?:[^'\\]|\\.|'')*(?:'|\\?\Z)|"(?:[^"\\]|\\.|"")*(?:"|\\?\Z)|`[^`]*`
@@ -42,13 +42,13 @@
     query_only: bool
 
 
-def kill(text: bytes) -> Kill | None:
+def parse_kill(text: bytes) -> Kill | None:
     """The KILL that a statement is, if it is one."""
     found = _KILL.match(text)
     return Kill(int(found[2]), (found[1] or b"").upper() == b"QUERY") if found else None
 
 
-def query(text: bytes, settings: interface.Settings, taken: float = 0.0) -> Query:
+def parse_query(text: bytes, settings: interface.Settings, taken: float = 0.0) -> Query:
     """The request that a statement and the comment ahead of it make; taken is when it had been read."""
     head = _HEAD.match(text)
     if head is None:
@@ -59,15 +59,15 @@
         raise FieldError(f"op is missing or unknown: {fields.get('op')!r}")
     cls = names.index(fields["op"])
     call, dedupe = fields.get("call", ""), fields.get("dedupe", "")
-    if not _CALL.match(call):
+    if not _REQUEST_ID.match(call):
         raise FieldError(f"call is not 16 hexadecimal digits: {call!r}")
     if settings.tenants and fields.get("org") not in settings.tenants:
         raise FieldError(f"org is missing or unknown: {fields.get('org')!r}")
     keyed = settings.classes[cls].idempotency is interface.Idempotency.KEYED
-    if (keyed or "dedupe" in fields) and not _DEDUPE.match(dedupe):
+    if (keyed or "dedupe" in fields) and not _IDEMPOTENCY_KEY.match(dedupe):
         raise FieldError(f"dedupe is missing or out of range: {dedupe!r}")
     ttl = fields.get("ttl", "")
-    if not (ttl.isascii() and ttl.isdigit()) or not 0 < int(ttl[:12]) <= MOST_TTL_MS:
+    if not (ttl.isascii() and ttl.isdigit()) or not 0 < int(ttl[:12]) <= MAX_TTL_MS:
         raise FieldError(f"ttl is missing or out of range: {ttl!r}")
     statement = text[head.end() :]
     if not statement.strip():
@@ -79,9 +79,9 @@
         ttl=int(ttl) / 1e3,
         statement=statement,
         idempotency_key=dedupe.encode(),
-        cost=_number(fields, "work", MOST_WORK_MS) / 1e3 if "work" in fields else None,
-        memory_estimate=_number(fields, "heap_mb", MOST_NEED_MB) if "heap_mb" in fields else 0.0,
-        tables=tables(statement),
+        cost=_number(fields, "work", MAX_WORK_MS) / 1e3 if "work" in fields else None,
+        memory_estimate=_number(fields, "heap_mb", MAX_MEMORY_MB) if "heap_mb" in fields else 0.0,
+        tables=table_group(statement),
         received_at=taken,
     )
 
@@ -96,14 +96,14 @@
     return fields
 
 
-def _number(fields: dict[str, str], name: str, most: float) -> float:
+def _number(fields: dict[str, str], name: str, max_value: float) -> float:
     value = float(fields[name]) if _NUMBER.match(fields[name]) else math.inf
-    if value > most:
+    if value > max_value:
         raise FieldError(f"{name} is out of range: {fields[name]!r}")
     return value
 
 
-def tables(statement: bytes) -> int:
+def table_group(statement: bytes) -> int:
     """The group of tables: the number in the first schema read or written; 0 without one."""
     bare = _QUOTED.sub(lambda found: found[0] if found[0][:1] == b"`" else b" ", statement)
     for found in _SCHEMA.finditer(bare):
--- a/tealwing/peers/control.py
+++ b/tealwing/peers/control.py
@@ -131,7 +131,7 @@
                 try:
                     threads.start(lambda sock=sock: self._serve(sock), "control")  # type: ignore[misc]
                     continue
-                except threads.NoThread:
+                except threads.ThreadUnavailableError:
                     pass
             self._refuse(sock)
 
--- a/tealwing/peers/link.py
+++ b/tealwing/peers/link.py
@@ -21,13 +21,13 @@
 from typing import Any
 
 from tealwing import log, threads
+from tealwing.connection_reader import ConnectionReader
 from tealwing.gossip.members import State
 from tealwing.peers import frames, messages
 from tealwing.peers.book import Book, Change
 from tealwing.peers.inbound import Inbound
 from tealwing.peers.outbound import Outbound
 from tealwing.peers.plan import Address, Plan
-from tealwing.reader import Reader
 
 BACKLOG = 64
 ACCEPT_PAUSE = 0.05  # s before a failed accept is tried again
@@ -90,7 +90,7 @@
         self._sequences = {name: itertools.count(1) for name in self._out}
         self._started = False
         self._stopped = threading.Event()
-        self._reader = Reader("peer-reader", limited=True)
+        self._reader = ConnectionReader("peer-reader", limited=True)
         self._complaints = 0
         self.received_bytes = self._received = 0  # bytes and messages that came, of the reader's thread
 
@@ -185,7 +185,7 @@
         for outbound in fresh if started else ():
             try:
                 outbound.start()
-            except threads.NoThread:  # logged there; without a sender it is as good as unreachable
+            except threads.ThreadUnavailableError:  # logged there; without a sender it is as good as unreachable
                 continue
 
     def traffic(self) -> Traffic:
@@ -296,7 +296,7 @@
                 continue
             try:
                 self._reader.watch(connection, connection.limit)
-            except (threads.NoThread, OSError):
+            except (threads.ThreadUnavailableError, OSError):
                 connection.close()
                 with self.lock:
                     self._inbound.discard(connection)
--- a/tealwing/peers/outbound.py
+++ b/tealwing/peers/outbound.py
@@ -78,7 +78,7 @@
             self.sent += len(payloads)
             self.sent_bytes += len(data)
             if time.monotonic() - began > plan.times.doubt:  # it holds: the next trouble begins with short waits
-                self._backoff.heard()
+                self._backoff.reset()
             if gone(sock):
                 return
 
--- a/tealwing/replica/feed.py
+++ b/tealwing/replica/feed.py
@@ -113,6 +113,6 @@
                     self._waiting.appendleft(body)
                 self._stopped.wait(self._backoff.next())
                 continue
-            self._backoff.heard()
+            self._backoff.reset()
             if result.ok and not result.reason:
                 log.event("fleet_told", what=type(body).__name__.lower(), index=result.index)
--- a/tealwing/replica/snapshots.py
+++ b/tealwing/replica/snapshots.py
@@ -92,7 +92,7 @@
 
         try:
             threads.start(write, self._group.thread("replica-snapshot"))
-        except threads.NoThread:
+        except threads.ThreadUnavailableError:
             self._writing = False
 
     def written(self, meta: Meta | None) -> None:
--- a/tealwing/resp/engine.py
+++ b/tealwing/resp/engine.py
@@ -12,34 +12,34 @@
 from math import inf
 
 from tealwing import log, threads
-from tealwing.reader import Watch
+from tealwing.connection_reader import Watch
 from tealwing.resp import messages
-from tealwing.resp.quota import Quota
+from tealwing.resp.quota import ConnectionQuota
 from tealwing.sockets import Address, prepare
 
-WRITE_LIMIT = 0.25  # s that a write may wait for an engine which takes nothing
+WRITE_TIMEOUT = 0.25  # s that a write may wait for an engine which takes nothing
 WRITE_LOOK = 0.05  # s of these between two looks whether the attempt is still wanted: half of a client's 0.1 s
 IDLE_SHARE = 0.8  # of the engine's idle time, after which a connection is not used again
-MOST_CONNECTIONS = 16  # to one engine: clients hold a third of the descriptors, so fewer do
-SPENT = 1000  # ids of the past that a connection remembers, many more than one round trip's
-MESSAGE_LIMIT = 0.5  # s for the rest of a message that has begun: pages are short and engines near
+MAX_CONNECTIONS = 16  # to one engine: clients hold a third of the descriptors, so fewer do
+SPENT_IDS = 1000  # ids of the past that a connection remembers, many more than one round trip's
+MESSAGE_TIMEOUT = 0.5  # s for the rest of a message that has begun: pages are short and engines near
 LAST_END = 2  # bytes of the line end that closes a message: an engine may act before it has them
 OVER = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the peer says nothing more
 
 
-class ConnectFailed(Exception):
+class ConnectError(Exception):
     """No connection came up in time, or the attempt never came whole to the engine: nothing ran."""
 
 
-class Ended(ConnectFailed):
+class ConnectionEndedError(ConnectError):
     """The connection had ended before a byte of the attempt left: another may be taken."""
 
 
-class Broken(Exception):
+class ConnectionBrokenError(Exception):
     """The connection failed when the attempt may have come whole to the engine."""
 
 
-class Withdrawn(Exception):
+class AttemptWithdrawnError(Exception):
     """The attempt was taken back before a byte of it left: nothing ran."""
 
 
@@ -48,20 +48,20 @@
     """One message of the engine for an attempt."""
 
     stream: Stream
-    word: bytes
+    status: bytes
     fields: dict[str, str]
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class StreamLost:
     """The connection ended under an attempt."""
 
     stream: Stream
 
 
-Sink = Callable[[Answer | Lost], None]
-Head = Callable[[], bytes]  # an attempt's fields, made when its bytes go out next; Withdrawn where they must not
+Sink = Callable[[Answer | StreamLost], None]
+SendFields = Callable[[], bytes]  # an attempt's fields, made when its bytes go out next; Withdrawn where they must not
 
 
 @dataclass(eq=False, slots=True)
@@ -69,30 +69,30 @@
     """One attempt on one connection."""
 
     connection: Connection
-    call: bytes
+    request_id: bytes
     sink: Sink = field(repr=False)
 
-    def hurry(self, priority: int) -> None:
+    def reprioritize(self, priority: int) -> None:
         """Tell the new priority."""
-        self.connection.tell(b"hurry", self.call, b"%d" % priority)
+        self.connection.send_messages(b"hurry", self.request_id, b"%d" % priority)
 
-    def turn(self, pages: range) -> None:
+    def fetch_pages(self, pages: range) -> None:
         """Ask for pages of the result, all at once."""
-        self.connection.tell(*(part for n in pages for part in (b"turn", self.call, b"%d" % n)), size=3)
+        self.connection.send_messages(*(part for n in pages for part in (b"turn", self.request_id, b"%d" % n)), size=3)
 
-    def shut(self) -> None:
+    def close_result(self) -> None:
         """Want no more pages; those that still come are dropped."""
-        self.connection.give_up(self, b"shut")
+        self.connection.cancel(self, b"shut")
 
-    def never_mind(self) -> None:
+    def cancel(self) -> None:
         """Give the attempt up; what still comes for it is dropped."""
-        self.connection.give_up(self, b"never_mind")
+        self.connection.cancel(self, b"never_mind")
 
-    def ended(self) -> None:
+    def finish(self) -> None:
         """The engine has said its last word."""
-        self.connection.forget(self)
+        self.connection.detach(self)
 
-    def spoilt(self) -> None:
+    def fail_connection(self) -> None:
         """An answer can't be used: nothing more on its connection is to be trusted."""
         self.connection.close(self)
 
@@ -108,9 +108,9 @@
         self._sock, self._closed = sock, closed
         self._writing = threading.Lock()  # one message at a time; taken before the other where both are
         self._lock = threading.Lock()  # of all that follows; nothing waits for the socket under it
-        self._places: set[bytes] = set()  # ids of attempts that are to be written here
+        self._reserved_ids: set[bytes] = set()  # ids of attempts that are to be written here
         self._streams: dict[bytes, Stream] = {}
-        self._spent: dict[bytes, None] = {}  # in turn; a table, as every send looks here
+        self._spent_ids: dict[bytes, None] = {}  # in turn; a table, as every send looks here
         self._alive = True  # until nobody reads it any more
         self._leaving = False  # no attempt takes a place any more; it closes with the last that has one
         self.idle_since = time.monotonic()
@@ -124,21 +124,21 @@
         return self._sock.fileno()
 
     @property
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         """Whether it is still read."""
         return self._alive
 
     @property
-    def streams(self) -> int:
+    def stream_count(self) -> int:
         """Attempts out here."""
         return len(self._streams)
 
     @property
-    def places(self) -> int:
+    def reserved_count(self) -> int:
         """Attempts that are to be written here."""
-        return len(self._places)
+        return len(self._reserved_ids)
 
-    def reserve(self, call: bytes, most: int, patience: float) -> bool:
+    def reserve(self, request_id: bytes, max_streams: int, patience: float) -> bool:
         """Take a place for an attempt of this id; False where it may not go here.
 
         A connection that was idle for longer than patience closes: the engine is about to, and no send must cross that.
@@ -146,46 +146,51 @@
         with self._lock:
             if self._leaving:
                 return False
-            taken = len(self._places) + len(self._streams)
+            taken = len(self._reserved_ids) + len(self._streams)
             if not taken and time.monotonic() > self.idle_since + patience:
-                self._shut()
+                self._shut_down()
                 return False
             # an answer to an earlier attempt of the id must not be its own
-            if taken >= most or call in self._places or call in self._streams or call in self._spent:
+            if (
+                taken >= max_streams
+                or request_id in self._reserved_ids
+                or request_id in self._streams
+                or request_id in self._spent_ids
+            ):
                 return False
-            self._places.add(call)
+            self._reserved_ids.add(request_id)
             return True
 
-    def release(self, call: bytes) -> None:
+    def release(self, request_id: bytes) -> None:
         """Give back a place of which no byte was written: the engine, and its idle clock, know nothing of it."""
         with self._lock:
-            self._places.discard(call)
-            self._rest()
+            self._reserved_ids.discard(request_id)
+            self._close_if_leaving()
 
-    def want(self, stream: Stream, head: Head, body: bytes) -> None:
+    def submit(self, stream: Stream, head: SendFields, body: bytes) -> None:
         """Send the attempt; ConnectFailed or Withdrawn where it never came whole to the engine, else Broken.
 
         Either it hears one of these and nothing more, or its sink does what comes, to one end.
         """
         try:
             with self._writing:
-                if self._over():
-                    raise Ended("the connection has ended")
-                data = messages.encode(b"want", stream.call, head(), body)
+                if self._is_ended_by_engine():
+                    raise ConnectionEndedError("the connection has ended")
+                data = messages.encode(b"want", stream.request_id, head(), body)
                 with self._lock:
-                    log.check_invariant(stream.call not in self._streams, "one attempt of an id on a connection")
-                    self._places.discard(stream.call)
-                    self._streams[stream.call] = stream
+                    log.check_invariant(stream.request_id not in self._streams, "one attempt of an id on a connection")
+                    self._reserved_ids.discard(stream.request_id)
+                    self._streams[stream.request_id] = stream
                 try:
                     self._write(data, head)
-                except (ConnectFailed, Broken, Withdrawn):
-                    self.forget(stream)  # before `ended` may look: it hears of its end once
+                except (ConnectError, ConnectionBrokenError, AttemptWithdrawnError):
+                    self.detach(stream)  # before `ended` may look: it hears of its end once
                     raise
         except BaseException:
-            self.release(stream.call)
+            self.release(stream.request_id)
             raise
 
-    def tell(self, *parts: bytes, size: int = 0) -> None:
+    def send_messages(self, *parts: bytes, size: int = 0) -> None:
         """Send messages that get no answer, of size parts each; a failure ends the connection, no more."""
         size = size or len(parts)
         whole = b"".join(messages.encode(*parts[at : at + size]) for at in range(0, len(parts), size))
@@ -193,73 +198,73 @@
             with self._writing:
                 if self._alive:
                     self._write(whole)
-        except (ConnectFailed, Broken):
+        except (ConnectError, ConnectionBrokenError):
             log.event("engine_write_failed", word=parts[0].decode())
 
-    def forget(self, stream: Stream) -> None:
+    def detach(self, stream: Stream) -> None:
         """Hand nothing more to the stream, and give its place back."""
         with self._lock:
-            self._leave(stream)
+            self._release_stream(stream)
             if self._leaving:
-                self._rest()
+                self._close_if_leaving()
 
-    def give_up(self, stream: Stream, word: bytes) -> None:
+    def cancel(self, stream: Stream, message: bytes) -> None:
         """Hand nothing more to the stream, and tell the engine; a connection that leaves closes after that."""
         with self._lock:
-            self._leave(stream)
-        self.tell(word, stream.call)
+            self._release_stream(stream)
+        self.send_messages(message, stream.request_id)
         if self._leaving:
             with self._lock:
-                self._rest()
+                self._close_if_leaving()
 
     def retire(self) -> None:
         """End the connection once no attempt has a place: its engine has gone, and may never close it."""
         with self._lock:
             self._leaving = True
-            self._rest()
+            self._close_if_leaving()
 
     def close_unused(self) -> None:
         """End the connection if no attempt has a place."""
         with self._lock:
-            if not self._places and not self._streams:
-                self._shut()
+            if not self._reserved_ids and not self._streams:
+                self._shut_down()
 
     def close(self, spoilt: Stream | None = None) -> None:
         """End the connection, whatever is out on it; its reader then ends too. The stream spoilt hears nothing more."""
         with self._lock:
             if spoilt is not None:
-                self._leave(spoilt)
-            self._shut()
+                self._release_stream(spoilt)
+            self._shut_down()
 
     def discard(self) -> None:
         """End a connection that nobody reads: nothing else will close its descriptor."""
         with self._lock:
             self._alive = False
-            self._shut()
+            self._shut_down()
         with self._writing, self._lock:
             self._sock.close()
 
-    def _leave(self, stream: Stream) -> None:
+    def _release_stream(self, stream: Stream) -> None:
         """Under the lock: the stream's attempt, which was sent, is over."""
-        if self._streams.get(stream.call) is stream:
-            del self._streams[stream.call]
+        if self._streams.get(stream.request_id) is stream:
+            del self._streams[stream.request_id]
             self.idle_since = time.monotonic()
-            self._spent[stream.call] = None
-            if len(self._spent) > SPENT:
-                del self._spent[next(iter(self._spent))]
+            self._spent_ids[stream.request_id] = None
+            if len(self._spent_ids) > SPENT_IDS:
+                del self._spent_ids[next(iter(self._spent_ids))]
 
-    def _rest(self) -> None:
+    def _close_if_leaving(self) -> None:
         """Under the lock: close what is to leave and is used no more."""
-        if self._leaving and not self._places and not self._streams:
-            self._shut()
+        if self._leaving and not self._reserved_ids and not self._streams:
+            self._shut_down()
 
-    def _shut(self) -> None:
+    def _shut_down(self) -> None:
         """Under the lock, as a descriptor that is closed meanwhile may be another's; this waits for nothing."""
         self._leaving = True
         with contextlib.suppress(OSError):  # it may have ended by itself
             self._sock.shutdown(socket.SHUT_RDWR)
 
-    def _over(self) -> bool:
+    def _is_ended_by_engine(self) -> bool:
         """Whether the engine has ended it, though the reader may not know yet: what is written now would be lost.
 
         Also behind answers that are unread. Where that can't be told, an end that has nothing before it is seen.
@@ -282,7 +287,7 @@
                 self._leaving = True  # the reader ends it in its turn, after what it still holds
         return over
 
-    def _write(self, data: bytes, head: Head | None = None) -> None:
+    def _write(self, data: bytes, head: SendFields | None = None) -> None:
         """Under the lock of writes. What fails ends it all: half a message may have left.
 
         head is asked again while the engine takes nothing: it raises Withdrawn where the attempt is wanted no more.
@@ -294,31 +299,31 @@
                     sent += self._sock.send(data[sent:])
                 if sent == len(data):
                     return
-                until = min(until, time.monotonic() + WRITE_LIMIT)
+                until = min(until, time.monotonic() + WRITE_TIMEOUT)
                 if time.monotonic() > until:  # an engine that takes a little now and then
                     raise TimeoutError("the engine takes too little")
                 if head is not None and sent < len(data) - LAST_END:
                     head()
-        except Withdrawn:
+        except AttemptWithdrawnError:
             self.close()
             raise
         except OSError as error:
             self.close()
             if sent < len(data) - LAST_END:
-                raise ConnectFailed(str(error)) from None
-            raise Broken(str(error)) from None
+                raise ConnectError(str(error)) from None
+            raise ConnectionBrokenError(str(error)) from None
 
     def read(self, buffer: memoryview) -> float | None:
         """Hand on what has come; until when the rest of a message that has begun must come."""
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
         except BlockingIOError:  # there was nothing after all
-            return self._begun + MESSAGE_LIMIT if self._parser.begun else None
+            return self._begun + MESSAGE_TIMEOUT if self._parser.begun else None
         if not size:
             raise EOFError
         found = self._parser.feed(buffer[:size])
         for parts in found:
-            self._hand_on(parts)
+            self._dispatch(parts)
         if self._parser.fault is not None:
             raise self._parser.fault
         if not self._parser.begun:
@@ -326,7 +331,7 @@
             return None
         if found or not self._begun:  # on a busy connection most reads end within a further message
             self._begun = time.monotonic()
-        return self._begun + MESSAGE_LIMIT
+        return self._begun + MESSAGE_TIMEOUT
 
     def ended(self, why: Exception | None) -> None:
         """Nothing more is read: its attempts hear that it is lost."""
@@ -334,16 +339,16 @@
             log.event("engine_connection_failed", error=str(why))
         with self._lock:
             self._alive = False
-            self._shut()  # a writer that waits for the engine to take something waits no more
+            self._shut_down()  # a writer that waits for the engine to take something waits no more
         self._closed(self)
         with self._writing, self._lock:  # whoever was writing has got through, or has heard that it failed
             left = list(self._streams.values())
             self._streams.clear()
             self._sock.close()
         for stream in left:
-            stream.sink(Lost(stream))
+            stream.sink(StreamLost(stream))
 
-    def _hand_on(self, parts: list[bytes]) -> None:
+    def _dispatch(self, parts: list[bytes]) -> None:
         if len(parts) != 4:
             raise messages.RespError(f"a message of {len(parts)} parts")
         call, word, fields, body = parts
@@ -363,10 +368,10 @@
         connect_limit: float,
         idle_limit: float,
         watch: Watch,
-        quota: Quota | None = None,
+        quota: ConnectionQuota | None = None,
     ) -> None:
         """quota bounds the connections of all engines together; None: they are not bounded."""
-        self.address, self._watch, self._quota = address, watch, quota or Quota()
+        self.address, self._watch, self._quota = address, watch, quota or ConnectionQuota()
         self._streams, self._connect_limit, self._idle_limit = streams, connect_limit, idle_limit
         self._changed = threading.Condition()
         self._open: list[Connection] = []
@@ -374,7 +379,7 @@
         self._failures = 0  # connects that failed so far
         self._retired = self._draining = False
 
-    def send(self, call: bytes, head: Head, body: bytes, sink: Sink, limit: float) -> Stream:
+    def send(self, request_id: bytes, head: SendFields, body: bytes, sink: Sink, limit: float) -> Stream:
         """Send one attempt; blocks for a connect's time at most. head is asked right before the bytes go out."""
         until = time.monotonic() + min(limit, self._connect_limit)
 
@@ -385,16 +390,16 @@
             return fields
 
         while True:
-            connection, fresh = self._reserve(call, until)
-            stream = Stream(connection, call, sink)
+            connection, fresh = self._reserve(request_id, until)
+            stream = Stream(connection, request_id, sink)
             try:
-                connection.want(stream, checked, body)
+                connection.submit(stream, checked, body)
                 return stream
-            except Ended:  # while it was idle, mostly: no reason to lose an attempt
+            except ConnectionEndedError:  # while it was idle, mostly: no reason to lose an attempt
                 if fresh:  # an engine that takes connections and ends them is not asked again and again
                     raise
 
-    def drain(self, draining: bool) -> None:
+    def set_draining(self, draining: bool) -> None:
         """Whether the list has it draining: what is out runs on, and nothing more is sent.
 
         The rules' grace is not used up. It counts from when the coordinator was told, which may be seconds before we
@@ -404,7 +409,7 @@
             self._draining = draining
             self._changed.notify_all()  # who waits for a connection may go elsewhere
 
-    def limit(self, streams: int, connect_limit: float, idle_limit: float) -> None:
+    def set_limits(self, streams: int, connect_limit: float, idle_limit: float) -> None:
         """Keep these limits from now on; what is out on a connection already stays there."""
         with self._changed:
             self._streams, self._connect_limit, self._idle_limit = streams, connect_limit, idle_limit
@@ -416,10 +421,10 @@
         for connection in all_open:
             connection.close_unused()
 
-    def idle(self) -> list[Connection]:
+    def idle_connections(self) -> list[Connection]:
         """The connections that no attempt uses."""
         with self._changed:
-            return [one for one in self._open if not one.streams and not one.places]
+            return [one for one in self._open if not one.stream_count and not one.reserved_count]
 
     def retire(self) -> None:
         """Send nothing more; attempts that are out run to their end."""
@@ -433,11 +438,11 @@
     def _check(self) -> None:
         """ConnectFailed where the newest list allows no send."""
         if self._retired:
-            raise ConnectFailed("the engine is gone")
+            raise ConnectError("the engine is gone")
         if self._draining:
-            raise ConnectFailed("the engine drains")
+            raise ConnectError("the engine drains")
 
-    def _reserve(self, call: bytes, until: float) -> tuple[Connection, bool]:
+    def _reserve(self, request_id: bytes, until: float) -> tuple[Connection, bool]:
         """A place on a connection, and whether that was opened for it.
 
         One thread opens a new one; the others wait for it and share its fate.
@@ -447,60 +452,60 @@
                 if self._retired or self._draining:
                     self._check()
                 for connection in self._open:
-                    if connection.reserve(call, self._streams, IDLE_SHARE * self._idle_limit):
+                    if connection.reserve(request_id, self._streams, IDLE_SHARE * self._idle_limit):
                         return connection, False
                 if not self._opening:
-                    if len(self._open) >= MOST_CONNECTIONS:
-                        raise ConnectFailed("too many connections")
+                    if len(self._open) >= MAX_CONNECTIONS:
+                        raise ConnectError("too many connections")
                     self._opening = True
                     break
                 failures = self._failures
                 if not self._changed.wait(until - time.monotonic()) or self._failures != failures:
-                    raise ConnectFailed("no connection in time")
+                    raise ConnectError("no connection in time")
         opened: Connection | None = None
         place = False
         try:
-            place = self._quota.take(until)
+            place = self._quota.acquire(until)
             if not place:
-                raise ConnectFailed("connections to engines hold all the descriptors that they may")
+                raise ConnectError("connections to engines hold all the descriptors that they may")
             opened = self._connect(until - time.monotonic())
-            opened.reserve(call, self._streams, inf)
+            opened.reserve(request_id, self._streams, inf)
             try:
                 self._watch(opened)
-            except (threads.NoThread, OSError) as error:  # nothing was sent: the module may try elsewhere
+            except (threads.ThreadUnavailableError, OSError) as error:  # nothing was sent: the module may try elsewhere
                 opened.discard()
                 opened = None
-                raise ConnectFailed(f"nobody reads the connection: {error}") from None
+                raise ConnectError(f"nobody reads the connection: {error}") from None
             return opened, True
         finally:
             with self._changed:
                 self._opening = False
                 if opened is None:
                     self._failures += 1
-                elif opened.alive:  # else `_drop` was here before, and would leave it in the table for good
+                elif opened.is_alive:  # else `_drop` was here before, and would leave it in the table for good
                     self._open.append(opened)
                     if self._retired:
                         opened.retire()
                 self._changed.notify_all()
             if place and opened is None:
-                self._quota.give()
+                self._quota.release()
 
     def _connect(self, limit: float) -> Connection:
         if limit <= 0:
-            raise ConnectFailed("no time left")
+            raise ConnectError("no time left")
         try:
             sock = socket.create_connection(self.address, timeout=limit)
         except OSError as error:
-            raise ConnectFailed(str(error)) from None
+            raise ConnectError(str(error)) from None
         try:
             prepare(sock, WRITE_LOOK)  # blocking from here on; the kernel keeps the limit on writes
             return Connection(sock, self._drop)
         except OSError as error:
             sock.close()
-            raise ConnectFailed(str(error)) from None
+            raise ConnectError(str(error)) from None
 
     def _drop(self, connection: Connection) -> None:
         with self._changed:
             if connection in self._open:
                 self._open.remove(connection)
-        self._quota.give()
+        self._quota.release()
--- a/tealwing/resp/engines.py
+++ b/tealwing/resp/engine_pool.py
@@ -5,34 +5,34 @@
 import threading
 
 from tealwing import interface, log
+from tealwing.connection_reader import ConnectionReader
 from tealwing.coordinator.updates import Member
-from tealwing.reader import Reader
-from tealwing.resp.engine import ConnectFailed, Engine, Head, Sink, Stream
-from tealwing.resp.quota import UNBOUNDED, Quota
+from tealwing.resp.engine import ConnectError, Engine, SendFields, Sink, Stream
+from tealwing.resp.quota import UNBOUNDED, ConnectionQuota
 
 
-class Engines:
+class EnginePool:
     """The engines at their present addresses; an address or a process that changed gets new connections."""
 
-    def __init__(self, limits: interface.Limits, most: int = UNBOUNDED) -> None:
+    def __init__(self, limits: interface.Limits, max_connections: int = UNBOUNDED) -> None:
         """most is the number of connections at once, to all engines together."""
         self._limits = limits
-        self._quota = Quota(most, self._close_longest_idle)
+        self._quota = ConnectionQuota(max_connections, self._close_least_recently_used)
         self._lock = threading.Lock()
         self._engines: dict[int, tuple[Member, Engine]] = {}
-        self._reader = Reader()
+        self._reader = ConnectionReader()
 
     def start(self) -> None:
         """Have the thread that reads all connections before there is a request that needs it."""
         self._reader.start()
 
-    def limit(self, limits: interface.Limits) -> None:
+    def set_limits(self, limits: interface.Limits) -> None:
         """Keep these limits with all engines from now on: those of the settings in force, as they tell of engines."""
         with self._lock:
             self._limits = limits
             engines = [engine for _, engine in self._engines.values()]
         for engine in engines:
-            engine.limit(limits.attempts_per_connection, limits.connect_timeout, limits.idle_timeout)
+            engine.set_limits(limits.attempts_per_connection, limits.connect_timeout, limits.idle_timeout)
 
     def update(self, members: tuple[Member, ...], complete: bool) -> None:
         """Take in a watch update. Once this returns, nothing more is sent to what drains or has gone."""
@@ -52,18 +52,18 @@
                     retired.append(self._engines.pop(number)[1])
                 if health is not interface.Health.GONE:
                     engine = engine or self._engine(member)
-                    engine.drain(health is interface.Health.DRAINING)
+                    engine.set_draining(health is interface.Health.DRAINING)
                     self._engines[number] = member, engine
         for engine in retired:
             engine.retire()
 
-    def send(self, number: int, call: bytes, head: Head, body: bytes, sink: Sink, limit: float) -> Stream:
+    def send(self, number: int, request_id: bytes, head: SendFields, body: bytes, sink: Sink, limit: float) -> Stream:
         """Send one attempt to an engine."""
         with self._lock:
             found = self._engines.get(number)
         if found is None:
-            raise ConnectFailed("the engine has been removed")
-        return found[1].send(call, head, body, sink, limit)
+            raise ConnectError("the engine has been removed")
+        return found[1].send(request_id, head, body, sink, limit)
 
     def close_idle(self, number: int) -> None:
         """Close the engine's idle connections."""
@@ -72,11 +72,11 @@
         if found is not None:
             found[1].close_idle()
 
-    def _close_longest_idle(self) -> None:
+    def _close_least_recently_used(self) -> None:
         """Have the connection end that no attempt has used for longest: another engine needs its descriptor."""
         with self._lock:
             engines = [engine for _, engine in self._engines.values()]
-        idle = [connection for engine in engines for connection in engine.idle()]
+        idle = [connection for engine in engines for connection in engine.idle_connections()]
         if idle:
             min(idle, key=lambda connection: connection.idle_since).close_unused()
 
--- a/tealwing/resp/messages.py
+++ b/tealwing/resp/messages.py
@@ -5,9 +5,9 @@
 import math
 from collections.abc import Mapping
 
-MOST_PARTS = 8  # strings in an array
-LONGEST = 16 * 1024  # bytes of one string that comes in: a page holds at most 6,000
-LONGEST_LENGTH = 16  # bytes of a length line
+MAX_PARTS = 8  # strings in an array
+MAX_PART_BYTES = 16 * 1024  # bytes of one string that comes in: a page holds at most 6,000
+MAX_LENGTH_DIGITS = 16  # bytes of a length line
 
 
 class RespError(ValueError):
@@ -25,14 +25,14 @@
     def __init__(self) -> None:
         self._data = bytearray()
         self._at = 0
-        self._want = 0  # strings still missing of the array begun
+        self._expected_parts = 0  # strings still missing of the array begun
         self._parts: list[bytes] = []
         self.fault: RespError | None = None  # of what follows the arrays that `feed` gave last
 
     @property
     def begun(self) -> bool:
         """Whether a part of a message has come."""
-        return bool(self._data or self._want)
+        return bool(self._data or self._expected_parts)
 
     def feed(self, data: bytes | memoryview) -> list[list[bytes]]:
         """The whole arrays, now that data has come; a fault behind some of them must not hide them."""
@@ -52,19 +52,19 @@
         return found
 
     def _next(self) -> list[bytes] | None:
-        if not self._want:
+        if not self._expected_parts:
             count = self._length(b"*")
             if count is None:
                 return None
-            if not 1 <= count <= MOST_PARTS:
+            if not 1 <= count <= MAX_PARTS:
                 raise RespError(f"an array of {count}")
-            self._want, self._parts = count, []
-        while self._want:
+            self._expected_parts, self._parts = count, []
+        while self._expected_parts:
             start = self._at
             length = self._length(b"$")
             if length is None:
                 return None
-            if length > LONGEST:
+            if length > MAX_PART_BYTES:
                 raise RespError(f"a string of {length} bytes")
             end = self._at + length
             if len(self._data) < end + 2:
@@ -73,17 +73,17 @@
             if self._data[end : end + 2] != b"\r\n":
                 raise RespError("a string without its end")
             self._parts.append(bytes(self._data[self._at : end]))
-            self._at, self._want = end + 2, self._want - 1
+            self._at, self._expected_parts = end + 2, self._expected_parts - 1
         return self._parts
 
     def _length(self, mark: bytes) -> int | None:
         """The number on a line that begins with the mark; None while the line is not whole."""
-        end = self._data.find(b"\r\n", self._at, self._at + LONGEST_LENGTH)
+        end = self._data.find(b"\r\n", self._at, self._at + MAX_LENGTH_DIGITS)
         head = self._data[self._at : self._at + 1]
         if head and head != mark:
             raise RespError(f"{bytes(head)!r} where {mark!r} was due")
         if end < 0:
-            if len(self._data) - self._at >= LONGEST_LENGTH:
+            if len(self._data) - self._at >= MAX_LENGTH_DIGITS:
                 raise RespError("a length that does not end")
             return None
         digits = bytes(self._data[self._at + 1 : end])
@@ -123,8 +123,8 @@
     return value if math.isfinite(value) else other
 
 
-def count(text: str | None, most: int) -> int:
+def count(text: str | None, max_value: int) -> int:
     """A whole number from 0 to most."""
-    if text is None or not (text.isascii() and text.isdigit()) or len(text) > 9 or int(text) > most:
-        raise RespError(f"not a number up to {most}: {text!r}")
+    if text is None or not (text.isascii() and text.isdigit()) or len(text) > 9 or int(text) > max_value:
+        raise RespError(f"not a number up to {max_value}: {text!r}")
     return int(text)
--- a/tealwing/resp/quota.py
+++ b/tealwing/resp/quota.py
@@ -9,23 +9,23 @@
 UNBOUNDED = 1 << 16  # where no budget is told: more than a process has local ports
 
 
-class Quota:
+class ConnectionQuota:
     """Places for connections; each is taken before the connect and given back once the connection is at its end."""
 
-    def __init__(self, most: int = UNBOUNDED, reclaim: Callable[[], object] = lambda: None) -> None:
+    def __init__(self, max_connections: int = UNBOUNDED, reclaim: Callable[[], object] = lambda: None) -> None:
         """reclaim has a connection closed that nobody uses, if there is one; it is called under no lock."""
-        self._most, self._reclaim = most, reclaim
+        self._max_connections, self._reclaim = max_connections, reclaim
         self._changed = threading.Condition()
         self._taken = 0
 
     @property
-    def taken(self) -> int:
+    def in_use(self) -> int:
         """Places that are taken."""
         return self._taken
 
-    def take(self, until: float) -> bool:
+    def acquire(self, until: float) -> bool:
         """Take a place, waiting for one until that monotonic time at most; whether there was one."""
-        if self._take_now():
+        if self._try_acquire():
             return True
         self._reclaim()
         with self._changed:
@@ -34,17 +34,17 @@
             self._taken += 1
             return True
 
-    def give(self) -> None:
+    def release(self) -> None:
         """Give a place back."""
         with self._changed:
             self._taken -= 1
             self._changed.notify()
 
-    def _take_now(self) -> bool:
+    def _try_acquire(self) -> bool:
         with self._changed:
             free = self._free()
             self._taken += free
             return free
 
     def _free(self) -> bool:
-        return self._taken < self._most
+        return self._taken < self._max_connections
--- a/tealwing/rollout/deeds.py
+++ b/tealwing/rollout/deeds.py
@@ -86,7 +86,7 @@
                 steering.unusable = why
                 self._follow()
             return
-        self._again.heard()
+        self._again.reset()
         with self._lock:
             steering.in_force, steering.unusable = wanted, ""
             self._follow()
--- a/tealwing/rollout/here.py
+++ b/tealwing/rollout/here.py
@@ -20,11 +20,11 @@
     """What the gateway lends for it."""
 
     @property
-    def platform(self) -> api.Settings:
+    def platform_settings(self) -> api.Settings:
         """What the configuration says, before any version of the rules."""
 
     @property
-    def listed(self) -> tuple[api.EngineListEntry, ...]:
+    def engine_list(self) -> tuple[api.EngineListEntry, ...]:
         """The engine list as it was last heard."""
 
     @property
@@ -68,11 +68,11 @@
             from tealwing.rules import leveltext  # only where there are some
 
             levels = leveltext.plan(found.levels)
-        settings = overlay.apply(found, self._gateway.platform)
+        settings = overlay.apply(found, self._gateway.platform_settings)
         self._gateway.put_in_force(settings, table if table.routes else None, levels, number)
 
     def _running(self, before: bytes) -> check.Running:
-        settings, listed = self._gateway.platform, self._gateway.listed
+        settings, listed = self._gateway.platform_settings, self._gateway.engine_list
         sites = frozenset(settings.zones[entry.zone] for entry in listed if entry.health is not api.Health.GONE)
         sections = self._gateway.sections
         return check.Running(
--- a/tealwing/service.py
+++ b/tealwing/service.py
@@ -11,8 +11,8 @@
 from dataclasses import replace
 
 from tealwing import interface, log
-from tealwing.admin.server import Admin
-from tealwing.config import Config, ConfigError, ConfigRejected, load
+from tealwing.admin.server import AdminServer
+from tealwing.config import Config, ConfigError, ConfigRejectedError, load
 from tealwing.gateway.daemon import Daemon
 from tealwing.mysql.server import Server
 
@@ -21,7 +21,7 @@
 COLLECT = 5000  # objects made between collections: a request's own cycle is a few dozen
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
 STILL_COMING = 0.65  # s after SIGTERM for which clients still connect (0.4) and then ask (0.2), and a little
-LONGEST_WAIT = 3.0  # s that the platform waits for the longest deadline at most
+MAX_SIGNAL_WAIT = 3.0  # s that the platform waits for the longest deadline at most
 KILL_MARGIN = 0.7  # s more after which its SIGKILL comes at the earliest
 REREAD, REREADS = 0.25, 8  # s between, and number of, further readings of a file that can't be used
 SIGNAL_LOOK = 0.02  # s between two looks for a signal, while a file is read again
@@ -33,18 +33,18 @@
     """Serve until SIGTERM, then finish all that was taken. conf is the path of the operators' own file."""
     daemon = Daemon(config)
     server = Server(
-        config.listen, config.most_clients, config.settings, daemon.open, config.accept_fd, config.most_threads
+        config.listen, config.max_clients, config.settings, daemon.open, config.accept_fd, config.max_threads
     )
-    daemon.on_settings = lambda settings: renew(server, config, settings)
+    daemon.on_settings = lambda settings: apply_settings(server, config, settings)
     if conf is not None:
-        operate(daemon, server, conf)
+        apply_operators_file(daemon, server, conf)
     serving = threading.Event()  # what readiness says: set once clients are taken, cleared at the drain
     admin = None
     if config.admin is not None:
-        admin = Admin(
+        admin = AdminServer(
             config.admin,
             lambda: serving.is_set() and daemon.readiness()[0],
-            daemon.figures.lines,
+            daemon.metrics.statsd_lines,
             lambda: daemon.readiness()[1],
         )
         admin.start()
@@ -64,26 +64,26 @@
         again = REREADS if got is not None else again - 1
         good = reload(daemon, server, conf, say=got is not None)
         if got is not None or good:  # a further reading that fails again is the same file turned down
-            daemon.figures.configured(good)
+            daemon.metrics.count_configuration(good)
         if good:
             again = 0
     stopped = time.monotonic()
     serving.clear()
-    daemon.leave()
+    daemon.stop()
     log.event("draining")
     if not server.shared:  # a queue of our own: clients still come for a while; else the other process takes them
         time.sleep(STILL_COMING)
     server.stop_listening()
-    kill = stopped + min(daemon.deadline, LONGEST_WAIT) + KILL_MARGIN
+    kill = stopped + min(daemon.longest_deadline, MAX_SIGNAL_WAIT) + KILL_MARGIN
     cut_short = 0
     if not server.finish(kill - LAST_WORDS - time.monotonic()):
-        cut_short = daemon.fail_open()
+        cut_short = daemon.fail_open_requests()
         log.event("drain_cut_short", failed=cut_short)
         if not server.finish(kill - EXIT - time.monotonic()) and daemon.open_requests:
-            server.finish(LONGEST_WAIT)  # all have failed: their answers leave, unless SIGKILL comes first
+            server.finish(MAX_SIGNAL_WAIT)  # all have failed: their answers leave, unless SIGKILL comes first
     if admin is not None:
         admin.stop()
-    ok, shed, failed, _ = daemon.figures.totals
+    ok, shed, failed, _ = daemon.metrics.totals
     log.event(
         "stopped",
         after=time.monotonic() - stopped,
@@ -95,25 +95,25 @@
     )
 
 
-def renew(server: Server, config: Config, settings: interface.Settings) -> None:
+def apply_settings(server: Server, config: Config, settings: interface.Settings) -> None:
     """Have the server read new requests under the settings, with the threads that they allow."""
-    server.renew(settings, replace(config, settings=settings).most_threads)
+    server.apply_settings(settings, replace(config, settings=settings).max_threads)
 
 
-class FileUnusable(Exception):
+class OperatorsFileError(Exception):
     """The operators' file can't be used; the text has a line for each problem."""
 
 
-def operate(daemon: Daemon, server: Server, conf: str) -> None:
+def apply_operators_file(daemon: Daemon, server: Server, conf: str) -> None:
     """Put the operators' file in force; imports the reader and what it switches on, and nothing else."""
     from tealwing.conf import reader
 
     try:
         read = reader.read(conf)
-        daemon.operate(read.records)
+        daemon.apply_operators_file(read.records)
     except ValueError as error:  # what it says is wrong, or does not fit the platform's settings
-        raise FileUnusable(str(error)) from error
-    server.unread = daemon.unread if "levels" in read.records else None
+        raise OperatorsFileError(str(error)) from error
+    server.on_unread_age = daemon.record_unread_age if "levels" in read.records else None
     server.gate = daemon.gate
     log.event("operators_file", path=conf, sections=sorted(read.records))
 
@@ -126,9 +126,9 @@
     good = True
     try:
         daemon.reconfigure(load(os.environ))
-    except ConfigRejected as error:
+    except ConfigRejectedError as error:
         if say:
-            log.event("config_rejected", why=error.why, remedy=error.remedy)
+            log.event("config_rejected", why=error.reason, remedy=error.remedy)
         good = False
     except (ConfigError, OSError) as error:
         if say:
@@ -136,8 +136,8 @@
         good = False
     try:
         if conf is not None:
-            operate(daemon, server, conf)
-    except FileUnusable as error:
+            apply_operators_file(daemon, server, conf)
+    except OperatorsFileError as error:
         if say:
             log.event("operators_file_unusable", path=conf, problems=str(error).splitlines())
         good = False
@@ -181,7 +181,7 @@
     except (ConfigError, OSError) as error:
         print(f"tealwing: {' '.join(str(error).split())}", file=sys.stderr)
         return 1
-    except FileUnusable as error:
+    except OperatorsFileError as error:
         print(error, file=sys.stderr)
         return 1
     return 0
--- a/tealwing/sockets.py
+++ b/tealwing/sockets.py
@@ -9,14 +9,14 @@
 
 Address = tuple[str, int]
 
-SHORT_OF_MEMORY = frozenset({errno.ENOMEM, errno.ENOBUFS})  # the call has done nothing, and may be made again
+OUT_OF_MEMORY_ERRORS = frozenset({errno.ENOMEM, errno.ENOBUFS})  # the call has done nothing, and may be made again
 MEMORY_PAUSE = 0.01  # s before a call is made again that had no memory: the kernel frees some within milliseconds
 OPTION_TRIES = 3  # of setting an option, at once: a connection without it is still better than none
 
 
 def is_short_of_memory(error: OSError) -> bool:
     """Whether a call only lacked memory for a moment: its connection is as it was."""
-    return error.errno in SHORT_OF_MEMORY
+    return error.errno in OUT_OF_MEMORY_ERRORS
 
 
 def prepare(sock: socket.socket, write_limit: float) -> None:
@@ -74,7 +74,7 @@
 LAST_DATA = struct.Struct("=52xI")  # of struct tcp_info (linux/tcp.h): tcpi_last_data_recv, milliseconds
 
 
-def silence(sock: socket.socket) -> float:
+def seconds_since_data(sock: socket.socket) -> float:
     """Seconds since data last came on a TCP connection, by the kernel's books; 0 where it can't tell."""
     try:
         return float(LAST_DATA.unpack(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA.size))[0]) / 1e3
--- a/tealwing/threads.py
+++ b/tealwing/threads.py
@@ -16,7 +16,7 @@
 PEAKS = 8  # the first high-water mark that is logged; each further one is twice the last: a few lines a process
 
 
-class NoThread(RuntimeError):
+class ThreadUnavailableError(RuntimeError):
     """The system gave no thread for now."""
 
 
@@ -39,7 +39,7 @@
             first = _refused == 1
         if first:
             log.event("thread_refused", name=name, threads=threading.active_count(), error=str(error))
-        raise NoThread(str(error)) from None
+        raise ThreadUnavailableError(str(error)) from None
     count = threading.active_count()
     with _lock:
         refused, _refused = _refused, 0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import settings
 
-from tealwing.coordinator.follower import Follower
+from tealwing.coordinator.watch import WatchClient
 from tests import known_red
 from tests.peers import LIMIT
 
@@ -51,9 +51,9 @@
 @pytest.fixture(autouse=True)
 def followers(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """Ends the watches that a test's gateways began in this process: they would speak into the next test's log."""
-    started: list[tuple[Follower, threading.Thread]] = []
+    started: list[tuple[WatchClient, threading.Thread]] = []
 
-    def start(self: Follower) -> None:
+    def start(self: WatchClient) -> None:
         def run() -> None:
             with contextlib.suppress(Left):
                 self._run()
@@ -64,10 +64,10 @@
     def leave(seconds: float) -> bool:
         raise Left
 
-    monkeypatch.setattr(Follower, "start", start)
+    monkeypatch.setattr(WatchClient, "start", start)
     yield
     for one, thread in started:
         monkeypatch.setattr(one._moved, "wait", leave)
-        one.move(("127.0.0.1", 1))
+        one.move_to(("127.0.0.1", 1))
         thread.join(LIMIT)
         assert not thread.is_alive()
--- a/tests/soak/engines.py
+++ b/tests/soak/engines.py
@@ -9,7 +9,7 @@
 import threading
 import time
 
-from tealwing.sockets import silence
+from tealwing.sockets import seconds_since_data
 from tests.peers import Peer, say
 from tests.soak.book import Attempt, Book
 
@@ -72,7 +72,7 @@
         parser = self.parser()
         with contextlib.suppress(OSError):
             while data := sock.recv(4096):
-                arrived = time.monotonic() - silence(sock)  # by the kernel: this thread may come to it late
+                arrived = time.monotonic() - seconds_since_data(sock)  # by the kernel: this thread may come to it late
                 for parts in parser.feed(data):
                     self._arrived.put((sock, parts, arrived))
         self._over(sock)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -39,9 +39,9 @@
 
 def tell(daemon: Daemon, told: dict[str, Any]) -> None:
     """An event of the coordinator."""
-    update = updates.line(json.dumps(told).encode(), daemon.platform)
+    update = updates.parse_line(json.dumps(told).encode(), daemon.platform_settings)
     assert isinstance(update, updates.Update)
-    daemon._watch_update(update)
+    daemon._on_watch_update(update)
 
 
 def find(daemon: Daemon, number: int) -> Engine:
@@ -52,7 +52,7 @@
 
 def left_cold(daemon: Daemon, engine: Engine) -> float:
     """Seconds for which the module still holds the engine to be cold."""
-    return engine.cold_until - (time.monotonic() + daemon._decisions.offset)
+    return engine.cold_until - (time.monotonic() + daemon._decisions.clock_offset)
 
 
 def is_just_started(daemon: Daemon, engine: Engine) -> bool:
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -170,7 +170,7 @@
 
 @pytest.fixture
 def rig(monkeypatch: pytest.MonkeyPatch) -> Iterator[Rig]:
-    monkeypatch.setattr(statements, "query", read_call)
+    monkeypatch.setattr(statements, "parse_query", read_call)
     rig = Rig()
     yield rig
     for held in rig.held.values():
@@ -288,16 +288,16 @@
     until(lambda: rig.lingering == 1)
     begun = time.monotonic()
     rig.empty()
-    assert time.monotonic() - begun < lingering.TIME + server.LOOK + LIMIT / 10
+    assert time.monotonic() - begun < lingering.LINGER_TIME + server.TIME_LIMIT_CHECK_INTERVAL + LIMIT / 10
     client.sock.close()
 
 
 def test_lingering_is_bounded_in_bytes(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(lingering, "TIME", LIMIT)
+    monkeypatch.setattr(lingering, "LINGER_TIME", LIMIT)
     client = Client(rig.address, also=packets.packet(7, b"\x0e"))
     sent = 0
     with pytest.raises(OSError):  # closed, while it still sends
-        while sent < 256 * lingering.BYTES:
+        while sent < 256 * lingering.MAX_LINGER_BYTES:
             sent += client.sock.send(MANY)
     rig.empty()
     assert not rig.opened
@@ -305,7 +305,7 @@
 
 def test_a_flood_of_bad_clients_holds_no_descriptors(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     # what lingers is bounded in number, and goes first: the clients that rest keep their connections
-    monkeypatch.setattr(lingering, "TIME", LIMIT)
+    monkeypatch.setattr(lingering, "LINGER_TIME", LIMIT)
     rests = [resting(rig) for _ in range(5)]
     bad = []
     most = 0
@@ -326,7 +326,7 @@
 
 
 def test_lingering_ends_with_the_drain(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(lingering, "TIME", LIMIT)
+    monkeypatch.setattr(lingering, "LINGER_TIME", LIMIT)
     client = Client(rig.address, also=packets.packet(7, b"\x0e"))
     until(lambda: rig.lingering == 1)
     rig.server.stop_listening()
@@ -501,9 +501,9 @@
     newest._waiting = now - 0.2, now + session.FIRST_LIMIT - 0.2
     order = [clients[n] for n in (1, 2, 3, 4, 5)]
     for client in order:
-        rig.server._evict_longest(False)
+        rig.server._evict_longest_idle(False)
         ends_clean(client)
-    rig.server._evict_longest(False)
+    rig.server._evict_longest_idle(False)
     assert not [c for c in (fresh,) if c.recv(4096) == b""]  # the greeting
     assert fresh.recv(4096) == b""
     half.sock.sendall(query("1")[9:])  # it goes last
@@ -541,7 +541,7 @@
 def test_a_client_that_came_when_nobody_could_be_evicted_gets_in_once_one_is_idle(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    hold = Hold(monkeypatch, server.Server, "_evict_longest")
+    hold = Hold(monkeypatch, server.Server, "_evict_longest_idle")
     rig.server._spare = 0  # all places may be taken before one is evicted
     clients = [resting(rig) for _ in range(8)]
     for n in range(8):
@@ -604,7 +604,7 @@
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # guards accepts against EMFILE: they were tried again every 50 ms, and nothing was closed for them
-    monkeypatch.setattr(lingering, "TIME", LIMIT)
+    monkeypatch.setattr(lingering, "LINGER_TIME", LIMIT)
     idle = [resting(rig) for _ in range(3)]
     bad = Client(rig.address, also=packets.packet(7, b"\x0e"))
     until(lambda: rig.lingering == 1)
@@ -671,11 +671,11 @@
     assert ours.fileno() == -1
     ours.stop()
     ours.kill(query_only=False)
-    ours.hasten()
+    ours.end_linger()
 
 
 def test_a_rig_leaves_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(statements, "query", read_call)
+    monkeypatch.setattr(statements, "parse_query", read_call)
     before = len(os.listdir("/proc/self/fd")), threading.active_count()
     rig = Rig()
     clients = [resting(rig) for _ in range(6)]
--- a/tests/test_closes_model.py
+++ b/tests/test_closes_model.py
@@ -42,7 +42,7 @@
         super().__init__()
         self.before = len(os.listdir("/proc/self/fd")), threading.active_count()
         self.patch = pytest.MonkeyPatch()
-        self.patch.setattr(statements, "query", read_call)
+        self.patch.setattr(statements, "parse_query", read_call)
         for name in ("FIRST_LIMIT", "PACKET_LIMIT"):  # no time passes here
             self.patch.setattr(session, name, LIMIT)
         self.rig = Rig(32)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -23,12 +23,12 @@
 from tealwing import interface as api
 from tealwing.coordinator import updates
 from tealwing.exchange import Exchange, Query, Rejected, Reply
-from tealwing.gateway import life
+from tealwing.gateway import request_handler
 from tealwing.gateway.decisions import Decisions
 from tealwing.mysql import departures, packets, server, session
 from tealwing.policy import Gateway
 from tealwing.resp import engine
-from tealwing.resp.engines import Engines
+from tealwing.resp.engine_pool import EnginePool
 from tealwing.rollout.gate import Gate
 from tests.build import entry, listing, make_settings, request_class
 from tests.peers import LIMIT, Client, Peer, request, say
@@ -48,7 +48,7 @@
         self.settings = make_settings(tenants=("acme",), classes=(request_class(**(plain | of_class)),))
         self.peers = [Peer() for _ in range(engines)]
         self.engine = self.peers[0]
-        self.engines = Engines(dataclasses.replace(self.settings.limits, connect_timeout=LIMIT))
+        self.engines = EnginePool(dataclasses.replace(self.settings.limits, connect_timeout=LIMIT))
         self.decisions = Decisions(self.settings, 1, self.engines)
         self.heard: list[api.Event] = []  # by the module, beside lists
         self.before: Callable[[api.Event], object] = lambda event: None
@@ -73,17 +73,17 @@
         self.opened: SimpleQueue[bytes] = SimpleQueue()
         self.opening: Callable[[], object] = lambda: None
         self.blind = False  # requests don't ask their client's socket
-        self.server = server.Server(("127.0.0.1", 0), 64, self.settings, self.open, most_threads=threads)
+        self.server = server.Server(("127.0.0.1", 0), 64, self.settings, self.open, max_threads=threads)
         self.decisions.start()
         self.engines.start()
         self.server.start()
 
-    def open(self, query: Query, settings: api.Settings) -> life.Life:
+    def open(self, query: Query, settings: api.Settings) -> request_handler.RequestHandler:
         self.opening()
         self.opened.put(query.request_id)
         if self.blind:
             query = dataclasses.replace(query, has_left=lambda: False)
-        return life.Life(query, settings, self.decisions, self.engines)
+        return request_handler.RequestHandler(query, settings, self.decisions, self.engines)
 
     def client(self) -> Client:
         return Client(self.server.address)
@@ -114,7 +114,7 @@
 
     def nothing_left(self) -> None:
         """Books, places and tables are as before any request came."""
-        wait(lambda: self.decisions.open == 0)
+        wait(lambda: self.decisions.open_requests == 0)
         module = self.decisions.module
         assert isinstance(module, Gateway)
         wait(lambda: not module.jobs)
@@ -125,7 +125,7 @@
         for _, found in self.engines._engines.values():
             for connection in found._open:
                 wait(partial(free, connection))
-        assert not self.decisions._calls
+        assert not self.decisions._request_ids
 
     def gone(self, number: int) -> None:
         """The session is over, its connection lingers no more, and nothing is kept of it."""
@@ -154,7 +154,7 @@
 
 
 def free(connection: engine.Connection) -> bool:
-    return not connection.places and not connection.streams
+    return not connection.reserved_count and not connection.stream_count
 
 
 def wait(holds: Callable[[], object]) -> None:
@@ -255,7 +255,7 @@
 
 def test_bytes_sent_ahead_wake_nobody_and_are_answered_in_turn(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     looks: SimpleQueue[int] = SimpleQueue()
-    monkeypatch.setattr(session.Session, "look", lambda self: looks.put(self.number))
+    monkeypatch.setattr(session.Session, "check_departure", lambda self: looks.put(self.number))
     client = rig.client()
     rig.ask(client)
     sock, call = rig.sent(1)
@@ -300,7 +300,7 @@
     ours = rig.session(client)
     ours.stop()
     assert not ours.evict() and not departures.has_left(ours._sock)
-    ours.look()  # an event that came all the same is a hint, no more
+    ours.check_departure()  # an event that came all the same is a hint, no more
     say(sock, call, b"200", b"sheets=1", PAGE)
     assert len(client.rows()) == 1
     assert rig.count(api.ClientGone) == 0
@@ -328,7 +328,7 @@
 def go(rig: Rig, client: Client, how: str) -> None:
     """The client leaves; it is known by the time this returns where the event tells."""
     open_ = rig.session(client)._exchange
-    assert isinstance(open_, life.Life)
+    assert isinstance(open_, request_handler.RequestHandler)
     leave(rig, client)
     if how == "event":
         wait(lambda: not open_._mailbox.empty())
@@ -338,7 +338,7 @@
 def how(rig: Rig, request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> str:
     rig.blind = request.param == "event"
     if not rig.blind:
-        monkeypatch.setattr(session.Session, "look", lambda self: None)
+        monkeypatch.setattr(session.Session, "check_departure", lambda self: None)
     return str(request.param)
 
 
@@ -395,13 +395,13 @@
 
 def test_it_leaves_while_others_write(rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     rig.serve(rig.client(), 1)
-    come, want = threading.Event(), engine.Connection.want
+    come, want = threading.Event(), engine.Connection.submit
 
     def want_noting(self: engine.Connection, *arguments: Any) -> None:
         come.set()
         want(self, *arguments)
 
-    monkeypatch.setattr(engine.Connection, "want", want_noting)
+    monkeypatch.setattr(engine.Connection, "submit", want_noting)
     (connection,) = rig.engines._engines[0][1]._open
     client = rig.client()
     with connection._writing:
@@ -413,8 +413,8 @@
 
 def test_it_leaves_between_giving_up_and_the_next_send(rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     held = Held()
-    monkeypatch.setattr(life, "time", SimpleNamespace(monotonic=time.monotonic, sleep=held))
-    monkeypatch.setattr(life, "GIVE_UP_GAP", LIMIT)  # the gap is met however slow the machine is
+    monkeypatch.setattr(request_handler, "time", SimpleNamespace(monotonic=time.monotonic, sleep=held))
+    monkeypatch.setattr(request_handler, "CANCEL_GAP", LIMIT)  # the gap is met however slow the machine is
     client = rig.client()
     rig.ask(client)
     sock, call = rig.sent(1)
@@ -606,7 +606,7 @@
     single.ask(first, 1)
     sock, call = single.sent(1)
     single.ask(second, 2)
-    wait(lambda: len(single.server._aside) == 1)
+    wait(lambda: len(single.server._deferred) == 1)
     kill(single, second)
     say(sock, call, b"200", b"sheets=1", PAGE)
     assert len(first.rows()) == 1
@@ -626,7 +626,7 @@
     login = (0xA20D).to_bytes(4, "little") + bytes(28) + b"app\0\0reports\0"
     late = socket.create_connection(single.server.address, LIMIT)
     late.sendall(packets.packet(1, login) + also)
-    wait(lambda: len(single.server._aside) == 5)
+    wait(lambda: len(single.server._deferred) == 5)
     for _ in range(6):
         sock, parts = single.engine.next(b"want")
         say(sock, parts[1], b"200", b"sheets=1", PAGE)
@@ -665,10 +665,10 @@
     theirs.sendall(data)
     buffer = memoryview(bytearray(server.BRIEF_SIZE))
     wait(lambda: not data or ours.recv_into(buffer, 0, socket.MSG_PEEK) == min(len(data), len(buffer)))
-    assert departures.brief(ours, inside, buffer) == size
+    assert departures.brief_commands_length(ours, inside, buffer) == size
     theirs.close()
     if not data:
-        wait(lambda: departures.brief(ours, inside, buffer) == 1)  # its end is to be read
+        wait(lambda: departures.brief_commands_length(ours, inside, buffer) == 1)  # its end is to be read
     ours.close()
 
 
@@ -678,14 +678,14 @@
         ours, _ = listener.accept()
     buffer = memoryview(bytearray(server.BRIEF_SIZE))
     theirs.sendall(PING)
-    wait(lambda: departures.brief(ours, True, buffer) == len(PING))
+    wait(lambda: departures.brief_commands_length(ours, True, buffer) == len(PING))
 
     def fill() -> bool:  # the system moves on what it holds, for a while
         try:
             while True:
                 ours.send(bytes(65536), socket.MSG_DONTWAIT)
         except BlockingIOError:
-            return departures.brief(ours, True, buffer) is None
+            return departures.brief_commands_length(ours, True, buffer) is None
 
     wait(fill)
     theirs.close()
@@ -714,7 +714,7 @@
     single.ask(busy)
     _, call = single.sent(1)
     full.send(0x0E)
-    wait(lambda: len(single.server._aside) == 1)
+    wait(lambda: len(single.server._deferred) == 1)
     kill(single, busy)
     assert busy.error()[0] == INTERRUPTED
     assert single.engine.next(b"never_mind")[1][1] == call
@@ -904,7 +904,7 @@
     def look() -> None:
         while time.monotonic() < over:
             try:
-                assert not one.left()
+                assert not one.client_has_left()
             except Exception as error:
                 faults.append(error)
                 return
