--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -23,10 +23,10 @@
 SMALLEST = 256  # descriptors of a process: the smallest limit of the platform's sites
 
 
-@pytest.mark.parametrize("limit", [descriptors.LEAST, 100, SMALLEST, 384, 1024, 4096, 65536])
+@pytest.mark.parametrize("limit", [descriptors.MIN_DESCRIPTORS, 100, SMALLEST, 384, 1024, 4096, 65536])
 def test_the_shares_are_the_limit_and_clients_have_their_third(limit: int) -> None:
     found = descriptors.budget(limit)
-    assert found.whole == limit and found.engines >= descriptors.LEAST_ENGINES
+    assert found.total == limit and found.engines >= descriptors.MIN_ENGINE_CONNECTIONS
     assert limit // 3 <= found.clients <= limit * 11 // 30
 
 
@@ -35,7 +35,7 @@
     config |= {"known": {"index": 1, "updates": [event(1)]}, "limits": {"sockets": SMALLEST}}
     (tmp_path / "config.json").write_text(json.dumps(config | {"settings": SETTINGS}))
     loaded = load({"LB_CONFIG": str(tmp_path / "config.json")})
-    assert loaded.most_clients == descriptors.budget(SMALLEST).clients == 93
+    assert loaded.max_clients == descriptors.budget(SMALLEST).clients == 93
 
 
 def held(pid: int) -> int:
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -28,12 +28,12 @@
 )
 
 from tealwing import interface as api
+from tealwing.connection_reader import ConnectionReader, Watch
 from tealwing.coordinator.updates import Member
-from tealwing.reader import Reader, Watch
 from tealwing.resp import engine as engines
 from tealwing.resp import messages
-from tealwing.resp.engine import Answer, ConnectFailed, Connection, Engine, Lost, Stream, Withdrawn
-from tealwing.resp.engines import Engines
+from tealwing.resp.engine import Answer, AttemptWithdrawnError, ConnectError, Connection, Engine, Stream, StreamLost
+from tealwing.resp.engine_pool import EnginePool
 from tests.build import entry, make_settings
 from tests.peers import LIMIT, say
 
@@ -48,7 +48,7 @@
 
 
 def no_head() -> bytes:
-    raise Withdrawn("its client has left")
+    raise AttemptWithdrawnError("its client has left")
 
 
 class Machine:
@@ -196,8 +196,8 @@
 
 
 @pytest.fixture(scope="module")
-def reader() -> Reader:
-    reader = Reader()
+def reader() -> ConnectionReader:
+    reader = ConnectionReader()
     reader.start()
     return reader
 
@@ -212,7 +212,7 @@
     stream = engine.send(b"first", head, b"SELECT 1", heard.put, LIMIT)
     sock = machine.accept()
     assert take(sock)[1] == b"first"
-    stream.ended()
+    stream.finish()
     return stream.connection, sock
 
 
@@ -229,7 +229,7 @@
 
 @pytest.mark.parametrize("close", [close_idle, retire])
 def test_a_close_does_not_cut_a_send_that_takes_its_place_meanwhile(
-    machine: Machine, reader: Reader, close: Callable[[Engine], None]
+    machine: Machine, reader: ConnectionReader, close: Callable[[Engine], None]
 ) -> None:
     # was: unused connections were found under a lock and closed outside it, and what was sent between was lost
     engine = engine_at(machine, reader.watch)
@@ -257,7 +257,7 @@
     assert senders
     error = senders[0].end()
     if close is retire:
-        assert isinstance(error, ConnectFailed)  # the engine has gone: nothing may be sent
+        assert isinstance(error, ConnectError)  # the engine has gone: nothing may be sent
         assert take(sock) == []  # nor was it
     else:
         assert error is None
@@ -270,13 +270,13 @@
 
 @pytest.mark.parametrize("close", [close_idle, retire])
 def test_a_place_that_was_taken_forbids_the_close(
-    machine: Machine, reader: Reader, monkeypatch: pytest.MonkeyPatch, close: Callable[[Engine], None]
+    machine: Machine, reader: ConnectionReader, monkeypatch: pytest.MonkeyPatch, close: Callable[[Engine], None]
 ) -> None:
     # was: a retired connection asked for attempts that were sent, not for places; one sent before the shutdown was cut
     engine = engine_at(machine, reader.watch)
     connection, sock = used(engine, machine)
-    want = Held(Connection.want)
-    monkeypatch.setattr(Connection, "want", lambda *args: want(*args))
+    want = Held(Connection.submit)
+    monkeypatch.setattr(Connection, "submit", lambda *args: want(*args))
     heard: Sink = SimpleQueue()
     sender = Sender(engine.send, b"second", head, b"SELECT 1", heard.put, LIMIT)
     assert want.reached.wait(LIMIT)  # it has its place, and is not known to the connection yet
@@ -292,7 +292,7 @@
     close(engine)
     want.go.set()
     if close is retire:
-        assert isinstance(sender.end(), ConnectFailed)
+        assert isinstance(sender.end(), ConnectError)
         assert take(sock) == []  # closed as the place came back, with nothing sent
     else:
         assert sender.end() is None
@@ -302,7 +302,9 @@
     engine.retire()
 
 
-def test_a_connection_that_was_idle_too_long_is_closed_and_another_opened(machine: Machine, reader: Reader) -> None:
+def test_a_connection_that_was_idle_too_long_is_closed_and_another_opened(
+    machine: Machine, reader: ConnectionReader
+) -> None:
     engine = engine_at(machine, reader.watch)
     connection, sock = used(engine, machine)
     connection.idle_since -= IDLE
@@ -315,21 +317,23 @@
     # was: a send found the connection alive, and a try of its request was spent on a socket that was shut
     engine = engine_at(machine, unread)
     first = engine.send(b"first", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
-    first.spoilt()
+    first.fail_connection()
     second = engine.send(b"second", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     assert second.connection is not first.connection
     first.connection.ended(EOFError())
     second.connection.ended(EOFError())
 
 
-def test_an_attempt_given_up_on_a_retired_connection_is_told_before_the_close(machine: Machine, reader: Reader) -> None:
+def test_an_attempt_given_up_on_a_retired_connection_is_told_before_the_close(
+    machine: Machine, reader: ConnectionReader
+) -> None:
     # was: the connection was shut first, and the word failed with a line in the log
     engine = engine_at(machine, reader.watch)
     stream = engine.send(b"first", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     sock = machine.accept()
     assert take(sock)[0] == b"want"
     engine.retire()
-    stream.never_mind()
+    stream.cancel()
     assert take(sock) == [b"never_mind", b"first"] and take(sock) == []
 
 
@@ -340,19 +344,19 @@
     return Member("s-7", "127.0.0.1", port, entry(7, started=started, health=health))
 
 
-def gone(list_: Engines, port: int) -> None:
+def gone(list_: EnginePool, port: int) -> None:
     list_.update((member(health=api.Health.GONE, port=port),), False)
 
 
-def unlisted(list_: Engines, port: int) -> None:
+def unlisted(list_: EnginePool, port: int) -> None:
     list_.update((), True)
 
 
-def replaced(list_: Engines, port: int) -> None:
+def replaced(list_: EnginePool, port: int) -> None:
     list_.update((member(started=5.0, port=port),), False)
 
 
-def draining(list_: Engines, port: int) -> None:
+def draining(list_: EnginePool, port: int) -> None:
     list_.update((member(health=api.Health.DRAINING, port=port),), False)
 
 
@@ -363,14 +367,14 @@
     return dataclasses.replace(make_settings().limits, connect_timeout=LIMIT, attempts_per_connection=many)
 
 
-def listed(machine: Machine) -> Engines:
-    list_ = Engines(limits())
+def listed(machine: Machine) -> EnginePool:
+    list_ = EnginePool(limits())
     list_.update((member(port=machine.address[1]),), True)
     list_.start()
     return list_
 
 
-def nothing_came(machine: Machine, update: Callable[..., None], list_: Engines, socks: list[socket.socket]) -> None:
+def nothing_came(machine: Machine, update: Callable[..., None], list_: EnginePool, socks: list[socket.socket]) -> None:
     """Whether the old engine got no byte more, and what is sent after the next update comes first."""
     if update is draining:
         replaced(list_, machine.address[1])  # it closes what is unused
@@ -380,7 +384,7 @@
 
 @UPDATES
 def test_a_connect_that_comes_up_after_the_update_sends_nothing(
-    machine: Machine, monkeypatch: pytest.MonkeyPatch, update: Callable[[Engines, int], None]
+    machine: Machine, monkeypatch: pytest.MonkeyPatch, update: Callable[[EnginePool, int], None]
 ) -> None:
     list_, port = listed(machine), machine.address[1]
     connect = Held(socket.create_connection)
@@ -392,19 +396,19 @@
     engine = list_._engines[7][1]
     until(lambda: bool(engine._changed._waiters))  # type: ignore[attr-defined]
     update(list_, port)
-    assert isinstance(other.end(), ConnectFailed)  # at once: nothing that it waits for could help it
+    assert isinstance(other.end(), ConnectError)  # at once: nothing that it waits for could help it
     connect.go.set()
-    assert isinstance(opener.end(), ConnectFailed)
+    assert isinstance(opener.end(), ConnectError)
     nothing_came(machine, update, list_, [machine.accept()])
     until(lambda: not engine._open)  # nothing is left of it
 
 
 @UPDATES
 def test_a_send_that_waited_for_the_write_lock_sees_the_update(
-    machine: Machine, update: Callable[[Engines, int], None]
+    machine: Machine, update: Callable[[EnginePool, int], None]
 ) -> None:
     list_, port = listed(machine), machine.address[1]
-    list_.send(7, b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).ended()
+    list_.send(7, b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).finish()
     sock = machine.accept()
     assert take(sock)[1] == b"1"
     engine = list_._engines[7][1]
@@ -418,17 +422,17 @@
     assert waits.wait(LIMIT)
     update(list_, port)
     held.go.set()
-    assert isinstance(first.end(), ConnectFailed) and isinstance(second.end(), ConnectFailed)
-    assert connection.places == connection.streams == 0
+    assert isinstance(first.end(), ConnectError) and isinstance(second.end(), ConnectError)
+    assert connection.reserved_count == connection.stream_count == 0
     nothing_came(machine, update, list_, [sock])
 
 
 def test_an_engine_that_drains_and_returns_is_sent_to_again_on_its_connection(machine: Machine) -> None:
     list_, port = listed(machine), machine.address[1]
-    list_.send(7, b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).ended()
+    list_.send(7, b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).finish()
     sock = machine.accept()
     draining(list_, port)
-    with pytest.raises(ConnectFailed, match="drains"):
+    with pytest.raises(ConnectError, match="drains"):
         list_.send(7, b"2", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     list_.update((member(port=port),), False)
     list_.send(7, b"2", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
@@ -446,7 +450,7 @@
     gone(list_, port)
     say(sock, b"1", b"200", b"sheets=1", PAGE)
     assert isinstance(heard.get(timeout=LIMIT), Answer)
-    stream.ended()
+    stream.finish()
     assert take(sock) == []
 
 
@@ -459,15 +463,15 @@
     gone(list_, port)
 
 
-def test_an_attempt_withdrawn_leaves_no_trace(machine: Machine, reader: Reader) -> None:
+def test_an_attempt_withdrawn_leaves_no_trace(machine: Machine, reader: ConnectionReader) -> None:
     # was: its id counted as spent, and the idle time as begun anew, though the engine had heard nothing
     engine = engine_at(machine, reader.watch)
     connection, sock = used(engine, machine)
     before = connection.idle_since
     for _ in range(3):
-        with pytest.raises(Withdrawn):
+        with pytest.raises(AttemptWithdrawnError):
             engine.send(b"second", no_head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
-    assert (connection.places, connection.streams, connection.idle_since) == (0, 0, before)
+    assert (connection.reserved_count, connection.stream_count, connection.idle_since) == (0, 0, before)
     engine.send(b"second", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     assert take(sock)[1] == b"second" and machine.alone()
     engine.retire()
@@ -492,9 +496,9 @@
     assert stream.connection is not connection
     assert take(machine.accept())[1] == b"second"
     read(connection)
-    if connection.alive:
+    if connection.is_alive:
         read(connection)
-    assert not connection.alive and engine._open == [stream.connection] and heard.empty()
+    assert not connection.is_alive and engine._open == [stream.connection] and heard.empty()
     stream.connection.ended(EOFError())
 
 
@@ -532,7 +536,7 @@
     machine: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # was: a connection whose end was read before it stood in the table stayed there for good, sixteen of them for all
-    monkeypatch.setattr(engines, "MOST_CONNECTIONS", 2)
+    monkeypatch.setattr(engines, "MAX_CONNECTIONS", 2)
 
     def ended_at_once(connection: Any) -> None:
         machine.accept().close()
@@ -542,12 +546,12 @@
     engine = engine_at(machine, ended_at_once)
     before = descriptors()
     for _ in range(4):
-        with pytest.raises(ConnectFailed, match="has ended"):
+        with pytest.raises(ConnectError, match="has ended"):
             engine.send(b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     assert engine._open == [] and descriptors() <= before and machine.alone()
 
 
-def test_what_the_engine_never_read_is_lost_once(machine: Machine, reader: Reader) -> None:
+def test_what_the_engine_never_read_is_lost_once(machine: Machine, reader: ConnectionReader) -> None:
     # no fault: the attempt had left whole when the engine closed, and nobody can tell whether it ran
     engine = engine_at(machine, reader.watch)
     heard: Sink = SimpleQueue()
@@ -555,14 +559,14 @@
     sock = machine.accept()
     assert select.select([sock], [], [], LIMIT)[0]  # it is in the engine's buffer
     sock.close()  # unread: a reset
-    assert heard.get(timeout=LIMIT) == Lost(stream)
+    assert heard.get(timeout=LIMIT) == StreamLost(stream)
     until(lambda: not engine._open)
     assert heard.empty()
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
 def test_half_an_answer_then_an_end_is_a_loss_of_its_attempt_and_no_other(
-    machine: Machine, reader: Reader, end: Callable[[socket.socket], None]
+    machine: Machine, reader: ConnectionReader, end: Callable[[socket.socket], None]
 ) -> None:
     engine = engine_at(machine, reader.watch)
     heard: Sink = SimpleQueue()
@@ -572,9 +576,9 @@
     sock.sendall(messages.encode(b"1", b"200", b"-", PAGE) + messages.encode(b"2", b"200", b"-", PAGE)[:-9])
     answer = heard.get(timeout=LIMIT)
     assert isinstance(answer, Answer) and answer.stream is streams[0]
-    streams[0].ended()
+    streams[0].finish()
     end(sock)
-    assert heard.get(timeout=LIMIT) == Lost(streams[1])
+    assert heard.get(timeout=LIMIT) == StreamLost(streams[1])
     until(lambda: not engine._open)
     assert heard.empty()
 
@@ -591,24 +595,26 @@
     answer = heard.get(timeout=LIMIT)
     assert isinstance(answer, Answer) and answer.stream is streams[0] and answer.body == PAGE
     # nobody has said of the first that it is over
-    assert [heard.get(timeout=LIMIT) for _ in streams] == [Lost(stream) for stream in streams]
+    assert [heard.get(timeout=LIMIT) for _ in streams] == [StreamLost(stream) for stream in streams]
 
 
-def test_an_answer_that_never_ends_is_a_loss(machine: Machine, reader: Reader, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engines, "MESSAGE_LIMIT", 0.05)
+def test_an_answer_that_never_ends_is_a_loss(
+    machine: Machine, reader: ConnectionReader, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(engines, "MESSAGE_TIMEOUT", 0.05)
     engine = engine_at(machine, reader.watch)
     heard: Sink = SimpleQueue()
     stream = engine.send(b"1", head, b"SELECT 1", heard.put, LIMIT)
     sock = machine.accept()
     take(sock)
     sock.sendall(messages.encode(b"1", b"200", b"-", PAGE)[:-1])
-    assert heard.get(timeout=LIMIT) == Lost(stream)
+    assert heard.get(timeout=LIMIT) == StreamLost(stream)
     assert take(sock) == []
     until(lambda: not engine._open)
     assert not reader._limits and heard.empty()
 
 
-def test_a_second_answer_reaches_nobody(machine: Machine, reader: Reader) -> None:
+def test_a_second_answer_reaches_nobody(machine: Machine, reader: ConnectionReader) -> None:
     engine = engine_at(machine, reader.watch)
     heard: Sink = SimpleQueue()
     stream = engine.send(b"1", head, b"SELECT 1", heard.put, LIMIT)
@@ -616,7 +622,7 @@
     take(sock)
     say(sock, b"1", b"200", b"-", PAGE)
     assert isinstance(heard.get(timeout=LIMIT), Answer)
-    stream.ended()
+    stream.finish()
     again: Sink = SimpleQueue()
     second = engine.send(b"1", head, b"SELECT 1", again.put, LIMIT)  # the same id, and never here
     assert second.connection is not stream.connection
@@ -628,7 +634,7 @@
     assert heard.empty() and again.empty()
     engine.retire()
     machine.accept().close()
-    assert again.get(timeout=LIMIT) == Lost(second)
+    assert again.get(timeout=LIMIT) == StreamLost(second)
 
 
 def test_a_process_that_returns_at_the_same_address_gets_connections_of_its_own(machine: Machine) -> None:
@@ -645,12 +651,12 @@
     say(before, b"1", b"200", b"-", b"old\tb\tc\n")
     answer = heard.get(timeout=LIMIT)
     assert isinstance(answer, Answer) and answer.stream is old and answer.body == b"old\tb\tc\n"
-    old.ended()
+    old.finish()
     assert take(before) == []  # nothing is out there: it closes
     say(after, b"1", b"200", b"-", PAGE)
     answer = later.get(timeout=LIMIT)
     assert isinstance(answer, Answer) and answer.stream is new and answer.body == PAGE
-    new.ended()
+    new.finish()
     gone(list_, port)
     assert heard.empty() and later.empty()
 
@@ -659,20 +665,20 @@
 
 
 def test_a_write_that_stops_half_way_never_ran(
-    machine: Machine, reader: Reader, monkeypatch: pytest.MonkeyPatch
+    machine: Machine, reader: ConnectionReader, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # was: a request of a class unsafe to repeat was failed, though no engine can have had it whole
-    monkeypatch.setattr(engines, "WRITE_LIMIT", 0.05)
+    monkeypatch.setattr(engines, "WRITE_TIMEOUT", 0.05)
     engine = engine_at(machine, reader.watch)
     heard: Sink = SimpleQueue()
     out = engine.send(b"1", head, b"SELECT 1", heard.put, LIMIT)
     sock = machine.accept()
     big: Sink = SimpleQueue()
-    with pytest.raises(ConnectFailed):
+    with pytest.raises(ConnectError):
         engine.send(b"2", head, b"x" * (1 << 26), big.put, LIMIT)  # more than the buffers take
-    assert heard.get(timeout=LIMIT) == Lost(out)
+    assert heard.get(timeout=LIMIT) == StreamLost(out)
     until(lambda: not engine._open)
-    assert big.empty() and out.connection.streams == out.connection.places == 0
+    assert big.empty() and out.connection.stream_count == out.connection.reserved_count == 0
     assert take(sock)[1] == b"1"
     size = 0
     while data := sock.recv(1 << 20):
@@ -692,7 +698,7 @@
         return real.send(data[:most])
 
     vars(connection)["_sock"] = Hooked(real, send=send)
-    with pytest.raises(engines.Broken):
+    with pytest.raises(engines.ConnectionBrokenError):
         engine.send(b"2", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     connection.ended(EOFError())
 
@@ -701,7 +707,7 @@
     machine: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # was: each byte that was taken gave the write its whole time again
-    monkeypatch.setattr(engines, "WRITE_LIMIT", 0.05)
+    monkeypatch.setattr(engines, "WRITE_TIMEOUT", 0.05)
     engine = engine_at(machine, unread)
     connection, sock = used(engine, machine)
     real = socket_of(connection)
@@ -714,7 +720,7 @@
         return real.send(data[:1])
 
     vars(connection)["_sock"] = Hooked(real, send=send)
-    with pytest.raises(ConnectFailed, match="too little"):
+    with pytest.raises(ConnectError, match="too little"):
         engine.send(b"2", head, b"SELECT 1 FROM a_table_with_a_long_name", SimpleQueue[Any]().put, LIMIT)
     assert len(calls) <= 5
     connection.ended(EOFError())
@@ -732,12 +738,12 @@
     assert send.reached.wait(LIMIT)
     ends = threading.Thread(target=connection.ended, args=(EOFError(),), daemon=True)
     ends.start()
-    until(lambda: not connection.alive)
+    until(lambda: not connection.is_alive)
     assert take(sock) == []  # it is shut
     send.go.set()
-    assert isinstance(sender.end(), ConnectFailed)
+    assert isinstance(sender.end(), ConnectError)
     ends.join(LIMIT)
-    assert heard.empty() and connection.streams == connection.places == 0
+    assert heard.empty() and connection.stream_count == connection.reserved_count == 0
 
 
 def test_a_connection_that_ends_as_the_last_byte_has_left_tells_the_sink_once(machine: Machine) -> None:
@@ -758,12 +764,12 @@
     assert sent.wait(LIMIT)
     ends = threading.Thread(target=connection.ended, args=(EOFError(),), daemon=True)
     ends.start()
-    until(lambda: not connection.alive)
+    until(lambda: not connection.is_alive)
     go.set()
     assert sender.end() is None and sender.stream is not None
-    assert heard.get(timeout=LIMIT) == Lost(sender.stream)
+    assert heard.get(timeout=LIMIT) == StreamLost(sender.stream)
     ends.join(LIMIT)
-    assert heard.empty() and connection.streams == 0 and connection.fileno() == -1
+    assert heard.empty() and connection.stream_count == 0 and connection.fileno() == -1
 
 
 def test_a_connection_discarded_under_a_write_lets_the_writer_go(machine: Machine) -> None:
@@ -771,18 +777,18 @@
     ours, theirs = socket.socketpair()  # with no limit on writes
     connection = Connection(ours, lambda _: None)
     heard: Sink = SimpleQueue()
-    sender = Sender(connection.want, Stream(connection, b"1", heard.put), head, b"x" * (1 << 24))
+    sender = Sender(connection.submit, Stream(connection, b"1", heard.put), head, b"x" * (1 << 24))
     assert theirs.recv(4) == b"*4\r\n"
     discarder = threading.Thread(target=connection.discard, daemon=True)
     discarder.start()
     discarder.join(LIMIT)
     assert not discarder.is_alive()
-    assert isinstance(sender.end(), ConnectFailed)
-    assert connection.fileno() == -1 and connection.streams == 0 and heard.empty()
+    assert isinstance(sender.end(), ConnectError)
+    assert connection.fileno() == -1 and connection.stream_count == 0 and heard.empty()
     theirs.close()
 
 
-def test_a_connection_that_can_not_be_watched_leaves_nothing(machine: Machine, reader: Reader) -> None:
+def test_a_connection_that_can_not_be_watched_leaves_nothing(machine: Machine, reader: ConnectionReader) -> None:
     class Full:
         def register(self, *_: int) -> None:
             raise OSError("no space left")
@@ -792,19 +798,19 @@
     before, watched = descriptors(), dict(reader._watched)
     vars(reader)["_poll"] = Full()
     try:
-        with pytest.raises(ConnectFailed, match="nobody reads"):
+        with pytest.raises(ConnectError, match="nobody reads"):
             engine.send(b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     finally:
         vars(reader)["_poll"] = epoll
     assert descriptors() <= before and reader._watched == watched and engine._open == []
     assert take(machine.accept()) == []
-    engine.send(b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).ended()
+    engine.send(b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).finish()
     engine.retire()
 
 
 def test_a_limit_of_a_connection_that_has_ended_is_not_that_of_the_next_with_its_descriptor() -> None:
     # was: limits of new connections were kept by descriptor, which another may have when they are looked at
-    reader = Reader("test-reader", limited=True)
+    reader = ConnectionReader("test-reader", limited=True)
 
     class Same:
         """A connection whose descriptor is that of the one before."""
@@ -852,14 +858,14 @@
 class Connections(RuleBasedStateMachine):
     """One engine's connections, its processes, and the attempts on them; the reader is the real one."""
 
-    reader = Reader("test-machine-reader")
+    reader = ConnectionReader("test-machine-reader")
 
     @initialize()
     def start(self) -> None:
         self.reader.start()
         self.machine = Machine()
         self.before = descriptors()
-        self.list = Engines(limits(many=2))
+        self.list = EnginePool(limits(many=2))
         vars(self.list)["_reader"] = self.reader
         self.started, self.health = 1.0, api.Health.READY
         self.out: dict[int, Attempt] = {}
@@ -891,7 +897,7 @@
         self.socks = {name: other for name, other in self.socks.items() if other is not sock}
         for call, attempt in list(self.out.items()):
             if attempt.sock is sock:
-                assert attempt.heard.get(timeout=LIMIT) == Lost(attempt.stream)
+                assert attempt.heard.get(timeout=LIMIT) == StreamLost(attempt.stream)
                 self.over.append(attempt.heard)
                 del self.out[call]
 
@@ -905,7 +911,7 @@
         heard: Sink = SimpleQueue()
         try:
             stream = self.list.send(7, b"%d" % call, head, b"SELECT 1", heard.put, LIMIT)
-        except ConnectFailed:
+        except ConnectError:
             assert self.health is not api.Health.READY
             self.over.append(heard)
             return
@@ -921,7 +927,7 @@
     def withdraw(self, call: int) -> None:
         if call not in self.out:
             heard: Sink = SimpleQueue()
-            with pytest.raises((Withdrawn, ConnectFailed)):
+            with pytest.raises((AttemptWithdrawnError, ConnectError)):
                 self.list.send(7, b"%d" % call, no_head, b"SELECT 1", heard.put, LIMIT)
             self.over.append(heard)
 
@@ -935,22 +941,22 @@
         if not self.out:
             return
         attempt = self.attempt(data)
-        whole = messages.encode(attempt.stream.call, b"200", b"sheets=1", PAGE)
+        whole = messages.encode(attempt.stream.request_id, b"200", b"sheets=1", PAGE)
         others = [a for a in self.out.values() if a.sock is attempt.sock and a.half]
         if others:  # one that has begun comes first
-            self.out[int(attempt.stream.call)] = attempt
-            attempt = self.out.pop(int(others[0].stream.call))
+            self.out[int(attempt.stream.request_id)] = attempt
+            attempt = self.out.pop(int(others[0].stream.request_id))
             whole, attempt.half = attempt.half, b""
         elif attempt.half:
             whole, attempt.half = attempt.half, b""
         attempt.sock.sendall(whole)
         got = attempt.heard.get(timeout=LIMIT)
         assert isinstance(got, Answer) and got.stream is attempt.stream and got.body == PAGE
-        attempt.stream.ended()
+        attempt.stream.finish()
         self.over.append(attempt.heard)
-        if twice and attempt.stream.connection.alive:
+        if twice and attempt.stream.connection.is_alive:
             try:
-                say(attempt.sock, attempt.stream.call, b"200", b"sheets=1", PAGE)
+                say(attempt.sock, attempt.stream.request_id, b"200", b"sheets=1", PAGE)
             except OSError:  # retired, and closed with its last attempt
                 self.lose(attempt.sock)
 
@@ -958,18 +964,18 @@
     @rule(data=st.data(), cut=st.integers(1, 30))
     def begin_an_answer(self, data: Any, cut: int) -> None:
         attempt = self.attempt(data)
-        self.out[int(attempt.stream.call)] = attempt
+        self.out[int(attempt.stream.request_id)] = attempt
         if not any(a.half for a in self.out.values() if a.sock is attempt.sock):
-            whole = messages.encode(attempt.stream.call, b"200", b"sheets=1", PAGE)
+            whole = messages.encode(attempt.stream.request_id, b"200", b"sheets=1", PAGE)
             attempt.sock.sendall(whole[:cut])
             attempt.half = whole[cut:]
 
     @precondition(lambda self: self.out)
-    @rule(data=st.data(), word=st.sampled_from([Stream.never_mind, Stream.shut]))
+    @rule(data=st.data(), word=st.sampled_from([Stream.cancel, Stream.close_result]))
     def give_up(self, data: Any, word: Callable[[Stream], None]) -> None:
         attempt = self.attempt(data)
         if attempt.half:  # a message without its end would end the connection later, by the clock
-            self.out[int(attempt.stream.call)] = attempt
+            self.out[int(attempt.stream.request_id)] = attempt
             return
         word(attempt.stream)
         self.over.append(attempt.heard)
@@ -978,7 +984,7 @@
     @rule(data=st.data())
     def spoil(self, data: Any) -> None:
         attempt = self.attempt(data)
-        attempt.stream.spoilt()
+        attempt.stream.fail_connection()
         self.over.append(attempt.heard)
         self.lose(attempt.sock)
 
@@ -988,7 +994,7 @@
         """An answer to an attempt that is over."""
         sock, call = data.draw(st.sampled_from(self.had))
         here = [attempt for attempt in self.out.values() if attempt.sock is sock]
-        if sock.fileno() < 0 or any(attempt.half or attempt.stream.call == b"%d" % call for attempt in here):
+        if sock.fileno() < 0 or any(attempt.half or attempt.stream.request_id == b"%d" % call for attempt in here):
             return
         try:
             say(sock, b"%d" % call, b"200", b"sheets=1", PAGE)
@@ -1029,8 +1035,8 @@
         if not hasattr(self, "engines"):
             return
         held = [c for engine in self.engines for c in list(engine._open)]
-        assert sum(c.places for c in held) == 0
-        assert sum(c.streams for c in held) == len(self.out)
+        assert sum(c.reserved_count for c in held) == 0
+        assert sum(c.stream_count for c in held) == len(self.out)
 
     def teardown(self) -> None:
         if not hasattr(self, "engines"):
@@ -1038,7 +1044,7 @@
         self.health = api.Health.GONE
         self.update()  # what is unused closes; the rest with its last attempt
         for attempt in list(self.out.values()):
-            attempt.stream.never_mind()
+            attempt.stream.cancel()
             self.over.append(attempt.heard)
         until(lambda: not any(engine._open for engine in self.engines))
         until(lambda: not self.reader._watched and not self.reader._limits)
@@ -1054,7 +1060,7 @@
 
 
 def test_any_order_of_ends_gives_each_attempt_one_end_and_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engines, "MESSAGE_LIMIT", LIMIT)
+    monkeypatch.setattr(engines, "MESSAGE_TIMEOUT", LIMIT)
     run_state_machine_as_test(
         Connections,
         settings=settings(
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -19,10 +19,10 @@
 
 import pytest
 
-from tealwing.admin.server import THREADS, Admin
+from tealwing.admin.server import THREADS, AdminServer
 from tealwing.lab.standins import coordinator as standins
 from tealwing.mysql import packets
-from tealwing.resp.engine import ConnectFailed
+from tealwing.resp.engine import ConnectError
 from tests.peers import LIMIT, Client, member, request, say
 from tests.test_departures import PAGE, Rig, name_of, wait
 from tests.test_watch import make
@@ -238,7 +238,7 @@
 
     def hold(*_: Any) -> None:
         held.wait(LIMIT)
-        raise ConnectFailed("it was held up")
+        raise ConnectError("it was held up")
 
     monkeypatch.setattr(rig.engines, "send", hold)
     client = Client(rig.server.address)
@@ -291,7 +291,7 @@
             for number in range(2, 6):
                 coordinator.tell([member(f"s-{number}", "127.0.0.1:1")])
                 wait(lambda: daemon._follower.index == number)  # noqa: B023
-        assert len(daemon.listed) == 5
+        assert len(daemon.engine_list) == 5
         assert fault.failed or method in ("getsockopt", "connect_ex", "sendall")
         coordinator.stop()
 
@@ -301,7 +301,7 @@
 def test_the_operators_address_answers_after_calls_that_fail(
     method: str, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    admin = Admin(("127.0.0.1", 0), lambda: True, lambda: b"app.active:0|g\n")
+    admin = AdminServer(("127.0.0.1", 0), lambda: True, lambda: b"app.active:0|g\n")
     faults = [NthCall(nth, code, {"admin"}) for nth in range(1, THREADS + 3)]  # more than it has threads
     with monkeypatch.context() as context:
         for fault in faults:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 
 from tealwing import interface as api
 from tealwing.coordinator.backoff import Backoff
-from tealwing.coordinator.follower import Follower
+from tealwing.coordinator.watch import WatchClient
 from tealwing.lab import arrivals, site, worth
 from tealwing.lab.harness import Books, Deployment
 from tealwing.lab.worth import Worth
@@ -108,7 +108,7 @@
     backoff = Backoff(0.1, 1.5, 7)
     waits = [backoff.next() for _ in range(200)]
     assert all(0.1 <= wait <= 1.5 for wait in waits) and max(waits) > 1.0
-    backoff.heard()
+    backoff.reset()
     assert backoff.next() <= 0.3
 
 
@@ -120,7 +120,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # a connect alone is not news: a coordinator that accepts and closes was asked three times a second for ever
-    follower = Follower(("127.0.0.1", 9), 3, site.settings(), lambda update: None)
+    follower = WatchClient(("127.0.0.1", 9), 3, site.settings(), lambda update: None)
     waits: list[float] = []
 
     def wait(seconds: float) -> bool:
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -172,23 +172,25 @@
 
 def zones_of(daemon: Daemon, call: int, group: int) -> frozenset[int] | None:
     life = daemon.open(query(call, group))
-    found = life._request().zones
+    found = life._to_request().zones
     life.cancel()
     life.run()
     return found
 
 
 def test_a_table_alone_builds_no_module_and_binds_new_requests(daemon: Daemon) -> None:
-    module, platform = daemon._decisions.module, daemon.platform
+    module, platform = daemon._decisions.module, daemon.platform_settings
     z, y = platform.zones.index("z"), platform.zones.index("y")
     assert zones_of(daemon, 1, 3) is None
     daemon.put_in_force(None, Table.of([Route(0, 9, ("z", "y"))]), None, 1)
     before = daemon.open(query(2, 3))
     daemon.put_in_force(dataclasses.replace(platform), Table.of([Route(0, 9, ("y", "z"))]), None, 2)
-    assert daemon._decisions.module is module and daemon.agreed == 2  # nothing learnt is lost
-    assert before._request().zones == frozenset((z,))  # and so for its retries
+    assert daemon._decisions.module is module and daemon.agreed_version == 2  # nothing learnt is lost
+    assert before._to_request().zones == frozenset((z,))  # and so for its retries
     assert zones_of(daemon, 3, 3) == frozenset((y,)) and zones_of(daemon, 4, 30) is None
-    down = tuple(dataclasses.replace(e, health=api.Health.DRAINING) for e in daemon._decisions.listed if e.zone == y)
+    down = tuple(
+        dataclasses.replace(e, health=api.Health.DRAINING) for e in daemon._decisions.engine_list if e.zone == y
+    )
     daemon._decisions.submit(api.EngineList(api.EngineListKind.DELTA, 2, down))
     assert zones_of(daemon, 5, 3) == frozenset((z,))
     daemon.put_in_force(None, None, None, 3)
@@ -196,7 +198,7 @@
 
 
 def test_open_requests_end_under_their_version_and_its_last_lets_it_go(daemon: Daemon) -> None:
-    old, told, module = daemon.platform, list[api.Settings](), daemon._decisions.module
+    old, told, module = daemon.platform_settings, list[api.Settings](), daemon._decisions.module
     daemon.on_settings = told.append
     classes = tuple(dataclasses.replace(cls, latency_objective=cls.latency_objective / 2) for cls in old.classes)
     new = dataclasses.replace(old, classes=classes)
@@ -207,10 +209,10 @@
         daemon.open(query(2), old)
     assert caught.value.settings is new
     versions = daemon._decisions._versions
-    assert versions.at(0) is module and life._request().zones is None
+    assert versions.module_at(0) is module and life._to_request().zones is None
     life.cancel()
     life.run()
-    assert versions.at(0) is None and not versions._older
+    assert versions.module_at(0) is None and not versions._older
     daemon.put_in_force(new, None, None, 2)
     assert daemon._decisions.settings is new and len(told) == 1
 
@@ -220,7 +222,7 @@
 ) -> None:
     told: list[tuple[str, dict[str, Any]]] = []
     monkeypatch.setattr(log, "event", lambda name, **fields: told.append((name, fields)))
-    few = server.Server(("127.0.0.1", 0), 2, daemon.platform, daemon.open)
+    few = server.Server(("127.0.0.1", 0), 2, daemon.platform_settings, daemon.open)
     daemon.on_settings = lambda settings: setattr(few, "settings", settings)
     path = Path(os.environ["LB_CONFIG"])
     given = json.loads(path.read_text())
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -10,15 +10,15 @@
 
 import pytest
 
+from tealwing.connection_reader import ConnectionReader
 from tealwing.coordinator import updates
-from tealwing.coordinator.follower import Follower
+from tealwing.coordinator.watch import WatchClient
 from tealwing.exchange import Cancelled, Query, Rejected
-from tealwing.gateway import life
+from tealwing.gateway import request_handler
 from tealwing.gateway.decisions import Decisions
 from tealwing.policy import Gateway
-from tealwing.reader import Reader
 from tealwing.resp import engine, messages
-from tealwing.resp.engines import Engines
+from tealwing.resp.engine_pool import EnginePool
 from tests.build import entry, listing, make_settings
 from tests.peers import LIMIT
 
@@ -28,10 +28,10 @@
 def test_a_send_overtaken_by_a_kill_gets_its_outcome() -> None:
     # guards the module's books: a send that nobody carried out counted as out at its engine for ever
     settings = make_settings()
-    engines = Engines(settings.limits)
+    engines = EnginePool(settings.limits)
     decisions = Decisions(settings, 1, engines)
     decisions.submit(listing(entry(7)))
-    given_up = life.Life(Query(b"1" * 16, 0, 0, 5.0, b"SELECT 1"), settings, decisions, engines)
+    given_up = request_handler.RequestHandler(Query(b"1" * 16, 0, 0, 5.0, b"SELECT 1"), settings, decisions, engines)
     given_up.cancel()  # before the request has met the module
     assert isinstance(given_up.run(), Cancelled)
     module = decisions.module
@@ -42,12 +42,12 @@
 def test_events_come_once_and_in_turn() -> None:
     # guards the engine list: a repeat must not undo later updates, and a gap must be asked for again
     told: list[int] = []
-    follower = Follower(("127.0.0.1", 1), 4, make_settings(), lambda update: told.append(update.index))
+    follower = WatchClient(("127.0.0.1", 1), 4, make_settings(), lambda update: told.append(update.index))
     for index in (4, 5, 5, 6):
-        follower.take(updates.Update(index, index, False, ()))
-    follower.take(6)  # the last number alone
+        follower.apply(updates.Update(index, index, False, ()))
+    follower.apply(6)  # the last number alone
     try:
-        follower.take(updates.Update(8, 8, False, ()))
+        follower.apply(updates.Update(8, 8, False, ()))
         raise AssertionError("a gap was taken")
     except updates.UpdateError:
         assert told == [5, 6] and follower.index == 6
@@ -55,9 +55,9 @@
 
 def test_a_last_number_ahead_of_us_asks_again() -> None:
     # seen on the bench: after SIGHUP a drain was not heard of for 5 s, and five requests went to that engine
-    follower = Follower(("127.0.0.1", 1), 4, make_settings(), lambda update: None)
+    follower = WatchClient(("127.0.0.1", 1), 4, make_settings(), lambda update: None)
     with pytest.raises(updates.UpdateError):
-        follower.take(5)
+        follower.apply(5)
 
 
 def test_updates_that_fail_are_asked_for_again() -> None:
@@ -71,7 +71,7 @@
         if heard.qsize() == 1:
             raise ZeroDivisionError
 
-    Follower(listener.getsockname(), 4, make_settings(), tell).start()
+    WatchClient(listener.getsockname(), 4, make_settings(), tell).start()
     for _ in range(2):
         sock, _ = listener.accept()
         with sock:
@@ -83,12 +83,12 @@
 
 def test_a_busy_connection_is_not_taken_for_a_stalled_one(monkeypatch: pytest.MonkeyPatch) -> None:
     # seen under load: where each read ends within a message, all of them were taken for one that is late
-    monkeypatch.setattr(engine, "MESSAGE_LIMIT", 1.0)
+    monkeypatch.setattr(engine, "MESSAGE_TIMEOUT", 1.0)
     ours, theirs = socket.socketpair()
     heard: queue.SimpleQueue[object] = queue.SimpleQueue()
     connection = engine.Connection(ours, lambda _: None)
-    Reader().watch(connection)
-    connection.want(engine.Stream(connection, b"1", heard.put), lambda: b"-", b"SELECT 1")
+    ConnectionReader().watch(connection)
+    connection.submit(engine.Stream(connection, b"1", heard.put), lambda: b"-", b"SELECT 1")
     note = messages.encode(b"1", b"status", b"-", b"")
     theirs.sendall(note + note[:9])
     for _ in range(5):
@@ -97,14 +97,14 @@
         theirs.sendall(note[9:] + note[:9])
     theirs.close()
     assert isinstance(heard.get(timeout=LIMIT), engine.Answer)
-    assert isinstance(heard.get(timeout=LIMIT), engine.Lost)
+    assert isinstance(heard.get(timeout=LIMIT), engine.StreamLost)
 
 
 def test_one_unusable_member_does_not_hide_the_others() -> None:
     # guards a new kind of machine: one that the settings do not name must not blind the gateway to the rest
     member = {"id": "s-1", "host_port": "127.0.0.1:1", "locality": "a", "flavor": "big", "phase": "up"}
     data = {"index": 2, "endpoints": {"complete": False, "members": [member | {"flavor": "new"}, member]}}
-    got = updates.update(data, make_settings())
+    got = updates.parse_update(data, make_settings())
     assert [m.name for m in got.members] == ["s-1"] and len(got.unusable) == 1
 
 
@@ -131,14 +131,14 @@
             del needs[unit]
 
 
-@pytest.mark.parametrize("ttl", [0.001, 0.02, life.TIME_KEPT])
+@pytest.mark.parametrize("ttl", [0.001, 0.02, request_handler.RESERVED_TIME])
 def test_a_ttl_within_the_time_kept_is_refused_without_a_send(ttl: float) -> None:
     # guards late tries with a few milliseconds left: sent on, they were answered after their client had gone
     settings = make_settings()
-    engines = Engines(settings.limits)
+    engines = EnginePool(settings.limits)
     decisions = Decisions(settings, 1, engines)
     decisions.submit(listing(entry(7)))
-    late = life.Life(Query(b"1" * 16, 0, 0, ttl, b"SELECT 1"), settings, decisions, engines)
+    late = request_handler.RequestHandler(Query(b"1" * 16, 0, 0, ttl, b"SELECT 1"), settings, decisions, engines)
     assert isinstance(late.run(), Rejected)
     module = decisions.module
     assert isinstance(module, Gateway)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -15,14 +15,14 @@
 from hypothesis import strategies as st
 
 from tealwing import interface as api
-from tealwing.admin import figures, http
-from tealwing.admin.server import THREADS, Admin
+from tealwing.admin import http, metrics
+from tealwing.admin.server import THREADS, AdminServer
 from tealwing.config import ConfigError, load
 from tealwing.exchange import InvalidRequestError
 from tealwing.gateway.decisions import Decisions
 from tealwing.mysql import packets, server
 from tealwing.policy import Gateway
-from tealwing.resp.engines import Engines
+from tealwing.resp.engine_pool import EnginePool
 from tests.build import entry, listing, make_settings
 from tests.peers import GRADE, LIMIT, SETTINGS, Client, event, member, request, say
 from tests.test_program import PAGE, Site
@@ -48,31 +48,31 @@
 def test_a_head_is_whole_only_at_its_blank_line() -> None:
     assert http.end_of_head(GET[:-1]) == 0
     assert http.end_of_head(GET + b"rest") == len(GET)
-    assert http.call(GET) == http.Call("GET", "/ops/readiness")
-    with pytest.raises(http.BadRequest):
-        http.end_of_head(b"G" * (http.MOST_HEAD + 1))
+    assert http.parse_request(GET) == http.HttpRequest("GET", "/ops/readiness")
+    with pytest.raises(http.BadRequestError):
+        http.end_of_head(b"G" * (http.MAX_HEAD_BYTES + 1))
 
 
 @settings(derandomize=True, max_examples=300)
 @given(st.binary(max_size=200))
 def test_garbage_is_a_bad_request_never_a_crash(data: bytes) -> None:
     try:
-        found = http.call(data)
-    except http.BadRequest:
+        found = http.parse_request(data)
+    except http.BadRequestError:
         return
     assert found.path.startswith("/")
 
 
 @pytest.fixture
-def admin() -> Admin:
-    counts = figures.Figures(["lookup"])
+def admin() -> AdminServer:
+    counts = metrics.Metrics(["lookup"])
     counts.gauges = lambda: {"active": 2}
-    admin = Admin(("127.0.0.1", 0), lambda: True, counts.lines)
+    admin = AdminServer(("127.0.0.1", 0), lambda: True, counts.statsd_lines)
     admin.start()
     return admin
 
 
-def test_each_call_and_each_wrong_one_has_its_answer(admin: Admin) -> None:
+def test_each_call_and_each_wrong_one_has_its_answer(admin: AdminServer) -> None:
     assert status(ask(admin.address, GET)) == 200
     stats = ask(admin.address, b"GET /ops/stats HTTP/1.1\r\n\r\n").split(b"\r\n\r\n", 1)[1]
     assert b"app.ok.lookup:0|c\n" in stats and b"app.active:2|g\n" in stats
@@ -82,7 +82,7 @@
     assert status(ask(admin.address, b"GET /ops/stats HTTP/1.1\r\n" + b"x" * 9000)) == 400
 
 
-def test_silent_callers_leave_room_for_a_readiness_call(admin: Admin) -> None:
+def test_silent_callers_leave_room_for_a_readiness_call(admin: AdminServer) -> None:
     silent = [socket.create_connection(admin.address, LIMIT) for _ in range(THREADS + 2)]
     silent[0].sendall(b"GET /ops/rea")  # half a line
     assert status(ask(admin.address, GET)) == 200
@@ -93,12 +93,12 @@
 
 
 def test_counts_of_a_dropped_class_leave_with_it() -> None:
-    counts = figures.Figures(["lookup", "report"])
-    counts.count(figures.OK, "report", 5)
-    counts.keep(["lookup", "claim"])
-    counts.count(figures.OK, "report")
-    counts.configured(True)
-    lines = counts.lines().decode().splitlines()
+    counts = metrics.Metrics(["lookup", "report"])
+    counts.count(metrics.OK, "report", 5)
+    counts.set_classes(["lookup", "claim"])
+    counts.count(metrics.OK, "report")
+    counts.count_configuration(True)
+    lines = counts.statsd_lines().decode().splitlines()
     assert "app.ok.claim:0|c" in lines and not any(".report:" in line for line in lines)
     assert "app.config_applied:1|c" in lines
 
@@ -185,7 +185,10 @@
         family = SETTINGS["FamilyInfo"] | {"WidthByClass": [1, 1]}
         changed = SETTINGS | {"Grades": grades, "FamilyInfo": family}
         site.program.reload(json.dumps(site.program.config | {"settings": changed}))
-        assert site.program.wait_for("settings_changed")["classes"] == {"lookup": "SAFE", "claim": "UNSAFE"}
+        assert site.program.wait_for("settings_changed")["classes"] == {
+            "lookup": "IDEMPOTENT",
+            "claim": "NOT_IDEMPOTENT",
+        }
         other = site.client()
         other.ask(op="claim", call="00000000000000b2")
         claim, asked = site.engine.next(b"want")
@@ -249,15 +252,15 @@
 def test_events_of_a_request_reach_the_module_of_its_settings_to_the_end() -> None:
     # guards the outcome of a send that the end overtook: it came after leave, and went to the new module
     old, new = make_settings(), make_settings()
-    decisions = Decisions(old, 1, Engines(old.limits))
+    decisions = Decisions(old, 1, EnginePool(old.limits))
     decisions.submit(listing(entry(7)))
     recorder = Recorder()
-    decisions.change(lambda module, now: recorder)
-    number = decisions.enter(b"a" * 16, SimpleQueue(), old)
-    assert decisions.renew(new) == 1 and decisions.settings is new
+    decisions.change_module(lambda module, now: recorder)
+    number = decisions.register(b"a" * 16, SimpleQueue(), old)
+    assert decisions.replace_settings(new) == 1 and decisions.settings is new
     with pytest.raises(InvalidRequestError):  # read under settings of which no module is left
-        decisions.enter(b"b" * 16, SimpleQueue(), make_settings())
-    decisions.leave(number, b"a" * 16)
+        decisions.register(b"b" * 16, SimpleQueue(), make_settings())
+    decisions.unregister(number, b"a" * 16)
     late = api.AttemptOutcome(number, 0, 7, api.AttemptResult.NOT_SENT, 0.0, True)
     decisions.submit(late, api.EngineList(api.EngineListKind.DELTA, 2, (entry(8),)))
     assert recorder.heard[-2:] == [late, api.EngineList(api.EngineListKind.DELTA, 2, (entry(8),))]
--- a/tests/test_overdue.py
+++ b/tests/test_overdue.py
@@ -34,7 +34,7 @@
     deadline = overdue.AnswerDeadline()
     deadline.begin(5.0)
     deadline.begin(9.0)  # read anew under other settings: the first moment holds
-    over = 5.0 + overdue.OWN_THREAD_FIRST
+    over = 5.0 + overdue.OWN_THREAD_GRACE
     assert not deadline.claim_overdue(over - 0.01)
     assert deadline.claim_overdue(over) and not deadline.claim_overdue(6.0)
     assert not deadline.claim()  # its thread comes late
@@ -116,7 +116,7 @@
         (Engine, "send"),
         (Engine, "_reserve"),
         (Engine, "_connect"),
-        (Connection, "want"),
+        (Connection, "submit"),
         (Connection, "_write"),
     ],
 )
@@ -219,7 +219,7 @@
     sock, call = single.sent(1)
     whole = packets.packet(0, b"\x03" + request(call=name_of(2), ttl=SHORT_MS))
     client.sock.sendall(whole[:-5])
-    time.sleep(2 * server.LOOK + SHORT_MS / 1e3)
+    time.sleep(2 * server.TIME_LIMIT_CHECK_INTERVAL + SHORT_MS / 1e3)
     client.sock.setblocking(False)
     with pytest.raises(BlockingIOError):
         client.sock.recv(1)
@@ -232,7 +232,7 @@
 
 Stretch = Callable[[Rig, pytest.MonkeyPatch], Any]
 WAITS: dict[str, tuple[Any, str]] = {
-    "connect": (Engine, "_connect"), "place": (Engine, "_reserve"), "send": (Connection, "want"),
+    "connect": (Engine, "_connect"), "place": (Engine, "_reserve"), "send": (Connection, "submit"),
 }  # fmt: skip
 
 
@@ -267,7 +267,7 @@
         if locked:
             rig.decisions._lock.release()
         go.set()
-        wait(lambda: rig.decisions.open == 0)
+        wait(lambda: rig.decisions.open_requests == 0)
         for client in clients:  # and no second one
             client.sock.settimeout(0.05)
             with suppress(TimeoutError):
@@ -282,7 +282,7 @@
     client = rig.client()
     for number in range(1, 4):
         rig.serve(client, number)
-    time.sleep(2 * server.LOOK)
+    time.sleep(2 * server.TIME_LIMIT_CHECK_INTERVAL)
     rig.serve(client, 9)
     assert rig.count(api.ClientGone) == 0
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -63,7 +63,7 @@
 
 @given(st.lists(st.binary(min_size=1, max_size=60).map(lambda raw: raw.hex().encode()), max_size=6), cuts)
 def test_coordinator_lines_survive_any_cut(lines: list[bytes], at: list[int]) -> None:
-    assert cut(updates.Lines(), b"".join(line + b"\n" for line in lines), at) == lines
+    assert cut(updates.LineParser(), b"".join(line + b"\n" for line in lines), at) == lines
 
 
 @given(garbage, cuts)
@@ -91,12 +91,12 @@
 @example(b'{"index":1,"endpoints":{"complete":true,"members":[{"id":7}]}}')
 def test_garbage_is_no_update(data: bytes) -> None:
     with contextlib.suppress(updates.UpdateError):
-        updates.line(data, make_settings())
+        updates.parse_line(data, make_settings())
 
 
 def test_an_oversized_message_is_refused_before_its_bytes_come() -> None:
     # guards the memory: clients could else make the gateway keep megabytes each
-    parser, most = packets.Parser(), packets.MOST_MESSAGE
+    parser, most = packets.Parser(), packets.MAX_MESSAGE_BYTES
     parser.feed(packets.packet(0, b"x" * most))
     assert parser.next() == (0, b"x" * most)
     parser.feed((most + 1).to_bytes(3, "little") + b"\0")
@@ -113,7 +113,7 @@
 
 
 def test_a_request_keeps_its_fields_and_its_statement() -> None:
-    got = statements.query(b"/* " + GOOD + b" */ INSERT INTO a_5.t SELECT '\xff'", SETTINGS)
+    got = statements.parse_query(b"/* " + GOOD + b" */ INSERT INTO a_5.t SELECT '\xff'", SETTINGS)
     assert (got.request_id, got.cls, got.tenant, got.ttl) == (b"9b1f03aa5c7e2d41", 1, 1, 1.5)
     assert (got.idempotency_key, got.cost, got.memory_estimate, got.tables) == (b"5c0f", 0.8205, 96.0, 5)
     assert got.statement == b"INSERT INTO a_5.t SELECT '\xff'"
@@ -144,15 +144,15 @@
 )
 def test_fields_that_cant_be_used_are_named(old: str, new: str) -> None:
     with pytest.raises(statements.FieldError):
-        statements.query(b"/* " + GOOD.decode().replace(old, new).encode() + b" */ SELECT 1", SETTINGS)
+        statements.parse_query(b"/* " + GOOD.decode().replace(old, new).encode() + b" */ SELECT 1", SETTINGS)
 
 
 @given(garbage)
 def test_garbage_is_no_request(data: bytes) -> None:
     for text in (data, b"/*" + data, b"/* " + GOOD + b" */" + data):
         with contextlib.suppress(statements.FieldError):
-            statements.query(text, SETTINGS)
-    statements.tables(data)
+            statements.parse_query(text, SETTINGS)
+    statements.table_group(data)
 
 
 @pytest.mark.parametrize(
@@ -171,14 +171,14 @@
     ],
 )
 def test_the_group_of_tables(text: str, group: int) -> None:
-    assert statements.tables(text.encode()) == group
+    assert statements.table_group(text.encode()) == group
 
 
 def test_kill_is_known_in_any_case() -> None:
-    assert statements.kill(b"kill query 12") == statements.Kill(12, True)
-    assert statements.kill(b" KILL CONNECTION 7 ;") == statements.Kill(7, False)
-    assert statements.kill(b"KILL 7") == statements.Kill(7, False)
-    assert statements.kill(b"SELECT 'KILL 7'") is None
+    assert statements.parse_kill(b"kill query 12") == statements.Kill(12, True)
+    assert statements.parse_kill(b" KILL CONNECTION 7 ;") == statements.Kill(7, False)
+    assert statements.parse_kill(b"KILL 7") == statements.Kill(7, False)
+    assert statements.parse_kill(b"SELECT 'KILL 7'") is None
 
 
 @given(st.lists(st.lists(st.binary(max_size=400), min_size=3, max_size=3), max_size=5))
@@ -204,8 +204,8 @@
     # guards numbers by arrival: two gateways would mean different engines by the same number
     member = {"id": "s-1", "host_port": "127.0.0.1:1", "locality": "a", "flavor": "big", "phase": "up"}
     data = {"index": 1, "endpoints": {"complete": True, "members": [member, member | {"id": "s-2"}]}}
-    one, two = updates.update(data, make_settings()).members
+    one, two = updates.parse_update(data, make_settings()).members
     data["endpoints"]["members"].reverse()  # type: ignore[index]
-    line = updates.line(orjson.dumps(data), make_settings())
+    line = updates.parse_line(orjson.dumps(data), make_settings())
     assert isinstance(line, updates.Update) and line.members == (two, one)
     assert one.entry.engine != two.entry.engine
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -117,8 +117,8 @@
         def cancel(self) -> None:
             raise AssertionError(Cancelled)
 
-    many = server.Server(("127.0.0.1", 0), 100, make_settings(), lambda query, settings: Held(), most_threads=30)
-    monkeypatch.setattr(statements, "query", reading(LIMIT))
+    many = server.Server(("127.0.0.1", 0), 100, make_settings(), lambda query, settings: Held(), max_threads=30)
+    monkeypatch.setattr(statements, "parse_query", reading(LIMIT))
     many.start()
     clients = [Client(many.address) for _ in range(60)]
     for client in clients:
@@ -152,7 +152,7 @@
         return real(self)
 
     monkeypatch.setattr(server.Server, "_start_thread", start)
-    few = server.Server(("127.0.0.1", 0), 8, make_settings(), refuse, most_threads=3)
+    few = server.Server(("127.0.0.1", 0), 8, make_settings(), refuse, max_threads=3)
     few.start()
     clients = [socket.create_connection(few.address, LIMIT) for _ in range(3)]
     for client in clients:
@@ -180,14 +180,16 @@
         def cancel(self) -> None:
             raise AssertionError(Cancelled)
 
-    one = server.Server(("127.0.0.1", 0), 8, make_settings(), lambda query, settings: Slow(query), most_threads=1)
-    monkeypatch.setattr(statements, "query", reading(0.4))
+    one = server.Server(("127.0.0.1", 0), 8, make_settings(), lambda query, settings: Slow(query), max_threads=1)
+    monkeypatch.setattr(statements, "parse_query", reading(0.4))
     monkeypatch.setattr(server.Server, "_answer_overdue", lambda *_: None)  # nor does who watches come to it
     one.start()
     first, second = Client(one.address), Client(one.address)
     ping(second)
     until = time.monotonic() + LIMIT
-    while one._short:  # the thread has not seen yet that nobody waits for it: what comes now would count as late
+    while (
+        one._is_short_of_descriptors
+    ):  # the thread has not seen yet that nobody waits for it: what comes now would count as late
         assert time.monotonic() < until
         time.sleep(0.001)
     first.ask()
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -20,16 +20,16 @@
 from tealwing.config import Config, ConfigError, load
 from tealwing.exchange import Query
 from tealwing.fleet.peering import Peering
-from tealwing.gateway import standing, versions
+from tealwing.gateway import module_versions, service_levels
 from tealwing.gateway.daemon import Daemon
 from tealwing.gateway.decisions import Decisions
-from tealwing.gateway.life import Life
-from tealwing.gateway.vitals import Vitals
+from tealwing.gateway.host_load import HostLoadMonitor
+from tealwing.gateway.request_handler import RequestHandler
 from tealwing.gossip.transport import Link
 from tealwing.mysql.server import Server
 from tealwing.policy import Gateway
-from tealwing.resp.engines import Engines
-from tealwing.service import renew
+from tealwing.resp.engine_pool import EnginePool
+from tealwing.service import apply_settings
 from tests import sites
 from tests.build import delta, entry, listing, make_settings, request_class
 from tests.peers import LIMIT, Client, Coordinator, Program
@@ -278,8 +278,8 @@
         self.before_open: list[dict[str, Any]] = []  # settings that come into force as a request has been read
         first = self._load(text)
         self.daemon = Daemon(first)
-        self.server = Server(first.listen, first.most_clients, first.settings, self._open, None, first.most_threads)
-        self.daemon.on_settings = lambda settings: renew(self.server, first, settings)
+        self.server = Server(first.listen, first.max_clients, first.settings, self._open, None, first.max_threads)
+        self.daemon.on_settings = lambda settings: apply_settings(self.server, first, settings)
         self.daemon.start()
         self.server.start()
 
@@ -287,7 +287,7 @@
         self.daemon.reconfigure(self._load(text))
 
     def module(self) -> Gateway:
-        found = standing.behind(self.daemon._decisions.module)
+        found = service_levels.innermost_module(self.daemon._decisions.module)
         assert found is not None
         return found
 
@@ -298,7 +298,7 @@
     def _load(self, text: dict[str, Any]) -> Config:
         return load({"LB_CONFIG": str(sites.configuration(self.folder, text, self.members))})
 
-    def _open(self, query: Query, settings: api.Settings) -> Life:
+    def _open(self, query: Query, settings: api.Settings) -> RequestHandler:
         if self.before_open:
             self.change(self.before_open.pop())
         return self.daemon.open(query, settings)
@@ -389,7 +389,7 @@
                 heard.append((cls, tenant, round(event.memory_estimate), round((event.cost or 0) * 1e3)))
             return super().handle(now, event)
 
-    monkeypatch.setattr(versions, "Gateway", Noted)
+    monkeypatch.setattr(module_versions, "Gateway", Noted)
     family = gauge.text["FamilyInfo"]
     turned = {name: list(reversed(family[name])) for name in ("WidthByClass", "ClassWaits", "HoldsTables")}
     other = gauge.text | {
@@ -552,14 +552,14 @@
     for _ in range(COLD_ASKED):
         mailbox: SimpleQueue[Any] = SimpleQueue()
         call = b"%016x" % next(CALLS)
-        number = decisions.enter(call, mailbox, settings)
+        number = decisions.register(call, mailbox, settings)
         decisions.submit(api.Request(number, cls, settings.classes[cls].deadline, 1.0, None, 0, 0, 0.0))
         while not mailbox.empty():
             action = mailbox.get()
             if isinstance(action, api.Send):
                 count += 1
                 decisions.submit(api.AttemptOutcome(number, 0, action.engine, api.AttemptResult.OK, usual, True))
-        decisions.leave(number, call)
+        decisions.unregister(number, call)
         decisions.forget(number)
     return count
 
@@ -569,13 +569,13 @@
     # guards the fail-back rule: after SIGHUP each gateway's new module would send its whole share once more
     first = sites.read(sites.settings(GAUGE, Siblings=1))
     second = sites.read(sites.settings(GAUGE, Siblings=1, TickNs=6 * sites.MS))
-    decisions = Decisions(first, 1, Engines(first.limits))
+    decisions = Decisions(first, 1, EnginePool(first.limits))
     if held:
-        decisions.enter(b"a" * 16, SimpleQueue(), first)  # the first module stays
+        decisions.register(b"a" * 16, SimpleQueue(), first)  # the first module stays
     decisions.submit(listing(entry(7, started=time.time())))
     before = sent(decisions, first)
     assert 0 < before < COLD_ASKED  # the budget binds
-    decisions.renew(second)
+    decisions.replace_settings(second)
     assert sent(decisions, second) <= 1  # the budget grows a little meanwhile
     decisions.submit(delta(entry(8, started=time.time())))  # it starts while there are two modules, or one
     assert sent(decisions, second) in range(before - 1, before + 2)
@@ -586,15 +586,15 @@
 def test_a_cold_engine_has_one_budget_over_many_changes_in_quick_succession(gateways: int) -> None:
     # new configurations come in series, inside the window of an engine's slow start
     settings = [sites.read(sites.settings(GAUGE, Siblings=gateways, TickNs=tick * sites.MS)) for tick in range(5, 25)]
-    once = Decisions(settings[0], 1, Engines(settings[0].limits))
+    once = Decisions(settings[0], 1, EnginePool(settings[0].limits))
     once.submit(listing(entry(7, started=time.time())))
     usual = sum(sent(once, settings[0]) for _ in settings)
     assert usual or gateways > 1
-    decisions = Decisions(settings[0], 1, Engines(settings[0].limits))
+    decisions = Decisions(settings[0], 1, EnginePool(settings[0].limits))
     decisions.submit(listing(entry(7, started=time.time())))
     count = sent(decisions, settings[0])
     for changed in settings[1:]:
-        decisions.renew(changed)
+        decisions.replace_settings(changed)
         count += sent(decisions, changed)
     assert count <= usual + 1
 
@@ -602,7 +602,7 @@
 def extra(decisions: Decisions, settings: api.Settings) -> int:
     """How many further attempts a request gets whose attempts are all reset."""
     mailbox: SimpleQueue[Any] = SimpleQueue()
-    number = decisions.enter(b"%016x" % next(CALLS), mailbox, settings)
+    number = decisions.register(b"%016x" % next(CALLS), mailbox, settings)
     decisions.submit(api.Request(number, 1, settings.classes[1].deadline, 1.0, None, 0, 0, 0.0))
     attempts = 0
     while not mailbox.empty():
@@ -619,10 +619,10 @@
     ration = {"ExtraFree": 3.0, "ExtraPerRequest": 0.0, "BudgetSpanNs": 60_000 * sites.MS}
     first = sites.read(text | {"Contract": text["Contract"] | ration})
     second = sites.read(text | {"Contract": text["Contract"] | ration, "TickNs": 6 * sites.MS})
-    decisions = Decisions(first, 1, Engines(first.limits))
+    decisions = Decisions(first, 1, EnginePool(first.limits))
     decisions.submit(listing(entry(7), entry(8), entry(9)))
     assert sum(extra(decisions, first) for _ in range(5)) == 3
-    decisions.renew(second)
+    decisions.replace_settings(second)
     assert sum(extra(decisions, second) for _ in range(5)) == 0
 
 
@@ -675,11 +675,11 @@
         gate.change(parcel.text)
         want.answer()
         assert len(client.rows()) == 1
-        served = {line for line in gate.daemon.figures.lines().decode().split() if ".ok." in line}
+        served = {line for line in gate.daemon.metrics.statsd_lines().decode().split() if ".ok." in line}
         # what was open under older settings counts under no class of the new
         assert served == {f"app.ok.{name}:0|c" for name in parcel.names}
         gate.change(gauge.text)
-        assert f"app.ok.{asked['op']}:0|c" in gate.daemon.figures.lines().decode()  # not where it stood before
+        assert f"app.ok.{asked['op']}:0|c" in gate.daemon.metrics.statsd_lines().decode()  # not where it stood before
     finally:
         gate.close()
 
@@ -725,7 +725,7 @@
     gate = Gatekeeper(tmp_path, gauge.text, gauge.members + parcel.members)
     try:
         if on == "levels":
-            gate.daemon._vitals = cast(Vitals, SimpleNamespace(lagged=lambda seconds: None))
+            gate.daemon._host_load = cast(HostLoadMonitor, SimpleNamespace(record_dispatch_delay=lambda seconds: None))
         elif on == "gossip":
             gate.daemon._link = cast(Link, object())
         else:
@@ -743,9 +743,9 @@
     few, many = gauge.text | {"Siblings": 3}, gauge.text | {"Siblings": 200}
     gate = Gatekeeper(tmp_path, few, gauge.members)
     try:
-        before = gate.server._most_threads
+        before = gate.server._max_threads
         gate.change(many)
-        assert gate.server._most_threads == gate._load(many).most_threads < before
+        assert gate.server._max_threads == gate._load(many).max_threads < before
     finally:
         gate.close()
 
@@ -759,13 +759,13 @@
                 fired.append((self.settings.classes[0].threads, event.token))
             return super().handle(now, event)
 
-    monkeypatch.setattr(versions, "Gateway", Noted)
+    monkeypatch.setattr(module_versions, "Gateway", Noted)
     old, new = make_settings(classes=(request_class(threads=1),)), make_settings(classes=(request_class(threads=2),))
-    decisions = Decisions(old, 1, Engines(old.limits))
-    number = decisions.enter(b"a" * 16, SimpleQueue(), old)
-    decisions.renew(new)
-    decisions._fire([(9, 0), (11, 1)])
-    decisions.leave(number, b"a" * 16)
+    decisions = Decisions(old, 1, EnginePool(old.limits))
+    number = decisions.register(b"a" * 16, SimpleQueue(), old)
+    decisions.replace_settings(new)
+    decisions._on_timers([(9, 0), (11, 1)])
+    decisions.unregister(number, b"a" * 16)
     decisions.forget(number)
-    decisions._fire([(13, 0), (15, 1)])  # the old module has gone with its last request
+    decisions._on_timers([(13, 0), (15, 1)])  # the old module has gone with its last request
     assert fired == [(1, 9), (2, 11), (2, 15)]
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -14,12 +14,12 @@
 
 from tealwing import threads
 from tealwing.config import load
+from tealwing.connection_reader import ConnectionReader
 from tealwing.gateway.daemon import Daemon
 from tealwing.mysql import packets
 from tealwing.mysql import server as server_module
 from tealwing.mysql.server import Server
-from tealwing.reader import Reader
-from tealwing.resp.engine import Answer, ConnectFailed, Engine
+from tealwing.resp.engine import Answer, ConnectError, Engine
 from tests.build import make_settings
 from tests.peers import LIMIT, SETTINGS, Client, Peer, event, member, request, say
 
@@ -48,7 +48,7 @@
     (tmp_path / "config.json").write_text(json.dumps(config | {"known": known, "settings": SETTINGS}))
     loaded = load({"LB_CONFIG": str(tmp_path / "config.json")})
     daemon = Daemon(loaded)
-    server = Server(loaded.listen, loaded.most_clients, loaded.settings, daemon.open)
+    server = Server(loaded.listen, loaded.max_clients, loaded.settings, daemon.open)
     daemon.start()
     server.start()
     yield server, engine
@@ -115,10 +115,10 @@
     engine = Peer()
     threads.refuse = lambda name: name == "engine-reader"
     host, _, port = engine.address.rpartition(":")
-    reader = Reader()
+    reader = ConnectionReader()
     one = Engine((host, int(port)), 8, 1.0, 30.0, reader.watch)
     try:
-        with pytest.raises(ConnectFailed, match="nobody reads"):
+        with pytest.raises(ConnectError, match="nobody reads"):
             one.send(b"1" * 16, lambda: b"-", b"SELECT 1", lambda item: None, 5.0)
         threads.refuse = None
         heard: SimpleQueue[object] = SimpleQueue()
@@ -135,7 +135,7 @@
     threads.refuse = lambda name: True
     try:
         for _ in range(5):
-            with pytest.raises(threads.NoThread):
+            with pytest.raises(threads.ThreadUnavailableError):
                 threads.start(lambda: None, "probe")
     finally:
         threads.refuse = None
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -20,11 +20,11 @@
 
 from tealwing import interface as api
 from tealwing import log
-from tealwing.admin.figures import Figures
+from tealwing.admin.metrics import Metrics
 from tealwing.config import load
-from tealwing.coordinator import follower as following
 from tealwing.coordinator import updates
-from tealwing.coordinator.follower import End, Follower
+from tealwing.coordinator import watch as following
+from tealwing.coordinator.watch import WatchClient, WatchEnd
 from tealwing.gateway import daemon as daemon_module
 from tealwing.gateway.daemon import Daemon
 from tealwing.policy import Gateway
@@ -133,35 +133,37 @@
     sock.close()
 
 
-ENDS: dict[End, Callable[[socket.socket], object]] = {
-    End.CLOSED: lambda sock: sock.shutdown(socket.SHUT_WR),
-    End.SILENT: lambda sock: None,
-    End.MALFORMED: lambda sock: sock.sendall(b"nonsense\n"),
-    End.GAP: lambda sock: sock.sendall(b'{"index":9}\n'),
-    End.BROKEN: reset,
-    End.FAULT: lambda sock: tell(sock, event(5)),
+ENDS: dict[WatchEnd, Callable[[socket.socket], object]] = {
+    WatchEnd.CLOSED: lambda sock: sock.shutdown(socket.SHUT_WR),
+    WatchEnd.SILENT: lambda sock: None,
+    WatchEnd.MALFORMED: lambda sock: sock.sendall(b"nonsense\n"),
+    WatchEnd.GAP: lambda sock: sock.sendall(b'{"index":9}\n'),
+    WatchEnd.BROKEN: reset,
+    WatchEnd.FAULT: lambda sock: tell(sock, event(5)),
 }
 
 
 @pytest.mark.parametrize("end", list(ENDS))
 def test_every_end_of_a_watch_has_its_reason_in_one_line_and_in_the_figures(
-    end: End, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
+    end: WatchEnd, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # seen in the code: an end of the stream left no line at all, and no figure told of any end
-    monkeypatch.setattr(following, "SILENCE", (SHORT, SHORT) if end is End.SILENT else (LONG, LONG))
-    figures = Figures((), (one.value for one in End))
-    watch = Follower(coordinator.address, 4, make_settings(), fail if end is End.FAULT else stay, figures.watch_ended)
+    monkeypatch.setattr(following, "SILENCE_TIMEOUT", (SHORT, SHORT) if end is WatchEnd.SILENT else (LONG, LONG))
+    figures = Metrics((), (one.value for one in WatchEnd))
+    watch = WatchClient(
+        coordinator.address, 4, make_settings(), fail if end is WatchEnd.FAULT else stay, figures.count_watch_end
+    )
     watch.start()
     sock, index = coordinator.watch()
     assert index == 4
     ENDS[end](sock)
     told = lines.next("watch_ended")
     assert told["reason"] == end.value and told["index"] == 4 and told["error"] and told["age"] >= 0
-    assert ("trace" in told) == (end is End.FAULT)
+    assert ("trace" in told) == (end is WatchEnd.FAULT)
     again, index = coordinator.watch()
     assert index == 4  # it is asked again, from the same event
-    assert f"app.watch_ended.{end.value}:1|c".encode() in figures.lines()
-    assert sum(line.endswith(b":1|c") for line in figures.lines().splitlines()) == 1
+    assert f"app.watch_ended.{end.value}:1|c".encode() in figures.statsd_lines()
+    assert sum(line.endswith(b":1|c") for line in figures.statsd_lines().splitlines()) == 1
     assert not lines.rest("watch_ended")
     again.close()
 
@@ -170,7 +172,7 @@
     closed = socket.create_server(("127.0.0.1", 0))
     address = closed.getsockname()
     closed.close()
-    Follower(address, 4, make_settings(), stay).start()
+    WatchClient(address, 4, make_settings(), stay).start()
     assert lines.next("watch_ended")["reason"] == "unreached"
 
 
@@ -178,8 +180,8 @@
     coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # seen in the code: each byte began the limit anew, so such a peer held the watch for good
-    monkeypatch.setattr(following, "SILENCE", (SHORT, SHORT))
-    Follower(coordinator.address, 4, make_settings(), stay).start()
+    monkeypatch.setattr(following, "SILENCE_TIMEOUT", (SHORT, SHORT))
+    WatchClient(coordinator.address, 4, make_settings(), stay).start()
     sock, _ = coordinator.watch()
     threading.Thread(target=drip, args=(sock,), daemon=True).start()
     assert lines.next("watch_ended")["reason"] == "silent"
@@ -188,10 +190,10 @@
 
 def test_a_move_is_followed_at_once(coordinator: Coordinator, lines: Lines) -> None:
     other = Coordinator()
-    watch = Follower(coordinator.address, 4, make_settings(), stay)
+    watch = WatchClient(coordinator.address, 4, make_settings(), stay)
     watch.start()
     kept, _ = coordinator.watch()  # its end, were it dropped here, might be heard before the move
-    watch.move(other.address)
+    watch.move_to(other.address)
     assert other.watch()[1] == 4
     assert lines.next("watch_ended")["reason"] == "moved"
     kept.close()
@@ -202,20 +204,20 @@
     coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # seen in the code: the socket was known to a move only once it was connected
-    monkeypatch.setattr(following, "CONNECT_LIMIT", LONG)
+    monkeypatch.setattr(following, "CONNECT_TIMEOUT", LONG)
     full = socket.create_server(("127.0.0.1", 0), backlog=0)  # nobody accepts: connects past its queue hang
     queued = [socket.socket() for _ in range(4)]
     for sock in queued:
         sock.setblocking(False)
         sock.connect_ex(full.getsockname())
-    watch = Follower(full.getsockname(), 4, make_settings(), stay)
+    watch = WatchClient(full.getsockname(), 4, make_settings(), stay)
     watch.start()
     until = time.monotonic() + LIMIT
     while watch._sock is None:
         assert time.monotonic() < until
         time.sleep(0.01)
     begun = time.monotonic()
-    watch.move(coordinator.address)
+    watch.move_to(coordinator.address)
     assert coordinator.watch()[1] == 4 and time.monotonic() - begun < LONG / 2
     assert lines.next("watch_ended")["reason"] == "moved"
     for sock in [full, *queued]:
@@ -235,7 +237,7 @@
 
 
 def listed(daemon: Daemon) -> dict[int, api.Health]:
-    return {entry.engine: entry.health for entry in daemon.listed}
+    return {entry.engine: entry.health for entry in daemon.engine_list}
 
 
 def reached(daemon: Daemon) -> dict[str, int]:
@@ -267,8 +269,8 @@
     elif step == "module":
         monkeypatch.setattr(Gateway, "_list", failing(Gateway._list))
     else:
-        whole = daemon._decisions.tell_list
-        monkeypatch.setattr(daemon._decisions, "tell_list", lambda *a: whole(*a) and failing(lambda: True)())
+        whole = daemon._decisions.update_engine_list
+        monkeypatch.setattr(daemon._decisions, "update_engine_list", lambda *a: whole(*a) and failing(lambda: True)())
     daemon.start()
     sock, index = coordinator.watch()
     update = event(2, member("s-1", "127.0.0.1:1", phase="removed"), member("s-2", "127.0.0.1:1"))
@@ -299,7 +301,7 @@
         event(2, member("s-2", "127.0.0.1:1"), member("s-3", "127.0.0.1:1")),
         event(3, member("s-1", "127.0.0.1:1", phase="draining")),
     ]
-    for _ in range(daemon_module.MOST_FAULTS):
+    for _ in range(daemon_module.MAX_LIST_FAILURES):
         sock, index = coordinator.watch()
         assert index == 1
         tell(sock, *events)
@@ -369,23 +371,23 @@
     tell(sock, event(2, member("s-2", "127.0.0.1:1", **other)))  # of settings that come only after it
     assert "locality" in lines.next("engine_unusable")["why"] and set(listed(daemon)) == {ONE}
     old = daemon._decisions.settings
-    held = daemon._decisions.enter(b"1" * 16, SimpleQueue(), old)  # a request stays open under the old ones
+    held = daemon._decisions.register(b"1" * 16, SimpleQueue(), old)  # a request stays open under the old ones
     changed(daemon, tmp_path, **MORE)
     sock, _ = coordinator.watch()  # SIGHUP renews the watch
-    places = {entry.engine: (entry.zone, entry.kind) for entry in daemon.listed}
-    assert places == {ONE: (1, 1), TWO: (0, 0)} and daemon._decisions.ready == {0, 1}
+    places = {entry.engine: (entry.zone, entry.kind) for entry in daemon.engine_list}
+    assert places == {ONE: (1, 1), TWO: (0, 0)} and daemon._decisions.ready_zones == {0, 1}
     tell(
         sock,
         event(3, member("s-1", "127.0.0.1:1", phase="draining"), member("s-3", "127.0.0.1:1", **other)),
     )
     lines.taken(3)
-    modules = [daemon._decisions.module, daemon._decisions._versions.at(0)]
+    modules = [daemon._decisions.module, daemon._decisions._versions.module_at(0)]
     new, older = [module for module in modules if isinstance(module, Gateway)]
     assert {e.id: (e.zone, e.kind) for e in new.ready} == {TWO: (0, 0), THREE: (0, 0)}
     assert set(older.engines) == {ONE} and older.engines[ONE].zone == 0 and not older.ready
     tell(sock, event(4))
     assert not {"engine_unusable", "decision_failed"} & set(lines.taken(4))  # it was read under the new settings
-    daemon._decisions.leave(held, b"1" * 16)
+    daemon._decisions.unregister(held, b"1" * 16)
     daemon._decisions.forget(held)
 
 
@@ -409,29 +411,29 @@
     changed(daemon, tmp_path, **MORE)
     change.set()
     lines.taken(2)
-    assert {entry.engine: (entry.zone, entry.kind) for entry in daemon.listed} == {ONE: (1, 1), TWO: (1, 1)}
+    assert {entry.engine: (entry.zone, entry.kind) for entry in daemon.engine_list} == {ONE: (1, 1), TWO: (1, 1)}
 
 
 def test_the_longest_deadline_is_of_what_is_in_force_and_what_is_still_open(tmp_path: Path) -> None:
     # seen in the code: a drain took that of the configuration of the start
     daemon = make(tmp_path, ("127.0.0.1", 1))
     grades = [grade | {"DeadlineNs": 1_000_000_000} for grade in SETTINGS["Grades"]]
-    assert daemon.deadline == 20.0
-    held = daemon._decisions.enter(b"1" * 16, SimpleQueue(), daemon._decisions.settings)
+    assert daemon.longest_deadline == 20.0
+    held = daemon._decisions.register(b"1" * 16, SimpleQueue(), daemon._decisions.settings)
     changed(daemon, tmp_path, Grades=grades)
-    assert daemon.deadline == 20.0
-    daemon._decisions.leave(held, b"1" * 16)
+    assert daemon.longest_deadline == 20.0
+    daemon._decisions.unregister(held, b"1" * 16)
     daemon._decisions.forget(held)
-    assert daemon.deadline == 1.0
+    assert daemon.longest_deadline == 1.0
 
 
 def test_the_admin_address_tells_the_age_of_the_list_and_its_last_index(
     tmp_path: Path, coordinator: Coordinator, lines: Lines
 ) -> None:
-    from tealwing.admin.server import Admin
+    from tealwing.admin.server import AdminServer
 
     daemon = make(tmp_path, coordinator.address)
-    admin = Admin(("127.0.0.1", 0), lambda: True, daemon.figures.lines)
+    admin = AdminServer(("127.0.0.1", 0), lambda: True, daemon.metrics.statsd_lines)
     admin.start()
     daemon.start()
     sock, _ = coordinator.watch()
@@ -450,9 +452,9 @@
     settings = make_settings()
     told = event(2, member("s-1", "127.0.0.1:1", locality="a", flavor="big"), member("s-2", "127.0.0.1:1"))
     data = json.loads(json.dumps(told))
-    found = updates.update(data, settings)
+    found = updates.parse_update(data, settings)
     assert [one.name for one in found.members] == ["s-1"] and [one.name for one in found.unplaced] == ["s-2"]
     other = dataclasses.replace(settings, zones=("z",), machine_kinds=(api.MachineKind("k", 8, 1024.0),))
-    assert updates.placed(found.unplaced[0], other).entry.zone == 0
+    assert updates.renumbered(found.unplaced[0], other).entry.zone == 0
     with pytest.raises(updates.UpdateError):
-        updates.placed(found.members[0], other)
+        updates.renumbered(found.members[0], other)
