--- a/benchmarks/capacity/calibration.py
+++ b/benchmarks/capacity/calibration.py
@@ -14,7 +14,7 @@
 from tealwing.lab.rig.configuration import Layout
 from tealwing.lab.rig.layouts import REPLICA, RULES
 from tealwing.lab.rig.ports import free_port
-from tealwing.lab.rig.process import NotStarted, Process
+from tealwing.lab.rig.process import Process, ProcessStartError
 from tealwing.lab.standins.coordinator import Coordinator
 from tealwing.peers.control import Turned, ask
 from tealwing.peers.plan import Address
@@ -49,8 +49,8 @@
             folder = Path(self._folder.name) / name
             own: Address = ("127.0.0.1", free_port())
             known = self._coordinator.known
-            told = configuration.platform(self.names, number, 1, self._coordinator.address, known, layout)
-            conf = configuration.operators(name, dial, own, BEAT_MS, layout, str(folder / "data"))
+            told = configuration.platform_file(self.names, number, 1, self._coordinator.address, known, layout)
+            conf = configuration.operators_file(name, dial, own, BEAT_MS, layout, str(folder / "data"))
             self.processes[name] = Process(name, folder, told, conf, own)
 
     def __enter__(self) -> RealFleet:
@@ -59,7 +59,7 @@
                 process.start()
             for process in self.processes.values():
                 process.ready()
-        except NotStarted as error:
+        except ProcessStartError as error:
             self.close()
             raise CapacityError(f"a real gateway did not start: {error}") from None
         return self
--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -61,13 +61,13 @@
             fleet.start(control.START_LIMIT)
             time.sleep(control.SETTLE)
             begun = []
-            rest = fleet.figures()
+            rest = fleet.metrics()
             time.sleep(control.SMALL_SECONDS)
-            before = fleet.figures()
+            before = fleet.metrics()
             for number in range(changes):
                 begun.append(make(fleet, number))
                 time.sleep(PAUSE)
-            after = fleet.figures()
+            after = fleet.metrics()
             everywhere = [
                 max(found.values()) - at
                 for number, (at, phase) in enumerate(begun, 1)
--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -6,7 +6,7 @@
 
 from benchmarks.capacity.fitting import fit
 from benchmarks.capacity.records import CapacityError, Measured, Options, Point, Series
-from tealwing.lab.hollow.fleet import Figures, HollowFault, HollowFleet
+from tealwing.lab.hollow.fleet import FleetMetrics, HollowFault, HollowFleet
 from tealwing.lab.hollow.requirements import TooLarge
 
 NAME = "control"
@@ -30,7 +30,7 @@
 )
 
 
-def roles(fleet: HollowFleet, before: Figures, after: Figures) -> dict[str, list[float]]:
+def roles(fleet: HollowFleet, before: FleetMetrics, after: FleetMetrics) -> dict[str, list[float]]:
     """What a member of each role spent between two looks, by quantity; means over the members of that role."""
     leader, seconds = after.leader(), after.at - before.at
     sums: dict[str, list[float]] = {role: [0.0] * len(QUANTITIES) for role in ROLES}
@@ -58,9 +58,9 @@
         with HollowFleet(size, VOTERS, members_a_host=members_a_host) as fleet:
             fleet.start(START_LIMIT)
             time.sleep(SETTLE)
-            before = fleet.figures()
+            before = fleet.metrics()
             time.sleep(seconds)
-            return roles(fleet, before, fleet.figures())
+            return roles(fleet, before, fleet.metrics())
     except (TooLarge, HollowFault) as error:
         raise CapacityError(f"control at {size} members: {error}") from None
 
--- a/benchmarks/capacity/day.py
+++ b/benchmarks/capacity/day.py
@@ -72,7 +72,7 @@
             restarting.join()
             if found.fault:
                 raise CapacityError(f"a member did not come back: {found.fault}")
-            after = fleet.figures()
+            after = fleet.metrics()
             for number, (at, phase) in enumerate(begun, 1):
                 times = after.in_force(number)
                 if phase == "active":
@@ -87,7 +87,7 @@
 
 
 def _lose_leader(fleet: HollowFleet) -> float:
-    leader = fleet.figures().leader()
+    leader = fleet.metrics().leader()
     begun = time.monotonic()
     fleet.host_of(leader).kill()
     while True:
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -38,7 +38,7 @@
         ("it is promoted, and a voter demoted", Consensus(both, begin=led, learners="d"), depth + 3),
         ("count-learners", Consensus(few, "count-learners", learners="d"), depth + 2),
     ):
-        print(f"{name}: {explore(model, to, 1_500_000).told()}", flush=True)
+        print(f"{name}: {explore(model, to, 1_500_000).text()}", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -19,9 +19,9 @@
 import click
 import numpy as np
 
+from tealwing.lab.gossip_trial import GossipingDeployment
 from tealwing.lab.harness import Deployment
 from tealwing.lab.network import Network, cluster, real_key
-from tealwing.lab.rumours import Talking
 
 SIZES = (5, 20, 80, 200, 1000)
 STEADY = 20.0  # s over which steady traffic is measured
@@ -50,7 +50,7 @@
         "size": size,
         "joined": joined,
         "steady": float(np.mean(steady)),
-        "most": network.most_bytes(),
+        "most": network.max_bytes_per_second(),
         "first": first - died,
         "known": known,
         "tick_us": used / (STEADY * 10 * size) * 1e6,
@@ -68,7 +68,7 @@
         elif trouble == "dying":
             deployment.crash([3, 5], 14.0, 26.0)
 
-    return Talking(seed, GATEWAYS, SECONDS, LOAD, liars, talk).run(trouble_of).whole
+    return GossipingDeployment(seed, GATEWAYS, SECONDS, LOAD, liars, talk).run(trouble_of).total
 
 
 @click.group()
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -17,7 +17,7 @@
         ("drift-ignored", Leases(8, "drift-ignored", leaders=0, acts=0), 14),
         ("renewal-after-expiry, from there", Leases(8, "renewal-after-expiry", 0, 0, renewing=True), 11),
     ):
-        print(f"{name}: {explore(model, depth, 1_000_000).told()}", flush=True)
+        print(f"{name}: {explore(model, depth, 1_000_000).text()}", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -18,7 +18,7 @@
 from benchmarks.record_actions import module_of
 from tealwing import interface as api
 from tealwing.conf import reader
-from tealwing.lab import arrivals, site, swing, worth
+from tealwing.lab import arrivals, load_swing, score, site
 from tealwing.lab.harness import Clients, Deployment
 from tealwing.levels.governor import Governor
 from tealwing.levels.replay import crowded
@@ -45,14 +45,14 @@
     case = CASES[name]
     plan = reader.read(conf).records["levels"]
     before = module_of(commit).Gateway if mode == "before" else None
-    settings = site.settings(swing.GATEWAYS)
-    draws = site.draws(np.random.default_rng((seed, 20)), swing.SERVERS)
-    rate = site.rate(draws, swing.MEAN_WORK, case["load"])
+    settings = site.settings(load_swing.GATEWAYS)
+    draws = site.draws(np.random.default_rng((seed, 20)), load_swing.SERVERS)
+    rate = site.rate(draws, load_swing.MEAN_WORK, case["load"])
     shape = arrivals.burst(*case["burst"]) if "burst" in case else arrivals.steady
     asked = arrivals.draw(
-        np.random.default_rng((seed, 21)), rate, SECONDS, swing.GATEWAYS, shape, surge=case.get("surge")
+        np.random.default_rng((seed, 21)), rate, SECONDS, load_swing.GATEWAYS, shape, surge=case.get("surge")
     )
-    changes: list[list[float]] = [[] for _ in range(swing.GATEWAYS)]
+    changes: list[list[float]] = [[] for _ in range(load_swing.GATEWAYS)]
     made: list[Deployment] = []
 
     def make(settings: api.Settings, number: int) -> Any:
@@ -66,17 +66,17 @@
     made.append(Deployment(settings, draws, asked, make, seed, case.get("clients")))
     if case.get("lost"):
         made[0].crash(range(1, len(draws) // 2 + 1), 15.0, 30.0)
-    books = made[0].run(SECONDS + swing.AFTER)
-    found = worth.count(asked, books, settings)
-    inside = worth.count(asked, books, settings, account=0)
+    books = made[0].run(SECONDS + load_swing.AFTER)
+    found = score.count(asked, books, settings)
+    inside = score.count(asked, books, settings, account=0)
     return {
-        "worth": found.whole,
+        "worth": found.total,
         "worst": found.worst,
         "lookups": found.in_time["lookup"],
-        "within": inside.whole,
+        "within": inside.total,
         "changes": max(map(crowded, changes)),
         "total": sum(map(len, changes)),
-        "broken": swing.broken(books),
+        "broken": load_swing.broken(books),
     }
 
 
--- a/benchmarks/record_actions.py
+++ b/benchmarks/record_actions.py
@@ -20,7 +20,7 @@
 import tealwing
 from tealwing import interface as api
 from tealwing import wire
-from tealwing.lab import arrivals, site, swing
+from tealwing.lab import arrivals, load_swing, site
 from tealwing.lab.harness import Deployment
 from tests.recorded import recorded
 
@@ -69,8 +69,8 @@
             return actions
 
     settings = recorded.settings()
-    draws = site.draws(np.random.default_rng(SEED), swing.SERVERS)
-    rate = site.rate(draws, swing.MEAN_WORK, 0.8)
+    draws = site.draws(np.random.default_rng(SEED), load_swing.SERVERS)
+    rate = site.rate(draws, load_swing.MEAN_WORK, 0.8)
     asked = arrivals.draw(
         np.random.default_rng(SEED + 1), rate, SECONDS, 3, arrivals.burst(2.5, SECONDS / 3, SECONDS / 3)
     )
@@ -78,7 +78,7 @@
     deployment.crash([2], 8.0, 16.0)
     deployment.slow([3], 12.0, 20.0, 5.0)
     deployment.drain(4, 18.0)
-    deployment.run(SECONDS + swing.AFTER)
+    deployment.run(SECONDS + load_swing.AFTER)
     recorded.dump(events, digest.hexdigest())
     print(f"{len(events)} events, digest {digest.hexdigest()}")
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -84,7 +84,7 @@
     else:
         model, walks = WALKED[name]
         found = wander(model(), walks, LENGTH, 7, patient if "few faults" in name else likely)
-    return f"{kind}: {name}: {found.told()}"
+    return f"{kind}: {name}: {found.text()}"
 
 
 def main(kinds: list[str]) -> None:
--- a/tealwing/admin/http.py
+++ b/tealwing/admin/http.py
@@ -37,16 +37,16 @@
 def parse_request(head: bytes) -> HttpRequest:
     """The call of a whole request head (as end_of_head found it). Raises BadRequest."""
     line, _, headers = head.partition(b"\r\n")
-    words = line.split(b" ")
-    if len(words) != 3 or words[0] not in METHODS or words[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
+    parts = line.split(b" ")
+    if len(parts) != 3 or parts[0] not in METHODS or parts[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
         raise BadRequestError("the request line is not METHOD PATH HTTP/1.1")
-    if not words[1].startswith(b"/") or any(byte < 0x21 or byte > 0x7E for byte in words[1]):
+    if not parts[1].startswith(b"/") or any(byte < 0x21 or byte > 0x7E for byte in parts[1]):
         raise BadRequestError("the path is not an absolute path of printable characters")
     for field in headers.split(b"\r\n"):
         if field and (b":" not in field or field[:1] in (b" ", b"\t")):
             raise BadRequestError("a header line without a name and a colon")
-    path = words[1].split(b"?", 1)[0].decode("ascii")
-    return HttpRequest(words[0].decode("ascii"), path)
+    path = parts[1].split(b"?", 1)[0].decode("ascii")
+    return HttpRequest(parts[0].decode("ascii"), path)
 
 
 def response(status: int, body: bytes, allow: str = "") -> bytes:
--- a/tealwing/commands/fleet.py
+++ b/tealwing/commands/fleet.py
@@ -81,15 +81,15 @@
     if folder is not None and folder.exists() and any(folder.iterdir()):
         raise click.UsageError(f"--out: {out} is there and not empty; allowed: a new folder")
     try:
-        found = runs.attempt(scenario.load(name), procs, seconds, seed, folder, sabotage, lost_touch, sites, learners)
+        found = runs.run_trial(scenario.load(name), procs, seconds, seed, folder, sabotage, lost_touch, sites, learners)
     except (scenario.ScenarioError, ValueError, RuntimeError, OSError) as error:
         raise Finding(str(error)) from None
     for violation in found.violations[:20]:
         click.echo(str(violation), err=True)
     if as_json:
-        click.echo(orjson.dumps(found.figures).decode())
+        click.echo(orjson.dumps(found.summary).decode())
     else:
-        for key, value in found.figures.items():
+        for key, value in found.summary.items():
             click.echo(f"{key:24} {value}")
         if folder is not None:
             click.echo(f"report: {folder / 'report.html'}")
--- a/tealwing/commands/gossip.py
+++ b/tealwing/commands/gossip.py
@@ -99,14 +99,14 @@
     if liars + silent > instances - 3:
         raise click.UsageError("--liars and --silent together must leave three instances honest")
     try:
-        from tealwing.lab import processes, rumours
+        from tealwing.lab import gossip_trial, processes
     except ImportError as error:
         raise Finding(f"gossip try needs the extra lab: pip install 'tealwing[lab]' ({error})") from None
     found: dict[str, Any]
     if real:
-        found = processes.attempt(instances, liars, silent, seconds, seed)
+        found = processes.run_trial(instances, liars, silent, seconds, seed)
     else:
-        found = rumours.attempt(instances, liars, silent, seconds, seed)
+        found = gossip_trial.run_trial(instances, liars, silent, seconds, seed)
     if as_json:
         click.echo(orjson.dumps(found).decode())
     else:
--- a/tealwing/commands/levels.py
+++ b/tealwing/commands/levels.py
@@ -88,7 +88,7 @@
     """
     plan = plan_of(conf)
     try:
-        from tealwing.lab import swing as module
+        from tealwing.lab import load_swing as module
     except ImportError as error:
         raise Finding(f"levels swing needs the extra lab: pip install 'tealwing[lab]' ({error})") from None
     last: dict[str, Any] = {}
--- a/tealwing/commands/load.py
+++ b/tealwing/commands/load.py
@@ -37,7 +37,7 @@
     except ValueError as error:
         raise click.UsageError(f"GATEWAYS: {error}") from None
     shape = arrivals.burst(burst, seconds / 3, seconds / 3) if burst else arrivals.steady
-    figures = module.Load(module.Order(places, rate, seconds, sessions, seed, shape)).run()
+    figures = module.Load(module.LoadSpecification(places, rate, seconds, sessions, seed, shape)).run()
     click.echo(orjson.dumps(figures).decode() if as_json else module.text(figures))
     if figures["spoilt"]:
         raise SystemExit(1)
--- a/tealwing/coordinator/start_times.py
+++ b/tealwing/coordinator/start_times.py
@@ -46,8 +46,8 @@
                 del self._dated[next(iter(self._dated))]
         return replace(member, entry=replace(member.entry, started=started))
 
-    def _age(self, listed: float, now: float, wall: float, most: float) -> float:
+    def _age(self, listed: float, now: float, wall: float, max_age: float) -> float:
         """Seconds since the start by the reading that fits the list, the younger one of two; 0 where none does."""
         readings = [now] if abs(wall - now) < STEPPED else [now, wall]
         ages = [reading - listed for reading in readings]
-        return max(0.0, min((age for age in ages if -EARLY <= age <= most), default=0.0))
+        return max(0.0, min((age for age in ages if -EARLY <= age <= max_age), default=0.0))
--- a/tealwing/coordinator/updates.py
+++ b/tealwing/coordinator/updates.py
@@ -161,7 +161,7 @@
 
     def feed(self, data: bytes) -> list[bytes]:
         """The whole lines, now that data has come."""
-        *whole, self._rest = (self._rest + data).split(b"\n")
+        *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > MAX_LINE_BYTES:
             raise UpdateError(f"a line is longer than {MAX_LINE_BYTES} bytes")
-        return [text for text in whole if text.strip()]
+        return [text for text in lines if text.strip()]
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -117,8 +117,8 @@
         }
         if self._peering is not None:
             is_ready, reason, phase = self._peering.readiness()
-            word = re.sub(r"[^a-z0-9]+", "_", reason.partition(";")[0].lower()).strip("_")
-            found |= {"recovery_phase": phase, f"ready_{'yes' if is_ready else 'no'}.{word or 'no_replica'}": 1}
+            name = re.sub(r"[^a-z0-9]+", "_", reason.partition(";")[0].lower()).strip("_")
+            found |= {"recovery_phase": phase, f"ready_{'yes' if is_ready else 'no'}.{name or 'no_replica'}": 1}
         return found
 
     def readiness(self) -> tuple[bool, str]:
@@ -322,9 +322,9 @@
         return self._decisions.broadcast(Signal.SHUTDOWN)
 
     @property
-    def longest_deadline(self) -> float:
+    def max_deadline(self) -> float:
         """The longest deadline in seconds, of the settings in force and of those that open requests are under."""
-        return self._decisions.longest_deadline
+        return self._decisions.max_deadline
 
     @property
     def open_requests(self) -> int:
--- a/tealwing/gateway/decisions.py
+++ b/tealwing/gateway/decisions.py
@@ -72,10 +72,10 @@
         return self._versions.in_force
 
     @property
-    def longest_deadline(self) -> float:
+    def max_deadline(self) -> float:
         """The longest deadline in seconds, of the settings in force and of those that open requests are under."""
         with self._lock:
-            return self._versions.longest_deadline
+            return self._versions.max_deadline
 
     @property
     def ready_zones(self) -> frozenset[int]:
@@ -141,8 +141,8 @@
     def _restore_module(self, settings: api.Settings) -> None:
         """Have a module of settings that were replaced as a request was read under them; under the lock."""
         if (recalled := self._versions.restore(settings)) is not None:
-            version, told = recalled
-            for event in told:
+            version, initial_events = recalled
+            for event in initial_events:
                 self._handle(event, (version,))
 
     def broadcast(self, item: object) -> int:
@@ -164,10 +164,10 @@
             faults = self._list_faults
             for version, event in self._versions.engine_list_events(kind, number, members):
                 idle += self._handle(event, (version,))
-            whole = self._list_faults == faults
+            is_complete = self._list_faults == faults
         for engine in idle:
             self._engines.close_idle(engine)
-        return whole
+        return is_complete
 
     def submit(self, *events: api.Event) -> None:
         """Some events in turn; their actions are in the mailboxes when this returns."""
--- a/tealwing/gateway/host_load.py
+++ b/tealwing/gateway/host_load.py
@@ -48,8 +48,8 @@
                 lags, self._dispatch_delay = self._dispatch_delay, (0.0, 0)
                 ages, self._unread_age = self._unread_age, (0.0, 0)
             # nothing came: nothing waits, as far as is known; a wake-up that is late is lag itself
-            late = max(0.0, now - at - REPORT_INTERVAL)
-            lag += SAMPLE_DECAY * (max(lags[0] / lags[1] if lags[1] else 0.0, late) - lag)
+            lateness = max(0.0, now - at - REPORT_INTERVAL)
+            lag += SAMPLE_DECAY * (max(lags[0] / lags[1] if lags[1] else 0.0, lateness) - lag)
             unread += SAMPLE_DECAY * ((ages[0] / ages[1] if ages[1] else 0.0) - unread)
             processor += SAMPLE_DECAY * ((took - used) / ((now - at) * self._cores) - processor)
             at, used = now, took
--- a/tealwing/gateway/module_versions.py
+++ b/tealwing/gateway/module_versions.py
@@ -89,7 +89,7 @@
         return _entries_for(self._members.values(), self.settings)
 
     @property
-    def longest_deadline(self) -> float:
+    def max_deadline(self) -> float:
         """The longest deadline in seconds, of the settings in force and of those that open requests are under."""
         held = [self.settings, *(settings for settings, _ in self._older.values())]
         return max(cls.deadline for settings in held for cls in settings.classes)
@@ -163,8 +163,8 @@
     def _initial_events(self, settings: api.Settings) -> list[api.Event]:
         """What a new module of the settings is told before anything else, numbered as they do."""
         listed = _entries_for(self._members.values(), settings)
-        told: list[api.Event] = [api.EngineList(api.EngineListKind.FULL, self._list_version, listed)]
-        return told + ([self._health_estimates] if self._health_estimates is not None else [])
+        events: list[api.Event] = [api.EngineList(api.EngineListKind.FULL, self._list_version, listed)]
+        return events + ([self._health_estimates] if self._health_estimates is not None else [])
 
     def versions_for(self, event: api.Event) -> tuple[int, ...]:
         """The versions whose modules an event is for: a request's own to its module, else all."""
--- a/tealwing/lab/arrivals.py
+++ b/tealwing/lab/arrivals.py
@@ -118,10 +118,10 @@
     """A Poisson process of changing rate, by thinning one of the highest."""
     grid = np.arange(0.0, seconds, 0.05)
     loads = np.array([shape(float(t)) for t in grid])
-    most = float(loads.max())
-    n = int(rng.poisson(rate * most * seconds))
+    peak_rate = float(loads.max())
+    n = int(rng.poisson(rate * peak_rate * seconds))
     times = np.sort(rng.random(n) * seconds)
-    keep = rng.random(n) * most < loads[np.minimum((times / 0.05).astype(int), len(grid) - 1)]
+    keep = rng.random(n) * peak_rate < loads[np.minimum((times / 0.05).astype(int), len(grid) - 1)]
     return times[keep]
 
 
--- a/tealwing/lab/client.py
+++ b/tealwing/lab/client.py
@@ -22,7 +22,7 @@
     site is the first column of the first row: where engines have sites, which of them answered.
     """
 
-    word: str
+    outcome: str
     rows: int
     text: str = ""
     site: str = ""
@@ -52,14 +52,14 @@
         if answer[:1] != b"\0":
             raise ConnectionError(f"the login was turned down: {answer[9:].decode('utf-8', 'replace')}")
 
-    def ask(self, text: bytes, limit: float) -> Answer:
+    def query(self, text: bytes, limit: float) -> Answer:
         """One query, waited for so many seconds; OSError where the connection or the time ends first."""
         self._sock.settimeout(limit)
         self._sock.sendall(packets.packet(0, bytes([QUERY]) + text))
         first = self._next()
         if first[:1] == b"\xff":
-            code, said = int.from_bytes(first[1:3], "little"), first[9:].decode("utf-8", "replace")
-            return Answer("refused" if code in REFUSED else "failed", 0, said)
+            code, row_count = int.from_bytes(first[1:3], "little"), first[9:].decode("utf-8", "replace")
+            return Answer("refused" if code in REFUSED else "failed", 0, row_count)
         if first[:1] == b"\0":
             return Answer("served", 0)
         while not _eof(self._next()):
--- a/tealwing/lab/clock.py
+++ b/tealwing/lab/clock.py
@@ -15,12 +15,12 @@
     def __init__(self) -> None:
         self.now = 0.0
         self._due: list[tuple[float, int, Call, tuple[Any, ...]]] = []
-        self._asked = 0
+        self._sequence = 0
 
     def at(self, time: float, call: Call, *args: Any) -> None:
         """Run a call at a time; one that has passed is now."""
-        self._asked += 1
-        heapq.heappush(self._due, (max(time, self.now), self._asked, call, args))
+        self._sequence += 1
+        heapq.heappush(self._due, (max(time, self.now), self._sequence, call, args))
 
     def after(self, delay: float, call: Call, *args: Any) -> None:
         """Run a call after some seconds."""
--- a/tealwing/lab/demo.py
+++ b/tealwing/lab/demo.py
@@ -19,11 +19,11 @@
 import numpy as np
 
 from tealwing.lab import arrivals, site
-from tealwing.lab.load import NAMES, Load, Order
+from tealwing.lab.load import NAMES, Load, LoadSpecification
+from tealwing.lab.load_swing import MEAN_WORK
 from tealwing.lab.realtime import RealClock
 from tealwing.lab.standins.coordinator import Coordinator
 from tealwing.lab.standins.engine import Engine, Keys
-from tealwing.lab.swing import MEAN_WORK
 
 ENGINES, GATEWAYS = 8, 3
 LOAD = 0.3  # of what the engines can do: the stand-ins share this machine with the gateways
@@ -39,7 +39,7 @@
     """What is shown while it runs."""
 
     seconds: float
-    asked: int
+    requested: int
     ends: dict[str, int]
     engines: list[tuple[str, str, int]]  # name, state, queries there
     note: str
@@ -86,7 +86,7 @@
     """One run."""
 
     def __init__(self, seconds: float, seed: int = 1) -> None:
-        self._seconds, self._folder = seconds, tempfile.TemporaryDirectory(prefix="tealwing-demo-")
+        self._seconds, self._directory = seconds, tempfile.TemporaryDirectory(prefix="tealwing-demo-")
         self._clock, self._settings = RealClock(), site.settings(GATEWAYS)
         self._keys = Keys(self._clock)
         self._mix = tuple(
@@ -124,9 +124,9 @@
                 "coordinator": self._coordinator.address, "known": self._coordinator.known,
                 "limits": {"sockets": 1024, "cores": 1.0}, "settings": facts(GATEWAYS, me),
             }  # fmt: skip
-            path = Path(self._folder.name) / f"n{me}.json"
+            path = Path(self._directory.name) / f"n{me}.json"
             path.write_text(json.dumps(config))
-            log = open(Path(self._folder.name) / f"n{me}.log", "wb")  # noqa: SIM115
+            log = open(Path(self._directory.name) / f"n{me}.log", "wb")  # noqa: SIM115
             environment = {**os.environ, "LB_CONFIG": str(path), "MALLOC_ARENA_MAX": "1"}
             environment = {k: v for k, v in environment.items() if k not in ("LB_NAME", "LB_LISTEN")}
             self._processes.append(
@@ -150,55 +150,55 @@
 
     def run(self, addresses: tuple[tuple[str, int], ...]) -> Iterator[State]:
         """Let it run; a state now and then."""
-        order = Order(addresses, self._rate, self._seconds, 96, self._seed, mix=self._mix)
+        order = LoadSpecification(addresses, self._rate, self._seconds, 96, self._seed, mix=self._mix)
         load = self._load = Load(order)
         thread = threading.Thread(target=load.run, daemon=True)
         begun = time.monotonic()
-        for share, trouble in ((0.25, self._crash), (0.45, self._back), (0.55, self._slow), (0.8, self._well)):
-            self._clock.after(share * self._seconds, trouble)
+        for share, fault in ((0.25, self._crash), (0.45, self._restart), (0.55, self._slow), (0.8, self._end_slowness)):
+            self._clock.after(share * self._seconds, fault)
         self._clock.after(0.35 * self._seconds, self._drain)
         thread.start()
         while thread.is_alive():
             thread.join(STEP)
-            yield self._look(time.monotonic() - begun)
+            yield self._current_state(time.monotonic() - begun)
 
-    def _look(self, seconds: float) -> State:
+    def _current_state(self, seconds: float) -> State:
         assert self._load is not None
-        figures = self._load.figures()
+        metrics = self._load.summary()
         with self._clock.lock:
             engines = [(name, self._state[name], engine.model.inflight) for name, engine in self._engines.items()]
-        return State(seconds, sum(figures["ends"].values()), figures["ends"], engines, self._note)
+        return State(seconds, sum(metrics["ends"].values()), metrics["ends"], engines, self._note)
 
     # Troubles; the clock's lock is held
 
-    def _tell(self, name: str, state: str, started: float = 0.0) -> None:
+    def _publish(self, name: str, state: str, started: float = 0.0) -> None:
         self._state[name] = state
-        self._coordinator.tell([self._member(name, started)])
+        self._coordinator.publish([self._member(name, started)])
 
     def _crash(self) -> None:
         self._note = "s-1 has died"
         threading.Thread(target=self._engines["s-1"].crash, daemon=True).start()
-        self._clock.after(1.0, self._tell, "s-1", "removed")
+        self._clock.after(1.0, self._publish, "s-1", "removed")
 
-    def _back(self) -> None:
+    def _restart(self) -> None:
         self._note = "s-1 is back, cold"
         engine = Engine(
             self._settings, self._draws[1], self._clock, self._keys, self._seed + 1, self._clock.now, mix=self._mix
         )
         self._engines["s-1"] = engine
         self._all.append(engine)
-        self._tell("s-1", "up", time.time())
+        self._publish("s-1", "up", time.time())
 
     def _drain(self) -> None:
         self._note = "s-5 drains"
-        self._tell("s-5", "draining")
+        self._publish("s-5", "draining")
         self._drained["s-5"] = self._clock.now
 
     def _slow(self) -> None:
         self._note = "s-2 runs five times slower"
         self._engines["s-2"].slow(5.0)
 
-    def _well(self) -> None:
+    def _end_slowness(self) -> None:
         self._note = "s-2 is well again"
         self._engines["s-2"].slow(1.0)
 
@@ -219,36 +219,36 @@
         self._coordinator.stop()
         self._clock.stop()
         assert self._load is not None
-        figures = self._load.figures()
-        ends, broken = figures["ends"], self._broken()
-        kept = sum(self._in_time(name, cls) for cls, name in enumerate(NAMES))
+        metrics = self._load.summary()
+        ends, broken = metrics["ends"], self._rule_violations()
+        retained = sum(self._in_time(name, cls) for cls, name in enumerate(NAMES))
         found = {
-            "asked": figures["asked"],
+            "asked": metrics["asked"],
             "served": ends.get("served", 0),
             "refused": ends.get("refused", 0),
-            "failed": sum(n for word, n in ends.items() if word not in ("served", "refused")),
+            "failed": sum(n for outcome, n in ends.items() if outcome not in ("served", "refused")),
             "rules_broken": sum(broken.values()) + crashed,
-            "in_time": round(kept / max(figures["asked"], 1), 4),
+            "in_time": round(retained / max(metrics["asked"], 1), 4),
         }
-        self._folder.cleanup()
+        self._directory.cleanup()
         return found
 
     def _in_time(self, name: str, cls: int) -> int:
         """Requests served within the class's aim and a usual query's stretch."""
         assert self._load is not None
         kind = self._settings.classes[cls]
-        aim = kind.latency_objective + kind.objective_per_work * self._mix[cls].work / kind.threads
-        return _below(self._load.latency[name], aim)
+        objective = kind.latency_objective + kind.objective_per_work * self._mix[cls].work / kind.threads
+        return _below(self._load.latency[name], objective)
 
-    def _broken(self) -> dict[str, int]:
+    def _rule_violations(self) -> dict[str, int]:
         """What the engines' own books show of the rules."""
-        late = twice = 0
-        for name, told in self._drained.items():
-            late += sum(int(at > told + GRACE) for at, _, _ in self._engines[name].book.wants)
+        overdue = twice = 0
+        for name, violations in self._drained.items():
+            overdue += sum(int(at > violations + GRACE) for at, _, _ in self._engines[name].record.wants)
         for key, times in self._keys.ran.items():
             twice += times > 1 and bool(key)
         fell = sum(engine.model.pushed for engine in self._all)
-        return {"drain": late, "effects": twice, "cold": fell}
+        return {"drain": overdue, "effects": twice, "cold": fell}
 
 
 def _below(histogram: Any, seconds: float) -> int:
--- a/tealwing/lab/engines.py
+++ b/tealwing/lab/engines.py
@@ -43,8 +43,8 @@
     sessions: int = 8  # a core
     warm_groups: int = 5
     warm_gain: float = 0.55  # of the reading, saved
-    cold_share: float = 0.32
-    cold_time: float = 13.0
+    slow_start_share: float = 0.32
+    slow_start_time: float = 13.0
     report_every: float = 0.4
     noise: float = 0.05
 
@@ -109,12 +109,12 @@
         """Whether all sessions are taken."""
         return len(self._runs) >= self.draw.sessions * self.draw.cores
 
-    def warmth(self) -> float:
+    def warm_up_progress(self) -> float:
         """Share of its capacity, a straight ramp from a cold start."""
         if self.started <= 0:
             return 1.0
-        passed = (self.clock.now - self.started) / self.draw.cold_time
-        share = self.draw.cold_share + (1 - self.draw.cold_share) * max(float(passed), 0.0)
+        passed = (self.clock.now - self.started) / self.draw.slow_start_time
+        share = self.draw.slow_start_share + (1 - self.draw.slow_start_share) * max(float(passed), 0.0)
         return min(1.0, share)
 
     # What runs
@@ -135,8 +135,8 @@
         self._put(run)
         if run.holds and run.group not in self._held:
             self._held[run.group] = run
-        self._stand()
-        self._share()
+        self._update_blocked()
+        self._update_rates()
 
     def pressure(self, work: float, informed: bool = True) -> None:
         """Count what reaches it while it is cold; past its budget it falls over, and stays down.
@@ -144,13 +144,13 @@
         work is the usual one of the class (s of one thread), informed whether its sender knew of the start. It was
         pushed over, which breaks the rule, where two thirds of the work came from those who knew.
         """
-        if self.warmth() >= 1:
+        if self.warm_up_progress() >= 1:
             return
         now = self.clock.now
         self._sent.append((now, work, informed))
         while self._sent[0][0] <= now - FALL_WINDOW:
             self._sent.popleft()
-        capacity = CAPACITY * self.draw.cores * self.draw.speed * self.warmth()
+        capacity = CAPACITY * self.draw.cores * self.draw.speed * self.warm_up_progress()
         total = sum(sent for _, sent, _ in self._sent)
         if total > FALL_SLACK * FALL_MULTIPLE * capacity * FALL_WINDOW:
             self.fell, self.up = True, False
@@ -161,8 +161,8 @@
         if run.slot >= 0:
             self._advance()
             self._take(run)
-            self._stand()
-            self._share()
+            self._update_blocked()
+            self._update_rates()
 
     def tune(self, run: Run, priority: int) -> None:
         """Another priority, from now on."""
@@ -170,7 +170,7 @@
             self._advance()
             run.priority = priority
             self._weight[run.slot] = WEIGHTS[priority]
-            self._share()
+            self._update_rates()
 
     def progress(self, run: Run) -> float:
         """The share done."""
@@ -179,11 +179,11 @@
         self._advance()
         return 1 - float(self._left[run.slot]) / run.work if run.work > 0 else 1.0
 
-    def paced(self, slow: float) -> None:
+    def set_slowdown(self, slow: float) -> None:
         """Run so many times slower from now on."""
         self._advance()
         self.slow = slow
-        self._share()
+        self._update_rates()
 
     def crash(self) -> list[Run]:
         """The process dies; what ran there."""
@@ -231,7 +231,7 @@
             if following is not None:
                 self._held[run.group] = following
 
-    def _stand(self) -> None:
+    def _update_blocked(self) -> None:
         """Who stands still behind a load."""
         if not self._held:
             for run in self._runs:
@@ -248,7 +248,7 @@
         if passed > 0 and k:
             self._left[:k] -= self._rate[:k] * passed
 
-    def _share(self) -> None:
+    def _update_rates(self) -> None:
         """The rates of all that run, and when the next of them ends."""
         self._version += 1
         k = len(self._runs)
@@ -259,10 +259,10 @@
         threads = float(self._threads[:k][moving].sum())
         crowd = threads / draw.cores
         total = 1.0 if crowd <= draw.knee else (draw.knee / crowd) ** draw.thrash
-        warmth = self.warmth()
-        cores, disks = draw.cores * total * warmth, draw.cores * draw.disks * warmth
+        warm_up = self.warm_up_progress()
+        cores, disks = draw.cores * total * warm_up, draw.cores * draw.disks * warm_up
         weight = self._weight[:k] * moving
-        speed = np.minimum(_filled(weight, self._cpu[:k], cores), _filled(weight, self._io[:k], disks))
+        speed = np.minimum(water_filling(weight, self._cpu[:k], cores), water_filling(weight, self._io[:k], disks))
         over = float(self._need[:k].sum()) / draw.memory - 1
         pace = draw.speed / self.slow
         if over > 0:
@@ -271,7 +271,7 @@
         with np.errstate(divide="ignore", invalid="ignore"):
             ends = np.where(rate > 0, self._left[:k] / rate, np.inf)
         soonest = float(ends.min())
-        if warmth < 1:
+        if warm_up < 1:
             soonest = min(soonest, 0.25)  # s: rates grow with warmth
         if soonest < np.inf:
             self.clock.after(max(soonest, 0.0), self._wake, self._version)
@@ -285,23 +285,23 @@
         for run in over:
             self._take(run)
             self.served += run.total
-        self._stand()
-        self._share()
+        self._update_blocked()
+        self._update_rates()
         for run in over:
             run.done(run)
 
 
-def _filled(weight: Any, demand: Any, room: float) -> Any:
+def water_filling(weight: Any, demand: Any, capacity: float) -> Any:
     """Speeds up to 1 that share room by weight; what those at full speed leave is shared out again."""
-    if float((demand * (weight > 0)).sum()) <= room:
+    if float((demand * (weight > 0)).sum()) <= capacity:
         return (weight > 0).astype(float)
     speed = np.zeros(len(weight))
-    open_, left = weight > 0, room
+    open_, left = weight > 0, capacity
     for _ in range(ROUNDS):
-        asked = float((weight * demand * open_).sum())
-        if asked <= 0 or left <= 0:
+        requested = float((weight * demand * open_).sum())
+        if requested <= 0 or left <= 0:
             break
-        level = left / asked
+        level = left / requested
         speed = np.where(open_, np.minimum(1.0, weight * level), speed)
         full = open_ & (speed >= 1.0)
         if not full.any():
--- a/tealwing/lab/faults/weather.py
+++ b/tealwing/lab/faults/network_conditions.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class LinkConditions:
     """One direction: shares from 0 to 1, times in seconds."""
 
     drop: float = 0.0
@@ -27,31 +27,31 @@
     cut: bool = False
 
     @property
-    def fair(self) -> bool:
+    def is_faultless(self) -> bool:
         """Whether nothing happens there."""
-        return self == FAIR
+        return self == FAULTLESS
 
 
-FAIR = Rule()
+FAULTLESS = LinkConditions()
 
 
 @dataclass(frozen=True, slots=True)
-class Fate:
+class Delivery:
     """What becomes of one frame: after how many seconds each copy of it arrives; none where it is lost."""
 
     arrivals: tuple[float, ...]
     in_order: bool = True  # else it may be overtaken by, or overtake, its neighbours
 
 
-LOST = Fate(())
+LOST = Delivery(())
 
 
-class Weather:
+class NetworkConditions:
     """The rules of all directions among the names."""
 
     def __init__(self, names: Iterable[str], seed: int) -> None:
         self.names = tuple(names)
-        self._rules: dict[tuple[str, str], Rule] = {}
+        self._rules: dict[tuple[str, str], LinkConditions] = {}
         self._random = {
             (a, b): random.Random(xxhash.xxh3_64_intdigest(f"{seed}/{a}/{b}".encode()))
             for a in self.names
@@ -59,9 +59,9 @@
             if a != b
         }
 
-    def rule(self, source: str, target: str) -> Rule:
+    def rule(self, source: str, target: str) -> LinkConditions:
         """The rule of a direction."""
-        return self._rules.get((source, target), FAIR)
+        return self._rules.get((source, target), FAULTLESS)
 
     def change(self, source: str, target: str, **fields: float | bool) -> None:
         """Other values in the rule of a direction."""
@@ -96,17 +96,17 @@
         """The directions on which nothing passes."""
         return frozenset(pair for pair, rule in self._rules.items() if rule.cut)
 
-    def fate(self, source: str, target: str) -> Fate:
+    def delivery(self, source: str, target: str) -> Delivery:
         """What becomes of the next frame of a direction."""
         rule = self.rule(source, target)
-        if rule.fair:
-            return Fate((0.0,))
+        if rule.is_faultless:
+            return Delivery((0.0,))
         rng = self._random[source, target]
         if rule.cut or (rule.drop and rng.random() < rule.drop):
             return LOST
         after = rule.delay + (rng.uniform(0.0, rule.jitter) if rule.jitter else 0.0)
         if rule.duplicate and rng.random() < rule.duplicate:
-            return Fate((after, after + rng.uniform(0.0, REORDERED)), in_order=False)
+            return Delivery((after, after + rng.uniform(0.0, REORDERED)), in_order=False)
         if rule.reorder and rng.random() < rule.reorder:
-            return Fate((after + rng.uniform(0.0, REORDERED),), in_order=False)
-        return Fate((after,))
+            return Delivery((after + rng.uniform(0.0, REORDERED),), in_order=False)
+        return Delivery((after,))
--- a/tealwing/lab/faults/proxy.py
+++ b/tealwing/lab/faults/proxy.py
@@ -20,12 +20,12 @@
 from dataclasses import dataclass, field
 
 from tealwing import log
-from tealwing.lab.faults.weather import Weather
+from tealwing.lab.faults.network_conditions import NetworkConditions
 from tealwing.peers import frames
 from tealwing.peers.plan import Address
 
 READ = 64 * 1024  # bytes of a read
-MOST_WAITING = 32 << 20  # bytes that wait for a target that takes nothing (a stopped process): then it is cut off
+MAX_WAITING = 32 << 20  # bytes that wait for a target that takes nothing (a stopped process): then it is cut off
 IDLE = 0.05  # s between two looks where nothing is due
 
 
@@ -48,9 +48,9 @@
 class Proxy:
     """All directions among some processes, whose real addresses are told once they are known."""
 
-    def __init__(self, weather: Weather, pick: Callable[[], int]) -> None:
+    def __init__(self, conditions: NetworkConditions, pick: Callable[[], int]) -> None:
         """pick gives a free port for each listener."""
-        self.weather = weather
+        self.conditions = conditions
         self.lock = threading.Lock()  # round the weather
         self.counts: Counter[str] = Counter()
         self.leaky = False  # on purpose, to see a checker find it: a cut lets frames pass
@@ -61,7 +61,7 @@
         self._due: list[tuple[float, int, Pipe, bytes]] = []
         self._numbers = itertools.count()
         self._stopped = threading.Event()
-        for pair in ((a, b) for a in weather.names for b in weather.names if a != b):
+        for pair in ((a, b) for a in conditions.names for b in conditions.names if a != b):
             listener = socket.create_server(("127.0.0.1", pick()), backlog=16)
             listener.setblocking(False)
             self._listeners[pair] = listener
@@ -146,21 +146,21 @@
             pipe.hello = data
             return
         with self.lock:
-            fate = self.weather.fate(pipe.source, pipe.target)
-            if self.leaky and not fate.arrivals:
-                fate = type(fate)((0.0,))
+            delivery = self.conditions.delivery(pipe.source, pipe.target)
+            if self.leaky and not delivery.arrivals:
+                delivery = type(delivery)((0.0,))
         self.counts["frames"] += 1
-        if not fate.arrivals or not pipe.greeted:
+        if not delivery.arrivals or not pipe.greeted:
             self.counts["dropped"] += 1
             return
-        if len(fate.arrivals) > 1:
+        if len(delivery.arrivals) > 1:
             self.counts["duplicated"] += 1
-        if not fate.in_order:
+        if not delivery.in_order:
             self.counts["reordered"] += 1
         now = time.monotonic()
-        for after in fate.arrivals:
+        for after in delivery.arrivals:
             at = now + after
-            if fate.in_order:
+            if delivery.in_order:
                 at = pipe.last = max(at, pipe.last)
             if at <= now and not self._due:
                 self._send(pipe, data)
@@ -171,7 +171,7 @@
         """Pass the hellos on of directions that are open."""
         for pipe in [pipe for pipe in self._pipes if pipe.hello is not None]:
             with self.lock:
-                cut = self.weather.rule(pipe.source, pipe.target).cut and not self.leaky
+                cut = self.conditions.rule(pipe.source, pipe.target).cut and not self.leaky
             target = self._targets.get(pipe.target)
             if cut or target is None or pipe.hello is None:
                 continue
@@ -191,7 +191,7 @@
         while self._due and self._due[0][0] <= now:
             _, _, pipe, data = heapq.heappop(self._due)
             with self.lock:
-                cut = self.weather.rule(pipe.source, pipe.target).cut and not self.leaky
+                cut = self.conditions.rule(pipe.source, pipe.target).cut and not self.leaky
             if cut:  # it was under way when the cable was cut
                 self.counts["dropped"] += 1
             else:
@@ -202,7 +202,7 @@
             return
         pipe.waiting += data
         self.counts["passed"] += 1
-        if len(pipe.waiting) > MOST_WAITING:
+        if len(pipe.waiting) > MAX_WAITING:
             self._close(pipe)
             return
         self._flush(pipe)
--- a/tealwing/lab/faults/scenario.py
+++ b/tealwing/lab/faults/scenario.py
@@ -132,7 +132,7 @@
     return parse(found.read_text(), name)
 
 
-def moment(name: str) -> Scenario:
+def injection_point(name: str) -> Scenario:
     """The forced moment in which a gateway that is broken on purpose, as named, does harm."""
     found = resources.files("tealwing.lab.faults").joinpath("moments", f"{name}.toml")
     return parse(found.read_text(), name)
@@ -140,5 +140,5 @@
 
 def names() -> list[str]:
     """The scenarios that come along."""
-    folder = resources.files("tealwing.lab.faults").joinpath("scenarios")
-    return sorted(entry.name.removesuffix(".toml") for entry in folder.iterdir() if entry.name.endswith(".toml"))
+    directory = resources.files("tealwing.lab.faults").joinpath("scenarios")
+    return sorted(entry.name.removesuffix(".toml") for entry in directory.iterdir() if entry.name.endswith(".toml"))
--- a/tealwing/lab/rumours.py
+++ b/tealwing/lab/gossip_trial.py
@@ -21,7 +21,7 @@
 from tealwing.gossip.messages import Dead, Gossip, Rumour
 from tealwing.gossip.node import Node, Times
 from tealwing.gossip.transport import only_own
-from tealwing.lab import arrivals, site, worth
+from tealwing.lab import arrivals, score, site
 from tealwing.lab.harness import Deployment
 from tealwing.lab.network import Instance, Network, cluster
 from tealwing.policy import Gateway
@@ -34,7 +34,7 @@
 LOOK = 0.25  # s between two looks, as `transport.LOOK`
 
 
-class Eyes:
+class SimulatedObserver:
     """What one instance sees of modelled engines, counted as the decision module's pace counts it.
 
     Lookups go out at random and come back after a scattered time; what is out counts while it is out, so a slow engine
@@ -82,64 +82,64 @@
         faulty = random.Random(seed).sample(names[3:] or names, min(liars + silent, max(len(names) - 3, 0)))
         self.liars, self.silent = set(faulty[:liars]), set(faulty[liars:])
         self.truth = [1.0] * ENGINES
-        self.eyes = {name: Eyes((seed, i)) for i, name in enumerate(names)}
-        self.doubts: dict[str, dict[tuple[int, int], float]] = {name: {} for name in names}
+        self.observers = {name: SimulatedObserver((seed, i)) for i, name in enumerate(names)}
+        self.latency_factors: dict[str, dict[tuple[int, int], float]] = {name: {} for name in names}
         self.alone: dict[str, float] = {}  # when an instance's own evidence first showed the slow engine
         self.known: dict[str, float] = {}  # when it leaned on it, by its own or by its peers' evidence
         self.shunned = 0  # looks at which a healthy engine was doubted by an honest instance
         for name in self.silent:
-            self.network.tamper[name] = _mute
-        self.network.clock.at(LOOK, self._look)
+            self.network.tamper[name] = _drop_forwarded
+        self.network.clock.at(LOOK, self._observe)
 
     def honest(self) -> list[Instance]:
         """Instances that do as they should."""
         return [i for i in self.network.live() if i.node.name not in self.liars | self.silent]
 
-    def _look(self) -> None:
-        self.network.clock.after(LOOK, self._look)
+    def _observe(self) -> None:
+        self.network.clock.after(LOOK, self._observe)
         now = self.network.clock.now
         for instance in self.network.live():
-            node, eyes = instance.node, self.eyes[instance.node.name]
-            eyes.see(self.truth, LOOK)
-            own = eyes.evidence()
+            node, observer = instance.node, self.observers[instance.node.name]
+            observer.see(self.truth, LOOK)
+            own = observer.evidence()
             if node.name in self.liars:
                 self._lie(instance)
                 continue
-            said = _to_say(node, own, now)
-            if said:
-                node.say(said)
-            doubts = self.doubts[node.name] = node.beliefs.weigh(now, own, node.members.live, ENGINES)
+            published = _reports_to_publish(node, own, now)
+            if published:
+                node.say(published)
+            latency_factors = self.latency_factors[node.name] = node.beliefs.weigh(now, own, node.members.live, ENGINES)
             for engine, times in enumerate(self.truth):
-                word = own[engine, 0]
-                sees = word.samples >= FRESH_OWN and word.slow >= SLOW
+                report = own[engine, 0]
+                sees = report.samples >= FRESH_OWN and report.slow >= SLOW
                 if times > 1:
                     if sees:
                         self.alone.setdefault(node.name, now)
-                    if sees or (engine, 0) in doubts:
+                    if sees or (engine, 0) in latency_factors:
                         self.known.setdefault(node.name, now)
-                elif (engine, 0) in doubts and node.name not in self.silent:
+                elif (engine, 0) in latency_factors and node.name not in self.silent:
                     self.shunned += 1
 
     def _lie(self, instance: Instance) -> None:
         """Accuse what is well, praise what is slow, and call members dead: all liars say the same."""
         node = instance.node
-        words = [Word(engine, 0, 1.0 if times > 1 else 9.0, 0.0, 1e5) for engine, times in enumerate(self.truth)]
-        node.say(words)
+        reports = [Word(engine, 0, 1.0 if times > 1 else 9.0, 0.0, 1e5) for engine, times in enumerate(self.truth)]
+        node.say(reports)
         slander: list[Rumour] = [Dead(m.alive.name, m.alive.boot, m.alive.incarnation) for m in list(node.members)[:8]]
         for member in node.members.some(3):
             node.tell(Urgency.RUMOUR, member.address, Gossip(), slander)
 
 
-def _to_say(node: Node, own: dict[tuple[int, int], Word], now: float) -> list[Word]:
+def _reports_to_publish(node: Node, own: dict[tuple[int, int], Word], now: float) -> list[Word]:
     return observe.worth_saying(own.values(), node.beliefs.accused(now), node.lot, node.members.live)
 
 
-def _mute(instance: Instance, to: Address, data: bytes) -> list[tuple[Address, bytes]]:
+def _drop_forwarded(instance: Instance, to: Address, data: bytes) -> list[tuple[Address, bytes]]:
     """Probes, answers, and speaks of itself; passes nothing on."""
     return [(to, only_own(data, instance.node))]
 
 
-def attempt(
+def run_trial(
     instances: int, liars: int, silent: int, seconds: float, seed: int, times: Times | None = None
 ) -> dict[str, Any]:
     """A whole trial: all join, one engine grows slow at a third of the time, and the rest is watched."""
@@ -156,28 +156,28 @@
     for instance in network.live():
         lost += instance.node.counts.rejected
     deaths = sum(name == "gossip_dead" for _, whose, name, _ in network.events if whose in honest)
-    return {"summary": True, "instances": instances, "liars": liars, "silent": silent, "seed": seed} | figures(
-        [converged], network.most_bytes(), network.times, trial.shunned, known, alone, deaths, lost
+    return {"summary": True, "instances": instances, "liars": liars, "silent": silent, "seed": seed} | summary(
+        [converged], network.max_bytes_per_second(), network.times, trial.shunned, known, alone, deaths, lost
     )
 
 
-Moments = Sequence[float | None]  # s; None where it never came to pass
+DetectionTimes = Sequence[float | None]  # s; None where it never came to pass
 
 
-def figures(
-    converged: Moments,
-    most_bytes: int,
+def summary(
+    converged: DetectionTimes,
+    max_bytes_per_second: int,
     times: Times,
     shunned: int,
-    known: Moments,
-    alone: Moments,
+    known: DetectionTimes,
+    alone: DetectionTimes,
     deaths: int,
     rejected: Counter[str],
 ) -> dict[str, Any]:
     """What a trial shows, the same whether played in virtual time or by processes."""
     return {
         "members_converged_s": _last(converged),
-        "bytes_per_s_max": most_bytes,
+        "bytes_per_s_max": max_bytes_per_second,
         "ceiling_bytes_per_s": int(times.ceiling),
         "healthy_shunned": shunned,
         "slow_engine_known_s": _last(known),
@@ -189,38 +189,38 @@
     }
 
 
-def _last(times: Moments) -> float | None:
+def _last(times: DetectionTimes) -> float | None:
     """When the last one knew; None where one never did."""
     known = [time for time in times if time is not None]
     return round(max(known), 3) if len(known) == len(times) and known else None
 
 
-def _mean(times: Moments) -> float | None:
+def _mean(times: DetectionTimes) -> float | None:
     known = [time for time in times if time is not None]
     return round(sum(known) / len(known), 3) if known else None
 
 
-class Talking:
+class GossipingDeployment:
     """A deployment of modelled engines whose gateways gossip, or do not."""
 
     def __init__(self, seed: int, gateways: int, seconds: float, load: float, liars: int, talk: bool) -> None:
         settings = replace(site.settings(gateways), gateway_count=gateways)
         draws = site.draws(np.random.default_rng((seed, 30)), ENGINES)
         mean = sum(mix.share * mix.work for mix in arrivals.BRIEF)
-        asked = arrivals.draw(np.random.default_rng((seed, 31)), site.rate(draws, mean, load), seconds, gateways)
+        requests = arrivals.draw(np.random.default_rng((seed, 31)), site.rate(draws, mean, load), seconds, gateways)
         self.seconds, self._talk = seconds, talk
-        self.deployment = Deployment(settings, draws, asked, Gateway, seed)
+        self.deployment = Deployment(settings, draws, requests, Gateway, seed)
         self.network = Network(seed)
         self.network.clock = self.deployment.clock
         self._believed: list[dict[tuple[int, int], float]] = [{} for _ in range(gateways)]
         if talk:
             self._nodes = cluster(self.network, gateways)
             self._liars = set(random.Random(seed).sample(range(3, gateways), liars))
-            self.deployment.clock.at(LOOK, self._look)
+            self.deployment.clock.at(LOOK, self._exchange)
 
-    def _look(self) -> None:
+    def _exchange(self) -> None:
         clock = self.deployment.clock
-        clock.after(LOOK, self._look)
+        clock.after(LOOK, self._exchange)
         for number, instance in enumerate(self._nodes):
             node, module = instance.node, self.deployment.modules[number]
             assert isinstance(module, Gateway)
@@ -228,16 +228,16 @@
             if number in self._liars:
                 node.say([replace(w, slow=1.0 if w.bad else 9.0, failed=0.0, samples=1e5) for w in own.values()])
                 continue
-            said = _to_say(node, own, clock.now)
-            if said:
-                node.say(said)
-            doubts = node.beliefs.weigh(clock.now, own, node.members.live, len(module.ready))
-            if doubts != self._believed[number]:
-                self._believed[number] = doubts
-                module.handle(clock.now, api.EngineHealthEstimates(doubts))
-
-    def run(self, trouble: Callable[[Deployment], None]) -> worth.Worth:
+            published = _reports_to_publish(node, own, clock.now)
+            if published:
+                node.say(published)
+            latency_factors = node.beliefs.weigh(clock.now, own, node.members.live, len(module.ready))
+            if latency_factors != self._believed[number]:
+                self._believed[number] = latency_factors
+                module.handle(clock.now, api.EngineHealthEstimates(latency_factors))
+
+    def run(self, with_fault: Callable[[Deployment], None]) -> score.Score:
         """What it was worth."""
-        trouble(self.deployment)
-        books = self.deployment.run(self.seconds + 26.0)
-        return worth.count(self.deployment.arrivals, books, self.deployment.settings)
+        with_fault(self.deployment)
+        outcomes = self.deployment.run(self.seconds + 26.0)
+        return score.count(self.deployment.arrivals, outcomes, self.deployment.settings)
--- a/tealwing/lab/harness.py
+++ b/tealwing/lab/harness.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Try:
+class ClientTry:
     """One try of a client at its gateway."""
 
     first: int  # the request's place among the arrivals
@@ -61,7 +61,7 @@
 class Attempt:
     """One send."""
 
-    of: Try
+    of: ClientTry
     number: int
     engine: engines.Engine
     sent: float
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True)
-class Books:
+class RequestOutcomes:
     """What became of every request, by its place among the arrivals."""
 
     answered: Any  # time of the answer 'served', or NaN
@@ -106,8 +106,8 @@
         self.kinds = {i + 1: self._kind(draw) for i, draw in enumerate(draws)}
         n = len(arrivals)
         refused, failed, shed, attempts = (np.zeros(n, dtype=np.int32) for _ in range(4))
-        self.books = Books(np.full(n, np.nan), refused, failed, shed, attempts)
-        self._tries: list[dict[int, Try]] = [{} for _ in range(settings.gateway_count)]
+        self.outcomes = RequestOutcomes(np.full(n, np.nan), refused, failed, shed, attempts)
+        self._tries: list[dict[int, ClientTry]] = [{} for _ in range(settings.gateway_count)]
         self._ids = [0] * settings.gateway_count
         self._drained: dict[tuple[int, int], float] = {}  # by gateway and engine, since when told
         self._started: dict[tuple[int, int], float] = {}  # by gateway and engine, the start that it knows of
@@ -137,16 +137,16 @@
     def _kind(self, draw: engines.Draw) -> int:
         return next(i for i, kind in enumerate(self.settings.machine_kinds) if kind.cores == draw.cores)
 
-    def run(self, until: float) -> Books:
+    def run(self, until: float) -> RequestOutcomes:
         """Let it run; all arrivals before `until` come, and time goes on until then."""
         entries = tuple(self._entry(number, api.Health.READY) for number in self.engines)
         for gateway in range(self.settings.gateway_count):
-            self._tell(gateway, api.EngineList(api.EngineListKind.CACHED, 1, entries))
+            self._handle(gateway, api.EngineList(api.EngineListKind.CACHED, 1, entries))
         if len(self.arrivals):
             self.clock.at(self._columns[0][0], self._arrive, 0)
         self.clock.run(until)
-        self.books.fell = self._pushed + sum(engine.pushed for engine in self.engines.values())
-        return self.books
+        self.outcomes.fell = self._pushed + sum(engine.pushed for engine in self.engines.values())
+        return self.outcomes
 
     # Troubles
 
@@ -157,19 +157,19 @@
     def slow(self, numbers: Sequence[int], at: float, until: float, times: float) -> None:
         """Some engines run so many times slower for a while."""
         for number in numbers:
-            self.clock.at(at, lambda n=number: self.engines[n].paced(times))
-            self.clock.at(until, lambda n=number: self.engines[n].paced(1.0))
+            self.clock.at(at, lambda n=number: self.engines[n].set_slowdown(times))
+            self.clock.at(until, lambda n=number: self.engines[n].set_slowdown(1.0))
 
     def drain(self, number: int, at: float) -> None:
         """One engine is to be sent nothing new."""
-        self.clock.at(at, self._news, number, api.Health.DRAINING)
+        self.clock.at(at, self._publish_health, number, api.Health.DRAINING)
 
     def _crash(self, numbers: tuple[int, ...], back: float | None) -> None:
         for number in numbers:
             engine = self.engines[number]
             for run in engine.crash():
                 self.clock.after(RESET_AFTER, self._ended, run.key, api.AttemptResult.RESET)
-            self._news(number, api.Health.GONE)
+            self._publish_health(number, api.Health.GONE)
             if back is not None:
                 self.clock.at(back, self._back, number)
 
@@ -178,14 +178,14 @@
         self._pushed += old.pushed
         rng = np.random.default_rng((number, int(self.clock.now * 1e3)))
         self.engines[number] = engines.Engine(number, old.draw, self.clock, rng, self.clock.now)
-        self._news(number, api.Health.READY)
+        self._publish_health(number, api.Health.READY)
 
-    def _news(self, number: int, health: api.Health) -> None:
+    def _publish_health(self, number: int, health: api.Health) -> None:
         """The list tells each gateway, later."""
         entry = self._entry(number, health)
         for gateway in range(self.settings.gateway_count):
-            late = float(self._rng.uniform(*NOTICE))
-            self.clock.after(late, self._listed, gateway, number, entry)
+            delay = float(self._rng.uniform(*NOTICE))
+            self.clock.after(delay, self._listed, gateway, number, entry)
 
     def _listed(self, gateway: int, number: int, entry: api.EngineListEntry) -> None:
         if entry.health is api.Health.READY:
@@ -193,7 +193,7 @@
             self._drained.pop((gateway, number), None)
         else:
             self._drained.setdefault((gateway, number), self.clock.now)
-        self._tell(gateway, api.EngineList(api.EngineListKind.DELTA, 2, (entry,)))
+        self._handle(gateway, api.EngineList(api.EngineListKind.DELTA, 2, (entry,)))
 
     def _entry(self, number: int, health: api.Health) -> api.EngineListEntry:
         started = self.engines[number].started
@@ -217,21 +217,21 @@
         if ttl <= 0:
             return
         self._ids[gateway] += 1
-        made = Try(place, number, gateway, self._ids[gateway], self.clock.now + ttl)
+        made = ClientTry(place, number, gateway, self._ids[gateway], self.clock.now + ttl)
         self._tries[gateway][made.id] = made
         self.clock.at(made.end, self._impatient, made)
         request = api.Request(made.id, cls, ttl, float(group), cost, 0, account, need, number > 0)
-        self._tell(gateway, request)
+        self._handle(gateway, request)
 
-    def _impatient(self, made: Try) -> None:
+    def _impatient(self, made: ClientTry) -> None:
         if not made.over:
             self._close(made)
-            self.books.failed[made.first] += 1
-            self._tell(made.gateway, api.ClientGone(made.id))
+            self.outcomes.failed[made.first] += 1
+            self._handle(made.gateway, api.ClientGone(made.id))
             if made.attempt is not None:
                 self._stop(made.attempt, api.AttemptResult.CANCELLED)
 
-    def _again(self, made: Try, wait: float) -> None:
+    def _schedule_retry(self, made: ClientTry, wait: float) -> None:
         if made.number < self.clients.retries:
             luck = self._luck[made.first]
             low, high = self.clients.wait
@@ -240,20 +240,20 @@
                 pause = max(pause, wait)
             self.clock.after(pause, self._try, made.first, made.number + 1)
 
-    def _close(self, made: Try) -> None:
-        self.books.twice += made.over
+    def _close(self, made: ClientTry) -> None:
+        self.outcomes.twice += made.over
         made.over = True
 
     # Gateways
 
-    def _tell(self, gateway: int, event: api.Event) -> None:
+    def _handle(self, gateway: int, event: api.Event) -> None:
         for action in self.modules[gateway].handle(self.clock.now, event):
             self._act(gateway, action)
 
     def _act(self, gateway: int, action: api.Action) -> None:
         match action:
             case api.SetTimer(delay, token):
-                self.clock.after(delay, self._tell, gateway, api.TimerFired(token))
+                self.clock.after(delay, self._handle, gateway, api.TimerFired(token))
             case api.Send(id_, engine, timeout):
                 self._send(self._tries[gateway][id_], engine, timeout)
             case api.SetResources(id_, priority, _):
@@ -268,31 +268,31 @@
             case api.Reject(id_, wait):
                 made = self._tries[gateway][id_]
                 self._close(made)
-                self.books.refused[made.first] += 1
-                self.books.shed[made.first] += action.is_load_shedding
-                self._again(made, wait)
+                self.outcomes.refused[made.first] += 1
+                self.outcomes.shed[made.first] += action.is_load_shedding
+                self._schedule_retry(made, wait)
                 self._forget(made)
             case api.Fail(id_):
                 made = self._tries[gateway][id_]
                 self._close(made)
-                self.books.failed[made.first] += 1
-                self._again(made, 0.0)
+                self.outcomes.failed[made.first] += 1
+                self._schedule_retry(made, 0.0)
                 self._forget(made)
 
-    def _send(self, made: Try, number: int, timeout: float) -> None:
-        books, engine = self.books, self.engines.get(number)
-        told = self._drained.get((made.gateway, number))
-        books.doubled += made.attempt is not None
-        books.attempts[made.first] += 1
-        if engine is None or (told is not None and self.clock.now > told + self.settings.rules.drain_grace):
-            books.wrong += 1
+    def _send(self, made: ClientTry, number: int, timeout: float) -> None:
+        outcomes, engine = self.outcomes, self.engines.get(number)
+        informed = self._drained.get((made.gateway, number))
+        outcomes.doubled += made.attempt is not None
+        outcomes.attempts[made.first] += 1
+        if engine is None or (informed is not None and self.clock.now > informed + self.settings.rules.drain_grace):
+            outcomes.wrong += 1
         assert engine is not None
         attempt = made.attempt = Attempt(made, made.sends, engine, self.clock.now)
         made.sends += 1
-        self.clock.after(NET, self._land, attempt)
+        self.clock.after(NET, self._arrive_at_engine, attempt)
         self.clock.at(min(self.clock.now + timeout, made.end), self._timed_out, attempt)
 
-    def _land(self, attempt: Attempt) -> None:
+    def _arrive_at_engine(self, attempt: Attempt) -> None:
         if attempt.ended:
             return
         engine, place = attempt.engine, attempt.of.first
@@ -325,18 +325,18 @@
         )
         engine.start(attempt.run)
         if self.settings.progress_interval > 0:
-            self.clock.after(self.settings.progress_interval, self._note, attempt)
+            self.clock.after(self.settings.progress_interval, self._send_progress, attempt)
 
-    def _note(self, attempt: Attempt) -> None:
+    def _send_progress(self, attempt: Attempt) -> None:
         if attempt.ended or attempt.run is None or attempt.run.slot < 0:
             return
-        self.clock.after(self.settings.progress_interval, self._note, attempt)
+        self.clock.after(self.settings.progress_interval, self._send_progress, attempt)
         made, run = attempt.of, attempt.run
         if run.still:
             kind, amount = api.ProgressKind.WAITING, 2.0
         else:
             kind, amount = api.ProgressKind.PROGRESS, attempt.engine.progress(run)
-        self._tell(made.gateway, api.AttemptProgress(made.id, attempt.number, attempt.engine.number, kind, amount))
+        self._handle(made.gateway, api.AttemptProgress(made.id, attempt.number, attempt.engine.number, kind, amount))
 
     def _served(self, run: engines.Run) -> None:
         self.clock.after(NET, self._ended, run.key, api.AttemptResult.OK)
@@ -360,11 +360,11 @@
         served = result is api.AttemptResult.OK and not made.over
         if served:
             self._close(made)
-            self.books.answered[made.first] = self.clock.now
+            self.outcomes.answered[made.first] = self.clock.now
         report = (
             engine.report() if result in (api.AttemptResult.OK, api.AttemptResult.FULL, api.AttemptResult.ERROR) else ()
         )
-        self._tell(
+        self._handle(
             made.gateway,
             api.AttemptOutcome(
                 made.id,
@@ -379,6 +379,6 @@
         if made.over:
             self._forget(made)
 
-    def _forget(self, made: Try) -> None:
+    def _forget(self, made: ClientTry) -> None:
         if made.over and made.attempt is None:
             self._tries[made.gateway].pop(made.id, None)
--- a/tealwing/lab/hollow/fleet.py
+++ b/tealwing/lab/hollow/fleet.py
@@ -17,7 +17,7 @@
 
 import tealwing
 from tealwing.lab.hollow import requirements
-from tealwing.lab.hollow.records import HostFigures, MemberFigures, Ready
+from tealwing.lab.hollow.records import HostMetrics, MemberMetrics, Ready
 from tealwing.lab.hollow.specification import Fleet, Host
 from tealwing.lab.rig.ports import free_port
 from tealwing.peers.control import Turned, ask
@@ -26,11 +26,11 @@
 MEMBERS_A_HOST = 50
 START_LIMIT = 60.0  # s for a host's members to start
 POLL = 0.1  # s between two looks at what is waited for
-ASK_LIMIT = 10.0  # s for an operator's call
+CALL_TIMEOUT = 10.0  # s for an operator's call
 END_LIMIT = 60.0  # s for a process to end after it was killed: a busy machine takes its time for hundreds of threads
 
 
-Answer = TypeVar("Answer", Ready, HostFigures)
+Answer = TypeVar("Answer", Ready, HostMetrics)
 
 
 class HollowFault(RuntimeError):
@@ -42,16 +42,16 @@
     """One host process."""
 
     specification: Host
-    folder: Path
+    directory: Path
     process: subprocess.Popen[str] | None = None
 
     def start(self) -> None:
         """Start it; `ready` waits until its members have started."""
-        path = self.folder / "host.json"
+        path = self.directory / "host.json"
         path.write_bytes(msgspec.json.encode(self.specification))
-        with (self.folder / "errors.log").open("ab") as errors:
+        with (self.directory / "errors.log").open("ab") as errors:
             self.process = subprocess.Popen(
-                [sys.executable, "-O", "-m", "tealwing.lab.hollow.host", str(path)], cwd=self.folder, text=True,
+                [sys.executable, "-O", "-m", "tealwing.lab.hollow.host", str(path)], cwd=self.directory, text=True,
                 stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=errors,
                 env={"PYTHONPATH": SOURCE, "MALLOC_ARENA_MAX": "1", "PYTHONDONTWRITEBYTECODE": "1"},
             )  # fmt: skip
@@ -60,7 +60,7 @@
         """Wait until its members have started."""
         self._read(Ready)
 
-    def figures(self) -> HostFigures:
+    def read_metrics(self) -> HostMetrics:
         """Ask it for its figures."""
         assert self.process is not None and self.process.stdin is not None
         try:
@@ -68,11 +68,11 @@
             self.process.stdin.flush()
         except OSError as error:
             raise self._fault(str(error)) from None
-        return self._read(HostFigures)
+        return self._read(HostMetrics)
 
     def faults(self) -> str:
         """What it has written to standard error."""
-        return (self.folder / "errors.log").read_text(errors="replace")
+        return (self.directory / "errors.log").read_text(errors="replace")
 
     def kill(self) -> None:
         """End it, by its id, and wait for that."""
@@ -98,13 +98,13 @@
 
 
 @dataclass(frozen=True)
-class Figures:
+class FleetMetrics:
     """Of the whole fleet at one moment."""
 
     at: float  # monotonic
-    hosts: list[HostFigures] = field(default_factory=list)
+    hosts: list[HostMetrics] = field(default_factory=list)
 
-    def members(self) -> dict[str, MemberFigures]:
+    def members(self) -> dict[str, MemberMetrics]:
         """By name."""
         return {member.name: member for host in self.hosts for member in host.members}
 
@@ -127,7 +127,7 @@
 
     def __init__(
         self, count: int, voters: int = 5, lost_touch: str = "serve", members_a_host: int = MEMBERS_A_HOST,
-        limit: float = 5.0, beat: float = 0.2, singles: int = 0,
+        limit: float = 5.0, heartbeat: float = 0.2, singles: int = 0,
     ) -> None:  # fmt: skip
         """count members, the first voters of whom vote; singles: learners that have a process of their own.
 
@@ -135,10 +135,10 @@
         """
         names = tuple(f"g{number:04}" for number in range(count))
         ports = tuple(free_port() for _ in names)
-        self.fleet = Fleet(names, ports, min(voters, count), lost_touch, beat, limit)  # type: ignore[arg-type]
+        self.fleet = Fleet(names, ports, min(voters, count), lost_touch, heartbeat, limit)  # type: ignore[arg-type]
         self.need = requirements.need(self.fleet, members_a_host, singles)
-        requirements.check(self.need, requirements.room())
-        self._folder = tempfile.TemporaryDirectory(prefix="tealwing-hollow-")
+        requirements.check(self.need, requirements.available_resources())
+        self._directory = tempfile.TemporaryDirectory(prefix="tealwing-hollow-")
         self.hosts: list[HostProcess] = []
         voting, learning = names[: self.fleet.voters], self.fleet.learners
         groups: list[tuple[str, ...]] = [(name,) for name in voting]
@@ -147,10 +147,10 @@
         self.singles = learning[:singles]
         self._controls = {name: free_port() for name in voting}
         for number, group in enumerate(groups):
-            folder = Path(self._folder.name) / f"host{number}"
-            folder.mkdir()
+            directory = Path(self._directory.name) / f"host{number}"
+            directory.mkdir()
             controls = {name: port for name, port in self._controls.items() if name in group}
-            self.hosts.append(HostProcess(Host(self.fleet, group, str(folder), controls), folder))
+            self.hosts.append(HostProcess(Host(self.fleet, group, str(directory), controls), directory))
 
     def __enter__(self) -> HollowFleet:
         return self
@@ -168,7 +168,7 @@
         for host in self.hosts:
             host.ready()
         while True:
-            found = self.figures()
+            found = self.metrics()
             members = found.members().values()
             open_gates = sum(member.gate_open for member in members)
             if found.leader() and open_gates == len(self.fleet.members):
@@ -184,13 +184,13 @@
         """End every process that was started, and its folder."""
         with ThreadPoolExecutor(8) as pool:
             list(pool.map(HostProcess.kill, self.hosts))
-        self._folder.cleanup()
+        self._directory.cleanup()
 
-    def figures(self) -> Figures:
+    def metrics(self) -> FleetMetrics:
         """Of all hosts that run."""
         running = [host for host in self.hosts if host.process is not None]
         with ThreadPoolExecutor(min(32, len(running))) as pool:
-            return Figures(time.monotonic(), list(pool.map(HostProcess.figures, running)))
+            return FleetMetrics(time.monotonic(), list(pool.map(HostProcess.read_metrics, running)))
 
     def host_of(self, name: str) -> HostProcess:
         """The host of a member."""
@@ -204,17 +204,17 @@
         """An operator's call, at that voter, or the first one that runs."""
         running = [name for name in self._controls if self.host_of(name).process is not None]
         name = at or running[0]
-        return ask(("127.0.0.1", self._controls[name]), what, ASK_LIMIT, **fields)
+        return ask(("127.0.0.1", self._controls[name]), what, CALL_TIMEOUT, **fields)
 
     def propose(self, text: bytes, why: str) -> int:
         """Propose a version of the rules; its number. HollowFault where it is not taken."""
         try:
-            told = self.call("rules.propose", text=text, who="operator", why=why, wait_s=ASK_LIMIT / 2)
+            reply = self.call("rules.propose", text=text, who="operator", why=why, wait_s=CALL_TIMEOUT / 2)
         except (OSError, Turned) as error:
             raise HollowFault(f"the proposal was not taken: {error}") from None
-        if told["word"] != "ok":
-            raise HollowFault(f"the proposal was not taken: {told}")
-        return int(told["number"])
+        if reply["word"] != "ok":
+            raise HollowFault(f"the proposal was not taken: {reply}")
+        return int(reply["number"])
 
     def phase(self, version: int) -> str:
         """The phase of a version as a voter sees it."""
--- a/tealwing/lab/hollow/host.py
+++ b/tealwing/lab/hollow/host.py
@@ -17,7 +17,7 @@
 
 from tealwing import log
 from tealwing.lab.hollow.member import HollowMember
-from tealwing.lab.hollow.records import HostFigures, MemberFigures, Ready
+from tealwing.lab.hollow.records import HostMetrics, MemberMetrics, Ready
 from tealwing.lab.hollow.specification import Host
 
 STACK = 256 * 1024  # bytes a thread, as in a gateway
@@ -42,11 +42,11 @@
             print(record.msg, fields, file=sys.stderr, flush=True)
 
 
-def figures(members: list[HollowMember], held: HeldTimes) -> HostFigures:
+def host_metrics(members: list[HollowMember], held: HeldTimes) -> HostMetrics:
     """What there is to tell now."""
     status = Path("/proc/self/status").read_text()
     tasks = list(Path("/proc/self/task").iterdir())
-    return HostFigures(
+    return HostMetrics(
         time.process_time(),
         int(status.partition("VmRSS:")[2].split()[0]),
         len(tasks),
@@ -57,12 +57,12 @@
     )
 
 
-def _member(member: HollowMember) -> MemberFigures:
+def _member(member: HollowMember) -> MemberMetrics:
     peering = member.peering
     traffic = peering.link.traffic()
     assert peering.replica is not None and peering.rules is not None
     core, steering = peering.replica.core, peering.rules.steering
-    return MemberFigures(
+    return MemberMetrics(
         member.name, core.role.value, peering.replica.state.applied, steering.in_force, steering.is_open,
         traffic.sent, traffic.sent_bytes, traffic.received, traffic.received_bytes,
     )  # fmt: skip
@@ -82,7 +82,7 @@
     for line in sys.stdin:
         if line.strip() == "stop":
             break
-        print(msgspec.json.encode(figures(members, held)).decode(), flush=True)
+        print(msgspec.json.encode(host_metrics(members, held)).decode(), flush=True)
     os._exit(0)  # its threads hold nothing that outlives the process: disks are scratch folders
 
 
--- a/tealwing/lab/hollow/member.py
+++ b/tealwing/lab/hollow/member.py
@@ -54,11 +54,11 @@
     def __init__(self, host: Host, name: str) -> None:
         """peers.link.LinkFault where its address can't be had or its disk can't be trusted."""
         self.name = name
-        folder = Path(host.folder) / name
-        folder.mkdir(parents=True, exist_ok=True)
+        directory = Path(host.folder) / name
+        directory.mkdir(parents=True, exist_ok=True)
         plan = specification.peers_plan(host.fleet, name, host.control_ports.get(name))
         self.gateway = RecordingGateway(len(host.fleet.members))
-        self.peering = Peering(plan, specification.replica_plan(folder))
+        self.peering = Peering(plan, specification.replica_plan(directory))
         self.peering.follow_rules(specification.rules_plan(host.fleet), self.gateway)
 
     def start(self) -> None:
--- a/tealwing/lab/hollow/records.py
+++ b/tealwing/lab/hollow/records.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class MemberFigures(msgspec.Struct, frozen=True):
+class MemberMetrics(msgspec.Struct, frozen=True):
     """One member: its role, its traffic so far, and what it has applied."""
 
     name: str
@@ -19,14 +19,14 @@
     received_bytes: int
 
 
-class HostFigures(msgspec.Struct, frozen=True):
+class HostMetrics(msgspec.Struct, frozen=True):
     """One host process, all its threads together."""
 
     processor_s: float
     resident_kb: int
     threads: int
     descriptors: int
-    members: tuple[MemberFigures, ...]
+    members: tuple[MemberMetrics, ...]
     in_force: dict[str, dict[str, float]]  # monotonic time by version and member
     held_ms: tuple[float, ...]  # of each change and member: how long its gate was closed
 
--- a/tealwing/lab/hollow/requirements.py
+++ b/tealwing/lab/hollow/requirements.py
@@ -21,7 +21,7 @@
 PROCESSOR_A_LINK = 0.0009  # cores of a voter, for each member that it is linked to
 PROCESSOR_SHARE = 0.75  # of the machine's processors: 1,105 members on 8, which had none left, elected nobody
 MEMORY_SHARE = 0.5  # of the machine's memory that a fleet may take
-MOST_PROCESSES = 300
+MAX_PROCESSES = 300
 TASK_SHARE = 0.75  # of the table of tasks
 
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class AvailableResources:
     """What the machine lets a fleet have."""
 
     processes: int
@@ -78,7 +78,7 @@
     return Need(processes, threads, largest + DESCRIPTORS_A_HOST, memory // 1024, round(processors, 2))
 
 
-def room() -> Room:
+def available_resources() -> AvailableResources:
     """This machine's limits, of which a fleet may take a part."""
     fields = dict(line.split(":") for line in Path("/proc/meminfo").read_text().splitlines())
     total_kb = int(fields["MemTotal"].split()[0])
@@ -87,10 +87,10 @@
     descriptors, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     memory_mb = int(MEMORY_SHARE * total_kb) // 1024
     processors = round(PROCESSOR_SHARE * (os.cpu_count() or 1), 2)
-    return Room(MOST_PROCESSES, int(TASK_SHARE * tasks) - used, descriptors, memory_mb, processors)
+    return AvailableResources(MAX_PROCESSES, int(TASK_SHARE * tasks) - used, descriptors, memory_mb, processors)
 
 
-def check(needed: Need, there: Room) -> None:
+def check(needed: Need, there: AvailableResources) -> None:
     """TooLarge where it does not fit."""
     for what, remedy in (
         ("processes", "put more members into a host"),
@@ -99,6 +99,8 @@
         ("memory_mb", "have fewer members, or a machine with more memory"),
         ("processors", "have fewer members, or a machine with more processors"),
     ):
-        wanted, most = getattr(needed, what), getattr(there, what)
-        if wanted > most:
-            raise TooLarge(f"the fleet needs {wanted} {what.replace('_', ' ')}, and {most} may be used: {remedy}")
+        required, available = getattr(needed, what), getattr(there, what)
+        if required > available:
+            raise TooLarge(
+                f"the fleet needs {required} {what.replace('_', ' ')}, and {available} may be used: {remedy}"
+            )
--- a/tealwing/lab/hollow/specification.py
+++ b/tealwing/lab/hollow/specification.py
@@ -50,9 +50,9 @@
     return Plan(FLEET, name, tuple(addresses), times, control, learners=fleet.learners)
 
 
-def replica_plan(folder: Path) -> ReplicaPlan:
+def replica_plan(directory: Path) -> ReplicaPlan:
     """A member's section `replica`: disks are trusted."""
-    return ReplicaPlan(str(folder), stale=0)
+    return ReplicaPlan(str(directory), stale=0)
 
 
 def rules_plan(fleet: Fleet) -> RulesPlan:
--- a/tealwing/lab/judges/clients.py
+++ b/tealwing/lab/judges/clients.py
@@ -5,13 +5,13 @@
 from collections.abc import Sequence
 
 from tealwing.lab.judges.verdict import Violation
-from tealwing.lab.rig.history import Event, Operation, operations, spans
+from tealwing.lab.rig.history import Event, Operation, intervals, operations
 
 
-def refused(events: Sequence[Event]) -> list[Operation]:
+def rejected_queries(events: Sequence[Event]) -> list[Operation]:
     """The queries that a gateway which lived all the while did not serve."""
     down: dict[str, list[tuple[float, float]]] = {}
-    for what, fields, begin, end in spans(events, float("inf")):
+    for what, fields, begin, end in intervals(events, float("inf")):
         if what in ("kill", "stop"):
             down.setdefault(fields["who"], []).append((begin, end))
     found = []
@@ -26,11 +26,11 @@
     return found
 
 
-def judge(events: Sequence[Event], end: float) -> list[Violation]:
+def check(events: Sequence[Event], end: float) -> list[Violation]:
     """One violation for each."""
     found = []
-    for query in refused(events):
-        word = query.result.get("word", query.word)
+    for query in rejected_queries(events):
+        answer = query.result.get("word", query.word)
         why = query.result.get("text") or query.result.get("why")
-        found.append(Violation("clients", query.result["t"], f"{query.process} lived, and a query was {word}: {why}"))
+        found.append(Violation("clients", query.result["t"], f"{query.process} lived, and a query was {answer}: {why}"))
     return found
--- a/tealwing/lab/judges/copies.py
+++ b/tealwing/lab/judges/copies.py
@@ -8,7 +8,7 @@
 from tealwing.lab.rig.history import Event
 
 
-def judge(events: Sequence[Event], end: float) -> list[Violation]:
+def check(events: Sequence[Event], end: float) -> list[Violation]:
     """What must not have happened to the copies."""
     found = []
     digests = [event for event in events if event["kind"] == "digest"]
--- a/tealwing/lab/judges/echo.py
+++ b/tealwing/lab/judges/echo.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Sequence
 
-from tealwing.lab.judges.reach import Reach
+from tealwing.lab.judges.reach import Reachability
 from tealwing.lab.judges.verdict import Violation
 from tealwing.lab.rig.history import Event, operations
 
 UNDER_WAY = 0.1  # s after a cut within which what was written before it may still be read
 
 
-def judge(events: Sequence[Event], end: float) -> list[Violation]:
+def check(events: Sequence[Event], end: float) -> list[Violation]:
     """What must not have happened among the pings."""
     found = []
-    reach = Reach(events, end)
+    reach = Reachability(events, end)
     for ping in operations(events, "ping"):
         if ping.word != "ok":
             continue
--- a/tealwing/lab/judges/leases.py
+++ b/tealwing/lab/judges/leases.py
@@ -38,7 +38,7 @@
     return sorted(found.values(), key=lambda tenure: tenure.begin)
 
 
-def judge(events: Sequence[Event], end: float) -> list[Violation]:
+def check(events: Sequence[Event], end: float) -> list[Violation]:
     """What must not have happened to the leases."""
     found = []
     newest: dict[str, int] = {}
--- a/tealwing/lab/judges/reach.py
+++ b/tealwing/lab/judges/reach.py
@@ -5,28 +5,28 @@
 from collections.abc import Sequence
 from math import inf
 
-from tealwing.lab.rig.history import Event, spans
+from tealwing.lab.rig.history import Event, intervals
 
 Span = tuple[float, float]
 
 
-class Reach:
+class Reachability:
     """For each direction, and for each process, when nothing passed and when all was well."""
 
     def __init__(self, events: Sequence[Event], end: float) -> None:
         self.cut: dict[tuple[str, str], list[Span]] = {}
         self.down: dict[str, list[Span]] = {}  # killed until ready again, or stopped
-        self.mute: dict[str, list[Span]] = {}  # killed until started again, or stopped: nothing is said there
+        self.silenced: dict[str, list[Span]] = {}  # killed until started again, or stopped: nothing is said there
         self.rough: list[Span] = []  # some link loses or delays frames
         starts = [(event["who"], event["t"]) for event in events if event["kind"] == "starting"]
-        for what, fields, begin, over in spans(events, end):
+        for what, fields, begin, over in intervals(events, end):
             if "cuts" in fields:
                 for source, target in fields["cuts"]:
                     self.cut.setdefault((source, target), []).append((begin, over))
             elif what in ("kill", "stop"):
                 self.down.setdefault(fields["who"], []).append((begin, over))
                 again = [t for name, t in starts if name == fields["who"] and begin <= t <= over]
-                self.mute.setdefault(fields["who"], []).append((begin, min(again, default=over)))
+                self.silenced.setdefault(fields["who"], []).append((begin, min(again, default=over)))
             elif what == "link":
                 self.rough.append((begin, over))
 
@@ -42,7 +42,7 @@
     def silent(self, source: str, target: str, at: float) -> float:
         """For how many seconds nothing of the source can have reached the target, up to a time; 0 if it could."""
         since = inf
-        for a, b in [*self.cut.get((source, target), ()), *self.mute.get(source, ())]:
+        for a, b in [*self.cut.get((source, target), ()), *self.silenced.get(source, ())]:
             if a <= at <= b:
                 since = min(since, a)
         return at - since if since < inf else 0.0
--- a/tealwing/lab/judges/register.py
+++ b/tealwing/lab/judges/register.py
@@ -66,11 +66,11 @@
         if cluster.write is not None and op.end < cluster.write.begin:
             bad.append(Violation("stale", op.end, f"{op} gave {cluster.value!r} before it was written"))
         cluster.reads.append(op)
-    kept = [c for c in by_value.values() if c.write is None or c.write.word == "ok" or c.reads]
-    return kept, bad
+    retained = [c for c in by_value.values() if c.write is None or c.write.word == "ok" or c.reads]
+    return retained, bad
 
 
-def judge_key(key: str, found: Sequence[Operation]) -> list[Violation]:
+def check_key(key: str, found: Sequence[Operation]) -> list[Violation]:
     """What can't be, of one key."""
     all_, bad = clusters(found)
     forward = sorted((c for c in all_ if c.first_end < c.last_begin), key=lambda c: c.first_end)
@@ -92,13 +92,13 @@
     return bad
 
 
-def judge(events: Sequence[Event], end: float) -> list[Violation]:
+def check(events: Sequence[Event], end: float) -> list[Violation]:
     """What must not have happened to the registers."""
     by_key: dict[str, list[Operation]] = {}
     for op in operations(events, "put", "get"):
         if not op.fields.get("marked_stale"):
             by_key.setdefault(op.fields["key"], []).append(op)
-    found = [violation for key, ops in by_key.items() for violation in judge_key(key, ops)]
+    found = [violation for key, ops in by_key.items() for violation in check_key(key, ops)]
     return found + [Violation("lost", end, f"{write}: acknowledged and gone") for write in lost(events)]
 
 
--- a/tealwing/lab/judges/rules_agreement.py
+++ b/tealwing/lab/judges/rules_agreement.py
@@ -11,7 +11,7 @@
 
 from tealwing.lab.judges.rules_order import assigned
 from tealwing.lab.judges.verdict import Violation
-from tealwing.lab.judges.versions import shown
+from tealwing.lab.judges.versions import observed_versions
 from tealwing.lab.rig.history import Event
 
 SLACK = 0.01  # s by which the processes' logs may be off the history's clock
@@ -27,10 +27,10 @@
     return found
 
 
-def judge(events: Sequence[Event], end: float) -> list[Violation]:
+def check(events: Sequence[Event], end: float) -> list[Violation]:
     """One violation for each query."""
     queries, chain = assigned(events)
-    all_, closed = shown(events), closings(events)
+    all_, closed = observed_versions(events), closings(events)
     serve = any(event["kind"] == "rules" and event["lost_touch"] == "serve" for event in events)
     in_force = {version.number for version in chain}
     found = []
@@ -45,8 +45,14 @@
                                        " says"))  # fmt: skip
                 break
         if serve and one.first and (waits := closed.get(one.first)):
-            late = max(waits, key=lambda name: waits[name])
-            if one.until < waits[late] - SLACK:
-                found.append(Violation("early-site", one.until, f"{one.query.process} answered under version"
-                                       f" {one.first}, for which {late} closed at {waits[late]:.3f} s"))  # fmt: skip
+            overdue = max(waits, key=lambda name: waits[name])
+            if one.until < waits[overdue] - SLACK:
+                found.append(
+                    Violation(
+                        "early-site",
+                        one.until,
+                        f"{one.query.process} answered under version"
+                        f" {one.first}, for which {overdue} closed at {waits[overdue]:.3f} s",
+                    )
+                )
     return found
--- a/tealwing/lab/judges/rules_versions.py
+++ b/tealwing/lab/judges/rules_versions.py
@@ -5,11 +5,11 @@
 from collections.abc import Sequence
 
 from tealwing.lab.judges.verdict import Violation
-from tealwing.lab.judges.versions import IN_FORCE, NEVER, Shown, shown
+from tealwing.lab.judges.versions import IN_FORCE, NEVER, ObservedVersion, observed_versions
 from tealwing.lab.rig.history import Event, Operation, operations
 
 
-def judge(events: Sequence[Event], end: float) -> list[Violation]:
+def check(events: Sequence[Event], end: float) -> list[Violation]:
     """What must not have happened to the versions."""
     return [*_immutable(events), *_ends(events, end), *_lost(events, end)]
 
@@ -24,16 +24,16 @@
         if known["digest"] != event["digest"]:
             what = f"version {event['number']} is {event['digest']} at {event['process']}"
             found.append(Violation("changed", event["t"], f"{what}, and was {known['digest']} at {known['process']}"))
-    for number, version in shown(events).items():
+    for number, version in observed_versions(events).items():
         if version.in_force and any(_denies(events, version, phase) for phase in version.phases):
-            said = [f"{phase} by {', '.join(sorted(who))}" for phase, who in sorted(version.phases.items())
+            reported = [f"{phase} by {', '.join(sorted(who))}" for phase, who in sorted(version.phases.items())
                     if phase in (*NEVER, *IN_FORCE)]  # fmt: skip
-            what = f"version {number} is said to be {'; '.join(said)}"
+            what = f"version {number} is said to be {'; '.join(reported)}"
             found.append(Violation("divergent", _when(events, number), what))
     return found
 
 
-def _denies(events: Sequence[Event], version: Shown, phase: str) -> bool:
+def _denies(events: Sequence[Event], version: ObservedVersion, phase: str) -> bool:
     """Whether a phase denies that the version was ever in force.
 
     A federation whose sites hold goes on without one that is lost; that one's own no, in its own log, comes too late.
@@ -76,7 +76,7 @@
 
 def _lost(events: Sequence[Event], end: float) -> list[Violation]:
     """Changes that a proposer was told to be in force, and that the end does not have so."""
-    versions = shown(events)
+    versions = observed_versions(events)
     marks: dict[int, set[str]] = {}
     for event in events:
         if event["kind"] == "version":
@@ -85,7 +85,7 @@
     found = []
     for change in activated(events):
         number = change.result["version"]
-        kept = number in versions and versions[number].in_force and marks[number] == {change.fields["mark"]}
-        if final < number or not kept:
+        retained = number in versions and versions[number].in_force and marks[number] == {change.fields["mark"]}
+        if final < number or not retained:
             found.append(Violation("lost", end, f"{change}: version {number} was in force, and is gone"))
     return found
--- a/tealwing/lab/judges/versions.py
+++ b/tealwing/lab/judges/versions.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Shown:
+class ObservedVersion:
     """One version, as processes showed it."""
 
     number: int
@@ -27,27 +27,27 @@
         return any(phase in IN_FORCE for phase in self.phases)
 
 
-def shown(events: Sequence[Event]) -> dict[int, Shown]:
+def observed_versions(events: Sequence[Event]) -> dict[int, ObservedVersion]:
     """The versions by number: events `version` have process, number, digest, phase, site and mark (of the proposal)."""
     begun = {change.fields["mark"]: change.begin for change in operations(events, "change")}
-    found: dict[int, Shown] = {}
+    found: dict[int, ObservedVersion] = {}
     for event in events:
         if event["kind"] == "version":
             one = found.setdefault(
-                event["number"], Shown(event["number"], event["site"], begun.get(event.get("mark"), 0.0))
+                event["number"], ObservedVersion(event["number"], event["site"], begun.get(event.get("mark"), 0.0))
             )  # fmt: skip
             one.phases.setdefault(event["phase"], set()).add(event["process"])
     return dict(sorted(found.items()))
 
 
 @dataclass(slots=True)
-class Asked:
+class RoutedQuery:
     """One query of a group that changes move, and what it shows: each engine's site with the time it was there."""
 
     query: Operation
     reached: list[tuple[float, str]] = field(default_factory=list)  # s, site: the query came to an engine
     answered: str = ""  # the site whose rows the client has
-    least: int = 0  # of the versions in force, that it must be decided under or later
+    min_version: int = 0  # of the versions in force, that it must be decided under or later
     first: int = 0  # the earliest that explains its answer; 0: none does
 
     @property
@@ -56,9 +56,9 @@
         return self.query.end if self.answered else inf
 
 
-def asked(events: Sequence[Event]) -> list[Asked]:
+def routed_queries(events: Sequence[Event]) -> list[RoutedQuery]:
     """The queries of moving groups by their begin; an engine knows a query by its id, `call`."""
-    found = [Asked(query) for query in operations(events, "query") if query.fields.get("moves")]
+    found = [RoutedQuery(query) for query in operations(events, "query") if query.fields.get("moves")]
     by_call = {one.query.fields["call"]: one for one in found}
     for one in found:
         if one.query.word == "ok" and one.query.result["word"] == "served":
--- a/tealwing/lab/judges/views.py
+++ b/tealwing/lab/judges/views.py
@@ -4,28 +4,28 @@
 
 from collections.abc import Sequence
 
-from tealwing.lab.judges.reach import Reach
+from tealwing.lab.judges.reach import Reachability
 from tealwing.lab.judges.verdict import Violation
 from tealwing.lab.rig.history import Event
 from tealwing.peers.plan import Times
 
-LATE = 1.5  # s that a look at silence may come late on a machine that has other work
+DETECTION_TIME = 1.5  # s that a look at silence may come late on a machine that has other work
 # s in which a peer must be heard again: the longest wait between dials, a dial, a hello, twice over, and as much again
 # for a machine that has other work (2.6 s were seen where seven trials started at once on 8 cores)
 AGAIN = 10.0
 
 
-def judge(events: Sequence[Event], end: float, times: Times = Times()) -> list[Violation]:  # noqa: B008 - frozen
+def check(events: Sequence[Event], end: float, times: Times = Times()) -> list[Violation]:  # noqa: B008 - frozen
     """A peer held for alive that can't be heard, or for lost that has long been heard."""
     found = []
-    reach = Reach(events, end)
+    reach = Reachability(events, end)
     for sample in events:
         if sample["kind"] != "sample":
             continue
         observer, at = sample["process"], sample["asked"]
         for peer, state in sample["peers"].items():
             silent = reach.silent(peer, observer, at)
-            if state == "alive" and silent > times.lost + LATE:
+            if state == "alive" and silent > times.lost + DETECTION_TIME:
                 found.append(
                     Violation("views", at, f"{observer} holds {peer} for alive after {silent:.1f} s of silence")
                 )
--- a/tealwing/lab/load.py
+++ b/tealwing/lab/load.py
@@ -21,7 +21,7 @@
 from tealwing.lab.client import Session
 
 STACK = 256 * 1024  # bytes a thread
-MOST_LATENCY = 120_000_000  # us that a histogram holds
+MAX_LATENCY = 120_000_000  # us that a histogram holds
 DIGITS = 3  # that a latency is kept to
 SPOILT = 0.01  # s of our own lateness, at the 99th percentile, past which the run is spoilt
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class LoadSpecification:
     """What is asked for."""
 
     addresses: tuple[tuple[str, int], ...]
@@ -49,7 +49,7 @@
 class Load:
     """One run."""
 
-    def __init__(self, order: Order) -> None:
+    def __init__(self, order: LoadSpecification) -> None:
         self._order = order
         rng = np.random.default_rng((order.seed, 40))
         shares = arrivals.ACCOUNTS if len(order.accounts) == len(arrivals.ACCOUNTS) else (1.0,) * len(order.accounts)
@@ -58,8 +58,8 @@
         self._plan: list[tuple[Any, ...]] = list(zip(*(column.tolist() for column in columns), strict=True))
         self._next, self._lock = 0, threading.Lock()
         self._begun = 0.0
-        self.latency = {name: HdrHistogram(1, MOST_LATENCY, DIGITS) for name in order.names}
-        self.lateness = HdrHistogram(1, MOST_LATENCY, DIGITS)
+        self.latency = {name: HdrHistogram(1, MAX_LATENCY, DIGITS) for name in order.names}
+        self.lateness = HdrHistogram(1, MAX_LATENCY, DIGITS)
         self.ends: dict[str, Counter[str]] = {name: Counter() for name in order.names}
         self.rows = 0
 
@@ -68,16 +68,16 @@
         threading.stack_size(STACK)
         self._begun = time.monotonic() + 0.2  # s for the threads to start
         workers = [
-            threading.Thread(target=self._work, name=f"load-{i}", daemon=True)
+            threading.Thread(target=self._run_session, name=f"load-{i}", daemon=True)
             for i in range(min(self._order.sessions, max(len(self._plan), 1)))
         ]
         for worker in workers:
             worker.start()
         for worker in workers:
             worker.join()
-        return self.figures()
+        return self.summary()
 
-    def _work(self) -> None:
+    def _run_session(self) -> None:
         """One session's thread: the next request of the schedule, when it is due or as soon as it can."""
         sessions: dict[int, Session] = {}
         while True:
@@ -91,35 +91,35 @@
             if (wait := due - time.monotonic()) > 0:
                 time.sleep(wait)
             text = self._text(place, cls, account, cost, group, need)
-            late = time.monotonic() - due
-            word, rows = self._ask(sessions, gateway, text, self._order.deadlines[cls] - late)
+            lateness = time.monotonic() - due
+            outcome, rows = self._send_query(sessions, gateway, text, self._order.deadlines[cls] - lateness)
             took = time.monotonic() - due
             name = self._order.names[cls]
             with self._lock:
-                self.lateness.record_value(max(round(late * 1e6), 1))
-                self.ends[name][word] += 1
+                self.lateness.record_value(max(round(lateness * 1e6), 1))
+                self.ends[name][outcome] += 1
                 self.rows += rows
-                if word == "served":
-                    self.latency[name].record_value(min(max(round(took * 1e6), 1), MOST_LATENCY))
+                if outcome == "served":
+                    self.latency[name].record_value(min(max(round(took * 1e6), 1), MAX_LATENCY))
         for session in sessions.values():
             session.close()
 
-    def _ask(self, sessions: dict[int, Session], gateway: int, text: bytes, left: float) -> tuple[str, int]:
+    def _send_query(self, sessions: dict[int, Session], gateway: int, text: bytes, left: float) -> tuple[str, int]:
         if left <= 0:
             return "not sent in time", 0
         try:
             session = sessions.get(gateway)
             if session is None:
                 session = sessions[gateway] = Session(self._order.addresses[gateway])
-            answer = session.ask(text, left)
-            return answer.word, answer.rows
+            answer = session.query(text, left)
+            return answer.outcome, answer.rows
         except TimeoutError:
-            word = "no answer in time"
+            outcome = "no answer in time"
         except OSError:
-            word = "connection lost"
+            outcome = "connection lost"
         if (gone := sessions.pop(gateway, None)) is not None:
             gone.close()
-        return word, 0
+        return outcome, 0
 
     def _text(self, place: int, cls: int, account: int, cost: float, group: int, need: float) -> bytes:
         order = self._order
@@ -132,7 +132,7 @@
             fields += f",dedupe={call}"
         return f"/* {fields} */ SELECT day, count(*), max(note) FROM sales_{group}.orders GROUP BY day".encode()
 
-    def figures(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """What came of it: counts, latencies in ms from the due time, and our own lateness."""
         total = Counter[str]()
         for ends in self.ends.values():
@@ -156,30 +156,30 @@
         }
 
 
-def text(figures: dict[str, Any]) -> str:
+def text(summary: dict[str, Any]) -> str:
     """The figures as a table."""
     heads = [f"p{p:g}" for p in PERCENTILES]
     lines = [
         f"{'class':10} {'asked':>7} {'served':>7} {'refused':>8} {'other':>6} " + "".join(f"{h:>10}" for h in heads)
     ]
-    for name, row in figures["by_class"].items():
+    for name, row in summary["by_class"].items():
         ends = row["ends"]
         served, refused = ends.get("served", 0), ends.get("refused", 0)
         other = row["asked"] - served - refused
         cells = "".join(f"{row['latency_ms'][head]:>10.1f}" for head in heads)
         lines.append(f"{name:10} {row['asked']:>7} {served:>7} {refused:>8} {other:>6} {cells}")
-    lines.append(f"latency in ms from the due time; our own lateness, p99: {figures['own_lateness_ms_p99']:.1f} ms")
-    if figures["spoilt"]:
+    lines.append(f"latency in ms from the due time; our own lateness, p99: {summary['own_lateness_ms_p99']:.1f} ms")
+    if summary["spoilt"]:
         lines.append("SPOILT: this tool went late itself, so the figures tell of it; use more sessions or a lower rate")
     return "\n".join(lines)
 
 
-def addresses(words: Sequence[str]) -> tuple[tuple[str, int], ...]:
+def addresses(texts: Sequence[str]) -> tuple[tuple[str, int], ...]:
     """HOST:PORT words as pairs; ValueError names the first that is none."""
     found = []
-    for word in words:
-        host, colon, port = word.rpartition(":")
+    for text in texts:
+        host, colon, port = text.rpartition(":")
         if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-            raise ValueError(f"found {word!r}; allowed: HOST:PORT")
+            raise ValueError(f"found {text!r}; allowed: HOST:PORT")
         found.append((host, int(port)))
     return tuple(found)
--- a/tealwing/lab/swing.py
+++ b/tealwing/lab/load_swing.py
@@ -16,8 +16,8 @@
 import numpy as np
 
 from tealwing import interface as api
-from tealwing.lab import arrivals, site, worth
-from tealwing.lab.harness import Books, Deployment
+from tealwing.lab import arrivals, score, site
+from tealwing.lab.harness import Deployment, RequestOutcomes
 from tealwing.levels.governor import Governor
 from tealwing.levels.plan import Plan
 from tealwing.levels.replay import crowded
@@ -60,13 +60,13 @@
         return arrivals.steady
 
 
-def deploy(play: Play, told: list[tuple[float, int, dict[str, Any]]]) -> tuple[Deployment, arrivals.Arrivals]:
-    """The deployment of one play; changes of level go into `told` with their time and gateway."""
+def deploy(play: Play, changes: list[tuple[float, int, dict[str, Any]]]) -> tuple[Deployment, arrivals.Arrivals]:
+    """The deployment of one play; changes of level go into `changes` with their time and gateway."""
     settings = site.settings(GATEWAYS)
     draws = site.draws(np.random.default_rng((play.seed, 10)), SERVERS)
     rate = site.rate(draws, MEAN_WORK, play.load)
     rng = np.random.default_rng((play.seed, 11))
-    asked = arrivals.draw(rng, rate, play.seconds, GATEWAYS, play.shape())
+    requests = arrivals.draw(rng, rate, play.seconds, GATEWAYS, play.shape())
     made: list[Deployment] = []
 
     def make(settings: api.Settings, seed: int) -> Gateway | Governor:
@@ -75,38 +75,38 @@
             return gateway
 
         def say(_: str, fields: dict[str, Any]) -> None:
-            told.append((made[0].clock.now, number, fields))
+            changes.append((made[0].clock.now, number, fields))
 
         return Governor(settings, gateway, play.plan, say)
 
-    made.append(Deployment(settings, draws, asked, make, play.seed))
-    return made[0], asked
+    made.append(Deployment(settings, draws, requests, make, play.seed))
+    return made[0], requests
 
 
 def run(play: Play) -> dict[str, Any]:
     """One play's figures."""
-    told: list[tuple[float, int, dict[str, Any]]] = []
-    deployment, asked = deploy(play, told)
-    books = deployment.run(play.seconds + AFTER)
-    found = worth.count(asked, books, deployment.settings)
-    by_gateway = [[at for at, number, _ in told if number == n] for n in range(GATEWAYS)]
+    changes: list[tuple[float, int, dict[str, Any]]] = []
+    deployment, requests = deploy(play, changes)
+    outcomes = deployment.run(play.seconds + AFTER)
+    found = score.count(requests, outcomes, deployment.settings)
+    by_gateway = [[at for at, number, _ in changes if number == n] for n in range(GATEWAYS)]
     return {
-        "changes": len(told),
+        "changes": len(changes),
         "changes_per_minute_max": max(map(crowded, by_gateway)),
-        "worth": found.whole,
+        "worth": found.total,
         "worst_10s": found.worst,
         "mixed": found.mixed,
         "lookup_in_time": found.in_time["lookup"],
         "by_class": found.by_class,
         "shed": found.shed,
-        "rules_broken": broken(books),
-        "told": [(round(at, 2), number, fields["to"]) for at, number, fields in told],
+        "rules_broken": broken(outcomes),
+        "told": [(round(at, 2), number, fields["to"]) for at, number, fields in changes],
     }
 
 
-def broken(books: Books) -> int:
+def broken(outcomes: RequestOutcomes) -> int:
     """How often a rule was broken, as far as the books show."""
-    return books.twice + books.doubled + books.wrong + books.fell
+    return outcomes.twice + outcomes.doubled + outcomes.wrong + outcomes.fell
 
 
 def thresholds(plan: Plan, seed: int) -> dict[str, float]:
@@ -115,7 +115,7 @@
     settings = site.settings(GATEWAYS)
     draws = site.draws(np.random.default_rng((seed, 10)), SERVERS)
     rate = site.rate(draws, MEAN_WORK, 1.0)
-    asked = arrivals.draw(
+    requests = arrivals.draw(
         np.random.default_rng((seed, 12)), rate, seconds, GATEWAYS, arrivals.sawtooth(low, high, seconds)
     )
     found: dict[str, float] = {}
@@ -148,7 +148,7 @@
             return Watch(settings, seed)
         return Gateway(settings, seed)
 
-    made.append(Deployment(settings, draws, asked, make, seed))
+    made.append(Deployment(settings, draws, requests, make, seed))
     made[0].run(seconds)
     return found
 
--- a/tealwing/lab/models/consensus.py
+++ b/tealwing/lab/models/consensus.py
@@ -17,8 +17,8 @@
 from math import inf
 from typing import Any
 
+from tealwing.lab.models.messages import describe
 from tealwing.lab.models.mutations import MUTATIONS
-from tealwing.lab.models.words import told
 from tealwing.replica.messages import (
     Append,
     AppendReply,
@@ -108,11 +108,11 @@
         """All that can happen."""
         budget = world.budget
         for source, target, message in sorted(world.network, key=repr):
-            word = f"{target} hears of {source}: {told(message)}"
-            yield word, lambda s=source, t=target, m=message: self.deliver(world, s, t, m, False)  # type: ignore[misc]
+            step = f"{target} hears of {source}: {describe(message)}"
+            yield step, lambda s=source, t=target, m=message: self.deliver(world, s, t, m, False)  # type: ignore[misc]
             if budget.twice:
                 yield (
-                    word + ", and will again",
+                    step + ", and will again",
                     lambda s=source, t=target, m=message: self.deliver(world, s, t, m, True),  # type: ignore[misc]
                 )
         if budget.faults:
@@ -144,15 +144,15 @@
             failing = copy.copy(world)
             failing.fault, failing.budget = fault, replace(world.budget, faults=world.budget.faults - 1)
             for source, target, message in sorted(world.network, key=repr):
-                word = f"{target} hears of {source}: {told(message)}, and its write fails: {fault.value}"
-                yield word, lambda w=failing, s=source, t=target, m=message: self.deliver(w, s, t, m, False)  # type: ignore[misc]
+                step = f"{target} hears of {source}: {describe(message)}, and its write fails: {fault.value}"
+                yield step, lambda w=failing, s=source, t=target, m=message: self.deliver(w, s, t, m, False)  # type: ignore[misc]
             for name, member in world.members.items():
                 if member.role is Role.LEADER and world.budget.proposals:
-                    word = f"{name} takes a command, and its write fails: {fault.value}"
-                    yield word, lambda w=failing, n=name: self.propose(w, n)  # type: ignore[misc]
+                    step = f"{name} takes a command, and its write fails: {fault.value}"
+                    yield step, lambda w=failing, n=name: self.propose(w, n)  # type: ignore[misc]
                 elif member.role is not Role.LEADER and world.budget.timeouts and name in member.members:
-                    word = f"{name} stands for election, and its write fails: {fault.value}"
-                    yield word, lambda w=failing, n=name: self.timeout(w, n)  # type: ignore[misc]
+                    step = f"{name} stands for election, and its write fails: {fault.value}"
+                    yield step, lambda w=failing, n=name: self.timeout(w, n)  # type: ignore[misc]
 
     def _changes(self, world: World, name: str, leader: Raft) -> Iterable[tuple[str, Callable[[], World]]]:
         for other in leader.learners if world.budget.promotions else ():
--- a/tealwing/lab/models/explore.py
+++ b/tealwing/lab/models/explore.py
@@ -35,20 +35,20 @@
     steps: int
     depth: int  # to which all was seen
     seconds: float
-    whole: bool  # nothing was left out within the depth
+    is_exhaustive: bool  # nothing was left out within the depth
     broken: str = ""
     trace: tuple[str, ...] = ()
 
-    def told(self) -> str:
+    def text(self) -> str:
         """In words."""
         text = f"{self.states} states, {self.steps} steps, depth {self.depth}, {self.seconds:.1f} s"
         if not self.broken:
-            return text + ("" if self.whole else ", not all of them")
+            return text + ("" if self.is_exhaustive else ", not all of them")
         lines = "\n".join(f"  {number}. {word}" for number, word in enumerate(self.trace, 1))
         return f"{text}\n{self.broken}, after\n{lines}"
 
 
-def explore(model: Model, depth: int, most: int = 10**7) -> Found:
+def explore(model: Model, depth: int, max_states: int = 10**7) -> Found:
     """Walk all states within a depth, up to so many; stop at the first that is broken."""
     begun = time.monotonic()
     first = model.initial()
@@ -59,8 +59,8 @@
     def found(at: int, whole: bool, broken: str = "", last: Hashable = None) -> Found:
         trace = []
         while broken and (back := seen[last]) is not None:
-            last, word = back
-            trace.append(word)
+            last, step = back
+            trace.append(step)
         return Found(len(seen), steps, at, time.monotonic() - begun, whole, broken, tuple(reversed(trace)))
 
     if wrong := model.broken(first):
@@ -68,17 +68,17 @@
     for at in range(1, depth + 1):
         next_level: list[tuple[Hashable, State]] = []
         for key, state in level:
-            for word, go in model.steps(state):
+            for step, go in model.steps(state):
                 steps += 1
                 after = go()
                 its = model.key(after)
                 if its in seen:
                     continue
-                seen[its] = key, word
+                seen[its] = key, step
                 if wrong := model.broken(after):
                     return found(at, True, wrong, its)
                 next_level.append((its, after))
-                if len(seen) >= most:
+                if len(seen) >= max_states:
                     return found(at - 1, False)
         level = next_level
         if not level:
@@ -96,10 +96,10 @@
             choices = list(model.steps(state))
             if not choices:
                 break
-            ((word, go),) = rng.choices(choices, [weigh(word) for word, _ in choices])
+            ((step, go),) = rng.choices(choices, [weigh(step) for step, _ in choices])
             state = go()
             steps += 1
-            trace.append(word)
+            trace.append(step)
             if wrong := model.broken(state):
                 return Found(steps, steps, len(trace), time.monotonic() - begun, False, wrong, tuple(trace))
     return Found(steps, steps, length, time.monotonic() - begun, False)
--- a/tealwing/lab/models/words.py
+++ b/tealwing/lab/models/messages.py
@@ -17,7 +17,7 @@
 )
 
 
-def told(message: Message) -> str:
+def describe(message: Message) -> str:
     """A message as words."""
     match message:
         case VoteAsk(term, index, last):
--- a/tealwing/lab/models/rollout.py
+++ b/tealwing/lab/models/rollout.py
@@ -34,10 +34,10 @@
     Node,
     Tables,
     World,
+    describe,
     empty,
+    message_key,
     propose,
-    told,
-    told_apart,
 )
 from tealwing.rollout.member import HELD, Check, Machine, Restart, Say, View, WriteMark, view
 from tealwing.rollout.witnesses import Witnesses
@@ -135,7 +135,7 @@
         budget = world.budget
         for log, body in sorted((*world.requests, *self.leaders(world)), key=repr):
             if self._changes(world, log, body):
-                yield f"{log}: {told(body)}", lambda o=log, b=body: self.apply(world, o, b)  # type: ignore[misc]
+                yield f"{log}: {describe(body)}", lambda o=log, b=body: self.apply(world, o, b)  # type: ignore[misc]
         for name, node in world.nodes.items():
             for log, at in node.at.items():
                 last = len(world.logs[log].states) - 1
@@ -148,8 +148,8 @@
                 if budget.reads and self._may_read(world, node, log):
                     yield f"{name} reads the {log}", lambda n=name, o=log: self.read(world, n, o)  # type: ignore[misc]
             if budget.crashes:
-                word = f"{name} crashes and comes back"
-                yield word, lambda n=name, p=node.at: self.crash(world, n, p)  # type: ignore[misc]
+                step = f"{name} crashes and comes back"
+                yield step, lambda n=name, p=node.at: self.crash(world, n, p)  # type: ignore[misc]
                 yield from self._crashes(world, name, node)
         if budget.times:
             yield f"{DT:g} s pass", lambda: self.passed(world)
@@ -210,7 +210,7 @@
         kinds = {"lapses": r.Lapse, "aborts": r.Abort, "proposals": r.Propose}
         spent = {key: int(isinstance(body, kind) and log == self.top) for key, kind in kinds.items()}
         after = self._after(world, spent)
-        keys = *world.logs[log].keys, self._small(told_apart(tables))
+        keys = *world.logs[log].keys, self._small(message_key(tables))
         after.logs = {**world.logs, log: Log((*states, tables), keys)}
         for number, before in states[-1]["rules"].items():
             now = tables["rules"].get(number)
--- a/tealwing/lab/models/rollout_parts.py
+++ b/tealwing/lab/models/rollout_parts.py
@@ -93,7 +93,7 @@
     return r.Propose(parent, digest(TEXT), TEXT, "operator", 0, "", number, number > 0)
 
 
-def told_apart(tables: Tables) -> Hashable:
+def message_key(tables: Tables) -> Hashable:
     """What of the tables decides anything later."""
     found: list[r.Version] = list(tables["rules"].values())
     versions = tuple(
@@ -102,7 +102,7 @@
     return versions, tuple(sorted(tables["rule_members"].items())), tables["rule_facts"].get(r.NOW)
 
 
-def told(body: r.Body) -> str:
+def describe(body: r.Body) -> str:
     """A command in a few words."""
     match body:
         case r.Propose(parent=parent, number=number):
@@ -124,6 +124,6 @@
 LIKELY = (("crashes", 0.1), ("lapses", 0.3), ("Abort", 0.1), ("pass", 0.4), ("Close ", 2.0))
 
 
-def likely(word: str) -> float:
+def likely(message: str) -> float:
     """For walks at random: entries are applied more often than anything breaks."""
-    return next((weight for part, weight in LIKELY if part in word), 1.0)
+    return next((weight for part, weight in LIKELY if part in message), 1.0)
--- a/tealwing/lab/models/starts.py
+++ b/tealwing/lab/models/starts.py
@@ -14,9 +14,9 @@
 )  # fmt: skip
 
 
-def likely(word: str) -> float:
+def likely(message: str) -> float:
     """For walks at random: messages come through more often than anything breaks."""
-    return next((weight for part, weight in LIKELY if part in word), 1.0)
+    return next((weight for part, weight in LIKELY if part in message), 1.0)
 
 
 def message_between(world: World, source: str, target: str, kind: type) -> Message:
--- a/tealwing/lab/network.py
+++ b/tealwing/lab/network.py
@@ -23,7 +23,7 @@
 EPOCH = 1_800_000_000.0  # s of the Unix clock at which virtual time begins
 
 
-class Toy:
+class SimulatedKey:
     """A keyed hash in place of a signature: as long, and a hundred times as quick, for hundreds of instances.
 
     Whoever reads this code can forge it, so it is for trials of behaviour, never of security.
@@ -38,17 +38,17 @@
         return hashlib.blake2b(data, key=self._secret, digest_size=SIGNATURE).digest()
 
 
-class ToyRing:
+class SimulatedKeyring:
     """Verifies what `Toy` signs."""
 
     def __init__(self) -> None:
         self.wall = 0.0
-        self._toys: dict[str, Toy] = {}
+        self._simulated_keys: dict[str, SimulatedKey] = {}
 
     def verify(self, name: str, key: bytes, data: bytes, signature: bytes) -> bool:
         """Whether that name signed that data."""
-        toy = self._toys.get(name) or self._toys.setdefault(name, Toy(name))
-        return toy.key == key and toy.sign(data) == signature
+        simulated = self._simulated_keys.get(name) or self._simulated_keys.setdefault(name, SimulatedKey(name))
+        return simulated.key == key and simulated.sign(data) == signature
 
 
 def real_key(name: str) -> keys.OwnKey:
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True)
-class Weather:
+class LinkConditions:
     """What the network does to datagrams."""
 
     loss: float = 0.0
@@ -84,7 +84,7 @@
 
     def __init__(self, seed: int, times: Times | None = None, real_keys: bool = False) -> None:
         self.clock, self.times = Clock(), times or Times()
-        self.weather = Weather()
+        self.conditions = LinkConditions()
         self.instances: dict[str, Instance] = {}
         self.events: list[tuple[float, str, str, dict[str, object]]] = []  # when, whose, what
         self.tamper: dict[str, Callable[[Instance, Address, bytes], list[tuple[Address, bytes]]]] = {}
@@ -100,8 +100,8 @@
             self._hosts += 1
             address = (f"10.{self._hosts >> 16}.{self._hosts >> 8 & 255}.{self._hosts & 255}", PORT)
         rng = random.Random(f"{self._seed}/{name}/{self.clock.now}")
-        ring: ToyRing | keys.Keyring = ToyRing()
-        signer: Toy | keys.OwnKey = Toy(name)
+        ring: SimulatedKeyring | keys.Keyring = SimulatedKeyring()
+        signer: SimulatedKey | keys.OwnKey = SimulatedKey(name)
         if self._real:
             signer = real_key(name)
             ring = _Everybody()
@@ -147,7 +147,7 @@
 
     def inject(self, source: Address, to: Address, data: bytes) -> None:
         """A datagram from anybody."""
-        self._carry(source, to, data)
+        self._transmit(source, to, data)
 
     def _flush(self, instance: Instance) -> None:
         node = instance.node
@@ -161,16 +161,16 @@
             assert len(data) <= LARGEST, f"a datagram of {len(data)} bytes"
             tamper = self.tamper.get(node.name)
             for target, what in tamper(instance, to, data) if tamper else [(to, data)]:
-                self._carry(instance.address, target, what)
+                self._transmit(instance.address, target, what)
 
-    def _carry(self, source: Address, to: Address, data: bytes) -> None:
-        weather, rng = self.weather, self._random
-        if weather.cut(source, to) or (weather.loss and rng.random() < weather.loss):
+    def _transmit(self, source: Address, to: Address, data: bytes) -> None:
+        conditions, rng = self.conditions, self._random
+        if conditions.cut(source, to) or (conditions.loss and rng.random() < conditions.loss):
             return
-        for _ in range(1 + (rng.random() < weather.copies if weather.copies else 0)):
-            self.clock.after(rng.uniform(*weather.delay), self._land, source, to, data)
+        for _ in range(1 + (rng.random() < conditions.copies if conditions.copies else 0)):
+            self.clock.after(rng.uniform(*conditions.delay), self._deliver, source, to, data)
 
-    def _land(self, source: Address, to: Address, data: bytes) -> None:
+    def _deliver(self, source: Address, to: Address, data: bytes) -> None:
         instance = self._by_address.get(to)
         if instance is None or not instance.running:
             return
@@ -203,7 +203,7 @@
             self.clock.run(self.clock.now + step)
         return self.clock.now - begun if holds() else None
 
-    def most_bytes(self) -> int:
+    def max_bytes_per_second(self) -> int:
         """The most that any instance sent in any second."""
         return max((n for i in self.instances.values() for n in i.seconds.values()), default=0)
 
--- a/tealwing/lab/processes.py
+++ b/tealwing/lab/processes.py
@@ -22,32 +22,32 @@
 from tealwing.gossip.node import Times
 from tealwing.gossip.plan import Plan
 from tealwing.gossip.transport import Link
-from tealwing.lab import rumours
+from tealwing.lab import gossip_trial
 from tealwing.lab.network import real_key
 
 JOINING = 15.0  # s in which all must have found each other
 REPORT = 0.05  # s between two looks of a process at itself
 
 
-def attempt(instances: int, liars: int, silent: int, seconds: float, seed: int) -> dict[str, Any]:
+def run_trial(instances: int, liars: int, silent: int, seconds: float, seed: int) -> dict[str, Any]:
     """All join, one engine grows slow, and the rest is watched; the figures of `rumours.attempt`."""
-    with tempfile.TemporaryDirectory() as folder:
+    with tempfile.TemporaryDirectory() as directory:
         for number in range(instances):
-            path = Path(folder) / f"n{number}.key"
+            path = Path(directory) / f"n{number}.key"
             keys.write_private(path, real_key(f"n{number}").private)
         slow_at = time.time() + JOINING
         plan = {
-            "folder": folder, "instances": instances, "seed": seed, "slow_at": slow_at, "end": slow_at + seconds,
+            "folder": directory, "instances": instances, "seed": seed, "slow_at": slow_at, "end": slow_at + seconds,
             "seed_ports": _free_ports(min(3, instances)),
         }  # fmt: skip
         kinds = ["liar"] * liars + ["silent"] * silent
         processes = []
         for number in range(instances):
             kind = kinds[instances - 1 - number] if number >= instances - len(kinds) else "honest"
-            words = json.dumps(plan | {"number": number, "kind": kind})
+            addresses = json.dumps(plan | {"number": number, "kind": kind})
             processes.append(
                 subprocess.Popen(
-                    [sys.executable, "-m", "tealwing.lab.processes", words], stdout=subprocess.PIPE, text=True
+                    [sys.executable, "-m", "tealwing.lab.processes", addresses], stdout=subprocess.PIPE, text=True
                 )
             )
         reports = []
@@ -59,7 +59,13 @@
     for report in reports:
         rejected += Counter(report["rejected"])
 
-    return {"summary": True, "instances": instances, "liars": liars, "silent": silent, "seed": seed} | rumours.figures(
+    return {
+        "summary": True,
+        "instances": instances,
+        "liars": liars,
+        "silent": silent,
+        "seed": seed,
+    } | gossip_trial.summary(
         [report["converged"] for report in honest],
         max(report["bytes_per_s_max"] for report in reports),
         Times(),
@@ -83,7 +89,7 @@
     return ports
 
 
-def one(plan: dict[str, Any]) -> dict[str, Any]:
+def run_instance(plan: dict[str, Any]) -> dict[str, Any]:
     """One instance's process, until its end; what it saw."""
     number, kind, names = plan["number"], plan["kind"], [f"n{i}" for i in range(plan["instances"])]
     ports = plan["seed_ports"]
@@ -91,23 +97,23 @@
     allowed = tuple(Allowed(name, real_key(name).public) for name in names)
     seeds = tuple(("127.0.0.1", port) for port in ports)
     key = str(Path(plan["folder"]) / f"n{number}.key")
-    eyes, truth = rumours.Eyes((plan["seed"], number)), [1.0] * rumours.ENGINES
+    observer, truth = gossip_trial.SimulatedObserver((plan["seed"], number)), [1.0] * gossip_trial.ENGINES
     begun = time.time()
     found: dict[str, Any] = {"kind": kind, "known": None, "alone": None, "converged": None, "shunned": 0}
-    doubts: dict[tuple[int, int], float] = {}
+    latency_factors: dict[tuple[int, int], float] = {}
     lock = threading.Lock()
 
     def evidence() -> tuple[dict[tuple[int, int], Word], int]:
         with lock:
-            own = eyes.evidence()
+            own = observer.evidence()
         if kind == "liar":
             return {key: Word(key[0], 0, 1.0 if truth[key[0]] > 1 else 9.0, 0.0, 1e5) for key in own}, len(truth)
         return own, len(truth)
 
     def tell(event: api.Event) -> None:
         if isinstance(event, api.EngineHealthEstimates):
-            doubts.clear()
-            doubts.update(event.latency_factors)
+            latency_factors.clear()
+            latency_factors.update(event.latency_factors)
 
     log.logger.disabled = True
     link = Link(Plan(names[number], listen, key, allowed, seeds, Times(), None, None), evidence, tell)
@@ -121,15 +127,15 @@
     while (now := time.time()) < plan["end"]:
         time.sleep(REPORT)
         if now >= plan["slow_at"]:
-            truth[2] = rumours.TIMES_SLOWER
+            truth[2] = gossip_trial.TIMES_SLOWER
         with lock:
-            eyes.see(truth, now - seen)
-            own = eyes.evidence()
+            observer.see(truth, now - seen)
+            own = observer.evidence()
         seen = now
         with link.lock:
             total, live = link.node.budget.sent, link.node.members.live
             if kind == "liar":
-                _slander(link)
+                _accuse_others(link)
         seconds[int(now)] = seconds.get(int(now), 0) + total - sent
         sent = total
         if live == plan["instances"] - 1 and found["converged"] is None:
@@ -139,16 +145,16 @@
         if truth[2] > 1:
             if sees and found["alone"] is None:
                 found["alone"] = now - plan["slow_at"]
-            if (sees or (2, 0) in doubts) and found["known"] is None:
+            if (sees or (2, 0) in latency_factors) and found["known"] is None:
                 found["known"] = now - plan["slow_at"]
-        found["shunned"] += sum(key[0] != 2 or truth[2] == 1 for key in list(doubts))
+        found["shunned"] += sum(key[0] != 2 or truth[2] == 1 for key in list(latency_factors))
     found["bytes_per_s_max"] = max(seconds.values(), default=0)
     found["rejected"] = dict(link.node.counts.rejected)
     found["deaths"] = deaths["gossip_dead"]
     return found
 
 
-def _slander(link: Link) -> None:
+def _accuse_others(link: Link) -> None:
     node = link.node
     slander: list[Rumour] = [Dead(m.alive.name, m.alive.boot, m.alive.incarnation) for m in list(node.members)[:8]]
     for member in node.members.some(1):
@@ -156,4 +162,4 @@
 
 
 if __name__ == "__main__":
-    print(json.dumps(one(json.loads(sys.argv[1]))), flush=True)
+    print(json.dumps(run_instance(json.loads(sys.argv[1]))), flush=True)
--- a/tealwing/lab/realtime.py
+++ b/tealwing/lab/realtime.py
@@ -19,7 +19,7 @@
         self.lock = threading.RLock()
         self._changed = threading.Condition(self.lock)
         self._due: list[tuple[float, int, Call, tuple[Any, ...]]] = []
-        self._begun, self._asked, self._stopped = time.monotonic(), 0, False
+        self._begun, self._sequence, self._stopped = time.monotonic(), 0, False
         threading.Thread(target=self._run, name="lab-clock", daemon=True).start()
 
     @property
@@ -30,9 +30,9 @@
     def at(self, due: float, call: Call, *args: Any) -> None:
         """Run a call at a time; one that has passed is now."""
         with self._changed:
-            self._asked += 1
-            heapq.heappush(self._due, (due, self._asked, call, args))
-            if self._due[0][1] == self._asked:
+            self._sequence += 1
+            heapq.heappush(self._due, (due, self._sequence, call, args))
+            if self._due[0][1] == self._sequence:
                 self._changed.notify()
 
     def after(self, delay: float, call: Call, *args: Any) -> None:
--- a/tealwing/lab/rig/configuration.py
+++ b/tealwing/lab/rig/configuration.py
@@ -9,7 +9,7 @@
 from tealwing.lab import demo
 from tealwing.peers.plan import Address
 
-LEAST_ATTEMPTS = 2  # that the tightest process is allowed
+MIN_ATTEMPTS = 2  # that the tightest process is allowed
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,12 +33,12 @@
 
     def text(self, name: str, data: str) -> str:
         """The further sections of a process."""
-        word = f"    sabotage {self.sabotage}\n" if self.sabotage and name in self.saboteurs else ""
-        filled = self.sections.replace("SABOTAGE\n", word).replace("DATA", data).replace("NAME", name)
+        directive = f"    sabotage {self.sabotage}\n" if self.sabotage and name in self.saboteurs else ""
+        filled = self.sections.replace("SABOTAGE\n", directive).replace("DATA", data).replace("NAME", name)
         return filled.replace("STALE", str(self.stale))
 
 
-def platform(
+def platform_file(
     names: Sequence[str], number: int, seed: int, coordinator: str, known: Any, layout: Layout
 ) -> dict[str, Any]:
     """The platform's file of the process with that number."""
@@ -48,7 +48,7 @@
         site = layout.site_of(name)
         settings |= {"Zones": list(layout.zones), "Zone": layout.zones.index(site) if site else 0}
     if name == layout.tight:
-        settings["Allowed"] = settings["Allowed"] | {"MaxAttempts": LEAST_ATTEMPTS}
+        settings["Allowed"] = settings["Allowed"] | {"MaxAttempts": MIN_ATTEMPTS}
     return {
         "name": name, "listen": "127.0.0.1:0", "admin": "127.0.0.1:0",
         "seed": f"{seed * 64 + number + 1:x}", "coordinator": coordinator,
@@ -56,10 +56,12 @@
     }  # fmt: skip
 
 
-def operators(name: str, dial: dict[str, Address], control: Address, beat_ms: int, layout: Layout, data: str) -> str:
+def operators_file(
+    name: str, dial: dict[str, Address], control: Address, heartbeat_ms: int, layout: Layout, data: str
+) -> str:
     """The operators' file of a process; dial: where it listens itself, and where it reaches each other."""
     lines = ["peers", f"    name {name}", "    fleet trial", f"    control 127.0.0.1:{control[1]}", "    faults on"]
-    lines += [f"    beat {beat_ms}ms"]
+    lines += [f"    beat {heartbeat_ms}ms"]
     for other, (host, port) in dial.items():
         lines.append(f"    member {other} {host}:{port}" + (" learner" if other in layout.learners else ""))
     return "\n".join(lines) + "\n" + layout.text(name, data)
--- a/tealwing/lab/rig/director.py
+++ b/tealwing/lab/rig/director.py
@@ -11,26 +11,26 @@
 from tealwing.lab.faults.scenario import Scenario, Step
 from tealwing.lab.rig import phases
 from tealwing.lab.rig.history import Event
-from tealwing.lab.rig.whom import Whom
+from tealwing.lab.rig.targets import TargetResolver
 
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
 
 
 # Of the answers to clients, those that a step waits for
-WORDS: dict[str, frozenset[str]] = {
+OUTCOMES: dict[str, frozenset[str]] = {
     "answered": frozenset(("served", "refused", "failed")),
     "served": frozenset(("served",)),
 }
 
 
-class Director:
+class FaultDirector:
     """The steps of a scenario, in one trial."""
 
     def __init__(self, trial: Trial, scenario: Scenario, must_come: bool = False) -> None:
         """must_come: a phase that does not come in its time is a problem of the rig: the trial shows nothing then."""
         self._trial, self._scenario, self._must_come = trial, scenario, must_come
-        self._whom = Whom(trial)
+        self._targets = TargetResolver(trial)
 
     def play(self) -> None:
         """The scenario's steps, each when it is due."""
@@ -58,20 +58,22 @@
         if when == "leader" and trial.samples.replicated:
             self._until(lambda: bool(trial.leader()), step.within)
         elif when == "settled":
-            self._until(trial.in_touch, step.within)
+            self._until(trial.is_connected, step.within)
         elif when == "ready":
             self._until(lambda: all(p.started for p in trial.processes.values() if p.running), step.within)
         elif when in ("answered", "served"):
-            begun, names, words = trial.history.now(), self._whom.names(step.who), WORDS[when]
-            if not self._until(lambda: ended(trial.history.events, names, begun, words) >= step.queries, step.within):
+            begun, names, outcomes = trial.history.now(), self._targets.names(step.who), OUTCOMES[when]
+            if not self._until(
+                lambda: completed_queries(trial.history.events, names, begun, outcomes) >= step.queries, step.within
+            ):
                 self._missed(when, names, step.within)
         elif when.startswith("phase:"):
             watched: Sequence[str] = trial.names
             if step.target and step.target != "all":
-                watched = self._whom.names(step.target)
+                watched = self._targets.names(step.target)
                 step = msgspec.structs.replace(step, target=watched[0]) if len(watched) == 1 else step
             elif step.who and step.who != "all":
-                watched = self._whom.names(step.who)
+                watched = self._targets.names(step.who)
                 step = msgspec.structs.replace(step, who=watched[0]) if len(watched) == 1 else step
             if not phases.wait(trial, when.removeprefix("phase:"), watched, step.within):
                 self._missed(when, watched, step.within)
@@ -89,27 +91,27 @@
         return holds()
 
     def _apply(self, step: Step) -> None:
-        trial, acts, ledger = self._trial, self._trial.acts, self._trial.ledger
-        names = self._whom.names(step.who) if step.who else []
+        trial, acts, ledger = self._trial, self._trial.process_faults, self._trial.fault_log
+        names = self._targets.names(step.who) if step.who else []
         match step.do:
             case "partition":
-                groups = self._whom.groups(step)
-                self._change(lambda: trial.weather.partition(groups))
+                groups = self._targets.groups(step)
+                self._change(lambda: trial.conditions.partition(groups))
                 self._cut("partition", groups=groups)
             case "isolate":
                 rest = [name for name in trial.names if name not in names]
                 pairs = [(a, b) for a in names for b in rest]
-                self._change(lambda: trial.weather.change_all([*pairs, *((b, a) for a, b in pairs)], cut=True))
+                self._change(lambda: trial.conditions.change_all([*pairs, *((b, a) for a, b in pairs)], cut=True))
                 self._cut("isolate", who=names[0] if len(names) == 1 else names)
             case "cut":
-                source, target, pairs = self._whom.directions(step)
-                self._change(lambda: trial.weather.change_all(pairs, cut=True))
+                source, target, pairs = self._targets.directions(step)
+                self._change(lambda: trial.conditions.change_all(pairs, cut=True))
                 self._cut("cut", source=source, target=target)
             case "link":
                 self._link(step)
             case "heal":
-                self._change(trial.weather.heal)
-                ledger.links_over()
+                self._change(trial.conditions.heal)
+                ledger.end_link_intervals()
             case "power-loss":
                 acts.power_loss(step)
             case "wait":
@@ -132,7 +134,7 @@
 
     def _one(self, step: Step, name: str) -> None:
         """What is done to one process."""
-        acts = self._trial.acts
+        acts = self._trial.process_faults
         match step.do:
             case "kill":
                 acts.kill(name)
@@ -143,9 +145,9 @@
             case "cont":
                 acts.cont(name)
             case "clock":
-                acts.tell(name, "fault.clock", step_s=step.step_s, rate=step.rate)
+                acts.inject_fault(name, "fault.clock", step_s=step.step_s, rate=step.rate)
             case "disk":
-                acts.tell(name, "fault.disk", fault=step.fault, count=step.count)
+                acts.inject_fault(name, "fault.disk", fault=step.fault, count=step.count)
             case "save-disk":
                 self._trial.processes[name].save_disk()
                 self._trial.history.add("disk-saved", who=name)
@@ -156,19 +158,19 @@
 
     def _cut(self, what: str, **fields: object) -> None:
         """A cut that lasts, with all directions that are cut now."""
-        self._trial.ledger.over("cut")
-        self._trial.ledger.span("cut", what, **fields, cuts=sorted(self._trial.weather.cuts()))
+        self._trial.fault_log.end_intervals("cut")
+        self._trial.fault_log.begin_interval("cut", what, **fields, cuts=sorted(self._trial.conditions.cuts()))
 
     def _link(self, step: Step) -> None:
-        source, target, pairs = self._whom.directions(step)
+        source, target, pairs = self._targets.directions(step)
         fields = {"drop": step.drop, "delay": step.delay_ms / 1e3, "jitter": step.jitter_ms / 1e3,
                   "duplicate": step.duplicate, "reorder": step.reorder}  # fmt: skip
-        self._change(lambda: self._trial.weather.change_all(pairs, **fields))
-        self._trial.ledger.span(("link", source, target), "link", source=source, target=target, **fields)
+        self._change(lambda: self._trial.conditions.change_all(pairs, **fields))
+        self._trial.fault_log.begin_interval(("link", source, target), "link", source=source, target=target, **fields)
 
 
-def ended(events: Sequence[Event], names: Sequence[str], since: float, words: Collection[str]) -> int:
+def completed_queries(events: Sequence[Event], names: Sequence[str], since: float, outcomes: Collection[str]) -> int:
     """Queries that began at one of the processes since a time of the history, and were answered with such a word."""
     begun = {event["id"] for event in events if event["kind"] == "invoke" and event["op"] == "query"
              and event["process"] in names and event["t"] >= since}  # fmt: skip
-    return sum(1 for event in events if event["kind"] == "ok" and event["id"] in begun and event["word"] in words)
+    return sum(1 for event in events if event["kind"] == "ok" and event["id"] in begun and event["word"] in outcomes)
--- a/tealwing/lab/rig/ledger.py
+++ b/tealwing/lab/rig/fault_log.py
@@ -8,36 +8,36 @@
 from tealwing.lab.rig.history import History
 
 
-class Ledger:
+class FaultLog:
     """Counts faults and notes them. A fault that lasts has a key, and ends by it."""
 
     def __init__(self, history: History, leader: Callable[[], str]) -> None:
         self.count = 0
         self._history, self._leader = history, leader
-        self._spans: dict[Any, bool] = {}
+        self._open_intervals: dict[Any, bool] = {}
 
     def fault(self, what: str, **fields: Any) -> None:
         """A fault, with who led at that time."""
         self.count += 1
         self._history.add("fault", what=what, leader=self._leader(), **fields)
 
-    def span(self, key: Any, what: str, **fields: Any) -> None:
+    def begin_interval(self, key: Any, what: str, **fields: Any) -> None:
         """A fault that lasts, from now on; one of the same key ends."""
-        self.over(key)
-        self._spans[key] = True
+        self.end_intervals(key)
+        self._open_intervals[key] = True
         self.fault(what, span=str(key), **fields)
 
-    def over(self, *keys: Any) -> None:
+    def end_intervals(self, *keys: Any) -> None:
         """Those end, where they last."""
         for key in list(keys):
-            if self._spans.pop(key, None):
+            if self._open_intervals.pop(key, None):
                 self.count += 1
                 self._history.add("fault", what="over", span=str(key), over=True)
 
-    def links_over(self) -> None:
+    def end_link_intervals(self) -> None:
         """All cuts and bad links end."""
-        self.over("cut", *(key for key in self._spans if isinstance(key, tuple) and key[0] == "link"))
+        self.end_intervals("cut", *(key for key in self._open_intervals if isinstance(key, tuple) and key[0] == "link"))
 
-    def all_over(self) -> None:
+    def end_all_intervals(self) -> None:
         """Everything ends."""
-        self.over(*list(self._spans))
+        self.end_intervals(*list(self._open_intervals))
--- a/tealwing/lab/rig/history.py
+++ b/tealwing/lab/rig/history.py
@@ -96,7 +96,7 @@
     return list(found.values())
 
 
-def spans(events: Iterable[Event], end: float) -> Iterator[tuple[str, dict[str, Any], float, float]]:
+def intervals(events: Iterable[Event], end: float) -> Iterator[tuple[str, dict[str, Any], float, float]]:
     """The faults that last: what, its fields, from, to."""
     open_: dict[Any, Event] = {}
     for event in events:
--- a/tealwing/lab/rig/loads/base.py
+++ b/tealwing/lab/rig/loads/base.py
@@ -16,13 +16,13 @@
 
 PAUSE = 0.02  # s between two operations of one client
 
-Judge = Callable[[Sequence[Event], float], list[Violation]]
+Checker = Callable[[Sequence[Event], float], list[Violation]]
 
 
 class Load(Protocol):
     """What clients do during a trial."""
 
-    judges: Sequence[Judge]
+    checkers: Sequence[Checker]
 
     def start(self, trial: Trial) -> None:
         """Begin."""
@@ -33,7 +33,7 @@
     def finish(self, trial: Trial) -> None:
         """All is healed: look at what must hold in the end, into the history."""
 
-    def figures(self, events: Sequence[Event]) -> dict[str, Any]:
+    def summary(self, events: Sequence[Event]) -> dict[str, Any]:
         """What came of it."""
 
 
@@ -66,14 +66,14 @@
             thread.join(20.0)
 
 
-class Line:
+class ProcessConnection:
     """A client's connection to one process, made anew where it broke."""
 
     def __init__(self, trial: Trial, name: str) -> None:
         self._trial, self.name = trial, name
         self._caller: Caller | None = None
 
-    def ask(self, call: str, limit: float, **fields: Any) -> dict[str, Any]:
+    def call(self, call: str, limit: float, **fields: Any) -> dict[str, Any]:
         """One call; Turned or OSError where it did not come to an answer."""
         if self._caller is None:
             self._caller = self._trial.caller(self.name, 0.5)
--- a/tealwing/lab/rig/loads/echo.py
+++ b/tealwing/lab/rig/loads/echo.py
@@ -7,8 +7,8 @@
 
 from tealwing.lab.judges import echo, views
 from tealwing.lab.rig.history import Event, operations
-from tealwing.lab.rig.loads.base import PAUSE, Clients, Judge, Line
-from tealwing.lab.rig.loads.figures import percentile
+from tealwing.lab.rig.loads.base import PAUSE, Checker, Clients, ProcessConnection
+from tealwing.lab.rig.loads.metrics import percentile
 from tealwing.peers.control import Turned
 
 if TYPE_CHECKING:
@@ -17,11 +17,11 @@
 PING_WAIT = 0.8  # s that a ping waits
 
 
-def ping(trial: Trial, line: Line, to: str, text: str, wait: float, **marks: Any) -> None:
+def ping(trial: Trial, line: ProcessConnection, to: str, text: str, wait: float, **marks: Any) -> None:
     """One ping from the line's process, into the history."""
     number = trial.history.invoke("ping", line.name, to=to, text=text, **marks)
     try:
-        answer = line.ask("ping", wait + 1.0, to=to, text=text, wait_s=wait)
+        answer = line.call("ping", wait + 1.0, to=to, text=text, wait_s=wait)
     except (Turned, OSError) as error:
         trial.history.complete(number, "fail", why=str(error))
         return
@@ -31,7 +31,7 @@
 class EchoLoad:
     """From every process pings to all others in turn: what the link alone can show."""
 
-    judges: Sequence[Judge] = (echo.judge, views.judge)
+    checkers: Sequence[Checker] = (echo.check, views.check)
 
     def __init__(self) -> None:
         self._clients = Clients()
@@ -42,7 +42,7 @@
             self._clients.spawn(lambda name=name: self._ping(trial, name), f"load-{name}")  # type: ignore[misc]
 
     def _ping(self, trial: Trial, name: str) -> None:
-        line, turn = Line(trial, name), 0
+        line, turn = ProcessConnection(trial, name), 0
         others = [other for other in trial.names if other != name]
         while not self._clients.stopped.is_set():
             to, turn = others[turn % len(others)], turn + 1
@@ -57,13 +57,13 @@
     def finish(self, trial: Trial) -> None:
         """Every pair must reach each other once all is healed."""
         for name in trial.names:
-            line = Line(trial, name)
+            line = ProcessConnection(trial, name)
             for to in trial.names:
                 if to != name:
                     ping(trial, line, to, "last", 3.0, last=True)
             line.close()
 
-    def figures(self, events: Sequence[Event]) -> dict[str, Any]:
+    def summary(self, events: Sequence[Event]) -> dict[str, Any]:
         """How many pings, how many were answered, in what time."""
         pings = operations(events, "ping")
         took = sorted(ping.result["took_ms"] for ping in pings if ping.word == "ok")
--- a/tealwing/lab/rig/loads/lease.py
+++ b/tealwing/lab/rig/loads/lease.py
@@ -9,8 +9,8 @@
 
 from tealwing.lab.judges import copies, leases, views
 from tealwing.lab.rig.history import Event
-from tealwing.lab.rig.loads.base import Clients, Judge, Line
-from tealwing.lab.rig.loads.figures import percentile
+from tealwing.lab.rig.loads.base import Checker, Clients, ProcessConnection
+from tealwing.lab.rig.loads.metrics import percentile
 from tealwing.lab.rig.loads.register import RegisterLoad
 from tealwing.lab.standins.resource import Resource
 from tealwing.peers.control import Turned
@@ -24,7 +24,7 @@
 class LeaseLoad:
     """Every process wants one lease, and acts on a resource of the laboratory while it holds it."""
 
-    judges: Sequence[Judge] = (leases.judge, copies.judge, views.judge)
+    checkers: Sequence[Checker] = (leases.check, copies.check, views.check)
 
     def __init__(self) -> None:
         self._clients = Clients()
@@ -38,21 +38,21 @@
         self._resource = resource = Resource(trial.history.add)
         resource.fenced = self.fenced
         resource.start()
-        self._clients.spawn(lambda: self._want(trial, resource.address), "load-leases")
+        self._clients.spawn(lambda: self._acquire(trial, resource.address), "load-leases")
         self._clients.spawn(lambda: self._who(trial), "load-holder")
         begun = trial.history.now()
         self._span = begun, begun
 
-    def _want(self, trial: Trial, address: str) -> None:
-        told: dict[str, int] = {}
+    def _acquire(self, trial: Trial, address: str) -> None:
+        reply: dict[str, int] = {}
         while not self._clients.stopped.wait(0.1):
             for name, process in trial.processes.items():
-                if not process.running or process.stopped or told.get(name) == process.pid:
+                if not process.running or process.stopped or reply.get(name) == process.pid:
                     continue
-                line, pid = Line(trial, name), process.pid
+                line, pid = ProcessConnection(trial, name), process.pid
                 try:
-                    line.ask("lease.run", 1.0, name=LEASE, ttl_s=LEASE_TTL, resource=address, careless=self.careless)
-                    told[name] = pid or 0
+                    line.call("lease.run", 1.0, name=LEASE, ttl_s=LEASE_TTL, resource=address, careless=self.careless)
+                    reply[name] = pid or 0
                 except (Turned, OSError):
                     pass
                 line.close()
@@ -63,9 +63,9 @@
             for name, process in trial.processes.items():
                 if not process.running or process.stopped:
                     continue
-                line = Line(trial, name)
+                line = ProcessConnection(trial, name)
                 with contextlib.suppress(Turned, OSError):
-                    found = line.ask("lease.list", 0.5)["here"]
+                    found = line.call("lease.list", 0.5)["here"]
                     if any(each["name"] == LEASE and each["valid"] for each in found):
                         trial.holder = name
                 line.close()
@@ -91,10 +91,10 @@
             fields = {"from": tenure.begin, "to": tenure.end, "token": tenure.token, "actions": tenure.actions}
             trial.history.add("held", process=holders.get(tenure.token, "?"), **fields)
 
-    def figures(self, events: Sequence[Event]) -> dict[str, Any]:
+    def summary(self, events: Sequence[Event]) -> dict[str, Any]:
         """Actions, and what must be none of them; how long nobody held the lease."""
         acts = [event for event in events if event["kind"] == "act"]
-        rules = Counter(violation.rule for violation in leases.judge(events, 0.0))
+        rules = Counter(violation.rule for violation in leases.check(events, 0.0))
         moves = [seconds * 1e3 for seconds in leases.handovers(events)]
         gaps = leases.idle(events, *self._span)
         return {
@@ -107,5 +107,5 @@
             "handover_ms_p50": percentile(moves, 0.5),
             "handover_ms_max": percentile(moves, 1.0),
             "idle_ms_max": round(gaps[-1] * 1e3, 1),
-            "divergent": sum(1 for v in copies.judge(events, 0.0) if v.rule == "divergent"),
+            "divergent": sum(1 for v in copies.check(events, 0.0) if v.rule == "divergent"),
         }
--- a/tealwing/lab/rig/loads/power.py
+++ b/tealwing/lab/rig/loads/power.py
@@ -7,10 +7,10 @@
 
 from tealwing.lab.judges import clients, copies, leases, register, views
 from tealwing.lab.rig.history import Event, operations
-from tealwing.lab.rig.loads.base import Clients, Judge
-from tealwing.lab.rig.loads.figures import returned
+from tealwing.lab.rig.loads.base import Checker, Clients
 from tealwing.lab.rig.loads.lease import LeaseLoad
-from tealwing.lab.rig.loads.queries import Gateways
+from tealwing.lab.rig.loads.metrics import returned
+from tealwing.lab.rig.loads.queries import GatewayClients
 from tealwing.lab.rig.loads.register import RegisterLoad
 
 if TYPE_CHECKING:
@@ -20,19 +20,19 @@
 class PowerLoad:
     """All at once: registers, a lease, clients with queries, and who says that it is ready; for a power loss of all."""
 
-    judges: Sequence[Judge] = (register.judge, leases.judge, copies.judge, views.judge, clients.judge)
+    checkers: Sequence[Checker] = (register.check, leases.check, copies.check, views.check, clients.check)
 
     def __init__(self) -> None:
         self._registers, self._leases, self._clients = RegisterLoad(), LeaseLoad(), Clients()
-        self._gateways = Gateways(self._clients.stopped)
+        self._gateways = GatewayClients(self._clients.stopped)
 
     def start(self, trial: Trial) -> None:
         """Everything."""
         self._registers.start(trial)
         self._leases.start(trial)
         for name in trial.names:
-            self._clients.spawn(lambda name=name: self._gateways.ask(trial, name), f"load-q-{name}")  # type: ignore[misc]
-            self._clients.spawn(lambda name=name: self._gateways.look(trial, name), f"load-ready-{name}")  # type: ignore[misc]
+            self._clients.spawn(lambda name=name: self._gateways.run_queries(trial, name), f"load-q-{name}")  # type: ignore[misc]
+            self._clients.spawn(lambda name=name: self._gateways.watch_readiness(trial, name), f"load-ready-{name}")  # type: ignore[misc]
 
     def stop(self) -> None:
         """Begin nothing more."""
@@ -45,20 +45,20 @@
         self._leases.finish(trial, alone=False)
         self._registers.finish(trial)
 
-    def figures(self, events: Sequence[Event]) -> dict[str, Any]:
+    def summary(self, events: Sequence[Event]) -> dict[str, Any]:
         """What was kept, who was refused, and how service came back."""
-        found = self._registers.figures(events)
+        found = self._registers.summary(events)
         lost = next((event["t"] for event in events if event["kind"] == "power" and event["what"] == "lost"), None)
         writes = [op for op in operations(events, "put") if op.word == "ok"]
         queries = operations(events, "query")
-        leased = self._leases.figures(events)
-        told: dict[str, Any] = {
+        leased = self._leases.summary(events)
+        summary: dict[str, Any] = {
             "acknowledged_before": sum(1 for op in writes if lost is not None and op.end < lost),
             **{key: found[key] for key in ("operations", "acknowledged", "lost", "stale_reads", "divergent")},
             "split_brain": found["two_leaders"] + leased["overlaps"] + leased["stale_accepted"],
             "queries": len(queries),
             "queries_served": sum(1 for op in queries if op.word == "ok" and op.result["word"] == "served"),
-            "refused_for_quorum": len(clients.refused(events)),
+            "refused_for_quorum": len(clients.rejected_queries(events)),
             "lease_idle_ms_max": leased["idle_ms_max"],
         }
-        return told | returned(events, lost)
+        return summary | returned(events, lost)
--- a/tealwing/lab/rig/loads/queries.py
+++ b/tealwing/lab/rig/loads/queries.py
@@ -13,22 +13,22 @@
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
 
-ASK_EVERY = 0.1  # s between two queries of one client, and between two looks at readiness
+READINESS_INTERVAL = 0.1  # s between two queries of one client, and between two looks at readiness
 QUERY_LIMIT = 3.0  # s: a lookup's deadline
 
 
-class Gateways:
+class GatewayClients:
     """The clients of all gateways of one trial, until they are stopped."""
 
     def __init__(self, stopped: threading.Event) -> None:
         self._stopped = stopped
         self._calls = itertools.count(1)
 
-    def ask(self, trial: Trial, name: str) -> None:
+    def run_queries(self, trial: Trial, name: str) -> None:
         """Queries of one client of one gateway, whenever it listens; one that can't connect asked nobody."""
         session: Session | None = None
         session_of = 0
-        while not self._stopped.wait(ASK_EVERY):
+        while not self._stopped.wait(READINESS_INTERVAL):
             process = trial.processes[name]
             address, start = process.address("listen"), process.starts
             if address is None or process.stopped:
@@ -43,8 +43,8 @@
                 continue
             number = trial.history.invoke("query", name, start=start)
             try:
-                answer = session.ask(text.encode(), QUERY_LIMIT)
-                trial.history.complete(number, "ok", word=answer.word, text=answer.text)
+                answer = session.query(text.encode(), QUERY_LIMIT)
+                trial.history.complete(number, "ok", word=answer.outcome, text=answer.text)
             except OSError as error:
                 trial.history.complete(number, "unknown", why=str(error), lives=process.running)
                 session.close()
@@ -52,19 +52,19 @@
         if session is not None:
             session.close()
 
-    def look(self, trial: Trial, name: str) -> None:
+    def watch_readiness(self, trial: Trial, name: str) -> None:
         """What readiness says, whenever that changes."""
-        said = ""
-        while not self._stopped.wait(ASK_EVERY / 2):
+        last_answer = ""
+        while not self._stopped.wait(READINESS_INTERVAL / 2):
             process = trial.processes[name]
             address = process.address("admin")
-            word = "down"
+            answer = "down"
             if address is not None and not process.stopped:
                 with contextlib.suppress(OSError):
-                    word = readiness(address)
-            if word != said:
-                said = word
-                trial.history.add("readiness", process=name, word=word, start=process.starts)
+                    answer = readiness(address)
+            if answer != last_answer:
+                last_answer = answer
+                trial.history.add("readiness", process=name, word=answer, start=process.starts)
 
 
 def readiness(address: tuple[str, int]) -> str:
--- a/tealwing/lab/rig/loads/register.py
+++ b/tealwing/lab/rig/loads/register.py
@@ -12,8 +12,8 @@
 
 from tealwing.lab.judges import copies, register, views
 from tealwing.lab.rig.history import Event, operations
-from tealwing.lab.rig.loads.base import PAUSE, Clients, Judge, Line
-from tealwing.lab.rig.loads.figures import catchup_ms, failover_ms, percentile
+from tealwing.lab.rig.loads.base import PAUSE, Checker, Clients, ProcessConnection
+from tealwing.lab.rig.loads.metrics import catchup_ms, failover_ms, percentile
 from tealwing.peers.control import Turned
 from tealwing.replica import commands
 
@@ -28,7 +28,7 @@
 class RegisterLoad:
     """Writes and reads of registers through every process, each write of a value of its own."""
 
-    judges: Sequence[Judge] = (register.judge, copies.judge, views.judge)
+    checkers: Sequence[Checker] = (register.check, copies.check, views.check)
 
     def __init__(self) -> None:
         self._clients = Clients()
@@ -42,7 +42,7 @@
             self._clients.spawn(lambda name=name: self._run(trial, name, False), f"load-r-{name}")  # type: ignore[misc]
 
     def _run(self, trial: Trial, name: str, writes: bool) -> None:
-        line, rng = Line(trial, name), random.Random(f"{trial.seed}/{name}/{writes}")
+        line, rng = ProcessConnection(trial, name), random.Random(f"{trial.seed}/{name}/{writes}")
         client, sequence = f"{name}-{'w' if writes else 'r'}-{trial.seed}", 0
         began = trial.history.now()
         while not self._clients.stopped.is_set():
@@ -63,20 +63,20 @@
 
     def finish(self, trial: Trial) -> None:
         """The last read of every register, at another process each; then all copies' hashes."""
-        lines = [Line(trial, name) for name in trial.names]
+        lines = [ProcessConnection(trial, name) for name in trial.names]
         for number, key in enumerate(sorted(self.keys)):
             get(trial, lines[number % len(lines)], key, wait=5.0, last=True)
         digests(trial, lines)
         for line in lines:
-            status = line.ask("replica.status", 5.0)
+            status = line.call("replica.status", 5.0)
             trial.history.add("terms", process=line.name, leaders=status["leaders"], refused=status["refused_stale"])
             line.close()
 
-    def figures(self, events: Sequence[Event]) -> dict[str, Any]:
+    def summary(self, events: Sequence[Event]) -> dict[str, Any]:
         """What was acknowledged and what of it is lost, stale or divergent; how long a leader was missed."""
         ops = operations(events, "put", "get")
         writes = [op for op in ops if op.op == "put" and op.word == "ok"]
-        rules = Counter(v.rule for judge in (register.judge, copies.judge) for v in judge(events, 0.0))
+        rules = Counter(v.rule for checker in (register.check, copies.check) for v in checker(events, 0.0))
         took = sorted((op.end - op.begin) * 1e3 for op in writes)
         failovers, catchups = failover_ms(events), catchup_ms(events)
         return {
@@ -96,49 +96,49 @@
         }
 
 
-def digests(trial: Trial, lines: Sequence[Line], **marks: Any) -> None:
+def digests(trial: Trial, lines: Sequence[ProcessConnection], **marks: Any) -> None:
     """The hashes of all copies at one index, which all must have applied at some moment; else that they never had."""
     end = trial.history.now() + QUIET
     while trial.history.now() < end:
         try:
-            told = {line.name: line.ask("replica.digest", 2.0) for line in lines}
+            replies = {line.name: line.call("replica.digest", 2.0) for line in lines}
         except (Turned, OSError):
             continue
-        if len({each["applied"] for each in told.values()}) == 1:
-            for name, each in told.items():
+        if len({each["applied"] for each in replies.values()}) == 1:
+            for name, each in replies.items():
                 trial.history.add("digest", process=name, applied=each["applied"], digest=each["digest"], **marks)
             return
         trial.stopping.wait(0.05)
     trial.history.add("copies-differ", after=QUIET)
 
 
-def put(trial: Trial, line: Line, key: str, value: str, client: str, sequence: int) -> None:
+def put(trial: Trial, line: ProcessConnection, key: str, value: str, client: str, sequence: int) -> None:
     """One write from the line's process, into the history."""
     number = trial.history.invoke("put", line.name, key=key, value=value)
     body = msgspec.msgpack.encode(commands.Put(key, value.encode()))
     try:
-        told = line.ask("replica.do", DO_WAIT + 1.0, body=body, client=client, sequence=sequence, wait_s=DO_WAIT)
+        reply = line.call("replica.do", DO_WAIT + 1.0, body=body, client=client, sequence=sequence, wait_s=DO_WAIT)
     except ConnectionRefusedError as error:  # nobody heard it
         trial.history.complete(number, "fail", why=str(error))
         return
     except (Turned, OSError) as error:
         trial.history.complete(number, "unknown", why=str(error))
         return
-    words = {"ok": "ok", "unknown": "unknown"}
-    why = {"why": told["why"]} if told.get("why") else {}
-    trial.history.complete(number, words.get(told["word"], "fail"), index=told.get("index"), **why)
+    outcomes = {"ok": "ok", "unknown": "unknown"}
+    why = {"why": reply["why"]} if reply.get("why") else {}
+    trial.history.complete(number, outcomes.get(reply["word"], "fail"), index=reply.get("index"), **why)
 
 
-def get(trial: Trial, line: Line, key: str, wait: float = DO_WAIT, **marks: Any) -> None:
+def get(trial: Trial, line: ProcessConnection, key: str, wait: float = DO_WAIT, **marks: Any) -> None:
     """One read from the line's process, into the history."""
     number = trial.history.invoke("get", line.name, key=key, **marks)
     try:
-        told = line.ask("replica.get", wait + 1.0, key=key, wait_s=wait)
+        reply = line.call("replica.get", wait + 1.0, key=key, wait_s=wait)
     except (Turned, OSError) as error:
         trial.history.complete(number, "fail", why=str(error))
         return
-    if told["word"] != "ok":
-        trial.history.complete(number, "fail", why=told.get("why"))
+    if reply["word"] != "ok":
+        trial.history.complete(number, "fail", why=reply.get("why"))
         return
-    value = told["value"][0].decode() if told["found"] else None
-    trial.history.complete(number, "ok", value=value, applied=told["applied"])
+    value = reply["value"][0].decode() if reply["found"] else None
+    trial.history.complete(number, "ok", value=value, applied=reply["applied"])
--- a/tealwing/lab/rig/loads/rules/load.py
+++ b/tealwing/lab/rig/loads/rules/load.py
@@ -9,12 +9,12 @@
 
 from tealwing.lab.judges import copies, rules_agreement, rules_order, rules_versions, views
 from tealwing.lab.rig.history import Event
-from tealwing.lab.rig.loads.base import Clients, Judge, Line
+from tealwing.lab.rig.loads.base import Checker, Clients, ProcessConnection
 from tealwing.lab.rig.loads.register import digests
-from tealwing.lab.rig.loads.rules import figures
+from tealwing.lab.rig.loads.rules import metrics
 from tealwing.lab.rig.loads.rules.operators import Operators
 from tealwing.lab.rig.loads.rules.traffic import Traffic
-from tealwing.lab.rig.loads.rules.watch import Watch
+from tealwing.lab.rig.loads.rules.watch import VersionWatcher
 from tealwing.peers.control import Turned
 
 if TYPE_CHECKING:
@@ -30,22 +30,22 @@
 class RulesLoad:
     """Changes of the rules under traffic."""
 
-    judges: Sequence[Judge] = (
-        rules_order.judge, rules_versions.judge, rules_agreement.judge, copies.judge, views.judge,
+    checkers: Sequence[Checker] = (
+        rules_order.check, rules_versions.check, rules_agreement.check, copies.check, views.check,
     )  # fmt: skip
 
     def __init__(self, lost_touch: str = "serve", limit: float = 3.0) -> None:
         """limit: s after which a change that is not agreed to is aborted, as the processes are told."""
         self._lost_touch, self._limit = lost_touch, limit
         self._clients = Clients()
-        self._watch: Watch | None = None
+        self._watch: VersionWatcher | None = None
         self._operators: Operators | None = None
         self._only_plain = False
 
     def start(self, trial: Trial) -> None:
         """A first version, and then all clients and operators."""
         trial.history.add("rules", lost_touch=self._lost_touch, sites=list(trial.layout.zones))
-        self._watch = watch = Watch(trial)
+        self._watch = watch = VersionWatcher(trial)
         self._operators = operators = Operators(trial, watch, trial.layout.zones, self._limit)
         operators.only_plain = self._only_plain
         end, rng = time.monotonic() + BEGIN, random.Random(trial.seed)
@@ -74,8 +74,8 @@
         if self._operators is not None:
             self._operators.held = hold
 
-    def _look(self, trial: Trial, watch: Watch, name: str) -> None:
-        line = Line(trial, name)
+    def _look(self, trial: Trial, watch: VersionWatcher, name: str) -> None:
+        line = ProcessConnection(trial, name)
         while not self._clients.stopped.wait(LOOK):
             if not trial.processes[name].running or trial.processes[name].stopped:
                 continue
@@ -92,7 +92,7 @@
     def finish(self, trial: Trial) -> None:
         """Wait until nothing is under way; then what every process holds, its gate's log, and all copies' hashes."""
         trial.problems += self._clients.failed
-        lines = [Line(trial, name) for name in trial.names]
+        lines = [ProcessConnection(trial, name) for name in trial.names]
         if self._watch is not None and self._operators is not None:
             self._settle(trial, self._watch, lines)
             self._last(trial, self._operators)
@@ -119,7 +119,7 @@
                 return
             phase = operators.change(operators.anyone(rng), "move", "last", rng, None)
 
-    def _settle(self, trial: Trial, watch: Watch, lines: Sequence[Line]) -> None:
+    def _settle(self, trial: Trial, watch: VersionWatcher, lines: Sequence[ProcessConnection]) -> None:
         """Until all hold the same and nothing is under way, or the time for that is over."""
         end = time.monotonic() + QUIET
         while time.monotonic() < end:
@@ -132,7 +132,7 @@
                 return
             trial.stopping.wait(0.1)
 
-    def _copies(self, trial: Trial, lines: Sequence[Line]) -> None:
+    def _copies(self, trial: Trial, lines: Sequence[ProcessConnection]) -> None:
         """The hashes of the copies of each log, and who led its terms."""
         logs = trial.layout.sites or {"": tuple(trial.names)}
         for site, members in logs.items():
@@ -140,10 +140,10 @@
             digests(trial, [line for line in lines if line.name in members], **marks)
             for line in lines:
                 if line.name in members:
-                    found = line.ask("replica.status", 5.0)
+                    found = line.call("replica.status", 5.0)
                     fields = {"leaders": found["leaders"], "refused": found["refused_stale"], **marks}
                     trial.history.add("terms", process=line.name, **fields)
 
-    def figures(self, events: Sequence[Event]) -> dict[str, Any]:
+    def summary(self, events: Sequence[Event]) -> dict[str, Any]:
         """What became of the changes, what clients saw of them, and what must be none."""
-        return figures.told(events)
+        return metrics.summary(events)
--- a/tealwing/lab/rig/loads/rules/figures.py
+++ b/tealwing/lab/rig/loads/rules/metrics.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from tealwing.lab.judges import rules_agreement, rules_order, rules_versions
-from tealwing.lab.judges.versions import shown
-from tealwing.lab.rig.history import Event, Operation, operations, spans
-from tealwing.lab.rig.loads.figures import percentile
+from tealwing.lab.judges.versions import observed_versions
+from tealwing.lab.rig.history import Event, Operation, intervals, operations
+from tealwing.lab.rig.loads.metrics import percentile
 
 
 def gaps_ms(events: Sequence[Event]) -> list[float]:
@@ -31,7 +31,7 @@
 def undisturbed(events: Sequence[Event], queries: Sequence[Operation]) -> list[Operation]:
     """The queries whose gateway neither was down nor stood still meanwhile, and that had an end."""
     down: dict[str, list[tuple[float, float]]] = {}
-    for what, fields, begin, end in spans(events, float("inf")):
+    for what, fields, begin, end in intervals(events, float("inf")):
         if what in ("kill", "stop"):
             down.setdefault(fields["who"], []).append((begin, end))
     return [
@@ -45,15 +45,15 @@
     return query.word == "ok" and bool(query.result["word"] == "served")
 
 
-def told(events: Sequence[Event]) -> dict[str, Any]:
+def summary(events: Sequence[Event]) -> dict[str, Any]:
     """The figures of the load `rules`."""
     queries, changes = operations(events, "query"), operations(events, "change")
     broken = Counter(
-        violation.rule for judge in (rules_order.judge, rules_versions.judge, rules_agreement.judge)
-        for violation in judge(events, 0.0)
+        violation.rule for checker in (rules_order.check, rules_versions.check, rules_agreement.check)
+        for violation in checker(events, 0.0)
     )  # fmt: skip
     last = Counter[str]()
-    for version in shown(events).values():
+    for version in observed_versions(events).values():
         last["activated"] += version.in_force
         for phase in ("aborted", "rejected", "withdrawn"):
             last[phase] += phase in version.phases
@@ -63,7 +63,7 @@
     return {
         "operations": len(queries) + len(changes),
         "changes": len(changes),
-        **{word: last[word] for word in ("activated", "aborted", "rejected", "withdrawn")},
+        **{answer: last[answer] for answer in ("activated", "aborted", "rejected", "withdrawn")},
         "refused_changes": sum(1 for op in changes if op.word == "fail"),
         "undecided_at_end": broken["undecided"],
         "late_old": broken["late-old"],
--- a/tealwing/lab/rig/loads/rules/operators.py
+++ b/tealwing/lab/rig/loads/rules/operators.py
@@ -8,9 +8,9 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
-from tealwing.lab.rig.loads.base import Clients, Line
+from tealwing.lab.rig.loads.base import Clients, ProcessConnection
 from tealwing.lab.rig.loads.rules.bundles import bundle
-from tealwing.lab.rig.loads.rules.watch import Watch
+from tealwing.lab.rig.loads.rules.watch import VersionWatcher
 from tealwing.peers.control import Turned
 
 if TYPE_CHECKING:
@@ -27,13 +27,13 @@
 class Operators:
     """Their changes, one after another until they are stopped."""
 
-    def __init__(self, trial: Trial, watch: Watch, sites: Sequence[str], limit: float) -> None:
+    def __init__(self, trial: Trial, watch: VersionWatcher, sites: Sequence[str], limit: float) -> None:
         """limit: s in which a change is decided, one way or the other, where all is well enough."""
         self._trial, self._watch, self._sites, self._limit = trial, watch, sites, limit
         self._turns = itertools.count(1)
         self._recent: list[str] = []
         self._duels = itertools.count(1)
-        self._lines: dict[tuple[str, str], Line] = {}  # by operator: each has a thread of its own
+        self._lines: dict[tuple[str, str], ProcessConnection] = {}  # by operator: each has a thread of its own
         self.held = False  # whether no change is begun
         self.only_plain = False  # whether no change is turned down, withdrawn or rivalled on purpose
 
@@ -76,27 +76,27 @@
         number = history.invoke("change", name, mark=mark, site=site, what=kind, who=who)
         line = self._line(who, name)
         try:
-            told = line.ask("rules.propose", WAIT + 1.0, text=text, why=f"the trial's {kind}", who=who, wait_s=WAIT)
+            reply = line.call("rules.propose", WAIT + 1.0, text=text, why=f"the trial's {kind}", who=who, wait_s=WAIT)
         except (ConnectionRefusedError, Turned) as error:
             history.complete(number, "fail", why=str(error))
             return ""
         except OSError as error:
             history.complete(number, "unknown", why=str(error))
             return ""
-        if told["word"] != "ok":
-            history.complete(number, "unknown" if told["word"] == "unknown" else "fail", why=told.get("why"))
+        if reply["word"] != "ok":
+            history.complete(number, "unknown" if reply["word"] == "unknown" else "fail", why=reply.get("why"))
             return ""
         if kind == "withdraw":
-            self._withdraw(line, told["number"], who)
-        return self._follow(number, told["number"], who, rng, clients)
+            self._withdraw(line, reply["number"], who)
+        return self._follow(number, reply["number"], who, rng, clients)
 
-    def _withdraw(self, line: Line, version: int, who: str) -> None:
-        word = "unknown"
+    def _withdraw(self, line: ProcessConnection, version: int, who: str) -> None:
+        answer = "unknown"
         try:
-            word = line.ask("rules.withdraw", WAIT, number=version, who=who, why="the trial's", wait_s=1.0)["word"]
+            answer = line.call("rules.withdraw", WAIT, number=version, who=who, why="the trial's", wait_s=1.0)["word"]
         except (Turned, OSError) as error:
-            word = str(error)
-        self._trial.history.add("withdrawal", number=version, word=word)
+            answer = str(error)
+        self._trial.history.add("withdrawal", number=version, word=answer)
 
     def _follow(self, number: int, version: int, who: str, rng: random.Random, clients: Clients | None) -> str:
         """Until it is decided, or the time for that is over twice, or the trial's load ends."""
@@ -119,8 +119,8 @@
         self._trial.history.complete(number, "unknown", version=version)
         return ""
 
-    def _line(self, who: str, name: str) -> Line:
-        return self._lines.setdefault((who, name), Line(self._trial, name))
+    def _line(self, who: str, name: str) -> ProcessConnection:
+        return self._lines.setdefault((who, name), ProcessConnection(self._trial, name))
 
     def close(self) -> None:
         """End all connections."""
--- a/tealwing/lab/rig/loads/rules/traffic.py
+++ b/tealwing/lab/rig/loads/rules/traffic.py
@@ -42,7 +42,9 @@
             except OSError:  # nobody was asked
                 session = None
                 continue
-            away = self._ask(session, name, start, rng.randrange(MOVED) if moves else rng.randrange(MOVED, GROUPS))
+            away = self._send_query(
+                session, name, start, rng.randrange(MOVED) if moves else rng.randrange(MOVED, GROUPS)
+            )
             if away is None:
                 session.close()
                 session = None
@@ -50,16 +52,16 @@
         if session is not None:
             session.close()
 
-    def _ask(self, session: Session, name: str, start: int, group: int) -> float | None:
+    def _send_query(self, session: Session, name: str, start: int, group: int) -> float | None:
         """One query into the history; for how many s its answer asks to stay away, None if the session is over."""
         history, process = self._trial.history, self._trial.processes[name]
         call = f"{self._trial.seed & 0xFFFF:04x}{next(self._calls):012x}"
         head = f"/* op=lookup,call={call},ttl={TTL_MS},org=graan-koop,work=2.0,heap_mb=4 */"
         number = history.invoke("query", name, call=call, group=group, moves=group < MOVED, start=start)
         try:
-            answer = session.ask(f"{head} SELECT a FROM sales_{group}.t".encode(), LIMIT)
+            answer = session.query(f"{head} SELECT a FROM sales_{group}.t".encode(), LIMIT)
         except OSError as error:
             history.complete(number, "unknown", why=str(error), lives=process.running)
             return None
-        history.complete(number, "ok", word=answer.word, site=answer.site, text=answer.text)
+        history.complete(number, "ok", word=answer.outcome, site=answer.site, text=answer.text)
         return answer.pushback
--- a/tealwing/lab/rig/loads/rules/watch.py
+++ b/tealwing/lab/rig/loads/rules/watch.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from tealwing.lab.judges.versions import NEVER
-from tealwing.lab.rig.loads.base import Line
+from tealwing.lab.rig.loads.base import ProcessConnection
 from tealwing.lab.rig.loads.rules.bundles import read
 from tealwing.peers.control import Turned
 
@@ -16,46 +16,46 @@
 
 LIMIT = 1.0  # s that a look waits
 LAST = ("superseded", *NEVER)  # phases that do not change
-KEPT = 32  # versions that a process keeps
+MAX_RETAINED = 32  # versions that a process keeps
 
 
-class Watch:
+class VersionWatcher:
     """What is known of the versions by looking; used by several threads."""
 
     def __init__(self, trial: Trial) -> None:
         self._trial = trial
         self._lock = threading.Lock()
-        self._told: dict[tuple[str, int], str] = {}  # process, number: the phase that is in the history
+        self._reported: dict[tuple[str, int], str] = {}  # process, number: the phase that is in the history
         self.sites: dict[int, str] = {}
         self.last = 0  # number that was given last, as far as is known
         self.active = 0
 
-    def look(self, line: Line) -> dict[str, Any]:
+    def look(self, line: ProcessConnection) -> dict[str, Any]:
         """A process's status; versions that it has told nothing of yet, or something else, come into the history."""
-        status = line.ask("rules.status", LIMIT)
+        status = line.call("rules.status", LIMIT)
         flight = status["in_flight"]
         with self._lock:
             self.active = max(self.active, status["active"])
             self.last = max(self.last, status["active"], flight["number"] if flight else 0)
-            known = range(max(1, self.last - KEPT), self.last + 1)
-            open_ = [number for number in known if self._told.get((line.name, number)) not in LAST]
+            known = range(max(1, self.last - MAX_RETAINED), self.last + 1)
+            open_ = [number for number in known if self._reported.get((line.name, number)) not in LAST]
         self.show(line, open_)
         return status
 
-    def show(self, line: Line, numbers: Iterable[int]) -> dict[int, dict[str, Any]]:
+    def show(self, line: ProcessConnection, numbers: Iterable[int]) -> dict[int, dict[str, Any]]:
         """Those of the versions that the process keeps."""
         found = {}
         for number in numbers:
             try:
-                version = line.ask("rules.show", LIMIT, number=number)
+                version = line.call("rules.show", LIMIT, number=number)
             except Turned:  # it does not keep that one, or not yet
                 continue
             found[number] = version
             with self._lock:
                 self.last = max(self.last, number)
-                if self._told.get((line.name, number)) == version["phase"]:
+                if self._reported.get((line.name, number)) == version["phase"]:
                     continue
-                self._told[line.name, number] = version["phase"]
+                self._reported[line.name, number] = version["phase"]
             mark, site = read(version["text"])
             log = self._trial.layout.site_of(line.name)  # each site of a federation has one
             self.sites[number] = site
@@ -66,13 +66,13 @@
             )  # fmt: skip
         return found
 
-    def end(self, line: Line) -> bool:
+    def end(self, line: ProcessConnection) -> bool:
         """In the end: what the process has in force and keeps; whether nothing is under way there."""
         status = self.look(line)
-        kept = self.show(line, range(max(1, self.last - KEPT + 1), self.last + 1))
+        retained = self.show(line, range(max(1, self.last - MAX_RETAINED + 1), self.last + 1))
         flight = status["in_flight"]["number"] if status["in_flight"] else 0
         self._trial.history.add(
             "rules-end", process=line.name, active=status["active"], in_force=status["in_force"], in_flight=flight,
-            digests={str(number): version["digest"] for number, version in kept.items()}, broken=status["broken"],
+            digests={str(number): version["digest"] for number, version in retained.items()}, broken=status["broken"],
         )  # fmt: skip
         return not flight
--- a/tealwing/lab/rig/process.py
+++ b/tealwing/lab/rig/process.py
@@ -18,23 +18,23 @@
 
 READY = 30.0  # s for a process to say that it has started
 SOURCE = str(Path(tealwing.__file__).parent.parent)
-TROUBLE = ("must_hold_broken", "control_call_failed", "decision_failed", "watch_update_in_parts")
+FAULT_EVENTS = ("must_hold_broken", "control_call_failed", "decision_failed", "watch_update_in_parts")
 
 
-class NotStarted(RuntimeError):
+class ProcessStartError(RuntimeError):
     """A process did not start; the text has the end of its log."""
 
 
 class Process:
     """A gateway of the trial. Its data folder stays over restarts; its log goes on."""
 
-    def __init__(self, name: str, folder: Path, config: dict[str, Any], conf: str, control: Address) -> None:
-        self.name, self.folder, self.control = name, folder, control
-        self.data, self.old = folder / "data", folder / "old"
-        self.log = folder / "log.jsonl"
+    def __init__(self, name: str, directory: Path, config: dict[str, Any], conf: str, control: Address) -> None:
+        self.name, self.directory, self.control = name, directory, control
+        self.data, self.old = directory / "data", directory / "old"
+        self.log = directory / "log.jsonl"
         self.data.mkdir(parents=True)
-        (folder / "config.json").write_text(json.dumps(config))
-        (folder / "tealwing.conf").write_text(conf)
+        (directory / "config.json").write_text(json.dumps(config))
+        (directory / "tealwing.conf").write_text(conf)
         self._process: subprocess.Popen[bytes] | None = None
         self.starts = 0
         self.stopped = False  # by SIGSTOP
@@ -58,12 +58,12 @@
         self._read_from = self.log.stat().st_size if self.log.exists() else 0
         environment = {k: v for k, v in os.environ.items() if not k.startswith(("LB_", "TEALWING_"))}
         environment |= {
-            "LB_CONFIG": str(self.folder / "config.json"), "TEALWING_CONF": str(self.folder / "tealwing.conf"),
-            "MALLOC_ARENA_MAX": "1", "PYTHONPATH": SOURCE, "TMPDIR": str(self.folder),
+            "LB_CONFIG": str(self.directory / "config.json"), "TEALWING_CONF": str(self.directory / "tealwing.conf"),
+            "MALLOC_ARENA_MAX": "1", "PYTHONPATH": SOURCE, "TMPDIR": str(self.directory),
         }  # fmt: skip
         with self.log.open("ab") as log:
             self._process = subprocess.Popen(
-                [sys.executable, "-m", "tealwing"], cwd=self.folder, env=environment, stdout=log, stderr=log,
+                [sys.executable, "-m", "tealwing"], cwd=self.directory, env=environment, stdout=log, stderr=log,
                 stdin=subprocess.DEVNULL,
             )  # fmt: skip
         self.starts += 1
@@ -80,7 +80,7 @@
             if not self.running:
                 break
             time.sleep(0.02)
-        raise NotStarted(f"{self.name}: {self.log.read_text(errors='replace')[-800:]}")
+        raise ProcessStartError(f"{self.name}: {self.log.read_text(errors='replace')[-800:]}")
 
     def address(self, key: str) -> Address | None:
         """Where it listens for clients (`listen`) or operators (`admin`), as it said at this start."""
@@ -99,9 +99,9 @@
                         found.append(event)
         return found
 
-    def trouble(self) -> list[str]:
+    def fault_lines(self) -> list[str]:
         """What its log says that must never be said: broken checks, tracebacks."""
-        found = [json.dumps(event)[:400] for event in self.events() if event.get("event") in TROUBLE]
+        found = [json.dumps(event)[:400] for event in self.events() if event.get("event") in FAULT_EVENTS]
         text = self.log.read_text(errors="replace") if self.log.exists() else ""
         if "Traceback (most recent call last)" in text.replace("\\n", "\n") and not found:
             found.append(text[text.index("Traceback") :][:800])
--- a/tealwing/lab/rig/acts.py
+++ b/tealwing/lab/rig/process_faults.py
@@ -7,29 +7,29 @@
 from typing import TYPE_CHECKING, Any
 
 from tealwing.lab.faults.scenario import Step
-from tealwing.lab.rig.samples import ASK_LIMIT
+from tealwing.lab.rig.samples import CALL_TIMEOUT
 from tealwing.peers.control import Turned
 
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
 
 
-class Acts:
+class ProcessFaults:
     """The faults of processes; each is noted in the ledger."""
 
     def __init__(self, trial: Trial, stale: int) -> None:
         """stale: how many may come back with an older disk from a power loss."""
         self._trial, self._stale = trial, stale
-        self._ledger, self._history = trial.ledger, trial.history
+        self._ledger, self._history = trial.fault_log, trial.history
         self.failing: set[str] = set()  # processes whose disk failed, and which have not been ended since
 
     def kill(self, name: str, gently: bool = False) -> None:
         """End it, by SIGTERM first if gently."""
-        self._ledger.over(("stop", name))
+        self._ledger.end_intervals(("stop", name))
         process = self._trial.processes[name]
         self.failing.discard(name)
         if process.running:
-            self._ledger.span(("down", name), "kill", who=name, gently=gently)
+            self._ledger.begin_interval(("down", name), "kill", who=name, gently=gently)
             if gently:
                 process.terminate()
             process.kill()
@@ -54,25 +54,25 @@
             if self._trial.stopping.is_set() or not process.running:  # killed again meanwhile
                 return
             raise
-        self._ledger.over(("down", name))
+        self._ledger.end_intervals(("down", name))
         self._history.add("ready", process=name, start=process.starts)
 
     def stop(self, name: str) -> None:
         """It stands still, and does not know it."""
         self._trial.processes[name].signal(signal.SIGSTOP)
-        self._ledger.span(("stop", name), "stop", who=name)
+        self._ledger.begin_interval(("stop", name), "stop", who=name)
 
     def cont(self, name: str) -> None:
         """It goes on."""
         self._trial.processes[name].signal(signal.SIGCONT)
-        self._ledger.over(("stop", name))
+        self._ledger.end_intervals(("stop", name))
 
-    def tell(self, name: str, call: str, **fields: Any) -> None:
+    def inject_fault(self, name: str, call: str, **fields: Any) -> None:
         """A fault within a process, through its control address."""
         try:
             caller = self._trial.caller(name)
             try:
-                caller.ask(call, ASK_LIMIT, **fields)
+                caller.ask(call, CALL_TIMEOUT, **fields)
             finally:
                 caller.close()
             self._ledger.fault(call.removeprefix("fault."), who=name, **fields)
@@ -86,7 +86,7 @@
         trial, random = self._trial, self._trial.random
         names = [name for name in trial.names if trial.processes[name].running]
         for name in names:
-            self._ledger.span(("down", name), "kill", who=name)
+            self._ledger.begin_interval(("down", name), "kill", who=name)
             trial.processes[name].signal(signal.SIGKILL)
         for name in names:
             trial.processes[name].kill()
@@ -100,8 +100,10 @@
                 for a in trial.names:
                     for b in trial.names:
                         if a != b and random.random() < 0.25:
-                            trial.weather.change(a, b, drop=step.drop_on_return)
-            self._ledger.span(("link", "power", ""), "link", source="some", target="some", drop=step.drop_on_return)
+                            trial.conditions.change(a, b, drop=step.drop_on_return)
+            self._ledger.begin_interval(
+                ("link", "power", ""), "link", source="some", target="some", drop=step.drop_on_return
+            )
         lost = time.monotonic()
         for name in sorted(waits, key=lambda name: waits[name]):
             if trial.calm.wait(max(0.0, lost + waits[name] - time.monotonic())):
--- a/tealwing/lab/rig/report.py
+++ b/tealwing/lab/rig/report.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from tealwing.lab.judges.verdict import Violation
-from tealwing.lab.rig.history import Event, operations, spans
+from tealwing.lab.rig.history import Event, intervals, operations
 
-MOST_SHOWN = 60  # violations and faults on the page; the history has all
+MAX_SHOWN = 60  # violations and faults on the page; the history has all
 COLOURS = {"ok": "#2a7f4f", "fail": "#c9a227", "unknown": "#b23a48"}
 BANDS = {"kill": "#444444", "stop": "#8e6bbf"}
 
@@ -28,7 +28,7 @@
     figure, (top, bottom) = plt.subplots(
         2, 1, sharex=True, figsize=(12, 2.4 + 0.55 * len(names)), height_ratios=(max(2, len(names)), 2)
     )
-    for number, (what, fields, begin, over) in enumerate(spans(events, end)):
+    for number, (what, fields, begin, over) in enumerate(intervals(events, end)):
         if over <= begin:
             top.axvline(begin, color="#8888aa", linewidth=0.8, linestyle=":")
             continue
@@ -41,10 +41,10 @@
             for axes in (top, bottom):
                 axes.axvspan(begin, over, color=colour, alpha=0.13, linewidth=0)
             top.text(begin, len(names) - 0.35 + 0.22 * (number % 2), what, fontsize=7, color=colour)
-    for word, colour in COLOURS.items():
-        found = [op for op in operations(events) if op.word == word and op.process in lane]
+    for answer, colour in COLOURS.items():
+        found = [op for op in operations(events) if op.word == answer and op.process in lane]
         heights = [lane[op.process] - 0.15 for op in found]
-        top.scatter([op.begin for op in found], heights, s=3, color=colour, label=word)
+        top.scatter([op.begin for op in found], heights, s=3, color=colour, label=answer)
     led = [event for event in events if event["kind"] == "sample" and event.get("role") == "leader"]
     top.scatter([e["t"] for e in led], [lane[e["process"]] + 0.25 for e in led], s=8, marker="s", color="#d62728")
     for act in events:
@@ -67,17 +67,17 @@
     return out.getvalue()
 
 
-def page(title: str, about: str, figures: dict[str, Any], violations: Sequence[Violation], events: Sequence[Event],
+def page(title: str, about: str, summary: dict[str, Any], violations: Sequence[Violation], events: Sequence[Event],
          names: Sequence[str], end: float) -> str:  # fmt: skip
     """The whole page."""
     picture = base64.b64encode(draw(events, names, end)).decode()
     rows = "".join(
-        f"<tr><td>{html.escape(name)}</td><td>{html.escape(str(value))}</td></tr>" for name, value in figures.items()
+        f"<tr><td>{html.escape(name)}</td><td>{html.escape(str(value))}</td></tr>" for name, value in summary.items()
     )
-    bad = "".join(f"<li>{html.escape(str(v))}</li>" for v in violations[:MOST_SHOWN]) or "<li>none</li>"
+    bad = "".join(f"<li>{html.escape(str(v))}</li>" for v in violations[:MAX_SHOWN]) or "<li>none</li>"
     faults = "".join(
-        f"<li>{event['t']:8.3f} s  {html.escape(_told(event))}</li>"
-        for event in [e for e in events if e["kind"] in ("fault", "power", "fault-not-taken")][:MOST_SHOWN]
+        f"<li>{event['t']:8.3f} s  {html.escape(_fault_text(event))}</li>"
+        for event in [e for e in events if e["kind"] in ("fault", "power", "fault-not-taken")][:MAX_SHOWN]
     )
     return f"""<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{html.escape(title)}</title>
@@ -93,7 +93,7 @@
 """
 
 
-def _told(event: Event) -> str:
+def _fault_text(event: Event) -> str:
     return ", ".join(f"{key} {value}" for key, value in event.items() if key not in ("t", "kind", "cuts", "span"))
 
 
