--- a/tealwing/lab/rig/runs.py
+++ b/tealwing/lab/rig/runs.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from tealwing.lab.faults.scenario import Scenario
-from tealwing.lab.faults.scenario import moment as load_moment
+from tealwing.lab.faults.scenario import injection_point as load_moment
 from tealwing.lab.judges.verdict import Violation
 from tealwing.lab.rig import layouts, report
 from tealwing.lab.rig.history import Event
@@ -37,14 +37,14 @@
 }
 
 
-class Found:
+class TrialResult:
     """What a trial gave."""
 
-    def __init__(self, figures: dict[str, Any], violations: list[Violation], events: list[Event]) -> None:
-        self.figures, self.violations, self.events = figures, violations, events
+    def __init__(self, summary: dict[str, Any], violations: list[Violation], events: list[Event]) -> None:
+        self.summary, self.violations, self.events = summary, violations, events
 
 
-def attempt(
+def run_trial(
     scenario: Scenario,
     procs: int,
     seconds: float,
@@ -54,8 +54,8 @@
     lost_touch: str = "serve",
     sites: int = 0,
     learners: int = 0,
-    moment: str = "",
-) -> Found:
+    injection_point: str = "",
+) -> TrialResult:
     """Run the trial; out is a folder for history, logs and report (none is kept if None).
 
     moment: the sabotage whose moment of harm is forced, also on a program that is whole; that of the sabotage itself
@@ -76,31 +76,38 @@
         load = RulesLoad(lost_touch, layouts.FEDERATION_LIMIT if sites else layouts.RULES_LIMIT)
     names = [f"n{number}" for number in range(procs)]
     layout = layouts.layout(scenario.workload, names, lost_touch, sites, sabotage, learners)
-    moment = moment or (sabotage if sabotage in layouts.RULES_SABOTAGES else "")
-    forced = load_moment(moment) if moment else None
-    with Trial(scenario, procs, seconds, seed, out, layout, moment=forced) as trial:
+    injection_point = injection_point or (sabotage if sabotage in layouts.RULES_SABOTAGES else "")
+    forced = load_moment(injection_point) if injection_point else None
+    with Trial(scenario, procs, seconds, seed, out, layout, injection_point=forced) as trial:
         trial.start()
         _break(trial, sabotage)
         trial.run(load)
         events, end = trial.history.events, trial.ended
-        violations = [violation for judge in load.judges for violation in judge(events, end)]
-        violations += [Violation("log", end, what) for what in trial.trouble()]
+        violations = [violation for checker in load.checkers for violation in checker(events, end)]
+        violations += [Violation("log", end, what) for what in trial.fault_lines()]
         violations += [Violation("rig", end, what) for what in trial.problems]
         violations += [Violation("settled", e["t"], "the processes were never in touch again after all was healed")
                        for e in events if e["kind"] == "never-settled"]  # fmt: skip
         violations.sort(key=lambda violation: violation.at)
-        figures: dict[str, Any] = {
-            "scenario": scenario.title, "procs": procs, "seconds": seconds, "seed": seed, "faults": trial.ledger.count,
-            **load.figures(events), "violations": len(violations), "frames": trial.proxy.counts["frames"],
-            "frames_dropped": trial.proxy.counts["dropped"], "took_s": round(time.monotonic() - begun, 1),
-        }  # fmt: skip
+        summary: dict[str, Any] = {
+            "scenario": scenario.title,
+            "procs": procs,
+            "seconds": seconds,
+            "seed": seed,
+            "faults": trial.fault_log.count,
+            **load.summary(events),
+            "violations": len(violations),
+            "frames": trial.proxy.counts["frames"],
+            "frames_dropped": trial.proxy.counts["dropped"],
+            "took_s": round(time.monotonic() - begun, 1),
+        }
         if out is not None:
-            write_json(out / "figures.json", figures)
+            write_json(out / "figures.json", summary)
             write_json(out / "violations.json", [str(violation) for violation in violations])
             report.write(
-                out / "report.html", scenario.title, scenario.about, figures, violations, events, trial.names, end
+                out / "report.html", scenario.title, scenario.about, summary, violations, events, trial.names, end
             )
-        return Found(figures, violations, events)
+        return TrialResult(summary, violations, events)
 
 
 def _check(scenario: Scenario, procs: int, sites: int, sabotage: str) -> None:
--- a/tealwing/lab/rig/samples.py
+++ b/tealwing/lab/rig/samples.py
@@ -11,8 +11,8 @@
 from tealwing.peers.control import Caller, Turned
 
 SAMPLE = 0.25  # s between two looks at each process
-ASK_LIMIT = 1.0  # s that a look waits for its answer
-KEPT = ("role", "term", "leader", "commit", "applied", "unsure", "phase")  # of a status, where it has them
+CALL_TIMEOUT = 1.0  # s that a look waits for its answer
+SAMPLED_FIELDS = ("role", "term", "leader", "commit", "applied", "unsure", "phase")  # of a status, where it has them
 
 
 class Samples:
@@ -36,7 +36,7 @@
                     if name not in callers:
                         callers[name] = self._caller(name)
                     begun = self._history.now()
-                    found = callers[name].ask("status", ASK_LIMIT)
+                    found = callers[name].ask("status", CALL_TIMEOUT)
                 except (OSError, Turned):
                     if (old := callers.pop(name, None)) is not None:
                         old.close()
@@ -51,14 +51,14 @@
         sample: dict[str, Any] = {
             "process": name, "asked": round(begun, 6), "boot": found["boot"],
             "peers": {peer["name"]: peer["state"] for peer in found["peers"]},
-            **{key: found[key] for key in KEPT if key in found},
+            **{key: found[key] for key in SAMPLED_FIELDS if key in found},
         }  # fmt: skip
         if site := self._site_of(name):
             sample["log"] = site
         self.last[name] = sample
         self._history.add("sample", **sample)
 
-    def in_touch(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether every process that runs hears all others that run, and is led if it is replicated."""
         running = {name for name, process in self._processes.items() if process.running and not process.stopped}
         for name in running:
@@ -66,8 +66,8 @@
             if sample is None:
                 return False
             # two that only learn have no link to one another, and say so
-            heard = {peer for peer, state in sample["peers"].items() if state in ("alive", "unlinked")}
-            if not running - {name} <= heard or sample.get("leader") == "":
+            reachable = {peer for peer, state in sample["peers"].items() if state in ("alive", "unlinked")}
+            if not running - {name} <= reachable or sample.get("leader") == "":
                 return False
         return True
 
--- a/tealwing/lab/rig/whom.py
+++ b/tealwing/lab/rig/targets.py
@@ -14,23 +14,23 @@
 Pairs = list[tuple[str, str]]
 
 
-class Whom:
+class TargetResolver:
     """The processes behind a scenario's words; remembers those of the last step."""
 
     def __init__(self, trial: Trial) -> None:
         self._trial = trial
         self._last: list[str] = []
 
-    def names(self, word: str) -> list[str]:
+    def names(self, selector: str) -> list[str]:
         """The processes that a word means, at least one."""
-        if word == "all":
+        if selector == "all":
             return list(self._trial.names)
-        if word == ASIDE and self._last:
+        if selector == ASIDE and self._last:
             return self._last
-        if word.startswith(SITE):
-            self._last = self._site(word.removeprefix(SITE))
+        if selector.startswith(SITE):
+            self._last = self._site(selector.removeprefix(SITE))
         else:
-            self._last = [self._one(word)]
+            self._last = [self._one(selector)]
         return self._last
 
     def _site(self, name: str) -> list[str]:
@@ -39,20 +39,20 @@
             name = self._trial.random.choice(sorted(sites)) if sites else ""
         return list(sites.get(name) or [self._one("random")])
 
-    def _one(self, word: str) -> str:
+    def _one(self, selector: str) -> str:
         trial = self._trial
-        if word in trial.names:
-            return word
+        if selector in trial.names:
+            return selector
         running = [name for name, process in trial.processes.items() if process.running and not process.stopped]
         leader = trial.leader()
-        if word == "leader" and leader:
+        if selector == "leader" and leader:
             return leader
-        if word == "holder" and trial.holder:
+        if selector == "holder" and trial.holder:
             return trial.holder
-        if word == "delegate" and (leaders := trial.samples.leaders()):
+        if selector == "delegate" and (leaders := trial.samples.leaders()):
             return trial.random.choice(leaders)
         followers = [name for name in running if name != leader] or running or trial.names
-        return trial.random.choice(followers if word == "follower" else running or trial.names)
+        return trial.random.choice(followers if selector == "follower" else running or trial.names)
 
     def directions(self, step: Step) -> tuple[str, str, Pairs]:
         """A step's source and target as they are told, and all directions from the one to the other."""
@@ -66,8 +66,8 @@
         within = SITE in step.source + step.target  # a site and all: what is within the site stays as it is
         pairs = [(a, b) for a in sources for b in targets
                  if a != b and not (within and trial.layout.site_of(a) == trial.layout.site_of(b))]  # fmt: skip
-        source, target = (names[0] if len(names) == 1 else word
-                          for names, word in ((sources, step.source), (targets, step.target)))  # fmt: skip
+        source, target = (names[0] if len(names) == 1 else selector
+                          for names, selector in ((sources, step.source), (targets, step.target)))  # fmt: skip
         return source, target, pairs
 
     def groups(self, step: Step) -> list[list[str]]:
--- a/tealwing/lab/rig/trial.py
+++ b/tealwing/lab/rig/trial.py
@@ -12,18 +12,18 @@
 from pathlib import Path
 from typing import Any
 
+from tealwing.lab.faults.network_conditions import NetworkConditions
 from tealwing.lab.faults.proxy import Proxy
 from tealwing.lab.faults.scenario import Scenario
-from tealwing.lab.faults.weather import Weather
 from tealwing.lab.rig import configuration
-from tealwing.lab.rig.acts import Acts
 from tealwing.lab.rig.configuration import Layout
-from tealwing.lab.rig.director import Director
+from tealwing.lab.rig.director import FaultDirector
 from tealwing.lab.rig.engines import Engines
+from tealwing.lab.rig.fault_log import FaultLog
 from tealwing.lab.rig.history import History
-from tealwing.lab.rig.ledger import Ledger
 from tealwing.lab.rig.ports import free_port
 from tealwing.lab.rig.process import Process
+from tealwing.lab.rig.process_faults import ProcessFaults
 from tealwing.lab.rig.samples import Samples
 from tealwing.lab.standins.coordinator import Coordinator
 from tealwing.peers.control import Caller
@@ -42,35 +42,35 @@
         procs: int,
         seconds: float,
         seed: int,
-        folder: Path | None = None,
+        directory: Path | None = None,
         layout: Layout = Layout(),  # noqa: B008 - frozen
-        beat_ms: int = 200,
-        moment: Scenario | None = None,
+        heartbeat_ms: int = 200,
+        injection_point: Scenario | None = None,
     ) -> None:
         """Without a folder it has one of its own, which goes with it.
 
         moment: played under load before the scenario and its seconds begin, while only plain changes are made.
         """
-        self.moment = moment
+        self.injection_point = injection_point
         self._load: Any = None  # under way
         self.layout = layout
         self.scenario, self.seconds, self.seed = scenario, seconds, seed
-        self._own = tempfile.TemporaryDirectory(prefix="tealwing-fleet-") if folder is None else None
-        self.folder: Path = Path(self._own.name) if folder is None else folder  # type: ignore[union-attr]
-        self.folder.mkdir(parents=True, exist_ok=True)
-        self.history = History(self.folder / "history.jsonl")
+        self._own = tempfile.TemporaryDirectory(prefix="tealwing-fleet-") if directory is None else None
+        self.directory: Path = Path(self._own.name) if directory is None else directory  # type: ignore[union-attr]
+        self.directory.mkdir(parents=True, exist_ok=True)
+        self.history = History(self.directory / "history.jsonl")
         self.random = random.Random(f"{seed}/director")
         self.names = [f"n{number}" for number in range(procs)]
-        self.weather = Weather(self.names, seed)
-        self.proxy = Proxy(self.weather, free_port)
+        self.conditions = NetworkConditions(self.names, seed)
+        self.proxy = Proxy(self.conditions, free_port)
         self.engines = Engines(layout.engines, procs, seed, layout.zones, self._reached)
         self.coordinator = Coordinator(self.engines.members())
         self.processes: dict[str, Process] = {}
         self.stopping = threading.Event()
         self.calm = threading.Event()  # no fault is begun any more
         self.samples = Samples(self.processes, self.history, self.caller, layout.site_of)
-        self.ledger = Ledger(self.history, self.leader)
-        self.acts = Acts(self, layout.stale)
+        self.fault_log = FaultLog(self.history, self.leader)
+        self.process_faults = ProcessFaults(self, layout.stale)
         self.holder = ""  # who held the lease, as the load last saw it
         self._threads: list[threading.Thread] = []
         self.begun = self.ended = 0.0
@@ -80,10 +80,14 @@
         for number, name in enumerate(self.names):
             control: Address = ("127.0.0.1", free_port())
             known = self.coordinator.known
-            told = configuration.platform(self.names, number, seed, self.coordinator.address, known, layout)
+            configuration_file = configuration.platform_file(
+                self.names, number, seed, self.coordinator.address, known, layout
+            )
             dial = configuration.dials(name, self.names, self.proxy.target(name), self.proxy.address)
-            conf = configuration.operators(name, dial, control, beat_ms, layout, str(self.folder / name / "data"))
-            self.processes[name] = Process(name, self.folder / name, told, conf, control)
+            conf = configuration.operators_file(
+                name, dial, control, heartbeat_ms, layout, str(self.directory / name / "data")
+            )
+            self.processes[name] = Process(name, self.directory / name, configuration_file, conf, control)
 
     def _reached(self, call: str, site: str) -> None:
         """A query came to an engine; kept where engines have sites, as there it shows who decided."""
@@ -141,7 +145,7 @@
         for process in self.processes.values():
             process.ready()
         self.spawn(lambda: self.samples.run(self.stopping), "samples")
-        if not self.wait(self.in_touch, SETTLE):
+        if not self.wait(self.is_connected, SETTLE):
             raise RuntimeError(f"the processes did not hear each other within {SETTLE:g} s: {self.samples.last}")
 
     def wait(self, holds: Any, seconds: float) -> bool:
@@ -153,9 +157,9 @@
             time.sleep(POLL)
         return True
 
-    def in_touch(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether every process that runs hears all others that run, and is led if it is replicated."""
-        return self.samples.in_touch()
+        return self.samples.is_connected()
 
     def leader(self) -> str:
         """Who leads, as the samples say; empty where none is known."""
@@ -172,32 +176,34 @@
         self.begun = time.monotonic()
         self.history.add("begin", procs=len(self.names), seconds=self.seconds, scenario=self.scenario.title)
         self._load = load
-        if self.moment is not None:
+        if self.injection_point is not None:
             load.keep_plain(True)
         load.start(self)
-        if self.moment is not None:
-            Director(self, self.moment, must_come=True).play()
+        if self.injection_point is not None:
+            FaultDirector(self, self.injection_point, must_come=True).play()
             load.keep_plain(False)
             self.begun = time.monotonic()
-        director = self.spawn(Director(self, self.scenario).play, "scenario")
+        director = self.spawn(FaultDirector(self, self.scenario).play, "scenario")
         self.stopping.wait(self.seconds)
         self.calm.set()
         load.stop()
         director.join(30.0)  # what it had begun
         self.history.add("load-over")
         with self.proxy.lock:
-            self.weather.heal()
-        self.ledger.all_over()
+            self.conditions.heal()
+        self.fault_log.end_all_intervals()
         for name, process in self.processes.items():
             process.signal(signal.SIGCONT)
-            if name in self.acts.failing and process.running:  # its scenario ended before it had it started anew
-                self.acts.kill(name)
+            if (
+                name in self.process_faults.failing and process.running
+            ):  # its scenario ended before it had it started anew
+                self.process_faults.kill(name)
             if not process.running:
-                self.acts.start(name, "kept")
+                self.process_faults.start(name, "kept")
         for process in self.processes.values():
             process.ready()
         healed = time.monotonic()
-        if not self.wait(self.in_touch, SETTLE):
+        if not self.wait(self.is_connected, SETTLE):
             self.history.add("never-settled", samples=self.samples.last)
         self.history.add("settled", after=round(time.monotonic() - healed, 3))
         load.finish(self)
@@ -209,9 +215,9 @@
         """Have the operators of the load make changes, or begin none."""
         self._load.hold_changes(not going_on)
 
-    def trouble(self) -> list[str]:
+    def fault_lines(self) -> list[str]:
         """What the processes' logs say that must never be said."""
-        return [f"{name}: {what}" for name, process in self.processes.items() for what in process.trouble()]
+        return [f"{name}: {what}" for name, process in self.processes.items() for what in process.fault_lines()]
 
 
 def write_json(path: Path, data: Any) -> None:
--- a/tealwing/lab/rollout/copies.py
+++ b/tealwing/lab/rollout/copies.py
@@ -15,11 +15,11 @@
 from tealwing.rollout.seen import TABLES
 from tealwing.rollout.view import View, view
 
-KEPT = 4096  # indices
+MAX_SNAPSHOTS = 4096  # indices
 
 
 @dataclass(frozen=True, slots=True)
-class Shot:
+class StateSnapshot:
     """The tables of the rules after one entry, and what came of it."""
 
     index: int
@@ -35,36 +35,36 @@
         return replace(v, me=self.tables["rule_members"].get(name))
 
 
-class Copies:
+class StateHistory:
     """All shots of one log."""
 
     def __init__(self) -> None:
         self._state = State()
         tables: dict[str, dict[str, Any]] = {name: {} for name in TABLES}
-        self.first = Shot(0, None, None, None, tables, view(tables, 0, ""))
+        self.first = StateSnapshot(0, None, None, None, tables, view(tables, 0, ""))
         self._shots = {0: self.first}
 
     @property
-    def last(self) -> Shot:
+    def last(self) -> StateSnapshot:
         """After the last entry that any member has applied."""
         return self._shots[self._state.applied]
 
-    def apply(self, entry: Entry) -> Shot:
+    def apply(self, entry: Entry) -> StateSnapshot:
         """A member applies an entry."""
         if entry.index == self._state.applied + 1:
             self._shots[entry.index] = self._make(entry)
-            self._shots.pop(entry.index - KEPT, None)
-        shot = self._shots[entry.index]
-        check_invariant(shot.entry == entry, "members apply the same entries")
-        return shot
+            self._shots.pop(entry.index - MAX_SNAPSHOTS, None)
+        snapshot = self._shots[entry.index]
+        check_invariant(snapshot.entry == entry, "members apply the same entries")
+        return snapshot
 
-    def _make(self, entry: Entry) -> Shot:
+    def _make(self, entry: Entry) -> StateSnapshot:
         before = self.last
         if entry.kind is not Kind.DATA:
             self._state.applied = entry.index
             plain = replace(before.plain, index=entry.index)
-            return Shot(entry.index, entry, None, None, before.tables, plain)
+            return StateSnapshot(entry.index, entry, None, None, before.tables, plain)
         result = self._state.apply(entry.index, entry.data)
         tables = {name: dict(self._state.tables[name]) for name in TABLES}
         command = c.decode(entry.data)
-        return Shot(entry.index, entry, command, result, tables, view(tables, entry.index, ""))
+        return StateSnapshot(entry.index, entry, command, result, tables, view(tables, entry.index, ""))
--- a/tealwing/lab/rollout/costs.py
+++ b/tealwing/lab/rollout/costs.py
@@ -36,9 +36,9 @@
             return self.far * math.exp(random.gauss(0.0, self.far_spread))
         return self.near * math.exp(random.gauss(0.0, self.near_spread))
 
-    def applying(self, members: int, words: int) -> float:
+    def applying(self, members: int, message_count: int) -> float:
         """Of one entry with so many words, where so many members are in the table."""
-        return self.entry + self.entry_member * members * words
+        return self.entry + self.entry_member * members * message_count
 
     def disk(self, random: Random) -> float:
         """Of one sync."""
--- a/tealwing/lab/rollout/fleet.py
+++ b/tealwing/lab/rollout/fleet.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 
 from tealwing.lab.clock import Clock
-from tealwing.lab.rollout.copies import Copies, Shot
+from tealwing.lab.rollout.copies import StateHistory, StateSnapshot
 from tealwing.lab.rollout.costs import Costs
-from tealwing.lab.rollout.door import Door, Judge
+from tealwing.lab.rollout.gate import ServiceChecker, SimulatedGate
 from tealwing.lab.rollout.host import Host, Wires
 from tealwing.lab.rollout.logs import Log
-from tealwing.lab.rollout.part import Part
+from tealwing.lab.rollout.part import SimulatedMember
 from tealwing.lab.rollout.sites import Federated
 from tealwing.lab.rollout.tasks import Step, Task
 from tealwing.replica import commands as c
@@ -39,12 +39,12 @@
     """All of it; the same for the same seed."""
 
     def __init__(self, shape: Shape, seed: int, costs: Costs = Costs()) -> None:  # noqa: B008 - frozen
-        self.shape, self.clock, self.judge = shape, Clock(), Judge()
+        self.shape, self.clock, self.checker = shape, Clock(), ServiceChecker()
         self.wires = Wires(self.clock, costs, seed)
         self.gateways = {f"s{i}": tuple(f"s{i}g{k:03}" for k in range(shape.gateways)) for i in range(shape.sites)}
-        self.copies: dict[str, Copies] = {}
+        self.copies: dict[str, StateHistory] = {}
         self.logs: dict[str, list[Log]] = {}  # by log
-        self.parts: dict[str, Part] = {}
+        self.parts: dict[str, SimulatedMember] = {}
         federated = shape.sites > 1
         few = {site: names[: min(3, len(names))] for site, names in self.gateways.items()}
         voting = tuple(name for names in few.values() for name in names)
@@ -54,16 +54,16 @@
             for name in names:
                 host = self.wires.hosts[name] = Host(self.wires, name, site)
                 log = self._log(host, site, names[: shape.voters], names[shape.voters :], Options(), seed)
-                outside = self._log(host, ALL, voting, learning, Options(election=1.0), seed) if federated else None
-                door = Door(self.clock, name, self.judge, shape.rate, seed)
-                self.parts[name] = Part(shape.plan, log, door, seed, outside, site)
-                if outside is not None:
-                    Federated(log, outside, site, self.gateways, shape.limit, shape.plan.patience)
+                federation = self._log(host, ALL, voting, learning, Options(election=1.0), seed) if federated else None
+                gate = SimulatedGate(self.clock, name, self.checker, shape.rate, seed)
+                self.parts[name] = SimulatedMember(shape.plan, log, gate, seed, federation, site)
+                if federation is not None:
+                    Federated(log, federation, site, self.gateways, shape.limit, shape.plan.patience)
 
     def _log(
         self, host: Host, name: str, voters: tuple[str, ...], learners: tuple[str, ...], options: Options, seed: int
     ) -> Log:
-        copies = self.copies.setdefault(name, Copies())
+        copies = self.copies.setdefault(name, StateHistory())
         log = Log(host, name, voters, learners, copies, options, seed)
         self.logs.setdefault(name, []).append(log)
         return log
@@ -78,7 +78,7 @@
         return True
 
     @property
-    def state(self) -> Shot:
+    def state(self) -> StateSnapshot:
         """Of the log that decides, after the last entry that anybody has applied."""
         return self.copies[self.deciding].last
 
@@ -88,13 +88,13 @@
 
     def begun(self) -> bool:
         """Whether all gateways, and sites, are in their tables and decide."""
-        wanted = self.shape.sites if self.deciding == ALL else self.shape.gateways
-        there = len(self.state.tables["rule_members"]) == wanted
-        return there and all(part.door.version >= 0 for part in self.parts.values())
+        expected = self.shape.sites if self.deciding == ALL else self.shape.gateways
+        there = len(self.state.tables["rule_members"]) == expected
+        return there and all(part.gate.version >= 0 for part in self.parts.values())
 
     def open_under(self, number: int) -> bool:
         """Whether all gateways that are not cut off decide under that version."""
-        return all(part.door.version == number for name, part in self.parts.items() if name not in self.wires.cut)
+        return all(part.gate.version == number for name, part in self.parts.items() if name not in self.wires.cut)
 
     def propose(self, text: bytes, at: str) -> None:
         """An operator proposes a version at a gateway."""
--- a/tealwing/lab/rollout/door.py
+++ b/tealwing/lab/rollout/gate.py
@@ -11,7 +11,7 @@
 from tealwing.lab.clock import Clock
 
 
-class Judge:
+class ServiceChecker:
     """Of all gateways: when each version was first and last decided under."""
 
     def __init__(self) -> None:
@@ -39,25 +39,25 @@
         """What was wrong."""
         wrong = list(self.wrong)
         for version, begun in sorted(self.first.items()):
-            late = max((at for other, at in self.until.items() if other < version), default=begun)
-            if late > begun:
-                wrong.append(f"version {version} was decided under from {begun:.6f}, an older one until {late:.6f}")
+            overdue = max((at for other, at in self.until.items() if other < version), default=begun)
+            if overdue > begun:
+                wrong.append(f"version {version} was decided under from {begun:.6f}, an older one until {overdue:.6f}")
         return wrong
 
 
-class Door:
+class SimulatedGate:
     """Open under a version until a time, or not; every change touches all requests here."""
 
-    def __init__(self, clock: Clock, name: str, judge: Judge, rate: float, seed: int) -> None:
+    def __init__(self, clock: Clock, name: str, checker: ServiceChecker, rate: float, seed: int) -> None:
         """rate is clients a second, each on its own."""
-        self._clock, self.name, self._judge, self._rate = clock, name, judge, rate
+        self._clock, self.name, self._checker, self._rate = clock, name, checker, rate
         self._random = Random(f"{seed}/{name}/clients")
         self._open: tuple[int, float, float] | None = None  # version, since when, until when
         self._closed: float | None = None  # since when by a change
         self._held: list[float] = []  # when those came that wait
         self.gaps: list[float] = []  # s for which it was closed, by change
         self.waits: list[float] = []  # s that clients waited
-        self.turned = self.passed = 0
+        self.rejected = self.passed = 0
         if rate:
             clock.after(self._random.expovariate(rate), self._come)
 
@@ -88,7 +88,7 @@
         if by_change and self._closed is None:
             self._closed = self._clock.now
         if not by_change:
-            self.turned += len(self._held)
+            self.rejected += len(self._held)
             self._held.clear()
             self._closed = None
 
@@ -99,15 +99,15 @@
     def _shut(self) -> None:
         if self._open is not None:
             version, since, until = self._open
-            self._judge.span(self.name, version, since, min(until, self._clock.now))
+            self._checker.span(self.name, version, since, min(until, self._clock.now))
             self._open = None
 
     def _pass(self, begun: float) -> None:
         if self._open is not None and self._clock.now < self._open[2]:
             self.passed += 1
-            self._judge.decided(self.name, self._open[0], begun, self._clock.now)
+            self._checker.decided(self.name, self._open[0], begun, self._clock.now)
         else:
-            self.turned += 1
+            self.rejected += 1
 
     def _come(self) -> None:
         self._clock.after(self._random.expovariate(self._rate), self._come)
--- a/tealwing/lab/rollout/host.py
+++ b/tealwing/lab/rollout/host.py
@@ -10,8 +10,8 @@
 from tealwing.lab.rollout.costs import Costs
 from tealwing.lab.rollout.tasks import Step
 
-BEAT = 0.2  # s between two signs of life of the link; they are not modelled but for who is silent
-SILENT = 2 * BEAT  # s without any after which a peer counts as silent, as the shells have it
+HEARTBEAT_INTERVAL = 0.2  # s between two signs of life of the link; they are not modelled but for who is silent
+SILENT = 2 * HEARTBEAT_INTERVAL  # s without any after which a peer counts as silent, as the shells have it
 
 
 class Host:
@@ -21,7 +21,7 @@
         self.wires, self.name, self.site = wires, name, site
         self.free = 0.0
         self.sent = 0  # messages
-        self.hears: dict[tuple[str, str], Callable[[str, Any], None]] = {}  # by log, and kind of message
+        self.handlers: dict[tuple[str, str], Callable[[str, Any], None]] = {}  # by log, and kind of message
 
     def spend(self, seconds: float) -> float:
         """Use so much of its time, once it is free; when that is over."""
@@ -59,7 +59,7 @@
 
     def _land(self, source: str, target: Host, log: str, kind: str, body: Any) -> None:
         if target.name not in self.cut and source not in self.cut:
-            target.hears[log, kind](source, body)
+            target.handlers[log, kind](source, body)
 
     def silent(self, me: str) -> set[str]:
         """Whom a host has not heard for so long that they count as silent."""
--- a/tealwing/lab/rollout/logs.py
+++ b/tealwing/lab/rollout/logs.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from tealwing.lab.rollout.copies import Copies, Shot
+from tealwing.lab.rollout.copies import StateHistory, StateSnapshot
 from tealwing.lab.rollout.host import Host
 from tealwing.lab.rollout.tasks import Signal, Step
 from tealwing.replica import commands as c
@@ -23,7 +23,7 @@
 from tealwing.rules.records import Words
 
 
-def words_of(entry: Entry) -> int:
+def message_count(entry: Entry) -> int:
     """How many words are in one entry."""
     if entry.kind is not Kind.DATA:
         return 0
@@ -47,15 +47,15 @@
     """A core, and the state that it has applied."""
 
     def __init__(
-        self, host: Host, name: str, voters: tuple[str, ...], learners: tuple[str, ...], copies: Copies,
+        self, host: Host, name: str, voters: tuple[str, ...], learners: tuple[str, ...], copies: StateHistory,
         options: Options, seed: int,
     ) -> None:  # fmt: skip
         """name is the log's; voters and learners are hosts' names, and seed that of the whole laboratory."""
         self.host, self.name, self._clock = host, name, host.wires.clock
         number = Random(f"{seed}/{name}/{host.name}").randrange(1, 2**53)
         self.core = Raft(host.name, voters, self._clock.now, number, number, options, learners=learners)
-        self.shot, self._copies = copies.first, copies
-        self.applied: list[Callable[[Shot], None]] = []  # told of each entry, as it is applied
+        self.snapshot, self._copies = copies.first, copies
+        self.applied: list[Callable[[StateSnapshot], None]] = []  # told of each entry, as it is applied
         self.led: list[Callable[[bool], None]] = []
         self.leads = self._proposed = False
         self._passed: list[bytes] = []
@@ -63,10 +63,10 @@
         self._inbox: deque[tuple[Any, ...]] = deque()
         self._turning, self._timer = False, float("inf")
         self._waiting, self._reading = Waiting(), Reading(self.core)
-        self._asked: dict[int, tuple[Signal, list[Told]]] = {}
+        self._requests: dict[int, tuple[Signal, list[Told]]] = {}
         self._numbers = itertools.count(1)
-        host.hears[name, "log"] = lambda source, message: self.put("message", source, message)
-        host.hears[name, "forward"] = self._hear_forwarded
+        host.handlers[name, "log"] = lambda source, message: self.put("message", source, message)
+        host.handlers[name, "forward"] = self._on_forwarded
         self._due()
 
     # What others ask for; tasks
@@ -78,18 +78,18 @@
             self._turning = True
             self._clock.at(self.host.free, self._turn)
 
-    def propose_here(self, body: Any) -> None:
+    def propose_if_leader(self, body: Any) -> None:
         """Propose if this member leads."""
         self.put("ask", Ask(0, c.encode(c.Command("", 0, body))), lambda told: None)
 
     def pass_on(self, body: Any) -> None:
         """Have whoever leads propose it."""
         if self.core.leader == self.host.name:
-            self.propose_here(body)
+            self.propose_if_leader(body)
         elif self.core.leader:
             self.host.send(self.core.leader, self.name, "forward", Ask(0, c.encode(c.Command("", 0, body))))
 
-    def hurry(self) -> None:
+    def flush_commit(self) -> None:
         """If this member leads: say at once how far all is committed."""
         self.put("hurry")
 
@@ -109,12 +109,12 @@
         found = yield reached, max(0.0, end - self._clock.now)
         return told.index if found else None
 
-    def _at_leader(self, ask: Ask, wait: float, again: bool) -> Step:
+    def _at_leader(self, request: Ask, wait: float, again: bool) -> Step:
         end, pause = self._clock.now + wait, ASK_AGAIN[0]
         while (left := end - self._clock.now) > 1e-9:
             leader, sent = self.core.leader, False
             if leader:
-                told = yield from self._try(leader, ask, min(left, LEADER_WAIT) if again else left, again)
+                told = yield from self._try(leader, request, min(left, LEADER_WAIT) if again else left, again)
                 if told is not None and told.word == "ok":
                     return told
                 sent = told is None or told.word == "lost"
@@ -124,35 +124,35 @@
             pause = min(ASK_AGAIN[1], 2 * pause)
         return None
 
-    def _try(self, leader: str, ask: Ask, wait: float, again: bool) -> Step:
+    def _try(self, leader: str, request: Ask, wait: float, again: bool) -> Step:
         number, signal = next(self._numbers), Signal(self._clock)
         found: list[Told] = []
-        ask = Ask(number, ask.command)
-        self._asked[number] = signal, found
+        request = Ask(number, request.command)
+        self._requests[number] = signal, found
         if leader == self.host.name:
-            self.put("ask", ask, self._hear_told)
+            self.put("ask", request, self._on_reply)
         else:
-            self.host.send(leader, self.name, "forward", ask)
+            self.host.send(leader, self.name, "forward", request)
         end = self._clock.now + wait
         while not found and (left := end - self._clock.now) > 1e-9:
             yield signal, min(left, LEADER_LOOK) if again else left
             if again and not found and self.core.leader != leader:
                 break
-        del self._asked[number]
+        del self._requests[number]
         return found[0] if found else None
 
-    def _hear_told(self, told: Told) -> None:
-        if told.number in self._asked:
-            signal, found = self._asked[told.number]
+    def _on_reply(self, told: Told) -> None:
+        if told.number in self._requests:
+            signal, found = self._requests[told.number]
             found.append(told)
             signal.set()
 
-    def _hear_forwarded(self, source: str, word: Ask | Told) -> None:
+    def _on_forwarded(self, source: str, message: Ask | Told) -> None:
         self.host.spend(self.host.wires.costs.message)
-        if isinstance(word, Told):
-            self._hear_told(word)
+        if isinstance(message, Told):
+            self._on_reply(message)
         else:
-            self.put("ask", word, lambda told: self.host.send(source, self.name, "forward", told))
+            self.put("ask", message, lambda told: self.host.send(source, self.name, "forward", told))
 
     # The member's thread
 
@@ -197,28 +197,28 @@
                 self.host.spend(self.host.wires.costs.message)
                 self.core.step(now, item[1], item[2])
             case "ask":
-                self._ask(now, item[1], item[2])
+                self._request(now, item[1], item[2])
             case "at":
                 self._waiting.at(item[1], item[2])
-                self._waiting.reached(self.shot.index)
+                self._waiting.reached(self.snapshot.index)
             case "hurry":
                 self.core.hurry(now)
 
-    def _ask(self, now: float, ask: Ask, answer: Callable[[Told], None]) -> None:
-        if ask.command and not ask.number:
-            self._passed.append(ask.command)
+    def _request(self, now: float, request: Ask, answer: Callable[[Told], None]) -> None:
+        if request.command and not request.number:
+            self._passed.append(request.command)
             return
         try:
-            if ask.command:
-                index, term = self.core.propose(now, ask.command, more=True)
+            if request.command:
+                index, term = self.core.propose(now, request.command, more=True)
                 self._proposed = True
-                self._waiting.propose(index, term, Answering(ask.number, answer))
+                self._waiting.propose(index, term, Answering(request.number, answer))
             else:
-                self._reading.ask(Answering(ask.number, answer))
+                self._reading.ask(Answering(request.number, answer))
         except NotLeader:
-            answer(Told(ask.number, "not-leader", b"", 0))
+            answer(Told(request.number, "not-leader", b"", 0))
         except Busy:
-            answer(Told(ask.number, "busy", b"", 0))
+            answer(Told(request.number, "busy", b"", 0))
 
     def _work(self) -> None:
         """What the core wants, piece by piece; the disk before what rests on it."""
@@ -236,18 +236,18 @@
             self.core.saved(now, ready.entries[-1].index, ready.entries[-1].term)
         for name, message in ready.messages:
             self.host.send(name, self.name, "log", message)
-        costs, members = self.host.wires.costs, len(self.shot.tables["rule_members"])
-        took = sum(costs.applying(members, words_of(entry)) for entry in ready.committed)
+        costs, members = self.host.wires.costs, len(self.snapshot.tables["rule_members"])
+        took = sum(costs.applying(members, message_count(entry)) for entry in ready.committed)
         self._clock.at(self.host.spend(took), self._apply, ready)
 
     def _apply(self, ready: Ready) -> None:
         for entry in ready.committed:
-            self.shot = self._copies.apply(entry)
-            self._waiting.applied(entry, self.shot.result)
+            self.snapshot = self._copies.apply(entry)
+            self._waiting.applied(entry, self.snapshot.result)
             for told in self.applied:
-                told(self.shot)
+                told(self.snapshot)
         if ready.committed:
-            self._waiting.reached(self.shot.index)
+            self._waiting.reached(self.snapshot.index)
         for number in ready.failed_reads:
             self._reading.failed(number)
         for number, index in ready.reads:
--- a/tealwing/lab/rollout/measure.py
+++ b/tealwing/lab/rollout/measure.py
@@ -44,11 +44,11 @@
         clock.run(clock.now + PAUSE)
         _one(fleet, found, turn, names[(7 * turn) % len(names)])
     for part in fleet.parts.values():
-        found.gaps += part.door.gaps
-        found.waits += part.door.waits
-        found.clients += part.door.passed
-        part.door.end()
-    found.wrong += fleet.judge.verdict()
+        found.gaps += part.gate.gaps
+        found.waits += part.gate.waits
+        found.clients += part.gate.passed
+        part.gate.end()
+    found.wrong += fleet.checker.verdict()
     return found
 
 
--- a/tealwing/lab/rollout/sites.py
+++ b/tealwing/lab/rollout/sites.py
@@ -6,7 +6,7 @@
 
 from tealwing.federation.delegate import Delegate
 from tealwing.federation.shell import TICK
-from tealwing.lab.rollout.copies import Shot
+from tealwing.lab.rollout.copies import StateSnapshot
 from tealwing.lab.rollout.logs import Log
 from tealwing.lab.rollout.tasks import Signal, Step, Task
 from tealwing.rollout.conductor import Conductor
@@ -30,18 +30,18 @@
         self._witnesses = Witnesses(name, seed=number)
         self._lapses: list[tuple[int, Body]] = []
         self._wake = Signal(self._clock)
-        site.applied.append(lambda shot: self._wake.set())
+        site.applied.append(lambda _: self._wake.set())
         site.led.append(lambda leads: self._wake.set())
         all_.applied.append(self._applied)
         all_.led.append(lambda leads: self._wake.set())
         Task(self._clock, self._run())
 
-    def _applied(self, shot: Shot) -> None:
-        if shot.command is not None and shot.result is not None:
-            if isinstance(shot.command.body, Lapse | Forget):
-                self._lapses.append((shot.index, shot.command.body))
-            if self._all.leads and shot.result.ok and isinstance(shot.command.body, HURRY):
-                self._all.hurry()
+    def _applied(self, snapshot: StateSnapshot) -> None:
+        if snapshot.command is not None and snapshot.result is not None:
+            if isinstance(snapshot.command.body, Lapse | Forget):
+                self._lapses.append((snapshot.index, snapshot.command.body))
+            if self._all.leads and snapshot.result.ok and isinstance(snapshot.command.body, HURRY):
+                self._all.flush_commit()
             self._wake.set()
 
     def _run(self) -> Step:
@@ -51,26 +51,26 @@
             self._look()
 
     def _look(self) -> None:
-        now, shot = self._clock.now, self._all.shot
+        now, snapshot = self._clock.now, self._all.snapshot
         lapses, self._lapses = self._lapses, []
         for at, body in lapses:
             self._witnesses.applied(now, at, body)
         self._conductor.lead(now, self._all.leads)
         if self._all.leads:
-            silent = [name for name in shot.tables["rule_members"] if not self._hears(name)]
-            for word in self._conductor.look(now, shot.tables, silent):
-                self._all.propose_here(word)
-        found = self._witnesses.due(now, shot.tables)
+            silent = [name for name in snapshot.tables["rule_members"] if not self._is_reachable(name)]
+            for message in self._conductor.look(now, snapshot.tables, silent):
+                self._all.propose_if_leader(message)
+        found = self._witnesses.due(now, snapshot.tables)
         if not self._site.leads:
             return
         for witness in found:
             self._all.pass_on(witness)
-        ours, theirs = self._delegate.look(now, self._site.shot.tables, shot.tables, shot.index)
-        for said in ours:
-            self._site.propose_here(said)
-        for said in theirs:
-            self._all.pass_on(said)
+        ours, theirs = self._delegate.look(now, self._site.snapshot.tables, snapshot.tables, snapshot.index)
+        for published in ours:
+            self._site.propose_if_leader(published)
+        for published in theirs:
+            self._all.pass_on(published)
 
-    def _hears(self, site: str) -> bool:
+    def _is_reachable(self, site: str) -> bool:
         silent = self._site.host.wires.silent(self._site.host.name)
         return site == self._name or any(name not in silent for name in self._gateways[site])
--- a/tealwing/lab/rollout/tasks.py
+++ b/tealwing/lab/rollout/tasks.py
@@ -65,10 +65,10 @@
     def go_on(self, found: bool | None) -> None:
         """Run to the next wait."""
         try:
-            wanted = self._steps.send(found)
+            awaited = self._steps.send(found)
         except StopIteration:
             return
-        signal, seconds = wanted if isinstance(wanted, tuple) else (None, wanted)
+        signal, seconds = awaited if isinstance(awaited, tuple) else (None, awaited)
         waiter = _Waiter(self, signal)
         if signal is not None and signal.is_set:
             self._clock.after(0.0, waiter.wake, True)
--- a/tealwing/lab/rollout/trials.py
+++ b/tealwing/lab/rollout/trials.py
@@ -56,6 +56,6 @@
         clock.run(clock.now + AGAIN)
         del fleet.wires.cut[alone]
     for part in fleet.parts.values():
-        part.door.end()
-    found.wrong += fleet.judge.verdict()
+        part.gate.end()
+    found.wrong += fleet.checker.verdict()
     return found
--- a/tealwing/lab/worth.py
+++ b/tealwing/lab/score.py
@@ -9,16 +9,16 @@
 
 from tealwing import interface as api
 from tealwing.lab.arrivals import Arrivals
-from tealwing.lab.harness import Books
+from tealwing.lab.harness import RequestOutcomes
 
 STRETCH = 10.0  # s of the worst stretch (the operators' count)
 
 
 @dataclass(frozen=True, slots=True)
-class Worth:
+class Score:
     """Shares of the worth asked for; in_time by class is of requests that a client got an answer to or gave up."""
 
-    whole: float
+    total: float
     worst: float
     by_class: dict[str, float]
     in_time: dict[str, float]
@@ -27,46 +27,46 @@
     @property
     def mixed(self) -> float:
         """The operators' mix without accounts: four tenths whole, three the worst stretch, two the worst class."""
-        return (0.4 * self.whole + 0.3 * self.worst + 0.2 * min(self.by_class.values())) / 0.9
+        return (0.4 * self.total + 0.3 * self.worst + 0.2 * min(self.by_class.values())) / 0.9
 
 
-def aims(arrivals: Arrivals, settings: api.Settings) -> Any:
+def latency_objectives(arrivals: Arrivals, settings: api.Settings) -> Any:
     """The time by which each request is wanted."""
-    aim = np.array([cls.latency_objective for cls in settings.classes])[arrivals.cls]
+    objective = np.array([cls.latency_objective for cls in settings.classes])[arrivals.cls]
     stretch = np.array([cls.objective_per_work / cls.threads for cls in settings.classes])[arrivals.cls]
-    return arrivals.at + aim + stretch * arrivals.work
+    return arrivals.at + objective + stretch * arrivals.work
 
 
 def count(
     arrivals: Arrivals,
-    books: Books,
+    outcomes: RequestOutcomes,
     settings: api.Settings,
     begin: float = 1.0,
     end: float = np.inf,
     account: int | None = None,
-) -> Worth:
+) -> Score:
     """What the requests that came between two times were worth, of one account or of all."""
     counted = (arrivals.at >= begin) & (arrivals.at < end)
     if account is not None:
         counted &= arrivals.account == account
-    worth = np.array([cls.priority_weight for cls in settings.classes])[arrivals.cls]
-    late_share = np.array([cls.late_weight_share for cls in settings.classes])[arrivals.cls]
-    served = ~np.isnan(books.answered)
-    in_time = served & (books.answered <= aims(arrivals, settings))
-    kept = worth * np.where(in_time, 1.0, np.where(served, late_share, 0.0))
+    weight = np.array([cls.priority_weight for cls in settings.classes])[arrivals.cls]
+    late_weight = np.array([cls.late_weight_share for cls in settings.classes])[arrivals.cls]
+    served = ~np.isnan(outcomes.answered)
+    in_time = served & (outcomes.answered <= latency_objectives(arrivals, settings))
+    in_share = weight * np.where(in_time, 1.0, np.where(served, late_weight, 0.0))
 
     def share(of: Any) -> float:
-        asked = float(worth[of].sum())
-        return float(kept[of].sum()) / asked if asked else 1.0
+        asked = float(weight[of].sum())
+        return float(in_share[of].sum()) / asked if asked else 1.0
 
     stretch = ((arrivals.at - begin) // STRETCH).astype(int)
     worst = min((share(counted & (stretch == i)) for i in range(max(int(stretch.max(initial=0)), 1))), default=1.0)
     by_class, timely, shed = {}, {}, {}
     for place, cls in enumerate(settings.classes):
         of = counted & (arrivals.cls == place)
-        turned = ~served & (books.shed > 0)
-        admitted = of & ~turned
+        rejected = ~served & (outcomes.shed > 0)
+        admitted = of & ~rejected
         by_class[cls.name] = share(of)
         timely[cls.name] = float(in_time[admitted].mean()) if admitted.any() else 1.0
-        shed[cls.name] = float(turned[of].mean()) if of.any() else 0.0
-    return Worth(share(counted), worst, by_class, timely, shed)
+        shed[cls.name] = float(rejected[of].mean()) if of.any() else 0.0
+    return Score(share(counted), worst, by_class, timely, shed)
--- a/tealwing/lab/slow_start.py
+++ b/tealwing/lab/slow_start.py
@@ -92,10 +92,12 @@
 
 def settings(case: Case, gateways: int) -> api.Settings:
     """What each gateway is told; the accounts' rates say that a core carries what the rule calls capacity."""
-    plain, asked = site.settings(gateways), rate(gateways) * case.few
-    rest = asked * sum(share * work for share, work in case.mix) / api.CAPACITY_UTILIZATION - case.engines * CORES
+    plain, request_class = site.settings(gateways), rate(gateways) * case.few
+    rest = (
+        request_class * sum(share * work for share, work in case.mix) / api.CAPACITY_UTILIZATION - case.engines * CORES
+    )
     kinds = (api.MachineKind("cold", CORES, 16384.0), api.MachineKind("rest", max(round(rest) + 1, 1), 1e6))
-    accounts = (api.TenantQuota("all", 1.0, asked),)
+    accounts = (api.TenantQuota("all", 1.0, request_class),)
     return dataclasses.replace(
         plain,
         machine_kinds=kinds,
@@ -115,21 +117,21 @@
         self.modules = [Gateway(self.settings, seed * 1000 + n) for n in range(gateways)]
         self.ages = [0] * gateways  # how often each gateway began anew
         self.due: list[tuple[float, int, int, int, api.Event]] = []
-        self.asked, self.begin = 0, 100.0
+        self.offered, self.begin = 0, 100.0
         self.requests: dict[int, int] = {}
         self.sent: dict[int, list[tuple[float, float]]] = {n + 1: [] for n in range(case.engines)}
 
     def put(self, at: float, n: int, event: api.Event) -> None:
         """Let a gateway, as it is now, see an event at a time."""
-        self.asked += 1
-        heapq.heappush(self.due, (at, self.asked, n, self.ages[n], event))
+        self.offered += 1
+        heapq.heappush(self.due, (at, self.offered, n, self.ages[n], event))
 
-    def lists(self, at: float, n: int, cold: bool) -> None:
+    def lists(self, at: float, n: int, warming_up: bool) -> None:
         """The list before the start and, where it has come, the change to the cold engines alone."""
         entries = [api.EngineListEntry(e, 0, 0, 0, api.Health.READY, 1.0, 0.0) for e in self.sent]
         rest = api.EngineListEntry(0, 0, 1, 0, api.Health.READY, 1.0, 0.0)
         self.put(at, n, api.EngineList(api.EngineListKind.CACHED, 1, (rest, *entries)))
-        if cold:
+        if warming_up:
             self.put(at, n, self.change())
 
     def change(self) -> api.EngineList:
@@ -142,25 +144,25 @@
         """Poisson arrivals at gateways of uneven traffic."""
         weights = [(n + 1) ** -UNEVEN for n in range(self.gateways)]
         shares = [share for share, _ in self.case.mix]
-        at, most = self.begin - BEFORE, rate(self.gateways) * self.case.few * self.case.burst
+        at, peak_rate = self.begin - BEFORE, rate(self.gateways) * self.case.few * self.case.burst
         window = self.settings.rules.overload_time
-        while (at := at + self.random.expovariate(most)) < end:
+        while (at := at + self.random.expovariate(peak_rate)) < end:
             bursts = BURST_AT <= at - self.begin < BURST_AT + window
             if not bursts and self.random.random() * self.case.burst > 1:
                 continue
             cls = self.random.choices(range(len(shares)), shares)[0]
             work, left = self.case.mix[cls][1] * self.random.uniform(0.5, 1.5), self.settings.classes[cls].deadline
             n = self.random.choices(range(self.gateways), weights)[0]
-            self.requests[self.asked] = cls
-            heapq.heappush(self.due, (at, self.asked, n, -1, api.Request(self.asked, cls, left, cost=work)))
-            self.asked += 1
+            self.requests[self.offered] = cls
+            heapq.heappush(self.due, (at, self.offered, n, -1, api.Request(self.offered, cls, left, cost=work)))
+            self.offered += 1
 
     def play(self) -> Found:
         """From the traffic before to the end of the cold time."""
         end = self.begin + self.settings.rules.slow_start_time
         self.traffic(end)
         for n in range(self.gateways):
-            self.lists(self.begin - BEFORE, n, cold=False)
+            self.lists(self.begin - BEFORE, n, warming_up=False)
             self.put(self.begin, n, self.change())
         anew = [(self.begin + RESTARTS[n % 3], n) for n in range(self.gateways) if n % 3 < len(RESTARTS)]
         anew = sorted(anew) if self.case.restarts else []
@@ -170,7 +172,7 @@
                 at, n = anew.pop(0)
                 self.ages[n] += 1
                 self.modules[n] = Gateway(self.settings, self.seed * 1000 + n + 500)
-                self.lists(at, n, cold=True)
+                self.lists(at, n, warming_up=True)
             now, _, n, age, event = heapq.heappop(self.due)
             if age in (-1, self.ages[n]):
                 self.act(now, n, self.modules[n].handle(now, event))
@@ -186,10 +188,10 @@
             cls = self.requests[action.id]
             work = self.case.mix[cls][1]
             attempt = len(self.modules[n].jobs[action.id].attempts) - 1
-            cold = action.engine and now >= self.begin
-            if cold:
+            warming_up = action.engine and now >= self.begin
+            if warming_up:
                 self.sent[action.engine].append((now - self.begin, work))
-            if cold and self.random.random() < self.case.failing:
+            if warming_up and self.random.random() < self.case.failing:
                 error = api.AttemptOutcome(action.id, attempt, action.engine, api.AttemptResult.ERROR, 0.02, False)
                 self.put(now + 0.02, n, error)
             else:
--- a/tealwing/lab/standins/coordinator.py
+++ b/tealwing/lab/standins/coordinator.py
@@ -8,7 +8,7 @@
 import threading
 from typing import Any
 
-BEAT = 1.0  # s between two last numbers (the protocol's)
+HEARTBEAT_INTERVAL = 1.0  # s between two last numbers (the protocol's)
 
 
 class Coordinator:
@@ -22,7 +22,7 @@
         self.address = f"{host}:{port}"
         self._followers: set[socket.socket] = set()
         self.silent = self._stopped = False
-        self.tell(members, complete=True)
+        self.publish(members, complete=True)
         threading.Thread(target=self._accept, name="standin-coordinator", daemon=True).start()
 
     @property
@@ -31,7 +31,7 @@
         with self._changed:
             return {"index": len(self._events), "updates": list(self._events)}
 
-    def tell(self, members: list[dict[str, Any]], complete: bool = False) -> None:
+    def publish(self, members: list[dict[str, Any]], complete: bool = False) -> None:
         """A further event."""
         with self._changed:
             number = len(self._events) + 1
@@ -73,7 +73,7 @@
             while True:
                 with self._changed:
                     if len(self._events) <= at or self.silent:
-                        self._changed.wait(BEAT)
+                        self._changed.wait(HEARTBEAT_INTERVAL)
                     if self._stopped or sock not in self._followers:
                         return
                     new = [] if self.silent else self._events[at:]
--- a/tealwing/lab/standins/engine.py
+++ b/tealwing/lab/standins/engine.py
@@ -24,8 +24,8 @@
 from tealwing.resp import messages
 
 PAGE = 6000  # bytes of a page at most (the protocol's)
-KEPT = 25.0  # s for which a key's repeat is dropped (the operators' figure)
-MOST_KEPT = 100_000  # keys
+KEY_RETENTION = 25.0  # s for which a key's repeat is dropped (the operators' figure)
+MAX_KEYS = 100_000  # keys
 READ = 64 * 1024  # bytes of a read
 ROWS = (1, 400)  # of a result, drawn evenly
 
@@ -67,7 +67,7 @@
     def take(self, key: bytes) -> bool:
         """Whether this is the first of its key, for as long as it is kept."""
         now = self._clock.now
-        while self._seen and (next(iter(self._seen.values())) < now - KEPT or len(self._seen) > MOST_KEPT):
+        while self._seen and (next(iter(self._seen.values())) < now - KEY_RETENTION or len(self._seen) > MAX_KEYS):
             self._seen.popitem(last=False)
         if key in self._seen:
             return False
@@ -89,18 +89,18 @@
 
 
 @dataclass(slots=True)
-class Ways:
+class Misbehaviour:
     """How it misbehaves, by script; all may be changed while it runs."""
 
-    mute: bool = False  # it takes everything and says nothing
+    silent: bool = False  # it takes everything and says nothing
     spoil: float = 0.0  # share of answers that are noise
     cut: float = 0.0  # share of answers broken off, with their connection
     copies: float = 0.0  # share of answers sent twice
-    late: float = 0.0  # s by which answers come later
+    answer_delay: float = 0.0  # s by which answers come later
 
 
 @dataclass(slots=True)
-class Book:
+class EngineRecord:
     """What an engine did, for judges."""
 
     wants: list[tuple[float, bytes, bytes]] = field(default_factory=list)  # when, id, class
@@ -128,7 +128,7 @@
         self._settings, self._draw, self._clock, self._keys, self._seed = settings, draw, clock, keys, seed
         self._names = [cls.name.encode() for cls in settings.classes]
         self._rng = np.random.default_rng((seed, 77))
-        self.ways, self.book = Ways(), Book()
+        self.misbehaviour, self.record = Misbehaviour(), EngineRecord()
         self._listener = socket.create_server(address, backlog=256)
         host, port = self._listener.getsockname()
         self.address = f"{host}:{port}"
@@ -151,7 +151,7 @@
     def slow(self, times: float) -> None:
         """Run so many times slower from now on."""
         with self._clock.lock:
-            self.model.paced(times)
+            self.model.set_slowdown(times)
 
     def _accept(self) -> None:
         while True:
@@ -170,39 +170,39 @@
             while data := sock.recv(READ):
                 for parts in parser.feed(data):
                     with self._clock.lock:
-                        self._take(sock, parts)
+                        self._on_message(sock, parts)
         except (OSError, messages.RespError):
             pass  # what can't be read ends the connection, as the platform's engines do
         with self._clock.lock:
             for attempt in list(self._open.pop(sock, {}).values()):
-                self._give_up(attempt)
+                self._cancel(attempt)
         sock.close()
 
-    def _take(self, sock: socket.socket, parts: list[bytes]) -> None:
+    def _on_message(self, sock: socket.socket, parts: list[bytes]) -> None:
         attempts = self._open.get(sock)
-        if attempts is None or self.ways.mute:
+        if attempts is None or self.misbehaviour.silent:
             return
-        word, call = parts[0], parts[1] if len(parts) > 1 else b""
+        message, call = parts[0], parts[1] if len(parts) > 1 else b""
         attempt = attempts.get(call)
-        if word == b"there":
-            self._say(sock, call, b"alive", b"-", b"")
-        elif word == b"want" and len(parts) == 4:
-            self._want(sock, call, messages.fields(parts[2]), parts[3])
+        if message == b"there":
+            self._send(sock, call, b"alive", b"-", b"")
+        elif message == b"want" and len(parts) == 4:
+            self._on_query(sock, call, messages.fields(parts[2]), parts[3])
         elif attempt is None:
-            if word == b"turn":
-                self._say(sock, call, b"500", b"-", b"")  # a page of a query that it no longer knows
-        elif word == b"never_mind" or word == b"shut":
-            self._give_up(attempt)
+            if message == b"turn":
+                self._send(sock, call, b"500", b"-", b"")  # a page of a query that it no longer knows
+        elif message == b"never_mind" or message == b"shut":
+            self._cancel(attempt)
             del attempts[call]
-        elif word == b"hurry" and attempt.run is not None:
+        elif message == b"hurry" and attempt.run is not None:
             self.model.tune(attempt.run, messages.count(parts[2].decode(), 3))
-        elif word == b"turn":
+        elif message == b"turn":
             number = messages.count(parts[2].decode(), len(attempt.pages) - 1)
-            self._say(sock, call, b"chunk", b"sheet=%d" % number, attempt.pages[number])
+            self._send(sock, call, b"chunk", b"sheet=%d" % number, attempt.pages[number])
 
-    def _want(self, sock: socket.socket, call: bytes, fields: dict[str, str], statement: bytes) -> None:
+    def _on_query(self, sock: socket.socket, call: bytes, fields: dict[str, str], statement: bytes) -> None:
         lane, now = fields.get("lane", "").encode(), self._clock.now
-        self.book.wants.append((now, call, lane))
+        self.record.wants.append((now, call, lane))
         if self._seen is not None:
             self._seen(call.decode("ascii", "replace"), self._site.decode())
         if lane not in self._names or not statement or call in self._open[sock]:
@@ -230,59 +230,59 @@
         self.model.start(attempt.run)
         self._clock.after(messages.number(fields.get("ttl", ""), 0.0) / 1e3, self._timed_out, attempt)
         if self._settings.progress_interval > 0:
-            self._clock.after(self._settings.progress_interval, self._note, attempt)
+            self._clock.after(self._settings.progress_interval, self._send_progress, attempt)
 
     def _served(self, attempt: Attempt) -> None:
-        if self.ways.late:
-            self._clock.after(self.ways.late, self._answer, attempt)
+        if self.misbehaviour.answer_delay:
+            self._clock.after(self.misbehaviour.answer_delay, self._answer, attempt)
         else:
             self._answer(attempt)
 
     def _answer(self, attempt: Attempt) -> None:
         if attempt.over or attempt.sock not in self._open:
             return
-        attempt.over, ways, luck = True, self.ways, float(self._rng.random())
+        attempt.over, ways, luck = True, self.misbehaviour, float(self._rng.random())
         queue, inflight = self.model.report()
         fields = b"sheets=%d,rep=queue:%g;inflight:%g" % (len(attempt.pages), queue, inflight)
         if luck < ways.spoil:
             self._write(attempt.sock, b"*4\r\n$16\r\n" + bytes(self._rng.integers(0, 256, 40, dtype=np.uint8)))
         elif luck < ways.spoil + ways.cut:
-            whole = messages.encode(attempt.call, b"200", fields, attempt.pages[0])
-            self._write(attempt.sock, whole[: len(whole) // 2])
+            result = messages.encode(attempt.call, b"200", fields, attempt.pages[0])
+            self._write(attempt.sock, result[: len(result) // 2])
             with contextlib.suppress(OSError):
                 attempt.sock.shutdown(socket.SHUT_RDWR)
         else:
             for _ in range(1 + (float(self._rng.random()) < ways.copies)):
-                self._say(attempt.sock, attempt.call, b"200", fields, attempt.pages[0])
-        self.book.ends.append((self._clock.now, attempt.call, b"200"))
+                self._send(attempt.sock, attempt.call, b"200", fields, attempt.pages[0])
+        self.record.ends.append((self._clock.now, attempt.call, b"200"))
         if len(attempt.pages) == 1:
             self._open[attempt.sock].pop(attempt.call, None)
 
-    def _end(self, sock: socket.socket, call: bytes, word: bytes) -> None:
-        self.book.ends.append((self._clock.now, call, word))
-        self._say(sock, call, word, b"-", b"")
+    def _end(self, sock: socket.socket, call: bytes, status: bytes) -> None:
+        self.record.ends.append((self._clock.now, call, status))
+        self._send(sock, call, status, b"-", b"")
 
     def _timed_out(self, attempt: Attempt) -> None:
         if not attempt.over:
-            self._give_up(attempt)
+            self._cancel(attempt)
             self._open.get(attempt.sock, {}).pop(attempt.call, None)
 
-    def _give_up(self, attempt: Attempt) -> None:
+    def _cancel(self, attempt: Attempt) -> None:
         if not attempt.over:
             attempt.over = True
-            self.book.ends.append((self._clock.now, attempt.call, b"given up"))
+            self.record.ends.append((self._clock.now, attempt.call, b"given up"))
             if attempt.run is not None:
                 self.model.stop(attempt.run)
 
-    def _note(self, attempt: Attempt) -> None:
+    def _send_progress(self, attempt: Attempt) -> None:
         run = attempt.run
         if attempt.over or run is None or attempt.sock not in self._open:
             return
-        self._clock.after(self._settings.progress_interval, self._note, attempt)
+        self._clock.after(self._settings.progress_interval, self._send_progress, attempt)
         note = b"why=parked,val=2" if run.still else b"why=frac,val=%.3f" % self.model.progress(run)
-        self._say(attempt.sock, attempt.call, b"status", note, b"")
+        self._send(attempt.sock, attempt.call, b"status", note, b"")
 
-    def _say(self, sock: socket.socket, *parts: bytes) -> None:
+    def _send(self, sock: socket.socket, *parts: bytes) -> None:
         self._write(sock, messages.encode(*parts))
 
     def _write(self, sock: socket.socket, data: bytes) -> None:
--- a/tealwing/mysql/server.py
+++ b/tealwing/mysql/server.py
@@ -179,15 +179,15 @@
         while True:  # a thread may take one more client while it has not yet seen that none is wanted
             with self._changed:
                 self._changed.wait_for(self._empty, min(TIME_LIMIT_CHECK_INTERVAL, until - time.monotonic()))
-                late = [session for session in self._sessions.values() if session not in sessions]
+                overdue = [session for session in self._sessions.values() if session not in sessions]
                 left, empty = len(self._sessions), self._empty()
             if empty or (not left and time.monotonic() >= until):
                 break
             if time.monotonic() >= until:
                 return False
-            for session in late:
+            for session in overdue:
                 session.stop()
-            sessions.extend(late)
+            sessions.extend(overdue)
         with self._changed:  # nothing is owed any more
             lingering = self._lingering.expired(float("inf"))
         for session in lingering:
@@ -283,7 +283,7 @@
                 full = self._full = self._descriptor_count() >= self._max_clients
                 if not full:
                     session = self._take_client()
-                crowded = self._descriptor_count() > self._max_clients - self._spare
+                is_full = self._descriptor_count() > self._max_clients - self._spare
                 log.check_invariant(
                     self._descriptor_count() <= self._max_clients, "clients hold no more descriptors than they may"
                 )
@@ -297,7 +297,7 @@
             self._free_one(at_once=True)
             return None
         self._listen()
-        if crowded:
+        if is_full:
             self._free_one(at_once=False)
         return session
 
@@ -489,9 +489,9 @@
         if oldest is not None:
             oldest.end_linger()
         else:
-            self._evict_longest_idle(at_once)
+            self._evict_idlest(at_once)
 
-    def _evict_longest_idle(self, at_once: bool) -> None:
+    def _evict_idlest(self, at_once: bool) -> None:
         """Evict the client that has been idle for longest, of those that have sent nothing: nothing is owed to it."""
         now = time.monotonic()
         with self._changed:
--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -72,7 +72,7 @@
         self._is_sampled = number % SAMPLED == 0  # how long what it reads has waited
         self._greeted = self._in = False
         self._taken = 0.0  # monotonic, when the last byte of the last message had been read
-        self._late = 0.0  # s that it had waited unread by then
+        self._deferred_answer = 0.0  # s that it had waited unread by then
         self._linger: lingering.Linger | None = None  # it is over: what it still says is dropped, under the lock
         self._gone = False  # its client has ended its side, and all that it said is read
         self._quit = False  # its client has said that it says no more
@@ -345,7 +345,7 @@
             self._greeted = True
         if not buffer:
             return True
-        self._late = self._unread_age(short)
+        self._deferred_answer = self._unread_age(short)
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
         except BlockingIOError:  # nothing has come yet
@@ -464,11 +464,11 @@
             else:
                 settings = self.server.settings  # one version for the reading and the deciding
                 query = statements.parse_query(text, settings, self._taken)
-                if self._late:  # its time has run since it came: past its deadline it is refused at once
-                    query = dataclasses.replace(query, ttl=query.ttl - self._late)
+                if self._deferred_answer:  # its time has run since it came: past its deadline it is refused at once
+                    query = dataclasses.replace(query, ttl=query.ttl - self._deferred_answer)
                 self._deadline.begin(query.received_at + query.ttl)
                 query.set_client_check(self.client_has_left)
-                if self._killed or (self._late and self.client_has_left()):
+                if self._killed or (self._deferred_answer and self.client_has_left()):
                     return answer(Cancelled())
                 exchange = self.server.open(query, settings)
         except InvalidRequestError as error:
@@ -507,15 +507,15 @@
         One that was given up while it was held is not opened.
         Raises Unusable; of a request that can't be read, only when it could have passed.
         """
-        settings, late = self.server.settings, self._late
+        settings, overdue = self.server.settings, self._deferred_answer
         taken = self._taken  # later by what late has more than the session's: its end stays the same
         for _ in range(READINGS):
             now = time.monotonic()
             try:
                 query = statements.parse_query(text, settings, taken)
-                self._deadline.begin(query.received_at + query.ttl - late)
+                self._deadline.begin(query.received_at + query.ttl - overdue)
                 tenant = settings.tenants[query.tenant] if settings.tenants else ""
-                until = now + _max_admission_wait(query.ttl - late)
+                until = now + _max_admission_wait(query.ttl - overdue)
                 entered = gate.admit(settings.classes[query.cls].name, tenant, query.tables, until)
             except InvalidRequestError:  # under a version that may be going
                 entered = gate.admit(None, "", 0, now + UNREAD_WAITS)
@@ -525,12 +525,12 @@
                 return entered
             if entered.waited:
                 held = time.monotonic() - now
-                late, taken, settings = late + held, taken + held, self.server.settings
+                overdue, taken, settings = overdue + held, taken + held, self.server.settings
                 query = statements.parse_query(text, settings, taken)
             if self._killed or (entered.waited and self.client_has_left()):
                 return Cancelled()
-            if late:  # its time has run since it came: past its deadline it is refused at once
-                query = dataclasses.replace(query, ttl=query.ttl - late)
+            if overdue:  # its time has run since it came: past its deadline it is refused at once
+                query = dataclasses.replace(query, ttl=query.ttl - overdue)
             query.set_client_check(self.client_has_left)
             try:
                 return query, self.server.open(query, settings)
--- a/tealwing/resp/engine.py
+++ b/tealwing/resp/engine.py
@@ -193,11 +193,11 @@
     def send_messages(self, *parts: bytes, size: int = 0) -> None:
         """Send messages that get no answer, of size parts each; a failure ends the connection, no more."""
         size = size or len(parts)
-        whole = b"".join(messages.encode(*parts[at : at + size]) for at in range(0, len(parts), size))
+        data = b"".join(messages.encode(*parts[at : at + size]) for at in range(0, len(parts), size))
         try:
             with self._writing:
                 if self._alive:
-                    self._write(whole)
+                    self._write(data)
         except (ConnectError, ConnectionBrokenError):
             log.event("engine_write_failed", word=parts[0].decode())
 
@@ -351,11 +351,11 @@
     def _dispatch(self, parts: list[bytes]) -> None:
         if len(parts) != 4:
             raise messages.RespError(f"a message of {len(parts)} parts")
-        call, word, fields, body = parts
+        call, status, fields, body = parts
         with self._lock:
             stream = self._streams.get(call)
         if stream is not None:  # else it was given up: a late answer
-            stream.sink(Answer(stream, word, messages.fields(fields), body))
+            stream.sink(Answer(stream, status, messages.fields(fields), body))
 
 
 class Engine:
--- a/tealwing/service.py
+++ b/tealwing/service.py
@@ -74,7 +74,7 @@
     if not server.shared:  # a queue of our own: clients still come for a while; else the other process takes them
         time.sleep(STILL_COMING)
     server.stop_listening()
-    kill = stopped + min(daemon.longest_deadline, MAX_SIGNAL_WAIT) + KILL_MARGIN
+    kill = stopped + min(daemon.max_deadline, MAX_SIGNAL_WAIT) + KILL_MARGIN
     cut_short = 0
     if not server.finish(kill - LAST_WORDS - time.monotonic()):
         cut_short = daemon.fail_open_requests()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -131,7 +131,7 @@
         last_cut = max((end for _, end in self.book.cuts), default=0.0)
         if time.monotonic() < last_cut + RECONNECT and self._random.random() < STRICT:
             return
-        self._coordinator.tell([self._members[name] | {"phase": self._random.choice(("draining", "removed"))}])
+        self._coordinator.publish([self._members[name] | {"phase": self._random.choice(("draining", "removed"))}])
         self.book.drains.append(Drain(name, time.monotonic()))
 
     def _back(self) -> None:
@@ -150,7 +150,7 @@
 
     def _start_cold(self, name: str) -> None:
         self.book.starts.append((name, time.monotonic()))
-        self._coordinator.tell([self._members[name] | {"up_since_ms": round(time.time() * 1e3)}])
+        self._coordinator.publish([self._members[name] | {"up_since_ms": round(time.time() * 1e3)}])
 
     def _cut_list(self) -> None:
         """The watch breaks off; hardly ever as a drain is under way to the gateway."""
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -501,9 +501,9 @@
     newest._waiting = now - 0.2, now + session.FIRST_LIMIT - 0.2
     order = [clients[n] for n in (1, 2, 3, 4, 5)]
     for client in order:
-        rig.server._evict_longest_idle(False)
+        rig.server._evict_idlest(False)
         ends_clean(client)
-    rig.server._evict_longest_idle(False)
+    rig.server._evict_idlest(False)
     assert not [c for c in (fresh,) if c.recv(4096) == b""]  # the greeting
     assert fresh.recv(4096) == b""
     half.sock.sendall(query("1")[9:])  # it goes last
@@ -541,7 +541,7 @@
 def test_a_client_that_came_when_nobody_could_be_evicted_gets_in_once_one_is_idle(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    hold = Hold(monkeypatch, server.Server, "_evict_longest_idle")
+    hold = Hold(monkeypatch, server.Server, "_evict_idlest")
     rig.server._spare = 0  # all places may be taken before one is evicted
     clients = [resting(rig) for _ in range(8)]
     for n in range(8):
--- a/tests/test_disk_returns.py
+++ b/tests/test_disk_returns.py
@@ -384,10 +384,10 @@
 
 def test_the_core_holds_in_all_interleavings_with_a_write_that_fails() -> None:
     found = explore(Consensus(Budget(timeouts=2, beats=1, proposals=1, crashes=0, faults=1, twice=0)), 6)
-    assert found.whole and found.broken == "" and found.states > 5_000
+    assert found.is_exhaustive and found.broken == "" and found.states > 5_000
     twice = Budget(timeouts=2, beats=0, proposals=0, crashes=1, faults=2, twice=0)
     found = explore(Consensus(twice, stale=1), 6)
-    assert found.whole and found.broken == "" and found.states > 2_000
+    assert found.is_exhaustive and found.broken == "" and found.states > 2_000
 
 
 def test_a_word_that_rests_on_a_write_that_failed_is_found() -> None:
@@ -413,7 +413,7 @@
         listen = trial.processes["n0"].address("listen")
         assert listen is not None
         for call in range(20):
-            assert Session(listen).ask(text % call, 5.0).word == "served"
+            assert Session(listen).query(text % call, 5.0).outcome == "served"
         told = callers["n0"].ask("replica.get", key="k", wait_s=0.5)
         assert told["word"] == "unavailable" and "comes back by itself" in told["why"]
         for name in ("n0", "n1"):
@@ -421,7 +421,7 @@
         # two of three that count as having forgotten would wait for each other's word, as long as the third leads
         until(lambda: all(caller.ask("replica.recovery")["phase"] == "member" for caller in callers.values()))
         assert not any(caller.ask("replica.status")["broken"] for caller in callers.values())
-        assert trial.trouble() == []
+        assert trial.fault_lines() == []
 
 
 @pytest.mark.parametrize("operation", range(1, 4))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -9,25 +9,25 @@
 import pytest
 
 from tealwing.lab.faults import scenario
-from tealwing.lab.faults.weather import Weather
+from tealwing.lab.faults.network_conditions import NetworkConditions
 from tealwing.lab.judges import echo, views
 from tealwing.lab.rig import layouts
 from tealwing.lab.rig.history import Event, operations
-from tealwing.lab.rig.whom import Whom
+from tealwing.lab.rig.targets import TargetResolver
 
 NAMES = ("a", "b", "c")
 
 
 def test_the_weather_is_the_same_for_the_same_seed_whatever_other_links_carry() -> None:
     def fates(seed: int, other: int) -> list[Any]:
-        weather = Weather(NAMES, seed)
+        weather = NetworkConditions(NAMES, seed)
         for pair in (("a", "b"), ("b", "c")):
             weather.change(*pair, drop=0.3, jitter=0.1, duplicate=0.2, reorder=0.2)
         found = []
         for _ in range(50):
-            found.append(weather.fate("a", "b"))
+            found.append(weather.delivery("a", "b"))
             for _ in range(other):
-                weather.fate("b", "c")
+                weather.delivery("b", "c")
         return found
 
     assert fates(1, 0) == fates(1, 3) != fates(2, 0)
@@ -35,10 +35,10 @@
 
 
 def test_partitions_cut_what_is_between_groups_and_nothing_else() -> None:
-    weather = Weather(NAMES, 1)
+    weather = NetworkConditions(NAMES, 1)
     weather.partition([["a", "b"], ["c"]])
     assert weather.cuts() == {("a", "c"), ("c", "a"), ("b", "c"), ("c", "b")}
-    assert weather.fate("a", "c").arrivals == () and weather.fate("a", "b").arrivals == (0.0,)
+    assert weather.delivery("a", "c").arrivals == () and weather.delivery("a", "b").arrivals == (0.0,)
     weather.heal()
     weather.isolate("b")
     assert weather.cuts() == {("a", "b"), ("b", "a"), ("c", "b"), ("b", "c")}
@@ -85,15 +85,23 @@
     fair = layouts.layout("rules", names).text("n4", "/data")
     assert "sabotage" not in fair.lower() and "    lost-touch serve\n" in fair and "    stale 0\n" in fair
     samples = SimpleNamespace(leaders=lambda: ["n3"])
-    whom = Whom(SimpleNamespace(names=names, layout=layout, random=random.Random(1), processes={}, leader=lambda: "n0",
-                                samples=samples, holder=""))  # type: ignore[arg-type] # fmt: skip
-    assert whom.names("site:kimberley") == whom.names("same") == ["n2", "n5", "n8"]
-    assert tuple(whom.names("site:any")) in layout.sites.values() and whom.names("delegate") == ["n3"]
+    trial = SimpleNamespace(
+        names=names,
+        layout=layout,
+        random=random.Random(1),
+        processes={},
+        leader=lambda: "n0",
+        samples=samples,
+        holder="",
+    )
+    targets = TargetResolver(trial)  # type: ignore[arg-type]
+    assert targets.names("site:kimberley") == targets.names("same") == ["n2", "n5", "n8"]
+    assert tuple(targets.names("site:any")) in layout.sites.values() and targets.names("delegate") == ["n3"]
     between = scenario.Step("link", source="sites", target="sites")
-    assert len(whom.directions(between)[2]) == 54 and ("n0", "n3") not in whom.directions(between)[2]
+    assert len(targets.directions(between)[2]) == 54 and ("n0", "n3") not in targets.directions(between)[2]
     out = scenario.Step("cut", source="site:upington", target="all")
-    assert len(whom.directions(out)[2]) == 18
-    assert whom.groups(scenario.Step("partition", groups="sites"))[0] == ["n0", "n3", "n6"]
+    assert len(targets.directions(out)[2]) == 18
+    assert targets.groups(scenario.Step("partition", groups="sites"))[0] == ["n0", "n3", "n6"]
 
 
 def ping(number: int, begin: float, end: float, by: str = "b", text: str = "x") -> list[Event]:
@@ -108,10 +116,10 @@
 
 
 def test_the_judge_of_answers_can_fail() -> None:
-    assert echo.judge([*ping(1, 1.0, 1.1), *CUT, *ping(2, 1.9, 2.5), *ping(3, 6.1, 6.2)], 10.0) == []
-    assert [v.rule for v in echo.judge(ping(1, 1.0, 1.1, by="c"), 10.0)] == ["echo-by"]
-    assert [v.rule for v in echo.judge(ping(1, 1.0, 1.1, text="y"), 10.0)] == ["echo-text"]
-    assert [v.rule for v in echo.judge([*CUT, *ping(1, 3.0, 4.0)], 10.0)] == ["cut"]
+    assert echo.check([*ping(1, 1.0, 1.1), *CUT, *ping(2, 1.9, 2.5), *ping(3, 6.1, 6.2)], 10.0) == []
+    assert [v.rule for v in echo.check(ping(1, 1.0, 1.1, by="c"), 10.0)] == ["echo-by"]
+    assert [v.rule for v in echo.check(ping(1, 1.0, 1.1, text="y"), 10.0)] == ["echo-text"]
+    assert [v.rule for v in echo.check([*CUT, *ping(1, 3.0, 4.0)], 10.0)] == ["cut"]
 
 
 def sample(at: float, state: str) -> Event:
@@ -119,10 +127,10 @@
 
 
 def test_the_judge_of_views_can_fail() -> None:
-    assert views.judge([*CUT, sample(3.0, "alive"), sample(5.9, "dead"), sample(15.0, "dead")], 20.0) == []
-    assert len(views.judge([*CUT, sample(5.9, "alive")], 20.0)) == 1  # silent for 3.9 s
-    assert len(views.judge([*CUT, sample(16.5, "dead")], 20.0)) == 1  # healed for 10.5 s
-    assert views.judge([sample(2.0, "dead")], 20.0) == []  # it has only begun
+    assert views.check([*CUT, sample(3.0, "alive"), sample(5.9, "dead"), sample(15.0, "dead")], 20.0) == []
+    assert len(views.check([*CUT, sample(5.9, "alive")], 20.0)) == 1  # silent for 3.9 s
+    assert len(views.check([*CUT, sample(16.5, "dead")], 20.0)) == 1  # healed for 10.5 s
+    assert views.check([sample(2.0, "dead")], 20.0) == []  # it has only begun
 
 
 def test_an_operation_that_never_ended_stays_open() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,9 +14,9 @@
 from tealwing import interface as api
 from tealwing.coordinator.backoff import Backoff
 from tealwing.coordinator.watch import WatchClient
-from tealwing.lab import arrivals, site, worth
-from tealwing.lab.harness import Books, Deployment
-from tealwing.lab.worth import Worth
+from tealwing.lab import arrivals, score, site
+from tealwing.lab.harness import Deployment, RequestOutcomes
+from tealwing.lab.score import Score
 from tealwing.policy import Gateway
 from tests.build import entry, listing, ok, sends
 
@@ -144,7 +144,7 @@
 # Forty gateways of uneven traffic before thirty modelled engines, in virtual time
 
 
-def forty(troubles: Callable[[Deployment], None], load: float) -> tuple[Books, Worth]:
+def forty(troubles: Callable[[Deployment], None], load: float) -> tuple[RequestOutcomes, Score]:
     """Half a minute; the fifth of the gateways that has most has half of the traffic."""
     draws = site.draws(np.random.default_rng(3), 30)
     rate = site.rate(draws, sum(mix.share * mix.work for mix in arrivals.BRIEF), load)
@@ -158,7 +158,7 @@
     deployment = Deployment(settings, draws, asked, Gateway, 6)
     troubles(deployment)
     books = deployment.run(30.0)
-    return books, worth.count(asked, books, settings)
+    return books, score.count(asked, books, settings)
 
 
 def a_zone_lost(deployment: Deployment) -> None:
@@ -169,4 +169,4 @@
     # a third of the engines dies at once and is back, cold, after 5 s: 0.946 before the fleet's changes
     books, found = forty(a_zone_lost, 0.6)
     assert not books.fell and not books.wrong and not books.doubled and not books.twice
-    assert found.whole > 0.97, found
+    assert found.total > 0.97, found
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -27,8 +27,8 @@
 from tealwing.gossip.node import Node, Times
 from tealwing.gossip.replayed import Fresh
 from tealwing.gossip.rumours import Rumours
-from tealwing.lab import rumours
-from tealwing.lab.network import EPOCH, Network, Toy, ToyRing, cluster, real_key
+from tealwing.lab import gossip_trial
+from tealwing.lab.network import EPOCH, Network, SimulatedKey, SimulatedKeyring, cluster, real_key
 from tealwing.policy import Gateway
 from tests.build import entry, listing, make_settings, sends
 from tests.peers import LIMIT, SETTINGS, Program
@@ -44,7 +44,7 @@
 
 
 def alive(name: str = "n1", incarnation: int = 0, boot: int = 5) -> Alive:
-    word = messages.signed(Alive(name, "10.0.0.9", 7946, boot, incarnation, bytes(8), bytes(64)), Toy(name))
+    word = messages.signed(Alive(name, "10.0.0.9", 7946, boot, incarnation, bytes(8), bytes(64)), SimulatedKey(name))
     assert isinstance(word, Alive)
     return word
 
@@ -71,7 +71,7 @@
 
 @given(st.data())
 def test_cut_and_nested_payloads_are_rejected(data: st.DataObject) -> None:
-    whole = messages.encode(payload(rumours=[alive()]), Toy("n0"))
+    whole = messages.encode(payload(rumours=[alive()]), SimulatedKey("n0"))
     cut = data.draw(st.integers(0, len(whole) - 1))
     with pytest.raises(Rejected):
         messages.decode(whole[:cut], lambda *_: True)
@@ -333,19 +333,19 @@
 
     @rule(loss=st.sampled_from([0.0, 0.3]), copies=st.sampled_from([0.0, 0.5]), slow=st.booleans())
     def weather(self, loss: float, copies: float, slow: bool) -> None:
-        self.network.weather.loss, self.network.weather.copies = loss, copies
-        self.network.weather.delay = (0.0002, 0.25) if slow else (0.0002, 0.003)
+        self.network.conditions.loss, self.network.conditions.copies = loss, copies
+        self.network.conditions.delay = (0.0002, 0.25) if slow else (0.0002, 0.003)
 
     @rule(one_way=st.booleans(), part=st.integers(1, 3))
     def cut(self, one_way: bool, part: int) -> None:
         inside = {f"10.0.0.{i + 1}" for i in range(part)}
-        self.network.weather.cut = lambda source, to: (
+        self.network.conditions.cut = lambda source, to: (
             source[0] in inside and to[0] not in inside if one_way else (source[0] in inside) != (to[0] in inside)
         )
 
     @invariant()
     def bounds(self) -> None:
-        assert self.network.most_bytes() <= self.network.times.ceiling
+        assert self.network.max_bytes_per_second() <= self.network.times.ceiling
         assert max((i.largest for i in self.network.instances.values()), default=0) <= messages.LARGEST
         for instance in self.network.instances.values():
             assert not instance.node.silent, "nobody takes another's name here"
@@ -353,8 +353,8 @@
     def teardown(self) -> None:
         if not hasattr(self, "network"):
             return
-        self.network.weather.loss = self.network.weather.copies = 0.0
-        self.network.weather.delay, self.network.weather.cut = (0.0002, 0.003), lambda source, to: False
+        self.network.conditions.loss = self.network.conditions.copies = 0.0
+        self.network.conditions.delay, self.network.conditions.cut = (0.0002, 0.003), lambda source, to: False
         assert self.network.until(self.network.agreed, 75.0) is not None, "agreement after the faults have stopped"
         deaths = len([1 for _, _, what, _ in self.network.events if what == "gossip_dead"])
         self.network.clock.run(self.network.clock.now + 20.0)
@@ -414,7 +414,7 @@
             Left("n3", network.instances["n3"].node.boot, 0, bytes(8), bytes(64)),  # in another's name
             alive("n3", 2**31, network.instances["n3"].node.boot + 5),
         ]
-        words[3] = messages.signed(words[3], Toy("n7"))
+        words[3] = messages.signed(words[3], SimulatedKey("n7"))
         liar.tell(Urgency.ANSWER, other.address, Gossip(), words)
     network._flush(network.instances["n7"])
     network.clock.run(network.clock.now + 3)
@@ -432,15 +432,15 @@
     network = Network(4)
     cluster(network, 5)
     recorded: list[tuple[Any, Any, bytes]] = []
-    carry = network._carry
+    carry = network._transmit
 
     def record(source: Any, to: Any, data: bytes) -> None:
         recorded.append((source, to, data))
         carry(source, to, data)
 
-    monkeypatch.setattr(network, "_carry", record)
+    monkeypatch.setattr(network, "_transmit", record)
     network.until(network.agreed, 30)
-    monkeypatch.setattr(network, "_carry", carry)
+    monkeypatch.setattr(network, "_transmit", carry)
     network.clock.run(network.clock.now + 3600)
     node = network.instances["n0"].node
     before = dict(node.counts.rejected)
@@ -464,12 +464,12 @@
     cluster(network, 10)
     network.until(network.agreed, 30)
     half = {f"10.0.0.{i}" for i in range(1, 6)}
-    network.weather.cut = lambda source, to: (source[0] in half) != (to[0] in half)
+    network.conditions.cut = lambda source, to: (source[0] in half) != (to[0] in half)
     network.clock.run(network.clock.now + 60)
     assert all(i.node.members.live == 4 for i in network.live())
     network.kill("n8")
     network.start("new", [("10.0.0.1", 7946)])
-    network.weather.cut = lambda source, to: False
+    network.conditions.cut = lambda source, to: False
     assert network.until(network.agreed, 60) is not None
     for instance in network.live():
         if instance.node.name != "n2":
@@ -562,11 +562,11 @@
 
 
 def test_a_trial_with_liars_shuns_nothing_that_is_well() -> None:
-    found = rumours.attempt(20, 3, 2, 12.0, 3)
+    found = gossip_trial.run_trial(20, 3, 2, 12.0, 3)
     assert found["healthy_shunned"] == 0 and found["false_deaths"] == 0
     assert found["bytes_per_s_max"] <= found["ceiling_bytes_per_s"]
     assert found["slow_engine_known_mean_s"] < found["slow_engine_known_alone_mean_s"]
-    assert found == rumours.attempt(20, 3, 2, 12.0, 3), "the same seed gives the same trial"
+    assert found == gossip_trial.run_trial(20, 3, 2, 12.0, 3), "the same seed gives the same trial"
 
 
 # The file, the section, the program
@@ -590,7 +590,7 @@
 
 
 def test_what_was_written_is_looked_for_again() -> None:
-    ring, toy = ToyRing(), Toy("n0")
+    ring, toy = SimulatedKeyring(), SimulatedKey("n0")
     node = Node("n0", ("10.0.0.1", 1), toy, ring.verify, Times(), [], random.Random(1), 0.0, EPOCH)
     node.recall([alive("n1"), replace_signature(alive("n2"))], {"n1": 0.2})
     assert [m.alive.name for m in node.members] == ["n1"] and node.beliefs.trust == {"n1": 0.2}
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -30,11 +30,11 @@
         fleet.start(OPEN_LIMIT)
         pids = [host.process.pid for host in fleet.hosts if host.process is not None]
         assert len(pids) == fleet.need.processes == 6
-        before = fleet.figures()
+        before = fleet.metrics()
         at, phase = make(fleet, 0)
         assert phase == "active"
         until = time.monotonic() + OPEN_LIMIT
-        while len(found := (after := fleet.figures()).in_force(1)) < 9 and time.monotonic() < until:
+        while len(found := (after := fleet.metrics()).in_force(1)) < 9 and time.monotonic() < until:
             time.sleep(0.05)
         assert len(found) == 9 and all(when > at for when in found.values())
         assert after.leader() in fleet.fleet.members[:5]
@@ -55,10 +55,10 @@
 def test_a_member_that_is_killed_and_the_leader_that_is_killed_leave_a_fleet_that_goes_on() -> None:
     with HollowFleet(7, members_a_host=1) as fleet:
         fleet.start(OPEN_LIMIT)
-        leader = fleet.figures().leader()
+        leader = fleet.metrics().leader()
         fleet.host_of(leader).kill()
         until = time.monotonic() + OPEN_LIMIT
-        while fleet.figures().leader() in ("", leader):
+        while fleet.metrics().leader() in ("", leader):
             assert time.monotonic() < until
             time.sleep(0.05)
 
@@ -67,7 +67,7 @@
     needed = requirements.need(specification(1105), 15)
     assert needed.processes == 5 + 74
     assert needed.threads > 1100 * 10 and needed.descriptors > 2 * 1104
-    room = requirements.Room(300, 50_000, 20_000, 16_000, 32.0)
+    room = requirements.AvailableResources(300, 50_000, 20_000, 16_000, 32.0)
     requirements.check(needed, room)
     too_small = {"processes": 70, "threads": 900, "descriptors": 1000, "memory_mb": 100, "processors": 6}
     for what, least in too_small.items():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tealwing import interface as api
-from tealwing.lab import arrivals, engines, site, worth
+from tealwing.lab import arrivals, engines, score, site
 from tealwing.lab.clock import Clock
 from tealwing.lab.engines import Draw, Engine, Run
 from tealwing.lab.harness import Clients, Deployment
@@ -106,7 +106,7 @@
 
 
 def test_a_cold_engine_is_slow_and_falls_over_when_pushed() -> None:
-    rig = Rig(dataclasses.replace(PLAIN, cores=1, cold_share=0.5, cold_time=10.0), started=1e-9)
+    rig = Rig(dataclasses.replace(PLAIN, cores=1, slow_start_share=0.5, slow_start_time=10.0), started=1e-9)
     rig.start("one")
     rig.clock.run(9.0)
     assert 1.5 < rig.ends["one"] < 2.0
@@ -151,7 +151,7 @@
     ended = ~np.isnan(books.answered) | (books.refused > 0) | (books.failed > 0)
     assert ended.all() and (books.attempts <= 3 * 2).all()
     assert not any(made._tries), "nothing is kept of what has ended"
-    assert 0.2 < worth.count(made.arrivals, books, made.settings).whole < 1.0
+    assert 0.2 < score.count(made.arrivals, books, made.settings).total < 1.0
 
 
 def test_the_same_seed_gives_the_same_run() -> None:
--- a/tests/test_learners.py
+++ b/tests/test_learners.py
@@ -232,11 +232,11 @@
 
 def test_learners_and_their_promotion_hold_in_all_interleavings_of_a_few_steps() -> None:
     found = explore(Consensus(Budget(2, 1, 1, 1, 0, 0), learners="d"), 5)
-    assert found.whole and found.broken == ""
+    assert found.is_exhaustive and found.broken == ""
     promoted = Budget(1, 0, 0, 1, 0, 0, promotions=1)
     for early in (True, False):
         found = explore(Consensus(promoted, begin=led, learners="d", early=early), 6)
-        assert found.whole and found.broken == "" and found.states > 1_000
+        assert found.is_exhaustive and found.broken == "" and found.states > 1_000
 
 
 def test_an_acknowledgement_of_a_learner_that_counts_is_found() -> None:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -142,7 +142,7 @@
 def test_no_two_holders_act_at_once_in_all_interleavings_of_a_few_steps() -> None:
     for model in (Leases(8), Leases(8, renewing=True)):
         found = explore(model, 9)
-        assert found.whole and found.broken == "" and found.states > 20_000
+        assert found.is_exhaustive and found.broken == "" and found.states > 20_000
 
 
 def test_known_faults_of_leases_are_found_with_short_stories() -> None:
@@ -158,11 +158,11 @@
 
 def test_the_judge_of_leases_can_fail() -> None:
     good = [act(1.0, 5), act(2.0, 5), act(2.1, 5, False), act(4.0, 9), act(5.0, 9)]
-    assert leases.judge(good, 6.0) == [] and [t.actions for t in leases.tenures(good)] == [2, 2]
+    assert leases.check(good, 6.0) == [] and [t.actions for t in leases.tenures(good)] == [2, 2]
     assert leases.handovers(good) == [pytest.approx(1.99)] and leases.idle(good, 0.0, 6.0)[-1] == pytest.approx(1.99)
-    assert [v.rule for v in leases.judge([*good, act(5.5, 5)], 6.0)] == ["stale-accepted", "overlap"]
-    assert [v.rule for v in leases.judge([act(1.0, 5), act(2.0, 9, took=1.5)], 6.0)] == ["overlap", "token"]
-    assert "token" in [v.rule for v in leases.judge([act(1.0, 9), act(2.0, 5)], 6.0)]
+    assert [v.rule for v in leases.check([*good, act(5.5, 5)], 6.0)] == ["stale-accepted", "overlap"]
+    assert [v.rule for v in leases.check([act(1.0, 5), act(2.0, 9, took=1.5)], 6.0)] == ["overlap", "token"]
+    assert "token" in [v.rule for v in leases.check([act(1.0, 9), act(2.0, 5)], 6.0)]
 
 
 def test_a_clock_set_forward_sweeps_no_drain_that_still_runs(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -145,15 +145,15 @@
     ]
     crossed = {"t": 2.1, "kind": "unknown", "id": 2, "why": "closed"}
     events = [*query(1, 1.0, 1.1), *query(2, 1.9, 2.1)[:1], *down, crossed, *query(3, 4.5, 4.6)]
-    assert clients.judge(events, 10.0) == []
-    assert len(clients.judge([*events, *query(4, 5.0, 5.1, "refused")], 10.0)) == 1
+    assert clients.check(events, 10.0) == []
+    assert len(clients.check([*events, *query(4, 5.0, 5.1, "refused")], 10.0)) == 1
 
 
 @pytest.mark.trial
 def test_a_whole_fleet_comes_back_from_a_power_loss(tmp_path: Path) -> None:
-    found = runs.attempt(scenario.load("power-loss"), 5, 20.0, 1, tmp_path / "out")
+    found = runs.run_trial(scenario.load("power-loss"), 5, 20.0, 1, tmp_path / "out")
     assert [str(violation) for violation in found.violations] == []
-    figures = found.figures
+    figures = found.summary
     assert [figures[key] for key in ("lost", "divergent", "split_brain", "refused_for_quorum")] == [0, 0, 0, 0]
     assert figures["acknowledged_before"] > 50 and figures["ready"] == 5 and figures["quorum_ms"] is not None
 
@@ -168,7 +168,7 @@
         trial.start()
         one = trial.processes["n0"]
         engine = trial.engines.members()[1] | {"phase": "draining"}
-        trial.coordinator.tell([engine])
+        trial.coordinator.publish([engine])
         caller = trial.caller("n0")
         until(lambda: caller.ask("replica.status")["held"]["drains"] == 1)  # told by all three, and kept once
         applied = caller.ask("replica.status")["applied"]
@@ -181,7 +181,7 @@
         listen, admin = one.address("listen"), one.address("admin")
         assert listen is not None and admin is not None
         text = b"/* op=lookup,call=00000000000000aa,ttl=3000,org=graan-koop,work=2.0,heap_mb=4 */ SELECT a FROM s_1.t"
-        assert Session(listen).ask(text, 5.0).word == "served"  # whatever readiness says
+        assert Session(listen).query(text, 5.0).outcome == "served"  # whatever readiness says
         until(lambda: readiness(admin).startswith("ready: no leader is known; 1 of 3 members are heard"))
         caller = trial.caller("n0")
         told = caller.ask("replica.settings", text=b"{}")
@@ -197,4 +197,4 @@
             caller.ask("replica.settings", text=b"{}")
         code, said = run("replica", "status", "--control", "{}:{}".format(*one.control))
         assert code == 0 and "members n0, n1, n2" in said
-        assert trial.trouble() == []
+        assert trial.fault_lines() == []
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -492,11 +492,11 @@
 
 def test_the_core_holds_in_all_interleavings_of_a_few_steps() -> None:
     found = explore(Consensus(Budget(timeouts=2, beats=1, proposals=1, crashes=1, twice=1)), 6)
-    assert found.whole and found.broken == "" and found.states > 20_000
+    assert found.is_exhaustive and found.broken == "" and found.states > 20_000
     found = explore(Consensus(Budget(2, 0, 0, 1, 0, 1), begin=figure_eight), 8)
-    assert found.whole and found.broken == ""
+    assert found.is_exhaustive and found.broken == ""
     found = explore(Consensus(Budget(timeouts=2, beats=0, proposals=0, crashes=0, old=1, twice=0), stale=1), 8)
-    assert found.whole and found.broken == ""
+    assert found.is_exhaustive and found.broken == ""
 
 
 def test_known_faults_are_found_with_their_shortest_stories() -> None:
@@ -528,7 +528,7 @@
     found = explore(Consensus(once, "forgotten-votes", "abcde", 1, begin=sure), 7)
     assert found.broken == "e and b both lead term 2" and len(found.trace) == 7
     holds = explore(Consensus(once, "", "abcde", 1, begin=sure), 7)
-    assert holds.whole and holds.broken == "" and holds.states > 10_000
+    assert holds.is_exhaustive and holds.broken == "" and holds.states > 10_000
     few = Budget(timeouts=3, beats=3, proposals=2, crashes=1, old=1, twice=1)
     assert "both lead" in wander(Consensus(few, "forgotten-votes", "abcde", 1, begin=sure), 200, 40, 1, likely).broken
     assert wander(Consensus(few, "", "abcde", 1, begin=sure), 200, 40, 1, likely).broken == ""
@@ -581,15 +581,15 @@
     ],
 )
 def test_the_judge_of_registers_can_fail(more: list[Any], rules: list[str]) -> None:
-    assert [v.rule for v in register.judge(history(*PUTS, *more), 10.0)] == rules
+    assert [v.rule for v in register.check(history(*PUTS, *more), 10.0)] == rules
 
 
 def test_the_judge_of_copies_can_fail() -> None:
     same = [{"t": 1.0, "kind": "digest", "process": n, "applied": 5, "digest": "d"} for n in "ab"]
     led = {"t": 1.0, "kind": "sample", "boot": 1, "term": 3, "role": "leader", "applied": 5}
-    assert copies.judge([*same, led | {"process": "a"}], 2.0) == []
-    assert [v.rule for v in copies.judge([same[0], same[1] | {"digest": "e"}], 2.0)] == ["divergent"]
+    assert copies.check([*same, led | {"process": "a"}], 2.0) == []
+    assert [v.rule for v in copies.check([same[0], same[1] | {"digest": "e"}], 2.0)] == ["divergent"]
     two = [led | {"process": "a"}, led | {"process": "b", "t": 2.0}]
-    assert [v.rule for v in copies.judge([*same, *two], 3.0)] == ["two-leaders"]
+    assert [v.rule for v in copies.check([*same, *two], 3.0)] == ["two-leaders"]
     back = [led | {"process": "a"}, led | {"process": "a", "applied": 4}]
-    assert [v.rule for v in copies.judge([*same, *back], 3.0)] == ["applied-back"]
+    assert [v.rule for v in copies.check([*same, *back], 3.0)] == ["applied-back"]
--- a/tests/test_rollout_model.py
+++ b/tests/test_rollout_model.py
@@ -32,7 +32,7 @@
     model: Callable[[], Rollout], depth: int, states: int
 ) -> None:
     found = explore(model(), depth)
-    assert found.whole and found.broken == "" and found.states > states
+    assert found.is_exhaustive and found.broken == "" and found.states > states
 
 
 @pytest.mark.parametrize("modes", ["sss", "hhh", "shh"])
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -42,7 +42,7 @@
         trial.start()
         until(lambda: all(len(s["members"]) == procs and s["gate"]["mode"] == "open" for s in statuses(trial)))
         yield trial
-        assert trial.trouble() == []
+        assert trial.fault_lines() == []
 
 
 def call(trial: Trial, name: str, what: str, **fields: Any) -> dict[str, Any]:
@@ -175,7 +175,7 @@
     with fleet("hold") as trial:
         lost = next(name for name in trial.names if name not in ("n0", trial.leader()))
         with trial.proxy.lock:
-            trial.weather.isolate(lost)
+            trial.conditions.isolate(lost)
         until(lambda: [e["why"][:10] for e in events(trial, lost, "permit_lost")] == ["lost touch"])
         assert propose(trial, "n0", 650)["word"] == "ok"
         others = [name for name in trial.names if name != lost]
@@ -183,7 +183,7 @@
         cut_off = call(trial, lost, "rules.status")
         assert (cut_off["in_force"], cut_off["gate"]["mode"]) == (0, "shut")
         with trial.proxy.lock:
-            trial.weather.heal()
+            trial.conditions.heal()
         until(lambda: in_force(trial, 1))
         trial.processes[lost].kill()
         assert propose(trial, "n0", 660)["word"] == "ok"
@@ -215,14 +215,14 @@
         leader = trial.leader()
         late = next(name for name in trial.names if name != leader)
         with trial.proxy.lock:  # its words are on their way for long enough to end everybody meanwhile
-            trial.weather.change_all([(late, name) for name in trial.names if name != late], delay=0.5)
+            trial.conditions.change_all([(late, name) for name in trial.names if name != late], delay=0.5)
         assert propose(trial, leader, 660)["word"] == "ok"
         until(lambda: [e["number"] for e in events(trial, leader, "rules_closed")] == [1, 2])
         for process in trial.processes.values():
             process.kill()
         assert [e["number"] for e in events(trial, leader, "rules_opened")] == [1]
         with trial.proxy.lock:
-            trial.weather.heal()
+            trial.conditions.heal()
         for process in trial.processes.values():
             process.start()
         for process in trial.processes.values():
--- a/tests/test_rules_judges.py
+++ b/tests/test_rules_judges.py
@@ -8,7 +8,7 @@
 
 from tealwing.lab.judges import copies, rules_agreement, rules_order, rules_versions
 from tealwing.lab.rig.history import Event
-from tealwing.lab.rig.loads.rules import bundles, figures
+from tealwing.lab.rig.loads.rules import bundles, metrics
 
 SITES = {1: "x", 2: "y", 3: "z", 4: "x"}  # versions: where they send the groups that move; sites come again
 
@@ -37,7 +37,7 @@
 CHAIN = [RULES, *change(1, 0.0), *change(2, 1.0), *change(3, 3.0)]
 CHAIN += [version(1, "superseded"), version(2, "superseded"), version(3, "active")]
 GOOD = [*CHAIN, *query(1, 0.5, 0.6, "x"), *query(2, 1.5, 2.0, "y"), *query(3, 1.9, 2.5, "x"), *query(4, 2.1, 2.3, "y")]
-ORDER, AGREED = rules_order.judge, rules_agreement.judge
+ORDER, AGREED = rules_order.check, rules_agreement.check
 
 
 def rules(found: list[Any]) -> list[str]:
@@ -101,8 +101,8 @@
 
 
 def test_versions_that_are_the_same_everywhere_and_decided_are_good() -> None:
-    assert rules_versions.judge(ENDED, 9.0) == []
-    assert rules(rules_versions.judge(GOOD, 9.0)) == ["divergent", "lost", "lost", "lost"]  # nobody told its end
+    assert rules_versions.check(ENDED, 9.0) == []
+    assert rules(rules_versions.check(GOOD, 9.0)) == ["divergent", "lost", "lost", "lost"]  # nobody told its end
 
 
 @pytest.mark.parametrize(
@@ -120,35 +120,35 @@
     ],
 )
 def test_versions_that_change_differ_are_lost_or_left_open_are_found(more: list[Event], rule: str) -> None:
-    assert rule in rules(rules_versions.judge([*ENDED, *more], 9.0))
+    assert rule in rules(rules_versions.check([*ENDED, *more], 9.0))
 
 
 def test_only_the_no_of_a_lost_sites_own_log_may_come_after_a_federation_went_on_without_it() -> None:
     late = version(2, "rejected", "c", log="elsewhere")
-    assert "divergent" in rules(rules_versions.judge([*ENDED, late], 9.0))
+    assert "divergent" in rules(rules_versions.check([*ENDED, late], 9.0))
     hold = [event | {"lost_touch": "hold"} if event is RULES else event for event in ENDED]
-    assert rules_versions.judge([*hold, late], 9.0) == []
-    assert "divergent" in rules(rules_versions.judge([*hold, version(2, "rejected", "c")], 9.0))
-    assert "divergent" in rules(rules_versions.judge([*hold, late | {"phase": "aborted"}], 9.0))
+    assert rules_versions.check([*hold, late], 9.0) == []
+    assert "divergent" in rules(rules_versions.check([*hold, version(2, "rejected", "c")], 9.0))
+    assert "divergent" in rules(rules_versions.check([*hold, late | {"phase": "aborted"}], 9.0))
 
 
 def test_a_change_that_was_acknowledged_and_is_gone_is_lost() -> None:
     back = [*GOOD, last("a", active=2, in_force=2), last("b", active=2, in_force=2)]
-    assert rules(rules_versions.judge(back, 9.0)) == ["lost"]
+    assert rules(rules_versions.check(back, 9.0)) == ["lost"]
 
 
 def test_copies_of_different_sites_logs_are_not_compared() -> None:
     two = [{"t": 1.0, "kind": "digest", "process": p, "applied": 7, "digest": p, "log": p} for p in "ab"]
-    assert copies.judge(two, 2.0) == []
-    assert rules(copies.judge([*two, two[1] | {"log": "a"}], 2.0)) == ["divergent"]
-    assert rules(copies.judge([*two, {"t": 1.5, "kind": "copies-differ"}], 2.0)) == ["divergent"]
+    assert copies.check(two, 2.0) == []
+    assert rules(copies.check([*two, two[1] | {"log": "a"}], 2.0)) == ["divergent"]
+    assert rules(copies.check([*two, {"t": 1.5, "kind": "copies-differ"}], 2.0)) == ["divergent"]
 
 
 def test_the_figures_count_what_the_judges_find_and_how_long_gates_were_closed() -> None:
     gates = [gate("a", "closed", 2, 1.2), gate("a", "opened", 2, 1.25), gate("b", "closed", 2, 1.2)]
     gates += [gate("b", "started", 0, 1.5), gate("b", "opened", 2, 1.6)]  # ended while it was closed
     others = [*query(6, 2.0, 2.1, "x", moves=False), *query(7, 2.0, 2.1, "", moves=False)]
-    found = figures.told([*ENDED, *gates, *others, *query(5, 2.05, 2.6, "x")])
+    found = metrics.summary([*ENDED, *gates, *others, *query(5, 2.05, 2.6, "x")])
     assert (found["changes"], found["activated"], found["late_old"], found["undecided_at_end"]) == (3, 3, 1, 0)
     assert found["availability_untouched"] == 0.5 and found["gaps"] == 1
     assert found["gap_ms_p50"] == pytest.approx(50.0)
--- a/tests/test_rules_trials.py
+++ b/tests/test_rules_trials.py
@@ -20,8 +20,8 @@
 NONE = ("late_old", "early_site", "divergent", "lost", "undecided_at_end")  # figures that must be 0
 
 
-def attempt(name: str, procs: int, seconds: float, mode: str, **more: Any) -> runs.Found:
-    return runs.attempt(scenario.load(name), procs, seconds, 1, lost_touch=mode, **more)
+def attempt(name: str, procs: int, seconds: float, mode: str, **more: Any) -> runs.TrialResult:
+    return runs.run_trial(scenario.load(name), procs, seconds, 1, lost_touch=mode, **more)
 
 
 @pytest.mark.parametrize(
@@ -40,22 +40,22 @@
 ) -> None:
     found = attempt(name, procs, seconds, mode)
     assert [str(violation) for violation in found.violations] == []
-    assert {key: found.figures[key] for key in NONE} == dict.fromkeys(NONE, 0)
-    assert found.figures["activated"] >= 3 and found.figures["served"] > 100 and found.figures["faults"] >= 4
+    assert {key: found.summary[key] for key in NONE} == dict.fromkeys(NONE, 0)
+    assert found.summary["activated"] >= 3 and found.summary["served"] > 100 and found.summary["faults"] >= 4
 
 
 def test_members_that_only_learn_change_their_rules_with_the_others() -> None:
     found = attempt("rules-change", 6, 12.0, "hold", learners=3)
     assert [str(violation) for violation in found.violations] == []
-    assert {key: found.figures[key] for key in NONE} == dict.fromkeys(NONE, 0)
-    assert found.figures["activated"] >= 2 and found.figures["served"] > 100
+    assert {key: found.summary[key] for key in NONE} == dict.fromkeys(NONE, 0)
+    assert found.summary["activated"] >= 2 and found.summary["served"] > 100
 
 
 def test_sites_of_a_federation_change_together_or_not_at_all() -> None:
     found = attempt("federation-switch", 9, 18.0, "serve", sites=3)
     assert [str(violation) for violation in found.violations] == []
-    assert {key: found.figures[key] for key in NONE} == dict.fromkeys(NONE, 0)
-    assert found.figures["activated"] >= 3 and found.figures["served"] > 100
+    assert {key: found.summary[key] for key in NONE} == dict.fromkeys(NONE, 0)
+    assert found.summary["activated"] >= 3 and found.summary["served"] > 100
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
 def test_a_gateway_that_is_broken_on_purpose_is_found(word: str, name: str, mode: str, rules: set[str]) -> None:
     procs, sites = (9, 3) if name == "federation-switch" else (4, 0)
     found = attempt(name, procs, 14.0, mode, sabotage=word, sites=sites)
-    assert rules & {violation.rule for violation in found.violations}, found.figures
+    assert rules & {violation.rule for violation in found.violations}, found.summary
 
 
 @pytest.mark.parametrize(
@@ -88,4 +88,4 @@
     name, procs, sites = ("federation-calm", 9, 3) if moment == "site-early" else ("rules-calm", 4, 0)
     found = attempt(name, procs, 2.0, mode, sites=sites, moment=moment)
     assert [str(violation) for violation in found.violations] == []
-    assert found.figures["activated"] >= 3 and found.figures["served"] > 50
+    assert found.summary["activated"] >= 3 and found.summary["served"] > 50
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -16,7 +16,7 @@
 
 from tealwing.lab import arrivals
 from tealwing.lab.engines import Draw
-from tealwing.lab.load import Load, Order, text
+from tealwing.lab.load import Load, LoadSpecification, text
 from tealwing.lab.realtime import RealClock
 from tealwing.lab.standins.coordinator import Coordinator
 from tealwing.lab.standins.engine import Engine, Keys, truth
@@ -49,7 +49,7 @@
         return rows
 
     def wants(self) -> int:
-        return sum(len(engine.book.wants) for engine in self.engines)
+        return sum(len(engine.record.wants) for engine in self.engines)
 
 
 @pytest.fixture
@@ -78,7 +78,7 @@
     assert max(len(truth(SEED, f"{n:016x}".encode(), 0, MIX).pages) for n in asked) > 1
     for number in asked:
         assert site.ask(number) == due(number)
-    ends = [word for engine in site.engines for _, _, word in engine.book.ends]
+    ends = [word for engine in site.engines for _, _, word in engine.record.ends]
     assert ends == [b"200"] * len(asked) and site.wants() == len(asked)
 
 
@@ -89,12 +89,12 @@
 
 
 def test_an_engine_that_dies_is_left_and_one_that_spoils_is_survived(site: Site) -> None:
-    site.engines[0].ways.spoil = 0.5
-    site.engines[1].ways.copies = 1.0
+    site.engines[0].misbehaviour.spoil = 0.5
+    site.engines[1].misbehaviour.copies = 1.0
     for number in range(1, 20):
         assert site.ask(number) == due(number)
     site.engines[0].crash()
-    site.coordinator.tell([member("s-0", site.engines[0].address, phase="removed")])
+    site.coordinator.publish([member("s-0", site.engines[0].address, phase="removed")])
     site.coordinator.break_off()
     begun = time.monotonic()
     for number in range(20, 30):
@@ -130,14 +130,16 @@
 
 
 def test_the_load_tool_counts_from_the_due_time(site: Site) -> None:
-    order = Order((site.address,), 60.0, 2.0, 32, 5, mix=MIX, names=("lookup", "load"), deadlines=(20.0, 20.0))
+    order = LoadSpecification(
+        (site.address,), 60.0, 2.0, 32, 5, mix=MIX, names=("lookup", "load"), deadlines=(20.0, 20.0)
+    )
     order = replace(order, accounts=("acme",))
     figures = Load(order).run()
     assert figures["ends"] == {"served": figures["asked"]} and figures["asked"] > 60
     assert figures["by_class"]["lookup"]["latency_ms"]["p50"] >= 1.0
     assert sum(site.keys.ran.values()) == figures["by_class"]["load"]["asked"]
     assert "lookup" in text(figures)
-    site.engines[0].ways.mute = site.engines[1].ways.mute = True
+    site.engines[0].misbehaviour.silent = site.engines[1].misbehaviour.silent = True
     stalled = Load(replace(order, seconds=1.0, sessions=2, seed=6, deadlines=(0.4, 0.4))).run()
     # two sessions for sixty requests of which none is answered: none is left out of the count, and the run is spoilt
     assert stalled["ends"].get("no answer in time", 0) > 20 and stalled["spoilt"]
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -29,10 +29,10 @@
 
 @pytest.mark.parametrize(("name", "procs"), [("partition-halves", 5), ("slow-peer", 3)])
 def test_a_fleet_under_faults_keeps_its_promises(name: str, procs: int, tmp_path: Path) -> None:
-    found = runs.attempt(scenario.load(name), procs, 8.0, 1, tmp_path / "out")
+    found = runs.run_trial(scenario.load(name), procs, 8.0, 1, tmp_path / "out")
     assert [str(violation) for violation in found.violations] == []
-    assert found.figures["faults"] >= 4 and found.figures["answered"] > 50
-    assert found.figures["unreached_at_end"] == 0
+    assert found.summary["faults"] >= 4 and found.summary["answered"] > 50
+    assert found.summary["unreached_at_end"] == 0
     assert (tmp_path / "out" / "report.html").stat().st_size > 10_000
 
 
@@ -41,26 +41,26 @@
     [("replica-under-faults", 5, 20.0), ("stale-disk", 3, 10.0), ("paused-peer", 3, 8.0), ("crash-loop", 3, 10.0)],
 )
 def test_what_was_acknowledged_stays_and_all_copies_agree(name: str, procs: int, seconds: float) -> None:
-    found = runs.attempt(scenario.load(name), procs, seconds, 1)
+    found = runs.run_trial(scenario.load(name), procs, seconds, 1)
     assert [str(violation) for violation in found.violations] == []
-    figures = found.figures
+    figures = found.summary
     assert (figures["lost"], figures["stale_reads"], figures["divergent"], figures["two_leaders"]) == (0, 0, 0, 0)
     assert figures["acknowledged"] > 50 and figures["faults"] >= 4
 
 
 def test_no_two_holders_act_while_the_holder_is_paused_cut_off_and_killed(tmp_path: Path) -> None:
-    found = runs.attempt(scenario.load("lease-under-faults"), 5, 20.0, 1, tmp_path / "out")
+    found = runs.run_trial(scenario.load("lease-under-faults"), 5, 20.0, 1, tmp_path / "out")
     assert [str(violation) for violation in found.violations] == []
-    assert (found.figures["overlaps"], found.figures["stale_accepted"]) == (0, 0)
-    assert found.figures["tenures"] >= 3 and found.figures["actions"] > 100
+    assert (found.summary["overlaps"], found.summary["stale_accepted"]) == (0, 0)
+    assert found.summary["tenures"] >= 3 and found.summary["actions"] > 100
 
 
 @pytest.mark.parametrize(("sabotage", "rules"), [("careless", set[str]()), ("no-fence", {"stale-accepted", "overlap"})])
 def test_who_goes_on_with_a_lost_lease_is_refused_by_its_token(sabotage: str, rules: set[str]) -> None:
-    found = runs.attempt(scenario.load("lease-under-faults"), 3, 24.0, 2, sabotage=sabotage)
+    found = runs.run_trial(scenario.load("lease-under-faults"), 3, 24.0, 2, sabotage=sabotage)
     assert {violation.rule for violation in found.violations} >= rules
     if sabotage == "careless":
-        assert found.violations == [] and found.figures["refused_stale"] > 0
+        assert found.violations == [] and found.summary["refused_stale"] > 0
 
 
 def run(*words: str) -> tuple[int, str]:
@@ -109,12 +109,12 @@
         assert "lease_expired" not in told
         code, text = run("lease", "show", *control, "nothing")
         assert code != 0 and "no lease 'nothing'" in text
-        assert trial.trouble() == []
+        assert trial.fault_lines() == []
 
 
 @pytest.mark.parametrize(("sabotage", "rule"), [("leaky-cut", "cut"), ("lying-echo", "echo-text")])
 def test_a_broken_target_is_found(sabotage: str, rule: str) -> None:
-    found = runs.attempt(scenario.load("partition-halves"), 3, 5.0, 1, sabotage=sabotage)
+    found = runs.run_trial(scenario.load("partition-halves"), 3, 5.0, 1, sabotage=sabotage)
     assert rule in {violation.rule for violation in found.violations}
 
 
@@ -128,7 +128,7 @@
                     sock.sendall(said)
         load = EchoLoad()
         load.finish(trial)
-        assert trial.trouble() == [] and load.figures(trial.history.events)["unreached_at_end"] == 0
+        assert trial.fault_lines() == [] and load.summary(trial.history.events)["unreached_at_end"] == 0
     for pid in pids:
         assert pid is not None
         until(lambda pid=pid: not alive(pid))  # type: ignore[misc]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -418,13 +418,13 @@
     # seen in the code: a drain took that of the configuration of the start
     daemon = make(tmp_path, ("127.0.0.1", 1))
     grades = [grade | {"DeadlineNs": 1_000_000_000} for grade in SETTINGS["Grades"]]
-    assert daemon.longest_deadline == 20.0
+    assert daemon.max_deadline == 20.0
     held = daemon._decisions.register(b"1" * 16, SimpleQueue(), daemon._decisions.settings)
     changed(daemon, tmp_path, Grades=grades)
-    assert daemon.longest_deadline == 20.0
+    assert daemon.max_deadline == 20.0
     daemon._decisions.unregister(held, b"1" * 16)
     daemon._decisions.forget(held)
-    assert daemon.longest_deadline == 1.0
+    assert daemon.max_deadline == 1.0
 
 
 def test_the_admin_address_tells_the_age_of_the_list_and_its_last_index(
