--- a/benchmarks/capacity/calibration.py
+++ b/benchmarks/capacity/calibration.py
@@ -16,7 +16,7 @@
 from tealwing.lab.rig.ports import free_port
 from tealwing.lab.rig.process import NotStarted, Process
 from tealwing.lab.standins.coordinator import Coordinator
-from tealwing.peers.control import Turned, ask
+from tealwing.peers.control import RemoteCallError, call_control
 from tealwing.peers.plan import Address
 
 NAME = "calibration"
@@ -76,7 +76,7 @@
 
     def ask(self, name: str, call: str) -> dict[str, Any]:
         """One call of a gateway's control address."""
-        return ask(self.processes[name].control, call, ASK_LIMIT)
+        return call_control(self.processes[name].control, call, ASK_LIMIT)
 
     def settle(self) -> None:
         """Wait until all gates are open."""
@@ -85,7 +85,7 @@
             try:
                 if all(self.ask(name, "rules.status")["gate"]["mode"] == "open" for name in self.names):
                     return
-            except (OSError, Turned):
+            except (OSError, RemoteCallError):
                 pass
             time.sleep(POLL)
         raise CapacityError(f"real gateways: not all gates are open after {OPEN_LIMIT:g} s")
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -9,7 +9,7 @@
 from benchmarks.capacity.records import Measured, Series
 from tealwing import config, descriptors
 from tealwing.peers import section
-from tealwing.peers.plan import Times
+from tealwing.peers.plan import LinkTimes
 from tealwing.replica.raft import Options
 
 # The operators' figures
@@ -127,7 +127,7 @@
     need, basis = value_at(series, MEMBERS, constant_if_bent=True)
     rows.append(Row("learner", "processor time at rest", need, CONTROL_PERCENT, "% of a core", basis,
                     "idle ticks (`rollout/shell.py`), links to the voters alone", run=run))  # fmt: skip
-    heartbeats = MEMBERS / Times().paced(MEMBERS).beat
+    heartbeats = MEMBERS / LinkTimes().scaled_for(MEMBERS).heartbeat
     rounds = MEMBERS / Options().learner_beat
     for role, messages in (("voter", heartbeats), ("leader", heartbeats + rounds)):
         need, last = _by_message(found, role, messages)
@@ -172,7 +172,7 @@
                         "paced rounds and repeats (`replica/raft/sending.py`, `rollout/retry.py`)",
                         "relays", run=run))  # fmt: skip
     rows.append(
-        Row("change of rules", "members", float(MEMBERS), float(section.MOST_MEMBERS), "members", "the section's bound",
+        Row("change of rules", "members", float(MEMBERS), float(section.MAX_MEMBERS), "members", "the section's bound",
             "`peers/section.py`, `rules/members.py`", "raise the bounds and pace what grows; then relays",
             is_refused=True)
     )  # fmt: skip
--- a/benchmarks/replica_state.py
+++ b/benchmarks/replica_state.py
@@ -41,14 +41,14 @@
         begun = time.monotonic()
         for number in range(megabytes * (1 << 20) // VALUE):
             body = msgspec.msgpack.encode(commands.Put(f"k{number}", number.to_bytes(4, "big") * (VALUE // 4)))
-            told = caller.ask("replica.do", 20.0, body=body, client="bench", sequence=number + 1, wait_s=15.0)
+            told = caller.call("replica.do", 20.0, body=body, client="bench", sequence=number + 1, wait_s=15.0)
             assert told["word"] == "ok", told
         found["fill_s"] = round(time.monotonic() - begun, 1)
         found["filled_mb"] = peak(trial.processes[leader].pid, clear=True)
-        before = caller.ask("replica.status")["snapshot"]
+        before = caller.call("replica.status")["snapshot"]
         begun = time.monotonic()
-        caller.ask("replica.snapshot")
-        assert trial.wait(lambda: caller.ask("replica.status")["snapshot"] > before, 60.0)
+        caller.call("replica.snapshot")
+        assert trial.wait(lambda: caller.call("replica.status")["snapshot"] > before, 60.0)
         found["snapshot_s"] = round(time.monotonic() - begun, 2)
         found["snapshot_peak_mb"] = peak(trial.processes[leader].pid, clear=True)
         process = trial.processes[other]
@@ -57,13 +57,13 @@
         begun = time.monotonic()
         process.start()
         process.ready()
-        applied = caller.ask("replica.status")["applied"]
+        applied = caller.call("replica.status")["applied"]
         second = trial.caller(other)
-        assert trial.wait(lambda: second.ask("replica.status")["applied"] >= applied, 120.0)
+        assert trial.wait(lambda: second.call("replica.status")["applied"] >= applied, 120.0)
         found["catchup_s"] = round(time.monotonic() - begun, 2)
         found["catchup_leader_peak_mb"] = peak(trial.processes[leader].pid)
         found["catchup_member_peak_mb"] = peak(process.pid)
-        found["same"] = caller.ask("replica.digest")["digest"] == second.ask("replica.digest")["digest"]
+        found["same"] = caller.call("replica.digest")["digest"] == second.call("replica.digest")["digest"]
         print(json.dumps(found), flush=True)
 
 
--- a/tealwing/commands/peers.py
+++ b/tealwing/commands/peers.py
@@ -13,15 +13,15 @@
 def asked(control: str, call: str, limit: float = 5.0, **fields: Any) -> dict[str, Any]:
     """One call of a gateway's control address, given as HOST:PORT; what went wrong is a finding."""
     from tealwing.conf import values
-    from tealwing.peers.control import Turned, ask
+    from tealwing.peers.control import RemoteCallError, call_control
 
     try:
         address = values.address((control,))
     except values.Unfit as error:
         raise click.UsageError(f"--control: found {control!r}; allowed: {error}") from None
     try:
-        return ask(address, call, limit, **fields)
-    except Turned as error:
+        return call_control(address, call, limit, **fields)
+    except RemoteCallError as error:
         raise Finding(f"{control}: {error}") from None
     except OSError as error:
         raise Finding(f"{control}: no gateway answers there ({error})") from None
--- a/tealwing/federation/joining.py
+++ b/tealwing/federation/joining.py
@@ -5,8 +5,8 @@
 import dataclasses
 
 from tealwing.federation.plan import Plan
-from tealwing.federation.shell import Federation
-from tealwing.peers.control import Control
+from tealwing.federation.service import Federation
+from tealwing.peers.control import ControlServer
 from tealwing.peers.link import Link
 from tealwing.replica.group import FEDERATION
 from tealwing.replica.node import Replica
@@ -15,26 +15,30 @@
 
 
 def join(
-    plan: Plan, site: Replica, site_plan: ReplicaPlan, link: Link, control: Control | None, patience: float
+    plan: Plan, site: Replica, site_plan: ReplicaPlan, link: Link, control: ControlServer | None, silence_timeout: float
 ) -> Federation:
     """Before either log's member starts; what its disk says is known when this returns. patience is s.
 
     storage.StorageError or OSError where its disk can't be trusted or read, ValueError where the plan does not fit.
     """
-    misfit(plan, link)
-    group = dataclasses.replace(FEDERATION, members=plan.voting() + plan.learning(), learners=plan.learning())
-    own = dataclasses.replace(site_plan, folder=plan.folder, beat=plan.beat, election=plan.election, join=False)
+    check_members(plan, link)
+    group = dataclasses.replace(
+        FEDERATION, members=plan.initial_voters() + plan.initial_learners(), learners=plan.initial_learners()
+    )
+    own = dataclasses.replace(
+        site_plan, folder=plan.directory, beat=plan.heartbeat, election=plan.election_timeout, join=False
+    )
     replica = Replica(own, link, site.clock, group=group)
     if control is not None:
         Service(replica, control, "federation")
-    return Federation(plan, site, replica, link, site.clock, patience)
+    return Federation(plan, site, replica, link, site.clock, silence_timeout)
 
 
-def misfit(plan: Plan, link: Link) -> None:
+def check_members(plan: Plan, link: Link) -> None:
     """ValueError where the sites' gateways are not those of the section `peers`."""
     peers = {name for name, _ in link.plan.members}
-    sited = {name for _, members in plan.sites for name in members}
-    if alone := sorted(peers - sited):
-        raise ValueError(f"{', '.join(alone)} of the section peers has no site; allowed: a site for each")
-    if unknown := sorted(sited - peers):
+    assigned = {name for _, members in plan.sites for name in members}
+    if unassigned := sorted(peers - assigned):
+        raise ValueError(f"{', '.join(unassigned)} of the section peers has no site; allowed: a site for each")
+    if unknown := sorted(assigned - peers):
         raise ValueError(f"{', '.join(unknown)} has no member line in the section peers; allowed: one for each")
--- a/tealwing/federation/plan.py
+++ b/tealwing/federation/plan.py
@@ -9,12 +9,12 @@
 class Plan:
     """One gateway's part of a federation of sites, each a fleet with a replicated log of its own."""
 
-    folder: str  # of the federation's log and snapshots
+    directory: str  # of the federation's log and snapshots
     sites: tuple[tuple[str, tuple[str, ...]], ...]  # name, and its gateways' names in the section `peers`
-    limit: float = 8.0  # s in which all sites must have agreed, or the change is aborted
-    voters: int = 3  # gateways of one site that vote in the federation's log, at most; its others learn
-    beat: float = 0.1
-    election: float = 1.0
+    agreement_timeout: float = 8.0  # s in which all sites must have agreed, or the change is aborted
+    voters_per_site: int = 3  # gateways of one site that vote in the federation's log, at most; its others learn
+    heartbeat: float = 0.1
+    election_timeout: float = 1.0
 
     def site_of(self, gateway: str) -> str:
         """The site of a gateway; empty where it has none."""
@@ -24,10 +24,10 @@
         """The gateways of a site."""
         return next((members for name, members in self.sites if name == site), ())
 
-    def voting(self) -> tuple[str, ...]:
+    def initial_voters(self) -> tuple[str, ...]:
         """Who votes in the federation's log at first: so many of each site, so that no site has a majority."""
-        return tuple(sorted(name for _, members in self.sites for name in members[: self.voters]))
+        return tuple(sorted(name for _, members in self.sites for name in members[: self.voters_per_site]))
 
-    def learning(self) -> tuple[str, ...]:
+    def initial_learners(self) -> tuple[str, ...]:
         """Who follows it without a vote."""
-        return tuple(sorted(name for _, members in self.sites for name in members[self.voters :]))
+        return tuple(sorted(name for _, members in self.sites for name in members[self.voters_per_site :]))
--- a/tealwing/federation/section.py
+++ b/tealwing/federation/section.py
@@ -6,15 +6,15 @@
 from tealwing.conf.schema import Block, Entry, Report, Section, Spec
 from tealwing.federation.plan import Plan
 
-LEAST_SITES = 3  # with two, the loss of one leaves no majority of the federation's log
-MOST_SITES = 32  # each has voters in one log, whose leader writes to all
+MIN_SITES = 3  # with two, the loss of one leaves no majority of the federation's log
+MAX_SITES = 32  # each has voters in one log, whose leader writes to all
 
 
-def _site(words: values.Words) -> tuple[str, tuple[str, ...]]:
-    if len(words) < 2:
+def _site(arguments: values.Words) -> tuple[str, tuple[str, ...]]:
+    if len(arguments) < 2:
         raise values.Unfit("the site's name, as the engine list says it, and its gateways, as bloemfontein n0 n1 n2")
-    name = values.instance(words[:1])
-    return name, tuple(values.instance((word,)) for word in words[1:])
+    name = values.instance(arguments[:1])
+    return name, tuple(values.instance((argument,)) for argument in arguments[1:])
 
 
 SPECS = (
@@ -48,17 +48,17 @@
                 report.add(entry.place, "site", f"{member}, which is of {home[member]}", "a gateway of one site")
             home[member] = name
     first = sites[0].place if sites else block.entries["site"][0].place
-    if len(seen) < LEAST_SITES:
-        report.add(first, "site", f"{len(seen)} sites", f"{LEAST_SITES} or more: two do not bear the loss of one")
-    if len(seen) > MOST_SITES:
-        report.add(first, "site", f"{len(seen)} sites", f"at most {MOST_SITES}")
-    beat, election = block.one("beat"), block.one("election")
-    if beat is not None and election is not None and election < 3 * beat:
-        report.add(block.place("election", first), "election", values.written_duration(election),
-                   f"three beats or more, {values.written_duration(3 * beat)}")  # fmt: skip
+    if len(seen) < MIN_SITES:
+        report.add(first, "site", f"{len(seen)} sites", f"{MIN_SITES} or more: two do not bear the loss of one")
+    if len(seen) > MAX_SITES:
+        report.add(first, "site", f"{len(seen)} sites", f"at most {MAX_SITES}")
+    heartbeat, election_timeout = block.one("beat"), block.one("election")
+    if heartbeat is not None and election_timeout is not None and election_timeout < 3 * heartbeat:
+        report.add(block.place("election", first), "election", values.written_duration(election_timeout),
+                   f"three beats or more, {values.written_duration(3 * heartbeat)}")  # fmt: skip
     return Plan(
         block.one("folder"), tuple(entry.value for entry in sites), block.one("limit"), block.one("voters"),
-        beat, election,
+        heartbeat, election_timeout,
     )  # fmt: skip
 
 
--- a/tealwing/federation/shell.py
+++ b/tealwing/federation/service.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from tealwing import log, threads
-from tealwing.federation.delegate import Delegate
 from tealwing.federation.plan import Plan
-from tealwing.peers.bounds import USUAL, Bounds
+from tealwing.federation.site_delegate import SiteDelegate
+from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.peers.clock import Clock
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
@@ -27,7 +27,7 @@
 from tealwing.rules import records
 
 TICK = 0.05  # s between two looks where no entry comes
-SILENT_BEATS = 2.0  # beats of the link without a sign of life after which a gateway counts as silent
+SILENT_HEARTBEATS = 2.0  # beats of the link without a sign of life after which a gateway counts as silent
 Tables = Mapping[str, Mapping[str, Any]]
 
 
@@ -35,28 +35,30 @@
     """Joins the site's log and the federation's."""
 
     def __init__(
-        self, plan: Plan, site: Replica, all_: Replica, link: Link, clock: Clock, patience: float,
-        bounds: Bounds = USUAL,
+        self, plan: Plan, site: Replica, federation: Replica, link: Link, clock: Clock, silence_timeout: float,
+        bounds: LeaseBounds = DEFAULT_BOUNDS,
     ) -> None:  # fmt: skip
         """site and all_ are this process's members of the two logs; patience is s of a site's silence."""
         name = link.plan.name
-        self.plan, self.site_name, self.replica = plan, plan.site_of(name), all_
+        self.plan, self.site_name, self.replica = plan, plan.site_of(name), federation
         self._site, self._link, self._clock = site, link, clock
-        self._delegate = Delegate(self.site_name, all_.start_number)
-        self._conductor = Conductor(self.site_name, plan.limit, patience, bounds, all_.start_number)
-        self._witnesses = Witnesses(self.site_name, bounds, all_.start_number)
-        self._woken, self._stopped = threading.Event(), threading.Event()
-        self._speaks = self._decides = self._conducts = False
+        self._delegate = SiteDelegate(self.site_name, federation.start_number)
+        self._conductor = Conductor(
+            self.site_name, plan.agreement_timeout, silence_timeout, bounds, federation.start_number
+        )
+        self._witnesses = Witnesses(self.site_name, bounds, federation.start_number)
+        self._wake, self._stopped = threading.Event(), threading.Event()
+        self._leads_site = self._leads_federation = self._coordinates = False
         self._lapses: list[tuple[int, records.Body]] = []  # applied and not yet told to the witnesses
         self._lock = threading.Lock()  # round the lapses
-        self.seen: Seen = seen(all_.state, self.site_name)  # set on the replica's thread alone
+        self.seen: Seen = seen(federation.state, self.site_name)  # set on the replica's thread alone
         self._changed: Callable[[], None] = lambda: None
-        site.watch(lambda index, command, result: self._woken.set())
-        site.on_led(self._site_led)
-        site.on_installed(self._woken.set)
-        all_.watch(self._applied)
-        all_.on_led(self._all_led)
-        all_.on_installed(self._installed)
+        site.watch(lambda index, command, result: self._wake.set())
+        site.on_led(self._site_leadership_changed)
+        site.on_installed(self._wake.set)
+        federation.watch(self._applied)
+        federation.on_led(self._federation_leadership_changed)
+        federation.on_installed(self._installed)
 
     def on_change(self, changed: Callable[[], None]) -> None:
         """Be told, on the replica's thread, when versions or sites have changed; before the start."""
@@ -69,34 +71,34 @@
     def stop(self) -> None:
         """Take part no more."""
         self._stopped.set()
-        self._woken.set()
+        self._wake.set()
 
     def status(self) -> dict[str, Any]:
         """What operators ask for: the sites as the federation's log has them, and who speaks for ours."""
         seen_ = self.seen
         flight = seen_.me.flight
-        said = {} if flight is None else {who: {"yes": w.yes, "reason": w.reason} for who, w in flight.said.items()}
+        verdicts = {} if flight is None else {who: {"yes": w.yes, "reason": w.reason} for who, w in flight.said.items()}
         return {
-            "site": self.site_name, "speaks": self._speaks, "decides": self._decides, "index": seen_.index,
+            "site": self.site_name, "speaks": self._leads_site, "decides": self._leads_federation, "index": seen_.index,
             "leader": self.replica.core.leader, "active": seen_.facts.active, "last": seen_.facts.last,
-            "flight": None if flight is None else {"number": flight.number, "phase": flight.phase, "said": said},
+            "flight": None if flight is None else {"number": flight.number, "phase": flight.phase, "said": verdicts},
             "sites": {
                 name: {"start": site.start, "lost_touch": site.lost_touch, "closed": site.closed,
-                       "lapsed": site.lapsed, "over": site.over, "heard": self._hears(name)}
+                       "lapsed": site.lapsed, "over": site.over, "heard": self._is_reachable(name)}
                 for name, site in sorted(seen_.members.items())
             },
         }  # fmt: skip
 
     # The replicas' threads
 
-    def _site_led(self, leads: bool) -> None:
-        self._speaks = leads
+    def _site_leadership_changed(self, leads: bool) -> None:
+        self._leads_site = leads
         log.event("federation_delegate", site=self.site_name, speaks=leads)
-        self._woken.set()
+        self._wake.set()
 
-    def _all_led(self, leads: bool) -> None:
-        self._decides = leads
-        self._woken.set()
+    def _federation_leadership_changed(self, leads: bool) -> None:
+        self._leads_federation = leads
+        self._wake.set()
 
     def _applied(self, index: int, command: c.Command | None, result: c.CommandResult | None) -> None:
         body = command.body if command is not None else None
@@ -107,66 +109,70 @@
         if isinstance(body, records.Lapse | records.Forget):
             with self._lock:
                 self._lapses.append((index, body))
-        if self._decides and result is not None and result.ok and isinstance(body, HURRY):
+        if self._leads_federation and result is not None and result.ok and isinstance(body, HURRY):
             self.replica.hurry()  # each step waits for the one before: sites must not learn of it with the next beat
         self._changed()
-        self._woken.set()
+        self._wake.set()
 
     def _installed(self) -> None:
         self.seen = seen(self.replica.state, self.site_name)
         self._changed()
-        self._woken.set()
+        self._wake.set()
 
     # Our thread
 
     def _run(self) -> None:
         while not self._stopped.is_set():
-            self._woken.wait(TICK)
-            self._woken.clear()
+            self._wake.wait(TICK)
+            self._wake.clear()
             if self._stopped.is_set():
                 return
             try:
-                self._look()
+                self._step()
             except Exception:  # one fault must not leave the site without a voice: the next look begins anew
                 log.event("federation_failed", trace=traceback.format_exc(limit=-3))
                 log.check_invariant(False, "a look at the federation's log goes through")
 
-    def _look(self) -> None:
+    def _step(self) -> None:
         now = self._clock.now()
         tables, index = self.seen.tables, self.seen.index
         with self._lock:
             lapses, self._lapses = self._lapses, []
         for at, body in lapses:
             self._witnesses.applied(now, at, body)
-        if self._decides != self._conducts:
-            self._conducts = self._decides
-            self._conductor.lead(now, self._conducts)
-        if self._conducts:
-            silent = [name for name in tables["rule_members"] if not self._hears(name)]
+        if self._leads_federation != self._coordinates:
+            self._coordinates = self._leads_federation
+            self._conductor.lead(now, self._coordinates)
+        if self._coordinates:
+            silent = [name for name in tables["rule_members"] if not self._is_reachable(name)]
             for body in self._conductor.look(now, tables, silent):
-                log.event("federation_says", what=type(body).__name__.lower(), number=getattr(body, "number", None))
+                log.event(
+                    "federation_command_proposed",
+                    what=type(body).__name__.lower(),
+                    number=getattr(body, "number", None),
+                )
                 self.replica.propose_here(c.encode(c.Command("", 0, body)))
-        found = self._witnesses.due(now, tables)
-        if not self._speaks:
+        observations = self._witnesses.due(now, tables)
+        if not self._leads_site:
             return
-        for witness in found:
+        for witness in observations:
             self.replica.pass_on(c.encode(c.Command("", 0, witness)))
-        ours, theirs = self._delegate.look(now, _tables(self._site), tables, index)
-        for body in ours:
+        site_proposals, federation_proposals = self._delegate.due_proposals(now, _tables(self._site), tables, index)
+        for body in site_proposals:
             self._site.propose_here(c.encode(c.Command("", 0, body)))
-        for body in theirs:
-            log.event("federation_site_says", site=self.site_name, what=type(body).__name__.lower(),
+        for body in federation_proposals:
+            log.event("federation_site_command_proposed", site=self.site_name, what=type(body).__name__.lower(),
                       number=getattr(body, "number", None))  # fmt: skip
             self.replica.pass_on(c.encode(c.Command("", 0, body)))
 
-    def _hears(self, site: str) -> bool:
+    def _is_reachable(self, site: str) -> bool:
         """Whether a gateway of the site is heard, or it is ours."""
         if site == self.site_name:
             return True
-        limit = SILENT_BEATS * self._link.plan.times.beat
-        heard = {peer["name"] for peer in self._link.status()
+        limit = SILENT_HEARTBEATS * self._link.plan.times.heartbeat
+        reachable = {peer["name"] for peer in self._link.status()
                  if peer["silence_s"] is not None and peer["silence_s"] <= limit}  # fmt: skip
-        return any(name in heard for name in self.plan.gateways(site))
+        return any(name in reachable for name in self.plan.gateways(site))
 
 
 def _tables(replica: Replica) -> Tables:
--- /dev/null
+++ b/tealwing/federation/site_delegate.py
@@ -0,0 +1,156 @@
+"""What whoever leads a site's log says for the site in the federation's log, and does in its own; pure.
+
+In the federation's registry the members are sites. All here follows from entries that are committed in either log and
+from nothing else: two delegates of one site, or an old one, say nothing that is not so.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Hashable, Mapping
+from typing import Any
+
+from tealwing.rollout.retry import Retry
+from tealwing.rollout.view import CLOSING, View, view
+from tealwing.rules.records import (
+    Abort,
+    Activate,
+    Begin,
+    Body,
+    Close,
+    Closed,
+    LostTouch,
+    Member,
+    Propose,
+    Verdict,
+    Version,
+)
+
+Tables = Mapping[str, Mapping[str, Any]]
+Proposals = tuple[list[Body], list[Body]]  # for the site's log, and for the federation's
+REJECTED_RETRY_INTERVAL = 30.0  # s at most between tries of a version that this site turns down
+
+
+def required_proposals(site: str, site_tables: Tables, fed_tables: Tables, fed_index: int) -> Proposals:
+    """What to propose in the site's log, and what in the federation's, by both states as they are applied here.
+
+    The federation's state is that at fed_index. Said again, each of these changes nothing more.
+    """
+    site_view, federation_view = view(site_tables, 0, site), view(fed_tables, fed_index, site)
+    gateways: Mapping[str, Member] = site_tables["rule_members"]
+    if not gateways:
+        return [], []
+    versions: Mapping[str, Version] = fed_tables["rules"]
+    site_proposals = _site_proposals(site_view, federation_view, versions, fed_index)
+    federation_proposals = _membership_proposals(site, site_view, federation_view, gateways)
+    me, flight = federation_view.me, federation_view.flight
+    if me is not None and not me.lapsed and flight is not None and not federation_proposals:
+        number = flight.number
+        if flight.phase in ("proposed", "checked"):
+            verdict = flight.said.get(site)
+            if (verdict is None or verdict.start != me.start) and (
+                new_verdict := _site_verdict(site_view, site_tables, number)
+            ) is not None:
+                federation_proposals.append(Verdict(number, site, me.start, *new_verdict))
+        elif site_view.closing == number and me.closed != number and site_view.known(number) == "agreed":
+            federation_proposals.append(Closed(number, site, me.start))
+    return site_proposals, federation_proposals
+
+
+def _site_proposals(
+    site_view: View, federation_view: View, versions: Mapping[str, Version], fed_index: int
+) -> list[Body]:
+    flight = site_view.flight
+    if flight is not None:
+        if not flight.federated:
+            return []  # of before the site took part: its own log ends it
+        number, federation_version = flight.number, versions.get(str(flight.number))
+        if federation_version is None:  # not heard of yet, or over so long ago that nothing needs it here
+            expired = federation_view.known(number) is not None
+            return [Abort(number, "it is long over in the federation", fed_index)] if expired else []
+        if federation_version.phase in ("rejected", "aborted", "withdrawn"):
+            return [Abort(number, federation_version.outcome, federation_version.changed)]
+        in_force = federation_version.phase in ("active", "superseded")
+        if flight.phase == "checked" and (in_force or federation_version.phase in CLOSING):
+            return [Close(number)]
+        if flight.phase == "agreed" and in_force:
+            return [Activate(number, federation_version.changed)]
+        return []
+    target = (
+        versions.get(str(federation_view.active)) if not site_view.is_up_to(federation_view) else federation_view.flight
+    )
+    if target is None:
+        return []
+    phase = site_view.known(target.number)
+    if phase is None or phase == "rejected" and target.phase == "active":
+        return [Propose(
+            site_view.active, target.digest, target.text, target.who, target.when, target.why, target.number, True,
+            target.needs,
+        )]  # fmt: skip
+    return []
+
+
+def _membership_proposals(
+    site: str, site_view: View, federation_view: View, gateways: Mapping[str, Member]
+) -> list[Body]:
+    """A site begins when it has what is in force, and its earlier permits are over.
+
+    A lapsed gateway's new start is its own; a site's is nobody's: its gateways may still have permits of the old one.
+    """
+    me = federation_view.me
+    serves = any(member.lost_touch == "serve" for member in gateways.values())
+    mode: LostTouch = "serve" if serves or me is not None and me.lost_touch == "serve" else "hold"
+    build = min(member.build for member in gateways.values())
+    permit = max(member.permit for member in gateways.values())
+    if me is None:
+        return [Begin(site, 1, mode, build, permit)] if site_view.is_up_to(federation_view) else []
+    if me.lapsed and not (me.over and site_view.is_up_to(federation_view)):
+        return []
+    if me.lapsed or me.lost_touch != mode:
+        return [Begin(site, me.start + 1, mode, build, permit, me.start)]
+    return []
+
+
+def _site_verdict(site_view: View, site_tables: Tables, number: int) -> tuple[bool, str] | None:
+    """The site's word on a version that is proposed; None as long as it has none."""
+    phase = site_view.known(number)
+    if phase in ("checked", "preparing", "agreed", "active"):
+        return True, ""
+    if phase in ("rejected", "aborted", "withdrawn"):
+        recorded: Version | None = site_tables["rules"].get(str(number))
+        return False, recorded.outcome if recorded is not None else f"number {number} was given at this site already"
+    if phase is None and 0 < number <= site_view.last or phase == "superseded":
+        return False, f"number {number} was given at this site already"
+    return None
+
+
+class SiteDelegate:
+    """The duties, each no more often than its wait allows."""
+
+    def __init__(self, site: str, seed: int = 0) -> None:
+        self.site, self._retry, self._proposals = site, Retry(seed), Retry(seed + 1, REJECTED_RETRY_INTERVAL)
+
+    def due_proposals(self, now: float, site_tables: Tables, fed_tables: Tables, fed_index: int) -> Proposals:
+        """What to propose now in the site's log, and in the federation's; for whoever leads the site's log."""
+        site_proposals, federation_proposals = required_proposals(self.site, site_tables, fed_tables, fed_index)
+        keyed: list[tuple[Hashable, Body]] = [(_key(body), body) for body in (*site_proposals, *federation_proposals)]
+        self._retry.keep([key for key, body in keyed if not isinstance(body, Propose)])
+        ready = [body for key, body in keyed if self._is_due(now, key, body)]
+        return [body for body in site_proposals if body in ready], [
+            body for body in federation_proposals if body in ready
+        ]
+
+    def _is_due(self, now: float, key: Hashable, body: Body) -> bool:
+        if not isinstance(body, Propose):
+            return self._retry.ready(now, key)
+        self._proposals.keep([key])  # not forgotten while it is in flight: one that is turned down comes again seldom
+        return self._proposals.ready(now, key)
+
+
+def _key(body: Body) -> Hashable:
+    match body:
+        case Begin():
+            return "begin", body.start
+        case Propose() | Activate() | Abort() | Close() | Closed() | Verdict():
+            return type(body).__name__, body.number
+        case _:
+            return repr(body)
--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -8,12 +8,12 @@
 
 from tealwing import log
 from tealwing.leases import sweep
-from tealwing.leases.keeper import Keeper
+from tealwing.leases.manager import LeaseManager
 from tealwing.leases.service import Service as LeaseService
 from tealwing.peers.clock import Clock
-from tealwing.peers.control import Control, Denied, Fields, field
-from tealwing.peers.echo import Echo
-from tealwing.peers.link import Link, LinkFault
+from tealwing.peers.control import CallRejectedError, ControlServer, Fields, field
+from tealwing.peers.link import Link, LinkError
+from tealwing.peers.ping import PingService
 from tealwing.peers.plan import Plan
 from tealwing.replica.commands import Command, CommandResult, Settings
 from tealwing.replica.feed import Feed
@@ -28,22 +28,25 @@
 
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
     from tealwing.federation.plan import Plan as FederationPlan
-    from tealwing.federation.shell import Federation
+    from tealwing.federation.service import Federation
     from tealwing.rollout.gate import Gate
     from tealwing.rollout.here import Gateway
     from tealwing.rollout.plan import Plan as RulesPlan
     from tealwing.rollout.shell import Shell
 
-MOST_RATE, LEAST_RATE = 2.0, 0.5  # of a clock that the laboratory skews
+MAX_CLOCK_RATE, MIN_CLOCK_RATE = 2.0, 0.5  # of a clock that the laboratory skews
 
 
 class Peering:
     """One gateway's side of the fleet."""
 
     def __init__(
-        self, plan: Plan, replica: ReplicaPlan | None = None,
-        take: Callable[[int, bytes], None] = lambda version, text: None, federation: FederationPlan | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        plan: Plan,
+        replica: ReplicaPlan | None = None,
+        on_settings: Callable[[int, bytes], None] = lambda version, text: None,
+        federation: FederationPlan | None = None,
+    ) -> None:
         """take hears good versions of the settings: the last one on the disk, and those that the fleet agrees on.
 
         LinkFault where an address can't be had, or a disk can't be trusted.
@@ -55,43 +58,43 @@
         self.federation: Federation | None = None
         self.clock = Clock()
         self.link = Link(plan)
-        self.echo = Echo(self.link)
+        self.ping = PingService(self.link)
         self.replica: Replica | None = None
         if replica is not None:
             try:
                 self.replica = Replica(replica, self.link, self.clock, group=self._group())
             except (StorageError, OSError, ValueError) as error:
                 self.link.stop()
-                raise LinkFault(f"replica: folder {replica.folder}: {error}") from None
-        self._take = take
+                raise LinkError(f"replica: folder {replica.folder}: {error}") from None
+        self._on_settings = on_settings
         self.feed = Feed(self.replica, plan.name) if self.replica is not None else None
         if self.replica is not None:
             self.replica.watch(self._applied)
-            self.replica.on_installed(self._take_best)
-            self._take_best()  # it serves at once, before anybody is asked
+            self.replica.on_installed(self._apply_last_good)
+            self._apply_last_good()  # it serves at once, before anybody is asked
         if self.replica is not None and replica is not None and replica.replace_after:
             Promotion(self.replica, next_change, replica.replace_after, len(SITE.first(plan)[0]))
-        self.keeper: Keeper | None = None
+        self.lease_manager: LeaseManager | None = None
         if self.replica is not None and replica is not None and replica.leases:
-            self.keeper = Keeper(self.replica, self.clock)
-        self.control: Control | None = None
+            self.lease_manager = LeaseManager(self.replica, self.clock)
+        self.control: ControlServer | None = None
         if plan.control is not None:
             try:
-                self.control = Control(plan.control)
+                self.control = ControlServer(plan.control)
             except OSError as error:
                 self.link.stop()
                 host, port = plan.control
-                raise LinkFault(f"peers: control {host}:{port}: {error.strerror}") from None
+                raise LinkError(f"peers: control {host}:{port}: {error.strerror}") from None
             self.control.serve("status", lambda _: self.status())
-            self.echo.serve(self.control)
+            self.ping.serve(self.control)
             if plan.faults:
-                self.control.serve("fault.clock", self._skew)
-                self.control.serve("fault.echo", self._lie)
-                self.control.serve("fault.disk", self._disk)
+                self.control.serve("fault.clock", self._skew_clock)
+                self.control.serve("fault.echo", self._corrupt_replies)
+                self.control.serve("fault.disk", self._fail_disk)
             if self.replica is not None:
                 Service(self.replica, self.control)
-            if self.keeper is not None:
-                LeaseService(self.keeper, self.control, plan.faults)
+            if self.lease_manager is not None:
+                LeaseService(self.lease_manager, self.control, plan.faults)
 
     def follow_rules(self, plan: RulesPlan, gateway: Gateway) -> Gate:
         """Take part in changes of the rules; before the start. What requests pass from now on.
@@ -111,12 +114,12 @@
                 )
             except (StorageError, OSError, ValueError) as error:
                 self.stop()
-                raise LinkFault(f"federation: folder {self.federation_plan.folder}: {error}") from None
+                raise LinkError(f"federation: folder {self.federation_plan.directory}: {error}") from None
         try:
             self.rules = joining.join(plan, self.replica, self.link, gateway, self.control, self.federation)
         except OSError as error:
             self.stop()
-            raise LinkFault(f"rules: {error}; allowed: a folder of the section replica that can be read") from None
+            raise LinkError(f"rules: {error}; allowed: a folder of the section replica that can be read") from None
         return self.rules.gate
 
     @property
@@ -142,15 +145,18 @@
             self.federation.start()
         if self.rules is not None:
             self.rules.start()
-        if self.keeper is not None and self.replica is not None:
-            self.keeper.start()
-            sweep.begin(self.keeper, self.replica)
+        if self.lease_manager is not None and self.replica is not None:
+            self.lease_manager.start()
+            sweep.start_sweep(self.lease_manager, self.replica)
         if self.feed is not None:
             self.feed.start()
         if self.control is not None:
             self.control.start()
         if self.plan.faults:
-            log.event("faults_taken", why="the operators' file lets the control address take the laboratory's faults")
+            log.event(
+                "fault_injection_enabled",
+                why="the operators' file lets the control address take the laboratory's faults",
+            )
 
     def stop(self) -> None:
         """The gateway ends."""
@@ -158,8 +164,8 @@
             self.control.stop()
         if self.feed is not None:
             self.feed.stop()
-        if self.keeper is not None:
-            self.keeper.stop()
+        if self.lease_manager is not None:
+            self.lease_manager.stop()
         if self.rules is not None:
             self.rules.stop()
         if self.federation is not None:
@@ -169,15 +175,15 @@
             self.replica.stop()
         self.link.stop()
 
-    def _take_best(self) -> None:
+    def _apply_last_good(self) -> None:
         """The last good version of the settings that the state has."""
         if self.replica is not None and (best := self.replica.state.last_good()):
-            self._take(best, self.replica.state.tables["settings"][str(best)].text)
+            self._on_settings(best, self.replica.state.tables["settings"][str(best)].text)
 
     def _applied(self, index: int, command: Command | None, result: CommandResult | None) -> None:
         body = command.body if command is not None else None
         if isinstance(body, Settings) and result is not None and result.ok and body.good:
-            self._take(body.version, body.text)
+            self._on_settings(body.version, body.text)
 
     def readiness(self) -> tuple[bool, str, int]:
         """Whether clients may be sent here, why, and the phase of the return as a number (0 where there is none)."""
@@ -190,31 +196,36 @@
 
     def status(self) -> dict[str, Any]:
         """What operators ask for: who is heard, and what each further part says of itself."""
-        told = {"name": self.plan.name, "fleet": self.plan.fleet, "boot": self.link.boot, "peers": self.link.status()}
-        told["traffic"] = dataclasses.asdict(self.link.traffic())
-        return told | (self.replica.status() if self.replica is not None else {})
-
-    def _skew(self, fields: Fields) -> Fields:
+        status = {
+            "name": self.plan.name,
+            "fleet": self.plan.fleet,
+            "boot": self.link.incarnation,
+            "peers": self.link.status(),
+        }
+        status["traffic"] = dataclasses.asdict(self.link.traffic())
+        return status | (self.replica.status() if self.replica is not None else {})
+
+    def _skew_clock(self, fields: Fields) -> Fields:
         """The laboratory steps our clock, or changes its rate."""
         step, rate = float(field(fields, "step_s", float, 0.0)), float(field(fields, "rate", float, 1.0))
-        if not LEAST_RATE <= rate <= MOST_RATE:
-            raise Denied(f"rate: {rate:g}; allowed: {LEAST_RATE:g} to {MOST_RATE:g}")
+        if not MIN_CLOCK_RATE <= rate <= MAX_CLOCK_RATE:
+            raise CallRejectedError(f"rate: {rate:g}; allowed: {MIN_CLOCK_RATE:g} to {MAX_CLOCK_RATE:g}")
         self.clock.skew(step, rate)
         log.event("clock_skewed", step_s=step, rate=rate)
         return {"now": self.clock.now()}
 
-    def _lie(self, fields: Fields) -> Fields:
+    def _corrupt_replies(self, fields: Fields) -> Fields:
         """The laboratory has us answer asks wrongly."""
-        self.echo.lies = bool(field(fields, "lie", bool, False))
+        self.ping.corrupts_replies = bool(field(fields, "lie", bool, False))
         return {}
 
-    def _disk(self, fields: Fields) -> Fields:
+    def _fail_disk(self, fields: Fields) -> Fields:
         """The laboratory has the next writes of our storage fail."""
         if self.replica is None:
-            raise Denied("there is no replicated state here, and no disk")
+            raise CallRejectedError("there is no replicated state here, and no disk")
         fault, count = str(field(fields, "fault", str)), int(field(fields, "count", int, 1))
         if fault not in ("fsync", "short", "full", "none"):
-            raise Denied(f"fault: {fault!r}; allowed: fsync, short, full or none")
+            raise CallRejectedError(f"fault: {fault!r}; allowed: fsync, short, full or none")
         self.replica.disk.fail(fault, count)
-        log.event("disk_fails_next", fault=fault, count=count)
+        log.event("disk_fault_injected", fault=fault, count=count)
         return {}
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -257,7 +257,7 @@
         self, plan: PeersPlan | None, replica: ReplicaPlan | None, rules: RulesPlan | None,
         federation: FederationPlan | None,
     ) -> None:  # fmt: skip
-        """Begin the link to the peers, and the replicated state; a LinkFault leaves it as it is."""
+        """Begin the link to the peers, and the replicated state; a LinkError leaves it as it is."""
         if plan is None and self._peering is None:
             if replica is not None:
                 raise ValueError("replica: needs the section peers, whose members take part")
@@ -267,15 +267,15 @@
         if federation is not None and (replica is None or rules is None):
             raise ValueError("federation: needs the sections replica and rules: what the sites agree on is a version")
         from tealwing.fleet.peering import Peering
-        from tealwing.peers.link import LinkFault  # only where it is on
+        from tealwing.peers.link import LinkError  # only where it is on
 
         if self._peering is not None:
             if (plan, replica, rules, federation) != self._peering.plans:
-                raise LinkFault("peers, replica, rules, federation: a section changed; allowed: a restart")
+                raise LinkError("peers, replica, rules, federation: a section changed; allowed: a restart")
             return
         assert plan is not None
         if not self._settings.limits.peer_messages:
-            raise LinkFault("peers: the platform's settings forbid talk among gateways (Allowed.Peers)")
+            raise LinkError("peers: the platform's settings forbid talk among gateways (Allowed.Peers)")
         peering = Peering(plan, replica, self._fleet_settings, federation)
         if rules is not None:
             self.gate = peering.follow_rules(rules, self)
--- a/tealwing/lab/hollow/fleet.py
+++ b/tealwing/lab/hollow/fleet.py
@@ -20,7 +20,7 @@
 from tealwing.lab.hollow.records import HostFigures, MemberFigures, Ready
 from tealwing.lab.hollow.specification import Fleet, Host
 from tealwing.lab.rig.ports import free_port
-from tealwing.peers.control import Turned, ask
+from tealwing.peers.control import RemoteCallError, call_control
 
 SOURCE = str(Path(tealwing.__file__).parent.parent)
 MEMBERS_A_HOST = 50
@@ -204,13 +204,13 @@
         """An operator's call, at that voter, or the first one that runs."""
         running = [name for name in self._controls if self.host_of(name).process is not None]
         name = at or running[0]
-        return ask(("127.0.0.1", self._controls[name]), what, ASK_LIMIT, **fields)
+        return call_control(("127.0.0.1", self._controls[name]), what, ASK_LIMIT, **fields)
 
     def propose(self, text: bytes, why: str) -> int:
         """Propose a version of the rules; its number. HollowFault where it is not taken."""
         try:
             told = self.call("rules.propose", text=text, who="operator", why=why, wait_s=ASK_LIMIT / 2)
-        except (OSError, Turned) as error:
+        except (OSError, RemoteCallError) as error:
             raise HollowFault(f"the proposal was not taken: {error}") from None
         if told["word"] != "ok":
             raise HollowFault(f"the proposal was not taken: {told}")
--- a/tealwing/lab/hollow/specification.py
+++ b/tealwing/lab/hollow/specification.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from tealwing.peers.plan import Address, Plan, Times
+from tealwing.peers.plan import Address, LinkTimes, Plan
 from tealwing.replica.plan import Plan as ReplicaPlan
 from tealwing.rollout.plan import Plan as RulesPlan
 
@@ -46,7 +46,7 @@
         (member, ("127.0.0.1", port)) for member, port in zip(fleet.members, fleet.ports, strict=True)
     ]
     control = ("127.0.0.1", control_port) if control_port else None
-    times = Times(beat=fleet.beat).paced(len(fleet.members))
+    times = LinkTimes(heartbeat=fleet.beat).scaled_for(len(fleet.members))
     return Plan(FLEET, name, tuple(addresses), times, control, learners=fleet.learners)
 
 
--- a/tealwing/lab/judges/views.py
+++ b/tealwing/lab/judges/views.py
@@ -7,7 +7,7 @@
 from tealwing.lab.judges.reach import Reach
 from tealwing.lab.judges.verdict import Violation
 from tealwing.lab.rig.history import Event
-from tealwing.peers.plan import Times
+from tealwing.peers.plan import LinkTimes
 
 LATE = 1.5  # s that a look at silence may come late on a machine that has other work
 # s in which a peer must be heard again: the longest wait between dials, a dial, a hello, twice over, and as much again
@@ -15,7 +15,7 @@
 AGAIN = 10.0
 
 
-def judge(events: Sequence[Event], end: float, times: Times = Times()) -> list[Violation]:  # noqa: B008 - frozen
+def judge(events: Sequence[Event], end: float, times: LinkTimes = LinkTimes()) -> list[Violation]:  # noqa: B008 - frozen
     """A peer held for alive that can't be heard, or for lost that has long been heard."""
     found = []
     reach = Reach(events, end)
@@ -25,7 +25,7 @@
         observer, at = sample["process"], sample["asked"]
         for peer, state in sample["peers"].items():
             silent = reach.silent(peer, observer, at)
-            if state == "alive" and silent > times.lost + LATE:
+            if state == "alive" and silent > times.dead_after + LATE:
                 found.append(
                     Violation("views", at, f"{observer} holds {peer} for alive after {silent:.1f} s of silence")
                 )
--- a/tealwing/lab/models/federation.py
+++ b/tealwing/lab/models/federation.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from tealwing.federation.delegate import duties
+from tealwing.federation.site_delegate import required_proposals
 from tealwing.lab.models.rollout import Rollout
 from tealwing.lab.models.rollout_parts import Budget, Log, World, empty, propose
 from tealwing.rules import records as r
@@ -49,7 +49,7 @@
     def _told(self, world: World, name: str) -> frozenset[tuple[str, r.Body]]:
         node, site = world.nodes[name], name.upper()
         here, there = world.logs[site].states[node.at[site]], world.logs[TOP].states[node.at[TOP]]
-        ours, theirs = duties(site, here, there, node.at[TOP])
+        ours, theirs = required_proposals(site, here, there, node.at[TOP])
         return frozenset([*((site, body) for body in ours), *((TOP, body) for body in theirs)])
 
 
--- a/tealwing/lab/models/leases.py
+++ b/tealwing/lab/models/leases.py
@@ -15,16 +15,16 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from tealwing.leases.expiry import Expiry
-from tealwing.leases.holder import Do, Holder
-from tealwing.peers.bounds import Bounds
+from tealwing.leases.bounds import LeaseBounds
+from tealwing.leases.expiry import LeaseExpiry
+from tealwing.leases.holder import Action, Holder
 from tealwing.replica import commands as c
 from tealwing.replica.state import Lease, State
 
 NAME, TTL = "task", 2.0  # s
 DT = 0.5  # s of a step of time
-COARSE = Bounds(drift=0.25, step=0.0, told=0.01)
-IGNORED = Bounds(drift=0.0, step=0.0, told=0.01)  # a mutation: clocks are taken to be right
+COARSE = LeaseBounds(max_drift=0.25, max_step=0.0, loss_notice=0.01)
+IGNORED = LeaseBounds(max_drift=0.0, max_step=0.0, loss_notice=0.01)  # a mutation: clocks are taken to be right
 RATES = (0.75, 1.25)
 
 
@@ -37,7 +37,7 @@
         return c.CommandResult(lease is not None, index, token)
 
 
-MUTATIONS: dict[str, tuple[Bounds, type[State]]] = {
+MUTATIONS: dict[str, tuple[LeaseBounds, type[State]]] = {
     "": (COARSE, State),
     "drift-ignored": (IGNORED, State),
     "renewal-after-expiry": (COARSE, RenewsForGood),
@@ -61,7 +61,7 @@
     holders: dict[str, Holder]
     rates: dict[str, float]  # of the holders' clocks, and of the leader's
     state: State
-    expiry: Expiry
+    expiry: LeaseExpiry
     requests: frozenset[Request] = frozenset()
     answers: dict[str, c.CommandResult] = field(
         default_factory=dict
@@ -94,8 +94,8 @@
     def initial(self) -> World:
         """Nobody holds anything; the holders' clocks are slow and fast."""
         holders = {name: Holder(NAME, TTL, bounds=self._bounds) for name in "ab"}
-        expiry = Expiry(self._bounds)
-        expiry.lead(0.0, True)
+        expiry = LeaseExpiry(self._bounds)
+        expiry.set_leading(0.0, True)
         world = World(0, holders, {"a": RATES[0], "b": RATES[1], "leader": RATES[1]}, self._state(), expiry)
         if self._renewing:
             world = self._tick(world, "a")
@@ -108,11 +108,11 @@
         if world.at < self._times:
             yield f"{DT} s pass", lambda: self._pass(world)
         for name in world.holders:
-            if world.holders[name].sent is None or world.holders[name].token:
+            if world.holders[name].request_sent_at is None or world.holders[name].token:
                 yield f"{name} looks at its clock", lambda n=name: self._tick(world, n)  # type: ignore[misc]
             if name in world.answers:
                 yield f"{name} hears {_told(world.answers[name])}", lambda n=name: self._hear(world, n)  # type: ignore[misc]
-            if world.holders[name].sent is not None:
+            if world.holders[name].request_sent_at is not None:
                 yield f"{name} gives up waiting", lambda n=name: self._give_up(world, n)  # type: ignore[misc]
             if world.acts < self._acts and world.holders[name].valid(world.clock(name)):
                 yield f"{name} begins an action", lambda n=name: self._act(world, n)  # type: ignore[misc]
@@ -120,7 +120,7 @@
             yield f"applied: {request.holder}: {request.body}", lambda r=request: self._apply(world, r)  # type: ignore[misc]
         for action in sorted(world.actions):
             yield f"{action[0]}'s action arrives", lambda a=action: self._arrive(world, a)  # type: ignore[misc]
-        if any(due <= world.clock("leader") for _, _, _, due in world.expiry.dues()):
+        if any(due <= world.clock("leader") for _, _, _, due in world.expiry.deadlines()):
             yield "the leader finds the lease expired", lambda: self._expire(world)
         if world.leaders < self._leaders:
             yield "another leads, with a slow clock", lambda: self._lead(world)
@@ -145,9 +145,9 @@
         holder = after.holders[name]
         token = holder.token
         for what in holder.tick(after.clock(name)):
-            if what in (Do.ACQUIRE, Do.RENEW):
+            if what in (Action.ACQUIRE, Action.RENEW):
                 body: c.Body = c.Acquire(NAME, name, round(TTL * 1e3))
-                if what is Do.RENEW:
+                if what is Action.RENEW:
                     body = c.Renew(NAME, token)
                 after.numbers += 1
                 after.requests = after.requests | {Request(name, body, after.numbers)}
@@ -176,14 +176,14 @@
         if result.ok:
             holder.granted(after.clock(name), result.version)
         else:
-            holder.refused(after.clock(name))
+            holder.rejected(after.clock(name))
         return after
 
     def _give_up(self, world: World, name: str) -> World:
         after = self._with(world, name)
         after.answers.pop(name, None)
         after.waits.pop(name, None)
-        after.holders[name].unanswered(after.clock(name))
+        after.holders[name].timed_out(after.clock(name))
         return after
 
     def _act(self, world: World, name: str) -> World:
@@ -200,7 +200,7 @@
 
     def _expire(self, world: World) -> World:
         after = self._after(world, expiry=world.expiry.clone())
-        for name, token, renewed in after.expiry.due(after.clock("leader")):
+        for name, token, renewed in after.expiry.expired(after.clock("leader")):
             after.numbers += 1
             request = Request("", c.Expire(name, token, renewed), after.numbers)
             after.requests = after.requests | {request}
@@ -209,7 +209,7 @@
     def _lead(self, world: World) -> World:
         rates = {**world.rates, "leader": RATES[0]}
         after = self._after(world, expiry=world.expiry.clone(), rates=rates, leaders=world.leaders + 1)
-        after.expiry.lead(after.clock("leader"), True)
+        after.expiry.set_leading(after.clock("leader"), True)
         return after
 
     def broken(self, world: World) -> str:
@@ -222,12 +222,13 @@
     def key(self, world: World) -> Hashable:
         """All of it; requests by what they ask."""
         holders = tuple(
-            (name, h.token, h.until, h.renew_at, h.try_at, h.pause, h.sent) for name, h in sorted(world.holders.items())
+            (name, h.token, h.expires_at, h.renew_at, h.acquire_at, h.backoff, h.request_sent_at)
+            for name, h in sorted(world.holders.items())
         )
         return (
             world.at, holders, tuple(sorted(world.rates.items())), world.state.applied,
             tuple(world.state.tables["leases"].items()), tuple(world.state.tables["fences"].items()),
-            world.expiry.dues(), frozenset((r.holder, r.body, world.waits.get(r.holder) == r.number)
+            world.expiry.deadlines(), frozenset((r.holder, r.body, world.waits.get(r.holder) == r.number)
                                            for r in world.requests),
             tuple(sorted(world.answers.items())), world.actions, world.leaders, world.acts,
         )  # fmt: skip
--- a/tealwing/lab/models/rollout_parts.py
+++ b/tealwing/lab/models/rollout_parts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tealwing.peers.bounds import Bounds
+from tealwing.leases.bounds import LeaseBounds
 from tealwing.rollout.member import Machine
 from tealwing.rollout.retry import Retry
 from tealwing.rollout.witnesses import Witnesses
@@ -14,7 +14,7 @@
 from tealwing.rules.digests import digest
 
 PERMIT, DT = 2.0, 1.0  # s: of a permit, of a step of time
-COARSE = Bounds(drift=0.25, step=0.0, told=0.0)
+COARSE = LeaseBounds(max_drift=0.25, max_step=0.0, loss_notice=0.0)
 SLOW, FAST, WILD = 0.75, 1.25, 10.0
 LOG = "log"
 TEXT = b"[attempts]\nmost = 3\n"
--- a/tealwing/lab/rig/acts.py
+++ b/tealwing/lab/rig/acts.py
@@ -8,7 +8,7 @@
 
 from tealwing.lab.faults.scenario import Step
 from tealwing.lab.rig.samples import ASK_LIMIT
-from tealwing.peers.control import Turned
+from tealwing.peers.control import RemoteCallError
 
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
@@ -72,13 +72,13 @@
         try:
             caller = self._trial.caller(name)
             try:
-                caller.ask(call, ASK_LIMIT, **fields)
+                caller.call(call, ASK_LIMIT, **fields)
             finally:
                 caller.close()
             self._ledger.fault(call.removeprefix("fault."), who=name, **fields)
             if call == "fault.disk":
                 self.failing.add(name)
-        except (OSError, Turned) as error:
+        except (OSError, RemoteCallError) as error:
             self._history.add("fault-not-taken", who=name, call=call, why=str(error))
 
     def power_loss(self, step: Step) -> None:
--- a/tealwing/lab/rig/loads/base.py
+++ b/tealwing/lab/rig/loads/base.py
@@ -9,7 +9,7 @@
 
 from tealwing.lab.judges.verdict import Violation
 from tealwing.lab.rig.history import Event
-from tealwing.peers.control import Caller
+from tealwing.peers.control import ControlClient
 
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
@@ -71,14 +71,14 @@
 
     def __init__(self, trial: Trial, name: str) -> None:
         self._trial, self.name = trial, name
-        self._caller: Caller | None = None
+        self._caller: ControlClient | None = None
 
     def ask(self, call: str, limit: float, **fields: Any) -> dict[str, Any]:
         """One call; Turned or OSError where it did not come to an answer."""
         if self._caller is None:
             self._caller = self._trial.caller(self.name, 0.5)
         try:
-            return self._caller.ask(call, limit, **fields)
+            return self._caller.call(call, limit, **fields)
         except OSError:
             self.close()
             raise
--- a/tealwing/lab/rig/loads/echo.py
+++ b/tealwing/lab/rig/loads/echo.py
@@ -9,7 +9,7 @@
 from tealwing.lab.rig.history import Event, operations
 from tealwing.lab.rig.loads.base import PAUSE, Clients, Judge, Line
 from tealwing.lab.rig.loads.figures import percentile
-from tealwing.peers.control import Turned
+from tealwing.peers.control import RemoteCallError
 
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
@@ -22,7 +22,7 @@
     number = trial.history.invoke("ping", line.name, to=to, text=text, **marks)
     try:
         answer = line.ask("ping", wait + 1.0, to=to, text=text, wait_s=wait)
-    except (Turned, OSError) as error:
+    except (RemoteCallError, OSError) as error:
         trial.history.complete(number, "fail", why=str(error))
         return
     trial.history.complete(number, "ok", by=answer["by"], text=answer["text"], took_ms=answer["took_ms"])
--- a/tealwing/lab/rig/loads/lease.py
+++ b/tealwing/lab/rig/loads/lease.py
@@ -13,7 +13,7 @@
 from tealwing.lab.rig.loads.figures import percentile
 from tealwing.lab.rig.loads.register import RegisterLoad
 from tealwing.lab.standins.resource import Resource
-from tealwing.peers.control import Turned
+from tealwing.peers.control import RemoteCallError
 
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
@@ -53,7 +53,7 @@
                 try:
                     line.ask("lease.run", 1.0, name=LEASE, ttl_s=LEASE_TTL, resource=address, careless=self.careless)
                     told[name] = pid or 0
-                except (Turned, OSError):
+                except (RemoteCallError, OSError):
                     pass
                 line.close()
 
@@ -64,7 +64,7 @@
                 if not process.running or process.stopped:
                     continue
                 line = Line(trial, name)
-                with contextlib.suppress(Turned, OSError):
+                with contextlib.suppress(RemoteCallError, OSError):
                     found = line.ask("lease.list", 0.5)["here"]
                     if any(each["name"] == LEASE and each["valid"] for each in found):
                         trial.holder = name
@@ -85,7 +85,7 @@
         holders = {}
         for name in trial.names:
             for event in trial.processes[name].events():
-                if event.get("event") == "lease_gained" and event.get("name") == LEASE:
+                if event.get("event") == "lease_acquired" and event.get("name") == LEASE:
                     holders[event["token"]] = name
         for tenure in leases.tenures(trial.history.events):
             fields = {"from": tenure.begin, "to": tenure.end, "token": tenure.token, "actions": tenure.actions}
--- a/tealwing/lab/rig/loads/register.py
+++ b/tealwing/lab/rig/loads/register.py
@@ -14,7 +14,7 @@
 from tealwing.lab.rig.history import Event, operations
 from tealwing.lab.rig.loads.base import PAUSE, Clients, Judge, Line
 from tealwing.lab.rig.loads.figures import catchup_ms, failover_ms, percentile
-from tealwing.peers.control import Turned
+from tealwing.peers.control import RemoteCallError
 from tealwing.replica import commands
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
     while trial.history.now() < end:
         try:
             told = {line.name: line.ask("replica.digest", 2.0) for line in lines}
-        except (Turned, OSError):
+        except (RemoteCallError, OSError):
             continue
         if len({each["applied"] for each in told.values()}) == 1:
             for name, each in told.items():
@@ -121,7 +121,7 @@
     except ConnectionRefusedError as error:  # nobody heard it
         trial.history.complete(number, "fail", why=str(error))
         return
-    except (Turned, OSError) as error:
+    except (RemoteCallError, OSError) as error:
         trial.history.complete(number, "unknown", why=str(error))
         return
     words = {"ok": "ok", "unknown": "unknown"}
@@ -134,7 +134,7 @@
     number = trial.history.invoke("get", line.name, key=key, **marks)
     try:
         told = line.ask("replica.get", wait + 1.0, key=key, wait_s=wait)
-    except (Turned, OSError) as error:
+    except (RemoteCallError, OSError) as error:
         trial.history.complete(number, "fail", why=str(error))
         return
     if told["word"] != "ok":
--- a/tealwing/lab/rig/loads/rules/load.py
+++ b/tealwing/lab/rig/loads/rules/load.py
@@ -15,7 +15,7 @@
 from tealwing.lab.rig.loads.rules.operators import Operators
 from tealwing.lab.rig.loads.rules.traffic import Traffic
 from tealwing.lab.rig.loads.rules.watch import Watch
-from tealwing.peers.control import Turned
+from tealwing.peers.control import RemoteCallError
 
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
@@ -81,7 +81,7 @@
                 continue
             try:
                 watch.look(line)
-            except (Turned, OSError):
+            except (RemoteCallError, OSError):
                 line.close()
         line.close()
 
@@ -125,7 +125,7 @@
         while time.monotonic() < end:
             try:
                 found = [watch.look(line) for line in lines]
-            except (Turned, OSError):
+            except (RemoteCallError, OSError):
                 found = []
             still = {(status["active"], status["in_force"]) for status in found}
             if found and len(still) == 1 and not any(status["in_flight"] for status in found):
--- a/tealwing/lab/rig/loads/rules/operators.py
+++ b/tealwing/lab/rig/loads/rules/operators.py
@@ -11,7 +11,7 @@
 from tealwing.lab.rig.loads.base import Clients, Line
 from tealwing.lab.rig.loads.rules.bundles import bundle
 from tealwing.lab.rig.loads.rules.watch import Watch
-from tealwing.peers.control import Turned
+from tealwing.peers.control import RemoteCallError
 
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
@@ -77,7 +77,7 @@
         line = self._line(who, name)
         try:
             told = line.ask("rules.propose", WAIT + 1.0, text=text, why=f"the trial's {kind}", who=who, wait_s=WAIT)
-        except (ConnectionRefusedError, Turned) as error:
+        except (ConnectionRefusedError, RemoteCallError) as error:
             history.complete(number, "fail", why=str(error))
             return ""
         except OSError as error:
@@ -94,7 +94,7 @@
         word = "unknown"
         try:
             word = line.ask("rules.withdraw", WAIT, number=version, who=who, why="the trial's", wait_s=1.0)["word"]
-        except (Turned, OSError) as error:
+        except (RemoteCallError, OSError) as error:
             word = str(error)
         self._trial.history.add("withdrawal", number=version, word=word)
 
--- a/tealwing/lab/rig/loads/rules/watch.py
+++ b/tealwing/lab/rig/loads/rules/watch.py
@@ -9,7 +9,7 @@
 from tealwing.lab.judges.versions import NEVER
 from tealwing.lab.rig.loads.base import Line
 from tealwing.lab.rig.loads.rules.bundles import read
-from tealwing.peers.control import Turned
+from tealwing.peers.control import RemoteCallError
 
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
@@ -48,7 +48,7 @@
         for number in numbers:
             try:
                 version = line.ask("rules.show", LIMIT, number=number)
-            except Turned:  # it does not keep that one, or not yet
+            except RemoteCallError:  # it does not keep that one, or not yet
                 continue
             found[number] = version
             with self._lock:
--- a/tealwing/lab/rig/phases.py
+++ b/tealwing/lab/rig/phases.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from tealwing.peers.control import Caller, Turned
+from tealwing.peers.control import ControlClient, RemoteCallError
 
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
@@ -24,8 +24,8 @@
         for name in names:
             caller = trial.caller(name, LIMIT)
             try:
-                found.append(caller.ask("rules.status", LIMIT))
-            except (OSError, Turned):
+                found.append(caller.call("rules.status", LIMIT))
+            except (OSError, RemoteCallError):
                 break
             finally:
                 caller.close()
@@ -41,7 +41,7 @@
 
     `active` waits for a version that was not in force at that process as the wait began.
     """
-    callers: dict[str, Caller] = {}
+    callers: dict[str, ControlClient] = {}
     before: dict[str, int] = {}
     end = time.monotonic() + within
     try:
@@ -52,8 +52,8 @@
                 try:
                     if name not in callers:
                         callers[name] = trial.caller(name, LIMIT)
-                    found = callers[name].ask("rules.status", LIMIT)
-                except (OSError, Turned):
+                    found = callers[name].call("rules.status", LIMIT)
+                except (OSError, RemoteCallError):
                     if (old := callers.pop(name, None)) is not None:
                         old.close()
                     continue
--- a/tealwing/lab/rig/runs.py
+++ b/tealwing/lab/rig/runs.py
@@ -122,5 +122,5 @@
         trial.proxy.leaky = True
     elif sabotage == "lying-echo":
         caller = trial.caller(trial.names[-1])
-        caller.ask("fault.echo", lie=True)
+        caller.call("fault.echo", lie=True)
         caller.close()
--- a/tealwing/lab/rig/samples.py
+++ b/tealwing/lab/rig/samples.py
@@ -8,7 +8,7 @@
 
 from tealwing.lab.rig.history import History
 from tealwing.lab.rig.process import Process
-from tealwing.peers.control import Caller, Turned
+from tealwing.peers.control import ControlClient, RemoteCallError
 
 SAMPLE = 0.25  # s between two looks at each process
 ASK_LIMIT = 1.0  # s that a look waits for its answer
@@ -18,7 +18,7 @@
 class Samples:
     """The last look at each process that runs; all looks are in the history."""
 
-    def __init__(self, processes: Mapping[str, Process], history: History, caller: Callable[[str], Caller],
+    def __init__(self, processes: Mapping[str, Process], history: History, caller: Callable[[str], ControlClient],
                  site_of: Callable[[str], str]) -> None:  # fmt: skip
         """site_of gives a process's site in a federation, where each site has a log of its own; else empty."""
         self.last: dict[str, dict[str, Any]] = {}
@@ -26,7 +26,7 @@
 
     def run(self, stopping: threading.Event) -> None:
         """Look until the trial stops."""
-        callers: dict[str, Caller] = {}
+        callers: dict[str, ControlClient] = {}
         while not stopping.is_set():
             for name, process in self._processes.items():
                 if not process.running or process.stopped:
@@ -36,8 +36,8 @@
                     if name not in callers:
                         callers[name] = self._caller(name)
                     begun = self._history.now()
-                    found = callers[name].ask("status", ASK_LIMIT)
-                except (OSError, Turned):
+                    found = callers[name].call("status", ASK_LIMIT)
+                except (OSError, RemoteCallError):
                     if (old := callers.pop(name, None)) is not None:
                         old.close()
                     self.last.pop(name, None)
--- a/tealwing/lab/rig/trial.py
+++ b/tealwing/lab/rig/trial.py
@@ -26,7 +26,7 @@
 from tealwing.lab.rig.process import Process
 from tealwing.lab.rig.samples import Samples
 from tealwing.lab.standins.coordinator import Coordinator
-from tealwing.peers.control import Caller
+from tealwing.peers.control import ControlClient
 from tealwing.peers.plan import Address
 
 SETTLE = 15.0  # s for all to be ready and in touch before the load begins
@@ -161,9 +161,9 @@
         """Who leads, as the samples say; empty where none is known."""
         return self.samples.leader()
 
-    def caller(self, name: str, limit: float = 1.0) -> Caller:
+    def caller(self, name: str, limit: float = 1.0) -> ControlClient:
         """A connection to a process's control address."""
-        return Caller(self.processes[name].control, limit)
+        return ControlClient(self.processes[name].control, limit)
 
     # The whole
 
--- a/tealwing/lab/rollout/sites.py
+++ b/tealwing/lab/rollout/sites.py
@@ -1,11 +1,11 @@
-"""One gateway's part in the federation's log, as federation/shell.py has it on a thread."""
+"""One gateway's part in the federation's log, as federation/service.py has it on a thread."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from tealwing.federation.delegate import Delegate
-from tealwing.federation.shell import TICK
+from tealwing.federation.service import TICK
+from tealwing.federation.site_delegate import SiteDelegate
 from tealwing.lab.rollout.copies import Shot
 from tealwing.lab.rollout.logs import Log
 from tealwing.lab.rollout.tasks import Signal, Step, Task
@@ -25,7 +25,7 @@
         self._site, self._all, self._name, self._gateways = site, all_, name, gateways
         self._clock = site.host.wires.clock
         number = all_.core.start
-        self._delegate = Delegate(name, number)
+        self._delegate = SiteDelegate(name, number)
         self._conductor = Conductor(name, limit, patience, seed=number)
         self._witnesses = Witnesses(name, seed=number)
         self._lapses: list[tuple[int, Body]] = []
@@ -65,7 +65,7 @@
             return
         for witness in found:
             self._all.pass_on(witness)
-        ours, theirs = self._delegate.look(now, self._site.shot.tables, shot.tables, shot.index)
+        ours, theirs = self._delegate.due_proposals(now, self._site.shot.tables, shot.tables, shot.index)
         for said in ours:
             self._site.propose_here(said)
         for said in theirs:
--- a/tealwing/lab/standins/resource.py
+++ b/tealwing/lab/standins/resource.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from tealwing.peers.control import Control, Fields, field
+from tealwing.peers.control import ControlServer, Fields, field
 from tealwing.peers.plan import Address
 
 
@@ -19,7 +19,7 @@
         self._lock = threading.Lock()
         self.newest: dict[str, int] = {}
         self.fenced = True  # else it takes whatever comes: on purpose, to see a judge find it
-        self._control = Control(address)
+        self._control = ControlServer(address)
         self._control.serve("act", self._act)
 
     @property
--- a/tealwing/peers/bounds.py
+++ b/tealwing/leases/bounds.py
@@ -10,25 +10,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class LeaseBounds:
     """What clocks are trusted for."""
 
     # Share by which a clock's rate may differ from real time. Quartz is within 0.0002 and time services slew by 0.0005
     # at most; forty times that leaves room for a virtual machine whose clock is corrected after a stall.
-    drift: float = 0.02
+    max_drift: float = 0.02
     # s by which a clock may step within one lease, either way: monotonic clocks do not, but for such corrections.
-    step: float = 0.2
-    told: float = 0.1  # s before its lease ends, by its own clock, at which a task is told that it has lost it
+    max_step: float = 0.2
+    loss_notice: float = 0.1  # s before its lease ends, by its own clock, at which a task is told that it has lost it
 
-    def holder_may(self, ttl: float) -> float:
+    def holder_duration(self, ttl: float) -> float:
         """Seconds by its own clock for which a holder may act, from when it *sent* what was granted."""
-        return ttl * (1.0 - self.drift) - self.step
+        return ttl * (1.0 - self.max_drift) - self.max_step
 
-    def leader_waits(self, ttl: float) -> float:
+    def expiry_delay(self, ttl: float) -> float:
         """Seconds by its own clock after which a leader finds a lease expired, from when it *applied* the grant."""
-        return ttl * (1.0 + self.drift) + self.step
+        return ttl * (1.0 + self.max_drift) + self.max_step
 
 
-USUAL = Bounds()
-RENEW_SHARE = 0.3  # of the time to live after which a holder renews: three tries before it is over
-LEAST_TTL = 1.0  # s: below that the bounds above eat what is left
+DEFAULT_BOUNDS = LeaseBounds()
+RENEW_FRACTION = 0.3  # of the time to live after which a holder renews: three tries before it is over
+MIN_TTL = 1.0  # s: below that the bounds above eat what is left
--- a/tealwing/leases/expiry.py
+++ b/tealwing/leases/expiry.py
@@ -8,69 +8,69 @@
 
 from dataclasses import dataclass, replace
 
-from tealwing.peers.bounds import USUAL, Bounds
+from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
 
-AGAIN = 1.0  # s after which an expiry that was proposed and not seen is proposed again
+REPROPOSE_INTERVAL = 1.0  # s after which an expiry that was proposed and not seen is proposed again
 
 
 @dataclass(slots=True)
-class Watched:
+class WatchedGrant:
     """One grant: its token, the entry that renewed it last, and when it runs out."""
 
     token: int
     renewed: int
-    due: float
+    expires_at: float
 
 
-class Expiry:
+class LeaseExpiry:
     """The grants that are held, as the log tells them."""
 
-    def __init__(self, bounds: Bounds = USUAL) -> None:
+    def __init__(self, bounds: LeaseBounds = DEFAULT_BOUNDS) -> None:
         self._bounds = bounds
         self._leading = False
-        self._held: dict[str, tuple[int, int, float]] = {}  # token, renewed, ttl
-        self._watched: dict[str, Watched] = {}
+        self._grants: dict[str, tuple[int, int, float]] = {}  # token, renewed, ttl
+        self._watched: dict[str, WatchedGrant] = {}
 
-    def lead(self, now: float, leads: bool) -> None:
+    def set_leading(self, now: float, leads: bool) -> None:
         """We lead from now on, or no more."""
         self._leading = leads
         self._watched = {}
         if leads:
-            for name, (token, renewed, ttl) in self._held.items():
-                self._watched[name] = Watched(token, renewed, now + self._bounds.leader_waits(ttl))
+            for name, (token, renewed, ttl) in self._grants.items():
+                self._watched[name] = WatchedGrant(token, renewed, now + self._bounds.expiry_delay(ttl))
 
     def granted(self, now: float, name: str, token: int, renewed: int, ttl: float) -> None:
         """A grant or a renewal was applied."""
-        self._held[name] = token, renewed, ttl
+        self._grants[name] = token, renewed, ttl
         if self._leading:
-            self._watched[name] = Watched(token, renewed, now + self._bounds.leader_waits(ttl))
+            self._watched[name] = WatchedGrant(token, renewed, now + self._bounds.expiry_delay(ttl))
 
-    def replace(self, now: float, held: dict[str, tuple[int, int, float]]) -> None:
+    def replace(self, now: float, grants: dict[str, tuple[int, int, float]]) -> None:
         """Other grants, from a snapshot: token, renewal and time to live by name."""
-        self._held = dict(held)
-        self.lead(now, self._leading)
+        self._grants = dict(grants)
+        self.set_leading(now, self._leading)
 
     def ended(self, name: str) -> None:
         """A grant was released or found expired."""
-        self._held.pop(name, None)
+        self._grants.pop(name, None)
         self._watched.pop(name, None)
 
-    def clone(self) -> Expiry:
+    def clone(self) -> LeaseExpiry:
         """One like this that goes its own way: for the model check."""
-        twin = Expiry(self._bounds)
-        twin._leading, twin._held = self._leading, dict(self._held)
+        twin = LeaseExpiry(self._bounds)
+        twin._leading, twin._grants = self._leading, dict(self._grants)
         twin._watched = {name: replace(watched) for name, watched in self._watched.items()}
         return twin
 
-    def dues(self) -> tuple[tuple[str, int, int, float], ...]:
+    def deadlines(self) -> tuple[tuple[str, int, int, float], ...]:
         """What is watched, and until when."""
-        return tuple((name, w.token, w.renewed, w.due) for name, w in sorted(self._watched.items()))
+        return tuple((name, w.token, w.renewed, w.expires_at) for name, w in sorted(self._watched.items()))
 
-    def due(self, now: float) -> list[tuple[str, int, int]]:
+    def expired(self, now: float) -> list[tuple[str, int, int]]:
         """The grants that have run out: name, token, and the entry that renewed them last."""
-        found = []
+        expired = []
         for name, watched in self._watched.items():
-            if now >= watched.due:
-                watched.due = now + AGAIN
-                found.append((name, watched.token, watched.renewed))
-        return found
+            if now >= watched.expires_at:
+                watched.expires_at = now + REPROPOSE_INTERVAL
+                expired.append((name, watched.token, watched.renewed))
+        return expired
--- a/tealwing/leases/holder.py
+++ b/tealwing/leases/holder.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from tealwing.peers.bounds import RENEW_SHARE, USUAL, Bounds
+from tealwing.leases.bounds import DEFAULT_BOUNDS, RENEW_FRACTION, LeaseBounds
 
-RETRY = (0.1, 1.0)  # s between two tries to acquire, least and most
+ACQUIRE_BACKOFF = (0.1, 1.0)  # s between two tries to acquire, least and most
 
 
-class Do(Enum):
+class Action(Enum):
     """What the shell is to do."""
 
     ACQUIRE = "acquire"
@@ -30,75 +30,75 @@
     name: str
     ttl: float  # s
     token: int = 0  # of the grant held; 0: none
-    until: float = 0.0  # by our clock: valid before that
+    expires_at: float = 0.0  # by our clock: valid before that
     renew_at: float = 0.0
-    try_at: float = 0.0
-    pause: float = RETRY[0]
-    sent: float | None = None  # when the request that is out was sent; None: none is
-    bounds: Bounds = USUAL
+    acquire_at: float = 0.0
+    backoff: float = ACQUIRE_BACKOFF[0]
+    request_sent_at: float | None = None  # when the request that is out was sent; None: none is
+    bounds: LeaseBounds = DEFAULT_BOUNDS
 
     def valid(self, now: float) -> bool:
         """Whether the task may act."""
-        return self.token != 0 and now < self.until - self.bounds.told
+        return self.token != 0 and now < self.expires_at - self.bounds.loss_notice
 
-    def tick(self, now: float) -> list[Do]:
+    def tick(self, now: float) -> list[Action]:
         """Time has passed. A request that is to be sent counts as sent now."""
-        found = []
+        actions = []
         if self.token and not self.valid(now):
             self.token = 0
-            found.append(Do.LOST)
-        if self.sent is not None:
-            return found
+            actions.append(Action.LOST)
+        if self.request_sent_at is not None:
+            return actions
         if self.token and now >= self.renew_at:
-            self.sent = now
-            found.append(Do.RENEW)
-        elif not self.token and now >= self.try_at:
-            self.sent = now
-            found.append(Do.ACQUIRE)
-        return found
-
-    def granted(self, now: float, token: int) -> list[Do]:
+            self.request_sent_at = now
+            actions.append(Action.RENEW)
+        elif not self.token and now >= self.acquire_at:
+            self.request_sent_at = now
+            actions.append(Action.ACQUIRE)
+        return actions
+
+    def granted(self, now: float, token: int) -> list[Action]:
         """The request that was out has been granted, or renewed the grant."""
-        sent, self.sent = self.sent, None
+        sent, self.request_sent_at = self.request_sent_at, None
         if sent is None:
             return []
         held = self.token
-        self.pause = RETRY[0]
-        until = sent + self.bounds.holder_may(self.ttl)
+        self.backoff = ACQUIRE_BACKOFF[0]
+        until = sent + self.bounds.holder_duration(self.ttl)
         if held and token != held:  # ours had run out, and another was given: the task begins anew
             self.token = 0
-        if until - self.bounds.told <= now:  # it took so long that nothing is left of it
-            self.try_at = now
-            return [Do.LOST] if held and not self.token else []
-        self.until = max(self.until, until) if self.token == token else until
-        self.renew_at = sent + RENEW_SHARE * self.ttl
+        if until - self.bounds.loss_notice <= now:  # it took so long that nothing is left of it
+            self.acquire_at = now
+            return [Action.LOST] if held and not self.token else []
+        self.expires_at = max(self.expires_at, until) if self.token == token else until
+        self.renew_at = sent + RENEW_FRACTION * self.ttl
         if self.token == token:
             return []
         self.token = token
-        return [Do.LOST, Do.GAINED] if held else [Do.GAINED]
+        return [Action.LOST, Action.GAINED] if held else [Action.GAINED]
 
-    def refused(self, now: float) -> list[Do]:
+    def rejected(self, now: float) -> list[Action]:
         """Another holds it, or our grant is over."""
-        self.sent = None
-        found = [Do.LOST] if self.token else []
+        self.request_sent_at = None
+        actions = [Action.LOST] if self.token else []
         self.token = 0
-        self._later(now)
-        return found
+        self._schedule_retry(now)
+        return actions
 
-    def free(self, now: float) -> None:
+    def released(self, now: float) -> None:
         """Nobody holds it any more, as the log tells: no need to wait."""
         if not self.token:
-            self.try_at, self.pause = now, RETRY[0]
+            self.acquire_at, self.backoff = now, ACQUIRE_BACKOFF[0]
 
-    def unanswered(self, now: float) -> list[Do]:
+    def timed_out(self, now: float) -> list[Action]:
         """Nothing is known of the request that was out: what is held stays as long as it did."""
-        self.sent = None
+        self.request_sent_at = None
         if self.token:
-            self.renew_at = now + RETRY[0]
+            self.renew_at = now + ACQUIRE_BACKOFF[0]
         else:
-            self._later(now)
+            self._schedule_retry(now)
         return []
 
-    def _later(self, now: float) -> None:
-        self.try_at = now + self.pause
-        self.pause = min(RETRY[1], 2 * self.pause)
+    def _schedule_retry(self, now: float) -> None:
+        self.acquire_at = now + self.backoff
+        self.backoff = min(ACQUIRE_BACKOFF[1], 2 * self.backoff)
--- a/tealwing/leases/keeper.py
+++ b/tealwing/leases/manager.py
@@ -17,28 +17,28 @@
 from typing import Any
 
 from tealwing import log, threads
-from tealwing.leases.expiry import Expiry
-from tealwing.leases.holder import Do, Holder
-from tealwing.peers.bounds import LEAST_TTL
+from tealwing.leases.bounds import MIN_TTL
+from tealwing.leases.expiry import LeaseExpiry
+from tealwing.leases.holder import Action, Holder
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
 from tealwing.replica.node import Replica, Unavailable, Unknown
 
 TICK = 0.02  # s between two looks at the clock
-MOST = 16  # leases that one gateway may want: each has a thread that asks for it
-RELEASE_WAIT = 0.5  # s that a release may take at the end; without it the lease runs out by itself
+MAX_LEASES = 16  # leases that one gateway may want: each has a thread that asks for it
+RELEASE_TIMEOUT = 0.5  # s that a release may take at the end; without it the lease runs out by itself
 
 
-class Held:
+class HeldLease:
     """A lease as its task sees it."""
 
-    def __init__(self, keeper: Keeper, holder: Holder, token: int) -> None:
-        self._keeper, self._holder, self.token = keeper, holder, token
+    def __init__(self, manager: LeaseManager, holder: Holder, token: int) -> None:
+        self._manager, self._holder, self.token = manager, holder, token
 
     def valid(self) -> bool:
         """Whether the task may act now, by this gateway's clock."""
-        with self._keeper.lock:
-            return self._holder.token == self.token and self._holder.valid(self._keeper.clock.now())
+        with self._manager.lock:
+            return self._holder.token == self.token and self._holder.valid(self._manager.clock.now())
 
     def wait(self, seconds: float) -> bool:
         """Wait, no longer than the lease is valid; whether it still is."""
@@ -47,7 +47,7 @@
             left = end - time.monotonic()
             if left <= 0:
                 return True
-            self._keeper.stopped.wait(min(left, TICK))
+            self._manager.stopped.wait(min(left, TICK))
         return False
 
     def fence(self) -> c.Fence:
@@ -55,86 +55,86 @@
         return c.Fence(self._holder.name, self.token)
 
 
-Gained = Callable[[Held], None]
+GainedCallback = Callable[[HeldLease], None]
 
 
-class Wanted:
+class ManagedLease:
     """One lease that a task here wants."""
 
-    def __init__(self, holder: Holder, gained: Gained, lost: Callable[[], None]) -> None:
-        self.holder, self.gained, self.lost = holder, gained, lost
-        self.asked = threading.Event()  # there is something for the asking thread
-        self.what = Do.ACQUIRE
+    def __init__(self, holder: Holder, gained: GainedCallback, lost: Callable[[], None]) -> None:
+        self.holder, self.on_gained, self.on_lost = holder, gained, lost
+        self.request_pending = threading.Event()  # there is something for the asking thread
+        self.next_request = Action.ACQUIRE
         self.dropped = False
         self.token = 0  # of the grant that the task was told of
 
 
-class Keeper:
+class LeaseManager:
     """All leases that this gateway wants, and, where it leads, the expiry of everyone's."""
 
     def __init__(self, replica: Replica, clock: Clock) -> None:
         self._replica, self.clock = replica, clock
         self.lock = threading.Lock()  # round the holders
         self.stopped = threading.Event()
-        self._wanted: dict[str, Wanted] = {}
-        self._expiry = Expiry()  # the replica's thread alone
+        self._leases: dict[str, ManagedLease] = {}
+        self._expiry = LeaseExpiry()  # the replica's thread alone
         self._sequence, self._client = 0, f"{replica.core.me}/{replica.start_number}"
         replica.watch(self._applied)
-        replica.on_led(lambda leads: self._expiry.lead(clock.now(), leads))
+        replica.on_led(lambda leads: self._expiry.set_leading(clock.now(), leads))
         replica.on_tick(self._expire)
-        replica.on_installed(self._reread)
-        self._reread()
+        replica.on_installed(self._reload)
+        self._reload()
 
     def start(self) -> None:
         """Keep leases from now on."""
-        threads.start(self._watch, "lease-watch")
+        threads.start(self._tick_loop, "lease-watch")
 
     def stop(self) -> None:
         """Give all back, as far as that can be done in time, and hold none."""
         self.stopped.set()
         with self.lock:
-            wanted = list(self._wanted.values())
-        for one in wanted:
-            one.asked.set()
-            self._drop(one)
+            leases = list(self._leases.values())
+        for lease in leases:
+            lease.request_pending.set()
+            self._give_up(lease)
 
-    def task(self, name: str, ttl: float, gained: Gained, lost: Callable[[], None] = lambda: None) -> None:
+    def task(self, name: str, ttl: float, gained: GainedCallback, lost: Callable[[], None] = lambda: None) -> None:
         """Want a lease for good; the task is told each time that it gains and loses it. ValueError if that can't be."""
-        if ttl < LEAST_TTL:
-            raise ValueError(f"a lease of {ttl:g} s; allowed: {LEAST_TTL:g} s or more")
-        wanted = Wanted(Holder(name, ttl, try_at=self.clock.now()), gained, lost)
+        if ttl < MIN_TTL:
+            raise ValueError(f"a lease of {ttl:g} s; allowed: {MIN_TTL:g} s or more")
+        lease = ManagedLease(Holder(name, ttl, acquire_at=self.clock.now()), gained, lost)
         with self.lock:
-            if name in self._wanted:
+            if name in self._leases:
                 raise ValueError(f"a task here wants {name} already")
-            if len(self._wanted) >= MOST:
-                raise ValueError(f"{MOST} leases are wanted here already")
-            self._wanted[name] = wanted
-        threads.start(lambda: self._ask(wanted), f"lease-{name}")
+            if len(self._leases) >= MAX_LEASES:
+                raise ValueError(f"{MAX_LEASES} leases are wanted here already")
+            self._leases[name] = lease
+        threads.start(lambda: self._request_loop(lease), f"lease-{name}")
 
     def drop(self, name: str) -> None:
         """Want it no more, and give it back."""
         with self.lock:
-            wanted = self._wanted.pop(name, None)
-        if wanted is not None:
-            wanted.dropped = True
-            wanted.asked.set()
-            self._drop(wanted)
+            lease = self._leases.pop(name, None)
+        if lease is not None:
+            lease.dropped = True
+            lease.request_pending.set()
+            self._give_up(lease)
 
     @contextlib.contextmanager
-    def lease(self, name: str, ttl: float, wait: float = 60.0) -> Iterator[Held]:
+    def lease(self, name: str, ttl: float, wait: float = 60.0) -> Iterator[HeldLease]:
         """Hold a lease for the block, which should end when it is no more valid. TimeoutError if it is not granted."""
-        got: list[Held] = []
-        there = threading.Event()
+        leases: list[HeldLease] = []
+        granted = threading.Event()
 
-        def gained(held: Held) -> None:
-            got.append(held)
-            there.set()
+        def gained(held: HeldLease) -> None:
+            leases.append(held)
+            granted.set()
 
         self.task(name, ttl, gained)
         try:
-            if not there.wait(wait):
+            if not granted.wait(wait):
                 raise TimeoutError(f"the lease {name} was not granted in {wait:g} s")
-            yield got[-1]
+            yield leases[-1]
         finally:
             self.drop(name)
 
@@ -142,10 +142,10 @@
         """What is wanted and held here, and what the state says of all leases."""
         now = self.clock.now()
         with self.lock:
-            here = [
+            local = [
                 {"name": name, "ttl_s": w.holder.ttl, "token": w.holder.token, "valid": w.holder.valid(now),
-                 "left_s": round(max(0.0, w.holder.until - now), 3) if w.holder.token else 0.0}
-                for name, w in self._wanted.items()
+                 "left_s": round(max(0.0, w.holder.expires_at - now), 3) if w.holder.token else 0.0}
+                for name, w in self._leases.items()
             ]  # fmt: skip
         with self._replica.lock:
             state = self._replica.state
@@ -155,48 +155,48 @@
                 for name, lease in sorted(state.tables["leases"].items())
             ]  # fmt: skip
             applied, refused = state.applied, state.refused_stale
-        return {"here": here, "leases": leases, "applied": applied, "refused_stale": refused}
+        return {"here": local, "leases": leases, "applied": applied, "refused_stale": refused}
 
     # The watching thread: it waits for nobody, so a loss is told in time
 
-    def _watch(self) -> None:
+    def _tick_loop(self) -> None:
         while not self.stopped.wait(self.clock.real(TICK)):
             with self.lock:
                 now = self.clock.now()
-                found = [(wanted, wanted.holder.tick(now)) for wanted in self._wanted.values()]
-            for wanted, things in found:
-                self._carry_out(wanted, things)
-
-    def _carry_out(self, wanted: Wanted, things: list[Do]) -> None:
-        for what in things:
-            if what in (Do.ACQUIRE, Do.RENEW):
-                wanted.what = what
-                wanted.asked.set()
-            elif what is Do.LOST:
-                log.event("lease_lost", name=wanted.holder.name, token=wanted.token)
-                wanted.lost()
+                due = [(lease, lease.holder.tick(now)) for lease in self._leases.values()]
+            for lease, actions in due:
+                self._execute(lease, actions)
+
+    def _execute(self, lease: ManagedLease, actions: list[Action]) -> None:
+        for action in actions:
+            if action in (Action.ACQUIRE, Action.RENEW):
+                lease.next_request = action
+                lease.request_pending.set()
+            elif action is Action.LOST:
+                log.event("lease_lost", name=lease.holder.name, token=lease.token)
+                lease.on_lost()
             else:
-                wanted.token = wanted.holder.token
-                held = Held(self, wanted.holder, wanted.token)
-                log.event("lease_gained", name=wanted.holder.name, token=wanted.token)
+                lease.token = lease.holder.token
+                held = HeldLease(self, lease.holder, lease.token)
+                log.event("lease_acquired", name=lease.holder.name, token=lease.token)
                 try:
-                    threads.start(lambda held=held: wanted.gained(held), f"task-{wanted.holder.name}")  # type: ignore[misc]
+                    threads.start(lambda held=held: lease.on_gained(held), f"task-{lease.holder.name}")  # type: ignore[misc]
                 except threads.ThreadUnavailableError:  # nobody acts; it runs out, or is renewed until there is one
                     continue
 
     # The asking threads: one a lease, as a call may wait
 
-    def _ask(self, wanted: Wanted) -> None:
-        holder = wanted.holder
+    def _request_loop(self, lease: ManagedLease) -> None:
+        holder = lease.holder
         while True:
-            wanted.asked.wait()
-            wanted.asked.clear()
-            if self.stopped.is_set() or wanted.dropped:
+            lease.request_pending.wait()
+            lease.request_pending.clear()
+            if self.stopped.is_set() or lease.dropped:
                 return
-            renews = wanted.what is Do.RENEW
+            renews = lease.next_request is Action.RENEW
             body: c.Body = c.Acquire(holder.name, self._client, round(holder.ttl * 1e3))
             if renews:
-                body = c.Renew(holder.name, wanted.token)
+                body = c.Renew(holder.name, lease.token)
             try:
                 result = self._replica.write(self._command(body), holder.ttl / 2)
             except (Unknown, Unavailable):
@@ -204,28 +204,28 @@
             with self.lock:
                 now = self.clock.now()
                 if result is None:
-                    things = holder.unanswered(now)
+                    actions = holder.timed_out(now)
                 elif result.ok:
-                    things = holder.granted(now, result.version)
+                    actions = holder.granted(now, result.version)
                 else:
-                    things = holder.refused(now)
-            self._carry_out(wanted, things)
+                    actions = holder.rejected(now)
+            self._execute(lease, actions)
 
     def _command(self, body: c.Body) -> c.Command:
         with self.lock:
             self._sequence += 1
             # each request is a session of its own: threads of several leases ask at once
-            return c.Command(f"{self._client}/{self._sequence % MOST}", self._sequence, body)
+            return c.Command(f"{self._client}/{self._sequence % MAX_LEASES}", self._sequence, body)
 
-    def _drop(self, wanted: Wanted) -> None:
+    def _give_up(self, lease: ManagedLease) -> None:
         """Hold it no more; release what was held, the task having been told."""
         with self.lock:
-            token, wanted.holder.token = wanted.holder.token, 0
+            token, lease.holder.token = lease.holder.token, 0
         if not token:
             return
-        self._carry_out(wanted, [Do.LOST])
+        self._execute(lease, [Action.LOST])
         with contextlib.suppress(Unknown, Unavailable):
-            self._replica.write(c.Command("", 0, c.Release(wanted.holder.name, token)), RELEASE_WAIT)
+            self._replica.write(c.Command("", 0, c.Release(lease.holder.name, token)), RELEASE_TIMEOUT)
 
     # The replica's thread
 
@@ -240,16 +240,16 @@
             case c.Release(name) | c.Expire(name):
                 self._expiry.ended(name)
                 with self.lock:
-                    if name in self._wanted:
-                        self._wanted[name].holder.free(now)
+                    if name in self._leases:
+                        self._leases[name].holder.released(now)
 
-    def _reread(self) -> None:
+    def _reload(self) -> None:
         """The state as a whole is new: from the disk, or another's snapshot."""
         leases = self._replica.state.tables["leases"].items()
         held = {name: (lease.token, lease.renewed, lease.ttl / 1e3) for name, lease in leases if lease.held}
         self._expiry.replace(self.clock.now(), held)
 
     def _expire(self, now: float) -> None:
-        for name, token, renewed in self._expiry.due(now):
+        for name, token, renewed in self._expiry.expired(now):
             log.event("lease_expired", name=name, token=token)
             self._replica.propose_here(c.encode(c.Command("", 0, c.Expire(name, token, renewed))))
--- a/tealwing/peers/control.py
+++ b/tealwing/peers/control.py
@@ -22,11 +22,11 @@
 from tealwing.peers.plan import Address
 from tealwing.sockets import set_limit
 
-MOST_CALLERS = 32  # connections at once: each holds a thread
-QUIET = 30.0  # s that a caller may say nothing between two calls
-REST = 2.0  # s for the rest of a call that has begun
-WRITE_LIMIT = 2.0  # s that a caller may take nothing of its answer
-LONGEST_WAIT = 60.0  # s that a call may ask to wait
+MAX_CONNECTIONS = 32  # connections at once: each holds a thread
+IDLE_TIMEOUT = 30.0  # s that a caller may say nothing between two calls
+FRAME_TIMEOUT = 2.0  # s for the rest of a call that has begun
+WRITE_TIMEOUT = 2.0  # s that a caller may take nothing of its answer
+MAX_WAIT = 60.0  # s that a call may ask to wait
 BACKLOG = 64
 ACCEPT_PAUSE = 0.05  # s before a failed accept is tried again
 
@@ -37,7 +37,7 @@
 _decode = msgspec.msgpack.Decoder(dict[str, Any]).decode
 
 
-class Denied(ValueError):
+class CallRejectedError(ValueError):
     """A call that is turned down; the text says why, for the caller."""
 
 
@@ -46,22 +46,22 @@
     if name not in fields:
         if default is not None:
             return default
-        raise Denied(f"{name}: missing")
+        raise CallRejectedError(f"{name}: missing")
     try:
         return msgspec.convert(fields[name], kind)
     except msgspec.ValidationError as error:
-        raise Denied(f"{name}: {error}") from None
+        raise CallRejectedError(f"{name}: {error}") from None
 
 
-def wait_of(fields: Fields, default: float) -> float:
+def wait_seconds(fields: Fields, default: float) -> float:
     """The seconds that a call may wait, as its field `wait_s` says."""
     wait = float(field(fields, "wait_s", float, default))
-    if not 0 <= wait <= LONGEST_WAIT:
-        raise Denied(f"wait_s: {wait:g}; allowed: 0 to {LONGEST_WAIT:g}")
+    if not 0 <= wait <= MAX_WAIT:
+        raise CallRejectedError(f"wait_s: {wait:g}; allowed: 0 to {MAX_WAIT:g}")
     return wait
 
 
-class Control:
+class ControlServer:
     """Answers calls by the handlers that are registered."""
 
     def __init__(self, address: Address) -> None:
@@ -69,7 +69,7 @@
         self._listener = socket.create_server(address, backlog=BACKLOG)
         self._handlers: dict[str, Handler] = {}
         self._lock = threading.Lock()
-        self._callers: set[socket.socket] = set()
+        self._connections: set[socket.socket] = set()
         self._stopped = threading.Event()
 
     @property
@@ -93,7 +93,7 @@
             self._listener.shutdown(socket.SHUT_RD)
         self._listener.close()
         with self._lock:
-            for sock in self._callers:
+            for sock in self._connections:
                 with contextlib.suppress(OSError):
                     sock.shutdown(socket.SHUT_RD)
 
@@ -108,7 +108,7 @@
             return {"error": f"call: {fields.get('call')!r}; allowed: {', '.join(sorted(self._handlers))}"}
         try:
             return handler(fields)
-        except Denied as error:
+        except CallRejectedError as error:
             return {"error": str(error)}
         except Exception:  # a fault of ours ends one call
             log.event("control_call_failed", call=fields.get("call"), trace=traceback.format_exc(limit=-3))
@@ -122,29 +122,29 @@
                 if self._stopped.wait(ACCEPT_PAUSE):
                     return
                 continue
-            set_limit(sock, socket.SO_SNDTIMEO, WRITE_LIMIT)
+            set_limit(sock, socket.SO_SNDTIMEO, WRITE_TIMEOUT)
             with self._lock:
-                full = len(self._callers) >= MOST_CALLERS
+                full = len(self._connections) >= MAX_CONNECTIONS
                 if not full:
-                    self._callers.add(sock)
+                    self._connections.add(sock)
             if not full:
                 try:
-                    threads.start(lambda sock=sock: self._serve(sock), "control")  # type: ignore[misc]
+                    threads.start(lambda sock=sock: self._serve_connection(sock), "control")  # type: ignore[misc]
                     continue
                 except threads.ThreadUnavailableError:
                     pass
-            self._refuse(sock)
+            self._reject(sock)
 
-    def _refuse(self, sock: socket.socket) -> None:
+    def _reject(self, sock: socket.socket) -> None:
         with self._lock:
-            self._callers.discard(sock)
+            self._connections.discard(sock)
         with contextlib.suppress(OSError):
-            sock.sendall(frames.encode(_encode({"error": f"{MOST_CALLERS} callers are here already"})))
+            sock.sendall(frames.encode(_encode({"error": f"{MAX_CONNECTIONS} callers are here already"})))
         sock.close()
 
-    def _serve(self, sock: socket.socket) -> None:
+    def _serve_connection(self, sock: socket.socket) -> None:
         parser, buffer = frames.Parser(), memoryview(bytearray(4096))
-        limit = time.monotonic() + QUIET
+        limit = time.monotonic() + IDLE_TIMEOUT
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             while (left := limit - time.monotonic()) > 0:
@@ -152,27 +152,27 @@
                 size = sock.recv_into(buffer)
                 if not size:
                     return
-                begun = parser.begun
+                begun = parser.has_partial_frame
                 for payload in parser.feed(buffer[:size]):
                     sock.sendall(frames.encode(_encode(self.answer(payload))))
                     begun = False
-                if not parser.begun:
-                    limit = time.monotonic() + QUIET
+                if not parser.has_partial_frame:
+                    limit = time.monotonic() + IDLE_TIMEOUT
                 elif not begun:
-                    limit = time.monotonic() + REST
+                    limit = time.monotonic() + FRAME_TIMEOUT
         except (OSError, frames.FrameError):  # the caller went, or said what can't be read
             pass
         finally:
             with self._lock:
-                self._callers.discard(sock)
+                self._connections.discard(sock)
             sock.close()
 
 
-class Turned(RuntimeError):
+class RemoteCallError(RuntimeError):
     """The gateway turned the call down; the text is its word."""
 
 
-class Caller:
+class ControlClient:
     """One connection to a control address, for one thread."""
 
     def __init__(self, address: Address, connect_limit: float = 1.0) -> None:
@@ -180,7 +180,7 @@
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._parser = frames.Parser()
 
-    def ask(self, call: str, limit: float = 5.0, **fields: Any) -> Fields:
+    def call(self, call: str, limit: float = 5.0, **fields: Any) -> Fields:
         """One call, waited for so many seconds. Turned where it was turned down, OSError where no answer came."""
         self._sock.settimeout(limit)
         self._sock.sendall(frames.encode(_encode({"call": call, **fields})))
@@ -195,7 +195,7 @@
             if found:
                 answer = _decode(found[0])
                 if "error" in answer:
-                    raise Turned(str(answer["error"]))
+                    raise RemoteCallError(str(answer["error"]))
                 return answer
 
     def close(self) -> None:
@@ -203,10 +203,10 @@
         self._sock.close()
 
 
-def ask(address: Address, call: str, limit: float = 5.0, **fields: Any) -> Fields:
+def call_control(address: Address, call: str, limit: float = 5.0, **fields: Any) -> Fields:
     """One call on a connection of its own."""
-    caller = Caller(address)
+    caller = ControlClient(address)
     try:
-        return caller.ask(call, limit, **fields)
+        return caller.call(call, limit, **fields)
     finally:
         caller.close()
--- a/tealwing/peers/frames.py
+++ b/tealwing/peers/frames.py
@@ -12,9 +12,8 @@
 import xxhash
 
 MAGIC, VERSION = b"TWP", 1
-HEAD = struct.Struct(">3sBIQ")
-LARGEST = 1 << 20  # bytes of a payload: a snapshot goes in chunks well below
-KEPT = 64 * 1024  # bytes of a parser's buffer that stay for the next frames
+HEADER = struct.Struct(">3sBIQ")
+MAX_PAYLOAD = 1 << 20  # bytes of a payload: a snapshot goes in chunks well below
 
 
 class FrameError(ValueError):
@@ -23,9 +22,9 @@
 
 def encode(payload: bytes) -> bytes:
     """A payload as a frame."""
-    if len(payload) > LARGEST:
-        raise FrameError(f"a payload of {len(payload)} bytes, and {LARGEST} is the most")
-    return HEAD.pack(MAGIC, VERSION, len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
+    if len(payload) > MAX_PAYLOAD:
+        raise FrameError(f"a payload of {len(payload)} bytes, and {MAX_PAYLOAD} is the most")
+    return HEADER.pack(MAGIC, VERSION, len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
 
 
 class Parser:
@@ -35,29 +34,29 @@
         self._data = bytearray()
 
     @property
-    def begun(self) -> bool:
+    def has_partial_frame(self) -> bool:
         """Whether a part of a frame has come."""
         return bool(self._data)
 
     def feed(self, data: bytes | memoryview) -> list[bytes]:
         """Take in what has come; the payloads of the frames that are whole now."""
         self._data += data
-        found, at = [], 0
-        while len(self._data) - at >= HEAD.size:
-            magic, version, length, digest = HEAD.unpack_from(self._data, at)
+        payloads, at = [], 0
+        while len(self._data) - at >= HEADER.size:
+            magic, version, length, digest = HEADER.unpack_from(self._data, at)
             if magic != MAGIC:
                 raise FrameError(f"{bytes(magic)!r} where a frame was due")
             if version != VERSION:
                 raise FrameError(f"version {version}, and this is version {VERSION}")
-            if length > LARGEST:  # known before its bytes are kept
-                raise FrameError(f"a frame of {length} bytes, and {LARGEST} is the most")
-            end = at + HEAD.size + length
+            if length > MAX_PAYLOAD:  # known before its bytes are kept
+                raise FrameError(f"a frame of {length} bytes, and {MAX_PAYLOAD} is the most")
+            end = at + HEADER.size + length
             if len(self._data) < end:
                 break
-            payload = bytes(self._data[at + HEAD.size : end])
+            payload = bytes(self._data[at + HEADER.size : end])
             if xxhash.xxh3_64_intdigest(payload) != digest:
                 raise FrameError("a frame whose checksum does not match")
-            found.append(payload)
+            payloads.append(payload)
             at = end
         del self._data[:at]
-        return found
+        return payloads
--- a/tealwing/peers/inbound.py
+++ b/tealwing/peers/inbound.py
@@ -8,20 +8,20 @@
 from typing import TYPE_CHECKING
 
 from tealwing.peers import frames, messages
-from tealwing.peers.plan import Times
+from tealwing.peers.plan import LinkTimes
 
 if TYPE_CHECKING:
     from tealwing.peers.link import Link
 
 
-class Inbound:
+class InboundConnection:
     """A connection on which a peer speaks."""
 
-    def __init__(self, link: Link, sock: socket.socket, times: Times) -> None:
+    def __init__(self, link: Link, sock: socket.socket, times: LinkTimes) -> None:
         self._link, self._sock, self._times = link, sock, times
         self._parser = frames.Parser()
-        self.name, self.boot = "", 0
-        self.limit = time.monotonic() + times.hello
+        self.name, self.incarnation = "", 0
+        self.deadline = time.monotonic() + times.hello_timeout
 
     def fileno(self) -> int:
         """The descriptor."""
@@ -32,19 +32,19 @@
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
         except BlockingIOError:
-            return self.limit
+            return self.deadline
         if not size:
             raise EOFError
         self._link.received_bytes += size
         for payload in self._parser.feed(buffer[:size]):
-            self._link.heard(self, messages.decode(payload))
-            self.limit = time.monotonic() + self._times.silent
-        return self.limit
+            self._link.receive(self, messages.decode(payload))
+            self.deadline = time.monotonic() + self._times.idle_timeout
+        return self.deadline
 
     def ended(self, why: Exception | None) -> None:
         """It is read no more."""
         self.close()
-        self._link.lost(self, why)
+        self._link.connection_ended(self, why)
 
     def close(self) -> None:
         """End it."""
@@ -52,7 +52,7 @@
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
 
-    def shut(self) -> None:
+    def shutdown(self) -> None:
         """Have the reader end it."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
--- a/tealwing/peers/link.py
+++ b/tealwing/peers/link.py
@@ -24,9 +24,9 @@
 from tealwing.connection_reader import ConnectionReader
 from tealwing.gossip.members import State
 from tealwing.peers import frames, messages
-from tealwing.peers.book import Book, Change
-from tealwing.peers.inbound import Inbound
-from tealwing.peers.outbound import Outbound
+from tealwing.peers.inbound import InboundConnection
+from tealwing.peers.outbound import OutboundConnection
+from tealwing.peers.peer_table import PeerTable, StateChange
 from tealwing.peers.plan import Address, Plan
 
 BACKLOG = 64
@@ -34,8 +34,10 @@
 DESCRIPTOR_SHARE = 0.5  # of the process's descriptors, for the link: clients and engines have the others
 SPARE_INBOUND = 8  # connections beside one of each peer's: of a peer that starts anew, or of a stranger for `hello`
 
-Hear = Callable[[str, bytes], None]  # name of the peer, body; on the reader's thread: quick, and never blocking
-Watch = Callable[[Change], None]
+MessageHandler = Callable[
+    [str, bytes], None
+]  # name of the peer, body; on the reader's thread: quick, and never blocking
+StateWatcher = Callable[[StateChange], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,18 +50,18 @@
     received_bytes: int
 
 
-class LinkFault(ValueError):
+class LinkError(ValueError):
     """The link can't begin; the text says why."""
 
 
 def check_descriptors(plan: Plan, limit: int) -> None:
     """LinkFault where the connections to and from all members would take more than half of the descriptors."""
-    needed = len(plan.spoken_to()) + len(plan.members) - 1
+    needed = len(plan.linked_members()) + len(plan.members) - 1
     if needed > limit * DESCRIPTOR_SHARE:
-        least = ceil(needed / DESCRIPTOR_SHARE)
-        raise LinkFault(
+        minimum = ceil(needed / DESCRIPTOR_SHARE)
+        raise LinkError(
             f"peers: member {plan.name} has up to {needed} connections to and from {len(plan.members)} members, and the"
-            f" process may open {limit} files, of which the link may take half; allowed: a limit of {least} or more"
+            f" process may open {limit} files, of which the link may take half; allowed: a limit of {minimum} or more"
             " (ulimit -n), or fewer members"
         )
 
@@ -67,31 +69,33 @@
 class Link:
     """One gateway among its peers."""
 
-    def __init__(self, plan: Plan, boot: int | None = None) -> None:
+    def __init__(self, plan: Plan, incarnation: int | None = None) -> None:
         """boot is ms of the Unix clock at this start (now, if None). LinkFault where the address can't be had."""
         self.plan = plan
-        self.boot = int(time.time() * 1e3) if boot is None else boot
+        self.incarnation = int(time.time() * 1e3) if incarnation is None else incarnation
         listen = plan.address(plan.name)
         assert listen is not None  # the section's check
         check_descriptors(plan, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         try:
             self._listener = socket.create_server(listen, backlog=BACKLOG)
         except OSError as error:
-            raise LinkFault(f"peers: member {plan.name} {listen[0]}:{listen[1]}: {error.strerror}") from None
+            raise LinkError(f"peers: member {plan.name} {listen[0]}:{listen[1]}: {error.strerror}") from None
         self.lock = threading.Lock()  # round the book, the connections and the senders
         self._members = {name: address for name, address in plan.members if name != plan.name}
         self._needed: dict[str, frozenset[str]] = {}  # by who needs them: members to speak to, beside the plan's
-        self._book = Book(self._members, plan.times, time.monotonic())
-        spoken = plan.spoken_to()
-        self._out = {name: Outbound(self, name, to) for name, to in self._members.items() if name in spoken}
-        self._inbound: set[Inbound] = set()
-        self._channels: dict[int, Hear] = {}
-        self._watchers: list[Watch] = []
-        self._sequences = {name: itertools.count(1) for name in self._out}
+        self._table = PeerTable(self._members, plan.times, time.monotonic())
+        linked = plan.linked_members()
+        self._senders = {
+            name: OutboundConnection(self, name, to) for name, to in self._members.items() if name in linked
+        }
+        self._inbound: set[InboundConnection] = set()
+        self._channels: dict[int, MessageHandler] = {}
+        self._watchers: list[StateWatcher] = []
+        self._sequences = {name: itertools.count(1) for name in self._senders}
         self._started = False
         self._stopped = threading.Event()
         self._reader = ConnectionReader("peer-reader", limited=True)
-        self._complaints = 0
+        self._connection_errors = 0
         self.received_bytes = self._received = 0  # bytes and messages that came, of the reader's thread
 
     @property
@@ -100,25 +104,25 @@
         host, port = self._listener.getsockname()
         return host, port
 
-    def on(self, channel: int, hear: Hear) -> None:
+    def on(self, channel: int, handler: MessageHandler) -> None:
         """Have what comes on a channel handed on; before the start."""
-        self._channels[channel] = hear
+        self._channels[channel] = handler
 
-    def watch(self, watch: Watch) -> None:
+    def watch(self, watcher: StateWatcher) -> None:
         """Be told of peers that are heard again, suspected or lost; before the start, never under our lock."""
-        self._watchers.append(watch)
+        self._watchers.append(watcher)
 
     def start(self) -> None:
         """Listen and dial from now on."""
         self._reader.start()
         threads.start(self._accept, "peer-accept")
-        threads.start(self._look, "peer-looks")
+        threads.start(self._monitor, "peer-looks")
         with self.lock:
             self._started = True
-            outbounds = list(self._out.values())
+            outbounds = list(self._senders.values())
         for outbound in outbounds:
             outbound.start()
-        log.event("peers_started", name=self.plan.name, address=self.address, peers=self._book.names())
+        log.event("peers_started", name=self.plan.name, address=self.address, peers=self._table.names())
 
     def stop(self) -> None:
         """End all connections and threads of the link."""
@@ -127,36 +131,36 @@
             self._listener.shutdown(socket.SHUT_RD)
         self._listener.close()
         with self.lock:
-            inbound, outbound = list(self._inbound), list(self._out.values())
+            inbound, outbound = list(self._inbound), list(self._senders.values())
         for sender in outbound:
             sender.stop()
         for connection in inbound:
-            connection.shut()
+            connection.shutdown()
 
     def send(self, name: str, channel: int, body: bytes) -> bool:
         """Send to a peer, as far as it is reached; False where it is none that we speak to. Never blocks."""
         with self.lock:
-            outbound = self._out.get(name)
+            outbound = self._senders.get(name)
             if outbound is None:
                 return False
             payload = messages.encode(messages.Data(channel, next(self._sequences[name]), body))
-            outbound.outbox.put(payload)  # in the order of its numbers
+            outbound.queue.put(payload)  # in the order of its numbers
         return True
 
     def live(self) -> list[str]:
         """The peers that are heard."""
         with self.lock:
-            return self._book.live()
+            return self._table.live()
 
     def change(self, members: dict[str, Address]) -> None:
         """Other members: the senders and all that is kept of those that go, go with them."""
         with self.lock:
             self._members = {name: address for name, address in members.items() if name != self.plan.name}
-            self._book.set_names(self._members, time.monotonic())
+            self._table.set_members(self._members, time.monotonic())
             strangers = [connection for connection in self._inbound if connection.name not in ("", *self._members)]
         self._set_senders()
         for connection in strangers:
-            connection.shut()
+            connection.shutdown()
 
     def reach(self, who: str, names: Collection[str]) -> None:
         """Speak to these members too, as that one needs them, until it says otherwise. Any thread; never blocks."""
@@ -167,22 +171,22 @@
     def _set_senders(self) -> None:
         """Have a sender to each member that is to be spoken to, and to no other."""
         with self.lock:
-            spoken = self.plan.spoken_to().union(*self._needed.values()) if self.plan.learners else self._members
-            wanted = {name: address for name, address in self._members.items() if name in spoken}
-            gone = [out for name, out in self._out.items() if wanted.get(name) != out.address]
-            for outbound in gone:
-                del self._out[outbound.name]
+            linked = self.plan.linked_members().union(*self._needed.values()) if self.plan.learners else self._members
+            targets = {name: address for name, address in self._members.items() if name in linked}
+            removed = [out for name, out in self._senders.items() if targets.get(name) != out.address]
+            for outbound in removed:
+                del self._senders[outbound.name]
                 del self._sequences[outbound.name]
-                if outbound.name not in wanted:
-                    self._book.forget(outbound.name, time.monotonic())
-            fresh = [Outbound(self, name, wanted[name]) for name in wanted if name not in self._out]
-            for outbound in fresh:
-                self._out[outbound.name] = outbound
+                if outbound.name not in targets:
+                    self._table.reset(outbound.name, time.monotonic())
+            added = [OutboundConnection(self, name, targets[name]) for name in targets if name not in self._senders]
+            for outbound in added:
+                self._senders[outbound.name] = outbound
                 self._sequences[outbound.name] = itertools.count(1)
             started = self._started and not self._stopped.is_set()
-        for outbound in gone:
+        for outbound in removed:
             outbound.stop()
-        for outbound in fresh if started else ():
+        for outbound in added if started else ():
             try:
                 outbound.start()
             except threads.ThreadUnavailableError:  # logged there; without a sender it is as good as unreachable
@@ -191,45 +195,45 @@
     def traffic(self) -> Traffic:
         """What has passed so far; connections to peers that are spoken to no more count no more."""
         with self.lock:
-            senders = list(self._out.values())
+            senders = list(self._senders.values())
         sent, sent_bytes = sum(one.sent for one in senders), sum(one.sent_bytes for one in senders)
         return Traffic(sent, sent_bytes, self._received, self.received_bytes)
 
     def status(self) -> list[dict[str, Any]]:
         """What is known of each peer; seconds and counts."""
         now = time.monotonic()
-        found = []
+        peers = []
         with self.lock:
-            for name in self._book.names():
-                peer, out = self._book.get(name), self._out.get(name)
+            for name in self._table.names():
+                peer, out = self._table.get(name), self._senders.get(name)
                 assert peer is not None
                 unlinked = out is None and peer.state is not State.ALIVE  # nothing says whether it lives
                 silence = peer.silence(now)
-                found.append(
+                peers.append(
                     {
                         "name": name,
                         "state": "unlinked" if unlinked else peer.state.name.lower(),
                         "for_s": round(now - peer.since, 3),
                         "silence_s": None if silence is None else round(silence, 3),
-                        "boot": peer.boot,
+                        "boot": peer.incarnation,
                         "received": peer.received,
-                        "repeated": peer.repeated,
+                        "repeated": peer.duplicates,
                         "connected": out is not None and out.connected,
                         "dials": out.dials if out is not None else 0,
                         "sent": out.sent if out is not None else 0,
-                        "waiting": len(out.outbox) if out is not None else 0,
-                        "dropped": out.outbox.dropped if out is not None else 0,
+                        "waiting": len(out.queue) if out is not None else 0,
+                        "dropped": out.queue.dropped if out is not None else 0,
                     }
                 )
-        return found
+        return peers
 
     # For the connections
 
     def hello(self, to: str) -> messages.Hello:
         """Who we are."""
-        return messages.Hello(self.plan.fleet, self.plan.name, to, self.boot)
+        return messages.Hello(self.plan.fleet, self.plan.name, to, self.incarnation)
 
-    def heard(self, connection: Inbound, message: messages.Message) -> None:
+    def receive(self, connection: InboundConnection, message: messages.Message) -> None:
         """One message, on the reader's thread. FrameError ends the connection."""
         now = time.monotonic()
         self._received += 1
@@ -243,39 +247,41 @@
                     f" this is {self.plan.name} of {self.plan.fleet!r}"
                 )
             with self.lock:
-                welcome, change = self._book.greet(message.name, message.boot, now)
-                before = [c for c in self._inbound if c.name == message.name]
-            if not welcome:
+                is_member, change = self._table.accept_hello(message.name, message.incarnation, now)
+                earlier = [c for c in self._inbound if c.name == message.name]
+            if not is_member:
                 raise frames.FrameError(f"a hello of {message.name}, which is no member")
-            connection.name, connection.boot = message.name, message.boot
-            for other in before:  # of one direction the last connection counts
-                other.shut()
+            connection.name, connection.incarnation = message.name, message.incarnation
+            for other in earlier:  # of one direction the last connection counts
+                other.shutdown()
         elif isinstance(message, messages.Hello):
             raise frames.FrameError("a second hello")
         else:
             with self.lock:
-                change = self._book.hear(connection.name, now)
+                change = self._table.record_contact(connection.name, now)
                 data = isinstance(message, messages.Data)
-                news = data and self._book.take(connection.name, connection.boot, message.sequence)
-            if news and isinstance(message, messages.Data) and (hear := self._channels.get(message.channel)):
-                self._hand_on(hear, connection.name, message.body)
+                is_new = data and self._table.accept_message(connection.name, connection.incarnation, message.sequence)
+            if is_new and isinstance(message, messages.Data) and (handler := self._channels.get(message.channel)):
+                self._dispatch(handler, connection.name, message.body)
         if change is not None:
-            self._tell(change)
+            self._notify(change)
 
-    def _hand_on(self, hear: Hear, name: str, body: bytes) -> None:
+    def _dispatch(self, handler: MessageHandler, name: str, body: bytes) -> None:
         try:
-            hear(name, body)
+            handler(name, body)
         except ValueError as error:  # a body that its package can't read: nothing more of this connection counts
             raise frames.FrameError(f"a message of {name}: {error}") from None
 
-    def lost(self, connection: Inbound, why: Exception | None) -> None:
+    def connection_ended(self, connection: InboundConnection, why: Exception | None) -> None:
         """A connection has ended."""
         with self.lock:
             self._inbound.discard(connection)
         if not isinstance(why, (EOFError, OSError)) and not self._stopped.is_set():
-            self._complaints += 1
-            if self._complaints & (self._complaints - 1) == 0:  # a flood writes few lines
-                log.event("peer_connection_ended", peer=connection.name or None, why=str(why), so_far=self._complaints)
+            self._connection_errors += 1
+            if self._connection_errors & (self._connection_errors - 1) == 0:  # a flood writes few lines
+                log.event(
+                    "peer_connection_ended", peer=connection.name or None, why=str(why), so_far=self._connection_errors
+                )
 
     def _accept(self) -> None:
         while not self._stopped.is_set():
@@ -286,30 +292,30 @@
                     return
                 log.event("accept_failed", error=str(error))
                 continue
-            connection = Inbound(self, sock, self.plan.times)
+            connection = InboundConnection(self, sock, self.plan.times)
             with self.lock:
-                full = len(self._inbound) >= len(self._book.names()) + SPARE_INBOUND
+                full = len(self._inbound) >= len(self._table.names()) + SPARE_INBOUND
                 if not full:
                     self._inbound.add(connection)
             if full:  # strangers hold the places: each for `hello` seconds at most
                 connection.close()
                 continue
             try:
-                self._reader.watch(connection, connection.limit)
+                self._reader.watch(connection, connection.deadline)
             except (threads.ThreadUnavailableError, OSError):
                 connection.close()
                 with self.lock:
                     self._inbound.discard(connection)
 
-    def _look(self) -> None:
-        while not self._stopped.wait(self.plan.times.beat):
+    def _monitor(self) -> None:
+        while not self._stopped.wait(self.plan.times.heartbeat):
             with self.lock:
-                changes = self._book.tick(time.monotonic())
+                changes = self._table.check_timeouts(time.monotonic())
             for change in changes:
-                self._tell(change)
+                self._notify(change)
 
-    def _tell(self, change: Change) -> None:
-        names = {State.ALIVE: "peer_heard", State.SUSPECT: "peer_suspected", State.DEAD: "peer_lost"}
-        log.event(names[change.state], peer=change.name, after=round(change.lasted, 3))
-        for watch in self._watchers:
-            watch(change)
+    def _notify(self, change: StateChange) -> None:
+        names = {State.ALIVE: "peer_alive", State.SUSPECT: "peer_suspected", State.DEAD: "peer_dead"}
+        log.event(names[change.state], peer=change.name, after=round(change.previous_duration, 3))
+        for watcher in self._watchers:
+            watcher(change)
--- a/tealwing/peers/messages.py
+++ b/tealwing/peers/messages.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from tealwing.gossip.messages import Name
-from tealwing.peers.frames import LARGEST, FrameError
+from tealwing.peers.frames import MAX_PAYLOAD, FrameError
 
-MOST_BODY = LARGEST - 1024  # bytes of a body: the rest is for what goes round it
+MAX_BODY = MAX_PAYLOAD - 1024  # bytes of a body: the rest is for what goes round it
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 Channel = Annotated[int, msgspec.Meta(ge=1, le=15)]
 
@@ -28,10 +28,10 @@
     fleet: Annotated[str, msgspec.Meta(max_length=64)]
     name: Name
     to: Name
-    boot: Count  # ms of the Unix clock at the sender's start: with another one its numbers begin anew
+    incarnation: Count  # ms of the Unix clock at the sender's start: with another one its numbers begin anew
 
 
-class Beat(Record, tag=2, frozen=True):
+class Heartbeat(Record, tag=2, frozen=True):
     """The sender lives; sent where nothing else was for a while."""
 
     sequence: Count
@@ -42,10 +42,10 @@
 
     channel: Channel
     sequence: Count  # of the sender's start and this direction: a second copy is dropped
-    body: Annotated[bytes, msgspec.Meta(max_length=MOST_BODY)]
+    body: Annotated[bytes, msgspec.Meta(max_length=MAX_BODY)]
 
 
-Message = Hello | Beat | Data
+Message = Hello | Heartbeat | Data
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
--- a/tealwing/peers/outbound.py
+++ b/tealwing/peers/outbound.py
@@ -11,29 +11,32 @@
 from tealwing import threads
 from tealwing.coordinator.backoff import Backoff
 from tealwing.peers import frames, messages
-from tealwing.peers.outbox import Outbox
 from tealwing.peers.plan import Address
+from tealwing.peers.send_queue import SendQueue
 from tealwing.sockets import set_limit
 
 if TYPE_CHECKING:
     from tealwing.peers.link import Link
 
-RETRY = (0.05, 1.0)  # s between two dials, least and most, jittered: a healed cut is noticed within the most
-CONNECT_LIMIT = 1.0  # s
-WRITE_LIMIT = 1.0  # s that a peer may take nothing before the connection is given up
-BATCH = 256 * 1024  # bytes written at once
+RECONNECT_BACKOFF = (
+    0.05,
+    1.0,
+)  # s between two dials, least and most, jittered: a healed cut is noticed within the most
+CONNECT_TIMEOUT = 1.0  # s
+WRITE_TIMEOUT = 1.0  # s that a peer may take nothing before the connection is given up
+MAX_BATCH_BYTES = 256 * 1024  # bytes written at once
 
 
-class Outbound:
+class OutboundConnection:
     """The sender to one peer: its outbox and its thread."""
 
     def __init__(self, link: Link, name: str, address: Address) -> None:
         self._link, self.name, self.address = link, name, address
         plan = link.plan
-        self.outbox = Outbox(plan.queue, plan.room())
-        self._backoff = Backoff(*RETRY)
+        self.queue = SendQueue(plan.queue, plan.queue_bytes_per_peer())
+        self._backoff = Backoff(*RECONNECT_BACKOFF)
         self._stopped = threading.Event()
-        self._beats = itertools.count(1)
+        self._heartbeat_numbers = itertools.count(1)
         self.connected = False
         self.dials = self.sent = self.sent_bytes = 0
 
@@ -44,17 +47,17 @@
     def stop(self) -> None:
         """Send no more."""
         self._stopped.set()
-        self.outbox.close()
+        self.queue.close()
 
     def _run(self) -> None:
         while not self._stopped.is_set():
             try:
                 self.dials += 1
-                with socket.create_connection(self.address, CONNECT_LIMIT) as sock:
+                with socket.create_connection(self.address, CONNECT_TIMEOUT) as sock:
                     sock.settimeout(None)
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                    set_limit(sock, socket.SO_SNDTIMEO, WRITE_LIMIT)
-                    self._speak(sock)
+                    set_limit(sock, socket.SO_SNDTIMEO, WRITE_TIMEOUT)
+                    self._send_loop(sock)
             except OSError:
                 pass  # as good as silence: the other end's book tells who is heard
             finally:
@@ -62,28 +65,30 @@
             # what was meant for a peer that can't be reached is stale by the time that it can
             if self._stopped.wait(self._backoff.next()):
                 return
-            self.outbox.clear()
+            self.queue.clear()
 
-    def _speak(self, sock: socket.socket) -> None:
+    def _send_loop(self, sock: socket.socket) -> None:
         plan = self._link.plan
         hello = frames.encode(messages.encode(self._link.hello(self.name)))
         sock.sendall(hello)
         self.sent_bytes += len(hello)
         self.connected = True
         began = time.monotonic()
-        while (found := self.outbox.get(plan.times.beat, BATCH)) is not None:
-            payloads = found or [messages.encode(messages.Beat(next(self._beats)))]
+        while (queued := self.queue.get(plan.times.heartbeat, MAX_BATCH_BYTES)) is not None:
+            payloads = queued or [messages.encode(messages.Heartbeat(next(self._heartbeat_numbers)))]
             data = b"".join(map(frames.encode, payloads))
             sock.sendall(data)
             self.sent += len(payloads)
             self.sent_bytes += len(data)
-            if time.monotonic() - began > plan.times.doubt:  # it holds: the next trouble begins with short waits
+            if (
+                time.monotonic() - began > plan.times.suspect_after
+            ):  # it holds: the next trouble begins with short waits
                 self._backoff.reset()
-            if gone(sock):
+            if closed_by_peer(sock):
                 return
 
 
-def gone(sock: socket.socket) -> bool:
+def closed_by_peer(sock: socket.socket) -> bool:
     """Whether the other end, which never speaks on this connection, has closed it."""
     try:
         return sock.recv(1, socket.MSG_DONTWAIT | socket.MSG_PEEK) == b""
--- a/tealwing/peers/book.py
+++ b/tealwing/peers/peer_table.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from tealwing.gossip.members import State
-from tealwing.peers.plan import Times
+from tealwing.peers.plan import LinkTimes
 
 
 @dataclass(slots=True)
@@ -20,31 +20,31 @@
     name: str
     state: State = State.DEAD
     since: float = 0.0  # of the state
-    heard: float | None = None
-    boot: int = 0  # of the start that was heard last
+    last_heard: float | None = None
+    incarnation: int = 0  # of the start that was heard last
     sequence: int = -1  # highest of the data taken from it in this start
     received: int = 0  # messages taken
-    repeated: int = 0  # second copies and those that came after a later one
+    duplicates: int = 0  # second copies and those that came after a later one
 
     def silence(self, now: float) -> float | None:
         """Seconds since it was heard; None if it never was."""
-        return None if self.heard is None else now - self.heard
+        return None if self.last_heard is None else now - self.last_heard
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class StateChange:
     """A peer is in another state."""
 
     name: str
     state: State
-    before: State
-    lasted: float  # s that the state before had lasted
+    previous: State
+    previous_duration: float  # s that the state before had lasted
 
 
-class Book:
+class PeerTable:
     """The peers by name."""
 
-    def __init__(self, names: Iterable[str], times: Times, now: float) -> None:
+    def __init__(self, names: Iterable[str], times: LinkTimes, now: float) -> None:
         self._times = times
         self._peers = {name: Peer(name, since=now) for name in names}
 
@@ -59,20 +59,20 @@
         """One of them."""
         return self._peers.get(name)
 
-    def set_names(self, names: Iterable[str], now: float) -> None:
+    def set_members(self, names: Iterable[str], now: float) -> None:
         """Other peers: what was kept of one that goes goes with it."""
-        wanted = set(names)
-        for name in [name for name in self._peers if name not in wanted]:
+        members = set(names)
+        for name in [name for name in self._peers if name not in members]:
             del self._peers[name]
-        for name in wanted - set(self._peers):
+        for name in members - set(self._peers):
             self._peers[name] = Peer(name, since=now)
 
-    def forget(self, name: str, now: float) -> None:
+    def reset(self, name: str, now: float) -> None:
         """One that is spoken to no more: what was heard of it says nothing of whether it lives."""
         if name in self._peers:
             self._peers[name] = Peer(name, since=now)
 
-    def greet(self, name: str, boot: int, now: float) -> tuple[bool, Change | None]:
+    def accept_hello(self, name: str, incarnation: int, now: float) -> tuple[bool, StateChange | None]:
         """A connection says that it is the peer's. Whether it may speak: only members do.
 
         Of two starts under a name the last that connects counts, whatever its boot: a machine whose clock was set
@@ -81,55 +81,55 @@
         peer = self._peers.get(name)
         if peer is None:
             return False, None
-        if boot != peer.boot:
-            peer.boot, peer.sequence = boot, -1
-        return True, self.hear(name, now)
+        if incarnation != peer.incarnation:
+            peer.incarnation, peer.sequence = incarnation, -1
+        return True, self.record_contact(name, now)
 
-    def hear(self, name: str, now: float) -> Change | None:
+    def record_contact(self, name: str, now: float) -> StateChange | None:
         """It has said something."""
         peer = self._peers.get(name)
         if peer is None:
             return None
-        peer.heard = now
-        return self._be(peer, State.ALIVE, now)
+        peer.last_heard = now
+        return self._set_state(peer, State.ALIVE, now)
 
-    def take(self, name: str, boot: int, sequence: int) -> bool:
+    def accept_message(self, name: str, incarnation: int, sequence: int) -> bool:
         """Whether a message is news: of the peer's present start, and after all that came of it.
 
         The link keeps order, and what comes late after a reconnect was given up on by its sender or is a copy.
         """
         peer = self._peers.get(name)
-        if peer is None or boot != peer.boot or sequence <= peer.sequence:
+        if peer is None or incarnation != peer.incarnation or sequence <= peer.sequence:
             if peer is not None:
-                peer.repeated += 1
+                peer.duplicates += 1
             return False
         peer.sequence = sequence
         peer.received += 1
         return True
 
-    def tick(self, now: float) -> list[Change]:
+    def check_timeouts(self, now: float) -> list[StateChange]:
         """Doubt those that have been silent."""
-        found = []
+        changes = []
         for peer in self._peers.values():
             silence = peer.silence(now)
             if silence is None:
                 continue
             state = State.ALIVE
-            if silence >= self._times.lost:
+            if silence >= self._times.dead_after:
                 state = State.DEAD
-            elif silence >= self._times.doubt:
+            elif silence >= self._times.suspect_after:
                 state = State.SUSPECT
-            if state > peer.state and (change := self._be(peer, state, now)) is not None:
-                found.append(change)
-        return found
+            if state > peer.state and (change := self._set_state(peer, state, now)) is not None:
+                changes.append(change)
+        return changes
 
     def live(self) -> list[str]:
         """Those that are heard."""
         return [peer.name for peer in self._peers.values() if peer.state is State.ALIVE]
 
-    def _be(self, peer: Peer, state: State, now: float) -> Change | None:
+    def _set_state(self, peer: Peer, state: State, now: float) -> StateChange | None:
         if peer.state is state:
             return None
-        change = Change(peer.name, state, peer.state, now - peer.since)
+        change = StateChange(peer.name, state, peer.state, now - peer.since)
         peer.state, peer.since = state, now
         return change
--- /dev/null
+++ b/tealwing/peers/ping.py
@@ -0,0 +1,97 @@
+"""Asks a peer to say a text back: whether two gateways reach each other both ways, and in what time.
+
+The smallest thing that crosses two processes, and so the laboratory's first operation: the answer must be of the peer
+that was asked, must be the text that was asked, and can't come while the two are cut off from each other.
+"""
+
+from __future__ import annotations
+
+import itertools
+import threading
+import time
+from typing import Annotated
+
+import msgspec
+
+from tealwing.peers.control import CallRejectedError, ControlServer, Fields, field, wait_seconds
+from tealwing.peers.link import Link
+
+CHANNEL = 1
+MAX_PENDING = 256  # asks of ours that wait for their answer
+MAX_TEXT = 4096  # bytes of a text
+
+
+class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
+    """Say this back."""
+
+    request_id: int
+    text: Annotated[str, msgspec.Meta(max_length=MAX_TEXT)]
+
+
+class PingReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """The text of an ask, and who says it."""
+
+    request_id: int
+    responder: str
+    text: Annotated[str, msgspec.Meta(max_length=MAX_TEXT)]
+
+
+_encode = msgspec.msgpack.encode
+_decoder: msgspec.msgpack.Decoder[PingRequest | PingReply] = msgspec.msgpack.Decoder(PingRequest | PingReply)
+
+
+class PingService:
+    """Asks, and answers others' asks."""
+
+    def __init__(self, link: Link) -> None:
+        self._link = link
+        self._request_ids = itertools.count(1)
+        self._lock = threading.Lock()
+        self._pending: dict[int, tuple[str, threading.Event, list[PingReply]]] = {}
+        self.corrupts_replies = False  # on purpose, to see a checker find it
+        link.on(CHANNEL, self._handle_message)
+
+    def ping(self, to: str, text: str, wait: float) -> PingReply | None:
+        """What the peer says; None where nothing came in time."""
+        request_id, done, replies = next(self._request_ids), threading.Event(), list[PingReply]()
+        with self._lock:
+            if len(self._pending) >= MAX_PENDING:
+                raise CallRejectedError(f"{MAX_PENDING} asks wait already")
+            self._pending[request_id] = to, done, replies
+        try:
+            if not self._link.send(to, CHANNEL, _encode(PingRequest(request_id, text))):
+                raise CallRejectedError(f"to: {to!r} is no peer of {self._link.plan.name}")
+            done.wait(wait)
+        finally:
+            with self._lock:
+                del self._pending[request_id]
+        return replies[0] if replies else None
+
+    def serve(self, control: ControlServer) -> None:
+        """Answer the call `ping`."""
+        control.serve("ping", self._ping)
+
+    def _ping(self, fields: Fields) -> Fields:
+        to, text = field(fields, "to", str), field(fields, "text", str, "hello")
+        if len(text) > MAX_TEXT:
+            raise CallRejectedError(f"text: {len(text)} characters; allowed: {MAX_TEXT}")
+        begun = time.monotonic()
+        answer = self.ping(to, text, wait_seconds(fields, 2.0))
+        if answer is None:
+            raise CallRejectedError(f"no answer of {to} in time")
+        return {"by": answer.responder, "text": answer.text, "took_ms": round((time.monotonic() - begun) * 1e3, 3)}
+
+    def _handle_message(self, name: str, body: bytes) -> None:
+        try:
+            message = _decoder.decode(body)
+        except msgspec.DecodeError as error:
+            raise ValueError(str(error)) from None
+        if isinstance(message, PingRequest):
+            text = message.text[::-1] if self.corrupts_replies else message.text
+            self._link.send(name, CHANNEL, _encode(PingReply(message.request_id, self._link.plan.name, text)))
+            return
+        with self._lock:
+            pending = self._pending.get(message.request_id)
+            if pending is not None and pending[0] == name and not pending[2]:
+                pending[2].append(message)
+                pending[1].set()
--- a/tealwing/peers/plan.py
+++ b/tealwing/peers/plan.py
@@ -5,32 +5,44 @@
 from dataclasses import dataclass, replace
 
 Address = tuple[str, int]
-MANY = 64  # members up to which each peer's queue is as large as the section says
-BEAT_RATE = 2000.0  # heartbeats a second that one voter takes in at most, and sends: a fifth of a core at 100 us each
-DOUBT_BEATS, LOST_DOUBTS, SILENT_LOSTS = 5.0, 2.0, 5.0  # each of `Times` in those before it, as the usual ones are
-MOST_QUEUED = 512 << 20  # bytes that wait for all peers together, where there are more
+FULL_QUEUE_MEMBERS = 64  # members up to which each peer's queue is as large as the section says
+MAX_HEARTBEAT_RATE = (
+    2000.0  # heartbeats a second that one voter takes in at most, and sends: a fifth of a core at 100 us each
+)
+SUSPECT_AFTER_HEARTBEATS, DEAD_AFTER_MULTIPLE, IDLE_TIMEOUT_MULTIPLE = (
+    5.0,
+    2.0,
+    5.0,
+)  # each of `Times` in those before it, as the usual ones are
+MAX_QUEUED_BYTES = 512 << 20  # bytes that wait for all peers together, where there are more
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class LinkTimes:
     """Seconds of the link's protocol."""
 
-    beat: float = 0.2  # s between two signs of life on a link that carries nothing else
-    doubt: float = 1.0  # s of silence after which a peer is suspected
-    lost: float = 2.0  # s of silence after which it is held for lost
-    silent: float = 10.0  # s without a whole frame after which an inbound connection is closed
-    hello: float = 2.0  # s in which a connection says whose it is
+    heartbeat: float = 0.2  # s between two signs of life on a link that carries nothing else
+    suspect_after: float = 1.0  # s of silence after which a peer is suspected
+    dead_after: float = 2.0  # s of silence after which it is held for lost
+    idle_timeout: float = 10.0  # s without a whole frame after which an inbound connection is closed
+    hello_timeout: float = 2.0  # s in which a connection says whose it is
 
-    def paced(self, members: int) -> Times:
+    def scaled_for(self, members: int) -> LinkTimes:
         """These times for a fleet of so many members: heartbeats so far apart that a voter can take them in.
 
         All other times stay at the multiples of a heartbeat that tell silence from a late one. Up to BEAT_RATE * beat
         members (400 with the usual beat) nothing changes.
         """
-        beat = max(self.beat, members / BEAT_RATE)
-        doubt = max(self.doubt, DOUBT_BEATS * beat)
-        lost = max(self.lost, LOST_DOUBTS * doubt)
-        return replace(self, beat=beat, doubt=doubt, lost=lost, silent=max(self.silent, SILENT_LOSTS * lost))
+        heartbeat = max(self.heartbeat, members / MAX_HEARTBEAT_RATE)
+        suspect_after = max(self.suspect_after, SUSPECT_AFTER_HEARTBEATS * heartbeat)
+        dead_after = max(self.dead_after, DEAD_AFTER_MULTIPLE * suspect_after)
+        return replace(
+            self,
+            heartbeat=heartbeat,
+            suspect_after=suspect_after,
+            dead_after=dead_after,
+            idle_timeout=max(self.idle_timeout, IDLE_TIMEOUT_MULTIPLE * dead_after),
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +52,7 @@
     fleet: str
     name: str
     members: tuple[tuple[str, Address], ...]
-    times: Times = Times()
+    times: LinkTimes = LinkTimes()
     control: Address | None = None
     queue: int = 1024  # frames that wait for one peer
     queue_bytes: int = 8 << 20
@@ -51,13 +63,13 @@
         """Where a member listens."""
         return dict(self.members).get(name)
 
-    def spoken_to(self) -> set[str]:
+    def linked_members(self) -> set[str]:
         """The members that we speak to: all; a learner speaks to those that vote."""
         names = {name for name, _ in self.members if name != self.name}
         return names - set(self.learners) if self.name in self.learners else names
 
-    def room(self) -> int:
+    def queue_bytes_per_peer(self) -> int:
         """Bytes that may wait for one peer."""
-        if len(self.members) <= MANY:
+        if len(self.members) <= FULL_QUEUE_MEMBERS:
             return self.queue_bytes
-        return min(self.queue_bytes, MOST_QUEUED // len(self.members))
+        return min(self.queue_bytes, MAX_QUEUED_BYTES // len(self.members))
--- a/tealwing/peers/section.py
+++ b/tealwing/peers/section.py
@@ -4,20 +4,20 @@
 
 from tealwing.conf import values
 from tealwing.conf.schema import Block, Entry, Report, Section, Spec
-from tealwing.peers.plan import Address, Plan, Times
+from tealwing.peers.plan import Address, LinkTimes, Plan
 
 # Members that link to all: each pair of them has two connections, and each sends a sign of life to everyone each beat.
-MOST_VOTERS = 64
+MAX_VOTERS = 64
 # Members in all (docs/CAPACITY.md). One that votes has a thread (of a small stack) and two descriptors for each, so
 # that many want a higher limit of open files there: the link says so at its start. A learner has them for voters only.
-MOST_MEMBERS = 1100
+MAX_MEMBERS = 1100
 LEARNER = "learner"
 
 
-def _member(words: values.Words) -> tuple[str, Address, bool]:
-    if len(words) not in (2, 3) or words[2:] not in ((), (LEARNER,)):
+def _member(arguments: values.Words) -> tuple[str, Address, bool]:
+    if len(arguments) not in (2, 3) or arguments[2:] not in ((), (LEARNER,)):
         raise values.Unfit("a name and its address, as n0 10.0.0.4:7950, and `learner` where it has no vote")
-    return values.instance(words[:1]), values.address(words[1:2]), len(words) == 3
+    return values.instance(arguments[:1]), values.address(arguments[1:2]), len(arguments) == 3
 
 
 SPECS = (
@@ -58,29 +58,32 @@
         if address in addresses:
             report.add(entry.place, "member", f"the address of {addresses[address]}", "an address of its own")
         addresses[address] = name
-    if len(members) > MOST_MEMBERS:
-        report.add(members[MOST_MEMBERS].place, "member", f"{len(members)} members", f"at most {MOST_MEMBERS}")
+    if len(members) > MAX_MEMBERS:
+        report.add(members[MAX_MEMBERS].place, "member", f"{len(members)} members", f"at most {MAX_MEMBERS}")
     voters = [entry for entry in members if not entry.value[2]]
-    if len(voters) > MOST_VOTERS:
-        report.add(voters[MOST_VOTERS].place, "member", f"{len(voters)} members without the word {LEARNER}",
-                   f"at most {MOST_VOTERS}; more can be learners")  # fmt: skip
+    if len(voters) > MAX_VOTERS:
+        report.add(voters[MAX_VOTERS].place, "member", f"{len(voters)} members without the word {LEARNER}",
+                   f"at most {MAX_VOTERS}; more can be learners")  # fmt: skip
     if not voters:
         report.add(first, "member", f"only members with the word {LEARNER}", "one member at least that votes")
     name = block.one("name")
     if name not in seen:
         report.add(block.place("name", first), "name", name, "a name that a member line has, with its address")
-    times = Times(block.one("beat"), block.one("doubt"), block.one("lost"), block.one("silent"))
-    ordered = (("doubt", times.doubt, "three beats", 3 * times.beat), ("lost", times.lost, "doubt", times.doubt),
-               ("silent", times.silent, "lost", times.lost))  # fmt: skip
-    for what, value, than, least in ordered:
-        if value < least or (value == least and than != "three beats"):
-            allowed = f"more than {than}, {values.written_duration(least)}"
+    times = LinkTimes(block.one("beat"), block.one("doubt"), block.one("lost"), block.one("silent"))
+    ordered = (
+        ("doubt", times.suspect_after, "three beats", 3 * times.heartbeat),
+        ("lost", times.dead_after, "doubt", times.suspect_after),
+        ("silent", times.idle_timeout, "lost", times.dead_after),
+    )
+    for what, value, than, minimum in ordered:
+        if value < minimum or (value == minimum and than != "three beats"):
+            allowed = f"more than {than}, {values.written_duration(minimum)}"
             report.add(block.place(what, first), what, values.written_duration(value), allowed)
     return Plan(
         block.one("fleet"),
         name,
         tuple(entry.value[:2] for entry in members),
-        times.paced(len(members)),
+        times.scaled_for(len(members)),
         block.one("control"),
         block.one("queue"),
         block.one("queue-bytes"),
--- a/tealwing/replica/recovery.py
+++ b/tealwing/replica/recovery.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import Any
 
-from tealwing.peers.bounds import USUAL
+from tealwing.leases.bounds import DEFAULT_BOUNDS
 from tealwing.replica.state import State
 
 ASK_LIMIT = 2.0  # s for which the peers are asked before the gateway says that it is ready without them
@@ -68,7 +68,7 @@
 def _leases(state: State, now_ms: int) -> Iterable[Belief]:
     for name, lease in state.tables["leases"].items():
         if lease.held:
-            wait = USUAL.leader_waits(lease.ttl / 1e3)
+            wait = DEFAULT_BOUNDS.expiry_delay(lease.ttl / 1e3)
             why = f"granted to {lease.holder} before: never ours, and nobody's for {wait:.2f} s once somebody leads"
             yield Belief("lease", name, Trust.WAITS, why, now_ms + round(wait * 1e3))
 
--- a/tealwing/replica/service.py
+++ b/tealwing/replica/service.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from tealwing import wire
-from tealwing.peers.control import Control, Denied, Fields, field, wait_of
+from tealwing.peers.control import CallRejectedError, ControlServer, Fields, field, wait_seconds
 from tealwing.replica import commands as c
 from tealwing.replica.node import Replica, Unavailable, Unknown
 from tealwing.replica.storage import verify
@@ -20,7 +20,7 @@
 class Service:
     """Answers for one member."""
 
-    def __init__(self, replica: Replica, control: Control, prefix: str = "replica") -> None:
+    def __init__(self, replica: Replica, control: ControlServer, prefix: str = "replica") -> None:
         """prefix: of the names of the calls, so that a process can have those of two groups."""
         self._replica = replica
         calls: dict[str, Callable[[Fields], Fields]] = {
@@ -54,12 +54,12 @@
         change, name = field(fields, "change", str), field(fields, "name", str)
         voters, learners = set(self._replica.core.members), set(self._replica.core.learners)
         if change not in ("add", "learn", "remove"):
-            raise Denied(f"change: {change!r}; allowed: add, learn or remove")
+            raise CallRejectedError(f"change: {change!r}; allowed: add, learn or remove")
         where = {"add": voters, "learn": learners, "remove": voters | learners}[change]
         if (name in where) == (change != "remove"):
-            raise Denied(f"name: {name} is {'no member' if change == 'remove' else 'a member already'}")
+            raise CallRejectedError(f"name: {name} is {'no member' if change == 'remove' else 'a member already'}")
         if change != "remove" and self._replica.plan_address(name) is None:
-            raise Denied(f"name: {name} has no member line in the section peers here")
+            raise CallRejectedError(f"name: {name} has no member line in the section peers here")
         voting, following = voters - {name}, learners - {name}
         {"add": voting, "learn": following}.get(change, set()).add(name)
         told_learners = sorted(following) if following or learners else None  # none ever: the plain change of old
@@ -76,7 +76,7 @@
         try:
             wire.settings(text)
         except (ValueError, wire.WireError) as error:
-            raise Denied(f"text: {error}") from None
+            raise CallRejectedError(f"text: {error}") from None
 
         def propose(wait: float) -> Fields:
             with self._replica.lock:
@@ -90,22 +90,22 @@
         try:
             body = msgspec.msgpack.decode(field(fields, "body", bytes), type=c.Body)
         except msgspec.DecodeError as error:
-            raise Denied(f"body: {error}") from None
+            raise CallRejectedError(f"body: {error}") from None
         if isinstance(body, records.Body):  # a member's word must be that member's own
-            raise Denied("body: a command on versions of the rules; allowed: the calls rules.*")
+            raise CallRejectedError("body: a command on versions of the rules; allowed: the calls rules.*")
         fence = None
         if "token" in fields:
             fence = c.Fence(field(fields, "lease", str), field(fields, "token", int))
         command = c.Command(field(fields, "client", str, ""), field(fields, "sequence", int, 0), body, fence)
         if command.sequence and not command.client:
-            raise Denied("client: missing, where there is a sequence")
+            raise CallRejectedError("client: missing, where there is a sequence")
         return self._outcome(lambda wait: _told(self._replica.write(command, wait)), fields)
 
     def _get(self, fields: Fields) -> Fields:
         """A value by its table and key: seen by a quorum, or with `stale` as it is here, and marked so."""
         table, key = field(fields, "table", str, "values"), field(fields, "key", str)
         if table not in self._replica.state.tables:
-            raise Denied(f"table: {table!r}; allowed: {', '.join(sorted(self._replica.state.tables))}")
+            raise CallRejectedError(f"table: {table!r}; allowed: {', '.join(sorted(self._replica.state.tables))}")
         stale = bool(field(fields, "stale", bool, False))
 
         def get(wait: float) -> Fields:
@@ -122,13 +122,13 @@
     def _outcome(self, run: Callable[[float], Fields], fields: Fields) -> Fields:
         """What came of it, in a word: ok, refused (by the state), unavailable (surely not done), unknown."""
         try:
-            return {"word": "ok"} | run(wait_of(fields, WAIT))
+            return {"word": "ok"} | run(wait_seconds(fields, WAIT))
         except Unavailable as error:
             return {"word": "unavailable", "why": str(error)}
         except Unknown as error:
             return {"word": "unknown", "why": str(error)}
         except ValueError as error:
-            raise Denied(str(error)) from None
+            raise CallRejectedError(str(error)) from None
 
 
 def _told(result: c.CommandResult) -> dict[str, Any]:
--- a/tealwing/rollout/conductor.py
+++ b/tealwing/rollout/conductor.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection, Hashable, Mapping
 from typing import Any
 
-from tealwing.peers.bounds import USUAL, Bounds
+from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.rollout.retry import Retry
 from tealwing.rollout.view import CLOSING, view
 from tealwing.rollout.witnesses import Witnesses
@@ -20,7 +20,9 @@
 class Conductor:
     """Its times count by our clock from when we lead: each leader begins anew."""
 
-    def __init__(self, name: str, limit: float, patience: float, bounds: Bounds = USUAL, seed: int = 0) -> None:
+    def __init__(
+        self, name: str, limit: float, patience: float, bounds: LeaseBounds = DEFAULT_BOUNDS, seed: int = 0
+    ) -> None:
         """limit and patience are s; name is ours, who are never silent."""
         self.name, self._limit, self._patience, self._seed = name, limit, patience, seed
         self._leads = False
--- a/tealwing/rollout/joining.py
+++ b/tealwing/rollout/joining.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tealwing.peers.control import Control
+from tealwing.peers.control import ControlServer
 from tealwing.peers.link import Link
 from tealwing.replica.node import Replica
 from tealwing.rollout.gate import Gate
@@ -16,7 +16,12 @@
 
 
 def join(
-    plan: Plan, replica: Replica, link: Link, gateway: Gateway, control: Control | None, outside: Outside | None = None
+    plan: Plan,
+    replica: Replica,
+    link: Link,
+    gateway: Gateway,
+    control: ControlServer | None,
+    outside: Outside | None = None,
 ) -> Shell:
     """Before the replica starts; what the disk says is in force and the gate set by it when this returns.
 
--- a/tealwing/rollout/leading.py
+++ b/tealwing/rollout/leading.py
@@ -49,7 +49,7 @@
 
     def _silent(self, now: float, seen: Seen) -> list[str]:
         """Names of the members that are not heard on the link, or whose copy of the log takes nothing more."""
-        limit, core = SILENT_BEATS * self._link.plan.times.beat, self._replica.core
+        limit, core = SILENT_BEATS * self._link.plan.times.heartbeat, self._replica.core
         heard = {peer["name"] for peer in self._link.status()
                  if peer["silence_s"] is not None and peer["silence_s"] <= limit}  # fmt: skip
         for name, progress in list(core.progress.items()):
--- a/tealwing/rollout/member.py
+++ b/tealwing/rollout/member.py
@@ -10,7 +10,7 @@
 import copy
 from collections.abc import Hashable
 
-from tealwing.peers.bounds import USUAL, Bounds
+from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.rollout.actions import FOREVER, HELD, Action, Check, Gate, Read, Restart, Say, Token, WriteMark
 from tealwing.rollout.permit import Permit
 from tealwing.rollout.retry import MOST, Retry
@@ -29,10 +29,21 @@
     """Asked by the shell after every applied entry and on a tick; it never waits."""
 
     def __init__(
-        self, name: str, lost_touch: LostTouch, start: int, permit: float = 2.0, bounds: Bounds = USUAL, mark: int = 0,
-        build: int = 1, seed: int = 0, sabotage: frozenset[str] = frozenset(), disk: View | None = None,
-        federated: bool = False, disk_federated: FederatedView | None = None, peers: int = 0,
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        lost_touch: LostTouch,
+        start: int,
+        permit: float = 2.0,
+        bounds: LeaseBounds = DEFAULT_BOUNDS,
+        mark: int = 0,
+        build: int = 1,
+        seed: int = 0,
+        sabotage: frozenset[str] = frozenset(),
+        disk: View | None = None,
+        federated: bool = False,
+        disk_federated: FederatedView | None = None,
+        peers: int = 0,
+    ) -> None:
         """permit is s. mark is the number on disk, 0 for none.
 
         disk is what the state on this disk said at the start, before any entry came from others; None, or one without
--- a/tealwing/rollout/permit.py
+++ b/tealwing/rollout/permit.py
@@ -5,7 +5,7 @@
 import copy
 from collections.abc import Hashable
 
-from tealwing.peers.bounds import RENEW_SHARE, Bounds
+from tealwing.leases.bounds import RENEW_FRACTION, LeaseBounds
 from tealwing.rollout.actions import FOREVER, Token
 from tealwing.rollout.view import View
 
@@ -15,7 +15,7 @@
 class Permit:
     """Reads of one log, and until when what they showed counts."""
 
-    def __init__(self, lasts: float, bounds: Bounds, lapses: bool) -> None:
+    def __init__(self, lasts: float, bounds: LeaseBounds, lapses: bool) -> None:
         """lasts is s; with lapses what was read counts for so long, else for good."""
         self._lasts, self._bounds, self._lapses = lasts, bounds, lapses
         self.until = 0.0  # by our clock
@@ -55,11 +55,11 @@
             me = view.me
             if token.start != start or me is None or me.lapsed or me.start != member:
                 continue
-            until = token.sent + self._bounds.holder_may(min(lasts, self._lasts))
+            until = token.sent + self._bounds.holder_duration(min(lasts, self._lasts))
             if not self._lapses:
                 self.trust()
             elif until > self.until:
-                self.until, self._renew_at = until, token.sent + RENEW_SHARE * min(lasts, self._lasts)
+                self.until, self._renew_at = until, token.sent + RENEW_FRACTION * min(lasts, self._lasts)
 
     def drop(self) -> None:
         """Nothing read before counts any more."""
--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -8,7 +8,7 @@
 from tealwing.conf import values
 from tealwing.conf.grammar import Place
 from tealwing.conf.schema import Block, Report, Section, Spec
-from tealwing.peers.bounds import LEAST_TTL, USUAL
+from tealwing.leases.bounds import DEFAULT_BOUNDS, MIN_TTL
 from tealwing.rollout.plan import SABOTAGES, Plan
 
 SPECS = (
@@ -16,7 +16,7 @@
          " has not closed for waits or is aborted; or hold once its permit is over, and a change goes on without it.",
          values.choice("serve", "hold"), "serve"),
     Spec("permit", "DURATION", "hold: how long a permit lasts, and with it how long a change may wait for a gateway"
-         " that was lost.", values.durations(LEAST_TTL, 60.0), "2s"),
+         " that was lost.", values.durations(MIN_TTL, 60.0), "2s"),
     Spec("limit", "DURATION", "A change that not every gateway has closed for by then is aborted; longer than"
          " patience.", values.durations(0.5, 120.0), "5s"),
     Spec("patience", "DURATION", "Silence of a gateway that holds after which a change goes on without it.",
@@ -38,7 +38,7 @@
     if plan.limit <= plan.patience:
         least = f"more than patience, {values.written_duration(plan.patience)}"
         report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), least)
-    over = USUAL.leader_waits(plan.permit) + plan.patience
+    over = DEFAULT_BOUNDS.expiry_delay(plan.permit) + plan.patience
     if plan.lost_touch == "hold" and plan.limit <= over:
         least = f"more than patience and a permit's end, {values.written_duration(round(over, 3))}"
         report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), least)
--- a/tealwing/rollout/service.py
+++ b/tealwing/rollout/service.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from tealwing.peers.control import MOST_CALLERS, Control, Denied, Fields, field, wait_of
+from tealwing.peers.control import MAX_CONNECTIONS, CallRejectedError, ControlServer, Fields, field, wait_seconds
 from tealwing.replica import commands as c
 from tealwing.replica.messages import UnsignedInt63
 from tealwing.replica.node import Replica, Unavailable, Unknown
@@ -24,7 +24,7 @@
 class Service:
     """Answers for one gateway."""
 
-    def __init__(self, shell: Shell, replica: Replica, control: Control) -> None:
+    def __init__(self, shell: Shell, replica: Replica, control: ControlServer) -> None:
         self._shell, self._replica = shell, replica
         self._changes = shell.outside.replica if shell.outside is not None else replica  # the log that decides
         self._lock, self._sequence = threading.Lock(), 0
@@ -45,10 +45,10 @@
         why = field(fields, "why", records.Text, "")
         parent = field(fields, "parent", UnsignedInt63) if "parent" in fields else None
         if len(text) > records.LARGEST:
-            raise Denied(f"text: {len(text)} bytes; allowed: {records.LARGEST}")
+            raise CallRejectedError(f"text: {len(text)} bytes; allowed: {records.LARGEST}")
         faults = self._shell.here.faults(text)
         if faults:
-            raise Denied("text: " + "; ".join(faults))
+            raise CallRejectedError("text: " + "; ".join(faults))
 
         def propose(wait: float) -> Fields:
             end = time.monotonic() + wait
@@ -65,7 +65,7 @@
         return self._outcome(propose, fields)
 
     def _settings(self, _: Fields) -> Fields:
-        raise Denied("replica.settings: the section rules is on here, and settings are part of the rules;"
+        raise CallRejectedError("replica.settings: the section rules is on here, and settings are part of the rules;"
                      " propose a version: tealwing rules propose FILE --control HOST:PORT --why TEXT")  # fmt: skip
 
     def _show(self, fields: Fields) -> Fields:
@@ -73,7 +73,7 @@
         found = self._shell.seen.version(number)
         if found is None:
             kept = ", ".join(sorted(self._shell.seen.tables["rules"], key=int)) or "none yet"
-            raise Denied(f"number: no version {number} is kept here; allowed: {kept}")
+            raise CallRejectedError(f"number: no version {number} is kept here; allowed: {kept}")
         return version(found) | {"text": found.text.decode("utf-8", "replace")}
 
     def _withdraw(self, fields: Fields) -> Fields:
@@ -111,7 +111,7 @@
         with self._lock:
             self._sequence += 1
             number = self._sequence
-        turn = number % MOST_CALLERS  # calls come at once, and a client has one under way
+        turn = number % MAX_CONNECTIONS  # calls come at once, and a client has one under way
         client = f"{where.core.me}/{where.start_number}/rules/{turn}"
         result = where.write(c.Command(client, number, body), wait)
         word = "ok" if result.ok else "refused"
@@ -120,10 +120,10 @@
     def _outcome(self, run: Callable[[float], Fields], fields: Fields) -> Fields:
         """What came of it, in a word: ok, refused (by the state), unavailable (surely not done), unknown."""
         try:
-            return {"word": "ok"} | run(wait_of(fields, WAIT))
+            return {"word": "ok"} | run(wait_seconds(fields, WAIT))
         except Unavailable as error:
             return {"word": "unavailable", "why": f"{error}; nothing was changed: try again, or at another gateway"}
         except Unknown as error:
             return {"word": "unknown", "why": f"{error}; see rules.status for whether it was taken"}
         except ValueError as error:
-            raise Denied(str(error)) from None
+            raise CallRejectedError(str(error)) from None
--- a/tealwing/rollout/witnesses.py
+++ b/tealwing/rollout/witnesses.py
@@ -10,7 +10,7 @@
 
 import xxhash
 
-from tealwing.peers.bounds import USUAL, Bounds
+from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.rollout.retry import Retry
 from tealwing.rules.records import Body, Forget, Lapse, Member, Witness
 
@@ -21,7 +21,7 @@
 class Witnesses:
     """One member's watch over lapses."""
 
-    def __init__(self, name: str, bounds: Bounds = USUAL, seed: int = 0) -> None:
+    def __init__(self, name: str, bounds: LeaseBounds = DEFAULT_BOUNDS, seed: int = 0) -> None:
         self.name, self._bounds, self._retry = name, bounds, Retry(seed)
         self._since: dict[tuple[str, int], float] = {}  # by member and lapse: when it was applied here, or seen first
 
@@ -49,7 +49,7 @@
             member = members[name]
             if name == self.name or self.name in member.witnesses:
                 continue
-            waited = now - self._since[name, lapse] - self._bounds.leader_waits(member.permit / 1e3)
+            waited = now - self._since[name, lapse] - self._bounds.expiry_delay(member.permit / 1e3)
             if waited < 0 or waited < NEXT * (self._rank(name, lapse, members) // FIRST):
                 continue
             if self._retry.ready(now, (name, lapse)):
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -15,7 +15,7 @@
 
 from tealwing.gossip import keys, written
 from tealwing.gossip import messages as gossip
-from tealwing.peers import echo, frames
+from tealwing.peers import frames, ping
 from tealwing.peers import messages as peers
 from tealwing.record import CommandResult
 from tealwing.replica import commands, outcomes
@@ -46,8 +46,12 @@
     replica.Hold(9),
     replica.Held(9, 8),
 )
-PEERS: tuple[Any, ...] = (peers.Hello("fleet", "n1", "n2", 1234567890123), peers.Beat(70000), peers.Data(3, 9, b"x"))
-ECHO: tuple[Any, ...] = (echo.Ask(5, "hello"), echo.Answer(5, "n2", "hello"))
+PEERS: tuple[Any, ...] = (
+    peers.Hello("fleet", "n1", "n2", 1234567890123),
+    peers.Heartbeat(70000),
+    peers.Data(3, 9, b"x"),
+)
+ECHO: tuple[Any, ...] = (ping.PingRequest(5, "hello"), ping.PingReply(5, "n2", "hello"))
 FORWARDED: tuple[Any, ...] = (
     outcomes.Ask(5, b"command"),
     outcomes.Ask(5, b"", ["n1", "n2"], ["n3"]),
--- a/tests/test_disk_returns.py
+++ b/tests/test_disk_returns.py
@@ -27,7 +27,7 @@
 from tealwing.lab.rig.ports import free_port
 from tealwing.lab.rig.trial import Trial
 from tealwing.peers.clock import Clock
-from tealwing.peers.link import Link, LinkFault
+from tealwing.peers.link import Link, LinkError
 from tealwing.peers.plan import Plan as PeersPlan
 from tealwing.replica import commands as c
 from tealwing.replica import storage as stored
@@ -408,19 +408,19 @@
         trial.start()
         callers = {name: trial.caller(name) for name in trial.processes}
         for name in ("n0", "n1"):
-            callers[name].ask("fault.disk", fault="fsync", count=1_000_000)
-        until(lambda: all(callers[name].ask("replica.status")["role"] == "out" for name in ("n0", "n1")))
+            callers[name].call("fault.disk", fault="fsync", count=1_000_000)
+        until(lambda: all(callers[name].call("replica.status")["role"] == "out" for name in ("n0", "n1")))
         listen = trial.processes["n0"].address("listen")
         assert listen is not None
         for call in range(20):
             assert Session(listen).ask(text % call, 5.0).word == "served"
-        told = callers["n0"].ask("replica.get", key="k", wait_s=0.5)
+        told = callers["n0"].call("replica.get", key="k", wait_s=0.5)
         assert told["word"] == "unavailable" and "comes back by itself" in told["why"]
         for name in ("n0", "n1"):
-            callers[name].ask("fault.disk", fault="none", count=0)
+            callers[name].call("fault.disk", fault="none", count=0)
         # two of three that count as having forgotten would wait for each other's word, as long as the third leads
-        until(lambda: all(caller.ask("replica.recovery")["phase"] == "member" for caller in callers.values()))
-        assert not any(caller.ask("replica.status")["broken"] for caller in callers.values())
+        until(lambda: all(caller.call("replica.recovery")["phase"] == "member" for caller in callers.values()))
+        assert not any(caller.call("replica.status")["broken"] for caller in callers.values())
         assert trial.trouble() == []
 
 
@@ -445,7 +445,7 @@
     (tmp_path / "file").write_text("no folder")
     addresses = (("a", ("127.0.0.1", free_port())),)
     plan = Plan(str(tmp_path / "file" / "replica"))
-    with pytest.raises(LinkFault, match="file/replica: .*Not a directory"):
+    with pytest.raises(LinkError, match="file/replica: .*Not a directory"):
         Peering(PeersPlan("f", "a", addresses), plan, lambda version, settings: None)
 
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -13,7 +13,7 @@
 
 from tealwing.gossip import messages as gossip
 from tealwing.gossip import written
-from tealwing.peers import echo, frames
+from tealwing.peers import frames, ping
 from tealwing.peers import messages as peers
 from tealwing.replica import commands, outcomes
 from tealwing.replica import messages as replica
@@ -40,7 +40,7 @@
 DECODERS: dict[str, Callable[[bytes], Any]] = {
     "replica": replica.decode,
     "peers": peers.decode,
-    "echo": msgspec.msgpack.Decoder(echo.Ask | echo.Answer).decode,
+    "echo": msgspec.msgpack.Decoder(ping.PingRequest | ping.PingReply).decode,
     "forwarded": outcomes.decode,
     "gossip": lambda data: gossip.decode(data, _of_key),
     "command": commands.decode,
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -14,7 +14,7 @@
 from tealwing.lab.rig.ports import free_port
 from tealwing.peers.clock import Clock
 from tealwing.peers.link import Link
-from tealwing.peers.plan import MANY, Address, Times
+from tealwing.peers.plan import FULL_QUEUE_MEMBERS, Address, LinkTimes
 from tealwing.peers.plan import Plan as PeersPlan
 from tealwing.replica import commands as c
 from tealwing.replica.group import FEDERATION, SITE, Group
@@ -29,7 +29,7 @@
 from tests.test_peers import until
 from tests.test_replica import Fleet
 
-QUICK = Times(beat=0.1, doubt=1.0, lost=2.0)
+QUICK = LinkTimes(heartbeat=0.1, suspect_after=1.0, dead_after=2.0)
 
 
 def put(key: str, value: bytes) -> c.Command:
@@ -200,8 +200,12 @@
 
 
 def test_what_waits_for_all_peers_together_is_bounded() -> None:
-    few, many = (PeersPlan("f", "n0", fleet_of(n, 5, ("127.0.0.1", 1))[0]) for n in (MANY, 256))
-    assert few.room() == few.queue_bytes and many.room() > 1 << 20 and 256 * many.room() <= 512 << 20
+    few, many = (PeersPlan("f", "n0", fleet_of(n, 5, ("127.0.0.1", 1))[0]) for n in (FULL_QUEUE_MEMBERS, 256))
+    assert (
+        few.queue_bytes_per_peer() == few.queue_bytes
+        and many.queue_bytes_per_peer() > 1 << 20
+        and 256 * many.queue_bytes_per_peer() <= 512 << 20
+    )
 
 
 # Who votes for the lost
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -77,6 +77,6 @@
 
 def test_members_link_as_real_gateways_do() -> None:
     fleet = specification(8)
-    assert peers_plan(fleet, "g0007", None).spoken_to() == set(fleet.members[:5])
-    assert peers_plan(fleet, "g0000", 7000).spoken_to() == set(fleet.members[1:])
+    assert peers_plan(fleet, "g0007", None).linked_members() == set(fleet.members[:5])
+    assert peers_plan(fleet, "g0000", 7000).linked_members() == set(fleet.members[1:])
     assert peers_plan(fleet, "g0000", 7000).control == ("127.0.0.1", 7000)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,10 +16,10 @@
 from tealwing.lab.models.leases import Leases
 from tealwing.lab.rig.ports import free_port
 from tealwing.leases import sweep
-from tealwing.leases.expiry import Expiry
-from tealwing.leases.holder import Do, Holder
-from tealwing.leases.keeper import Keeper
-from tealwing.peers.bounds import USUAL, Bounds
+from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
+from tealwing.leases.expiry import LeaseExpiry
+from tealwing.leases.holder import Action, Holder
+from tealwing.leases.manager import LeaseManager
 from tealwing.peers.clock import Clock
 from tealwing.peers.link import Link
 from tealwing.peers.plan import Plan as PeersPlan
@@ -28,30 +28,30 @@
 from tealwing.replica.plan import Plan
 
 TTL = 5.0
-MAY = USUAL.holder_may(TTL) - USUAL.told
+MAY = DEFAULT_BOUNDS.holder_duration(TTL) - DEFAULT_BOUNDS.loss_notice
 
 
 def held(now: float = 100.0) -> Holder:
     holder = Holder("t", TTL)
-    assert holder.tick(now) == [Do.ACQUIRE] and holder.granted(now + 0.5, 7) == [Do.GAINED]
+    assert holder.tick(now) == [Action.ACQUIRE] and holder.granted(now + 0.5, 7) == [Action.GAINED]
     return holder
 
 
 def test_the_two_ends_leave_no_overlap_whatever_clocks_do_within_the_bound() -> None:
-    for bounds in (USUAL, Bounds(drift=0.1, step=0.5)):
+    for bounds in (DEFAULT_BOUNDS, LeaseBounds(max_drift=0.1, max_step=0.5)):
         for ttl in (1.0, 5.0, 600.0):
-            slow, fast = 1.0 - bounds.drift, 1.0 + bounds.drift
-            holder_at_most = (bounds.holder_may(ttl) + bounds.step) / slow  # a slow clock that stepped back
-            leader_at_least = (bounds.leader_waits(ttl) - bounds.step) / fast  # a fast one that stepped on
+            slow, fast = 1.0 - bounds.max_drift, 1.0 + bounds.max_drift
+            holder_at_most = (bounds.holder_duration(ttl) + bounds.max_step) / slow  # a slow clock that stepped back
+            leader_at_least = (bounds.expiry_delay(ttl) - bounds.max_step) / fast  # a fast one that stepped on
             assert holder_at_most <= leader_at_least + 1e-9
 
 
 def test_a_lease_counts_from_when_it_was_asked_for_and_is_lost_before_it_is_over() -> None:
     holder = held()
     assert holder.valid(100.0 + MAY - 0.01) and not holder.valid(100.0 + MAY + 0.01)
-    assert holder.tick(100.0 + 0.3 * TTL) == [Do.RENEW]  # and no answer comes
-    assert holder.tick(100.01 + MAY) == [Do.LOST]
-    assert holder.granted(100.01 + MAY, 7) == [Do.GAINED]  # the answer, late: from when the renewal was sent
+    assert holder.tick(100.0 + 0.3 * TTL) == [Action.RENEW]  # and no answer comes
+    assert holder.tick(100.01 + MAY) == [Action.LOST]
+    assert holder.granted(100.01 + MAY, 7) == [Action.GAINED]  # the answer, late: from when the renewal was sent
     assert holder.valid(101.5 + MAY - 0.01) and not holder.valid(101.5 + MAY + 0.01)
 
 
@@ -64,47 +64,47 @@
 def test_a_refused_holder_stops_at_once_and_tries_again_with_growing_waits() -> None:
     holder = held()
     holder.tick(101.5)
-    assert holder.refused(101.6) == [Do.LOST] and holder.tick(101.65) == []
+    assert holder.rejected(101.6) == [Action.LOST] and holder.tick(101.65) == []
     times, now = [], 101.6
     for _ in range(6):
-        while holder.tick(now) != [Do.ACQUIRE]:
+        while holder.tick(now) != [Action.ACQUIRE]:
             now += 0.01
         times.append(now)
-        holder.refused(now)
+        holder.rejected(now)
     waits = [b - a for a, b in zip(times, times[1:], strict=False)]
     assert waits == sorted(waits) and 0.9 < waits[-1] <= 1.02
-    holder.free(now)
-    assert holder.tick(now) == [Do.ACQUIRE]  # nobody holds it any more: no need to wait
+    holder.released(now)
+    assert holder.tick(now) == [Action.ACQUIRE]  # nobody holds it any more: no need to wait
 
 
 def test_an_unanswered_renewal_leaves_what_is_held_and_is_sent_again() -> None:
     holder = held()
     holder.tick(101.5)
-    assert holder.unanswered(102.0) == [] and holder.valid(102.0) and holder.tick(102.2) == [Do.RENEW]
-    assert holder.granted(102.3, 9) == [Do.LOST, Do.GAINED]  # another grant: the task begins anew
+    assert holder.timed_out(102.0) == [] and holder.valid(102.0) and holder.tick(102.2) == [Action.RENEW]
+    assert holder.granted(102.3, 9) == [Action.LOST, Action.GAINED]  # another grant: the task begins anew
 
 
 def test_the_leader_finds_a_lease_expired_after_all_of_its_time_and_a_new_leader_begins_anew() -> None:
-    expiry = Expiry()
+    expiry = LeaseExpiry()
     expiry.granted(0.0, "t", 7, 7, TTL)  # as a follower: it is not ours to judge
-    assert expiry.due(100.0) == []
-    expiry.lead(100.0, True)
-    waits = USUAL.leader_waits(TTL)
-    assert expiry.due(100.0 + waits - 0.01) == [] and expiry.due(100.0 + waits) == [("t", 7, 7)]
-    assert expiry.due(100.1 + waits) == [] and expiry.due(101.1 + waits) == [("t", 7, 7)]  # proposed again
+    assert expiry.expired(100.0) == []
+    expiry.set_leading(100.0, True)
+    waits = DEFAULT_BOUNDS.expiry_delay(TTL)
+    assert expiry.expired(100.0 + waits - 0.01) == [] and expiry.expired(100.0 + waits) == [("t", 7, 7)]
+    assert expiry.expired(100.1 + waits) == [] and expiry.expired(101.1 + waits) == [("t", 7, 7)]  # proposed again
     expiry.granted(103.0, "t", 7, 12, TTL)
-    assert expiry.due(103.0 + waits) == [("t", 7, 12)]
+    assert expiry.expired(103.0 + waits) == [("t", 7, 12)]
     expiry.ended("t")
-    assert expiry.due(1000.0) == []
+    assert expiry.expired(1000.0) == []
 
 
 @pytest.fixture
-def alone(tmp_path: Path) -> Iterator[tuple[Replica, Keeper]]:
+def alone(tmp_path: Path) -> Iterator[tuple[Replica, LeaseManager]]:
     """A fleet of one, which leads itself."""
     plan = PeersPlan("f", "a", (("a", ("127.0.0.1", free_port())),))
     link = Link(plan)
     replica = Replica(Plan(str(tmp_path / "replica"), beat=0.02, election=0.1), link, Clock())
-    keeper = Keeper(replica, replica.clock)
+    keeper = LeaseManager(replica, replica.clock)
     replica.start()
     keeper.start()
     yield replica, keeper
@@ -113,7 +113,7 @@
     link.stop()
 
 
-def test_a_block_holds_its_lease_and_its_commands_count_under_it_alone(alone: tuple[Replica, Keeper]) -> None:
+def test_a_block_holds_its_lease_and_its_commands_count_under_it_alone(alone: tuple[Replica, LeaseManager]) -> None:
     replica, keeper = alone
     with keeper.lease("t", 2.0) as held:
         assert held.valid()
@@ -132,7 +132,7 @@
         keeper.task("u", 0.5, lambda held: None)
 
 
-def test_a_lease_that_another_holds_is_not_granted(alone: tuple[Replica, Keeper]) -> None:
+def test_a_lease_that_another_holds_is_not_granted(alone: tuple[Replica, LeaseManager]) -> None:
     replica, keeper = alone
     assert replica.write(c.Command("", 0, c.Acquire("t", "another/1", 60_000)), 5.0).ok
     with pytest.raises(TimeoutError), keeper.lease("t", 2.0, wait=0.5):
@@ -171,7 +171,7 @@
     state = SimpleNamespace(tables={"drains": {"7/0": drain}})
     replica = SimpleNamespace(lock=threading.Lock(), state=state, write=lambda command, _: written.append(command))
     keeper = SimpleNamespace(task=lambda name, ttl, gained: tasks.append(gained))
-    sweep.begin(cast(Any, keeper), cast(Any, replica))
+    sweep.start_sweep(cast(Any, keeper), cast(Any, replica))
     looks = [True] * 8
     held = SimpleNamespace(valid=lambda: bool(looks and looks.pop()), wait=lambda seconds: True, fence=lambda: None)
     monkeypatch.setattr(time, "time", lambda: 2.0 + 3600)  # s: the drain was told a moment ago
@@ -180,9 +180,9 @@
 
 
 def test_a_drain_is_swept_once_its_time_has_passed_since_it_was_seen() -> None:
-    drain, ages = c.Drain(7, 0, told=1_000, cutoff=2_000), sweep.Ages()
-    kept = 1.0 + sweep.KEPT_MS / 1e3
-    assert not ages.over({"7/0": drain}, 100.0)
-    assert not ages.over({"7/0": drain}, 100.0 + kept - 0.01)
-    assert ages.over({"7/0": drain}, 100.0 + kept) == [drain]
-    assert not ages.over({}, 200.0) and not ages.over({"7/0": drain}, 200.0)  # another drain of that engine
+    drain, ages = c.Drain(7, 0, told=1_000, cutoff=2_000), sweep.DrainAges()
+    kept = 1.0 + sweep.RETENTION_MS / 1e3
+    assert not ages.expired({"7/0": drain}, 100.0)
+    assert not ages.expired({"7/0": drain}, 100.0 + kept - 0.01)
+    assert ages.expired({"7/0": drain}, 100.0 + kept) == [drain]
+    assert not ages.expired({}, 200.0) and not ages.expired({"7/0": drain}, 200.0)  # another drain of that engine
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -13,7 +13,7 @@
 from tealwing.lab.rollout import trials
 from tealwing.lab.rollout.measure import share
 from tealwing.peers import link, section
-from tealwing.peers.plan import BEAT_RATE, Plan, Times
+from tealwing.peers.plan import MAX_HEARTBEAT_RATE, LinkTimes, Plan
 from tealwing.replica.messages import Append
 from tealwing.replica.raft import Options, Raft, Role
 from tealwing.rollout import retry
@@ -26,17 +26,19 @@
 
 
 def test_up_to_four_hundred_members_keep_the_times_that_the_file_says() -> None:
-    assert Times().paced(400) == Times()
-    assert Times(beat=0.5, doubt=2.5).paced(1000) == Times(beat=0.5, doubt=2.5, lost=5.0, silent=25.0)
+    assert LinkTimes().scaled_for(400) == LinkTimes()
+    assert LinkTimes(heartbeat=0.5, suspect_after=2.5).scaled_for(1000) == LinkTimes(
+        heartbeat=0.5, suspect_after=2.5, dead_after=5.0, idle_timeout=25.0
+    )
 
 
 @given(st.integers(1, 5000), st.floats(0.05, 2.0))
 @hypothesis_settings(derandomize=True, deadline=None)
 def test_a_voter_takes_in_no_more_heartbeats_a_second_than_it_can(members: int, beat: float) -> None:
-    times = Times(beat=beat).paced(members)
-    assert members / times.beat <= max(BEAT_RATE, members / beat) * 1.000001
-    assert times.beat >= beat and times.doubt >= 3 * times.beat
-    assert times.beat < times.doubt < times.lost < times.silent
+    times = LinkTimes(heartbeat=beat).scaled_for(members)
+    assert members / times.heartbeat <= max(MAX_HEARTBEAT_RATE, members / beat) * 1.000001
+    assert times.heartbeat >= beat and times.suspect_after >= 3 * times.heartbeat
+    assert times.heartbeat < times.suspect_after < times.dead_after < times.idle_timeout
 
 
 # Descriptors of the link
@@ -50,7 +52,7 @@
 
 def test_a_voter_of_many_members_wants_descriptors_for_all_of_them_and_a_learner_does_not() -> None:
     link.check_descriptors(plan(256, learner=False), 1024)
-    with pytest.raises(link.LinkFault, match="ulimit -n") as fault:
+    with pytest.raises(link.LinkError, match="ulimit -n") as fault:
         link.check_descriptors(plan(1105, learner=False), 1024)
     assert "4416 or more" in str(fault.value)
     link.check_descriptors(plan(1105, learner=False), 4416)
@@ -63,7 +65,7 @@
     (tmp_path / "fits.conf").write_text("\n".join(lines[:-1]) + "\n")
     assert len(reader.read(str(tmp_path / "fits.conf")).records["peers"].members) == 1100
     assert any("1101 members" in str(problem) for problem in problems(tmp_path, "\n".join(lines) + "\n"))
-    assert section.MOST_MEMBERS == 1100
+    assert section.MAX_MEMBERS == 1100
 
 
 # News for learners
