--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -18,16 +18,16 @@
 from tealwing.conf.reader import ConfError
 from tealwing.gossip.members import State
 from tealwing.peers import control, frames, link, messages
-from tealwing.peers.book import Book
 from tealwing.peers.clock import Clock
-from tealwing.peers.control import Caller, Control, Turned
-from tealwing.peers.echo import Echo
+from tealwing.peers.control import ControlClient, ControlServer, RemoteCallError
 from tealwing.peers.link import Link
-from tealwing.peers.outbox import Outbox
-from tealwing.peers.plan import Plan, Times
+from tealwing.peers.peer_table import PeerTable
+from tealwing.peers.ping import PingService
+from tealwing.peers.plan import LinkTimes, Plan
+from tealwing.peers.send_queue import SendQueue
 from tests.peers import LIMIT
 
-QUICK = Times(beat=0.05, doubt=0.3, lost=0.6, silent=1.0, hello=0.5)
+QUICK = LinkTimes(heartbeat=0.05, suspect_after=0.3, dead_after=0.6, idle_timeout=1.0, hello_timeout=0.5)
 
 
 def until(holds: Callable[[], bool]) -> None:
@@ -45,7 +45,7 @@
     for cut in cuts:
         found += parser.feed(data[at : at + cut])
         at += cut
-    assert found + parser.feed(data[at:]) == payloads and not parser.begun
+    assert found + parser.feed(data[at:]) == payloads and not parser.has_partial_frame
 
 
 @settings(derandomize=True, max_examples=300)
@@ -66,22 +66,24 @@
 
 
 def test_a_peer_is_doubted_lost_and_heard_again_and_no_copy_is_taken() -> None:
-    book = Book(["b"], QUICK, 0.0)
+    book = PeerTable(["b"], QUICK, 0.0)
     peer = book.get("b")
     assert peer is not None and peer.state is State.DEAD
-    welcome, change = book.greet("b", 5, 1.0)
+    welcome, change = book.accept_hello("b", 5, 1.0)
     assert welcome and change is not None and change.state is State.ALIVE
-    assert not book.greet("stranger", 9, 1.0)[0]
-    assert book.take("b", 5, 1) and not book.take("b", 5, 1) and not book.take("b", 4, 2)
-    assert [c.state for c in book.tick(1.4)] == [State.SUSPECT] and [c.state for c in book.tick(1.7)] == [State.DEAD]
-    assert book.greet("b", 6, 2.0)[0] and book.take("b", 6, 1)  # a new start: its numbers begin anew
-    assert peer.repeated == 2
-    book.set_names(["c"], 3.0)
-    assert book.names() == ["c"] and book.hear("b", 3.0) is None
+    assert not book.accept_hello("stranger", 9, 1.0)[0]
+    assert book.accept_message("b", 5, 1) and not book.accept_message("b", 5, 1) and not book.accept_message("b", 4, 2)
+    assert [c.state for c in book.check_timeouts(1.4)] == [State.SUSPECT] and [
+        c.state for c in book.check_timeouts(1.7)
+    ] == [State.DEAD]
+    assert book.accept_hello("b", 6, 2.0)[0] and book.accept_message("b", 6, 1)  # a new start: its numbers begin anew
+    assert peer.duplicates == 2
+    book.set_members(["c"], 3.0)
+    assert book.names() == ["c"] and book.record_contact("b", 3.0) is None
 
 
 def test_the_oldest_is_dropped_and_counted() -> None:
-    box = Outbox(3, 100)
+    box = SendQueue(3, 100)
     for number in range(5):
         box.put(b"%d" % number)
     assert box.dropped == 2 and box.get(0.0, 2) == [b"2", b"3"] and box.get(0.0, 2) == [b"4"]
@@ -105,7 +107,7 @@
     from tealwing.lab.rig.ports import free_port
 
     members = tuple((name, ("127.0.0.1", free_port())) for name in "ab")
-    a, b = (Link(Plan("f", name, members, QUICK, queue=16), boot=1) for name in "ab")
+    a, b = (Link(Plan("f", name, members, QUICK, queue=16), incarnation=1) for name in "ab")
     heard: SimpleQueue[tuple[str, bytes]] = SimpleQueue()
     b.on(2, lambda name, body: heard.put((name, body)))
     yield a, b, heard
@@ -117,19 +119,19 @@
     pair: tuple[Link, Link, SimpleQueue[tuple[str, bytes]]],
 ) -> None:
     a, b, heard = pair
-    echo = Echo(a)
-    Echo(b)
+    echo = PingService(a)
+    PingService(b)
     a.start()
     b.start()
     until(lambda: a.live() == ["b"] and b.live() == ["a"])
     a.send("b", 2, b"x")
     assert heard.get(timeout=LIMIT) == ("a", b"x")
-    answer = echo.ask("b", "hello", LIMIT)
-    assert answer is not None and (answer.by, answer.text) == ("b", "hello")
+    answer = echo.ping("b", "hello", LIMIT)
+    assert answer is not None and (answer.responder, answer.text) == ("b", "hello")
     assert not a.send("nobody", 2, b"x")
     b.stop()
     until(lambda: a.status()[0]["state"] == "dead")
-    again = Link(b.plan, boot=2)
+    again = Link(b.plan, incarnation=2)
     again.start()
     until(lambda: a.live() == ["b"] and again.live() == ["a"])
     again.change({"b": b.plan.address("b") or ("", 0)})  # a is no member any more
@@ -149,7 +151,7 @@
         b"",  # nothing
         HELLO,  # and then nothing
         HELLO + HELLO,
-        frames.encode(messages.encode(messages.Beat(1))),  # before the hello
+        frames.encode(messages.encode(messages.Heartbeat(1))),  # before the hello
         frames.encode(messages.encode(messages.Hello("other", "a", "b", 1))),
         frames.encode(messages.encode(messages.Hello("f", "stranger", "b", 1))),
         HELLO + frames.encode(b"\x93\x01"),
@@ -189,14 +191,14 @@
 
 
 def test_the_control_address_answers_right_and_wrong_calls(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control, "MOST_CALLERS", 3)
-    monkeypatch.setattr(control, "REST", 0.2)
-    served = Control(("127.0.0.1", 0))
+    monkeypatch.setattr(control, "MAX_CONNECTIONS", 3)
+    monkeypatch.setattr(control, "FRAME_TIMEOUT", 0.2)
+    served = ControlServer(("127.0.0.1", 0))
     served.serve("twice", lambda fields: {"is": 2 * control.field(fields, "of", int)})
     served.serve("broken", lambda fields: {"is": 1 // 0})
     served.start()
-    caller = Caller(served.address)
-    assert caller.ask("twice", of=4) == {"is": 8}
+    caller = ControlClient(served.address)
+    assert caller.call("twice", of=4) == {"is": 8}
     wrong: list[tuple[str, dict[str, Any], str]] = [
         ("twice", {}, "of: missing"),
         ("twice", {"of": "x"}, "of: Expected `int`"),
@@ -204,18 +206,18 @@
         ("broken", {}, "failed within"),
     ]
     for call, fields, why in wrong:
-        with pytest.raises(Turned, match=why):
-            caller.ask(call, **fields)
+        with pytest.raises(RemoteCallError, match=why):
+            caller.call(call, **fields)
     half, garbage = (socket.create_connection(served.address, LIMIT) for _ in range(2))
-    until(lambda: len(served._callers) == 3)
-    with pytest.raises(Turned, match="callers are here already"):
-        Caller(served.address).ask("twice", of=1)
+    until(lambda: len(served._connections) == 3)
+    with pytest.raises(RemoteCallError, match="callers are here already"):
+        ControlClient(served.address).call("twice", of=1)
     half.sendall(frames.encode(b"xx")[:5])
     garbage.sendall(b"garbage!" * 4)
     for sock in (half, garbage):
         sock.settimeout(LIMIT)
         assert sock.recv(64) == b""
-    assert caller.ask("twice", of=1) == {"is": 2}
+    assert caller.call("twice", of=1) == {"is": 2}
     caller.close()
     served.stop()
 
@@ -249,7 +251,7 @@
     assert plan.address("n1") == ("127.0.0.1", 7002) and not plan.faults and plan.learners == ()
     path.write_text(GOOD + "".join(f"    member m{n} 127.0.0.1:{7003 + n} learner\n" for n in range(254)))
     many = reader.read(str(path)).records["peers"]
-    assert len(many.learners) == 254 and many.spoken_to() == {name for name, _ in many.members} - {"n0"}
+    assert len(many.learners) == 254 and many.linked_members() == {name for name, _ in many.members} - {"n0"}
     path.write_text(wrong)
     with pytest.raises(ConfError) as found:
         reader.read(str(path))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -13,7 +13,7 @@
 from tealwing.lab.rig import layouts, runs
 from tealwing.lab.rig.configuration import Layout
 from tealwing.lab.rig.trial import Trial
-from tealwing.peers.bounds import USUAL
+from tealwing.leases.bounds import DEFAULT_BOUNDS
 from tealwing.replica import commands as c
 from tealwing.replica.feed import words
 from tealwing.replica.messages import Snap
@@ -47,7 +47,7 @@
     do(state, 3, c.Release("free", 2))
     found = believed(state)
     assert found["lease", "sweep"].trust is Trust.WAITS and ("lease", "free") not in found
-    assert found["lease", "sweep"].until_ms == NOW + round(USUAL.leader_waits(5.0) * 1e3)
+    assert found["lease", "sweep"].until_ms == NOW + round(DEFAULT_BOUNDS.expiry_delay(5.0) * 1e3)
 
 
 def test_a_drain_goes_on_under_its_first_cutoff_and_what_has_no_age_is_marked() -> None:
@@ -170,9 +170,9 @@
         engine = trial.engines.members()[1] | {"phase": "draining"}
         trial.coordinator.tell([engine])
         caller = trial.caller("n0")
-        until(lambda: caller.ask("replica.status")["held"]["drains"] == 1)  # told by all three, and kept once
-        applied = caller.ask("replica.status")["applied"]
-        until(lambda: caller.ask("replica.status")["kept"] >= applied)  # its disk knows that it is committed
+        until(lambda: caller.call("replica.status")["held"]["drains"] == 1)  # told by all three, and kept once
+        applied = caller.call("replica.status")["applied"]
+        until(lambda: caller.call("replica.status")["kept"] >= applied)  # its disk knows that it is committed
         caller.close()
         for process in trial.processes.values():
             process.kill()
@@ -184,17 +184,17 @@
         assert Session(listen).ask(text, 5.0).word == "served"  # whatever readiness says
         until(lambda: readiness(admin).startswith("ready: no leader is known; 1 of 3 members are heard"))
         caller = trial.caller("n0")
-        told = caller.ask("replica.settings", text=b"{}")
+        told = caller.call("replica.settings", text=b"{}")
         assert told["word"] == "unavailable" and "no leader is known" in told["why"]
-        back = caller.ask("replica.recovery")
+        back = caller.call("replica.recovery")
         assert back["phase"] == "alone"
         assert [(b["trust"], b["until_ms"] > 0) for b in back["beliefs"] if b["what"] == "drain"] == [("held", True)]
-        assert not any(lease["valid"] for lease in caller.ask("lease.list")["here"])
+        assert not any(lease["valid"] for lease in caller.call("lease.list")["here"])
         for name in ("n1", "n2"):
             trial.processes[name].start()
         until(lambda: readiness(admin).startswith("ready: caught up"))
         with pytest.raises(Exception, match="text: "):
-            caller.ask("replica.settings", text=b"{}")
+            caller.call("replica.settings", text=b"{}")
         code, said = run("replica", "status", "--control", "{}:{}".format(*one.control))
         assert code == 0 and "members n0, n1, n2" in said
         assert trial.trouble() == []
--- a/tests/test_rollout_cores.py
+++ b/tests/test_rollout_cores.py
@@ -4,15 +4,15 @@
 
 from typing import Any
 
-from tealwing.federation.delegate import Delegate, duties
+from tealwing.federation.site_delegate import SiteDelegate, required_proposals
 from tealwing.lab.models.rollout_parts import empty, propose
-from tealwing.peers.bounds import USUAL
+from tealwing.leases.bounds import DEFAULT_BOUNDS
 from tealwing.rollout.conductor import Conductor, Witnesses
 from tealwing.rollout.member import HELD, Check, Machine, Read, Restart, Say, WriteMark, view
 from tealwing.rules import records as r
 from tealwing.rules import registry
 
-MAY = USUAL.holder_may(2.0)
+MAY = DEFAULT_BOUNDS.holder_duration(2.0)
 
 
 class Log:
@@ -146,7 +146,7 @@
     log.do(r.Lapse("x", 1))
     for watch in watches.values():
         watch.applied(1.0, log.index, r.Lapse("x", 1))
-    waits = USUAL.leader_waits(2.0)
+    waits = DEFAULT_BOUNDS.expiry_delay(2.0)
     assert not any(watch.due(1.0 + waits - 0.01, log.tables) for watch in watches.values())
     first = [name for name, watch in watches.items() if watch.due(1.0 + waits + 0.01, log.tables)]
     assert len(first) == 3 and "x" not in first
@@ -160,7 +160,7 @@
     fed, site = Log(("B", "serve")), Log(("a", "serve"), ("b", "hold"))
 
     def step() -> tuple[list[r.Body], list[r.Body]]:
-        return duties("A", site.tables, fed.tables, fed.index)
+        return required_proposals("A", site.tables, fed.tables, fed.index)
 
     assert step() == ([], [r.Begin("A", 1, "serve", 1, 2000)])
     fed.do(*step()[1])
@@ -181,9 +181,9 @@
     assert step() == ([], [])
     fed.do(r.Activate(1))
     assert step() == ([r.Activate(1, fed.index)], [])
-    delegate = Delegate("A")
-    assert len(delegate.look(0.0, site.tables, fed.tables, fed.index)[0]) == 1
-    assert delegate.look(0.01, site.tables, fed.tables, fed.index) == ([], [])
+    delegate = SiteDelegate("A")
+    assert len(delegate.due_proposals(0.0, site.tables, fed.tables, fed.index)[0]) == 1
+    assert delegate.due_proposals(0.01, site.tables, fed.tables, fed.index) == ([], [])
     site.do(*step()[0])
     assert step() == ([], [])
 
@@ -192,14 +192,14 @@
     fed, site = Log(("A", "hold"), ("B", "hold"), ("C", "hold")), Log(("a", "hold"))
     fed.checked()
     fed.do(r.Close(1), r.Closed(1, "B", 1), r.Closed(1, "C", 1), r.Lapse("A", 1))
-    assert duties("A", site.tables, fed.tables, fed.index)[1] == []
+    assert required_proposals("A", site.tables, fed.tables, fed.index)[1] == []
     lapse = fed.index
     fed.do(r.Witness("A", lapse, "B"), r.Witness("A", lapse, "C"), r.Activate(1))
-    (ours,), theirs = duties("A", site.tables, fed.tables, fed.index)
+    (ours,), theirs = required_proposals("A", site.tables, fed.tables, fed.index)
     assert isinstance(ours, r.Propose) and theirs == []
     site.checked(ours)
     site.do(r.Close(1), r.Closed(1, "a", 1), r.Activate(1, fed.index))
-    assert duties("A", site.tables, fed.tables, fed.index) == ([], [r.Begin("A", 2, "hold", 1, 2000, 1)])
+    assert required_proposals("A", site.tables, fed.tables, fed.index) == ([], [r.Begin("A", 2, "hold", 1, 2000, 1)])
 
 
 def test_a_gateway_of_a_federated_site_is_shut_where_the_federation_has_gone_on_without_it() -> None:
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -15,7 +15,7 @@
 from tealwing.lab.faults import scenario
 from tealwing.lab.rig.configuration import Layout
 from tealwing.lab.rig.trial import Trial
-from tealwing.peers.control import Turned, ask
+from tealwing.peers.control import RemoteCallError, call_control
 from tealwing.rules import records
 from tests.test_peers import until
 
@@ -46,7 +46,7 @@
 
 
 def call(trial: Trial, name: str, what: str, **fields: Any) -> dict[str, Any]:
-    return ask(trial.processes[name].control, what, 15.0, **fields)
+    return call_control(trial.processes[name].control, what, 15.0, **fields)
 
 
 def statuses(trial: Trial) -> list[dict[str, Any]]:
@@ -56,7 +56,7 @@
         if process.running:
             try:
                 found.append(call(trial, name, "rules.status"))
-            except (OSError, Turned):
+            except (OSError, RemoteCallError):
                 found.append({"members": [], "gate": {"mode": ""}, "in_flight": None, "in_force": -1, "active": -1})
     return found
 
@@ -117,13 +117,13 @@
         told = json.loads(text)
         assert code == 0 and told["active"] == 1 and told["last"] == 2 and told["in_flight"] is None
         assert "version 1 is in force, 1 here; gate open" in run(trial, "n0", "status")[1]
-        with pytest.raises(Turned, match="allowed: 1, 2"):
+        with pytest.raises(RemoteCallError, match="allowed: 1, 2"):
             call(trial, "n0", "rules.show", number=5)
-        with pytest.raises(Turned, match="propose a version"):
+        with pytest.raises(RemoteCallError, match="propose a version"):
             call(trial, "n0", "replica.settings", text=b"{}")
-        with pytest.raises(Turned, match="allowed: the calls rules"):  # nobody says a member's word for it
+        with pytest.raises(RemoteCallError, match="allowed: the calls rules"):  # nobody says a member's word for it
             call(trial, "n0", "replica.do", body=msgspec.msgpack.encode(records.Closed(2, "n1", 1)))
-        with pytest.raises(Turned, match="member"):
+        with pytest.raises(RemoteCallError, match="member"):
             call(trial, "n0", "rules.forget", off=True)
         assert call(trial, "n0", "rules.forget", member="n9", off=True)["word"] == "refused"
 
--- a/tests/test_rollout_shell.py
+++ b/tests/test_rollout_shell.py
@@ -95,7 +95,7 @@
     def __init__(self, folder: Path, state: State | None = None, answers: bool = True, **changes: Any) -> None:
         self.log, self.place, self.gate = OneLog(folder, state), Place(), Gate(8, 0.1)
         members = (("n0", ("127.0.0.1", 1)),)  # as the section has them
-        times = SimpleNamespace(name="n0", times=SimpleNamespace(beat=0.2), members=members)
+        times = SimpleNamespace(name="n0", times=SimpleNamespace(heartbeat=0.2), members=members)
         link = SimpleNamespace(plan=times, status=lambda: [])
         self.shell = Shell(Plan(**changes), cast(Any, self.log), cast(Any, link), self.place, self.gate)
         if answers:
