--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -12,7 +12,8 @@
 from tealwing.leases.service import Service as LeaseService
 from tealwing.peers.clock import Clock
 from tealwing.peers.control import CallRejectedError, ControlServer, Fields, field
-from tealwing.peers.link import Link, LinkError
+from tealwing.peers.errors import LinkError
+from tealwing.peers.link import Link
 from tealwing.peers.ping import PingService
 from tealwing.peers.plan import Plan
 from tealwing.replica.commands import Command, CommandResult, Settings
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -267,7 +267,7 @@
         if federation is not None and (replica is None or rules is None):
             raise ValueError("federation: needs the sections replica and rules: what the sites agree on is a version")
         from tealwing.fleet.peering import Peering
-        from tealwing.peers.link import LinkError  # only where it is on
+        from tealwing.peers.errors import LinkError  # only where it is on
 
         if self._peering is not None:
             if (plan, replica, rules, federation) != self._peering.plans:
--- a/tealwing/lab/hollow/member.py
+++ b/tealwing/lab/hollow/member.py
@@ -52,7 +52,7 @@
     """One member of the fleet."""
 
     def __init__(self, host: Host, name: str) -> None:
-        """peers.link.LinkFault where its address can't be had or its disk can't be trusted."""
+        """peers.errors.LinkError where its address can't be had or its disk can't be trusted."""
         self.name = name
         folder = Path(host.folder) / name
         folder.mkdir(parents=True, exist_ok=True)
--- a/tealwing/peers/inbound.py
+++ b/tealwing/peers/inbound.py
@@ -1,58 +1,208 @@
-"""A connection on which a peer speaks, read by the link's reader."""
+"""The receiving side of the peer link: the listening socket, and the connections on which peers send."""
 
 from __future__ import annotations
 
 import contextlib
+import resource
 import socket
+import threading
 import time
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from math import ceil
 
+from tealwing import log, threads
+from tealwing.connection_reader import ConnectionReader
 from tealwing.peers import frames, messages
-from tealwing.peers.plan import LinkTimes
+from tealwing.peers.errors import LinkError
+from tealwing.peers.peer_table import PeerTable, StateChange
+from tealwing.peers.plan import Address, LinkTimes, Plan
 
-if TYPE_CHECKING:
-    from tealwing.peers.link import Link
+BACKLOG = 64
+ACCEPT_PAUSE = 0.05  # s before a failed accept is tried again
+DESCRIPTOR_SHARE = 0.5  # of the process's descriptors, for the link: clients and engines have the others
+SPARE_INBOUND = 8  # connections beside one of each peer's: of a peer that restarts, or of a stranger before its hello
+
+MessageHandler = Callable[[str, bytes], None]  # name of the peer, body; on the reader's thread: quick, never blocking
+StateHandler = Callable[[StateChange], None]
+
+
+def check_descriptors(plan: Plan, limit: int) -> None:
+    """Raise LinkError where the connections to and from all members would take more than half of the descriptors."""
+    needed = len(plan.linked_members()) + len(plan.members) - 1
+    if needed > limit * DESCRIPTOR_SHARE:
+        minimum = ceil(needed / DESCRIPTOR_SHARE)
+        raise LinkError(
+            f"peers: member {plan.name} has up to {needed} connections to and from {len(plan.members)} members, and the"
+            f" process may open {limit} files, of which the link may take half; allowed: a limit of {minimum} or more"
+            " (ulimit -n), or fewer members"
+        )
+
+
+class PeerListener:
+    """Accepts peers' connections, admits those that say whose they are, and dispatches their messages by channel."""
+
+    def __init__(self, plan: Plan, table: PeerTable, lock: threading.Lock, on_change: StateHandler) -> None:
+        """Listen at the plan's address; LinkError where it is not available.
+
+        Args:
+            plan: this gateway's place among its peers.
+            table: the peers and their states, read and changed under `lock`.
+            lock: the link's, round the table and the connections.
+            on_change: called without the lock when a message changes its sender's state.
+        """
+        address = plan.address(plan.name)
+        assert address is not None  # the section's check
+        check_descriptors(plan, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        try:
+            self._socket = socket.create_server(address, backlog=BACKLOG)
+        except OSError as error:
+            raise LinkError(f"peers: member {plan.name} {address[0]}:{address[1]}: {error.strerror}") from None
+        self._plan, self._table, self._lock, self._on_change = plan, table, lock, on_change
+        self._handlers: dict[int, MessageHandler] = {}  # by channel
+        self._reader = ConnectionReader("peer-reader", limited=True)
+        self._stopped = threading.Event()
+        self._connection_errors = 0
+        self.connections: set[InboundConnection] = set()
+        self.received = self.received_bytes = 0  # messages and bytes, written by the reader's thread
+
+    @property
+    def address(self) -> Address:
+        """The address at which it listens."""
+        host, port = self._socket.getsockname()
+        return host, port
+
+    def on(self, channel: int, handler: MessageHandler) -> None:
+        """Register the handler of a channel; before the start."""
+        self._handlers[channel] = handler
+
+    def start(self) -> None:
+        """Start the reader's and the accepting thread."""
+        self._reader.start()
+        threads.start(self._accept, "peer-accept")
+
+    def close(self) -> None:
+        """Accept no more connections."""
+        self._stopped.set()
+        with contextlib.suppress(OSError):
+            self._socket.shutdown(socket.SHUT_RD)
+        self._socket.close()
+
+    def receive(self, connection: InboundConnection, message: messages.Message) -> None:
+        """Handle one message, on the reader's thread. FrameError ends the connection."""
+        now = time.monotonic()
+        self.received += 1
+        change = None
+        if not connection.name:
+            change = self._admit(connection, message, now)
+        elif isinstance(message, messages.Hello):
+            raise frames.FrameError("a second hello")
+        else:
+            with self._lock:
+                change = self._table.record_contact(connection.name, now)
+                data = isinstance(message, messages.Data)
+                is_new = data and self._table.accept_message(connection.name, connection.incarnation, message.sequence)
+            if is_new and isinstance(message, messages.Data) and (handler := self._handlers.get(message.channel)):
+                self._dispatch(handler, connection.name, message.body)
+        if change is not None:
+            self._on_change(change)
+
+    def connection_ended(self, connection: InboundConnection, why: Exception | None) -> None:
+        """Forget a connection that is closed."""
+        with self._lock:
+            self.connections.discard(connection)
+        if not isinstance(why, (EOFError, OSError)) and not self._stopped.is_set():
+            self._connection_errors += 1
+            errors = self._connection_errors
+            if errors & (errors - 1) == 0:  # at powers of two: a flood writes few lines
+                log.event("peer_connection_ended", peer=connection.name or None, why=str(why), so_far=errors)
+
+    def _admit(self, connection: InboundConnection, message: messages.Message, now: float) -> StateChange | None:
+        if not isinstance(message, messages.Hello):
+            raise frames.FrameError("a message before the hello")
+        if (message.fleet, message.to) != (self._plan.fleet, self._plan.name):
+            raise frames.FrameError(
+                f"a hello of {message.name} for {message.to} of fleet {message.fleet!r};"
+                f" this is {self._plan.name} of {self._plan.fleet!r}"
+            )
+        with self._lock:
+            is_member, change = self._table.accept_hello(message.name, message.incarnation, now)
+            earlier = [c for c in self.connections if c.name == message.name]
+        if not is_member:
+            raise frames.FrameError(f"a hello of {message.name}, which is no member")
+        connection.name, connection.incarnation = message.name, message.incarnation
+        for other in earlier:  # of one direction the last connection counts
+            other.shutdown()
+        return change
+
+    def _dispatch(self, handler: MessageHandler, name: str, body: bytes) -> None:
+        try:
+            handler(name, body)
+        except ValueError as error:  # a body that its package can't read: nothing more of this connection counts
+            raise frames.FrameError(f"a message of {name}: {error}") from None
+
+    def _accept(self) -> None:
+        while not self._stopped.is_set():
+            try:
+                sock, _ = self._socket.accept()
+            except OSError as error:
+                if self._stopped.wait(ACCEPT_PAUSE):
+                    return
+                log.event("accept_failed", error=str(error))
+                continue
+            connection = InboundConnection(self, sock, self._plan.times)
+            with self._lock:
+                full = len(self.connections) >= len(self._table.names()) + SPARE_INBOUND
+                if not full:
+                    self.connections.add(connection)
+            if full:  # strangers hold the places: each for `hello_timeout` seconds at most
+                connection.close()
+                continue
+            try:
+                self._reader.watch(connection, connection.deadline)
+            except (threads.ThreadUnavailableError, OSError):
+                connection.close()
+                with self._lock:
+                    self.connections.discard(connection)
 
 
 class InboundConnection:
-    """A connection on which a peer speaks."""
+    """A connection on which a peer sends, read by the listener's reader (`connection_reader.Readable`)."""
 
-    def __init__(self, link: Link, sock: socket.socket, times: LinkTimes) -> None:
-        self._link, self._sock, self._times = link, sock, times
+    def __init__(self, listener: PeerListener, sock: socket.socket, times: LinkTimes) -> None:
+        self._listener, self._sock, self._times = listener, sock, times
         self._parser = frames.Parser()
-        self.name, self.incarnation = "", 0
+        self.name, self.incarnation = "", 0  # of the peer, once its hello has come
         self.deadline = time.monotonic() + times.hello_timeout
 
     def fileno(self) -> int:
-        """The descriptor."""
+        """Return the descriptor."""
         return self._sock.fileno()
 
     def read(self, buffer: memoryview) -> float | None:
-        """Hand on what has come; until when the next whole frame must have come."""
+        """Handle the bytes that have come; return the monotonic time by which the next whole frame must have come."""
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return self.deadline
         if not size:
             raise EOFError
-        self._link.received_bytes += size
+        self._listener.received_bytes += size
         for payload in self._parser.feed(buffer[:size]):
-            self._link.receive(self, messages.decode(payload))
+            self._listener.receive(self, messages.decode(payload))
             self.deadline = time.monotonic() + self._times.idle_timeout
         return self.deadline
 
     def ended(self, why: Exception | None) -> None:
-        """It is read no more."""
+        """Close the connection, which is read no more."""
         self.close()
-        self._link.connection_ended(self, why)
+        self._listener.connection_ended(self, why)
 
     def close(self) -> None:
-        """End it."""
-        with contextlib.suppress(OSError):
-            self._sock.shutdown(socket.SHUT_RDWR)
+        """Close the connection."""
+        self.shutdown()
         self._sock.close()
 
     def shutdown(self) -> None:
-        """Have the reader end it."""
+        """Have the reader end the connection."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
--- a/tealwing/peers/link.py
+++ b/tealwing/peers/link.py
@@ -1,144 +1,99 @@
-"""The peer link on its sockets: one thread that accepts, one that reads all, one that looks round, one sender a peer.
+"""The peer link: one thread that accepts, one that reads all connections, one that checks timeouts, one sender a peer.
 
-Each connection carries one direction. Whoever has something to say dials, says who it is (`Hello`), and sends frames;
-the other end only reads. Sends never block the caller: they go into the peer's bounded outbox.
+Each connection carries one direction. The sender dials, identifies itself with a `Hello`, and sends frames; the other
+end only reads (`inbound.PeerListener`). Sends never block the caller: they go into the peer's bounded send queue.
 
-Where the plan has learners, one of those speaks only to who votes, and to whom a replicated log needs besides
-(`reach`): links grow with members times voters, not with their square. It hears every member that dials it.
+A learner of the replicated log links to voters only, and to the members that a log needs besides (`reach`): so links
+grow with members times voters, not with the square of members. It accepts connections of every member.
 """
 
 from __future__ import annotations
 
-import contextlib
 import itertools
-import resource
-import socket
 import threading
 import time
-from collections.abc import Callable, Collection
+from collections.abc import Collection
 from dataclasses import dataclass
-from math import ceil
 from typing import Any
 
 from tealwing import log, threads
-from tealwing.connection_reader import ConnectionReader
 from tealwing.gossip.members import State
-from tealwing.peers import frames, messages
-from tealwing.peers.inbound import InboundConnection
+from tealwing.peers import messages
+from tealwing.peers.inbound import MessageHandler, PeerListener, StateHandler
 from tealwing.peers.outbound import OutboundConnection
 from tealwing.peers.peer_table import PeerTable, StateChange
 from tealwing.peers.plan import Address, Plan
 
-BACKLOG = 64
-ACCEPT_PAUSE = 0.05  # s before a failed accept is tried again
-DESCRIPTOR_SHARE = 0.5  # of the process's descriptors, for the link: clients and engines have the others
-SPARE_INBOUND = 8  # connections beside one of each peer's: of a peer that starts anew, or of a stranger for `hello`
-
-MessageHandler = Callable[
-    [str, bytes], None
-]  # name of the peer, body; on the reader's thread: quick, and never blocking
-StateWatcher = Callable[[StateChange], None]
-
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """All that a link has written to its sockets and read from them so far."""
+    """Counts of what a link has written to its sockets and read from them."""
 
-    sent: int  # messages, signs of life among them
+    sent: int  # messages, heartbeats included
     sent_bytes: int
     received: int
     received_bytes: int
 
 
-class LinkError(ValueError):
-    """The link can't begin; the text says why."""
-
-
-def check_descriptors(plan: Plan, limit: int) -> None:
-    """LinkFault where the connections to and from all members would take more than half of the descriptors."""
-    needed = len(plan.linked_members()) + len(plan.members) - 1
-    if needed > limit * DESCRIPTOR_SHARE:
-        minimum = ceil(needed / DESCRIPTOR_SHARE)
-        raise LinkError(
-            f"peers: member {plan.name} has up to {needed} connections to and from {len(plan.members)} members, and the"
-            f" process may open {limit} files, of which the link may take half; allowed: a limit of {minimum} or more"
-            " (ulimit -n), or fewer members"
-        )
-
-
 class Link:
     """One gateway among its peers."""
 
     def __init__(self, plan: Plan, incarnation: int | None = None) -> None:
-        """boot is ms of the Unix clock at this start (now, if None). LinkFault where the address can't be had."""
+        """Listen at the plan's address; LinkError where it is not available.
+
+        incarnation is the time of this start, in ms of the Unix clock; None: now.
+        """
         self.plan = plan
         self.incarnation = int(time.time() * 1e3) if incarnation is None else incarnation
-        listen = plan.address(plan.name)
-        assert listen is not None  # the section's check
-        check_descriptors(plan, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        try:
-            self._listener = socket.create_server(listen, backlog=BACKLOG)
-        except OSError as error:
-            raise LinkError(f"peers: member {plan.name} {listen[0]}:{listen[1]}: {error.strerror}") from None
-        self.lock = threading.Lock()  # round the book, the connections and the senders
+        self.lock = threading.Lock()  # round the peer table, the connections and the senders
         self._members = {name: address for name, address in plan.members if name != plan.name}
-        self._needed: dict[str, frozenset[str]] = {}  # by who needs them: members to speak to, beside the plan's
+        self._needed: dict[str, frozenset[str]] = {}  # members to link to beside the plan's, by who needs them
         self._table = PeerTable(self._members, plan.times, time.monotonic())
+        self._listener = PeerListener(plan, self._table, self.lock, self._notify)
         linked = plan.linked_members()
-        self._senders = {
-            name: OutboundConnection(self, name, to) for name, to in self._members.items() if name in linked
-        }
-        self._inbound: set[InboundConnection] = set()
-        self._channels: dict[int, MessageHandler] = {}
-        self._watchers: list[StateWatcher] = []
+        self._senders = {name: self._sender(name, to) for name, to in self._members.items() if name in linked}
+        self._watchers: list[StateHandler] = []
         self._sequences = {name: itertools.count(1) for name in self._senders}
         self._started = False
         self._stopped = threading.Event()
-        self._reader = ConnectionReader("peer-reader", limited=True)
-        self._connection_errors = 0
-        self.received_bytes = self._received = 0  # bytes and messages that came, of the reader's thread
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
-        host, port = self._listener.getsockname()
-        return host, port
+        """The address at which it listens."""
+        return self._listener.address
 
     def on(self, channel: int, handler: MessageHandler) -> None:
-        """Have what comes on a channel handed on; before the start."""
-        self._channels[channel] = handler
+        """Register the handler of a channel's messages; before the start."""
+        self._listener.on(channel, handler)
 
-    def watch(self, watcher: StateWatcher) -> None:
-        """Be told of peers that are heard again, suspected or lost; before the start, never under our lock."""
+    def watch(self, watcher: StateHandler) -> None:
+        """Register a callback for changes of peers' states; before the start. It is never called under the lock."""
         self._watchers.append(watcher)
 
     def start(self) -> None:
-        """Listen and dial from now on."""
-        self._reader.start()
-        threads.start(self._accept, "peer-accept")
+        """Start to listen and to dial."""
+        self._listener.start()
         threads.start(self._monitor, "peer-looks")
         with self.lock:
             self._started = True
-            outbounds = list(self._senders.values())
-        for outbound in outbounds:
-            outbound.start()
+            senders = list(self._senders.values())
+        for sender in senders:
+            sender.start()
         log.event("peers_started", name=self.plan.name, address=self.address, peers=self._table.names())
 
     def stop(self) -> None:
         """End all connections and threads of the link."""
         self._stopped.set()
-        with contextlib.suppress(OSError):
-            self._listener.shutdown(socket.SHUT_RD)
         self._listener.close()
         with self.lock:
-            inbound, outbound = list(self._inbound), list(self._senders.values())
-        for sender in outbound:
+            inbound, senders = list(self._listener.connections), list(self._senders.values())
+        for sender in senders:
             sender.stop()
         for connection in inbound:
             connection.shutdown()
 
     def send(self, name: str, channel: int, body: bytes) -> bool:
-        """Send to a peer, as far as it is reached; False where it is none that we speak to. Never blocks."""
+        """Queue a message for a peer, and never block; return False where there is no sender to it."""
         with self.lock:
             outbound = self._senders.get(name)
             if outbound is None:
@@ -148,28 +103,28 @@
         return True
 
     def live(self) -> list[str]:
-        """The peers that are heard."""
+        """Return the names of the peers that are alive."""
         with self.lock:
             return self._table.live()
 
     def change(self, members: dict[str, Address]) -> None:
-        """Other members: the senders and all that is kept of those that go, go with them."""
+        """Set the members; the senders to those that leave, and all state of them, are dropped."""
         with self.lock:
             self._members = {name: address for name, address in members.items() if name != self.plan.name}
             self._table.set_members(self._members, time.monotonic())
-            strangers = [connection for connection in self._inbound if connection.name not in ("", *self._members)]
+            strangers = [c for c in self._listener.connections if c.name not in ("", *self._members)]
         self._set_senders()
         for connection in strangers:
             connection.shutdown()
 
     def reach(self, who: str, names: Collection[str]) -> None:
-        """Speak to these members too, as that one needs them, until it says otherwise. Any thread; never blocks."""
+        """Link to these members too, until `who` names others. Callable on any thread; never blocks."""
         with self.lock:
             self._needed[who] = frozenset(names)
         self._set_senders()
 
     def _set_senders(self) -> None:
-        """Have a sender to each member that is to be spoken to, and to no other."""
+        """Have a sender to each member that this one links to, and to no other."""
         with self.lock:
             linked = self.plan.linked_members().union(*self._needed.values()) if self.plan.learners else self._members
             targets = {name: address for name, address in self._members.items() if name in linked}
@@ -179,7 +134,7 @@
                 del self._sequences[outbound.name]
                 if outbound.name not in targets:
                     self._table.reset(outbound.name, time.monotonic())
-            added = [OutboundConnection(self, name, targets[name]) for name in targets if name not in self._senders]
+            added = [self._sender(name, targets[name]) for name in targets if name not in self._senders]
             for outbound in added:
                 self._senders[outbound.name] = outbound
                 self._sequences[outbound.name] = itertools.count(1)
@@ -193,14 +148,14 @@
                 continue
 
     def traffic(self) -> Traffic:
-        """What has passed so far; connections to peers that are spoken to no more count no more."""
+        """Return the counts so far; those of senders that were removed are not included."""
         with self.lock:
             senders = list(self._senders.values())
         sent, sent_bytes = sum(one.sent for one in senders), sum(one.sent_bytes for one in senders)
-        return Traffic(sent, sent_bytes, self._received, self.received_bytes)
+        return Traffic(sent, sent_bytes, self._listener.received, self._listener.received_bytes)
 
     def status(self) -> list[dict[str, Any]]:
-        """What is known of each peer; seconds and counts."""
+        """Return what is known of each peer; seconds and counts."""
         now = time.monotonic()
         peers = []
         with self.lock:
@@ -227,85 +182,9 @@
                 )
         return peers
 
-    # For the connections
-
-    def hello(self, to: str) -> messages.Hello:
-        """Who we are."""
-        return messages.Hello(self.plan.fleet, self.plan.name, to, self.incarnation)
-
-    def receive(self, connection: InboundConnection, message: messages.Message) -> None:
-        """One message, on the reader's thread. FrameError ends the connection."""
-        now = time.monotonic()
-        self._received += 1
-        change = None
-        if not connection.name:
-            if not isinstance(message, messages.Hello):
-                raise frames.FrameError("a message before the hello")
-            if (message.fleet, message.to) != (self.plan.fleet, self.plan.name):
-                raise frames.FrameError(
-                    f"a hello of {message.name} for {message.to} of fleet {message.fleet!r};"
-                    f" this is {self.plan.name} of {self.plan.fleet!r}"
-                )
-            with self.lock:
-                is_member, change = self._table.accept_hello(message.name, message.incarnation, now)
-                earlier = [c for c in self._inbound if c.name == message.name]
-            if not is_member:
-                raise frames.FrameError(f"a hello of {message.name}, which is no member")
-            connection.name, connection.incarnation = message.name, message.incarnation
-            for other in earlier:  # of one direction the last connection counts
-                other.shutdown()
-        elif isinstance(message, messages.Hello):
-            raise frames.FrameError("a second hello")
-        else:
-            with self.lock:
-                change = self._table.record_contact(connection.name, now)
-                data = isinstance(message, messages.Data)
-                is_new = data and self._table.accept_message(connection.name, connection.incarnation, message.sequence)
-            if is_new and isinstance(message, messages.Data) and (handler := self._channels.get(message.channel)):
-                self._dispatch(handler, connection.name, message.body)
-        if change is not None:
-            self._notify(change)
-
-    def _dispatch(self, handler: MessageHandler, name: str, body: bytes) -> None:
-        try:
-            handler(name, body)
-        except ValueError as error:  # a body that its package can't read: nothing more of this connection counts
-            raise frames.FrameError(f"a message of {name}: {error}") from None
-
-    def connection_ended(self, connection: InboundConnection, why: Exception | None) -> None:
-        """A connection has ended."""
-        with self.lock:
-            self._inbound.discard(connection)
-        if not isinstance(why, (EOFError, OSError)) and not self._stopped.is_set():
-            self._connection_errors += 1
-            if self._connection_errors & (self._connection_errors - 1) == 0:  # a flood writes few lines
-                log.event(
-                    "peer_connection_ended", peer=connection.name or None, why=str(why), so_far=self._connection_errors
-                )
-
-    def _accept(self) -> None:
-        while not self._stopped.is_set():
-            try:
-                sock, _ = self._listener.accept()
-            except OSError as error:
-                if self._stopped.wait(ACCEPT_PAUSE):
-                    return
-                log.event("accept_failed", error=str(error))
-                continue
-            connection = InboundConnection(self, sock, self.plan.times)
-            with self.lock:
-                full = len(self._inbound) >= len(self._table.names()) + SPARE_INBOUND
-                if not full:
-                    self._inbound.add(connection)
-            if full:  # strangers hold the places: each for `hello` seconds at most
-                connection.close()
-                continue
-            try:
-                self._reader.watch(connection, connection.deadline)
-            except (threads.ThreadUnavailableError, OSError):
-                connection.close()
-                with self.lock:
-                    self._inbound.discard(connection)
+    def _sender(self, name: str, address: Address) -> OutboundConnection:
+        hello = messages.Hello(self.plan.fleet, self.plan.name, name, self.incarnation)
+        return OutboundConnection(self.plan, name, address, hello)
 
     def _monitor(self) -> None:
         while not self._stopped.wait(self.plan.times.heartbeat):
--- a/tealwing/peers/outbound.py
+++ b/tealwing/peers/outbound.py
@@ -1,4 +1,4 @@
-"""The sender to one peer: it dials, says who we are, and sends what waits; a thread of its own."""
+"""The sending side of the peer link: a thread for each peer, which dials it and sends what is queued."""
 
 from __future__ import annotations
 
@@ -6,18 +6,14 @@
 import socket
 import threading
 import time
-from typing import TYPE_CHECKING
 
 from tealwing import threads
 from tealwing.coordinator.backoff import Backoff
 from tealwing.peers import frames, messages
-from tealwing.peers.plan import Address
+from tealwing.peers.plan import Address, Plan
 from tealwing.peers.send_queue import SendQueue
 from tealwing.sockets import set_limit
 
-if TYPE_CHECKING:
-    from tealwing.peers.link import Link
-
 RECONNECT_BACKOFF = (
     0.05,
     1.0,
@@ -28,11 +24,11 @@
 
 
 class OutboundConnection:
-    """The sender to one peer: its outbox and its thread."""
+    """The sender to one peer: its queue and its thread."""
 
-    def __init__(self, link: Link, name: str, address: Address) -> None:
-        self._link, self.name, self.address = link, name, address
-        plan = link.plan
+    def __init__(self, plan: Plan, name: str, address: Address, hello: messages.Hello) -> None:
+        """Prepare a sender to that peer; each of its connections begins with the hello."""
+        self._plan, self.name, self.address, self._hello = plan, name, address, hello
         self.queue = SendQueue(plan.queue, plan.queue_bytes_per_peer())
         self._backoff = Backoff(*RECONNECT_BACKOFF)
         self._stopped = threading.Event()
@@ -41,11 +37,11 @@
         self.dials = self.sent = self.sent_bytes = 0
 
     def start(self) -> None:
-        """Dial, and send from now on."""
+        """Start to dial and send."""
         threads.start(self._run, f"peer-{self.name}")
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stop sending."""
         self._stopped.set()
         self.queue.close()
 
@@ -59,7 +55,7 @@
                     set_limit(sock, socket.SO_SNDTIMEO, WRITE_TIMEOUT)
                     self._send_loop(sock)
             except OSError:
-                pass  # as good as silence: the other end's book tells who is heard
+                pass  # as good as silence, which the other end's peer table judges
             finally:
                 self.connected = False
             # what was meant for a peer that can't be reached is stale by the time that it can
@@ -68,28 +64,28 @@
             self.queue.clear()
 
     def _send_loop(self, sock: socket.socket) -> None:
-        plan = self._link.plan
-        hello = frames.encode(messages.encode(self._link.hello(self.name)))
+        times = self._plan.times
+        hello = frames.encode(messages.encode(self._hello))
         sock.sendall(hello)
         self.sent_bytes += len(hello)
         self.connected = True
         began = time.monotonic()
-        while (queued := self.queue.get(plan.times.heartbeat, MAX_BATCH_BYTES)) is not None:
+        while (queued := self.queue.get(times.heartbeat, MAX_BATCH_BYTES)) is not None:
             payloads = queued or [messages.encode(messages.Heartbeat(next(self._heartbeat_numbers)))]
             data = b"".join(map(frames.encode, payloads))
             sock.sendall(data)
             self.sent += len(payloads)
             self.sent_bytes += len(data)
             if (
-                time.monotonic() - began > plan.times.suspect_after
-            ):  # it holds: the next trouble begins with short waits
+                time.monotonic() - began > times.suspect_after
+            ):  # the connection is stable: the next backoff starts short
                 self._backoff.reset()
             if closed_by_peer(sock):
                 return
 
 
 def closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the other end, which never speaks on this connection, has closed it."""
+    """Return whether the other end, which never sends on this connection, has closed it."""
     try:
         return sock.recv(1, socket.MSG_DONTWAIT | socket.MSG_PEEK) == b""
     except BlockingIOError:
--- a/tests/test_disk_returns.py
+++ b/tests/test_disk_returns.py
@@ -27,7 +27,8 @@
 from tealwing.lab.rig.ports import free_port
 from tealwing.lab.rig.trial import Trial
 from tealwing.peers.clock import Clock
-from tealwing.peers.link import Link, LinkError
+from tealwing.peers.errors import LinkError
+from tealwing.peers.link import Link
 from tealwing.peers.plan import Plan as PeersPlan
 from tealwing.replica import commands as c
 from tealwing.replica import storage as stored
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -12,7 +12,8 @@
 from tealwing.conf import reader
 from tealwing.lab.rollout import trials
 from tealwing.lab.rollout.measure import share
-from tealwing.peers import link, section
+from tealwing.peers import inbound, section
+from tealwing.peers.errors import LinkError
 from tealwing.peers.plan import MAX_HEARTBEAT_RATE, LinkTimes, Plan
 from tealwing.replica.messages import Append
 from tealwing.replica.raft import Options, Raft, Role
@@ -51,12 +52,12 @@
 
 
 def test_a_voter_of_many_members_wants_descriptors_for_all_of_them_and_a_learner_does_not() -> None:
-    link.check_descriptors(plan(256, learner=False), 1024)
-    with pytest.raises(link.LinkError, match="ulimit -n") as fault:
-        link.check_descriptors(plan(1105, learner=False), 1024)
+    inbound.check_descriptors(plan(256, learner=False), 1024)
+    with pytest.raises(LinkError, match="ulimit -n") as fault:
+        inbound.check_descriptors(plan(1105, learner=False), 1024)
     assert "4416 or more" in str(fault.value)
-    link.check_descriptors(plan(1105, learner=False), 4416)
-    link.check_descriptors(plan(700, learner=True), 1500)
+    inbound.check_descriptors(plan(1105, learner=False), 4416)
+    inbound.check_descriptors(plan(700, learner=True), 1500)
 
 
 def test_the_section_takes_as_many_members_as_were_measured_and_no_more(tmp_path: Path) -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -17,7 +17,7 @@
 from tealwing.conf import reader
 from tealwing.conf.reader import ConfError
 from tealwing.gossip.members import State
-from tealwing.peers import control, frames, link, messages
+from tealwing.peers import control, frames, inbound, messages
 from tealwing.peers.clock import Clock
 from tealwing.peers.control import ControlClient, ControlServer, RemoteCallError
 from tealwing.peers.link import Link
@@ -172,7 +172,7 @@
             assert sock.recv(1) == b""  # closed: at once, or when its time is over
         sock.close()
     assert len(threads_now()) <= before  # none of them has cost a thread
-    until(lambda: not b._inbound)
+    until(lambda: not b._listener.connections)
 
 
 def threads_now() -> list[str]:
@@ -184,8 +184,8 @@
 def test_strangers_have_few_places(pair: tuple[Link, Link, SimpleQueue[tuple[str, bytes]]]) -> None:
     _, b, _ = pair
     b.start()
-    socks = [socket.create_connection(b.address, LIMIT) for _ in range(3 * link.SPARE_INBOUND)]
-    until(lambda: len(b._inbound) <= 1 + link.SPARE_INBOUND)
+    socks = [socket.create_connection(b.address, LIMIT) for _ in range(3 * inbound.SPARE_INBOUND)]
+    until(lambda: len(b._listener.connections) <= 1 + inbound.SPARE_INBOUND)
     for sock in socks:
         sock.close()
 
