--- a/tealwing/lab/hollow/fleet.py
+++ b/tealwing/lab/hollow/fleet.py
@@ -20,7 +20,7 @@
 from tealwing.lab.hollow.records import HostMetrics, MemberMetrics, Ready
 from tealwing.lab.hollow.specification import Fleet, Host
 from tealwing.lab.rig.ports import free_port
-from tealwing.peers.control import Turned, ask
+from tealwing.peers.control import RemoteCallError, call_control
 
 SOURCE = str(Path(tealwing.__file__).parent.parent)
 MEMBERS_A_HOST = 50
@@ -175,8 +175,7 @@
                 return time.monotonic() - begun
             if time.monotonic() - begun > settle:
                 raise HollowFault(
-                    f"after {settle:g} s {open_gates} of {len(self.fleet.members)} gates are open, and"
-                    f" {found.leader() or 'nobody'} leads: {self.faults()[:600]}"
+                    f"after {settle:g} s {open_gates} of {len(self.fleet.members)} gates are open, and {found.leader() or 'nobody'} leads: {self.faults()[:600]}"
                 )
             time.sleep(POLL)
 
@@ -204,13 +203,13 @@
         """An operator's call, at that voter, or the first one that runs."""
         running = [name for name in self._controls if self.host_of(name).process is not None]
         name = at or running[0]
-        return ask(("127.0.0.1", self._controls[name]), what, CALL_TIMEOUT, **fields)
+        return call_control(("127.0.0.1", self._controls[name]), what, CALL_TIMEOUT, **fields)
 
     def propose(self, text: bytes, why: str) -> int:
         """Propose a version of the rules; its number. HollowFault where it is not taken."""
         try:
             reply = self.call("rules.propose", text=text, who="operator", why=why, wait_s=CALL_TIMEOUT / 2)
-        except (OSError, Turned) as error:
+        except (OSError, RemoteCallError) as error:
             raise HollowFault(f"the proposal was not taken: {error}") from None
         if reply["word"] != "ok":
             raise HollowFault(f"the proposal was not taken: {reply}")
--- a/tealwing/lab/rig/loads/register.py
+++ b/tealwing/lab/rig/loads/register.py
@@ -14,7 +14,7 @@
 from tealwing.lab.rig.history import Event, operations
 from tealwing.lab.rig.loads.base import PAUSE, Checker, Clients, ProcessConnection
 from tealwing.lab.rig.loads.metrics import catchup_ms, failover_ms, percentile
-from tealwing.peers.control import Turned
+from tealwing.peers.control import RemoteCallError
 from tealwing.replica import commands
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
     while trial.history.now() < end:
         try:
             replies = {line.name: line.call("replica.digest", 2.0) for line in lines}
-        except (Turned, OSError):
+        except (RemoteCallError, OSError):
             continue
         if len({each["applied"] for each in replies.values()}) == 1:
             for name, each in replies.items():
@@ -121,7 +121,7 @@
     except ConnectionRefusedError as error:  # nobody heard it
         trial.history.complete(number, "fail", why=str(error))
         return
-    except (Turned, OSError) as error:
+    except (RemoteCallError, OSError) as error:
         trial.history.complete(number, "unknown", why=str(error))
         return
     outcomes = {"ok": "ok", "unknown": "unknown"}
@@ -134,7 +134,7 @@
     number = trial.history.invoke("get", line.name, key=key, **marks)
     try:
         reply = line.call("replica.get", wait + 1.0, key=key, wait_s=wait)
-    except (Turned, OSError) as error:
+    except (RemoteCallError, OSError) as error:
         trial.history.complete(number, "fail", why=str(error))
         return
     if reply["word"] != "ok":
