--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -21,7 +21,7 @@
 from tealwing.lab import arrivals, site, swing, worth
 from tealwing.lab.harness import Clients, Deployment
 from tealwing.levels.governor import Governor
-from tealwing.levels.replay import crowded
+from tealwing.levels.replay import max_changes_in_window
 from tealwing.policy import Gateway
 
 SECONDS = 60.0
@@ -74,7 +74,7 @@
         "worst": found.worst,
         "lookups": found.in_time["lookup"],
         "within": inside.whole,
-        "changes": max(map(crowded, changes)),
+        "changes": max(map(max_changes_in_window, changes)),
         "total": sum(map(len, changes)),
         "broken": swing.broken(books),
     }
--- a/tealwing/commands/levels.py
+++ b/tealwing/commands/levels.py
@@ -56,7 +56,7 @@
     try:
         source = sys.stdin.buffer if trace == "-" else Path(trace).open("rb")  # noqa: SIM115
         with source:
-            for record in module.replay(plan, module.lines(source)):
+            for record in module.replay(plan, module.read_trace(source)):
                 line(record)
     except OSError as error:
         raise Finding(f"{trace}: {error.strerror}") from None
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -160,11 +160,11 @@
             settings = self._settings if settings is None or settings == self._settings else settings
             plan = levels if levels is not None else self._levels_file
             if plan is not None:
-                plan.measures(settings)
+                plan.admission_limits(settings)
             if table is not None:
-                from tealwing.routing.serving import allowed  # only where a table is
+                from tealwing.routing.serving import serving_zones  # only where a table is
 
-                self._allowed = allowed
+                self._allowed = serving_zones
             self._levels_rules = levels
             renewed = settings is not self._settings
             wrap = None if plan is None else service_levels.level_wrapper(settings, plan, self._on_level_change)
@@ -237,7 +237,7 @@
         """Take the operators' file in whole: its records by section. A ValueError leaves all as it is."""
         levels: Plan | None = records.get("levels")
         if levels is not None:
-            levels.measures(self._settings)  # may not fit; what comes after it can't fail on the levels
+            levels.admission_limits(self._settings)  # may not fit; what comes after it can't fail on the levels
         self._apply_gossip(records.get("gossip"))
         self.sections = frozenset(records)
         self._apply_peers(*(records.get(name) for name in ("peers", "replica", "rules", "federation")))
--- a/tealwing/gateway/module_versions.py
+++ b/tealwing/gateway/module_versions.py
@@ -153,9 +153,9 @@
         gateway = innermost_module(module) if module is not None else None
         if gateway is None:
             return
-        gateway.taken, gateway.extra = self._taken, self._extra
+        gateway.request_times, gateway.retry_times = self._taken, self._extra
         for engine in gateway.engines.values():
-            engine.sent = self._spent.setdefault((engine.id, engine.started), engine.sent)
+            engine.slow_start_sends = self._spent.setdefault((engine.id, engine.started), engine.slow_start_sends)
         if version == self.version:  # what it no longer knows has left the list
             known = {(engine.id, engine.started) for engine in gateway.engines.values()}
             self._spent = {key: spent for key, spent in self._spent.items() if key in known}
--- a/tealwing/gossip/observe.py
+++ b/tealwing/gossip/observe.py
@@ -16,11 +16,11 @@
     success: float
 
 
-class Pace(Protocol):
+class SlowdownEstimate(Protocol):
     """The last moments, faded: answers, and time that queries were out over the best of their class."""
 
-    done: float
-    exposed: float
+    completed: float
+    normalized_time: float
 
 
 class Engine(Protocol):
@@ -28,10 +28,10 @@
 
     id: int
     started: float
-    slow: float
+    slowdown: float
 
     @property
-    def pace(self) -> Pace:
+    def slowdown_estimate(self) -> SlowdownEstimate:
         """Its answers."""
 
     @property
@@ -42,7 +42,7 @@
 class Fleet(Protocol):
     """What the decision module shows; tealwing.policy.Gateway has all of it."""
 
-    slow: float
+    slowdown: float
 
     @property
     def ready(self) -> Sequence[Engine]:
@@ -55,9 +55,11 @@
     best = max((engine.success for engine in fleet.ready), default=1.0)
     for engine in fleet.ready:
         failed = max(0.0, 1 - engine.success / max(best, 0.05))
-        slow = min(engine.slow / max(fleet.slow, 1.0), 1000.0)
+        slow = min(engine.slowdown / max(fleet.slowdown, 1.0), 1000.0)
         # what it rests on: as many answers as were due by now of an engine that is like the others
-        due = max(engine.pace.done, engine.pace.exposed / max(fleet.slow, 1.0))
+        due = max(
+            engine.slowdown_estimate.completed, engine.slowdown_estimate.normalized_time / max(fleet.slowdown, 1.0)
+        )
         word = Word(engine.id, round(engine.started * 1e3), slow, min(failed, 1.0), min(due, 1e6))
         found[word.key] = word
     return found
--- a/tealwing/lab/slow_start.py
+++ b/tealwing/lab/slow_start.py
@@ -185,7 +185,7 @@
                 continue
             cls = self.requests[action.id]
             work = self.case.mix[cls][1]
-            attempt = len(self.modules[n].jobs[action.id].attempts) - 1
+            attempt = len(self.modules[n].requests[action.id].attempts) - 1
             cold = action.engine and now >= self.begin
             if cold:
                 self.sent[action.engine].append((now - self.begin, work))
--- a/tealwing/lab/swing.py
+++ b/tealwing/lab/swing.py
@@ -20,7 +20,7 @@
 from tealwing.lab.harness import Books, Deployment
 from tealwing.levels.governor import Governor
 from tealwing.levels.plan import Plan
-from tealwing.levels.replay import crowded
+from tealwing.levels.replay import max_changes_in_window
 from tealwing.policy import Gateway
 
 SERVERS, GATEWAYS = 7, 3  # the middle of what the operators run
@@ -92,7 +92,7 @@
     by_gateway = [[at for at, number, _ in told if number == n] for n in range(GATEWAYS)]
     return {
         "changes": len(told),
-        "changes_per_minute_max": max(map(crowded, by_gateway)),
+        "changes_per_minute_max": max(map(max_changes_in_window, by_gateway)),
         "worth": found.whole,
         "worst_10s": found.worst,
         "mixed": found.mixed,
@@ -132,14 +132,14 @@
         def handle(self, now: float, event: api.Event) -> list[api.Action]:
             if not isinstance(event, api.TimerFired) or event.token != 2:
                 return self.governor.handle(now, event)
-            signals = self.governor.signals.read(now, self.governor.gateway)
-            for level, (enter, _, _) in zip(plan.levels, plan.fired(signals), strict=True):
-                name = level.terms.name
+            signals = self.governor.signals.sample(now, self.governor.gateway)
+            for level, (enter, _, _) in zip(plan.levels, plan.matches(signals), strict=True):
+                name = level.timings.name
                 if enter is None:
                     since.pop(name, None)
-                elif now - since.setdefault(name, now) >= level.terms.enter_for and name not in found:
+                elif now - since.setdefault(name, now) >= level.timings.enter_for and name not in found:
                     found[name] = low + (high - low) * now / seconds
-            return [api.SetTimer(plan.every, 2)]
+            return [api.SetTimer(plan.interval, 2)]
 
     first = [True]
 
@@ -159,15 +159,15 @@
     rng = np.random.default_rng((seed, 13))
     todo: list[tuple[str, Play]] = []
     for level in plan.levels:
-        load = found.get(level.terms.name)
+        load = found.get(level.timings.name)
         if load is None:
             continue
         for form in FORMS:
             period = float(rng.choice(PERIODS))
-            todo += [(level.terms.name, Play(plan, seed, seconds, form, period, load, on)) for on in (True, False)]
+            todo += [(level.timings.name, Play(plan, seed, seconds, form, period, load, on)) for on in (True, False)]
     todo += [("flood", Play(plan, seed, seconds, "flood", seconds, USUAL, on)) for on in (True, False)]
     todo += [("calm", Play(plan, seed, seconds, "steady", seconds, CALM, on)) for on in (True, False)]
-    return todo, [level.terms.name for level in plan.levels if level.terms.name not in found]
+    return todo, [level.timings.name for level in plan.levels if level.timings.name not in found]
 
 
 def swing(plan: Plan, seed: int, seconds: float, jobs: int) -> Iterator[dict[str, Any]]:
--- a/tealwing/levels/conditions.py
+++ b/tealwing/levels/conditions.py
@@ -16,7 +16,7 @@
 
 from tealwing.conf import values
 
-MOST_PRODUCTS = 64  # of a condition as a sum of products: what is longer nobody can read
+MAX_PRODUCTS = 64  # of a condition as a sum of products: what is longer nobody can read
 
 GRAMMAR = r"""
     ?start: any
@@ -37,14 +37,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class SignalKind:
     """What a signal is: how its values are written, which way is worse, and how it reads with no traffic."""
 
     unit: str  # share, duration or number
-    worse: str  # the operator that an entry has: > or <
-    calm: float
-    least: float
-    most: float
+    worse_operator: str  # the operator that an entry has: > or <
+    idle_value: float
+    minimum: float
+    maximum: float
     help: str
 
     def read(self, text: str) -> float:
@@ -59,15 +59,15 @@
         return values.written_duration(value) if self.unit == "duration" else f"{value:.3g}"
 
 
-def _share(worse: str, help_: str, most: float = 1.0) -> Kind:
-    return Kind("share", worse, 1.0 if worse == "<" else 0.0, 0.0, most, help_)
+def _share(worse: str, help_: str, maximum: float = 1.0) -> SignalKind:
+    return SignalKind("share", worse, 1.0 if worse == "<" else 0.0, 0.0, maximum, help_)
 
 
-def _number(help_: str, calm: float = 0.0) -> Kind:
-    return Kind("number", ">", calm, 0.0, inf, help_)
+def _number(help_: str, idle_value: float = 0.0) -> SignalKind:
+    return SignalKind("number", ">", idle_value, 0.0, inf, help_)
 
 
-FLEET = {
+FLEET_SIGNALS = {
     "load": _number("threads out over the cores ready, by reports and by our own books"),
     "queue": _number("queries that wait for memory at an engine, by reports"),
     "slow": _number("latency over the best, of what is out and of what was answered", 1.0),
@@ -76,39 +76,43 @@
     "kept": _share("<", "worth answered in time over the worth of all requests that ended"),
     "refused": _share(">", "requests that the decision module refused, those shed by a level left out"),
 }
-OWN = {
-    "lag": Kind("duration", ">", 0.0, 0.0, inf, "from a request's last byte to its first attempt, a mean"),
-    "unread": Kind("duration", ">", 0.0, 0.0, inf, "age of what waited to be read, a mean"),
+GATEWAY_SIGNALS = {
+    "lag": SignalKind("duration", ">", 0.0, 0.0, inf, "from a request's last byte to its first attempt, a mean"),
+    "unread": SignalKind("duration", ">", 0.0, 0.0, inf, "age of what waited to be read, a mean"),
     "processor": _share(">", "processor time over the share that this process may use", inf),
 }
-CLASS = {
+CLASS_SIGNALS = {
     "late": _share(">", "requests of the class past their aim, over all that ended or are past it"),
     "refused": _share(">", "requests of the class that the module refused, those shed left out"),
     "timeouts": _share(">", "attempts of the class that timed out"),
     "kept": _share("<", "worth of the class answered in time over the worth of its requests that ended"),
     "rate": _number("requests of the class a second"),
 }
-ACCOUNT = {
+ACCOUNT_SIGNALS = {
     "beyond": _share(">", "requests of the account beyond its share"),
     "rate": _number("requests of the account a second"),
 }
 
 
-def kind_of(signal: str) -> Kind:
+def signal_kind(signal: str) -> SignalKind:
     """The kind of a signal by its name; names of classes and accounts are not checked here."""
     head, _, rest = signal.partition(".")
-    if head in ("fleet", "own") and rest in (table := FLEET if head == "fleet" else OWN):
+    if head in ("fleet", "own") and rest in (table := FLEET_SIGNALS if head == "fleet" else GATEWAY_SIGNALS):
         return table[rest]
     name, _, what = rest.rpartition(".")
-    if name and head in ("class", "account") and what in (table := CLASS if head == "class" else ACCOUNT):
+    if (
+        name
+        and head in ("class", "account")
+        and what in (table := CLASS_SIGNALS if head == "class" else ACCOUNT_SIGNALS)
+    ):
         return table[what]
-    known = [f"fleet.{n}" for n in FLEET] + [f"own.{n}" for n in OWN]
-    known += [f"class.NAME.{n}" for n in CLASS] + [f"account.NAME.{n}" for n in ACCOUNT]
+    known = [f"fleet.{n}" for n in FLEET_SIGNALS] + [f"own.{n}" for n in GATEWAY_SIGNALS]
+    known += [f"class.NAME.{n}" for n in CLASS_SIGNALS] + [f"account.NAME.{n}" for n in ACCOUNT_SIGNALS]
     raise ConditionError(f"a signal: {', '.join(known)}")
 
 
 @dataclass(frozen=True, slots=True)
-class Compare:
+class Comparison:
     """One signal against one bound."""
 
     signal: str
@@ -119,14 +123,14 @@
         """Whether it holds; a signal that is absent reads as calm."""
         value = signals.get(self.signal)
         if value is None:
-            value = kind_of(self.signal).calm
+            value = signal_kind(self.signal).idle_value
         return value > self.bound if self.op == ">" else value < self.bound
 
     def __str__(self) -> str:
-        return f"{self.signal} {self.op} {kind_of(self.signal).write(self.bound)}"
+        return f"{self.signal} {self.op} {signal_kind(self.signal).write(self.bound)}"
 
 
-Product = tuple[Compare, ...]
+Product = tuple[Comparison, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,7 +140,7 @@
     text: str
     products: tuple[Product, ...]
 
-    def fired(self, signals: Mapping[str, float]) -> Product | None:
+    def first_match(self, signals: Mapping[str, float]) -> Product | None:
         """The first product that holds, or None."""
         for product in self.products:
             if all(compare.holds(signals) for compare in product):
@@ -148,13 +152,13 @@
         return {compare.signal for product in self.products for compare in product}
 
 
-def figures(product: Iterable[Compare], signals: Mapping[str, float]) -> dict[str, str]:
+def format_values(product: Iterable[Comparison], signals: Mapping[str, float]) -> dict[str, str]:
     """What was read where a product held, as the file writes values."""
-    found = {}
+    formatted = {}
     for compare in product:
-        kind = kind_of(compare.signal)
-        found[compare.signal] = kind.write(signals.get(compare.signal, kind.calm))
-    return found
+        kind = signal_kind(compare.signal)
+        formatted[compare.signal] = kind.write(signals.get(compare.signal, kind.idle_value))
+    return formatted
 
 
 @cache
@@ -171,8 +175,8 @@
         where = f'at "{text[at : at + 20]}"' if text[at:] else "at its end"
         raise ConditionError(f'SIGNAL > VALUE or SIGNAL < VALUE, joined by "and" and "or" ({where})') from None
     products = _products(tree)
-    if len(products) > MOST_PRODUCTS:
-        raise ConditionError(f"at most {MOST_PRODUCTS} alternatives")
+    if len(products) > MAX_PRODUCTS:
+        raise ConditionError(f"at most {MAX_PRODUCTS} alternatives")
     return Condition(re.sub(r"\s+", " ", text.strip()), tuple(products))
 
 
@@ -180,20 +184,20 @@
     assert isinstance(tree, Tree)
     if tree.data == "compare":
         signal, op, value = map(str, tree.children)
-        kind = kind_of(signal)
+        kind = signal_kind(signal)
         try:
             bound = kind.read(value)
         except values.Unfit as error:
             raise ConditionError(f"for {signal} {error}") from None
-        return [(Compare(signal, op, bound),)]
+        return [(Comparison(signal, op, bound),)]
     parts = [_products(child) for child in tree.children]
     if tree.data == "any":
         return [product for part in parts for product in part]
     joined: list[Product] = [()]
     for part in parts:
         joined = [left + right for left in joined for right in part]
-        if len(joined) > MOST_PRODUCTS:
-            raise ConditionError(f"at most {MOST_PRODUCTS} alternatives")
+        if len(joined) > MAX_PRODUCTS:
+            raise ConditionError(f"at most {MAX_PRODUCTS} alternatives")
     return joined
 
 
@@ -201,34 +205,39 @@
     """The open interval that each signal must lie in; None where one is empty or out of its range."""
     found: dict[str, tuple[float, float]] = {}
     for compare in product:
-        kind = kind_of(compare.signal)
+        kind = signal_kind(compare.signal)
         low, high = found.get(compare.signal, (-inf, inf))
         low, high = (max(low, compare.bound), high) if compare.op == ">" else (low, min(high, compare.bound))
-        if not low < high or low >= kind.most or high <= kind.least:
+        if not low < high or low >= kind.maximum or high <= kind.minimum:
             return None
         found[compare.signal] = low, high
     return found
 
 
-def possible(condition: Condition) -> bool:
+def is_satisfiable(condition: Condition) -> bool:
     """Whether any signals make it hold."""
     return any(_intervals(product) is not None for product in condition.products)
 
 
-def together(one: Condition, other: Condition) -> dict[str, str] | None:
+def overlap(one: Condition, other: Condition) -> dict[str, str] | None:
     """Figures at which both hold, or touch without a gap; None where there are none."""
     for left in one.products:
         for right in other.products:
-            ours, theirs = _intervals(left), _intervals(right)
-            if ours is None or theirs is None:
+            left_intervals, right_intervals = _intervals(left), _intervals(right)
+            if left_intervals is None or right_intervals is None:
                 continue
-            shared = ours.keys() & theirs.keys()
-            if all(max(ours[s][0], theirs[s][0]) <= min(ours[s][1], theirs[s][1]) for s in shared):
+            shared = left_intervals.keys() & right_intervals.keys()
+            if all(
+                max(left_intervals[s][0], right_intervals[s][0]) <= min(left_intervals[s][1], right_intervals[s][1])
+                for s in shared
+            ):
                 witness = {}
-                for signal in sorted(ours.keys() | theirs.keys()):
-                    spans = [span[signal] for span in (ours, theirs) if signal in span]
-                    low, high = max(span[0] for span in spans), min(span[1] for span in spans)
+                for signal in sorted(left_intervals.keys() | right_intervals.keys()):
+                    intervals = [
+                        interval[signal] for interval in (left_intervals, right_intervals) if signal in interval
+                    ]
+                    low, high = max(interval[0] for interval in intervals), min(interval[1] for interval in intervals)
                     middle = (low + high) / 2 if low > -inf and high < inf else low if low > -inf else high
-                    witness[signal] = kind_of(signal).write(middle)
+                    witness[signal] = signal_kind(signal).write(middle)
                 return witness
     return None
--- a/tealwing/levels/controller.py
+++ b/tealwing/levels/controller.py
@@ -19,25 +19,25 @@
 from math import inf
 from typing import NamedTuple
 
-WINDOW = 60.0  # s in which there are two changes at most (the operators' "not several times a minute")
-SOON = 300.0  # s since it was left within which a level that is entered again is kept for longer
-GROWTH = 2.0  # of the least stay, each time that the level was entered again soon
-GAP = 2.0  # s between two looks past which nothing is known to have held in between
+CHANGE_WINDOW = 60.0  # s in which there are two changes at most (the operators' "not several times a minute")
+REENTRY_WINDOW = 300.0  # s since it was left within which a level that is entered again is kept for longer
+BACKOFF_FACTOR = 2.0  # of the least stay, each time that the level was entered again soon
+MAX_SNAPSHOT_GAP = 2.0  # s between two looks past which nothing is known to have held in between
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LevelTimings:
     """When a level is entered and left; times in seconds."""
 
     name: str
     enter_for: float
     exit_for: float
-    stay: float
-    stay_most: float
+    min_stay: float
+    max_stay: float
     strong_for: float = inf  # there is no strong condition
 
 
-class Seen(NamedTuple):
+class ConditionSnapshot(NamedTuple):
     """Which conditions of a level hold at this look."""
 
     enter: bool
@@ -46,25 +46,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
+class HysteresisState:
     """What is remembered of one level: when it was left, its least stay now, since when its conditions hold."""
 
-    left: float = -inf
-    stay: float = 0.0
+    left_at: float = -inf
+    min_stay: float = 0.0
     enter_since: float = inf
     strong_since: float = inf
     exit_since: float = inf
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class ControllerState:
     """The level in force (0: none), the times of the last change and of the one before, and the levels' marks."""
 
     level: int
-    marks: tuple[Mark, ...]
+    hysteresis: tuple[HysteresisState, ...]
     now: float = -inf
-    last: float = -inf
-    before: float = -inf
+    last_change_at: float = -inf
+    previous_change_at: float = -inf
 
 
 class Change(NamedTuple):
@@ -73,116 +73,133 @@
     at: float
     from_level: int
     to_level: int
-    why: str  # enter, strong, exit or configuration
-    of: int  # the level whose condition it was
+    cause: str  # enter, strong, exit or configuration
+    cause_level: int  # the level whose condition it was
 
 
-def begin(terms: Sequence[Terms]) -> State:
+def initial_state(timings: Sequence[LevelTimings]) -> ControllerState:
     """Full service, with nothing remembered."""
-    return State(0, tuple(Mark(stay=term.stay) for term in terms))
+    return ControllerState(0, tuple(HysteresisState(min_stay=term.min_stay) for term in timings))
 
 
-def may_change(now: float, before: float) -> bool:
+def may_change(now: float, previous_change: float) -> bool:
     """The guard on every change: the change two before it is a minute old."""
-    return now - before >= WINDOW
+    return now - previous_change >= CHANGE_WINDOW
 
 
-def may_fall(now: float, last: float, stay: float) -> bool:
+def may_leave(now: float, last_change: float, min_stay: float) -> bool:
     """Whether the least stay in a level is over."""
-    return now - last >= stay
+    return now - last_change >= min_stay
 
 
-def longer(stay: float, away: float, term: Terms) -> float:
+def backed_off_stay(min_stay: float, time_away: float, timings: LevelTimings) -> float:
     """The least stay in a level that is entered again, having been left so long ago; never below the term's."""
-    return max(term.stay, min(stay * GROWTH, term.stay_most)) if away < SOON else term.stay
+    return (
+        max(timings.min_stay, min(min_stay * BACKOFF_FACTOR, timings.max_stay))
+        if time_away < REENTRY_WINDOW
+        else timings.min_stay
+    )
 
 
-def step(terms: Sequence[Terms], state: State, now: float, seen: Sequence[Seen]) -> tuple[State, Change | None]:
+def step(
+    timings: Sequence[LevelTimings], state: ControllerState, now: float, snapshots: Sequence[ConditionSnapshot]
+) -> tuple[ControllerState, Change | None]:
     """One look: the state after it, and the change that it made, if any.
 
     A clock that went back stands still until it has caught up. After a gap no condition counts as having held.
     """
     now = max(now, state.now)
-    fresh = now - state.now > GAP
-    marks = tuple(_held(mark, look, now, fresh) for mark, look in zip(state.marks, seen, strict=True))
-    state = replace(state, marks=marks, now=now)
-    if not may_change(now, state.before):
+    after_gap = now - state.now > MAX_SNAPSHOT_GAP
+    hysteresis = tuple(
+        _track_conditions(mark, look, now, after_gap) for mark, look in zip(state.hysteresis, snapshots, strict=True)
+    )
+    state = replace(state, hysteresis=hysteresis, now=now)
+    if not may_change(now, state.previous_change_at):
         return state, None
-    change = _rise(terms, state, seen) or _fall(terms, state)
-    return (state, None) if change is None else (_changed(terms, state, change), change)
+    change = _rise(timings, state, snapshots) or _fall(timings, state)
+    return (state, None) if change is None else (_apply_change(timings, state, change), change)
 
 
-def _held(mark: Mark, look: Seen, now: float, fresh: bool) -> Mark:
+def _track_conditions(
+    hysteresis: HysteresisState, snapshot: ConditionSnapshot, now: float, after_gap: bool
+) -> HysteresisState:
     """Since when each condition has held without a break."""
     return replace(
-        mark,
-        enter_since=_since(mark.enter_since, look.enter, now, fresh),
-        strong_since=_since(mark.strong_since, look.strong, now, fresh),
-        exit_since=_since(mark.exit_since, look.exit, now, fresh),
+        hysteresis,
+        enter_since=_holding_since(hysteresis.enter_since, snapshot.enter, now, after_gap),
+        strong_since=_holding_since(hysteresis.strong_since, snapshot.strong, now, after_gap),
+        exit_since=_holding_since(hysteresis.exit_since, snapshot.exit, now, after_gap),
     )
 
 
-def _since(since: float, holds: bool, now: float, fresh: bool) -> float:
+def _holding_since(since: float, holds: bool, now: float, after_gap: bool) -> float:
     if not holds:
         return inf
-    return now if fresh or since == inf else since
+    return now if after_gap or since == inf else since
 
 
-def _rise(terms: Sequence[Terms], state: State, seen: Sequence[Seen]) -> Change | None:
+def _rise(
+    timings: Sequence[LevelTimings], state: ControllerState, snapshots: Sequence[ConditionSnapshot]
+) -> Change | None:
     """A rise to the highest level with strong evidence, else to the next one.
 
     Evidence for a higher level is evidence for the next one too.
     """
     level, now = state.level, state.now
-    above = range(level, len(terms))
-    strong = [i for i in above if now - state.marks[i].strong_since >= terms[i].strong_for]
-    enter = [i for i in above if now - state.marks[i].enter_since >= terms[i].enter_for]
+    above = range(level, len(timings))
+    strong = [i for i in above if now - state.hysteresis[i].strong_since >= timings[i].strong_for]
+    enter = [i for i in above if now - state.hysteresis[i].enter_since >= timings[i].enter_for]
     if not strong and not enter:
         return None
     change = Change(now, level, level + 1, "enter", (enter or strong)[0] + 1)
     if strong:
         change = Change(now, level, strong[-1] + 1, "strong", strong[-1] + 1)
-    if not may_change(now, state.last):  # the last change that this minute has left
-        holding = [i for i in above if seen[i].enter or seen[i].strong]
+    if not may_change(now, state.last_change_at):  # the last change that this minute has left
+        holding = [i for i in above if snapshots[i].enter or snapshots[i].strong]
         if holding and holding[-1] + 1 > change.to_level:
-            why = "enter" if seen[holding[-1]].enter else "strong"
+            why = "enter" if snapshots[holding[-1]].enter else "strong"
             change = Change(now, level, holding[-1] + 1, why, holding[-1] + 1)
     return change
 
 
-def _fall(terms: Sequence[Terms], state: State) -> Change | None:
+def _fall(timings: Sequence[LevelTimings], state: ControllerState) -> Change | None:
     if not state.level:
         return None
-    term, mark = terms[state.level - 1], state.marks[state.level - 1]
-    held = state.now - mark.exit_since >= term.exit_for
-    if not held or not may_fall(state.now, state.last, mark.stay):
+    level_timings, hysteresis = timings[state.level - 1], state.hysteresis[state.level - 1]
+    held = state.now - hysteresis.exit_since >= level_timings.exit_for
+    if not held or not may_leave(state.now, state.last_change_at, hysteresis.min_stay):
         return None
     return Change(state.now, state.level, state.level - 1, "exit", state.level)
 
 
-def _changed(terms: Sequence[Terms], state: State, change: Change) -> State:
+def _apply_change(timings: Sequence[LevelTimings], state: ControllerState, change: Change) -> ControllerState:
     """The state after a change; every level's conditions must hold anew for the next one down."""
-    marks = [replace(mark, exit_since=inf) for mark in state.marks]
+    hysteresis = [replace(mark, exit_since=inf) for mark in state.hysteresis]
     for i in range(change.from_level, change.to_level):  # entered
-        marks[i] = replace(marks[i], stay=longer(marks[i].stay, change.at - marks[i].left, terms[i]))
+        hysteresis[i] = replace(
+            hysteresis[i],
+            min_stay=backed_off_stay(hysteresis[i].min_stay, change.at - hysteresis[i].left_at, timings[i]),
+        )
     for i in range(change.to_level, change.from_level):  # left
-        marks[i] = replace(marks[i], left=change.at, enter_since=inf, strong_since=inf)
-    return State(change.to_level, tuple(marks), change.at, change.at, state.last)
+        hysteresis[i] = replace(hysteresis[i], left_at=change.at, enter_since=inf, strong_since=inf)
+    return ControllerState(change.to_level, tuple(hysteresis), change.at, change.at, state.last_change_at)
 
 
-def adopt(old: Sequence[Terms], state: State, new: Sequence[Terms]) -> tuple[State, Change | None]:
+def adopt(
+    old_timings: Sequence[LevelTimings], state: ControllerState, new_timings: Sequence[LevelTimings]
+) -> tuple[ControllerState, Change | None]:
     """The state under new terms. Levels are known by name; one in force that is gone gives way to the next below.
 
     A change made so is the operators' own and waits for no guard, but it counts for those that follow.
     """
-    by_name = {term.name: mark for term, mark in zip(old, state.marks, strict=True)}
-    names = [term.name for term in new]
-    marks = []
-    for term in new:
-        mark = by_name.get(term.name, Mark(stay=term.stay))
-        marks.append(replace(mark, stay=max(term.stay, min(mark.stay, term.stay_most)), exit_since=inf))
-    level = next((names.index(t.name) + 1 for t in reversed(old[: state.level]) if t.name in names), 0)
+    by_name = {term.name: mark for term, mark in zip(old_timings, state.hysteresis, strict=True)}
+    names = [term.name for term in new_timings]
+    hysteresis = []
+    for term in new_timings:
+        mark = by_name.get(term.name, HysteresisState(min_stay=term.min_stay))
+        hysteresis.append(replace(mark, min_stay=max(term.min_stay, min(mark.min_stay, term.max_stay)), exit_since=inf))
+    level = next((names.index(t.name) + 1 for t in reversed(old_timings[: state.level]) if t.name in names), 0)
     if level == state.level:
-        return replace(state, marks=tuple(marks)), None
+        return replace(state, hysteresis=tuple(hysteresis)), None
     change = Change(state.now, state.level, level, "configuration", 0)
-    return State(level, tuple(marks), state.now, state.now, state.last), change
+    return ControllerState(level, tuple(hysteresis), state.now, state.now, state.last_change_at), change
--- a/tealwing/levels/governor.py
+++ b/tealwing/levels/governor.py
@@ -10,126 +10,130 @@
 from typing import Any
 
 from tealwing import interface as api
-from tealwing.levels import controller, measures
-from tealwing.levels.plan import FULL, Plan, seen
+from tealwing.levels import admission, controller
+from tealwing.levels.plan import FULL_SERVICE, Plan, snapshots
 from tealwing.levels.signals import Signals
 from tealwing.policy import Gateway
 
-MOST_CHANGES = 99  # of the past that are kept beside the last
-TOKEN = 2  # of the governor's timer: the module's own are 0 or odd
+MAX_RECENT_CHANGES = 99  # of the past that are kept beside the last
+TIMER_TOKEN = 2  # of the governor's timer: the module's own are 0 or odd
 
-Told = Callable[[str, dict[str, Any]], None]  # an event's name and fields, for the log
+LogEvent = Callable[[str, dict[str, Any]], None]  # an event's name and fields, for the log
 
 
 class Governor:
     """One gateway's decisions under a plan of levels."""
 
-    def __init__(self, settings: api.Settings, gateway: Gateway, plan: Plan, told: Told | None = None) -> None:
+    def __init__(self, settings: api.Settings, gateway: Gateway, plan: Plan, log_event: LogEvent | None = None) -> None:
         self.settings, self.gateway, self.plan = settings, gateway, plan
-        self._told = told
-        self.signals = Signals(settings, plan.window, plan.every)
-        self.state = controller.begin(plan.terms)
-        self._measures = plan.measures(settings)
-        self._full = measures.full(len(settings.classes), len(settings.tenants) or 1)
-        self._shares = self._full.floor
-        self._begun, self._at, self._in_force = False, 0.0, False
+        self._log_event = log_event
+        self.signals = Signals(settings, plan.window, plan.interval)
+        self.state = controller.initial_state(plan.timings)
+        self._limits_by_level = plan.admission_limits(settings)
+        self._full_service = admission.full_service_limits(len(settings.classes), len(settings.tenants) or 1)
+        self._shares = self._full_service.floor
+        self._is_started, self._evaluated_at, self._is_reduced = False, 0.0, False
         self.changes: list[controller.Change] = []  # the last few, for whoever asks
-        self.read: dict[str, float] = {}  # the signals of the last look
+        self.latest_signals: dict[str, float] = {}  # the signals of the last look
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """The module's actions on one event, and the governor's timer."""
         match event:
-            case api.TimerFired(token=token) if token == TOKEN:
-                return self._look(now)
+            case api.TimerFired(token=token) if token == TIMER_TOKEN:
+                return self._evaluate(now)
             case api.HostLoad():
-                self.signals.host(event)
+                self.signals.on_host_load(event)
                 return []
             case api.Request():
-                self.signals.came(now, event, self.gateway.flows[event.cls].goal())
+                self.signals.on_request(now, event, self.gateway.class_traffic[event.cls].latency_objective())
             case api.AttemptOutcome():
-                self.signals.outcome(now, event)
+                self.signals.on_outcome(now, event)
             case api.ClientGone():
-                self.signals.gave_up(now, event.id)
+                self.signals.on_failure(now, event.id)
         actions = self.gateway.handle(now, event)
         for action in actions:
             if isinstance(action, api.Reject):
-                self.signals.refused(now, action.id, action.is_load_shedding)
+                self.signals.on_rejection(now, action.id, action.is_load_shedding)
             elif isinstance(action, api.Fail):
-                self.signals.gave_up(now, action.id)
-        if not self._begun:
-            self._begun, self._at = True, now
-            actions.append(api.SetTimer(self.plan.every, TOKEN))
+                self.signals.on_failure(now, action.id)
+        if not self._is_started:
+            self._is_started, self._evaluated_at = True, now
+            actions.append(api.SetTimer(self.plan.interval, TIMER_TOKEN))
         return actions
 
     def end(self, now: float) -> Gateway:
         """The module alone, at full service at once: the operators have switched the levels off."""
-        if self._in_force:
-            whole = tuple((chance,) for chance in self._full.floor)
-            self.gateway.handle(now, api.ServiceLevel(0, FULL, whole, self._full.attempts, (0.0, 0.0)))
+        if self._is_reduced:
+            admitted = tuple((chance,) for chance in self._full_service.floor)
+            self.gateway.handle(
+                now, api.ServiceLevel(0, FULL_SERVICE, admitted, self._full_service.max_attempts, (0.0, 0.0))
+            )
         return self.gateway
 
     def adopt(self, plan: Plan, now: float) -> None:
         """Take a new plan in whole; a level in force that it lacks gives way. PlanError leaves the old one."""
-        new = plan.measures(self.settings)
-        self.state, change = controller.adopt(self.plan.terms, self.state, plan.terms)
-        before, self.plan, self._measures = self.plan, plan, new
-        if (before.window, before.every) != (plan.window, plan.every):
-            self.signals.resize(plan.window, plan.every)
+        new = plan.admission_limits(self.settings)
+        self.state, change = controller.adopt(self.plan.timings, self.state, plan.timings)
+        before, self.plan, self._limits_by_level = self.plan, plan, new
+        if (before.window, before.interval) != (plan.window, plan.interval):
+            self.signals.resize(plan.window, plan.interval)
         if change is not None:
             names = before.names
-            self._say(change, {"from": names[change.from_level], "to": self.name, "why": change.why})
-        self._tell(now)
+            self._log_change(change, {"from": names[change.from_level], "to": self.name, "why": change.cause})
+        self._notify_gateway(now)
 
-    def _look(self, now: float) -> list[api.Action]:
+    def _evaluate(self, now: float) -> list[api.Action]:
         """Read the signals, step the controller, move the shares, and tell the module where something holds."""
-        seconds, self._at = max(now - self._at, 0.0), now
-        self.read = signals = self.signals.read(now, self.gateway)
-        fired = self.plan.fired(signals)
-        self.state, change = controller.step(self.plan.terms, self.state, now, seen(fired))
+        seconds, self._evaluated_at = max(now - self._evaluated_at, 0.0), now
+        self.latest_signals = signals = self.signals.sample(now, self.gateway)
+        matches = self.plan.matches(signals)
+        self.state, change = controller.step(self.plan.timings, self.state, now, snapshots(matches))
         if change is not None:
-            self._say(change, self.plan.told(change, fired, signals))
-        measure, pressed = self._measure(), False
+            self._log_change(change, self.plan.log_fields(change, matches, signals))
+        limits, overloaded = self._current_limits(), False
         if self.state.level:
-            enter, strong, _ = fired[self.state.level - 1]
-            pressed = enter is not None or strong is not None
+            enter, strong, _ = matches[self.state.level - 1]
+            overloaded = enter is not None or strong is not None
         if change is not None and change.to_level > change.from_level:
-            self._shares = measures.entered(self._shares, measure)
+            self._shares = admission.shares_on_entry(self._shares, limits)
         else:
-            cold = signals.get("fleet.cold", 0.0)
-            self._shares = measures.moved(self._shares, measure, self.plan.pace, seconds, pressed, cold)
-        self._tell(now)
-        return [api.SetTimer(self.plan.every, TOKEN)]
+            warming_up_share = signals.get("fleet.cold", 0.0)
+            self._shares = admission.adjust_shares(
+                self._shares, limits, self.plan.ramp, seconds, overloaded, warming_up_share
+            )
+        self._notify_gateway(now)
+        return [api.SetTimer(self.plan.interval, TIMER_TOKEN)]
 
-    def _measure(self) -> measures.Measure:
-        return self._measures[self.state.level - 1] if self.state.level else self._full
+    def _current_limits(self) -> admission.AdmissionLimits:
+        return self._limits_by_level[self.state.level - 1] if self.state.level else self._full_service
 
-    def _tell(self, now: float) -> None:
+    def _notify_gateway(self, now: float) -> None:
         """The module hears of a level while one holds or is eased, and once more at its end."""
-        holds = self.state.level > 0 or measures.easing(self._shares)
-        if holds or self._in_force:
-            beyond = self.signals.beyond()  # of no account where the platform tells no shares
-            event = measures.event(
+        is_reduced = self.state.level > 0 or admission.is_recovering(self._shares)
+        if is_reduced or self._is_reduced:
+            beyond = self.signals.shares_beyond_quota()  # of no account where the platform tells no shares
+            event = admission.service_level_event(
                 self.state.level,
                 self.name,
                 self._shares,
-                self._measure(),
+                self._current_limits(),
                 self.signals.arrivals(),
                 [beyond.get(name, 0.0) for name in self.settings.tenants] or [0.0],
             )
             self.gateway.handle(now, event)
-        self._in_force = holds
+        self._is_reduced = is_reduced
 
     @property
     def name(self) -> str:
         """The name of the level in force."""
-        return self.plan.levels[self.state.level - 1].terms.name if self.state.level else FULL
+        return self.plan.levels[self.state.level - 1].timings.name if self.state.level else FULL_SERVICE
 
     @property
     def shares(self) -> dict[str, float]:
         """The share of each class that is admitted now."""
         return {cls.name: share for cls, share in zip(self.settings.classes, self._shares, strict=True)}
 
-    def _say(self, change: controller.Change, fields: dict[str, Any]) -> None:
-        self.changes = [*self.changes[-MOST_CHANGES:], change]
-        if self._told is not None:
-            self._told("service_level", fields)
+    def _log_change(self, change: controller.Change, fields: dict[str, Any]) -> None:
+        self.changes = [*self.changes[-MAX_RECENT_CHANGES:], change]
+        if self._log_event is not None:
+            self._log_event("service_level", fields)
--- a/tealwing/levels/plan.py
+++ b/tealwing/levels/plan.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 from tealwing import interface as api
-from tealwing.levels.conditions import Condition, Product, figures
-from tealwing.levels.controller import Change, Seen, Terms
-from tealwing.levels.measures import Measure, Pace
+from tealwing.levels.admission import AdmissionLimits, RecoveryRamp
+from tealwing.levels.conditions import Condition, Product, format_values
+from tealwing.levels.controller import Change, ConditionSnapshot, LevelTimings
 
-FULL = "full"  # the name of full service
-WHYS = ("enter", "strong", "exit")  # a level's conditions, in the order of Fired
-Fired = tuple[Product | None, Product | None, Product | None]  # what held of each
+FULL_SERVICE = "full"  # the name of full service
+CAUSES = ("enter", "strong", "exit")  # a level's conditions, in the order of Fired
+Matches = tuple[Product | None, Product | None, Product | None]  # what held of each
 
 
 class PlanError(ValueError):
@@ -24,19 +24,19 @@
 class Level:
     """One level as the file has it; classes and accounts by name."""
 
-    terms: Terms
+    timings: LevelTimings
     enter: Condition
     exit: Condition
     strong: Condition | None
-    admit: dict[str, tuple[float, float]]
-    accounts: dict[str, float]
-    attempts: dict[str, int]
-    pushback: tuple[float, float]
+    admitted_shares: dict[str, tuple[float, float]]
+    account_caps: dict[str, float]
+    max_attempts: dict[str, int]
+    retry_after_range: tuple[float, float]
 
     def signals(self) -> set[str]:
         """All signals that its conditions read."""
-        found = self.enter.signals() | self.exit.signals()
-        return found | self.strong.signals() if self.strong else found
+        names = self.enter.signals() | self.exit.signals()
+        return names | self.strong.signals() if self.strong else names
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,71 +45,71 @@
 
     levels: tuple[Level, ...]
     window: float
-    every: float
-    pace: Pace
+    interval: float
+    ramp: RecoveryRamp
 
     @property
-    def terms(self) -> tuple[Terms, ...]:
+    def timings(self) -> tuple[LevelTimings, ...]:
         """What the controller needs of the levels."""
-        return tuple(level.terms for level in self.levels)
+        return tuple(level.timings for level in self.levels)
 
     @property
     def names(self) -> list[str]:
         """Full service, and the levels."""
-        return [FULL, *(level.terms.name for level in self.levels)]
+        return [FULL_SERVICE, *(level.timings.name for level in self.levels)]
 
-    def fired(self, signals: Mapping[str, float]) -> list[Fired]:
+    def matches(self, signals: Mapping[str, float]) -> list[Matches]:
         """Which products of each level's conditions hold."""
         return [
             (
-                level.enter.fired(signals),
-                level.strong.fired(signals) if level.strong else None,
-                level.exit.fired(signals),
+                level.enter.first_match(signals),
+                level.strong.first_match(signals) if level.strong else None,
+                level.exit.first_match(signals),
             )
             for level in self.levels
         ]
 
-    def told(self, change: Change, fired: Sequence[Fired], signals: Mapping[str, float]) -> dict[str, Any]:
+    def log_fields(self, change: Change, matches: Sequence[Matches], signals: Mapping[str, float]) -> dict[str, Any]:
         """A change as operators see it: from, to, and the condition that made it with its figures."""
-        level, place = self.levels[change.of - 1], WHYS.index(change.why)
+        level, place = self.levels[change.cause_level - 1], CAUSES.index(change.cause)
         condition = (level.enter, level.strong, level.exit)[place]
         return {
             "from": self.names[change.from_level],
             "to": self.names[change.to_level],
-            "why": change.why,
-            "level": level.terms.name,
+            "why": change.cause,
+            "level": level.timings.name,
             "condition": condition.text if condition else "",
-            "figures": figures(fired[change.of - 1][place] or (), signals),
+            "figures": format_values(matches[change.cause_level - 1][place] or (), signals),
         }
 
-    def measures(self, settings: api.Settings) -> tuple[Measure, ...]:
+    def admission_limits(self, settings: api.Settings) -> tuple[AdmissionLimits, ...]:
         """The measures by level, in the places of the settings. PlanError names what the settings have not."""
         classes = [cls.name for cls in settings.classes]
         for level in self.levels:
-            for name in (*level.admit, *level.attempts):
+            for name in (*level.admitted_shares, *level.max_attempts):
                 if name not in classes:
-                    raise PlanError(f"level {level.terms.name}: no class {name}, but {', '.join(classes)}")
-            for name in level.accounts:
+                    raise PlanError(f"level {level.timings.name}: no class {name}, but {', '.join(classes)}")
+            for name in level.account_caps:
                 if name not in settings.tenants:
-                    raise PlanError(f"level {level.terms.name}: no account {name}, but {settings.tenants}")
+                    raise PlanError(f"level {level.timings.name}: no account {name}, but {settings.tenants}")
             for signal in level.signals():
                 head, _, rest = signal.partition(".")
                 name = rest.rpartition(".")[0]
                 if head in ("class", "account") and name not in (classes, settings.tenants)[head == "account"]:
-                    raise PlanError(f"level {level.terms.name}: {signal} names no {head} of the settings")
-        whole = (1.0, 1.0)  # of a class that a level does not name
+                    raise PlanError(f"level {level.timings.name}: {signal} names no {head} of the settings")
+        all_admitted = (1.0, 1.0)  # of a class that a level does not name
         return tuple(
-            Measure(
-                tuple(level.admit.get(name, whole)[0] for name in classes),
-                tuple(level.admit.get(name, whole)[1] for name in classes),
-                tuple(level.attempts.get(name, 0) for name in classes),
-                tuple(level.accounts.get(name, 1.0) for name in settings.tenants or ("",)),
-                level.pushback,
+            AdmissionLimits(
+                tuple(level.admitted_shares.get(name, all_admitted)[0] for name in classes),
+                tuple(level.admitted_shares.get(name, all_admitted)[1] for name in classes),
+                tuple(level.max_attempts.get(name, 0) for name in classes),
+                tuple(level.account_caps.get(name, 1.0) for name in settings.tenants or ("",)),
+                level.retry_after_range,
             )
             for level in self.levels
         )
 
 
-def seen(fired: Sequence[Fired]) -> list[Seen]:
+def snapshots(matches: Sequence[Matches]) -> list[ConditionSnapshot]:
     """The same as the controller takes it."""
-    return [Seen(*(product is not None for product in products)) for products in fired]
+    return [ConditionSnapshot(*(product is not None for product in products)) for products in matches]
--- a/tealwing/levels/replay.py
+++ b/tealwing/levels/replay.py
@@ -13,27 +13,27 @@
 import msgspec
 
 from tealwing.levels import controller
-from tealwing.levels.conditions import ConditionError, kind_of
-from tealwing.levels.controller import WINDOW
-from tealwing.levels.plan import Plan, seen
+from tealwing.levels.conditions import ConditionError, signal_kind
+from tealwing.levels.controller import CHANGE_WINDOW
+from tealwing.levels.plan import Plan, snapshots
 
-MOST_LOOKS = 10_000_000  # of one replay: a trace with a gap of years must not run for ever
+MAX_EVALUATIONS = 10_000_000  # of one replay: a trace with a gap of years must not run for ever
 
 
 class TraceError(ValueError):
     """A line of a trace that can't be used."""
 
 
-class Line(msgspec.Struct, forbid_unknown_fields=True):
+class TracePoint(msgspec.Struct, forbid_unknown_fields=True):
     """One line: a time in seconds and the signals from then on."""
 
     at: float
     signals: dict[str, float]
 
 
-def lines(source: Iterable[bytes]) -> Iterator[Line]:
+def read_trace(source: Iterable[bytes]) -> Iterator[TracePoint]:
     """The lines of a trace, checked: times must rise, and signals be known."""
-    decoder, last = msgspec.json.Decoder(Line), -float("inf")
+    decoder, last = msgspec.json.Decoder(TracePoint), -float("inf")
     for number, text in enumerate(source, 1):
         if not text.strip():
             continue
@@ -45,47 +45,47 @@
             raise TraceError(f"line {number}: at {line.at:g} after {last:g}; times must rise")
         for name in line.signals:
             try:
-                kind_of(name)
+                signal_kind(name)
             except ConditionError as error:
                 raise TraceError(f"line {number}: no signal {name}; allowed: {error}") from None
         last = line.at
         yield line
 
 
-def crowded(times: Iterable[float], window: float = WINDOW) -> int:
+def max_changes_in_window(times: Iterable[float], window: float = CHANGE_WINDOW) -> int:
     """The most changes within any window of time."""
     recent: deque[float] = deque()
-    most = 0
+    maximum = 0
     for at in times:
         recent.append(at)
         while recent[0] <= at - window:
             recent.popleft()
-        most = max(most, len(recent))
-    return most
+        maximum = max(maximum, len(recent))
+    return maximum
 
 
-def replay(plan: Plan, trace: Iterable[Line]) -> Iterator[dict[str, Any]]:
+def replay(plan: Plan, trace: Iterable[TracePoint]) -> Iterator[dict[str, Any]]:
     """One record a change of level, and a last one that sums up."""
-    state, changes = controller.begin(plan.terms), list[float]()
+    state, changes = controller.initial_state(plan.timings), list[float]()
     time_in = dict.fromkeys(plan.names, 0.0)
-    before: Line | None = None
+    before: TracePoint | None = None
     at, looks = 0.0, 0
 
     def look(signals: dict[str, float]) -> Iterator[dict[str, Any]]:
         nonlocal state
-        fired = plan.fired(signals)
-        state, change = controller.step(plan.terms, state, at, seen(fired))
+        fired = plan.matches(signals)
+        state, change = controller.step(plan.timings, state, at, snapshots(fired))
         if change is not None:
             changes.append(change.at)
-            yield {"at": change.at, **plan.told(change, fired, signals)}
+            yield {"at": change.at, **plan.log_fields(change, fired, signals)}
 
     for line in trace:
         while before is not None and at < line.at - 1e-9:
             looks += 1
-            if looks > MOST_LOOKS:
-                raise TraceError(f"the trace is longer than {MOST_LOOKS * plan.every:g} s")
+            if looks > MAX_EVALUATIONS:
+                raise TraceError(f"the trace is longer than {MAX_EVALUATIONS * plan.interval:g} s")
             yield from look(before.signals)
-            until = min(at + plan.every, line.at)
+            until = min(at + plan.interval, line.at)
             time_in[plan.names[state.level]] += until - at
             at = until
         before, at = line, line.at
@@ -94,6 +94,6 @@
     yield {
         "summary": True,
         "changes": len(changes),
-        "changes_per_minute_max": crowded(changes),
+        "changes_per_minute_max": max_changes_in_window(changes),
         "time_in": {name: round(seconds, 6) for name, seconds in time_in.items()},
     }
--- a/tealwing/levels/section.py
+++ b/tealwing/levels/section.py
@@ -11,31 +11,31 @@
 from tealwing.conf.grammar import Place, quoted
 from tealwing.conf.schema import Block, Entry, Report, Section, Spec
 from tealwing.levels import conditions
+from tealwing.levels.admission import RecoveryRamp
 from tealwing.levels.conditions import Condition, ConditionError
-from tealwing.levels.controller import Terms
-from tealwing.levels.measures import Pace
+from tealwing.levels.controller import LevelTimings
 from tealwing.levels.plan import Level, Plan
 
-MOST_LEVELS = 8  # more than operators can tell apart under stress
-SPAN = "VALUE or LOW..HIGH"
+MAX_LEVELS = 8  # more than operators can tell apart under stress
+RANGE_HELP = "VALUE or LOW..HIGH"
 
 
-class Times(msgspec.Struct, frozen=True):
+class TimedCondition(msgspec.Struct, frozen=True):
     """A condition and the time for which it must hold."""
 
     condition: Condition
     seconds: float
 
 
-def _when(least: float) -> values.Read:
+def _timed_condition(min_seconds: float) -> values.Read:
     """`when CONDITION for DURATION`."""
 
-    def read(words: values.Words) -> Times:
+    def read(words: values.Words) -> TimedCondition:
         if len(words) < 5 or words[0] != "when" or words[-2] != "for":
             raise values.Unfit("when, a condition, for, a duration")
-        seconds = values.durations(least, 3600.0)(words[-1:])
+        seconds = values.durations(min_seconds, 3600.0)(words[-1:])
         try:
-            return Times(conditions.parse(" ".join(words[1:-2])), seconds)
+            return TimedCondition(conditions.parse(" ".join(words[1:-2])), seconds)
         except ConditionError as error:
             raise values.Unfit(str(error)) from None
 
@@ -52,7 +52,7 @@
     raise values.Unfit("a duration, or: a duration growing to a duration")
 
 
-def _span(read: values.Read, text: str) -> tuple[Any, Any]:
+def _range(read: values.Read, text: str) -> tuple[Any, Any]:
     low, dots, high = text.partition("..")
     return read((low,)), read((high,)) if dots else read((low,))
 
@@ -60,7 +60,7 @@
 def _admit(words: values.Words) -> tuple[str, tuple[float, float]]:
     if len(words) != 2:
         raise values.Unfit("a class, and the share of it that is admitted")
-    low, high = _span(values.shares(), words[1])
+    low, high = _range(values.shares(), words[1])
     if low > high:
         raise values.Unfit("a lower share, two dots, a higher share")
     return words[0], (low, high)
@@ -81,7 +81,7 @@
 def _pushback(words: values.Words) -> tuple[float, float]:
     if len(words) != 1:
         raise values.Unfit("a duration, or two with two dots between")
-    low, high = _span(values.durations(0.0, 3600.0), words[0])
+    low, high = _range(values.durations(0.0, 3600.0), words[0])
     if low > high:
         raise values.Unfit("a shorter duration, two dots, a longer one")
     return low, high
@@ -92,21 +92,21 @@
         "enter",
         "when CONDITION for DURATION",
         "Entered from the level below when this has held so long.",
-        _when(0.0),
+        _timed_condition(0.0),
         needed=True,
     ),
     Spec(
         "strong",
         "when CONDITION for DURATION",
         "Entered at once from any level below when this has held so long.",
-        _when(0.0),
+        _timed_condition(0.0),
     ),
     Spec(
         "exit",
         "when CONDITION for DURATION",
         "Left for the level below when this has held so long, and the least stay is over. Must lie apart from"
         " `enter`, with a gap, and hold for no shorter time.",
-        _when(0.0),
+        _timed_condition(0.0),
         needed=True,
     ),
     Spec(
@@ -120,7 +120,7 @@
     ),
     Spec(
         "admit",
-        f"CLASS {SPAN}",
+        f"CLASS {RANGE_HELP}",
         "Share of a class's requests that is admitted: the lower figure on entry and under pressure, up to the"
         " higher one as pressure goes. A class that is not named is admitted whole.",
         _admit,
@@ -195,38 +195,40 @@
 def build(block: Block, report: Report) -> Plan | None:
     """The plan that a checked section makes; what does not hold together is reported."""
     entries, found = block.all("level"), list[Level]()
-    for entry in entries[MOST_LEVELS:]:
-        report.add(entry.place, "level", f"more than {MOST_LEVELS} levels", f"at most {MOST_LEVELS}")
+    for entry in entries[MAX_LEVELS:]:
+        report.add(entry.place, "level", f"more than {MAX_LEVELS} levels", f"at most {MAX_LEVELS}")
     for entry in entries:
-        if any(level.terms.name == entry.value for level in found):
+        if any(level.timings.name == entry.value for level in found):
             report.add(entry.place, "level", f"a second level {entry.value}", "names that differ")
         found.append(_level(entry, report))
-    window, every = block.one("window"), block.one("every")
-    if every > window:
+    window, interval = block.one("window"), block.one("every")
+    if interval > window:
         report.add(
             block.place("every", entries[0].place),
             "every",
-            values.written_duration(every),
+            values.written_duration(interval),
             f"at most the window, {values.written_duration(window)}",
         )
-    pace = Pace(block.one("cut"), block.one("ramp"), block.one("cold"))
-    return Plan(tuple(found), window, every, pace)
+    ramp = RecoveryRamp(block.one("cut"), block.one("ramp"), block.one("cold"))
+    return Plan(tuple(found), window, interval, ramp)
 
 
 def _level(entry: Entry, report: Report) -> Level:
     block, place = entry.block or Block(), entry.place
     enter, exit_, strong = block.one("enter"), block.one("exit"), block.one("strong")
-    _conditions(block, place, report)
-    stay, most = block.one("stay")
-    if most < stay:
+    _check_conditions(block, place, report)
+    min_stay, max_stay = block.one("stay")
+    if max_stay < min_stay:
         report.add(
             block.place("stay", place),
             "stay",
-            f"growing to {values.written_duration(most)}",
-            f"growing to {values.written_duration(stay)} or more",
+            f"growing to {values.written_duration(max_stay)}",
+            f"growing to {values.written_duration(min_stay)} or more",
         )
-    terms = Terms(entry.value, enter.seconds, exit_.seconds, stay, most, strong.seconds if strong else inf)
-    admit, accounts, attempts = (_table(block, name, report) for name in ("admit", "account", "attempts"))
+    terms = LevelTimings(
+        entry.value, enter.seconds, exit_.seconds, min_stay, max_stay, strong.seconds if strong else inf
+    )
+    admit, accounts, attempts = (_repeated(block, name, report) for name in ("admit", "account", "attempts"))
     if not (admit or accounts or attempts):
         report.add(place, "level", f"a level {entry.value} that does nothing", "admit, account or attempts")
     return Level(
@@ -241,7 +243,7 @@
     )
 
 
-def _table(block: Block, name: str, report: Report) -> dict[str, Any]:
+def _repeated(block: Block, name: str, report: Report) -> dict[str, Any]:
     """A directive that may stand several times, by its first word."""
     found: dict[str, Any] = {}
     for entry in block.all(name):
@@ -252,18 +254,18 @@
     return found
 
 
-def _conditions(block: Block, place: Place, report: Report) -> None:
+def _check_conditions(block: Block, place: Place, report: Report) -> None:
     """Conditions that can't hold, and an exit that holds with an entry or without a gap to it."""
     exit_ = block.one("exit")
     for name in ("enter", "strong", "exit"):
         times = block.one(name)
-        if times is not None and not conditions.possible(times.condition):
+        if times is not None and not conditions.is_satisfiable(times.condition):
             report.add(block.place(name, place), name, f'"{times.condition.text}"', "a condition that can hold")
     for name in ("enter", "strong"):
         times = block.one(name)
         if times is None:
             continue
-        witness = conditions.together(times.condition, exit_.condition)
+        witness = conditions.overlap(times.condition, exit_.condition)
         if witness is not None:
             figures = ", ".join(f"{signal} {value}" for signal, value in witness.items())
             report.add(
--- a/tealwing/policy/fleet.py
+++ b/tealwing/policy/fleet.py
@@ -5,18 +5,25 @@
 from math import exp, inf
 
 from tealwing import interface as api
-from tealwing.policy.engines import BUSY, FAR_ABOVE, Engine, Job, Pace
-from tealwing.policy.rates import BEST_DRIFT, LAM_LEARN, LEAST_LATENCY, MIX_KEEP, REBUILD, Rates
-from tealwing.policy.tables import read
+from tealwing.policy.engines import OVERLOAD_SLOWDOWN, OVERLOAD_THRESHOLDS, Engine, RequestState, SlowdownEstimate
+from tealwing.policy.rates import (
+    ARRIVAL_RATE_WEIGHT,
+    BEST_LATENCY_DRIFT,
+    MIN_LATENCY,
+    MIX_RETENTION,
+    REBUILD_INTERVAL,
+    Rates,
+)
+from tealwing.policy.tables import interpolate
 
-BOOKS = 10.0  # queries of ours that the reports count for when both tell of the fleet: a dozen reports
-FADE = 0.33  # share by which an engine's last report fades into the fleet's mean per rebuild
-FLEET_LEARN = (0.05, 0.3)  # least and most weight of one report in the fleet's mean: noise, and news
-FLEET_MEMORY = 1.5  # s that the fleet's mean remembers: reports are some half a second old
-FLEET_BUSY = 0.7  # of BUSY at which the fleet's mean presses: single engines lie above the mean
-SHARE_LEARN = 0.03  # weight of one second in our usual share of all traffic: half a minute
-MEND = 0.9  # share of the counts of an engine's failures that a rebuild keeps: many meet it seldom
-J_SPREAD = (0.8, 1.3)  # of j, as single queries read it: all must not turn at once on the same report
+LOCAL_COUNT_WEIGHT = 10.0  # queries of ours that the reports count for when both tell of the fleet: a dozen reports
+REPORT_DECAY = 0.33  # share by which an engine's last report fades into the fleet's mean per rebuild
+MEAN_REPORT_WEIGHT = (0.05, 0.3)  # least and most weight of one report in the fleet's mean: noise, and news
+MEAN_REPORT_MEMORY = 1.5  # s that the fleet's mean remembers: reports are some half a second old
+FLEET_OVERLOAD_FACTOR = 0.7  # of BUSY at which the fleet's mean presses: single engines lie above the mean
+USUAL_RATE_WEIGHT = 0.03  # weight of one second in our usual share of all traffic: half a minute
+FAILURE_RETENTION = 0.9  # share of the counts of an engine's failures that a rebuild keeps: many meet it seldom
+COUNT_SPREAD = (0.8, 1.3)  # of j, as single queries read it: all must not turn at once on the same report
 
 
 class Fleet(Rates):
@@ -24,147 +31,211 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.jobs, self.engines, self.ready = dict[int, Job](), dict[int, Engine](), list[Engine]()
-        self.cores, self.pressed = 0.0, False  # of the ready engines, by warmth; whether the fleet is pressed
-        self.targets: list[list[Engine]] = [[] for _ in settings.classes]  # ready and placed, by class
-        self.fleet: dict[str, float] = {}  # the fleet's mean report; others' queries, all threads, a core
-        self.pace, self.slow = Pace(), 1.0  # of all engines
-        self.reports, self.heard, self.heard_at = 0, 0, -inf  # reports; up to a rebuild ago; the last
-        self.counted, self.common = "inflight" in settings.report_fields, 1.0  # the best share of successes
-        self.begun, self.echo = False, 1  # echo: what a send of ours since a report stands for, with others'
+        self.requests, self.engines, self.ready = dict[int, RequestState](), dict[int, Engine](), list[Engine]()
+        self.cores, self.is_overloaded = 0.0, False  # of the ready engines, by warmth; whether the fleet is pressed
+        self.eligible_engines: list[list[Engine]] = [[] for _ in settings.classes]  # ready and placed, by class
+        self.mean_report: dict[str, float] = {}  # the fleet's mean report; others' queries, all threads, a core
+        self.slowdown_estimate, self.slowdown = SlowdownEstimate(), 1.0  # of all engines
+        # reports; up to a rebuild ago; the last
+        self.report_count = 0
+        self.reports_at_rebuild = 0
+        self.reported_at = -inf
+        # the best share of successes
+        self.reports_in_flight = "inflight" in settings.report_fields
+        self.best_success = 1.0
+        # echo: what a send of ours since a report stands for, with others'
+        self.is_started = False
+        self.unreported_weight = 1
 
-    def _list(self, event: api.EngineList) -> None:
+    def _apply_engine_list(self, event: api.EngineList) -> None:
         if event.kind is not api.EngineListKind.DELTA:
-            for left in self.engines.keys() - {entry.engine for entry in event.entries}:
-                self.engines[left].ready, self.engines[left].gone = False, True
+            for engine_id in self.engines.keys() - {entry.engine for entry in event.entries}:
+                self.engines[engine_id].ready, self.engines[engine_id].delisted = False, True
         for entry in event.entries:
             known = self.engines.get(entry.engine)
             if known is None or entry.started > known.started:  # new, or started anew: nothing learned holds
-                self.engines[entry.engine] = fresh = Engine(entry, self.settings, self.now)
-                if fresh.warmth(self.now) >= 1:
-                    fresh.others = self.fleet.get("others", 0.0) * fresh.cores
+                self.engines[entry.engine] = engine = Engine(entry, self.settings, self.now)
+                if engine.warm_up_progress(self.now) >= 1:
+                    engine.other_queries = self.mean_report.get("others", 0.0) * engine.cores
                 if known is not None:
-                    fresh.threads, fresh.queries, fresh.need = known.threads, known.queries, known.need
-                    for new, old in zip(fresh.estimates, known.estimates, strict=True):
-                        new.out = old.out
+                    engine.threads = known.threads
+                    engine.queries = known.queries
+                    engine.memory_reserved = known.memory_reserved
+                    for new, old in zip(engine.estimates, known.estimates, strict=True):
+                        new.in_flight = old.in_flight
             else:
-                known.ready, known.gone = entry.health is api.Health.READY, entry.health is api.Health.GONE
+                known.ready, known.delisted = entry.health is api.Health.READY, entry.health is api.Health.GONE
                 known.zone, known.kind, known.cell = entry.zone, entry.kind, entry.cell
         self.ready = [engine for engine in self.engines.values() if engine.ready]
-        self.cores = sum(engine.cores * engine.warmth(self.now) for engine in self.ready)
-        self.targets = [[e for e in self.ready if e.takes(cls)] for cls in self.settings.classes]
-        self.planned = self.planned or sum(engine.cores for engine in self.ready)
+        self.cores = sum(engine.cores * engine.warm_up_progress(self.now) for engine in self.ready)
+        self.eligible_engines = [[e for e in self.ready if e.accepts(cls)] for cls in self.settings.classes]
+        self.planned_cores = self.planned_cores or sum(engine.cores for engine in self.ready)
 
     def _rebuild(self) -> None:
-        self._timer(REBUILD, 0)
-        self.usual += max(SHARE_LEARN, 1 / (self.age + 2)) * (self.arrived / REBUILD - self.usual)
-        self.age, self.arrived, self.needs = self.age + 1, 0, self.needs * MIX_KEEP
-        self.engines = {n: e for n, e in self.engines.items() if e.queries or not e.gone}  # others have left
-        for flow in self.flows:
-            flow.lam = max(flow.lam + LAM_LEARN * (max(flow.came, 0.0) / REBUILD - flow.lam), 0.01)
-            flow.came, flow.asked, flow.held = 0.0, flow.asked * MIX_KEEP, flow.held * MIX_KEEP
-            flow.tables = {}
-            flow.best += BEST_DRIFT * (flow.latency - flow.best)
-        if self.reports == self.heard and not self.jobs:  # all are refused, say: what was heard is old
-            self.fleet = {name: value * (1 - FADE) for name, value in self.fleet.items()}
-        self._mix()
-        self._learn_m(any(self.fleet.get(name, 0.0) > BUSY[name] for name in ("util", "x1")))
-        self.pace.passed(self.now, sum(flow.out / max(flow.best, LEAST_LATENCY) for flow in self.flows))
-        self.slow = self.pace.slow(1.0)
-        self.cores = sum(engine.cores * engine.warmth(self.now) for engine in self.ready)
-        busy = any(self.fleet.get(name, 0.0) > FLEET_BUSY * limit for name, limit in BUSY.items())
-        fresh = self.reports - self.heard >= len(self.ready)
-        self.pressed = (busy or self.slow > FAR_ABOVE) and not fresh
-        self.echo, self.heard = self.settings.gateway_count if fresh else 1, self.reports
-        self.common = max((engine.success for engine in self.ready), default=1.0)
+        self._set_timer(REBUILD_INTERVAL, 0)
+        self.usual_rate += max(USUAL_RATE_WEIGHT, 1 / (self.rebuilds + 2)) * (
+            self.arrivals / REBUILD_INTERVAL - self.usual_rate
+        )
+        self.rebuilds, self.arrivals, self.memory_time = self.rebuilds + 1, 0, self.memory_time * MIX_RETENTION
+        self.engines = {n: e for n, e in self.engines.items() if e.queries or not e.delisted}  # others have left
+        for traffic in self.class_traffic:
+            traffic.arrival_rate = max(
+                traffic.arrival_rate
+                + ARRIVAL_RATE_WEIGHT * (max(traffic.arrivals, 0.0) / REBUILD_INTERVAL - traffic.arrival_rate),
+                0.01,
+            )
+            traffic.arrivals = 0.0
+            traffic.placements = traffic.placements * MIX_RETENTION
+            traffic.estimated_time = traffic.estimated_time * MIX_RETENTION
+            traffic.index_tables = {}
+            traffic.best_latency += BEST_LATENCY_DRIFT * (traffic.mean_latency - traffic.best_latency)
+        if (
+            self.report_count == self.reports_at_rebuild and not self.requests
+        ):  # all are refused, say: what was heard is old
+            self.mean_report = {name: value * (1 - REPORT_DECAY) for name, value in self.mean_report.items()}
+        self._update_mix()
+        self._adapt_capacity(
+            any(self.mean_report.get(name, 0.0) > OVERLOAD_THRESHOLDS[name] for name in ("util", "x1"))
+        )
+        self.slowdown_estimate.advance(
+            self.now, sum(traffic.in_flight / max(traffic.best_latency, MIN_LATENCY) for traffic in self.class_traffic)
+        )
+        self.slowdown = self.slowdown_estimate.estimate_and_decay(1.0)
+        self.cores = sum(engine.cores * engine.warm_up_progress(self.now) for engine in self.ready)
+        overloaded = any(
+            self.mean_report.get(name, 0.0) > FLEET_OVERLOAD_FACTOR * limit
+            for name, limit in OVERLOAD_THRESHOLDS.items()
+        )
+        reports_are_recent = self.report_count - self.reports_at_rebuild >= len(self.ready)
+        self.is_overloaded = (overloaded or self.slowdown > OVERLOAD_SLOWDOWN) and not reports_are_recent
+        self.unreported_weight = self.settings.gateway_count if reports_are_recent else 1
+        self.reports_at_rebuild = self.report_count
+        self.best_success = max((engine.success for engine in self.ready), default=1.0)
         for engine in self.ready:
-            engine.held = {group: until for group, until in engine.held.items() if until > self.now}
-            self._exposed(engine)
-            engine.slow = engine.pace.slow(self.slow)
-            self._fade(engine)
-            self._view(engine)
-            engine.tries, engine.fails = engine.tries * MEND, engine.fails * MEND
-            for flow, estimate in zip(self.flows, engine.estimates, strict=True):
-                flow.excess += REBUILD * estimate.out * estimate.past
+            engine.remote_locks_until = {
+                group: until for group, until in engine.remote_locks_until.items() if until > self.now
+            }
+            self._advance_slowdown(engine)
+            engine.slowdown = engine.slowdown_estimate.estimate_and_decay(self.slowdown)
+            self._decay_report(engine)
+            self._refresh_indices(engine)
+            engine.outcomes, engine.failures = engine.outcomes * FAILURE_RETENTION, engine.failures * FAILURE_RETENTION
+            for traffic, estimate in zip(self.class_traffic, engine.estimates, strict=True):
+                traffic.overload_time += REBUILD_INTERVAL * estimate.in_flight * estimate.overload_share
 
-    def _fade(self, engine: Engine) -> None:
+    def _decay_report(self, engine: Engine) -> None:
         """An old report fades, so nobody stays shut out by it; not while we wait there, or for the first."""
-        cold = self.now < engine.cold_until
-        if self.now < engine.heard + REBUILD or engine.queries or (cold and not engine.reports):
+        warming_up = self.now < engine.slow_start_until
+        if (
+            self.now < engine.reported_at + REBUILD_INTERVAL
+            or engine.queries
+            or (warming_up and not engine.report_count)
+        ):
             return
         for name, value in engine.report.items():
-            engine.report[name] += FADE * (self.fleet.get(name, value) - value)
-        usual = self.fleet.get("cold" if cold else "others", 0.0) * engine.cores * engine.warmth(self.now)
-        engine.others += FADE * (usual - engine.others)
+            engine.report[name] += REPORT_DECAY * (self.mean_report.get(name, value) - value)
+        expected_queries = (
+            self.mean_report.get("cold" if warming_up else "others", 0.0)
+            * engine.cores
+            * engine.warm_up_progress(self.now)
+        )
+        engine.other_queries += REPORT_DECAY * (expected_queries - engine.other_queries)
 
-    def _report(self, engine: Engine, values: tuple[float, ...]) -> None:
+    def _apply_report(self, engine: Engine, values: tuple[float, ...]) -> None:
         """Take in a load report, and the fleet's mean with it: by time, as few reports must not be old."""
-        if not engine.hear(self.settings.report_fields, values, self.now):
+        if not engine.apply_report(self.settings.report_fields, values, self.now):
             return
-        weight = min(max(1 - exp((self.heard_at - self.now) / FLEET_MEMORY), FLEET_LEARN[0]), FLEET_LEARN[1])
-        engine.view_until, self.reports, self.heard_at = -inf, self.reports + 1, self.now
-        news = dict(engine.report)
-        if self.counted:
-            cores = engine.cores * engine.warmth(self.now)
-            news["others"] = engine.others / cores
-            news["load"] = (engine.threads + engine.others * self.width) / cores
-        if self.now < engine.cold_until:  # held back by its budget, it says nothing of those that are warm
-            news = {"cold": news.get("others", 0.0)}
-        for name, value in news.items():
-            mean = self.fleet.setdefault(name, value)
-            self.fleet[name] = mean + max(weight, 1 / self.reports) * (value - mean)
+        weight = min(
+            max(1 - exp((self.reported_at - self.now) / MEAN_REPORT_MEMORY), MEAN_REPORT_WEIGHT[0]),
+            MEAN_REPORT_WEIGHT[1],
+        )
+        engine.indices_valid_until, self.report_count, self.reported_at = -inf, self.report_count + 1, self.now
+        reported = dict(engine.report)
+        if self.reports_in_flight:
+            cores = engine.cores * engine.warm_up_progress(self.now)
+            reported["others"] = engine.other_queries / cores
+            reported["load"] = (engine.threads + engine.other_queries * self.threads_per_query) / cores
+        if self.now < engine.slow_start_until:  # held back by its budget, it says nothing of those that are warm
+            reported = {"cold": reported.get("others", 0.0)}
+        for name, value in reported.items():
+            mean = self.mean_report.setdefault(name, value)
+            self.mean_report[name] = mean + max(weight, 1 / self.report_count) * (value - mean)
 
-    def _exposed(self, engine: Engine) -> None:
-        out = zip(engine.estimates, self.flows, strict=True)
-        engine.pace.passed(self.now, sum(e.out / max(flow.best, LEAST_LATENCY) for e, flow in out))
+    def _advance_slowdown(self, engine: Engine) -> None:
+        out = zip(engine.estimates, self.class_traffic, strict=True)
+        engine.slowdown_estimate.advance(
+            self.now, sum(e.in_flight / max(traffic.best_latency, MIN_LATENCY) for e, traffic in out)
+        )
 
-    def _count(self, job: Job, engine: Engine, by: int) -> None:
+    def _count_attempt(self, state: RequestState, engine: Engine, change: int) -> None:
         """One attempt more or less in our books."""
-        self.pace.passed(self.now, sum(flow.out / max(flow.best, LEAST_LATENCY) for flow in self.flows))
-        self._exposed(engine)
-        job.flow.out += by
-        engine.estimates[job.request.cls].out += by
-        engine.threads, engine.queries = engine.threads + by * job.cls.threads, engine.queries + by
-        engine.need += by * job.request.memory_estimate
-        engine.view_until = -inf
-        if job.cls.locks_tables:
-            engine.loads[job.request.dataset] += by
-            if engine.loads[job.request.dataset] <= 0:
-                del engine.loads[job.request.dataset]
+        self.slowdown_estimate.advance(
+            self.now, sum(traffic.in_flight / max(traffic.best_latency, MIN_LATENCY) for traffic in self.class_traffic)
+        )
+        self._advance_slowdown(engine)
+        state.traffic.in_flight += change
+        engine.estimates[state.request.cls].in_flight += change
+        engine.threads, engine.queries = engine.threads + change * state.cls.threads, engine.queries + change
+        engine.memory_reserved += change * state.request.memory_estimate
+        engine.indices_valid_until = -inf
+        if state.cls.locks_tables:
+            engine.lock_holders[state.request.dataset] += change
+            if engine.lock_holders[state.request.dataset] <= 0:
+                del engine.lock_holders[state.request.dataset]
 
-    def _view(self, engine: Engine) -> None:
+    def _refresh_indices(self, engine: Engine) -> None:
         """Make the engine's load and its indices: nu*(j), or h/mu while nothing presses."""
-        now, cores = self.now, engine.cores * engine.warmth(self.now)
-        engine.load = busy = (engine.threads + engine.others * self.width) / cores
-        engine.memory = (engine.need + engine.others * self.need) / engine.ram
-        if not self.counted:
-            unseen = sum(e.unseen * f.cls.threads for e, f in zip(engine.estimates, self.flows, strict=True))
-            told = max((engine.report.get(name, 0.0) for name in ("util", "x0", "x1")), default=0.0)
-            engine.load = max(busy, told + self.echo * unseen / cores)
-        pressed = engine.pressed(now, busy)
-        for cls, (flow, estimate) in enumerate(zip(self.flows, engine.estimates, strict=True)):
-            mu = estimate.mu(flow) * engine.success / self.common / engine.doubt
-            estimate.index, estimate.past, estimate.m = flow.h / mu, 0.0, inf
-            if pressed:
-                m = max(1.0, self.level * cores / flow.cls.threads)
-                j = engine.count(cls, flow, self.settings, m, self.echo)
+        now, cores = self.now, engine.cores * engine.warm_up_progress(self.now)
+        engine.load = load = (engine.threads + engine.other_queries * self.threads_per_query) / cores
+        engine.memory_utilization = (engine.memory_reserved + engine.other_queries * self.memory_per_query) / engine.ram
+        if not self.reports_in_flight:
+            unseen = sum(
+                e.unreported * f.cls.threads for e, f in zip(engine.estimates, self.class_traffic, strict=True)
+            )
+            utilization = max((engine.report.get(name, 0.0) for name in ("util", "x0", "x1")), default=0.0)
+            engine.load = max(load, utilization + self.unreported_weight * unseen / cores)
+        overloaded = engine.is_overloaded(now, load)
+        for cls, (traffic, estimate) in enumerate(zip(self.class_traffic, engine.estimates, strict=True)):
+            service_rate = estimate.service_rate(traffic) * engine.success / self.best_success / engine.latency_factor
+            estimate.index, estimate.overload_share, estimate.capacity = traffic.delay_cost / service_rate, 0.0, inf
+            if overloaded:
+                capacity = max(1.0, self.threads_per_core * cores / traffic.cls.threads)
+                count = engine.query_count(cls, traffic, self.settings, capacity, self.unreported_weight)
                 if now < engine.full_until:
                     estimate.index = inf
-                elif j * J_SPREAD[1] + 1 > m:
-                    estimate.j, estimate.m, estimate.table = j, m, flow.table(mu, m, self.settings.gateway_count)
-                    estimate.past = max(0.0, 1 - m / j)
-        engine.view_until = engine.full_until if now < engine.full_until else now + REBUILD
+                elif count * COUNT_SPREAD[1] + 1 > capacity:
+                    estimate.query_count, estimate.capacity, estimate.index_table = (
+                        count,
+                        capacity,
+                        traffic.index_table(service_rate, capacity, self.settings.gateway_count),
+                    )
+                    estimate.overload_share = max(0.0, 1 - capacity / count)
+        engine.indices_valid_until = engine.full_until if now < engine.full_until else now + REBUILD_INTERVAL
 
     def _fleet_index(self, cls: int) -> float:
         """The least index of a mean warm engine, by the mean report and our books: a sample, but not late."""
-        if not self.pressed:
+        if not self.is_overloaded:
             return 0.0
-        flow = self.flows[cls]
-        m = max(1.0, self.level * self.cores / max(len(self.ready), 1) / flow.cls.threads)
-        total = sum(f.out * f.cls.threads * w for f, w in zip(self.flows, flow.weights, strict=True))
-        ours, others = sum(f.out for f in self.flows), self.fleet.get("others", 0.0) * self.cores
-        due = self.usual / self.told * (ours + others) if self.told else ours  # our part, by the reports
-        factor = (BOOKS + ours) / (BOOKS + due) if self.counted else float(self.settings.gateway_count)
-        j = factor * (total + others * flow.others) / flow.cls.threads / max(len(self.ready), 1)
-        table = flow.table(1 / max(flow.latency, LEAST_LATENCY), m, self.settings.gateway_count)
-        return read(table, j) if j + 1 > m else 0.0
+        traffic = self.class_traffic[cls]
+        capacity = max(1.0, self.threads_per_core * self.cores / max(len(self.ready), 1) / traffic.cls.threads)
+        weighted_threads = sum(
+            f.in_flight * f.cls.threads * w for f, w in zip(self.class_traffic, traffic.thread_weights, strict=True)
+        )
+        local_queries = sum(f.in_flight for f in self.class_traffic)
+        other_queries = self.mean_report.get("others", 0.0) * self.cores
+        expected_queries = (
+            self.usual_rate / self.quota_rate * (local_queries + other_queries) if self.quota_rate else local_queries
+        )  # our part, by the reports
+        factor = (
+            (LOCAL_COUNT_WEIGHT + local_queries) / (LOCAL_COUNT_WEIGHT + expected_queries)
+            if self.reports_in_flight
+            else float(self.settings.gateway_count)
+        )
+        count = (
+            factor
+            * (weighted_threads + other_queries * traffic.weighted_threads)
+            / traffic.cls.threads
+            / max(len(self.ready), 1)
+        )
+        table = traffic.index_table(1 / max(traffic.mean_latency, MIN_LATENCY), capacity, self.settings.gateway_count)
+        return interpolate(table, count) if count + 1 > capacity else 0.0
--- a/tealwing/policy/placement.py
+++ b/tealwing/policy/placement.py
@@ -6,25 +6,25 @@
 from math import ceil, exp, expm1, sqrt
 
 from tealwing import interface as api
-from tealwing.policy.engines import Engine, Job
-from tealwing.policy.fleet import J_SPREAD, Fleet
-from tealwing.policy.rates import Flow
+from tealwing.policy.engines import Engine, RequestState
+from tealwing.policy.fleet import COUNT_SPREAD, Fleet
+from tealwing.policy.rates import ClassTraffic
 
-END_TICKS = 3  # ticks before the deadline at which a held request is answered
+DEADLINE_TICKS = 3  # ticks before the deadline at which a held request is answered
 NEAR_TIE = 0.1  # share of the smallest index within which engines tie
-COMPARED = (2, 2.0)  # near-ties compared at least, and over all gateways: many must not herd
-CROWDING = 0.7  # threads a core that an idle engine is counted as when ties are broken
-COLD_TURN = 0.5  # factor on the crowding of a cold engine whose lot a query has drawn: that is its part
-HOMES = 1 / 3  # share of the engines that a group's loads keep to and its readers avoid: loads are few
-HOME_ODDS = 0.25  # chance that a load of another gateway holds the group at one of its homes
-TURN = 0.4142135624  # turns from one group's homes to the next: all gateways find the same
-COLD_SAFETY = 0.6  # share of the fail-back budget that fixed shares use: work estimates are rough
-COLD_FEW = 2.0  # queries below which a gateway's share of the budget gives way to lots
-COLD_SLACK = 2.0  # roots of the budget, and queries, that the rule puts down to chance beyond it
-COLD_RISK = 5.0  # -ln of what bounds the chance that the lots of a window fill the slack: a fall is fatal
-CARRIED = (50.0, 1.6)  # estimates that none counts for, and most work a core, in what engines carry
-GOLDEN = 0.6180339887  # its multiples fall evenly between whole numbers: lots of one query at many engines
-RETRY_DIGITS = 1e4  # past which a lot's digits decide on a further attempt: who drew well must not again
+CANDIDATES = (2, 2.0)  # near-ties compared at least, and over all gateways: many must not herd
+IDLE_LOAD = 0.7  # threads a core that an idle engine is counted as when ties are broken
+SLOW_START_LOAD_FACTOR = 0.5  # factor on the crowding of a cold engine whose lot a query has drawn: that is its part
+HOME_SHARE = 1 / 3  # share of the engines that a group's loads keep to and its readers avoid: loads are few
+HOME_LOCK_CHANCE = 0.25  # chance that a load of another gateway holds the group at one of its homes
+HOME_OFFSET = 0.4142135624  # turns from one group's homes to the next: all gateways find the same
+BUDGET_SAFETY = 0.6  # share of the fail-back budget that fixed shares use: work estimates are rough
+MIN_BUDGET_QUERIES = 2.0  # queries below which a gateway's share of the budget gives way to lots
+BUDGET_SLACK = 2.0  # roots of the budget, and queries, that the rule puts down to chance beyond it
+BUDGET_RISK = 5.0  # -ln of what bounds the chance that the lots of a window fill the slack: a fall is fatal
+OFFERED_WORK = (50.0, 1.6)  # estimates that none counts for, and most work a core, in what engines carry
+GOLDEN_RATIO = 0.6180339887  # its multiples fall evenly between whole numbers: lots of one query at many engines
+RETRY_KEY_SCALE = 1e4  # past which a lot's digits decide on a further attempt: who drew well must not again
 
 
 class Placement(Fleet):
@@ -32,122 +32,162 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.reduced: api.ServiceLevel | None = None  # the service level, where one is in force
-        self.taken, self.extra = deque[float](), deque[float]()  # times of requests and of further attempts
-        self.lines, self.rests = defaultdict[int, deque[Job]](deque), dict[int, float]()  # by key: jobs, rest
-        self.margin = min(END_TICKS * settings.tick, settings.rules.answer_slack)  # s
-
-    def _choose(self, job: Job, failed: Engine | None) -> Engine | None:
+        self.service_level: api.ServiceLevel | None = None  # the service level, where one is in force
+        # times of requests and of further attempts
+        self.request_times = deque[float]()
+        self.retry_times = deque[float]()
+        # by key: jobs, rest
+        self.ordering_queues = defaultdict[int, deque[RequestState]](deque)
+        self.ordering_wait_until = dict[int, float]()
+        self.deadline_margin = min(DEADLINE_TICKS * settings.tick, settings.rules.answer_slack)  # s
+
+    def _choose_engine(self, state: RequestState, failed: Engine | None) -> Engine | None:
         """The engine of the smallest index below nu; near-ties go to the least crowded."""
-        cls, flow, at = job.request.cls, job.flow, job.request.zones
-        found: list[tuple[float, Engine]] = []
+        cls, traffic, zones = state.request.cls, state.traffic, state.request.zones
+        candidates: list[tuple[float, Engine]] = []
         # While reports are fresh each query reads j within a spread, so that not all turn away at once.
-        low, high = J_SPREAD if self.echo > 1 else (1.0, 1.0)  # few old reports differ enough by themselves
-        spread = low + (high - low) * (job.lot / GOLDEN % 1.0)
-        stands = (
-            job.cls.locks_tables or job.cls.waits_for_locks
+        low, high = (
+            COUNT_SPREAD if self.unreported_weight > 1 else (1.0, 1.0)
+        )  # few old reports differ enough by themselves
+        count_factor = low + (high - low) * (state.sampling_key / GOLDEN_RATIO % 1.0)
+        uses_locks = (
+            state.cls.locks_tables or state.cls.waits_for_locks
         )  # behind a load that holds its tables, at the cost h a second
-        least = self._fleet_index(cls)
-        flow.asked += 1  # for the lots of the cold budget
-        for engine in self.targets[cls] if at is None else [e for e in self.targets[cls] if e.zone in at]:
-            if self.now >= engine.view_until:
-                self._view(engine)
-            index = engine.estimates[cls].at(spread)
-            if self.now >= engine.cold_until:  # the cold may have room when none is left elsewhere
-                index = max(index, least)
-            if index < flow.nu and engine is not failed and self._cold_budget(job, engine):
-                odds = self._odds(job, engine) if stands else 0.0
-                found.append((index + odds * flow.h * self.rest, engine))
-        if not found and failed is not None:
-            return self._choose(job, None)
-        while found:
-            tie = min(index for index, _ in found) * (1 + NEAR_TIE)
-            near = [n for n, (index, _) in enumerate(found) if index <= tie]
-            few = max(COMPARED[0], ceil(COMPARED[1] * len(near) / self.settings.gateway_count))
-            if few < len(near):  # and the cold, which few queries may go to at all
-                near = self.random.sample(near, few) + [n for n in near if self.now < found[n][1].cold_until]
-            engine = found.pop(min(near, key=lambda n: self._crowding(job.cls.priority_weight, *found[n])))[1]
-            if self._may_send(job, engine):
+        fleet_index = self._fleet_index(cls)
+        traffic.placements += 1  # for the lots of the cold budget
+        for engine in (
+            self.eligible_engines[cls] if zones is None else [e for e in self.eligible_engines[cls] if e.zone in zones]
+        ):
+            if self.now >= engine.indices_valid_until:
+                self._refresh_indices(engine)
+            index = engine.estimates[cls].index_at(count_factor)
+            if self.now >= engine.slow_start_until:  # the cold may have room when none is left elsewhere
+                index = max(index, fleet_index)
+            if index < traffic.rejection_cost and engine is not failed and self._fits_slow_start_budget(state, engine):
+                lock_chance = self._lock_chance(state, engine) if uses_locks else 0.0
+                candidates.append((index + lock_chance * traffic.delay_cost * self.lock_wait, engine))
+        if not candidates and failed is not None:
+            return self._choose_engine(state, None)
+        while candidates:
+            tie_limit = min(index for index, _ in candidates) * (1 + NEAR_TIE)
+            tied = [n for n, (index, _) in enumerate(candidates) if index <= tie_limit]
+            compared = max(CANDIDATES[0], ceil(CANDIDATES[1] * len(tied) / self.settings.gateway_count))
+            if compared < len(tied):  # and the cold, which few queries may go to at all
+                tied = self.random.sample(tied, compared) + [
+                    n for n in tied if self.now < candidates[n][1].slow_start_until
+                ]
+            engine = candidates.pop(
+                min(tied, key=lambda n: self._weighted_load(state.cls.priority_weight, *candidates[n]))
+            )[1]
+            if self._may_send(state, engine):
                 return engine
         return None
 
-    def _odds(self, job: Job, engine: Engine) -> float:
-        """The chance that a load holds the job's tables there; for a load, that it would hold up readers."""
-        group = job.request.dataset
-        if engine.holds(group, self.now):
+    def _lock_chance(self, state: RequestState, engine: Engine) -> float:
+        """The chance that a load holds the state's tables there; for a load, that it would hold up readers."""
+        group = state.request.dataset
+        if engine.is_locked(group, self.now):
             return 1.0
         # Of others' loads we know little: a group's keep to its homes, by its number, its readers away.
-        home = (engine.id * GOLDEN - group * TURN) % 1.0 < HOMES
-        return HOME_ODDS if home != job.cls.locks_tables and self.settings.gateway_count > 1 else 0.0
+        home = (engine.id * GOLDEN_RATIO - group * HOME_OFFSET) % 1.0 < HOME_SHARE
+        return HOME_LOCK_CHANCE if home != state.cls.locks_tables and self.settings.gateway_count > 1 else 0.0
 
-    def _crowding(self, worth: float, index: float, engine: Engine) -> float:
+    def _weighted_load(self, priority_weight: float, index: float, engine: Engine) -> float:
         """What decides between near-ties: threads a core, weighed by the index with the price of crossing."""
-        price = self.settings.prices.cross_zone * worth if engine.zone != self.settings.zone else 0.0
-        turn = COLD_TURN if self.now < engine.cold_until else 1.0
-        return turn * (index + price) * (CROWDING + engine.load)
+        crossing_price = self.settings.prices.cross_zone * priority_weight if engine.zone != self.settings.zone else 0.0
+        slow_start_factor = SLOW_START_LOAD_FACTOR if self.now < engine.slow_start_until else 1.0
+        return slow_start_factor * (index + crossing_price) * (IDLE_LOAD + engine.load)
 
-    def _may_send(self, job: Job, engine: Engine) -> bool:
+    def _may_send(self, state: RequestState, engine: Engine) -> bool:
         """Whether a send now keeps every rule; every send passes here."""
-        live = engine.ready and self.now < job.deadline and not job.over
-        kept = live and engine.takes(job.cls, job.request.zones) and self._in_turn(job)
-        kept = kept and (not job.attempts or self._attempt_left(job))
-        return kept and self._effect_kept(job, engine) and self._cold_budget(job, engine)
-
-    def _in_turn(self, job: Job) -> bool:
-        free = not job.key or bool(job.attempts)
-        return free or (self.lines[job.key][0] is job and self.now >= self.rests.get(job.key, 0.0))
-
-    def _attempt_left(self, job: Job) -> bool:
-        limits, rules, most = self.settings.limits, self.settings.rules, self.settings.limits.max_attempts
-        if self.reduced and job.cls.idempotency is api.Idempotency.IDEMPOTENT:
-            most = min(most, self.reduced.max_attempts[job.request.cls] or most)
-        if len(job.attempts) >= most or (job.out() and not limits.hedging):
+        usable = engine.ready and self.now < state.deadline and not state.ended
+        allowed = usable and engine.accepts(state.cls, state.request.zones) and self._is_in_order(state)
+        allowed = allowed and (not state.attempts or self._has_attempt_left(state))
+        return allowed and self._is_repeat_safe(state, engine) and self._fits_slow_start_budget(state, engine)
+
+    def _is_in_order(self, state: RequestState) -> bool:
+        free = not state.key or bool(state.attempts)
+        return free or (
+            self.ordering_queues[state.key][0] is state and self.now >= self.ordering_wait_until.get(state.key, 0.0)
+        )
+
+    def _has_attempt_left(self, state: RequestState) -> bool:
+        limits, rules, max_attempts = self.settings.limits, self.settings.rules, self.settings.limits.max_attempts
+        if self.service_level and state.cls.idempotency is api.Idempotency.IDEMPOTENT:
+            max_attempts = min(max_attempts, self.service_level.max_attempts[state.request.cls] or max_attempts)
+        if len(state.attempts) >= max_attempts or (state.in_flight() and not limits.hedging):
             return False
         if rules.retry_budget_floor is None:
             return True
-        for times in (self.taken, self.extra):
+        for times in (self.request_times, self.retry_times):
             while times and times[0] <= self.now - rules.retry_budget_window:
                 times.popleft()
-        return len(self.extra) + 1 <= rules.retry_budget_floor + rules.retry_budget_share * len(self.taken)
+        return len(self.retry_times) + 1 <= rules.retry_budget_floor + rules.retry_budget_share * len(
+            self.request_times
+        )
 
-    def _effect_kept(self, job: Job, engine: Engine) -> bool:
-        first = next(iter(job.doubtful()), None)
-        if job.cls.idempotency is api.Idempotency.IDEMPOTENT or first is None:
+    def _is_repeat_safe(self, state: RequestState, engine: Engine) -> bool:
+        earlier = next(iter(state.possibly_executed()), None)
+        if state.cls.idempotency is api.Idempotency.IDEMPOTENT or earlier is None:
             return True
-        same = job.cls.idempotency_scope is api.IdempotencyScope.ALL or engine.cell == first.engine.cell
-        same = same or (job.cls.idempotency_scope is api.IdempotencyScope.ZONE and engine.zone == first.engine.zone)
-        same = same and self.now + 2 * self.settings.tick < first.sent + job.cls.idempotency_window
-        return same and job.cls.idempotency is api.Idempotency.KEYED
-
-    def _cold_budget(self, job: Job, engine: Engine) -> bool:
+        deduplicated = state.cls.idempotency_scope is api.IdempotencyScope.ALL or engine.cell == earlier.engine.cell
+        deduplicated = deduplicated or (
+            state.cls.idempotency_scope is api.IdempotencyScope.ZONE and engine.zone == earlier.engine.zone
+        )
+        deduplicated = (
+            deduplicated and self.now + 2 * self.settings.tick < earlier.sent_at + state.cls.idempotency_window
+        )
+        return deduplicated and state.cls.idempotency is api.Idempotency.KEYED
+
+    def _fits_slow_start_budget(self, state: RequestState, engine: Engine) -> bool:
         """The fail-back rule over any window: this gateway's share or, where that is too small, a lot."""
-        if self.now >= engine.cold_until:
+        if self.now >= engine.slow_start_until:
             return True
-        rules, flow, gateways, now = self.settings.rules, job.flow, self.settings.gateway_count, self.now
-        while engine.sent and engine.sent[0][0] <= now - rules.overload_time:
-            engine.sent.popleft()
-        carried = self.told * self.costs / (self.costed + CARRIED[0]) / max(self.planned, 1)  # work a core
-        budget = rules.overload_multiple * rules.overload_time * engine.warmth(now - rules.overload_time) * engine.cores
-        budget *= min(max(carried, api.CAPACITY_UTILIZATION), CARRIED[1])
-        share = COLD_SAFETY * budget / gateways
-        if share >= COLD_FEW * flow.work:
-            return sum(work for _, work in engine.sent) + flow.work <= share
+        rules, traffic, gateways, now = self.settings.rules, state.traffic, self.settings.gateway_count, self.now
+        while engine.slow_start_sends and engine.slow_start_sends[0][0] <= now - rules.overload_time:
+            engine.slow_start_sends.popleft()
+        offered_work = (
+            self.quota_rate * self.cost_sum / (self.cost_count + OFFERED_WORK[0]) / max(self.planned_cores, 1)
+        )  # work a core
+        budget = (
+            rules.overload_multiple
+            * rules.overload_time
+            * engine.warm_up_progress(now - rules.overload_time)
+            * engine.cores
+        )
+        budget *= min(max(offered_work, api.CAPACITY_UTILIZATION), OFFERED_WORK[1])
+        share = BUDGET_SAFETY * budget / gateways
+        if share >= MIN_BUDGET_QUERIES * traffic.mean_work:
+            return sum(work for _, work in engine.slow_start_sends) + traffic.mean_work <= share
         # Lots by the time since the last one: so the mean of a window is known, whatever the traffic.
-        last = engine.estimates[job.request.cls]
-        lot = (job.lot * RETRY_DIGITS ** len(job.attempts) + engine.id * GOLDEN) % 1.0  # for each attempt
-        if lot != last.lot:
-            last.lot, last.gap, last.drawn = lot, min(now - last.drawn, rules.overload_time), now
-        part = last.gap / rules.overload_time / gateways  # no more than the budget: most lots end here
-        return lot * flow.work < part * budget and lot < part * self._let_in(flow, budget, share)
-
-    def _let_in(self, flow: Flow, budget: float, share: float) -> float:
+        estimate = engine.estimates[state.request.cls]
+        sampling_key = (
+            state.sampling_key * RETRY_KEY_SCALE ** len(state.attempts) + engine.id * GOLDEN_RATIO
+        ) % 1.0  # for each attempt
+        if sampling_key != estimate.sampling_key:
+            estimate.sampling_key = sampling_key
+            estimate.draw_interval = min(now - estimate.drawn_at, rules.overload_time)
+            estimate.drawn_at = now
+        window_share = (
+            estimate.draw_interval / rules.overload_time / gateways
+        )  # no more than the budget: most lots end here
+        return (
+            sampling_key * traffic.mean_work < window_share * budget
+            and sampling_key < window_share * self._expected_admissions(traffic, budget, share)
+        )
+
+    def _expected_admissions(self, traffic: ClassTraffic, budget: float, share: float) -> float:
         """Queries of the class that lots of all gateways let in within a window, on average."""
-        mean = sum(f.asked * f.work for f in self.flows) / sum(f.asked for f in self.flows)
-        few = [f for f in self.flows if share < COLD_FEW * f.work]
-        fixed = COLD_SAFETY * budget if len(few) < len(self.flows) else 0.0  # is kept for fixed shares
-        most = budget - fixed + COLD_SLACK * (sqrt(budget * mean) + mean)
-        usual = sum(f.asked * f.work for f in few) / sum(f.asked for f in few)
-        steep = (root := sqrt(2 * COLD_RISK * usual / most)) * (1 + root / 4) / usual  # lets in most
-        room = max(min(most - COLD_RISK / steep, budget), 0.0)
-        part = sqrt(flow.asked) / sum(sqrt(f.asked) for f in few)
-        return part * room * steep * exp(-steep * flow.work) / -expm1(-steep * flow.work)
+        mean_work = sum(f.placements * f.mean_work for f in self.class_traffic) / sum(
+            f.placements for f in self.class_traffic
+        )
+        sampled = [f for f in self.class_traffic if share < MIN_BUDGET_QUERIES * f.mean_work]
+        reserved = BUDGET_SAFETY * budget if len(sampled) < len(self.class_traffic) else 0.0  # is kept for fixed shares
+        max_work = budget - reserved + BUDGET_SLACK * (sqrt(budget * mean_work) + mean_work)
+        mean_sampled_work = sum(f.placements * f.mean_work for f in sampled) / sum(f.placements for f in sampled)
+        decay = (
+            (root := sqrt(2 * BUDGET_RISK * mean_sampled_work / max_work)) * (1 + root / 4) / mean_sampled_work
+        )  # lets in most
+        capacity = max(min(max_work - BUDGET_RISK / decay, budget), 0.0)
+        class_share = sqrt(traffic.placements) / sum(sqrt(f.placements) for f in sampled)
+        return class_share * capacity * decay * exp(-decay * traffic.mean_work) / -expm1(-decay * traffic.mean_work)
--- a/tealwing/policy/tables.py
+++ b/tealwing/policy/tables.py
@@ -26,9 +26,9 @@
     return table
 
 
-def read(table: list[float], j: float) -> float:
+def interpolate(table: list[float], count: float) -> float:
     """nu*(j), linear between whole j; infinite from n on."""
-    if j >= len(table):
+    if count >= len(table):
         return inf
-    low, high = int(j), min(int(j) + 1, len(table) - 1)
-    return table[low] + (j - low) * (table[high] - table[low])
+    low, high = int(count), min(int(count) + 1, len(table) - 1)
+    return table[low] + (count - low) * (table[high] - table[low])
--- a/tealwing/routing/diff.py
+++ b/tealwing/routing/diff.py
@@ -19,7 +19,7 @@
     def _firsts(self) -> list[int]:
         return [first for first, _ in self.pairs]
 
-    def has(self, group: int) -> bool:
+    def contains(self, group: int) -> bool:
         """Whether the group lies in one of them."""
         place = bisect_right(self._firsts, group)
         return place > 0 and group <= self.pairs[place - 1][1]
@@ -28,7 +28,7 @@
         return bool(self.pairs)
 
 
-def moved(old: Table | None, new: Table | None) -> Ranges:
+def changed_groups(old: Table | None, new: Table | None) -> Ranges:
     """The groups whose sites, or the order of their sites, differ; no table is one without routes."""
     old, new = old or Table(), new or Table()
     edges = sorted({edge for table in (old, new) for r in table.routes for edge in (r.first, r.last + 1)})
--- a/tealwing/routing/serving.py
+++ b/tealwing/routing/serving.py
@@ -7,7 +7,9 @@
 from tealwing.routing.table import Table
 
 
-def allowed(table: Table | None, group: int, zones: tuple[str, ...], ready: Collection[int]) -> frozenset[int] | None:
+def serving_zones(
+    table: Table | None, group: int, zones: tuple[str, ...], ready: Collection[int]
+) -> frozenset[int] | None:
     """The zones, by their places in `zones`, whose engines may serve the group; None: all of them.
 
     ready has the zones with a ready engine. The first site in order of preference that has one serves alone; where
--- a/tealwing/routing/validate.py
+++ b/tealwing/routing/validate.py
@@ -22,7 +22,7 @@
         return f"{self.place}: {self.what}; {self.remedy}"
 
 
-def faults(routes: Sequence[Route], complete: bool = False) -> list[Fault]:
+def find_faults(routes: Sequence[Route], complete: bool = False) -> list[Fault]:
     """All faults of a table written so, by route and then between routes; gaps only where it is to be complete."""
     found = [fault for number, route in enumerate(routes) for fault in _alone(f"routes[{number}]", route)]
     usable = [(route, n) for n, route in enumerate(routes) if NO_GROUP <= route.first <= route.last]
--- a/tealwing/rules/bundle.py
+++ b/tealwing/rules/bundle.py
@@ -83,7 +83,7 @@
     except ValueError as error:  # no TOML, no UTF-8, or a number of thousands of figures
         raise NotToml("the bundle", str(error)[:200]) from None
     found = typed.read(Bundle, data)
-    for fault in validate.faults(table(found).routes):
+    for fault in validate.find_faults(table(found).routes):
         raise BadRoutes(fault.place, f"{fault.what}; {fault.remedy}")
     if found.levels:
         from tealwing.rules import leveltext  # only where there are some: the grammar takes memory
--- a/tealwing/rules/check.py
+++ b/tealwing/rules/check.py
@@ -6,7 +6,7 @@
 
 from tealwing import interface
 from tealwing.levels.plan import PlanError
-from tealwing.routing.diff import moved
+from tealwing.routing.diff import changed_groups
 from tealwing.rules import bundle as bundles
 from tealwing.rules import overlay
 from tealwing.rules.bundle import Bundle
@@ -85,7 +85,7 @@
     from tealwing.rules import leveltext  # only where there are some
 
     try:
-        leveltext.plan(bundle.levels).measures(running.settings)
+        leveltext.plan(bundle.levels).admission_limits(running.settings)
     except PlanError as error:
         return [UnknownName("levels", str(error)[:400])]
     return []
@@ -95,7 +95,7 @@
     """Groups that no engine could serve. Only those that move: another site's trouble must not stop a change."""
     found: list[Reason] = []
     known = set(running.settings.zones)
-    changed = moved(bundles.table(running.active or bundles.EMPTY), bundles.table(bundle))
+    changed = changed_groups(bundles.table(running.active or bundles.EMPTY), bundles.table(bundle))
     for place, route in enumerate(bundle.routes):
         if not any(first <= route.last and route.first <= last for first, last in changed.pairs):
             continue
--- a/tealwing/rules/touch.py
+++ b/tealwing/rules/touch.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from tealwing.routing.diff import Ranges, moved
+from tealwing.routing.diff import Ranges, changed_groups
 from tealwing.rules.bundle import EMPTY, Bundle, Class, table
 
 NOTHING = Class()
@@ -27,7 +27,7 @@
 
     def hits(self, cls: str, tenant: str, group: int) -> bool:
         """Whether a request of that class and account, for that group, has to wait."""
-        return self.everything or cls in self.classes or self.groups.has(group)
+        return self.everything or cls in self.classes or self.groups.contains(group)
 
 
 EVERYTHING = Touch(everything=True)
@@ -45,7 +45,7 @@
             return EVERYTHING
         if before != after:
             classes.add(name)
-    return Touch(False, frozenset(classes), moved(table(old), table(new)))
+    return Touch(False, frozenset(classes), changed_groups(table(old), table(new)))
 
 
 def _shares(bundle: Bundle) -> dict[str, float]:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -52,7 +52,7 @@
 
 def left_cold(daemon: Daemon, engine: Engine) -> float:
     """Seconds for which the module still holds the engine to be cold."""
-    return engine.cold_until - (time.monotonic() + daemon._decisions.clock_offset)
+    return engine.slow_start_until - (time.monotonic() + daemon._decisions.clock_offset)
 
 
 def is_just_started(daemon: Daemon, engine: Engine) -> bool:
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -37,8 +37,8 @@
     path.write_text(GOOD)
     plan = reader.read(str(path)).records["levels"]
     (level,) = plan.levels
-    assert (plan.window, plan.every, level.terms.name, level.terms.stay) == (2.0, 0.25, "fewer", 60.0)
-    assert level.admit == {"report": (0.2, 1.0)} and len(level.enter.products) == 2
+    assert (plan.window, plan.interval, level.timings.name, level.timings.min_stay) == (2.0, 0.25, "fewer", 60.0)
+    assert level.admitted_shares == {"report": (0.2, 1.0)} and len(level.enter.products) == 2
 
 
 def test_what_show_prints_is_a_file_that_means_the_same(tmp_path: Path) -> None:
@@ -135,7 +135,7 @@
     (tmp_path / "part.conf").write_text("exit" + tail.replace("\n        ", "\n"))
     (tmp_path / "t.conf").write_text(head + "        include part.conf\n")
     (level,) = reader.read(str(tmp_path / "t.conf")).records["levels"].levels
-    assert level.exit.text.startswith("fleet.load < 1.2") and level.admit
+    assert level.exit.text.startswith("fleet.load < 1.2") and level.admitted_shares
 
 
 @given(st.lists(st.text(min_size=1, max_size=20).filter(lambda t: t.isprintable()), max_size=4))
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -14,49 +14,56 @@
 from hypothesis import strategies as st
 
 from tealwing.levels import controller
-from tealwing.levels.controller import Change, Mark, Seen, State, Terms
-
-TERMS = (Terms("mild", 1.0, 5.0, 60.0, 240.0), Terms("hard", 2.0, 5.0, 60.0, 240.0, strong_for=0.5))
-LOOKS = (Seen(False, False, False), Seen(True, False, False), Seen(True, True, False), Seen(False, False, True))
+from tealwing.levels.controller import Change, ConditionSnapshot, ControllerState, HysteresisState, LevelTimings
+
+TERMS = (LevelTimings("mild", 1.0, 5.0, 60.0, 240.0), LevelTimings("hard", 2.0, 5.0, 60.0, 240.0, strong_for=0.5))
+LOOKS = (
+    ConditionSnapshot(False, False, False),
+    ConditionSnapshot(True, False, False),
+    ConditionSnapshot(True, True, False),
+    ConditionSnapshot(False, False, True),
+)
 CALM, BUSY, STRONG, EASY = LOOKS
 
 
 # The proof, for all times
 
 
-def third_change_too_early(changed: Callable[..., State], may_change: Callable[[Any, Any], Any]) -> z3.Solver:
+def third_change_too_early(changed: Callable[..., ControllerState], may_change: Callable[[Any, Any], Any]) -> z3.Solver:
     """A solver that looks for a third change within a minute of the first, from any state that changes can reach."""
     now, first, second = z3.Reals("now first second")
-    state = State(0, (), now, second, first)  # what two changes leave behind, by `inductive`
+    state = ControllerState(0, (), now, second, first)  # what two changes leave behind, by `inductive`
     third = changed((), state, Change(now, 0, 0, "enter", 0))
     solver = z3.Solver()
-    solver.add(now >= second, second >= first, may_change(now, state.before))
-    solver.add(z3.Or(now - first < controller.WINDOW, third.last != now, third.before != second))
+    solver.add(now >= second, second >= first, may_change(now, state.previous_change_at))
+    solver.add(
+        z3.Or(now - first < controller.CHANGE_WINDOW, third.last_change_at != now, third.previous_change_at != second)
+    )
     return solver
 
 
 def test_no_three_changes_in_a_minute_proved_for_all_times() -> None:
     # base: the first two changes leave their times; induction: the third leaves its own and the second's
-    assert third_change_too_early(controller._changed, controller.may_change).check() == z3.unsat
+    assert third_change_too_early(controller._apply_change, controller.may_change).check() == z3.unsat
 
 
 def test_the_proof_catches_planted_faults() -> None:
     def loose(now: Any, before: Any) -> Any:
-        return now - before >= controller.WINDOW - 1
+        return now - before >= controller.CHANGE_WINDOW - 1
 
-    def forgets(terms: Any, state: State, change: Change) -> State:
-        return replace(controller._changed(terms, state, change), before=state.before)
+    def forgets(terms: Any, state: ControllerState, change: Change) -> ControllerState:
+        return replace(controller._apply_change(terms, state, change), previous_change_at=state.previous_change_at)
 
-    assert third_change_too_early(controller._changed, loose).check() == z3.sat
+    assert third_change_too_early(controller._apply_change, loose).check() == z3.sat
     assert third_change_too_early(forgets, controller.may_change).check() == z3.sat
 
 
 # The walk: every sequence of conditions, on the code itself
 
-SMALL = (Terms("mild", 1, 1, 2, 4), Terms("hard", 1, 2, 2, 4, strong_for=0))
+SMALL = (LevelTimings("mild", 1, 1, 2, 4), LevelTimings("hard", 1, 2, 2, 4, strong_for=0))
 
 
-def canonical(state: State) -> State:
+def canonical(state: ControllerState) -> ControllerState:
     """The state as seen from its present: times as ages, those that no rule tells apart made equal."""
     now = state.now
 
@@ -64,23 +71,23 @@
         return -min(now - time, most) if time > -inf else -most
 
     marks = tuple(
-        Mark(
-            age(mark.left, controller.SOON),
-            mark.stay,
+        HysteresisState(
+            age(mark.left_at, controller.REENTRY_WINDOW),
+            mark.min_stay,
             inf if mark.enter_since == inf else age(mark.enter_since, 2),
             inf if mark.strong_since == inf else age(mark.strong_since, 2),
             inf if mark.exit_since == inf else age(mark.exit_since, 2),
         )
-        for mark in state.marks
+        for mark in state.hysteresis
     )
-    most = controller.WINDOW + 1
-    return State(state.level, marks, 0, age(state.last, most), age(state.before, most))
+    most = controller.CHANGE_WINDOW + 1
+    return ControllerState(state.level, marks, 0, age(state.last_change_at, most), age(state.previous_change_at, most))
 
 
-def walk(terms: tuple[Terms, ...]) -> tuple[int, str]:
+def walk(terms: tuple[LevelTimings, ...]) -> tuple[int, str]:
     """All states that one look a second can reach, and the first thing found wrong."""
-    far = -(controller.WINDOW + 1)
-    begin = replace(controller.begin(terms), now=0, last=far, before=far)
+    far = -(controller.CHANGE_WINDOW + 1)
+    begin = replace(controller.initial_state(terms), now=0, last_change_at=far, previous_change_at=far)
     start = (canonical(begin), far, far)  # and when the last two changes were seen from outside
     seen, front = {start}, [start]
     while front:
@@ -90,7 +97,7 @@
                 after, change = controller.step(terms, state, 1, looks)
                 ends = (last, before)
                 if change is not None:
-                    if 1 - before < controller.WINDOW:
+                    if 1 - before < controller.CHANGE_WINDOW:
                         return len(seen), f"a third change {1 - before} after the first"
                     if change.to_level < change.from_level - 1:
                         return len(seen), "more than one step down"
@@ -107,8 +114,8 @@
 
 @pytest.fixture
 def small(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    monkeypatch.setattr(controller, "WINDOW", 5)
-    monkeypatch.setattr(controller, "SOON", 4)
+    monkeypatch.setattr(controller, "CHANGE_WINDOW", 5)
+    monkeypatch.setattr(controller, "REENTRY_WINDOW", 4)
     yield
 
 
@@ -121,11 +128,11 @@
 def test_the_walk_catches_planted_faults(small: None, fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     fall = controller._fall
 
-    def both_down(terms: Any, state: State) -> Change | None:
+    def both_down(terms: Any, state: ControllerState) -> Change | None:
         change = fall(terms, state)
         return change and change._replace(to_level=0)
 
-    def at_once(terms: Any, state: State) -> Change | None:
+    def at_once(terms: Any, state: ControllerState) -> Change | None:
         level = state.level
         return Change(state.now, level, level - 1, "exit", level) if level else None
 
@@ -145,23 +152,27 @@
     st.lists(st.tuples(st.floats(-5, 90), st.sampled_from(LOOKS), st.sampled_from(LOOKS)), max_size=200),
     st.floats(1, 100),
 )
-def test_any_clock_and_any_conditions(looks: list[tuple[float, Seen, Seen]], stay: float) -> None:
-    terms = tuple(replace(term, stay=stay, stay_most=max(stay, 240)) for term in TERMS)
-    state, now, times = controller.begin(terms), 0.0, list[float]()
+def test_any_clock_and_any_conditions(
+    looks: list[tuple[float, ConditionSnapshot, ConditionSnapshot]], stay: float
+) -> None:
+    terms = tuple(replace(term, min_stay=stay, max_stay=max(stay, 240)) for term in TERMS)
+    state, now, times = controller.initial_state(terms), 0.0, list[float]()
     for step, *seen in looks:
         now += step
         state, change = controller.step(terms, state, now, seen)
         if change is not None:
             times.append(change.at)
-    assert all(third - first >= controller.WINDOW for first, third in zip(times, times[2:], strict=False))
+    assert all(third - first >= controller.CHANGE_WINDOW for first, third in zip(times, times[2:], strict=False))
 
 
 # Single behaviours
 
 
-def play(script: list[tuple[float, Seen, Seen]], terms: tuple[Terms, ...] = TERMS) -> list[Change]:
+def play(
+    script: list[tuple[float, ConditionSnapshot, ConditionSnapshot]], terms: tuple[LevelTimings, ...] = TERMS
+) -> list[Change]:
     """Looks four times a second; each entry holds for so many seconds."""
-    state, now, changes = controller.begin(terms), 0.0, []
+    state, now, changes = controller.initial_state(terms), 0.0, []
     for seconds, *seen in script:
         for _ in range(round(seconds * 4)):
             state, change = controller.step(terms, state, now, seen)
@@ -177,7 +188,7 @@
 
 def test_up_one_by_one_and_down_one_by_one_each_after_its_stay() -> None:
     changes = play([(10, BUSY, BUSY), (200, EASY, EASY)])
-    assert [(c.from_level, c.to_level, c.why) for c in changes] == [
+    assert [(c.from_level, c.to_level, c.cause) for c in changes] == [
         (0, 1, "enter"),
         (1, 2, "enter"),
         (2, 1, "exit"),
@@ -189,12 +200,12 @@
 
 def test_strong_evidence_jumps() -> None:
     (jump,) = play([(2, BUSY, STRONG)])
-    assert (jump.from_level, jump.to_level, jump.why, jump.of) == (0, 2, "strong", 2) and jump.at == 0.5
+    assert (jump.from_level, jump.to_level, jump.cause, jump.cause_level) == (0, 2, "strong", 2) and jump.at == 0.5
 
 
 def test_a_level_entered_again_soon_is_kept_for_longer() -> None:
     terms = TERMS[:1]
-    state, now, stays = controller.begin(terms), 0.0, []
+    state, now, stays = controller.initial_state(terms), 0.0, []
     for _ in range(4):
         entered = None
         while state.level == 0:
@@ -209,15 +220,17 @@
 
 
 def test_the_last_change_of_a_minute_goes_as_high_as_the_moment_says() -> None:
-    terms = (*TERMS, Terms("most", 30.0, 40.0, 60.0, 240.0))
-    state = State(1, controller.begin(terms).marks, 99.75, 60.0, 0.0)
-    state = replace(state, marks=tuple(replace(m, enter_since=90.0) for m in state.marks[:2]) + state.marks[2:])
+    terms = (*TERMS, LevelTimings("most", 30.0, 40.0, 60.0, 240.0))
+    state = ControllerState(1, controller.initial_state(terms).hysteresis, 99.75, 60.0, 0.0)
+    state = replace(
+        state, hysteresis=tuple(replace(m, enter_since=90.0) for m in state.hysteresis[:2]) + state.hysteresis[2:]
+    )
     state, change = controller.step(terms, state, 100.0, [BUSY, BUSY, BUSY])
-    assert change is not None and (change.from_level, change.to_level, change.of) == (1, 3, 3)
+    assert change is not None and (change.from_level, change.to_level, change.cause_level) == (1, 3, 3)
 
 
 def test_after_a_gap_nothing_counts_as_having_held() -> None:
-    state = controller.begin(TERMS)
+    state = controller.initial_state(TERMS)
     state, _ = controller.step(TERMS, state, 0.0, [BUSY, CALM])
     state, change = controller.step(TERMS, state, 3600.0, [BUSY, CALM])
     assert change is None
@@ -227,7 +240,7 @@
 
 
 def test_a_clock_that_goes_back_stands_still() -> None:
-    state = controller.begin(TERMS)
+    state = controller.initial_state(TERMS)
     state, _ = controller.step(TERMS, state, 1000.0, [BUSY, CALM])
     for back in range(8):
         state, change = controller.step(TERMS, state, 900.0 + back, [BUSY, CALM])
@@ -235,11 +248,14 @@
 
 
 def test_new_terms_keep_what_they_name_and_drop_the_rest() -> None:
-    state = State(2, controller.begin(TERMS).marks, 50.0, 40.0, 39.0)
-    mild = Terms("mild", 9.0, 9.0, 90.0, 240.0)
-    kept, change = controller.adopt(TERMS, state, (mild, TERMS[1], Terms("new", 1, 2, 60, 60)))
-    assert change is None and kept.level == 2 and kept.marks[0].stay == 90.0 and kept.last == 40.0
-    fallen, change = controller.adopt(TERMS, state, (mild, Terms("other", 1.0, 5.0, 60.0, 60.0)))
-    assert change == Change(50.0, 2, 1, "configuration", 0) and (fallen.last, fallen.before) == (50.0, 40.0)
+    state = ControllerState(2, controller.initial_state(TERMS).hysteresis, 50.0, 40.0, 39.0)
+    mild = LevelTimings("mild", 9.0, 9.0, 90.0, 240.0)
+    kept, change = controller.adopt(TERMS, state, (mild, TERMS[1], LevelTimings("new", 1, 2, 60, 60)))
+    assert change is None and kept.level == 2 and kept.hysteresis[0].min_stay == 90.0 and kept.last_change_at == 40.0
+    fallen, change = controller.adopt(TERMS, state, (mild, LevelTimings("other", 1.0, 5.0, 60.0, 60.0)))
+    assert change == Change(50.0, 2, 1, "configuration", 0) and (fallen.last_change_at, fallen.previous_change_at) == (
+        50.0,
+        40.0,
+    )
     none, change = controller.adopt(TERMS, state, ())
-    assert change is not None and none.level == 0 and not none.marks
+    assert change is not None and none.level == 0 and not none.hysteresis
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -117,11 +117,11 @@
         wait(lambda: self.decisions.open_requests == 0)
         module = self.decisions.module
         assert isinstance(module, Gateway)
-        wait(lambda: not module.jobs)
-        assert not module.lines and all(flow.out == 0 for flow in module.flows)
+        wait(lambda: not module.requests)
+        assert not module.ordering_queues and all(flow.in_flight == 0 for flow in module.class_traffic)
         for seen in module.engines.values():
-            assert (seen.queries, seen.threads, seen.need) == (0, 0, 0)
-            assert all(estimate.out == 0 for estimate in seen.estimates)
+            assert (seen.queries, seen.threads, seen.memory_reserved) == (0, 0, 0)
+            assert all(estimate.in_flight == 0 for estimate in seen.estimates)
         for _, found in self.engines._engines.values():
             for connection in found._open:
                 wait(partial(free, connection))
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -147,7 +147,7 @@
     for id_, zones in enumerate((frozenset((1,)), frozenset[int]()), 1):
         actions = asked(gateway, id_, zones)
         assert not sends(actions) and any(isinstance(a, api.Reject) and a.retry_after > 0 for a in actions)
-    assert not gateway.jobs
+    assert not gateway.requests
 
 
 # A version put in force
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -36,7 +36,7 @@
             self.do(ok(send.id, send.engine, elapsed, report=report), elapsed)
 
     def j(self, engine: Engine, cls: int) -> float:
-        return engine.count(cls, self.gateway.flows[cls], self.gateway.settings, 16.0)
+        return engine.query_count(cls, self.gateway.class_traffic[cls], self.gateway.settings, 16.0)
 
     def rebuild(self) -> None:
         self.do(api.TimerFired(0), 1.0)
@@ -83,7 +83,9 @@
 def test_a_busy_report_binds_m_and_overload_is_refused() -> None:
     bench = Bench(make_settings(report_fields=("util",)), engines=1)
     bench.serve(30, elapsed=0.3, report=(1.0,))
-    bench.gateway.flows[0].lam = bench.gateway.flows[0].came = 200.0  # more than it can do at m and 0.3 s
+    bench.gateway.class_traffic[0].arrival_rate = bench.gateway.class_traffic[0].arrivals = (
+        200.0  # more than it can do at m and 0.3 s
+    )
     bench.rebuild()
     actions = [bench.ask() for _ in range(60)]
     taken = sum(bool(sends(a)) for a in actions)
@@ -150,12 +152,12 @@
     assert all(s.engine != load.engine for _ in range(9) for s in sends(bench.ask(dataset=7)))
     assert any(s.engine == load.engine for _ in range(9) for s in sends(bench.ask(dataset=8)))
     bench.do(ok(load.id, load.engine, 1.0), 1.0)
-    assert not any(engine.loads for engine in bench.gateway.engines.values())
+    assert not any(engine.lock_holders for engine in bench.gateway.engines.values())
     (stuck,) = sends(bench.ask(dataset=7))  # behind another gateway's load, as a note tells
     bench.do(api.AttemptProgress(stuck.id, 0, stuck.engine, api.ProgressKind.WAITING, 2.0))
     assert all(s.engine != stuck.engine for _ in range(9) for s in sends(bench.ask(dataset=7)))
     bench.rebuild()
-    assert not any(engine.held for engine in bench.gateway.engines.values())
+    assert not any(engine.remote_locks_until for engine in bench.gateway.engines.values())
 
 
 def test_loads_keep_to_homes_that_readers_avoid_and_all_gateways_find() -> None:
@@ -193,7 +195,7 @@
     bench.serve(100)
     first, second = bench.gateway.engines.values()
     for engine, elapsed in ((first, 0.02), (second, 0.4)):
-        engine.estimates[0].answered(elapsed)
+        engine.estimates[0].record_latency(elapsed)
     bench.rebuild()
     assert {s.engine for _ in range(4) for s in sends(bench.ask())} == {first.id, second.id}
 
@@ -211,14 +213,14 @@
 def test_one_long_answer_among_many_leaves_m_and_many_lower_it() -> None:
     bench = Bench(make_settings(), engines=1)
     bench.serve(20)
-    before = bench.gateway.level
+    before = bench.gateway.threads_per_core
     bench.serve(1, elapsed=3.0)
     bench.serve(20)
     bench.rebuild()
-    assert bench.gateway.level >= before
+    assert bench.gateway.threads_per_core >= before
     bench.serve(10, elapsed=3.0)
     bench.rebuild()
-    assert bench.gateway.level < before
+    assert bench.gateway.threads_per_core < before
 
 
 def test_a_straggler_is_dropped_once_and_tried_elsewhere() -> None:
@@ -272,7 +274,7 @@
         bench.gateway = Gateway(bench.gateway.settings, seed)
         bench.do(listing(*(entry(n) for n in range(10))))
         for engine in bench.gateway.engines.values():
-            bench.gateway._report(engine, (1.0 + engine.id,))
+            bench.gateway._apply_report(engine, (1.0 + engine.id,))
         taken |= {s.engine for s in sends(bench.ask())}
     assert len(taken) > 4
 
@@ -283,7 +285,7 @@
         for n in range(50):
             bench.do(api.Request(1000 + n, 0, 5.0, is_client_retry=True))
         bench.rebuild()
-        assert bench.gateway.flows[0].lam < 1
+        assert bench.gateway.class_traffic[0].arrival_rate < 1
 
 
 def test_a_cold_engine_is_held_to_its_budget_for_bursts_too() -> None:
@@ -298,7 +300,7 @@
     bench.serve(30)
     bench.do(delta(entry(0, started=bench.now)))
     (engine,) = bench.gateway.engines.values()
-    assert engine.estimates[0].answers == 0
+    assert engine.estimates[0].samples == 0
 
 
 def test_an_outcome_after_a_hang_up_changes_nothing() -> None:
@@ -306,7 +308,7 @@
     (send,) = sends(bench.ask())
     assert bench.do(api.ClientGone(send.id)) == []
     assert bench.do(bad(send.id, send.engine, api.AttemptResult.RESET)) == []
-    assert bench.do(api.ClientGone(send.id)) == [] and not bench.gateway.jobs
+    assert bench.do(api.ClientGone(send.id)) == [] and not bench.gateway.requests
 
 
 def test_while_the_fleet_is_pressed_own_books_bound_what_all_gateways_send() -> None:
@@ -348,7 +350,7 @@
     assert sends(bench.ask(left=60.0))
     for _ in range(20):
         bench.rebuild()
-    assert bench.gateway.pressed
+    assert bench.gateway.is_overloaded
 
 
 def test_slowness_stands_for_occupancy_where_no_count_is_reported() -> None:
@@ -395,16 +397,16 @@
     note = api.AttemptProgress(send.id, 0, send.engine, api.ProgressKind.PROGRESS, 0.52)
     cancel, refusal = [a for a in bench.do(note, 1.0) if not isinstance(a, api.SetTimer)]
     assert cancel == api.CancelAttempt(send.id, 0) and isinstance(refusal, api.Reject)
-    assert bench.do(bad(send.id, send.engine, api.AttemptResult.CANCELLED)) == [] and not bench.gateway.jobs
+    assert bench.do(bad(send.id, send.engine, api.AttemptResult.CANCELLED)) == [] and not bench.gateway.requests
 
 
 def test_a_hang_up_teaches_theta_only_where_it_frees_the_engine() -> None:
     for frees in (True, False):
         bench = Bench(make_settings(cancellation=frees), engines=1)
         (send,) = sends(bench.ask())
-        bench.gateway.engines[0].estimates[0].past = 0.5
+        bench.gateway.engines[0].estimates[0].overload_share = 0.5
         bench.do(api.ClientGone(send.id), 1.0)
-        assert (bench.gateway.flows[0].lost > 1.0) == frees
+        assert (bench.gateway.class_traffic[0].losses > 1.0) == frees
 
 
 def test_among_many_gateways_a_cold_engine_still_gets_its_few_queries() -> None:
@@ -414,7 +416,7 @@
         bench = Bench(make_settings(gateway_count=200), engines=0)
         bench.gateway = Gateway(bench.gateway.settings, seed)
         bench.do(listing(entry(1, started=0.9)))
-        bench.gateway.flows[0].work = 0.1
+        bench.gateway.class_traffic[0].mean_work = 0.1
         for _ in range(5):  # over the first window: lots let in by the time that passed
             bench.now += 0.4
             sent += len(sends(bench.ask()))
@@ -436,7 +438,7 @@
         for _ in range(60):
             bench.rebuild()
         bench.serve(3)
-        assert all(0 < f.work < 100 and 0 < f.latency < 100 for f in bench.gateway.flows)
+        assert all(0 < f.mean_work < 100 and 0 < f.mean_latency < 100 for f in bench.gateway.class_traffic)
 
 
 def test_a_report_stays_while_a_query_of_ours_is_out_there() -> None:
@@ -469,7 +471,7 @@
                 noise = 0.02 * request + 1e-3 * (bench.next % 7)
                 bench.do(ok(send.id, send.engine, 0.2, report=(util - noise, 0.3)), 0.2)
             bench.do(api.TimerFired(0), 0.6)
-        assert bench.gateway.pressed is busy
+        assert bench.gateway.is_overloaded is busy
 
 
 def test_a_jam_that_answers_nobody_is_seen_by_what_is_out() -> None:
@@ -479,12 +481,12 @@
         (send,) = sends(bench.ask())
         bench.do(ok(send.id, send.engine, 0.2, report=(0.4,)), 0.2)
         bench.rebuild()
-    assert bench.gateway.slow < 2.0 and not bench.gateway.pressed
+    assert bench.gateway.slowdown < 2.0 and not bench.gateway.is_overloaded
     for _ in range(6):
         bench.ask()
     bench.rebuild()
     bench.rebuild()
-    assert bench.gateway.slow > 4.0 and bench.gateway.pressed
+    assert bench.gateway.slowdown > 4.0 and bench.gateway.is_overloaded
 
 
 def test_the_mean_of_a_fleet_presses_below_the_limit_of_an_engine() -> None:
@@ -494,8 +496,8 @@
         (send,) = sends(bench.ask())
         bench.do(ok(send.id, send.engine, 0.2, report=(0.7 + 1e-3 * n,)), 0.2)
         bench.rebuild()
-    assert bench.gateway.pressed
-    assert not any(e.pressed(bench.now, e.load) for e in bench.gateway.ready if e.reports)
+    assert bench.gateway.is_overloaded
+    assert not any(e.is_overloaded(bench.now, e.load) for e in bench.gateway.ready if e.report_count)
 
 
 def test_what_a_jammed_fleet_refuses_still_has_its_lot_at_a_cold_engine() -> None:
@@ -526,9 +528,9 @@
     for disks, falls in ((0.3, False), (0.97, True)):
         for n in range(30):
             bench.serve(1, report=(4.0, disks + 1e-4 * n))
-            level = bench.gateway.level
+            level = bench.gateway.threads_per_core
             bench.rebuild()
-        assert (bench.gateway.level == 1.25) is falls and level > 0
+        assert (bench.gateway.threads_per_core == 1.25) is falls and level > 0
 
 
 def test_queries_turn_away_from_a_filling_engine_by_and_by() -> None:
@@ -537,12 +539,12 @@
     shares = []
     for memory in (0.7, 1.3, 2.2):
         bench.serve(1, report=(memory,))
-        bench.gateway.engines[0].values = ()
+        bench.gateway.engines[0].report_values = ()
         shares.append(0)
         for _ in range(40):
-            bench.gateway.echo = 2
+            bench.gateway.unreported_weight = 2
             bench.gateway.engines[0].report = {"x0": memory}
-            bench.gateway.engines[0].view_until = 0.0
+            bench.gateway.engines[0].indices_valid_until = 0.0
             for send in sends(bench.ask()):
                 shares[-1] += 1
                 bench.do(ok(send.id, send.engine))
@@ -556,7 +558,7 @@
         bench.ask()
     bench.do(delta(entry(0, started=bench.now)), 0.1)
     bench.rebuild()
-    assert bench.gateway.engines[0].slow < 10.0
+    assert bench.gateway.engines[0].slowdown < 10.0
 
 
 def test_a_gateway_with_most_of_the_traffic_does_not_take_the_others_to_have_as_much() -> None:
@@ -567,9 +569,9 @@
         bench.serve(1, report=(6.0 + 0.01 * (n % 7),))
         if n % 20 == 19:
             bench.rebuild()
-    assert bench.gateway.pressed
+    assert bench.gateway.is_overloaded
     assert all(sends(bench.ask()) for _ in range(60))
-    bench.gateway.fleet["others"] = 5.0  # threads a core, twice what is ever let in, and few of them ours
+    bench.gateway.mean_report["others"] = 5.0  # threads a core, twice what is ever let in, and few of them ours
     assert not sends(bench.ask())
 
 
@@ -639,7 +641,7 @@
             bench.serve(1, report=(6.0 + n,))
             bench.rebuild()
         (send,) = sends(bench.ask(left=50.0))
-        bench.gateway.fleet["others"] = 5.0 if jammed else 0.8
+        bench.gateway.mean_report["others"] = 5.0 if jammed else 0.8
         note = api.AttemptProgress(send.id, 0, send.engine, api.ProgressKind.PROGRESS, 0.1)
         assert any(isinstance(a, api.CancelAttempt) for a in bench.do(note, 1.0)) is not jammed
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -545,7 +545,7 @@
     gateway = Gateway(make_settings(gateway_count=20), 1)
     gateway.handle(0.0, listing(entry(1, started=2.0), entry(2)))
     gateway.handle(0.0, api.EngineHealthEstimates(doubts))
-    assert gateway.engines[1].doubt == 1.0
+    assert gateway.engines[1].latency_factor == 1.0
 
 
 def test_a_doubt_leans_and_does_not_bar() -> None:
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -12,11 +12,11 @@
 from tealwing import interface as api
 from tealwing import wire
 from tealwing.conf import reader
-from tealwing.levels import conditions, measures, replay
-from tealwing.levels.conditions import Condition, ConditionError, Kind
-from tealwing.levels.governor import TOKEN, Governor
+from tealwing.levels import admission, conditions, replay
+from tealwing.levels.conditions import Condition, ConditionError, SignalKind
+from tealwing.levels.governor import TIMER_TOKEN, Governor
 from tealwing.levels.plan import Plan, PlanError
-from tealwing.levels.signals import LEAST, Signals
+from tealwing.levels.signals import MIN_REQUESTS, Signals
 from tealwing.policy import Gateway
 from tests.build import bad, entry, listing, make_settings, ok, request_class, sends
 from tests.recorded import recorded
@@ -74,7 +74,7 @@
 
     def look(self, seconds: float = 0.25) -> None:
         for _ in range(round(seconds / 0.25)):
-            self.do(api.TimerFired(TOKEN), 0.25)
+            self.do(api.TimerFired(TIMER_TOKEN), 0.25)
 
     def press(self) -> None:
         """Lookups that stay out past their aim, until the level is entered."""
@@ -99,11 +99,11 @@
     bench.look(70.0)
     assert [what["to"] for _, what in bench.told] == ["fewer", "full"]
     bench.look(10.0)
-    assert bench.governor.shares["report"] == 1.0 and bench.governor.gateway.reduced is None
+    assert bench.governor.shares["report"] == 1.0 and bench.governor.gateway.service_level is None
 
 
 def sent_to(bench: Bench, id_: int) -> int:
-    return bench.governor.gateway.jobs[id_].attempts[-1].engine.id
+    return bench.governor.gateway.requests[id_].attempts[-1].engine.id
 
 
 def test_what_was_sent_is_never_refused_by_a_level(tmp_path: Path) -> None:
@@ -135,14 +135,14 @@
     assert bench.governor.name == "full" and bench.told[-1][1]["why"] == "configuration"
     with pytest.raises(PlanError):
         bench.governor.adopt(plan(tmp_path, TEXT.replace("admit report", "admit x")), bench.now)
-    assert bench.governor.plan.levels[0].terms.name == "renamed"
+    assert bench.governor.plan.levels[0].timings.name == "renamed"
 
 
 def test_levels_switched_off_leave_the_module_at_full_service(tmp_path: Path) -> None:
     bench = Bench(plan(tmp_path))
     bench.press()
-    assert bench.governor.gateway.reduced is not None
-    assert bench.governor.end(bench.now).reduced is None
+    assert bench.governor.gateway.service_level is not None
+    assert bench.governor.end(bench.now).service_level is None
 
 
 def test_no_traffic_reads_as_calm(tmp_path: Path) -> None:
@@ -166,7 +166,7 @@
         got, count = hashlib.sha256(), 0
         for now, event in events:
             for action in module.handle(now, event):
-                if not (isinstance(action, api.SetTimer) and action.token == TOKEN):
+                if not (isinstance(action, api.SetTimer) and action.token == TIMER_TOKEN):
                     got.update(wire.encode(0, action))
                     count += 1
         digests.append((count, got.hexdigest()))
@@ -179,23 +179,23 @@
 def test_signals_of_a_class() -> None:
     signals, fleet = Signals(SETTINGS, 1.0, 0.25), Gateway(SETTINGS, 1)
     for id_ in range(1, 41):
-        signals.came(0.0, api.Request(id_, 0, 5.0), 1.0)
+        signals.on_request(0.0, api.Request(id_, 0, 5.0), 1.0)
     for id_ in range(1, 11):
-        signals.outcome(0.5, ok(id_, 7))
+        signals.on_outcome(0.5, ok(id_, 7))
     for id_ in range(11, 16):
-        signals.refused(0.5, id_, shed=False)
+        signals.on_rejection(0.5, id_, is_load_shedding=False)
     for id_ in range(16, 21):
-        signals.refused(0.5, id_, shed=True)
-    read = signals.read(0.5, fleet)
+        signals.on_rejection(0.5, id_, is_load_shedding=True)
+    read = signals.sample(0.5, fleet)
     assert read["class.lookup.late"] == 0 and read["class.lookup.refused"] == 5 / 15
     assert read["class.lookup.kept"] == 10 / 15 and "class.report.late" not in read
-    read = signals.read(1.1, fleet)
+    read = signals.sample(1.1, fleet)
     assert read["class.lookup.late"] == 20 / 30, "what is open past its aim counts: a jam ends nothing"
     for id_ in range(21, 41):
-        signals.outcome(1.2, ok(id_, 7))
-    assert signals.read(1.3, fleet)["class.lookup.late"] == 20 / 30, "and once only"
+        signals.on_outcome(1.2, ok(id_, 7))
+    assert signals.sample(1.3, fleet)["class.lookup.late"] == 20 / 30, "and once only"
     for _ in range(8):
-        read = signals.read(3.0, fleet)
+        read = signals.sample(3.0, fleet)
     assert "class.lookup.late" not in read and not signals._open
 
 
@@ -206,29 +206,29 @@
     for what, id_, cls in steps:
         now += 0.05
         if what == 0:
-            signals.came(now, api.Request(id_, cls, 5.0, tenant=cls), 0.2)
+            signals.on_request(now, api.Request(id_, cls, 5.0, tenant=cls), 0.2)
         elif what == 1:
-            signals.outcome(now, ok(id_, 7))
+            signals.on_outcome(now, ok(id_, 7))
         elif what == 2:
-            signals.refused(now, id_, bool(cls))
+            signals.on_rejection(now, id_, bool(cls))
         elif what == 3:
-            signals.gave_up(now, id_)
+            signals.on_failure(now, id_)
         else:
-            read = signals.read(now, fleet)
+            read = signals.sample(now, fleet)
             assert all(0 <= v <= 1 for n, v in read.items() if n.split(".")[-1] in ("late", "kept", "refused"))
     for id_ in range(1, 31):
-        signals.gave_up(now, id_)
+        signals.on_failure(now, id_)
     for _ in range(6):
-        signals.read(now, fleet)
-    assert not signals._open and not any(map(any, signals._sum.counts + signals._sum.accounts))
-    assert not any(signals._sum.offered) and not any(signals._sum.kept)
+        signals.sample(now, fleet)
+    assert not signals._open and not any(map(any, signals._window.counts + signals._window.by_account))
+    assert not any(signals._window.offered_weight) and not any(signals._window.served_weight)
 
 
 def test_what_lies_beyond_an_accounts_share() -> None:
     signals, fleet = Signals(SETTINGS, 1.0, 0.25), Gateway(SETTINGS, 1)
     for id_ in range(80):
-        signals.came(0.0, api.Request(id_, 0, 5.0, tenant=id_ % 2), 1.0)
-    read = signals.read(0.0, fleet)
+        signals.on_request(0.0, api.Request(id_, 0, 5.0, tenant=id_ % 2), 1.0)
+    read = signals.sample(0.0, fleet)
     assert read["account.acme.beyond"] == 0 and read["account.other.beyond"] == 1 - 16 / 40
 
 
@@ -241,28 +241,28 @@
 )
 def test_a_share_is_divided_and_never_exceeded(share: float, accounts: list[tuple[int, float, float]]) -> None:
     asked, beyond, caps = zip(*accounts, strict=True)
-    chances = measures.divided(share, asked, beyond, caps)
+    chances = admission.divide_among_accounts(share, asked, beyond, caps)
     assert all(0 <= chance <= cap for chance, cap in zip(chances, caps, strict=True))
     assert sum(n * c for n, c in zip(asked, chances, strict=True)) <= share * sum(asked) + 1e-6
 
 
 def test_what_is_beyond_a_share_goes_first() -> None:
-    within, flooding = measures.divided(0.5, (50, 50), (0.0, 0.8), (1.0, 1.0))
+    within, flooding = admission.divide_among_accounts(0.5, (50, 50), (0.0, 0.8), (1.0, 1.0))
     assert within == pytest.approx(50 / 60) and flooding == pytest.approx(0.2 * 50 / 60)
-    assert measures.divided(0.8, (50, 50), (0.0, 0.8), (1.0, 1.0))[0] == 1.0
+    assert admission.divide_among_accounts(0.8, (50, 50), (0.0, 0.8), (1.0, 1.0))[0] == 1.0
 
 
 def test_shares_are_cut_under_pressure_and_rise_at_a_bounded_pace() -> None:
-    measure = measures.Measure((0.2,), (0.8,), (0,), (1.0,), (0.0, 0.0))
-    pace = measures.Pace(0.5, 10.0, 0.1)
-    assert measures.entered((1.0,), measure) == (0.2,)
-    assert measures.moved((0.8,), measure, pace, 1.0, True, 0.0) == (0.4,)
-    assert measures.moved((0.3,), measure, pace, 9.0, True, 0.0) == (0.2,)
-    assert measures.moved((0.2,), measure, pace, 1.0, False, 0.0) == pytest.approx((0.3,))
-    assert measures.moved((0.2,), measure, pace, 1.0, False, 0.5) == (0.2,), "waits while the fleet is cold"
-    assert measures.moved((0.75,), measure, pace, 5.0, False, 0.0) == (0.8,)
-    full = measures.full(1, 1)
-    assert measures.moved((0.5,), full, pace, 1.0, False, 0.0) == (0.6,), "eased past the last level too"
+    measure = admission.AdmissionLimits((0.2,), (0.8,), (0,), (1.0,), (0.0, 0.0))
+    pace = admission.RecoveryRamp(0.5, 10.0, 0.1)
+    assert admission.shares_on_entry((1.0,), measure) == (0.2,)
+    assert admission.adjust_shares((0.8,), measure, pace, 1.0, True, 0.0) == (0.4,)
+    assert admission.adjust_shares((0.3,), measure, pace, 9.0, True, 0.0) == (0.2,)
+    assert admission.adjust_shares((0.2,), measure, pace, 1.0, False, 0.0) == pytest.approx((0.3,))
+    assert admission.adjust_shares((0.2,), measure, pace, 1.0, False, 0.5) == (0.2,), "waits while the fleet is cold"
+    assert admission.adjust_shares((0.75,), measure, pace, 5.0, False, 0.0) == (0.8,)
+    full = admission.full_service_limits(1, 1)
+    assert admission.adjust_shares((0.5,), full, pace, 1.0, False, 0.0) == (0.6,), "eased past the last level too"
 
 
 # Conditions
@@ -275,7 +275,7 @@
 def texts(draw: st.DrawFn, depth: int = 2) -> str:
     if depth == 0 or draw(st.booleans()):
         name = draw(st.sampled_from(NAMES))
-        kind: Kind = conditions.kind_of(name)
+        kind: SignalKind = conditions.signal_kind(name)
         return f"{name} {draw(st.sampled_from('<>'))} {kind.write(draw(st.integers(0, 4)) / 4)}"
     joined = f" {draw(st.sampled_from(['and', 'or']))} ".join(draw(st.lists(texts(depth - 1), min_size=2, max_size=3)))
     return f"({joined})"
@@ -287,10 +287,10 @@
 @given(texts(), texts(), POINTS)
 def test_what_holds_together_is_found(one: str, other: str, signals: dict[str, float]) -> None:
     left, right = conditions.parse(one), conditions.parse(other)
-    if left.fired(signals):
-        assert conditions.possible(left)
-        if right.fired(signals):
-            assert conditions.together(left, right) is not None
+    if left.first_match(signals):
+        assert conditions.is_satisfiable(left)
+        if right.first_match(signals):
+            assert conditions.overlap(left, right) is not None
 
 
 def test_bad_conditions_say_what_is_allowed() -> None:
@@ -312,7 +312,7 @@
         b'{"at": %d, "signals": {"class.lookup.late": %s}}' % (at, b"0.9" if 10 <= at < 30 else b"0")
         for at in range(200)
     ]
-    *changes, summary = replay.replay(plan(tmp_path), replay.lines(late))
+    *changes, summary = replay.replay(plan(tmp_path), replay.read_trace(late))
     assert [(c["from"], c["to"]) for c in changes] == [("full", "fewer"), ("fewer", "full")]
     assert changes[0]["at"] == 10.5 and summary["changes"] == 2 and summary["changes_per_minute_max"] == 1
     assert sum(summary["time_in"].values()) == pytest.approx(199)
@@ -325,14 +325,14 @@
 )  # fmt: skip
 def test_replay_names_the_bad_line(line: bytes) -> None:
     with pytest.raises(replay.TraceError, match="line 2"):
-        list(replay.lines([b'{"at": 0, "signals": {}}', line]))
+        list(replay.read_trace([b'{"at": 0, "signals": {}}', line]))
 
 
 def test_least_is_what_a_share_needs() -> None:
     signals, fleet = Signals(SETTINGS, 1.0, 0.25), Gateway(SETTINGS, 1)
-    for id_ in range(LEAST - 1):
-        signals.came(0.0, api.Request(id_, 0, 5.0), 0.1)
-    assert "class.lookup.late" not in signals.read(1.0, fleet)
+    for id_ in range(MIN_REQUESTS - 1):
+        signals.on_request(0.0, api.Request(id_, 0, 5.0), 0.1)
+    assert "class.lookup.late" not in signals.sample(1.0, fleet)
 
 
 def test_the_recording_is_what_it_says() -> None:
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -36,7 +36,7 @@
     assert isinstance(given_up.run(), Cancelled)
     module = decisions.module
     assert isinstance(module, Gateway)
-    assert not module.jobs and module.flows[0].out == 0 and module.engines[7].queries == 0
+    assert not module.requests and module.class_traffic[0].in_flight == 0 and module.engines[7].queries == 0
 
 
 def test_events_come_once_and_in_turn() -> None:
@@ -142,4 +142,4 @@
     assert isinstance(late.run(), Rejected)
     module = decisions.module
     assert isinstance(module, Gateway)
-    assert not module.jobs and module.engines[7].queries == 0
+    assert not module.requests and module.engines[7].queries == 0
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -5,10 +5,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tealwing.routing.diff import Ranges, moved
-from tealwing.routing.serving import allowed
+from tealwing.routing.diff import Ranges, changed_groups
+from tealwing.routing.serving import serving_zones
 from tealwing.routing.table import Route, Table
-from tealwing.routing.validate import faults
+from tealwing.routing.validate import find_faults
 
 MOST = 24  # groups in the trials below
 SITES = ("a", "b", "c")
@@ -33,25 +33,25 @@
 
 @given(tables(), tables())
 def test_the_difference_is_that_of_every_single_group(old: Table | None, new: Table | None) -> None:
-    found = moved(old, new)
+    found = changed_groups(old, new)
     for group in range(-1, MOST + 2):
-        assert found.has(group) == (plain(old, group) != plain(new, group))
+        assert found.contains(group) == (plain(old, group) != plain(new, group))
     assert bool(found) == any(plain(old, group) != plain(new, group) for group in range(MOST))
     for (_, last), (first, _) in zip(found.pairs, found.pairs[1:], strict=False):
         assert last + 1 < first  # apart, so that each stands for one stretch
-    assert not moved(old, old) and moved(new, old) == found
+    assert not changed_groups(old, old) and changed_groups(new, old) == found
 
 
 def test_an_order_of_sites_that_changed_is_a_difference() -> None:
     old = Table.of([Route(0, 9, ("a", "b")), Route(10, 19, ("c",))])
     new = Table.of([Route(0, 9, ("b", "a")), Route(10, 12, ("c",))])
-    assert moved(old, new) == Ranges(((0, 9), (13, 19)))
+    assert changed_groups(old, new) == Ranges(((0, 9), (13, 19)))
 
 
 @given(tables(), st.integers(0, MOST), st.sets(st.integers(0, 2)))
 def test_the_first_site_with_an_engine_serves_alone(table: Table | None, group: int, ready: set[int]) -> None:
     zones = ("b", "c", "a")
-    found, sites = allowed(table, group, zones, ready), plain(table, group)
+    found, sites = serving_zones(table, group, zones, ready), plain(table, group)
     able = [zones.index(site) for site in sites if zones.index(site) in ready]
     if not sites:
         assert found is None
@@ -61,8 +61,8 @@
 
 def test_a_site_without_engines_or_name_leaves_nobody_to_serve() -> None:
     table = Table.of([Route(0, 3, ("gone",))])
-    assert allowed(table, 2, ("a", "b"), {0, 1}) == frozenset()
-    assert allowed(table, 4, ("a", "b"), {0, 1}) is None
+    assert serving_zones(table, 2, ("a", "b"), {0, 1}) == frozenset()
+    assert serving_zones(table, 4, ("a", "b"), {0, 1}) is None
 
 
 def test_all_faults_are_told_at_once_each_with_its_place_and_remedy() -> None:
@@ -73,7 +73,7 @@
         Route(12, 12, ("c",)),
         Route(33, 40, ("c",)),
     ]
-    told = [str(fault) for fault in faults(routes, complete=True)]
+    told = [str(fault) for fault in find_faults(routes, complete=True)]
     expected = [
         ("routes[1]", "reversed", "smaller"),
         ("routes[1]", "no sites", "leave the route out"),
@@ -87,8 +87,8 @@
     assert len(told) == len(expected)
     for text, (place, what, remedy) in zip(told, expected, strict=True):
         assert text.startswith(place) and what in text and remedy in text
-    assert len(faults(routes)) == len(expected) - 2  # gaps are none where it is not said to be complete
-    assert not faults([Route(4, 6, ("a",)), Route(0, 3, ("b",))], complete=True)
+    assert len(find_faults(routes)) == len(expected) - 2  # gaps are none where it is not said to be complete
+    assert not find_faults([Route(4, 6, ("a",)), Route(0, 3, ("b",))], complete=True)
 
 
 @given(st.lists(st.builds(Route, st.integers(0, 9), st.integers(0, 9), st.just(("a",))), max_size=5), st.booleans())
@@ -97,4 +97,4 @@
     last = max((route.last for route in routes), default=-1)
     good = all(route.first <= route.last for route in routes) and max(counts) <= 1
     good = good and not (complete and 0 in counts[: last + 1])
-    assert good == (not faults(routes, complete))
+    assert good == (not find_faults(routes, complete))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -11,8 +11,8 @@
 from tealwing import interface as api
 from tealwing.lab import slow_start
 from tealwing.policy import Gateway
-from tealwing.policy.engines import Job
-from tealwing.policy.placement import COLD_FEW, COLD_RISK, COLD_SAFETY, COLD_SLACK
+from tealwing.policy.engines import RequestState
+from tealwing.policy.placement import BUDGET_RISK, BUDGET_SAFETY, BUDGET_SLACK, MIN_BUDGET_QUERIES
 from tests.build import entry, listing, make_settings, request_class
 
 CASES = {case.name: case for case in slow_start.CASES}
@@ -53,14 +53,14 @@
 ) -> None:
     # The sum of independent lots: P(S > x) < exp(sum of m (exp(t w) - 1) - t x) for every t (Chernoff).
     gateway = Gateway(make_settings(gateway_count=gateways, classes=(request_class(),) * len(mix)), 1)
-    for flow, (work, asked) in zip(gateway.flows, mix, strict=True):
-        flow.work, flow.asked = work, asked
-    share = COLD_SAFETY * budget / gateways
-    few = [flow for flow in gateway.flows if share < COLD_FEW * flow.work]
+    for flow, (work, asked) in zip(gateway.class_traffic, mix, strict=True):
+        flow.mean_work, flow.placements = work, asked
+    share = BUDGET_SAFETY * budget / gateways
+    few = [flow for flow in gateway.class_traffic if share < MIN_BUDGET_QUERIES * flow.mean_work]
     mean = sum(work * asked for work, asked in mix) / sum(asked for _, asked in mix)
-    most = budget + COLD_SLACK * (budget * mean) ** 0.5 + COLD_SLACK * mean
-    most -= COLD_SAFETY * budget * (len(few) < len(mix))
-    lots = [(gateway._let_in(flow, budget, share), flow.work) for flow in few]
+    most = budget + BUDGET_SLACK * (budget * mean) ** 0.5 + BUDGET_SLACK * mean
+    most -= BUDGET_SAFETY * budget * (len(few) < len(mix))
+    lots = [(gateway._expected_admissions(flow, budget, share), flow.mean_work) for flow in few]
     assert all(0 <= m < inf for m, _ in lots)
     assert sum(m * work for m, work in lots) <= budget * 1.001
 
@@ -70,7 +70,7 @@
 
     if any(m > 1e-9 for m, _ in lots):
         steps = [exp(n / 100) / mean for n in range(-900, 900)]
-        assert min(map(exponent, steps)) <= -0.97 * COLD_RISK
+        assert min(map(exponent, steps)) <= -0.97 * BUDGET_RISK
 
 
 @given(st.lists(st.floats(0.0, 2.0), min_size=1, max_size=60), st.integers(0, 40))
@@ -83,10 +83,10 @@
     drawn: list[tuple[float, float]] = []
     for n, gap in enumerate(gaps):
         gateway.now = now = min(now + gap, 114.9)
-        job = Job(api.Request(n + 1, 0, 5.0), gateway.flows[0], now, gateway.random.random())
-        once = gateway._cold_budget(job, engine)
-        assert gateway._cold_budget(job, engine) is once  # asked again for the same send
-        drawn.append((now, engine.estimates[0].gap))
+        job = RequestState(api.Request(n + 1, 0, 5.0), gateway.class_traffic[0], now, gateway.random.random())
+        once = gateway._fits_slow_start_budget(job, engine)
+        assert gateway._fits_slow_start_budget(job, engine) is once  # asked again for the same send
+        drawn.append((now, engine.estimates[0].draw_interval))
     assert sum(gap for _, gap in drawn) <= now - 100.0 + 1e-9
     window = settings.rules.overload_time
     first = drawn[begun % len(drawn)][0]
@@ -103,10 +103,10 @@
         (engine,) = gateway.engines.values()
         gateway.now = 101.0
         lot = gateway.random.random() * 0.1 + (1 - 0.6180339887)  # one of the best tenth there
-        job = Job(api.Request(1, 0, 5.0), gateway.flows[0], gateway.now, lot % 1.0)
-        gateway.flows[0].work = 0.1
-        assert gateway._cold_budget(job, engine)
+        job = RequestState(api.Request(1, 0, 5.0), gateway.class_traffic[0], gateway.now, lot % 1.0)
+        gateway.class_traffic[0].mean_work = 0.1
+        assert gateway._fits_slow_start_budget(job, engine)
         job.attempts.append(object())  # type: ignore[arg-type]
         gateway.now = 102.0
-        again += gateway._cold_budget(job, engine)
+        again += gateway._fits_slow_start_budget(job, engine)
     assert 100 < again < 260, again  # of the chance that any query has, 0.47
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -267,7 +267,7 @@
     if step == "connections":
         monkeypatch.setattr(daemon._engines, "update", failing(daemon._engines.update))
     elif step == "module":
-        monkeypatch.setattr(Gateway, "_list", failing(Gateway._list))
+        monkeypatch.setattr(Gateway, "_apply_engine_list", failing(Gateway._apply_engine_list))
     else:
         whole = daemon._decisions.update_engine_list
         monkeypatch.setattr(daemon._decisions, "update_engine_list", lambda *a: whole(*a) and failing(lambda: True)())
@@ -288,14 +288,14 @@
 def test_an_update_that_fails_each_time_hides_neither_its_others_nor_what_comes_after(
     tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    daemon, take = make(tmp_path, coordinator.address), Gateway._list
+    daemon, take = make(tmp_path, coordinator.address), Gateway._apply_engine_list
 
     def failing(self: Gateway, told: api.EngineList) -> None:
         if any(entry.engine == TWO for entry in told.entries):
             raise ZeroDivisionError
         take(self, told)
 
-    monkeypatch.setattr(Gateway, "_list", failing)
+    monkeypatch.setattr(Gateway, "_apply_engine_list", failing)
     daemon.start()
     events = [
         event(2, member("s-2", "127.0.0.1:1"), member("s-3", "127.0.0.1:1")),
@@ -320,13 +320,13 @@
     tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # proved to be no fault: a drain right after a return, and a removal with a start at the same address
-    daemon, heard, take = make(tmp_path, coordinator.address), [], Gateway._list
+    daemon, heard, take = make(tmp_path, coordinator.address), [], Gateway._apply_engine_list
 
     def hear(self: Gateway, told: api.EngineList) -> None:
         take(self, told)
         heard.append([(entry.engine, entry.health) for entry in told.entries])
 
-    monkeypatch.setattr(Gateway, "_list", hear)
+    monkeypatch.setattr(Gateway, "_apply_engine_list", hear)
     before = daemon._engines._engines[ONE][1]
     daemon.start()
     sock, _ = coordinator.watch()
