--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -21,7 +21,7 @@
 from tealwing.lab import arrivals, load_swing, score, site
 from tealwing.lab.harness import Clients, Deployment
 from tealwing.levels.governor import Governor
-from tealwing.levels.replay import crowded
+from tealwing.levels.replay import max_changes_in_window
 from tealwing.policy import Gateway
 
 SECONDS = 60.0
@@ -74,7 +74,7 @@
         "worst": found.worst,
         "lookups": found.in_time["lookup"],
         "within": inside.total,
-        "changes": max(map(crowded, changes)),
+        "changes": max(map(max_changes_in_window, changes)),
         "total": sum(map(len, changes)),
         "broken": load_swing.broken(books),
     }
@@ -91,8 +91,7 @@
     with ProcessPoolExecutor(jobs, mp_context=get_context("spawn")) as pool:
         results = dict(zip(todo, pool.map(play, todo), strict=True))
     print(
-        "| case | worth before / off / on | worst 10 s off / on | lookups in time off / on | first account off / on"
-        " | changes, most a minute |"
+        "| case | worth before / off / on | worst 10 s off / on | lookups in time off / on | first account off / on | changes, most a minute |"
     )
     print("| --- | --- | --- | --- | --- | --- |")
     for name in CASES:
--- a/tealwing/lab/slow_start.py
+++ b/tealwing/lab/slow_start.py
@@ -187,7 +187,7 @@
                 continue
             cls = self.requests[action.id]
             work = self.case.mix[cls][1]
-            attempt = len(self.modules[n].jobs[action.id].attempts) - 1
+            attempt = len(self.modules[n].requests[action.id].attempts) - 1
             warming_up = action.engine and now >= self.begin
             if warming_up:
                 self.sent[action.engine].append((now - self.begin, work))
