--- a/tealwing/gossip/messages.py
+++ b/tealwing/gossip/messages.py
@@ -238,10 +238,15 @@
     return payload
 
 
+# What a rumour's signature covers begins with one of these names: they are part of the wire and never change, even
+# where a class gets another name.
+SIGNED_NAMES: dict[type[Alive | Left | Claims], bytes] = {Alive: b"Alive", Left: b"Left", Claims: b"Claims"}
+
+
 def own_word(rumour: Alive | Left | Claims) -> bytes:
     """What an instance signs of a rumour about itself: the whole of it but the signature."""
     fields = [getattr(rumour, name) for name in rumour.__struct_fields__ if name != "signature"]
-    return type(rumour).__name__.encode() + _encoder.encode(fields)
+    return SIGNED_NAMES[type(rumour)] + _encoder.encode(fields)
 
 
 def signed(rumour: Alive | Left | Claims, signer: Signer) -> Alive | Left | Claims:
