--- a/tealwing/commands/gossip.py
+++ b/tealwing/commands/gossip.py
@@ -61,7 +61,7 @@
     from tealwing.gossip import control
 
     try:
-        found = control.ask(path)
+        found = control.query(path)
     except (OSError, orjson.JSONDecodeError) as error:
         raise Finding(f"{path}: no instance answers there ({error})") from None
     if as_json:
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -29,8 +29,8 @@
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
     from tealwing.federation.plan import Plan as FederationPlan
     from tealwing.fleet.peering import Peering
-    from tealwing.gossip.plan import Plan as GossipPlan
-    from tealwing.gossip.transport import Link
+    from tealwing.gossip.config import GossipConfig
+    from tealwing.gossip.service import GossipService
     from tealwing.levels.plan import Plan
     from tealwing.peers.plan import Plan as PeersPlan
     from tealwing.replica.plan import Plan as ReplicaPlan
@@ -55,7 +55,7 @@
         self._settings, self._cores = config.settings, config.cores
         self._from_file = config.settings  # what the configuration said last
         self.on_settings: Callable[[api.Settings], None] = lambda settings: None  # the server's side of a change
-        self._link: Link | None = None  # where gossip is on
+        self._link: GossipService | None = None  # where gossip is on
         self._peering: Peering | None = None  # where the section `peers` is
         self.gate: Gate | None = None  # where the section `rules` is: what requests pass first
         self.sections: frozenset[str] = frozenset()  # of the operators' file, that are on
@@ -284,19 +284,19 @@
         if self._peering.feed is not None:
             self._peering.feed.engines(self._decisions.engine_list, self._settings.rules)
 
-    def _apply_gossip(self, plan: GossipPlan | None) -> None:
-        """Begin, change or end gossip; a GossipFault leaves it as it is."""
+    def _apply_gossip(self, plan: GossipConfig | None) -> None:
+        """Begin, change or end gossip; a GossipConfigError leaves it as it is."""
         link = self._link
         if plan is None and link is None:
             return
-        from tealwing.gossip.transport import GossipFault, Link  # only where gossip is on, or was
+        from tealwing.gossip.service import GossipConfigError, GossipService  # only where gossip is on, or was
 
         if plan is not None and not self._settings.limits.peer_messages:
-            raise GossipFault("gossip: the platform's settings forbid talk among gateways (Allowed.Peers)")
+            raise GossipConfigError("gossip: the platform's settings forbid talk among gateways (Allowed.Peers)")
         if plan is not None and link is not None:
             link.change(plan)
         elif plan is not None:
-            self._link = Link(
+            self._link = GossipService(
                 plan, partial(service_levels.fleet_evidence, self._decisions.change_module), self._decisions.submit
             )
             self._link.start()
--- a/tealwing/gateway/service_levels.py
+++ b/tealwing/gateway/service_levels.py
@@ -11,7 +11,7 @@
 from tealwing.policy import Gateway
 
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
-    from tealwing.gossip.observe import Evidence
+    from tealwing.gossip.local_evidence import Evidence
     from tealwing.levels.plan import Plan
 
 ChangeModule = Callable[[Module, float], Module]
@@ -20,14 +20,14 @@
 
 def fleet_evidence(change: Callable[[ChangeModule], None]) -> Evidence:
     """What the module shows of its engines, and how many are ready; change is that of the decisions."""
-    from tealwing.gossip import observe
+    from tealwing.gossip import local_evidence
 
     found: list[Evidence] = []
 
     def look(module: Module, _: float) -> Module:
         gateway = innermost_module(module)
         assert gateway is not None
-        found.append((observe.words(gateway), len(gateway.ready)))
+        found.append((local_evidence.observe_engines(gateway), len(gateway.ready)))
         return module
 
     change(look)
--- a/tealwing/gossip/plan.py
+++ b/tealwing/gossip/config.py
@@ -4,21 +4,21 @@
 
 from dataclasses import dataclass
 
-from tealwing.gossip.keys import Allowed
-from tealwing.gossip.node import Times
+from tealwing.gossip.keys import AllowedKey
+from tealwing.gossip.node import Timing
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class GossipConfig:
     """One instance's gossip; paths as the file has them."""
 
     name: str
     listen: Address
-    key: str
-    allowed: tuple[Allowed, ...]
+    key_path: str
+    allowed_keys: tuple[AllowedKey, ...]
     seeds: tuple[Address, ...]
-    times: Times
-    file: str | None
-    control: str | None
+    timing: Timing
+    state_path: str | None
+    control_path: str | None
--- a/tealwing/gossip/control.py
+++ b/tealwing/gossip/control.py
@@ -11,16 +11,16 @@
 
 import orjson
 
-LIMIT = 2.0  # s for one asker
-LONGEST = 4 << 20  # bytes of an answer: some thousand members
+CLIENT_TIMEOUT = 2.0  # s for one asker
+MAX_ANSWER_BYTES = 4 << 20  # bytes of an answer: some thousand members
 
 
-class Control:
+class ControlSocket:
     """Answers with what `tell` gives."""
 
     def __init__(self, path: str, tell: Callable[[], dict[str, Any]]) -> None:
         self._path, self._tell = path, tell
-        if os.path.exists(path) and ask_alive(path):
+        if os.path.exists(path) and is_answering(path):
             raise ValueError(f"gossip: control {path}: another instance answers there")
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)
@@ -53,26 +53,26 @@
             except OSError:
                 return
             with asker, contextlib.suppress(OSError):  # an asker that goes costs nothing
-                asker.settimeout(LIMIT)
+                asker.settimeout(CLIENT_TIMEOUT)
                 asker.sendall(orjson.dumps(self._tell()) + b"\n")
 
 
-def ask(path: str) -> dict[str, Any]:
+def query(path: str) -> dict[str, Any]:
     """What the instance at that socket tells; OSError where none does."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-        sock.settimeout(LIMIT)
+        sock.settimeout(CLIENT_TIMEOUT)
         sock.connect(path)
         data = bytearray()
-        while len(data) <= LONGEST and (part := sock.recv(65536)):
+        while len(data) <= MAX_ANSWER_BYTES and (part := sock.recv(65536)):
             data += part
     found: dict[str, Any] = orjson.loads(data)
     return found
 
 
-def ask_alive(path: str) -> bool:
+def is_answering(path: str) -> bool:
     """Whether an instance answers there."""
     try:
-        ask(path)
+        query(path)
     except (OSError, orjson.JSONDecodeError):
         return False
     return True
--- a/tealwing/gossip/keys.py
+++ b/tealwing/gossip/keys.py
@@ -14,19 +14,19 @@
 from cryptography.hazmat.primitives import serialization
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 
-from tealwing.gossip.messages import KEY_ID
+from tealwing.gossip.messages import KEY_ID_BYTES
 
-RAW = 32  # bytes of a public key (RFC 8032)
-MOST_KEYS = 4  # of one name at a time: the old, the new, and room for a mistake
+PUBLIC_KEY_BYTES = 32  # bytes of a public key (RFC 8032)
+MAX_KEYS_PER_NAME = 4  # of one name at a time: the old, the new, and room for a mistake
 
 
-class KeyFault(ValueError):
+class InvalidKeyError(ValueError):
     """A key that can't be used; the text says which and why."""
 
 
 def key_id(public: bytes) -> bytes:
     """The first bytes of a public key: enough to choose among those allowed, never a proof."""
-    return public[:KEY_ID]
+    return public[:KEY_ID_BYTES]
 
 
 def read_public(text: str) -> bytes:
@@ -35,8 +35,8 @@
         raw = base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError):
         raw = b""
-    if len(raw) != RAW:
-        raise KeyFault(f"{text[:60]!r} is not a public key of {RAW} bytes in base64")
+    if len(raw) != PUBLIC_KEY_BYTES:
+        raise InvalidKeyError(f"{text[:60]!r} is not a public key of {PUBLIC_KEY_BYTES} bytes in base64")
     return raw
 
 
@@ -45,13 +45,13 @@
     return base64.b64encode(raw).decode()
 
 
-class OwnKey:
+class LocalKey:
     """Signs as this instance."""
 
     def __init__(self, private: Ed25519PrivateKey) -> None:
         self.private = private
         self.public = private.public_key().public_bytes_raw()
-        self.key = key_id(self.public)
+        self.key_id = key_id(self.public)
 
     def sign(self, data: bytes) -> bytes:
         """A signature."""
@@ -63,9 +63,9 @@
     return Ed25519PrivateKey.generate()
 
 
-def from_seed(seed: bytes) -> OwnKey:
+def from_seed(seed: bytes) -> LocalKey:
     """A key from 32 bytes: for tests and trials only."""
-    return OwnKey(Ed25519PrivateKey.from_private_bytes(seed))
+    return LocalKey(Ed25519PrivateKey.from_private_bytes(seed))
 
 
 def write_private(path: Path, private: Ed25519PrivateKey) -> None:
@@ -77,52 +77,52 @@
         file.write(pem)
 
 
-def read_private(path: Path) -> OwnKey:
+def read_private(path: Path) -> LocalKey:
     """The key in a file that others can't read."""
     try:
         mode = path.stat().st_mode & 0o077
         data = path.read_bytes()
     except OSError as error:
-        raise KeyFault(f"{path}: {error.strerror}") from None
+        raise InvalidKeyError(f"{path}: {error.strerror}") from None
     if mode:
-        raise KeyFault(f"{path}: others may read it; allowed: mode 0600")
+        raise InvalidKeyError(f"{path}: others may read it; allowed: mode 0600")
     try:
         private = serialization.load_pem_private_key(data, None)
     except (ValueError, TypeError):
-        raise KeyFault(f"{path}: no private key in PEM without a password") from None
+        raise InvalidKeyError(f"{path}: no private key in PEM without a password") from None
     if not isinstance(private, Ed25519PrivateKey):
-        raise KeyFault(f"{path}: not an Ed25519 key")
-    return OwnKey(private)
+        raise InvalidKeyError(f"{path}: not an Ed25519 key")
+    return LocalKey(private)
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
+class AllowedKey:
     """One name's key, and the Unix time until which it holds."""
 
     name: str
     public: bytes
-    until: float = inf
+    valid_until: float = inf
 
 
 class Keyring:
     """The keys allowed. `wall`, seconds of the Unix clock, is kept by whoever owns it."""
 
-    def __init__(self, allowed: Iterable[Allowed]) -> None:
-        self.wall = 0.0
+    def __init__(self, allowed: Iterable[AllowedKey]) -> None:
+        self.unix_time = 0.0
         self._keys: dict[tuple[str, bytes], tuple[Ed25519PublicKey, float]] = {}
         self.replace(allowed)
 
-    def replace(self, allowed: Iterable[Allowed]) -> None:
+    def replace(self, allowed: Iterable[AllowedKey]) -> None:
         """Another list, in whole: a key that it lacks holds no more."""
         self._keys = {
-            (entry.name, key_id(entry.public)): (Ed25519PublicKey.from_public_bytes(entry.public), entry.until)
+            (entry.name, key_id(entry.public)): (Ed25519PublicKey.from_public_bytes(entry.public), entry.valid_until)
             for entry in allowed
         }
 
     def verify(self, name: str, key: bytes, data: bytes, signature: bytes) -> bool:
         """Whether that name signed that data, with a key that holds now."""
         found = self._keys.get((name, key))
-        if found is None or self.wall >= found[1]:
+        if found is None or self.unix_time >= found[1]:
             return False
         try:
             found[0].verify(signature, data)
--- a/tealwing/gossip/messages.py
+++ b/tealwing/gossip/messages.py
@@ -16,26 +16,28 @@
 import msgspec
 
 MAGIC, VERSION = b"TWG", 1
-LARGEST = 1400  # bytes of a datagram: within one Ethernet frame whatever tunnels there are (the issue's figure)
-OVERHEAD = 28  # bytes of IPv4 and UDP headers, which count against the ceiling too
-KEY_ID, SIGNATURE = 8, 64
-HEAD = len(MAGIC) + 1 + KEY_ID + SIGNATURE
-MOST = 2**32 - 1  # of an incarnation: an instance that reaches it begins anew with a later boot
-MOST_SEQUENCE = 2**48  # of a boot; at a thousand datagrams a second that is 8,000 years
+MAX_DATAGRAM_BYTES = (
+    1400  # bytes of a datagram: within one Ethernet frame whatever tunnels there are (the issue's figure)
+)
+HEADERS_BYTES = 28  # bytes of IPv4 and UDP headers, which count against the ceiling too
+KEY_ID_BYTES, SIGNATURE_BYTES = 8, 64
+FRAME_BYTES = len(MAGIC) + 1 + KEY_ID_BYTES + SIGNATURE_BYTES
+MAX_INCARNATION = 2**32 - 1  # of an incarnation: an instance that reaches it begins anew with a later boot
+MAX_SEQUENCE = 2**48  # of a boot; at a thousand datagrams a second that is 8,000 years
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=32, pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]*$")]
 Host = Annotated[str, msgspec.Meta(min_length=2, max_length=45)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=65535)]
-Count = Annotated[int, msgspec.Meta(ge=0, le=MOST)]
-Big = Annotated[int, msgspec.Meta(ge=0, le=MOST_SEQUENCE)]  # sequences, and milliseconds of the Unix clock
-Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_INCARNATION)]
+Uint48 = Annotated[int, msgspec.Meta(ge=0, le=MAX_SEQUENCE)]  # sequences, and milliseconds of the Unix clock
+Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Slowness = Annotated[float, msgspec.Meta(ge=0.0, le=1000.0)]
 Samples = Annotated[float, msgspec.Meta(ge=0.0, le=1e6)]
-Signed = Annotated[bytes, msgspec.Meta(min_length=SIGNATURE, max_length=SIGNATURE)]
-Key = Annotated[bytes, msgspec.Meta(min_length=KEY_ID, max_length=KEY_ID)]
+Signature = Annotated[bytes, msgspec.Meta(min_length=SIGNATURE_BYTES, max_length=SIGNATURE_BYTES)]
+KeyId = Annotated[bytes, msgspec.Meta(min_length=KEY_ID_BYTES, max_length=KEY_ID_BYTES)]
 
 
-class Cause(StrEnum):
+class RejectionCause(StrEnum):
     """Why a datagram or a rumour was dropped."""
 
     SIZE = "size"
@@ -50,10 +52,10 @@
     NAME = "name"
 
 
-class Rejected(ValueError):
+class MessageRejectedError(ValueError):
     """A datagram that is dropped."""
 
-    def __init__(self, cause: Cause) -> None:
+    def __init__(self, cause: RejectionCause) -> None:
         super().__init__(cause.value)
         self.cause = cause
 
@@ -68,27 +70,27 @@
     name: Name
     host: Host
     port: Port
-    boot: Big  # ms of the Unix clock at its start: a later start under the name goes before an earlier one
+    boot: Uint48  # ms of the Unix clock at its start: a later start under the name goes before an earlier one
     incarnation: Count
-    key: Key
-    signature: Signed
+    key: KeyId
+    signature: Signature
 
 
 class Left(Record, tag=2, frozen=True):
     """An instance's word that it ends."""
 
     name: Name
-    boot: Big
+    boot: Uint48
     incarnation: Count
-    key: Key
-    signature: Signed
+    key: KeyId
+    signature: Signature
 
 
 class Suspect(Record, tag=3, frozen=True):
     """The sender suspects a member of being dead, as of an incarnation."""
 
     name: Name
-    boot: Big
+    boot: Uint48
     incarnation: Count
 
 
@@ -96,32 +98,32 @@
     """The sender holds a member for dead, as of an incarnation."""
 
     name: Name
-    boot: Big
+    boot: Uint48
     incarnation: Count
 
 
-class Seen(Record, frozen=True):
+class EngineObservation(Record, frozen=True):
     """What an instance saw of one start of one engine."""
 
     engine: Count
-    started: Big  # ms; 0: long ago
-    slow: Slowness  # latency over the class's best, over the same of the whole fleet
-    failed: Share
+    started_ms: Uint48  # ms; 0: long ago
+    slowness: Slowness  # latency over the class's best, over the same of the whole fleet
+    failure_ratio: Fraction
     samples: Samples  # answers that this rests on
 
 
-class Claims(Record, tag=5, frozen=True):
+class HealthReport(Record, tag=5, frozen=True):
     """What an instance saw of engines, the latest word of it; version is ms of its Unix clock."""
 
     name: Name
-    boot: Big
-    version: Big
-    seen: Annotated[list[Seen], msgspec.Meta(max_length=16)]
-    key: Key
-    signature: Signed
+    boot: Uint48
+    version: Uint48
+    observations: Annotated[list[EngineObservation], msgspec.Meta(max_length=16)]
+    key: KeyId
+    signature: Signature
 
 
-Rumour = Alive | Left | Suspect | Dead | Claims
+Rumour = Alive | Left | Suspect | Dead | HealthReport
 
 
 class Ping(Record, tag=11, frozen=True):
@@ -143,7 +145,7 @@
     number: Count
 
 
-class PingFor(Record, tag=14, frozen=True):
+class PingRequest(Record, tag=14, frozen=True):
     """Ping a member for me."""
 
     number: Count
@@ -157,8 +159,8 @@
 class Digest(Record, tag=16, frozen=True):
     """Hashes of all that the sender knows of members, by bucket; `answer` asks for the receiver's too."""
 
-    buckets: Annotated[list[Big], msgspec.Meta(max_length=64)]
-    answer: bool
+    buckets: Annotated[list[Uint48], msgspec.Meta(max_length=64)]
+    reply_wanted: bool
 
 
 class Fetch(Record, tag=17, frozen=True):
@@ -167,16 +169,16 @@
     buckets: Annotated[list[Annotated[int, msgspec.Meta(ge=0, le=63)]], msgspec.Meta(max_length=64)]
 
 
-Body = Ping | Ack | Nack | PingFor | Gossip | Digest | Fetch
+Body = Ping | Ack | Nack | PingRequest | Gossip | Digest | Fetch
 
 
 class Payload(Record, frozen=True):
     """What is signed: who sends, in which life, which message of it, when, and what."""
 
     name: Name
-    boot: Big
-    sequence: Big
-    at: Big  # ms of the sender's Unix clock
+    boot: Uint48
+    sequence: Uint48
+    sent_at_ms: Uint48  # ms of the sender's Unix clock
     body: Body
     rumours: Annotated[list[Rumour], msgspec.Meta(max_length=64)]
 
@@ -184,7 +186,7 @@
 class Signer(Protocol):
     """Signs as one instance."""
 
-    key: bytes
+    key_id: bytes
 
     def sign(self, data: bytes) -> bytes:
         """A signature."""
@@ -199,57 +201,57 @@
 def encode(payload: Payload, signer: Signer) -> bytes:
     """A datagram."""
     data = _encoder.encode(payload)
-    head = MAGIC + bytes([VERSION]) + signer.key
+    head = MAGIC + bytes([VERSION]) + signer.key_id
     return head + signer.sign(head + data) + data
 
 
-def size(rumour: Rumour) -> int:
+def rumour_size(rumour: Rumour) -> int:
     """Bytes that a rumour takes in a datagram."""
     return len(_encoder.encode(rumour))
 
 
-def bare(payload: Payload) -> int:
+def datagram_size(payload: Payload) -> int:
     """Bytes of a datagram with this payload."""
-    return HEAD + len(_encoder.encode(payload))
+    return FRAME_BYTES + len(_encoder.encode(payload))
 
 
-def claimed(data: bytes) -> tuple[bytes, bytes, bytes, bytes]:
+def split_frame(data: bytes) -> tuple[bytes, bytes, bytes, bytes]:
     """Key id, signature, what was signed, and the payload's bytes; cheap checks only."""
-    if not HEAD < len(data) <= LARGEST:
-        raise Rejected(Cause.SIZE)
+    if not FRAME_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
+        raise MessageRejectedError(RejectionCause.SIZE)
     if data[: len(MAGIC)] != MAGIC:
-        raise Rejected(Cause.FORMAT)
+        raise MessageRejectedError(RejectionCause.FORMAT)
     if data[len(MAGIC)] != VERSION:
-        raise Rejected(Cause.VERSION)
+        raise MessageRejectedError(RejectionCause.VERSION)
     at = len(MAGIC) + 1
-    key, signature, body = data[at : at + KEY_ID], data[at + KEY_ID : HEAD], data[HEAD:]
-    return key, signature, data[: at + KEY_ID] + body, body
+    key, signature, body = data[at : at + KEY_ID_BYTES], data[at + KEY_ID_BYTES : FRAME_BYTES], data[FRAME_BYTES:]
+    return key, signature, data[: at + KEY_ID_BYTES] + body, body
 
 
 def decode(data: bytes, verify: Verify) -> Payload:
     """The payload of a datagram whose sender's signature holds."""
-    key, signature, signed, body = claimed(data)
+    key, signature, signed, body = split_frame(data)
     try:
         payload = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        raise Rejected(Cause.FORMAT) from None
+        raise MessageRejectedError(RejectionCause.FORMAT) from None
     if not verify(payload.name, key, signed, signature):
-        raise Rejected(Cause.SIGNATURE)
+        raise MessageRejectedError(RejectionCause.SIGNATURE)
     return payload
 
 
 # What a rumour's signature covers begins with one of these names: they are part of the wire and never change, even
 # where a class gets another name.
-SIGNED_NAMES: dict[type[Alive | Left | Claims], bytes] = {Alive: b"Alive", Left: b"Left", Claims: b"Claims"}
+SIGNED_NAMES: dict[type[Alive | Left | HealthReport], bytes] = {Alive: b"Alive", Left: b"Left", HealthReport: b"Claims"}
 
 
-def own_word(rumour: Alive | Left | Claims) -> bytes:
+def signed_bytes(rumour: Alive | Left | HealthReport) -> bytes:
     """What an instance signs of a rumour about itself: the whole of it but the signature."""
     fields = [getattr(rumour, name) for name in rumour.__struct_fields__ if name != "signature"]
     return SIGNED_NAMES[type(rumour)] + _encoder.encode(fields)
 
 
-def signed(rumour: Alive | Left | Claims, signer: Signer) -> Alive | Left | Claims:
+def sign_rumour(rumour: Alive | Left | HealthReport, signer: Signer) -> Alive | Left | HealthReport:
     """The rumour with its signature."""
-    whole = msgspec.structs.replace(rumour, key=signer.key)
-    return msgspec.structs.replace(whole, signature=signer.sign(own_word(whole)))
+    whole = msgspec.structs.replace(rumour, key=signer.key_id)
+    return msgspec.structs.replace(whole, signature=signer.sign(signed_bytes(whole)))
--- a/tealwing/gossip/replayed.py
+++ b/tealwing/gossip/replay_protection.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from tealwing.gossip.messages import Cause, Rejected
+from tealwing.gossip.messages import MessageRejectedError, RejectionCause
 
 WINDOW = 256  # sequences behind the highest that may still come: datagrams overtake one another
 
 
 @dataclass(slots=True)
-class Heard:
+class SenderWindow:
     """What was heard of one sender's present life."""
 
     boot: int
@@ -18,30 +18,30 @@
     bits: int = 0  # of the last WINDOW sequences, the highest first
 
 
-class Fresh:
+class ReplayFilter:
     """Takes each datagram once, and none that is too old or from too far ahead."""
 
     def __init__(self, skew: float) -> None:
         self._skew = skew
-        self._heard: dict[str, Heard] = {}
+        self._heard: dict[str, SenderWindow] = {}
 
-    def take(self, name: str, boot: int, sequence: int, at: int, wall: float) -> None:
+    def accept(self, name: str, boot: int, sequence: int, at: int, wall: float) -> None:
         """Note one datagram; Rejected says why it is not taken. Times: ms as sent, s of our Unix clock."""
         if abs(at / 1e3 - wall) > self._skew:
-            raise Rejected(Cause.TIME)
+            raise MessageRejectedError(RejectionCause.TIME)
         if boot / 1e3 > wall + self._skew:
-            raise Rejected(Cause.TIME)
+            raise MessageRejectedError(RejectionCause.TIME)
         heard = self._heard.get(name)
         if heard is None or boot > heard.boot:
-            heard = self._heard[name] = Heard(boot)
+            heard = self._heard[name] = SenderWindow(boot)
         elif boot < heard.boot:
-            raise Rejected(Cause.STALE)
+            raise MessageRejectedError(RejectionCause.STALE)
         behind = heard.highest - sequence
         if behind < 0:
             heard.bits = (heard.bits << -behind | 1) & ((1 << WINDOW) - 1) if -behind < WINDOW else 1
             heard.highest = sequence
         elif behind >= WINDOW or heard.bits >> behind & 1:
-            raise Rejected(Cause.REPEATED)
+            raise MessageRejectedError(RejectionCause.REPEATED)
         else:
             heard.bits |= 1 << behind
 
--- a/tealwing/gossip/rumours.py
+++ b/tealwing/gossip/rumour_queue.py
@@ -10,21 +10,21 @@
 from collections.abc import Sequence
 
 from tealwing.gossip import messages
-from tealwing.gossip.messages import Claims, Rumour
+from tealwing.gossip.messages import HealthReport, Rumour
 
-MOST = 256  # that wait; past it the one sent most goes
-LEAST_SIZE = 24  # bytes of the shortest rumour: with less room there is no use in looking on
-MOST_RIDING = 60  # in one datagram: its form allows 64
+QUEUE_LIMIT = 256  # that wait; past it the one sent most goes
+MIN_RUMOUR_BYTES = 24  # bytes of the shortest rumour: with less room there is no use in looking on
+MAX_PER_DATAGRAM = 60  # in one datagram: its form allows 64
 
 Key = tuple[bool, str]
 
 
 def key_of(rumour: Rumour) -> Key:
     """What a rumour is on: a newer one on the same takes its place."""
-    return isinstance(rumour, Claims), rumour.name
+    return isinstance(rumour, HealthReport), rumour.name
 
 
-class Rumours:
+class RumourQueue:
     """Rumours in lines by how often each was sent."""
 
     def __init__(self) -> None:
@@ -38,26 +38,26 @@
         """Let one go out, in place of an older one on the same matter."""
         key = key_of(rumour)
         self._take(key)
-        self._lines[0][key] = rumour, messages.size(rumour)
+        self._lines[0][key] = rumour, messages.rumour_size(rumour)
         self._sent[key] = 0
-        if len(self._sent) > MOST:
+        if len(self._sent) > QUEUE_LIMIT:
             line = next(line for line in reversed(self._lines) if line)
             self._take(next(iter(line)))
 
-    def heard(self, rumour: Rumour, most: int) -> None:
+    def record_received(self, rumour: Rumour, most: int) -> None:
         """Another sent it too."""
         key = key_of(rumour)
         sent = self._sent.get(key)
         if sent is not None and self._lines[sent][key][0] == rumour:
             self._move(key, most)
 
-    def riding(self, room: int, most: int, but: Sequence[Rumour]) -> list[Rumour]:
+    def take_piggyback(self, room: int, most: int, but: Sequence[Rumour]) -> list[Rumour]:
         """Those that go with a datagram with so much room; each is sent `most` times in all."""
         found: list[Rumour] = []
         chosen: list[Key] = []
         for line in self._lines:
             for key, (rumour, size) in line.items():
-                if room < LEAST_SIZE or len(found) >= MOST_RIDING:
+                if room < MIN_RUMOUR_BYTES or len(found) >= MAX_PER_DATAGRAM:
                     break
                 if size <= room and rumour not in but:
                     found.append(rumour)
--- a/tealwing/gossip/section.py
+++ b/tealwing/gossip/section.py
@@ -8,23 +8,23 @@
 from tealwing.conf import values
 from tealwing.conf.schema import Block, Entry, Report, Section, Spec
 from tealwing.gossip import keys
-from tealwing.gossip.keys import Allowed
-from tealwing.gossip.messages import LARGEST
-from tealwing.gossip.node import Times
-from tealwing.gossip.plan import Plan
+from tealwing.gossip.config import GossipConfig
+from tealwing.gossip.keys import AllowedKey
+from tealwing.gossip.messages import MAX_DATAGRAM_BYTES
+from tealwing.gossip.node import Timing
 
-LEAST_CEILING = 4 * LARGEST  # bytes a second: below that a probe and its answers do not fit a period
+MIN_BYTES_PER_S = 4 * MAX_DATAGRAM_BYTES  # bytes a second: below that a probe and its answers do not fit a period
 MOST_KEYS = 4  # of one name
 
 
-def _peer(words: values.Words) -> Allowed:
+def _peer(words: values.Words) -> AllowedKey:
     allowed = "a name, its public key in base64, and if it ends, until and a time as 2027-01-31T12:00Z"
     if len(words) not in (2, 4) or (len(words) == 4 and words[2] != "until"):
         raise values.Unfit(allowed)
     name, until = values.instance(words[:1]), inf
     try:
         public = keys.read_public(words[1])
-    except keys.KeyFault as error:
+    except keys.InvalidKeyError as error:
         raise values.Unfit(f"{allowed}; {error}") from None
     if len(words) == 4:
         try:
@@ -34,7 +34,7 @@
         if when.tzinfo is None:
             raise values.Unfit(f"{allowed}, with its zone")
         until = when.timestamp()
-    return Allowed(name, public, until)
+    return AllowedKey(name, public, until)
 
 
 SPECS = (
@@ -48,7 +48,7 @@
          " with an overlap; a line that goes is a key that holds no more, at SIGHUP.", _peer, many=True, needed=True),
     Spec("seed", "HOST:PORT", "An address to ask first. One that answers is enough.", values.address, many=True),
     Spec("ceiling", "SIZE", "Bytes a second, headers included, that no second passes.",
-         values.sizes(LEAST_CEILING, 1 << 30), "16KB"),
+         values.sizes(MIN_BYTES_PER_S, 1 << 30), "16KB"),
     Spec("period", "DURATION", "Between two probes of members.", values.durations(0.2, 60.0), "1s"),
     Spec("answer", "DURATION", "How long a direct answer is waited for; below the period.",
          values.durations(0.05, 30.0), "300ms"),
@@ -62,7 +62,7 @@
 )  # fmt: skip
 
 
-def build(block: Block, report: Report) -> Plan:
+def build(block: Block, report: Report) -> GossipConfig:
     """The plan that a checked section makes."""
     peers: list[Entry] = block.all("peer")
     allowed = tuple(entry.value for entry in peers)
@@ -75,17 +75,17 @@
     name = block.one("name")
     if all(a.name != name for a in allowed):
         report.add(block.place("name", peers[0].place), "name", name, "a name that a peer line has, with its key")
-    times = Times(
+    times = Timing(
         block.one("period"), block.one("answer"), block.one("rumours"), block.one("compare"), block.one("skew"),
         float(block.one("ceiling")),
     )  # fmt: skip
-    if times.answer >= times.period / 2:
+    if times.probe_timeout >= times.probe_interval / 2:
         report.add(
-            block.place("answer", peers[0].place), "answer", values.written_duration(times.answer),
-            f"less than half of the period, {values.written_duration(times.period)}: others are asked after it",
+            block.place("answer", peers[0].place), "answer", values.written_duration(times.probe_timeout),
+            f"less than half of the period, {values.written_duration(times.probe_interval)}: others are asked after it",
         )  # fmt: skip
     seeds = tuple(entry.value for entry in block.all("seed"))
-    return Plan(
+    return GossipConfig(
         name, block.one("listen"), block.one("key"), allowed, seeds, times, block.one("file"), block.one("control")
     )
 
--- a/tealwing/lab/network.py
+++ b/tealwing/lab/network.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 
 from tealwing.gossip import keys
-from tealwing.gossip.budget import Address
 from tealwing.gossip.members import State
-from tealwing.gossip.messages import KEY_ID, LARGEST, OVERHEAD, SIGNATURE
-from tealwing.gossip.node import Node, Times
+from tealwing.gossip.messages import HEADERS_BYTES, KEY_ID_BYTES, MAX_DATAGRAM_BYTES, SIGNATURE_BYTES
+from tealwing.gossip.node import Node, Timing
+from tealwing.gossip.send_queue import Address
 from tealwing.lab.clock import Clock
 
 TICK = 0.1  # s between two ticks of an instance
@@ -31,11 +31,11 @@
 
     def __init__(self, name: str) -> None:
         self._secret = hashlib.blake2b(name.encode(), digest_size=32).digest()
-        self.key = self._secret[:KEY_ID]
+        self.key_id = self._secret[:KEY_ID_BYTES]
 
     def sign(self, data: bytes) -> bytes:
         """A tag of a signature's length."""
-        return hashlib.blake2b(data, key=self._secret, digest_size=SIGNATURE).digest()
+        return hashlib.blake2b(data, key=self._secret, digest_size=SIGNATURE_BYTES).digest()
 
 
 class ToyRing:
@@ -48,10 +48,10 @@
     def verify(self, name: str, key: bytes, data: bytes, signature: bytes) -> bool:
         """Whether that name signed that data."""
         toy = self._toys.get(name) or self._toys.setdefault(name, Toy(name))
-        return toy.key == key and toy.sign(data) == signature
+        return toy.key_id == key and toy.sign(data) == signature
 
 
-def real_key(name: str) -> keys.OwnKey:
+def real_key(name: str) -> keys.LocalKey:
     """An Ed25519 key that follows from a name, for trials."""
     return keys.from_seed(hashlib.blake2b(name.encode(), digest_size=32).digest())
 
@@ -82,8 +82,8 @@
 class Network:
     """Instances, and the weather between them."""
 
-    def __init__(self, seed: int, times: Times | None = None, real_keys: bool = False) -> None:
-        self.clock, self.times = Clock(), times or Times()
+    def __init__(self, seed: int, times: Timing | None = None, real_keys: bool = False) -> None:
+        self.clock, self.times = Clock(), times or Timing()
         self.weather = Weather()
         self.instances: dict[str, Instance] = {}
         self.events: list[tuple[float, str, str, dict[str, object]]] = []  # when, whose, what
@@ -101,7 +101,7 @@
             address = (f"10.{self._hosts >> 16}.{self._hosts >> 8 & 255}.{self._hosts & 255}", PORT)
         rng = random.Random(f"{self._seed}/{name}/{self.clock.now}")
         ring: ToyRing | keys.Keyring = ToyRing()
-        signer: Toy | keys.OwnKey = Toy(name)
+        signer: Toy | keys.LocalKey = Toy(name)
         if self._real:
             signer = real_key(name)
             ring = _Everybody()
@@ -133,7 +133,7 @@
     def _resume(self, instance: Instance) -> None:
         waiting, instance.paused = instance.paused or [], None
         for source, data in waiting[:200]:
-            instance.node.datagram(self.clock.now, self.wall(instance.skew), source, data)
+            instance.node.receive(self.clock.now, self.wall(instance.skew), source, data)
 
     def _tick(self, instance: Instance) -> None:
         if not instance.running:
@@ -155,10 +155,10 @@
             self.events.append((self.clock.now, node.name, name, fields))
         node.events.clear()
         second = int(self.clock.now)
-        for to, data in node.out(self.clock.now):
-            instance.seconds[second] = instance.seconds.get(second, 0) + len(data) + OVERHEAD
+        for to, data in node.take_datagrams(self.clock.now):
+            instance.seconds[second] = instance.seconds.get(second, 0) + len(data) + HEADERS_BYTES
             instance.largest = max(instance.largest, len(data))
-            assert len(data) <= LARGEST, f"a datagram of {len(data)} bytes"
+            assert len(data) <= MAX_DATAGRAM_BYTES, f"a datagram of {len(data)} bytes"
             tamper = self.tamper.get(node.name)
             for target, what in tamper(instance, to, data) if tamper else [(to, data)]:
                 self._carry(instance.address, target, what)
@@ -177,7 +177,7 @@
         if instance.paused is not None:
             instance.paused.append((source, data))
             return
-        instance.node.datagram(self.clock.now, self.wall(instance.skew), source, data)
+        instance.node.receive(self.clock.now, self.wall(instance.skew), source, data)
         self._flush(instance)
 
     # What is so
@@ -217,7 +217,7 @@
     def verify(self, name: str, key: bytes, data: bytes, signature: bytes) -> bool:
         if (name, key) not in self._keys:
             public = real_key(name).public
-            self._keys |= keys.Keyring([keys.Allowed(name, public)])._keys
+            self._keys |= keys.Keyring([keys.AllowedKey(name, public)])._keys
         return super().verify(name, key, data, signature)
 
 
--- a/tealwing/lab/processes.py
+++ b/tealwing/lab/processes.py
@@ -15,13 +15,13 @@
 from tealwing import interface as api
 from tealwing import log
 from tealwing.gossip import keys
-from tealwing.gossip.beliefs import FRESH_OWN, SLOW, Word
-from tealwing.gossip.budget import Urgency
-from tealwing.gossip.keys import Allowed
+from tealwing.gossip.config import GossipConfig
+from tealwing.gossip.health_estimator import OWN_EVIDENCE_SAMPLES, SLOW_RATIO, EngineHealth
+from tealwing.gossip.keys import AllowedKey
 from tealwing.gossip.messages import Dead, Gossip, Rumour
-from tealwing.gossip.node import Times
-from tealwing.gossip.plan import Plan
-from tealwing.gossip.transport import Link
+from tealwing.gossip.node import Timing
+from tealwing.gossip.send_queue import Priority
+from tealwing.gossip.service import GossipService
 from tealwing.lab import rumours
 from tealwing.lab.network import real_key
 
@@ -62,7 +62,7 @@
     return {"summary": True, "instances": instances, "liars": liars, "silent": silent, "seed": seed} | rumours.figures(
         [report["converged"] for report in honest],
         max(report["bytes_per_s_max"] for report in reports),
-        Times(),
+        Timing(),
         sum(report["shunned"] for report in honest),
         [report["known"] for report in honest],
         [report["alone"] for report in honest],
@@ -88,7 +88,7 @@
     number, kind, names = plan["number"], plan["kind"], [f"n{i}" for i in range(plan["instances"])]
     ports = plan["seed_ports"]
     listen = ("127.0.0.1", ports[number] if number < len(ports) else 0)
-    allowed = tuple(Allowed(name, real_key(name).public) for name in names)
+    allowed = tuple(AllowedKey(name, real_key(name).public) for name in names)
     seeds = tuple(("127.0.0.1", port) for port in ports)
     key = str(Path(plan["folder"]) / f"n{number}.key")
     eyes, truth = rumours.Eyes((plan["seed"], number)), [1.0] * rumours.ENGINES
@@ -97,11 +97,13 @@
     doubts: dict[tuple[int, int], float] = {}
     lock = threading.Lock()
 
-    def evidence() -> tuple[dict[tuple[int, int], Word], int]:
+    def evidence() -> tuple[dict[tuple[int, int], EngineHealth], int]:
         with lock:
             own = eyes.evidence()
         if kind == "liar":
-            return {key: Word(key[0], 0, 1.0 if truth[key[0]] > 1 else 9.0, 0.0, 1e5) for key in own}, len(truth)
+            return {key: EngineHealth(key[0], 0, 1.0 if truth[key[0]] > 1 else 9.0, 0.0, 1e5) for key in own}, len(
+                truth
+            )
         return own, len(truth)
 
     def tell(event: api.Event) -> None:
@@ -110,11 +112,11 @@
             doubts.update(event.latency_factors)
 
     log.logger.disabled = True
-    link = Link(Plan(names[number], listen, key, allowed, seeds, Times(), None, None), evidence, tell)
+    link = GossipService(GossipConfig(names[number], listen, key, allowed, seeds, Timing(), None, None), evidence, tell)
     deaths = Counter[str]()
     if kind == "silent":
-        link.mute = True
-    link.heard = lambda name, _: deaths.update([name])
+        link.suppress_relay = True
+    link.on_event = lambda name, _: deaths.update([name])
     link.start()
     seconds: dict[int, int] = {}
     sent, seen = 0, time.time()
@@ -127,7 +129,7 @@
             own = eyes.evidence()
         seen = now
         with link.lock:
-            total, live = link.node.budget.sent, link.node.members.live
+            total, live = link.node.send_queue.sent_bytes, link.node.members.live
             if kind == "liar":
                 _slander(link)
         seconds[int(now)] = seconds.get(int(now), 0) + total - sent
@@ -135,7 +137,7 @@
         if live == plan["instances"] - 1 and found["converged"] is None:
             found["converged"] = now - begun
         word = own[2, 0]
-        sees = word.samples >= FRESH_OWN and word.slow >= SLOW
+        sees = word.samples >= OWN_EVIDENCE_SAMPLES and word.slowness >= SLOW_RATIO
         if truth[2] > 1:
             if sees and found["alone"] is None:
                 found["alone"] = now - plan["slow_at"]
@@ -143,16 +145,16 @@
                 found["known"] = now - plan["slow_at"]
         found["shunned"] += sum(key[0] != 2 or truth[2] == 1 for key in list(doubts))
     found["bytes_per_s_max"] = max(seconds.values(), default=0)
-    found["rejected"] = dict(link.node.counts.rejected)
+    found["rejected"] = dict(link.node.counters.rejected)
     found["deaths"] = deaths["gossip_dead"]
     return found
 
 
-def _slander(link: Link) -> None:
+def _slander(link: GossipService) -> None:
     node = link.node
     slander: list[Rumour] = [Dead(m.alive.name, m.alive.boot, m.alive.incarnation) for m in list(node.members)[:8]]
-    for member in node.members.some(1):
-        node.tell(Urgency.RUMOUR, member.address, Gossip(), slander)
+    for member in node.members.sample(1):
+        node.send(Priority.RUMOUR, member.address, Gossip(), slander)
 
 
 if __name__ == "__main__":
--- a/tealwing/lab/rumours.py
+++ b/tealwing/lab/rumours.py
@@ -15,12 +15,12 @@
 import numpy as np
 
 from tealwing import interface as api
-from tealwing.gossip import observe
-from tealwing.gossip.beliefs import FRESH_OWN, SLOW, Word
-from tealwing.gossip.budget import Address, Urgency
+from tealwing.gossip import local_evidence
+from tealwing.gossip.health_estimator import OWN_EVIDENCE_SAMPLES, SLOW_RATIO, EngineHealth
 from tealwing.gossip.messages import Dead, Gossip, Rumour
-from tealwing.gossip.node import Node, Times
-from tealwing.gossip.transport import only_own
+from tealwing.gossip.node import Node, Timing
+from tealwing.gossip.send_queue import Address, Priority
+from tealwing.gossip.service import strip_relayed_rumours
 from tealwing.lab import arrivals, site, worth
 from tealwing.lab.harness import Deployment
 from tealwing.lab.network import Instance, Network, cluster
@@ -62,20 +62,20 @@
             self._done[engine] *= KEEP**seconds
         self._now = end
 
-    def evidence(self) -> dict[tuple[int, int], Word]:
+    def evidence(self) -> dict[tuple[int, int], EngineHealth]:
         """As `observe.words` would show it."""
         found = {}
         for engine in range(ENGINES):
             exposed, done = self._exposed[engine], self._done[engine]
             slow = max((exposed + PRIOR) / (done + PRIOR), 0.0)
-            found[engine, 0] = Word(engine, 0, slow, 0.0, max(done, exposed))
+            found[engine, 0] = EngineHealth(engine, 0, slow, 0.0, max(done, exposed))
         return found
 
 
 class Trial:
     """A cluster whose instances see engines, some of them liars or silent."""
 
-    def __init__(self, instances: int, liars: int, silent: int, seed: int, times: Times | None = None) -> None:
+    def __init__(self, instances: int, liars: int, silent: int, seed: int, times: Timing | None = None) -> None:
         self.network = Network(seed, times)
         self.all = cluster(self.network, instances)
         names = [instance.node.name for instance in self.all]
@@ -107,11 +107,11 @@
                 continue
             said = _to_say(node, own, now)
             if said:
-                node.say(said)
-            doubts = self.doubts[node.name] = node.beliefs.weigh(now, own, node.members.live, ENGINES)
+                node.publish_health(said)
+            doubts = self.doubts[node.name] = node.health_estimator.estimate(now, own, node.members.live, ENGINES)
             for engine, times in enumerate(self.truth):
                 word = own[engine, 0]
-                sees = word.samples >= FRESH_OWN and word.slow >= SLOW
+                sees = word.samples >= OWN_EVIDENCE_SAMPLES and word.slowness >= SLOW_RATIO
                 if times > 1:
                     if sees:
                         self.alone.setdefault(node.name, now)
@@ -123,24 +123,28 @@
     def _lie(self, instance: Instance) -> None:
         """Accuse what is well, praise what is slow, and call members dead: all liars say the same."""
         node = instance.node
-        words = [Word(engine, 0, 1.0 if times > 1 else 9.0, 0.0, 1e5) for engine, times in enumerate(self.truth)]
-        node.say(words)
+        words = [
+            EngineHealth(engine, 0, 1.0 if times > 1 else 9.0, 0.0, 1e5) for engine, times in enumerate(self.truth)
+        ]
+        node.publish_health(words)
         slander: list[Rumour] = [Dead(m.alive.name, m.alive.boot, m.alive.incarnation) for m in list(node.members)[:8]]
-        for member in node.members.some(3):
-            node.tell(Urgency.RUMOUR, member.address, Gossip(), slander)
+        for member in node.members.sample(3):
+            node.send(Priority.RUMOUR, member.address, Gossip(), slander)
 
 
-def _to_say(node: Node, own: dict[tuple[int, int], Word], now: float) -> list[Word]:
-    return observe.worth_saying(own.values(), node.beliefs.accused(now), node.lot, node.members.live)
+def _to_say(node: Node, own: dict[tuple[int, int], EngineHealth], now: float) -> list[EngineHealth]:
+    return local_evidence.select_reportable(
+        own.values(), node.health_estimator.reported_unhealthy(now), node.sampling_key, node.members.live
+    )
 
 
 def _mute(instance: Instance, to: Address, data: bytes) -> list[tuple[Address, bytes]]:
     """Probes, answers, and speaks of itself; passes nothing on."""
-    return [(to, only_own(data, instance.node))]
+    return [(to, strip_relayed_rumours(data, instance.node))]
 
 
 def attempt(
-    instances: int, liars: int, silent: int, seconds: float, seed: int, times: Times | None = None
+    instances: int, liars: int, silent: int, seconds: float, seed: int, times: Timing | None = None
 ) -> dict[str, Any]:
     """A whole trial: all join, one engine grows slow at a third of the time, and the rest is watched."""
     trial = Trial(instances, liars, silent, seed, times)
@@ -154,7 +158,7 @@
     alone = [trial.alone[name] - begun if name in trial.alone else None for name in sorted(honest)]
     lost: Counter[str] = Counter()
     for instance in network.live():
-        lost += instance.node.counts.rejected
+        lost += instance.node.counters.rejected
     deaths = sum(name == "gossip_dead" for _, whose, name, _ in network.events if whose in honest)
     return {"summary": True, "instances": instances, "liars": liars, "silent": silent, "seed": seed} | figures(
         [converged], network.most_bytes(), network.times, trial.shunned, known, alone, deaths, lost
@@ -167,7 +171,7 @@
 def figures(
     converged: Moments,
     most_bytes: int,
-    times: Times,
+    times: Timing,
     shunned: int,
     known: Moments,
     alone: Moments,
@@ -178,7 +182,7 @@
     return {
         "members_converged_s": _last(converged),
         "bytes_per_s_max": most_bytes,
-        "ceiling_bytes_per_s": int(times.ceiling),
+        "ceiling_bytes_per_s": int(times.max_bytes_per_s),
         "healthy_shunned": shunned,
         "slow_engine_known_s": _last(known),
         "slow_engine_known_alone_s": _last(alone),
@@ -224,14 +228,19 @@
         for number, instance in enumerate(self._nodes):
             node, module = instance.node, self.deployment.modules[number]
             assert isinstance(module, Gateway)
-            own = observe.words(module)
+            own = local_evidence.observe_engines(module)
             if number in self._liars:
-                node.say([replace(w, slow=1.0 if w.bad else 9.0, failed=0.0, samples=1e5) for w in own.values()])
+                node.publish_health(
+                    [
+                        replace(w, slowness=1.0 if w.is_unhealthy else 9.0, failure_ratio=0.0, samples=1e5)
+                        for w in own.values()
+                    ]
+                )
                 continue
             said = _to_say(node, own, clock.now)
             if said:
-                node.say(said)
-            doubts = node.beliefs.weigh(clock.now, own, node.members.live, len(module.ready))
+                node.publish_health(said)
+            doubts = node.health_estimator.estimate(clock.now, own, node.members.live, len(module.ready))
             if doubts != self._believed[number]:
                 self._believed[number] = doubts
                 module.handle(clock.now, api.EngineHealthEstimates(doubts))
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from tealwing.gossip import keys, written
+from tealwing.gossip import keys, persisted_state
 from tealwing.gossip import messages as gossip
 from tealwing.peers import echo, frames
 from tealwing.peers import messages as peers
@@ -53,19 +53,21 @@
     outcomes.Ask(5, b"", ["n1", "n2"], ["n3"]),
     outcomes.Told(5, "not-leader", b"result", 9),
 )
-SIGNED: tuple[gossip.Alive | gossip.Left | gossip.Claims, ...] = tuple(
-    gossip.signed(rumour, KEY)
+SIGNED: tuple[gossip.Alive | gossip.Left | gossip.HealthReport, ...] = tuple(
+    gossip.sign_rumour(rumour, KEY)
     for rumour in (
         gossip.Alive("n1", "127.0.0.1", 7001, 1234567890123, 4, bytes(8), bytes(64)),
         gossip.Left("n1", 1234567890123, 5, bytes(8), bytes(64)),
-        gossip.Claims("n1", 1234567890123, 1234567890999, [gossip.Seen(70, 0, 1.5, 0.25, 12.0)], bytes(8), bytes(64)),
+        gossip.HealthReport(
+            "n1", 1234567890123, 1234567890999, [gossip.EngineObservation(70, 0, 1.5, 0.25, 12.0)], bytes(8), bytes(64)
+        ),
     )
 )
 BODIES: tuple[Any, ...] = (
     gossip.Ping(5, "n2"),
     gossip.Ack(5),
     gossip.Nack(5),
-    gossip.PingFor(5, "n3"),
+    gossip.PingRequest(5, "n3"),
     gossip.Gossip(),
     gossip.Digest([1, 2**40], True),
     gossip.Fetch([0, 63]),
@@ -176,7 +178,7 @@
     """The file of the members that an instance knew."""
     folder.mkdir()
     alive = [rumour for rumour in SIGNED if isinstance(rumour, gossip.Alive)]
-    written.save(folder / "members", "n1", 1234567890123, alive, {"n2": 0.75})
+    persisted_state.save(folder / "members", "n1", 1234567890123, alive, {"n2": 0.75})
 
 
 WRITERS = {"replica": write_replica, "marker": write_marker, "gossip": write_gossip}
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tealwing.gossip import messages as gossip
-from tealwing.gossip import written
+from tealwing.gossip import persisted_state
 from tealwing.peers import echo, frames
 from tealwing.peers import messages as peers
 from tealwing.replica import commands, outcomes
@@ -30,7 +30,7 @@
 
 
 def _of_key(name: str, key: bytes, data: bytes, signature: bytes) -> bool:
-    return name == "n1" and key == samples.KEY.key and signature == samples.KEY.sign(data)
+    return name == "n1" and key == samples.KEY.key_id and signature == samples.KEY.sign(data)
 
 
 def _entry(data: bytes) -> replica.Entry:
@@ -104,7 +104,7 @@
 
 
 def test_a_stored_gossip_file_is_read() -> None:
-    found = written.load(samples.HERE / "gossip" / "members", "n1")
+    found = persisted_state.load(samples.HERE / "gossip" / "members", "n1")
     assert found is not None and found.boot == 1234567890123 and found.trust == {"n2": 0.75}
     assert found.members == [rumour for rumour in samples.SIGNED if isinstance(rumour, gossip.Alive)]
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -19,14 +19,26 @@
 from tealwing import interface as api
 from tealwing.conf import reader
 from tealwing.conf.reader import ConfError
-from tealwing.gossip import beliefs, control, keys, messages, observe, suspicion, written
-from tealwing.gossip.beliefs import Beliefs, Word
-from tealwing.gossip.budget import Budget, Urgency
+from tealwing.gossip import control, health_estimator, keys, local_evidence, messages, persisted_state, suspicion
+from tealwing.gossip.health_estimator import EngineHealth, HealthEstimator
 from tealwing.gossip.members import Member, Members, State
-from tealwing.gossip.messages import Alive, Cause, Claims, Dead, Gossip, Left, Payload, Ping, Rejected, Seen, Suspect
-from tealwing.gossip.node import Node, Times
-from tealwing.gossip.replayed import Fresh
-from tealwing.gossip.rumours import Rumours
+from tealwing.gossip.messages import (
+    Alive,
+    Dead,
+    EngineObservation,
+    Gossip,
+    HealthReport,
+    Left,
+    MessageRejectedError,
+    Payload,
+    Ping,
+    RejectionCause,
+    Suspect,
+)
+from tealwing.gossip.node import Node, Timing
+from tealwing.gossip.replay_protection import ReplayFilter
+from tealwing.gossip.rumour_queue import RumourQueue
+from tealwing.gossip.send_queue import Priority, SendQueue
 from tealwing.lab import rumours
 from tealwing.lab.network import EPOCH, Network, Toy, ToyRing, cluster, real_key
 from tealwing.policy import Gateway
@@ -38,26 +50,30 @@
 
 def payload(name: str = "n0", sequence: int = 1, at: float = EPOCH, boot: int = 5, **changes: Any) -> Payload:
     plain: dict[str, Any] = dict(
-        name=name, boot=boot, sequence=sequence, at=round(at * 1e3), body=Ping(1, ""), rumours=[]
+        name=name, boot=boot, sequence=sequence, sent_at_ms=round(at * 1e3), body=Ping(1, ""), rumours=[]
     )
     return Payload(**(plain | changes))
 
 
 def alive(name: str = "n1", incarnation: int = 0, boot: int = 5) -> Alive:
-    word = messages.signed(Alive(name, "10.0.0.9", 7946, boot, incarnation, bytes(8), bytes(64)), Toy(name))
+    word = messages.sign_rumour(Alive(name, "10.0.0.9", 7946, boot, incarnation, bytes(8), bytes(64)), Toy(name))
     assert isinstance(word, Alive)
     return word
 
 
 def test_a_datagram_is_read_back_and_any_changed_byte_is_rejected() -> None:
-    key, ring = real_key("n0"), keys.Keyring([keys.Allowed("n0", real_key("n0").public)])
+    key, ring = real_key("n0"), keys.Keyring([keys.AllowedKey("n0", real_key("n0").public)])
     sent = payload(
-        rumours=[alive(), Suspect("n2", 5, 1), Claims("n1", 5, 9, [Seen(7, 0, 2.5, 0.1, 3.0)], bytes(8), bytes(64))]
+        rumours=[
+            alive(),
+            Suspect("n2", 5, 1),
+            HealthReport("n1", 5, 9, [EngineObservation(7, 0, 2.5, 0.1, 3.0)], bytes(8), bytes(64)),
+        ]
     )
     data = messages.encode(sent, key)
     assert messages.decode(data, ring.verify) == sent
     for place in range(len(data)):
-        with pytest.raises(Rejected):
+        with pytest.raises(MessageRejectedError):
             messages.decode(data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :], ring.verify)
 
 
@@ -65,7 +81,7 @@
 def test_garbage_is_rejected_with_a_cause(data: bytes, head: bool) -> None:
     if head:
         data = messages.MAGIC + bytes([messages.VERSION]) + data
-    with pytest.raises(Rejected):
+    with pytest.raises(MessageRejectedError):
         messages.decode(data, lambda *_: True)
 
 
@@ -73,28 +89,30 @@
 def test_cut_and_nested_payloads_are_rejected(data: st.DataObject) -> None:
     whole = messages.encode(payload(rumours=[alive()]), Toy("n0"))
     cut = data.draw(st.integers(0, len(whole) - 1))
-    with pytest.raises(Rejected):
+    with pytest.raises(MessageRejectedError):
         messages.decode(whole[:cut], lambda *_: True)
     deep = messages.MAGIC + bytes([messages.VERSION]) + bytes(72) + b"\x91" * data.draw(st.integers(1, 1300))
-    with pytest.raises(Rejected):
+    with pytest.raises(MessageRejectedError):
         messages.decode(deep, lambda *_: True)
 
 
 def test_keys_end_are_revoked_and_overlap(tmp_path: Path) -> None:
     old, new = real_key("n0-old"), real_key("n0-new")
-    ring = keys.Keyring([keys.Allowed("n0", old.public, until=100.0), keys.Allowed("n0", new.public)])
+    ring = keys.Keyring([keys.AllowedKey("n0", old.public, valid_until=100.0), keys.AllowedKey("n0", new.public)])
     for at, key, holds in ((50, old, True), (50, new, True), (100, old, False), (100, new, True)):
-        ring.wall = at
-        assert ring.verify("n0", key.key, b"x", key.sign(b"x")) is holds
-    ring.replace([keys.Allowed("n0", old.public)])
-    assert not ring.verify("n0", new.key, b"x", new.sign(b"x")) and not ring.verify("n1", old.key, b"x", old.sign(b"x"))
+        ring.unix_time = at
+        assert ring.verify("n0", key.key_id, b"x", key.sign(b"x")) is holds
+    ring.replace([keys.AllowedKey("n0", old.public)])
+    assert not ring.verify("n0", new.key_id, b"x", new.sign(b"x")) and not ring.verify(
+        "n1", old.key_id, b"x", old.sign(b"x")
+    )
     path = tmp_path / "k"
     keys.write_private(path, old.private)
     assert keys.read_private(path).public == old.public and path.stat().st_mode & 0o777 == 0o600
     with pytest.raises(FileExistsError):
         keys.write_private(path, old.private)
     path.chmod(0o644)
-    with pytest.raises(keys.KeyFault, match="0600"):
+    with pytest.raises(keys.InvalidKeyError, match="0600"):
         keys.read_private(path)
 
 
@@ -103,33 +121,33 @@
 
 @given(st.lists(st.integers(0, 600), max_size=200))
 def test_a_sequence_is_taken_once(sequences: list[int]) -> None:
-    fresh, taken, highest = Fresh(10.0), set[int](), -1
+    fresh, taken, highest = ReplayFilter(10.0), set[int](), -1
     for sequence in sequences:
         new = sequence not in taken and sequence > highest - 256
         try:
-            fresh.take("n0", 1, sequence, round(EPOCH * 1e3), EPOCH)
+            fresh.accept("n0", 1, sequence, round(EPOCH * 1e3), EPOCH)
             assert new
             taken.add(sequence)
             highest = max(highest, sequence)
-        except Rejected as error:
-            assert not new and error.cause is Cause.REPEATED
+        except MessageRejectedError as error:
+            assert not new and error.cause is RejectionCause.REPEATED
 
 
 def test_old_future_and_stale_datagrams() -> None:
-    fresh, ms = Fresh(10.0), round(EPOCH * 1e3)
+    fresh, ms = ReplayFilter(10.0), round(EPOCH * 1e3)
     for at, boot, cause in (
-        (ms - 3600_000, 1, Cause.TIME),
-        (ms + 11_000, 1, Cause.TIME),
-        (ms, ms + 60_000, Cause.TIME),
+        (ms - 3600_000, 1, RejectionCause.TIME),
+        (ms + 11_000, 1, RejectionCause.TIME),
+        (ms, ms + 60_000, RejectionCause.TIME),
     ):
-        with pytest.raises(Rejected) as caught:
-            fresh.take("n0", boot, 1, at, EPOCH)
+        with pytest.raises(MessageRejectedError) as caught:
+            fresh.accept("n0", boot, 1, at, EPOCH)
         assert caught.value.cause is cause
-    fresh.take("n0", 7, 900, ms + 5000, EPOCH)
-    fresh.take("n0", 8, 1, ms, EPOCH)  # a restart counts from the start
-    with pytest.raises(Rejected) as caught:
-        fresh.take("n0", 7, 901, ms, EPOCH)
-    assert caught.value.cause is Cause.STALE
+    fresh.accept("n0", 7, 900, ms + 5000, EPOCH)
+    fresh.accept("n0", 8, 1, ms, EPOCH)  # a restart counts from the start
+    with pytest.raises(MessageRejectedError) as caught:
+        fresh.accept("n0", 7, 901, ms, EPOCH)
+    assert caught.value.cause is RejectionCause.STALE
 
 
 # The ceiling
@@ -137,41 +155,43 @@
 
 @given(st.lists(st.tuples(st.floats(0, 0.3), st.integers(0, 3), st.integers(100, 1400)), max_size=150))
 def test_no_second_passes_the_ceiling(steps: list[tuple[float, int, int]]) -> None:
-    budget, now, sent = Budget(8192.0, 0.0), 0.0, list[tuple[float, int]]()
+    budget, now, sent = SendQueue(8192.0, 0.0), 0.0, list[tuple[float, int]]()
     for passed, urgency, size in steps:
         now += passed
-        budget.add(Urgency(urgency), now, ("h", 1), bytes(size))
-        sent += [(now, len(data) + messages.OVERHEAD) for _, data in budget.ready(now)]
+        budget.enqueue(Priority(urgency), now, ("h", 1), bytes(size))
+        sent += [(now, len(data) + messages.HEADERS_BYTES) for _, data in budget.take_due(now)]
     for begin, _ in sent:
         assert sum(size for at, size in sent if begin <= at < begin + 1) <= 8192
 
 
 def test_answers_go_first_and_bulk_is_not_starved() -> None:
-    budget = Budget(16384.0, 0.0)
+    budget = SendQueue(16384.0, 0.0)
     for n in range(30):
-        for urgency in reversed(Urgency):
-            budget.add(urgency, 0.0, (urgency.name, n), bytes(400))
-    names = [to for (to, _), _ in budget.ready(0.0)]
+        for urgency in reversed(Priority):
+            budget.enqueue(urgency, 0.0, (urgency.name, n), bytes(400))
+    names = [to for (to, _), _ in budget.take_due(0.0)]
     assert names[: names.count("ANSWER")] == ["ANSWER"] * names.count("ANSWER")
-    budget = Budget(16384.0, 0.0)
+    budget = SendQueue(16384.0, 0.0)
     for n in range(30):
-        budget.add(Urgency.RUMOUR, 0.0, ("RUMOUR", n), bytes(700))
-        budget.add(Urgency.BULK, 0.0, ("BULK", n), bytes(700))
-    names = [to for (to, _), _ in budget.ready(0.0)]
+        budget.enqueue(Priority.RUMOUR, 0.0, ("RUMOUR", n), bytes(700))
+        budget.enqueue(Priority.BULK, 0.0, ("BULK", n), bytes(700))
+    names = [to for (to, _), _ in budget.take_due(0.0)]
     assert abs(names.count("BULK") - names.count("RUMOUR")) <= 1 and names
 
 
 def test_rumours_go_out_a_bounded_number_of_times() -> None:
-    waiting = Rumours()
+    waiting = RumourQueue()
     for number in range(5):
         waiting.add(Suspect(f"n{number}", 1, 0))
-    sent = [waiting.riding(60, 4, []) for _ in range(40)]
+    sent = [waiting.take_piggyback(60, 4, []) for _ in range(40)]
     assert all(sum(Suspect(f"n{n}", 1, 0) in riding for riding in sent) == 4 for n in range(5)) and not len(waiting)
     waiting.add(Suspect("n0", 1, 0))
     waiting.add(Dead("n0", 1, 0))
-    assert waiting.riding(500, 4, []) == [Dead("n0", 1, 0)], "the newer word on a member takes the older one's place"
+    assert waiting.take_piggyback(500, 4, []) == [Dead("n0", 1, 0)], (
+        "the newer word on a member takes the older one's place"
+    )
     for _ in range(3):
-        waiting.heard(Dead("n0", 1, 0), 4)
+        waiting.record_received(Dead("n0", 1, 0), 4)
     assert not len(waiting), "what others say too dies sooner"
     for number in range(1000):
         waiting.add(Suspect(f"m{number}", 1, 0))
@@ -187,13 +207,13 @@
 
 def observer(view: View) -> Members:
     held = Members("me", random.Random(1))
-    held.hear_alive(alive("n1", view[1]), 0.0)
+    held.apply_alive(alive("n1", view[1]), 0.0)
     member = held.get("n1")
     assert member is not None
     if view[0] is State.SUSPECT:
         held.suspect(member, "me", 0.0)
     elif view[0] is State.DEAD:
-        held.bury(member, 0.0)
+        held.mark_dead(member, 0.0)
     return held
 
 
@@ -218,13 +238,13 @@
             held.suspect(member, "me", 0.0)
         elif member.state is State.SUSPECT:
             moves.append(("time", held, {("dead", view[1])}))
-            held.bury(member, 0.0)
+            held.mark_dead(member, 0.0)
         for kind, incarnation in words:
             held = observer(view)
             if kind == "alive":
-                held.hear_alive(alive("n1", incarnation), 0.0)
+                held.apply_alive(alive("n1", incarnation), 0.0)
             else:
-                held.hear_doubt((Suspect if kind == "suspect" else Dead)("n1", 5, incarnation), "other", 9.0)
+                held.apply_suspicion((Suspect if kind == "suspect" else Dead)("n1", 5, incarnation), "other", 9.0)
             moves.append((f"hears {kind}", held, set()))
         for what, held, said in moves:
             after = list(views)
@@ -262,32 +282,32 @@
 @pytest.mark.parametrize("fault", ["same incarnation", "dead on a word", "any incarnation"])
 def test_the_walk_catches_planted_faults(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     def same(self: Members, word: Alive, now: float) -> Member | None:
-        return self._put(Member(word, State.ALIVE, now))
+        return self._store(Member(word, State.ALIVE, now))
 
     def buried(self: Members, word: Any, by: str, now: float) -> Any:
         known = self.get(word.name)
         if known is not None and isinstance(word, Dead):
-            self.bury(known, now)
+            self.mark_dead(known, now)
         return None, False
 
     def higher(self: Members, word: Any, by: str, now: float) -> Any:
-        self._put(Member(alive("n1", word.incarnation + 1), State.SUSPECT, now))
+        self._store(Member(alive("n1", word.incarnation + 1), State.SUSPECT, now))
         return None, False
 
     if fault == "same incarnation":
-        monkeypatch.setattr(Members, "hear_alive", same)
+        monkeypatch.setattr(Members, "apply_alive", same)
     else:
-        monkeypatch.setattr(Members, "hear_doubt", buried if fault == "dead on a word" else higher)
+        monkeypatch.setattr(Members, "apply_suspicion", buried if fault == "dead on a word" else higher)
     assert walk()[1]
 
 
 def test_a_suspicion_shrinks_as_others_confirm() -> None:
     held = suspicion.Suspicion(0.0, {"a"})
-    ends = [held.ends(100, 1.0)]
+    ends = [held.deadline(100, 1.0)]
     for name in "abcde":
         held.confirm(name)
-        ends.append(held.ends(100, 1.0))
-    least, most = suspicion.bounds(100, 1.0)
+        ends.append(held.deadline(100, 1.0))
+    least, most = suspicion.timeout_bounds(100, 1.0)
     assert ends[0] == most and ends[-1] == least and ends == sorted(ends, reverse=True)
 
 
@@ -345,8 +365,8 @@
 
     @invariant()
     def bounds(self) -> None:
-        assert self.network.most_bytes() <= self.network.times.ceiling
-        assert max((i.largest for i in self.network.instances.values()), default=0) <= messages.LARGEST
+        assert self.network.most_bytes() <= self.network.times.max_bytes_per_s
+        assert max((i.largest for i in self.network.instances.values()), default=0) <= messages.MAX_DATAGRAM_BYTES
         for instance in self.network.instances.values():
             assert not instance.node.silent, "nobody takes another's name here"
 
@@ -392,8 +412,8 @@
     assert any(what == "gossip_name_taken" for _, _, what, _ in network.events)
     network.kill("n4")
     first.running = False
-    monkeypatch.setattr(messages, "MOST", 3)
-    monkeypatch.setattr(messages, "MOST_SEQUENCE", network.instances["n0"].node._sequence + 20)
+    monkeypatch.setattr(messages, "MAX_INCARNATION", 3)
+    monkeypatch.setattr(messages, "MAX_SEQUENCE", network.instances["n0"].node._sequence + 20)
     for _ in range(4):
         network.instances["n1"].node._refute()
     network.clock.run(network.clock.now + 20)
@@ -414,15 +434,15 @@
             Left("n3", network.instances["n3"].node.boot, 0, bytes(8), bytes(64)),  # in another's name
             alive("n3", 2**31, network.instances["n3"].node.boot + 5),
         ]
-        words[3] = messages.signed(words[3], Toy("n7"))
-        liar.tell(Urgency.ANSWER, other.address, Gossip(), words)
+        words[3] = messages.sign_rumour(words[3], Toy("n7"))
+        liar.send(Priority.ANSWER, other.address, Gossip(), words)
     network._flush(network.instances["n7"])
     network.clock.run(network.clock.now + 3)
     assert victim._incarnation == before + 1 and network.instances["n3"].node._incarnation == 0
     assert network.agreed() and not any(what == "gossip_dead" for _, _, what, _ in network.events)
     network.kill("n5")
     network.until(network.agreed, 40)
-    liar.tell(Urgency.ANSWER, network.instances["n0"].address, Gossip(), [alive("n5", 0, 5)])
+    liar.send(Priority.ANSWER, network.instances["n0"].address, Gossip(), [alive("n5", 0, 5)])
     network._flush(network.instances["n7"])
     network.clock.run(network.clock.now + 5)
     assert network.agreed(), "praise of a dead one brings it back to nobody"
@@ -443,18 +463,18 @@
     monkeypatch.setattr(network, "_carry", carry)
     network.clock.run(network.clock.now + 3600)
     node = network.instances["n0"].node
-    before = dict(node.counts.rejected)
+    before = dict(node.counters.rejected)
     for source, to, data in recorded:
         if to == node.address:
             network.inject(source, to, data)
     network.clock.run(network.clock.now + 5)
-    rejected = {cause: n - before.get(cause, 0) for cause, n in node.counts.rejected.items()}
+    rejected = {cause: n - before.get(cause, 0) for cause, n in node.counters.rejected.items()}
     assert rejected.get("time", 0) + rejected.get("flood", 0) == sum(to == node.address for _, to, _ in recorded)
     rng = random.Random(1)
     began = time.process_time()
     for i in range(5000):
         data = rng.randbytes(rng.randrange(1, 1500))
-        node.datagram(network.clock.now + i / 5000, network.wall(0), ("10.9.9.9", 9), data)
+        node.receive(network.clock.now + i / 5000, network.wall(0), ("10.9.9.9", 9), data)
     assert time.process_time() - began < 1.0, "5,000 a second of garbage cost less than the second"
     assert network.agreed()
 
@@ -478,51 +498,51 @@
             instance.node._checked.clear()
     network.clock.run(network.clock.now + 40)
     held = {m.alive.name: m.state for m in network.instances["n0"].node.members}
-    assert held["n2"] is State.DEAD and network.instances["n0"].node.counts.rejected["signature"] > 0
+    assert held["n2"] is State.DEAD and network.instances["n0"].node.counters.rejected["signature"] > 0
 
 
 # Beliefs
 
 
-def words(slow: float, samples: float = 3.0, engine: int = 1) -> list[Word]:
-    return [Word(engine, 0, slow, 0.0, samples)]
+def words(slow: float, samples: float = 3.0, engine: int = 1) -> list[EngineHealth]:
+    return [EngineHealth(engine, 0, slow, 0.0, samples)]
 
 
 def test_a_minority_moves_nothing_and_a_majority_a_bounded_lot() -> None:
-    held = Beliefs()
+    held = HealthEstimator()
     for peer in range(3):
-        held.hear(f"liar{peer}", 0.0, words(1000.0, 1e6))
-    assert not held.weigh(0.0, {}, 20, 8), "three of twenty have no quorum"
+        held.add_report(f"liar{peer}", 0.0, words(1000.0, 1e6))
+    assert not held.estimate(0.0, {}, 20, 8), "three of twenty have no quorum"
     for peer in range(12):
-        held.hear(f"n{peer}", 0.0, words(1.0))
-    assert not held.weigh(0.0, {}, 20, 8), "and are trimmed away"
+        held.add_report(f"n{peer}", 0.0, words(1.0))
+    assert not held.estimate(0.0, {}, 20, 8), "and are trimmed away"
     for peer in range(12):
-        held.hear(f"n{peer}", 1.0, words(4.0))
-    assert not held.weigh(1.0, {}, 20, 8), "one look may be chance"
-    assert held.weigh(1.25, {}, 20, 8) == {(1, 0): beliefs.MOST_DOUBT}
-    own = {(1, 0): Word(1, 0, 1.0, 0.0, beliefs.FRESH_OWN)}
-    assert not held.weigh(1.0, own, 20, 8), "our own fresh evidence goes before it"
-    assert not held.weigh(1.0 + beliefs.AGE + 0.1, {}, 20, 8), "and it ages out"
+        held.add_report(f"n{peer}", 1.0, words(4.0))
+    assert not held.estimate(1.0, {}, 20, 8), "one look may be chance"
+    assert held.estimate(1.25, {}, 20, 8) == {(1, 0): health_estimator.MAX_LATENCY_FACTOR}
+    own = {(1, 0): EngineHealth(1, 0, 1.0, 0.0, health_estimator.OWN_EVIDENCE_SAMPLES)}
+    assert not held.estimate(1.0, own, 20, 8), "our own fresh evidence goes before it"
+    assert not held.estimate(1.0 + health_estimator.REPORT_LIFETIME + 0.1, {}, 20, 8), "and it ages out"
 
 
 def test_beliefs_lean_on_a_share_of_the_fleet_only() -> None:
-    held = Beliefs()
+    held = HealthEstimator()
     for peer in range(16):
-        held.hear(f"n{peer}", 0.0, [Word(engine, 0, 5.0, 0.0, 3.0) for engine in range(8)])
-    held.weigh(0.0, {}, 20, 8)
-    assert len(held.weigh(0.25, {}, 20, 8)) == 2
+        held.add_report(f"n{peer}", 0.0, [EngineHealth(engine, 0, 5.0, 0.0, 3.0) for engine in range(8)])
+    held.estimate(0.0, {}, 20, 8)
+    assert len(held.estimate(0.25, {}, 20, 8)) == 2
 
 
 def test_trust_falls_fast_to_a_floor_and_comes_back_slowly() -> None:
-    held, own = Beliefs(), {(1, 0): Word(1, 0, 1.0, 0.0, 5.0)}
+    held, own = HealthEstimator(), {(1, 0): EngineHealth(1, 0, 1.0, 0.0, 5.0)}
     for second in range(12):
-        held.hear("liar", second, words(9.0))
-        held.weigh(second, own, 20, 8)
-    assert held.trust["liar"] == beliefs.TRUST[0]
+        held.add_report("liar", second, words(9.0))
+        held.estimate(second, own, 20, 8)
+    assert held.trust["liar"] == health_estimator.TRUST_LIMITS[0]
     for second in range(12, 22):
-        held.hear("liar", second, words(1.0))
-        held.weigh(second, own, 20, 8)
-    assert beliefs.TRUST[0] < held.trust["liar"] < 0.35
+        held.add_report("liar", second, words(1.0))
+        held.estimate(second, own, 20, 8)
+    assert health_estimator.TRUST_LIMITS[0] < held.trust["liar"] < 0.35
 
 
 @given(st.lists(st.tuples(st.floats(0, 1000), st.floats(0, 1)), min_size=1, max_size=30), st.floats(0.0, 0.34))
@@ -531,16 +551,16 @@
     if total < 0.01:
         return
     lies = [(1e6, lying * total / (1 - lying))]
-    mean = beliefs.trimmed(said + lies)
+    mean = health_estimator.trimmed_mean(said + lies)
     assert min(v for v, _ in said) - 1e-6 <= mean <= max(v for v, _ in said) + 1e-6
 
 
 def test_a_restart_under_the_same_number_is_another_engine() -> None:
-    held = Beliefs()
+    held = HealthEstimator()
     for peer in range(16):
-        held.hear(f"n{peer}", 0.0, [Word(1, 1000, 5.0, 0.0, 3.0)])
-    held.weigh(0.0, {}, 20, 8)
-    doubts = held.weigh(0.25, {}, 20, 8)
+        held.add_report(f"n{peer}", 0.0, [EngineHealth(1, 1000, 5.0, 0.0, 3.0)])
+    held.estimate(0.0, {}, 20, 8)
+    doubts = held.estimate(0.25, {}, 20, 8)
     assert set(doubts) == {(1, 1000)}
     gateway = Gateway(make_settings(gateway_count=20), 1)
     gateway.handle(0.0, listing(entry(1, started=2.0), entry(2)))
@@ -558,7 +578,7 @@
         return to.count(1) / len(to)
 
     assert share({}) > 0.4 and share({(1, 0): 2.0}) < 0.1 and share({(1, 0): 2.0}, 1) == 1.0
-    assert observe.words(Gateway(make_settings(), 1)) == {}
+    assert local_evidence.observe_engines(Gateway(make_settings(), 1)) == {}
 
 
 def test_a_trial_with_liars_shuns_nothing_that_is_well() -> None:
@@ -574,26 +594,26 @@
 
 def test_the_file_is_whole_or_set_aside(tmp_path: Path) -> None:
     path = tmp_path / "gossip.state"
-    assert written.load(path, "n0") is None
-    written.save(path, "n0", 7, [alive()], {"n1": 0.25, "n2": 7.0})
-    found = written.load(path, "n0")
+    assert persisted_state.load(path, "n0") is None
+    persisted_state.save(path, "n0", 7, [alive()], {"n1": 0.25, "n2": 7.0})
+    found = persisted_state.load(path, "n0")
     assert found is not None and found.members == [alive()] and found.trust == {"n1": 0.25, "n2": 1.0}
     whole = path.read_bytes()
     for bad in (whole[:-20], b"", b"hello\n", whole.replace(b"n1", b"n9", 1)):
         path.write_bytes(bad)
-        with pytest.raises(written.Torn, match="set aside"):
-            written.load(path, "n0")
+        with pytest.raises(persisted_state.CorruptStateError, match="set aside"):
+            persisted_state.load(path, "n0")
         assert not path.exists() and path.with_name("gossip.state.bad").read_bytes() == bad
     path.write_bytes(whole)
-    with pytest.raises(written.Torn, match="it is of n0"):
-        written.load(path, "other")
+    with pytest.raises(persisted_state.CorruptStateError, match="it is of n0"):
+        persisted_state.load(path, "other")
 
 
 def test_what_was_written_is_looked_for_again() -> None:
     ring, toy = ToyRing(), Toy("n0")
-    node = Node("n0", ("10.0.0.1", 1), toy, ring.verify, Times(), [], random.Random(1), 0.0, EPOCH)
-    node.recall([alive("n1"), replace_signature(alive("n2"))], {"n1": 0.2})
-    assert [m.alive.name for m in node.members] == ["n1"] and node.beliefs.trust == {"n1": 0.2}
+    node = Node("n0", ("10.0.0.1", 1), toy, ring.verify, Timing(), [], random.Random(1), 0.0, EPOCH)
+    node.restore([alive("n1"), replace_signature(alive("n2"))], {"n1": 0.2})
+    assert [m.alive.name for m in node.members] == ["n1"] and node.health_estimator.trust == {"n1": 0.2}
 
 
 def replace_signature(word: Alive) -> Alive:
@@ -614,7 +634,7 @@
 def test_the_section_names_what_is_wrong(tmp_path: Path) -> None:
     path = tmp_path / "t.conf"
     path.write_text(conf(tmp_path, "a"))
-    assert reader.read(str(path)).records["gossip"].times.period == 0.2
+    assert reader.read(str(path)).records["gossip"].timing.probe_interval == 0.2
     wrong = conf(tmp_path, "a", listen="here", ceiling="1KB", skew="1h", name="a b")
     wrong += "    peer c xx\n    seed 1.2.3.4\n"
     path.write_text(wrong)
@@ -636,7 +656,7 @@
 
 
 def live(path: Path) -> list[str]:
-    return sorted(m["name"] for m in control.ask(str(path))["members"] if m["state"] == "alive")
+    return sorted(m["name"] for m in control.query(str(path))["members"] if m["state"] == "alive")
 
 
 def until(holds: Any) -> None:
@@ -665,7 +685,7 @@
     first.conf.write_text(conf(tmp_path, "a", "a"))  # the other's key is taken back
     first.reload(first.path.read_text())
     until(lambda: live(tmp_path / "a.sock") == [])
-    assert control.ask(str(tmp_path / "a.sock"))["rejected"]["signature"] > 0
+    assert control.query(str(tmp_path / "a.sock"))["rejected"]["signature"] > 0
     assert [p.end() for p in (first, second, again)] == ["", "", ""]
 
 
@@ -702,11 +722,11 @@
     program.conf.write_text(levels + "    admit nothing 0%\n")
     program.reload(program.path.read_text())
     assert "no class nothing" in program.wait_for("operators_file_unusable")["problems"][0]
-    assert control.ask(str(tmp_path / "a.sock"))["name"] == "a"
+    assert control.query(str(tmp_path / "a.sock"))["name"] == "a"
     program.conf.write_text(conf(tmp_path, "a", skew="20s"))
     program.reload(program.path.read_text())
     assert "times changed" in program.wait_for("operators_file_unusable")["problems"][0]
     program.conf.write_text("# off\n")
     program.reload(program.path.read_text())
-    until(lambda: not control.ask_alive(str(tmp_path / "a.sock")))
+    until(lambda: not control.is_answering(str(tmp_path / "a.sock")))
     assert program.end() == ""
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -25,7 +25,7 @@
 from tealwing.gateway.decisions import Decisions
 from tealwing.gateway.host_load import HostLoadMonitor
 from tealwing.gateway.request_handler import RequestHandler
-from tealwing.gossip.transport import Link
+from tealwing.gossip.service import GossipService
 from tealwing.mysql.server import Server
 from tealwing.policy import Gateway
 from tealwing.resp.engine_pool import EnginePool
@@ -727,7 +727,7 @@
         if on == "levels":
             gate.daemon._host_load = cast(HostLoadMonitor, SimpleNamespace(record_dispatch_delay=lambda seconds: None))
         elif on == "gossip":
-            gate.daemon._link = cast(Link, object())
+            gate.daemon._link = cast(GossipService, object())
         else:
             gate.daemon.put_in_force(None, None, None, 3)
         before = gate.server.settings
