--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -289,7 +289,8 @@
         link = self._link
         if plan is None and link is None:
             return
-        from tealwing.gossip.service import GossipConfigError, GossipService  # only where gossip is on, or was
+        from tealwing.gossip.errors import GossipConfigError  # only where gossip is on, or was
+        from tealwing.gossip.service import GossipService
 
         if plan is not None and not self._settings.limits.peer_messages:
             raise GossipConfigError("gossip: the platform's settings forbid talk among gateways (Allowed.Peers)")
--- a/tealwing/gossip/config.py
+++ b/tealwing/gossip/config.py
@@ -1,13 +1,23 @@
-"""What the operators' section `gossip` says, as one record; pure."""
+"""The operators' section `gossip` as one record; pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from tealwing.gossip.keys import AllowedKey
-from tealwing.gossip.node import Timing
+from tealwing.gossip.messages import Address
 
-Address = tuple[str, int]
+
+@dataclass(frozen=True, slots=True)
+class Timing:
+    """The protocol's times in s, and its limit in bytes a second."""
+
+    probe_interval: float = 1.0
+    probe_timeout: float = 0.3  # for a direct answer
+    gossip_interval: float = 0.2  # between two rounds of rumours
+    sync_interval: float = 10.0  # between two comparisons of all members
+    max_clock_skew: float = 10.0  # between two instances
+    max_bytes_per_s: float = 16384.0
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/tealwing/gossip/events.py
@@ -0,0 +1,71 @@
+"""What a node reports to its owner, as typed events; the log line of each has a name and fields of its own."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any
+
+from tealwing.gossip.members import Member
+from tealwing.gossip.messages import Address
+
+
+class MemberChange(StrEnum):
+    """How a member's state changed here; the value is the log event's name."""
+
+    JOINED = "gossip_joined"
+    SUSPECTED = "gossip_suspected"
+    REFUTED = "gossip_refuted"
+    DEAD = "gossip_dead"
+    LEFT = "gossip_left"
+
+
+@dataclass(frozen=True, slots=True)
+class MemberEvent:
+    """A change of one member's state."""
+
+    change: MemberChange
+    name: str
+    address: Address
+    boot: int
+    incarnation: int
+
+    @classmethod
+    def of(cls, change: MemberChange, member: Member) -> MemberEvent:
+        """Return the event of a change of this member."""
+        boot, incarnation = member.version
+        return cls(change, member.alive.name, member.address, boot, incarnation)
+
+    @property
+    def log_name(self) -> str:
+        """The event's name in the log."""
+        return self.change.value
+
+    @property
+    def log_fields(self) -> dict[str, Any]:
+        """The event's fields in the log."""
+        return {
+            "member": self.name, "address": self.address, "boot": self.boot, "incarnation": self.incarnation,
+        }  # fmt: skip
+
+
+@dataclass(frozen=True, slots=True)
+class NameConflict:
+    """Another instance under our name started later; this one is silent from now on."""
+
+    name: str
+    boot: int
+    later: int  # the other's boot
+
+    @property
+    def log_name(self) -> str:
+        """The event's name in the log."""
+        return "gossip_name_conflict"
+
+    @property
+    def log_fields(self) -> dict[str, Any]:
+        """The event's fields in the log."""
+        return {"name": self.name, "boot": self.boot, "later": self.later}
+
+
+GossipEvent = MemberEvent | NameConflict
--- a/tealwing/gossip/keys.py
+++ b/tealwing/gossip/keys.py
@@ -14,16 +14,13 @@
 from cryptography.hazmat.primitives import serialization
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 
+from tealwing.gossip.errors import InvalidKeyError
 from tealwing.gossip.messages import KEY_ID_BYTES
 
 PUBLIC_KEY_BYTES = 32  # bytes of a public key (RFC 8032)
 MAX_KEYS_PER_NAME = 4  # of one name at a time: the old, the new, and room for a mistake
 
 
-class InvalidKeyError(ValueError):
-    """A key that can't be used; the text says which and why."""
-
-
 def key_id(public: bytes) -> bytes:
     """The first bytes of a public key: enough to choose among those allowed, never a proof."""
     return public[:KEY_ID_BYTES]
--- a/tealwing/gossip/messages.py
+++ b/tealwing/gossip/messages.py
@@ -10,19 +10,19 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from enum import StrEnum
-from typing import Annotated, Protocol
+from typing import Annotated, Protocol, TypeVar
 
 import msgspec
 
+from tealwing.gossip.errors import MessageRejectedError, RejectionCause
+
 MAGIC, VERSION = b"TWG", 1
-MAX_DATAGRAM_BYTES = (
-    1400  # bytes of a datagram: within one Ethernet frame whatever tunnels there are (the issue's figure)
-)
-HEADERS_BYTES = 28  # bytes of IPv4 and UDP headers, which count against the ceiling too
+MAX_DATAGRAM_BYTES = 1400  # within one Ethernet frame whatever tunnels there are
+HEADERS_BYTES = 28  # of IPv4 and UDP, which count against the limit too
 KEY_ID_BYTES, SIGNATURE_BYTES = 8, 64
 FRAME_BYTES = len(MAGIC) + 1 + KEY_ID_BYTES + SIGNATURE_BYTES
-MAX_INCARNATION = 2**32 - 1  # of an incarnation: an instance that reaches it begins anew with a later boot
+NO_KEY_ID, NO_SIGNATURE = bytes(KEY_ID_BYTES), bytes(SIGNATURE_BYTES)  # of a rumour that is not signed yet
+MAX_INCARNATION = 2**32 - 1  # an instance that reaches it begins anew with a later boot
 MAX_SEQUENCE = 2**48  # of a boot; at a thousand datagrams a second that is 8,000 years
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=32, pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]*$")]
@@ -36,28 +36,7 @@
 Signature = Annotated[bytes, msgspec.Meta(min_length=SIGNATURE_BYTES, max_length=SIGNATURE_BYTES)]
 KeyId = Annotated[bytes, msgspec.Meta(min_length=KEY_ID_BYTES, max_length=KEY_ID_BYTES)]
 
-
-class RejectionCause(StrEnum):
-    """Why a datagram or a rumour was dropped."""
-
-    SIZE = "size"
-    FORMAT = "format"
-    VERSION = "version"
-    KEY = "unknown key"
-    SIGNATURE = "signature"
-    TIME = "time"
-    REPEATED = "repeated"
-    STALE = "stale boot"
-    FLOOD = "flood"
-    NAME = "name"
-
-
-class MessageRejectedError(ValueError):
-    """A datagram that is dropped."""
-
-    def __init__(self, cause: RejectionCause) -> None:
-        super().__init__(cause.value)
-        self.cause = cause
+Address = tuple[str, int]  # host and port
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -123,6 +102,8 @@
     signature: Signature
 
 
+SignedRumour = Alive | Left | HealthReport
+S = TypeVar("S", bound=SignedRumour)
 Rumour = Alive | Left | Suspect | Dead | HealthReport
 
 
@@ -242,16 +223,16 @@
 
 # What a rumour's signature covers begins with one of these names: they are part of the wire and never change, even
 # where a class gets another name.
-SIGNED_NAMES: dict[type[Alive | Left | HealthReport], bytes] = {Alive: b"Alive", Left: b"Left", HealthReport: b"Claims"}
+SIGNED_NAMES: dict[type[SignedRumour], bytes] = {Alive: b"Alive", Left: b"Left", HealthReport: b"Claims"}
 
 
-def signed_bytes(rumour: Alive | Left | HealthReport) -> bytes:
-    """What an instance signs of a rumour about itself: the whole of it but the signature."""
+def signed_bytes(rumour: SignedRumour) -> bytes:
+    """Return what an instance signs of a rumour about itself: all of it but the signature."""
     fields = [getattr(rumour, name) for name in rumour.__struct_fields__ if name != "signature"]
     return SIGNED_NAMES[type(rumour)] + _encoder.encode(fields)
 
 
-def sign_rumour(rumour: Alive | Left | HealthReport, signer: Signer) -> Alive | Left | HealthReport:
-    """The rumour with its signature."""
-    whole = msgspec.structs.replace(rumour, key=signer.key_id)
-    return msgspec.structs.replace(whole, signature=signer.sign(signed_bytes(whole)))
+def sign_rumour(rumour: S, signer: Signer) -> S:
+    """Return the rumour with its signature."""
+    with_key = msgspec.structs.replace(rumour, key=signer.key_id)
+    return msgspec.structs.replace(with_key, signature=signer.sign(signed_bytes(with_key)))
--- a/tealwing/gossip/persisted_state.py
+++ b/tealwing/gossip/persisted_state.py
@@ -8,6 +8,7 @@
 import msgspec
 import xxhash
 
+from tealwing.gossip.errors import CorruptStateError
 from tealwing.gossip.messages import Alive
 
 FORMAT_VERSION = 1  # of the file
@@ -25,10 +26,6 @@
     trust: dict[str, float]
 
 
-class CorruptStateError(ValueError):
-    """A file that is not ours, or not whole; it has been set aside."""
-
-
 def save(path: Path, name: str, boot: int, members: list[Alive], trust: dict[str, float]) -> None:
     """Write aside, force to the disk, then put in place: a reader sees the old file or the new one."""
     body = msgspec.json.encode(PersistedState(FORMAT_VERSION, name, boot, members[:MAX_MEMBERS], trust))
--- a/tealwing/gossip/replay_protection.py
+++ b/tealwing/gossip/replay_protection.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from tealwing.gossip.messages import MessageRejectedError, RejectionCause
+from tealwing.gossip.errors import MessageRejectedError, RejectionCause
 
 WINDOW = 256  # sequences behind the highest that may still come: datagrams overtake one another
 
--- a/tealwing/gossip/section.py
+++ b/tealwing/gossip/section.py
@@ -8,13 +8,12 @@
 from tealwing.conf import values
 from tealwing.conf.schema import Block, Entry, Report, Section, Spec
 from tealwing.gossip import keys
-from tealwing.gossip.config import GossipConfig
+from tealwing.gossip.config import GossipConfig, Timing
+from tealwing.gossip.errors import InvalidKeyError
 from tealwing.gossip.keys import AllowedKey
 from tealwing.gossip.messages import MAX_DATAGRAM_BYTES
-from tealwing.gossip.node import Timing
 
 MIN_BYTES_PER_S = 4 * MAX_DATAGRAM_BYTES  # bytes a second: below that a probe and its answers do not fit a period
-MOST_KEYS = 4  # of one name
 
 
 def _peer(words: values.Words) -> AllowedKey:
@@ -24,7 +23,7 @@
     name, until = values.instance(words[:1]), inf
     try:
         public = keys.read_public(words[1])
-    except keys.InvalidKeyError as error:
+    except InvalidKeyError as error:
         raise values.Unfit(f"{allowed}; {error}") from None
     if len(words) == 4:
         try:
@@ -68,8 +67,10 @@
     allowed = tuple(entry.value for entry in peers)
     for entry in peers:
         same = [a for a in allowed if a.name == entry.value.name]
-        if len(same) > MOST_KEYS:
-            report.add(entry.place, "peer", f"{len(same)} keys of {entry.value.name}", f"at most {MOST_KEYS}")
+        if len(same) > keys.MAX_KEYS_PER_NAME:
+            report.add(
+                entry.place, "peer", f"{len(same)} keys of {entry.value.name}", f"at most {keys.MAX_KEYS_PER_NAME}"
+            )
         if any(a.public == entry.value.public and a.name != entry.value.name for a in allowed):
             report.add(entry.place, "peer", f"a key of {entry.value.name} that another name has", "a key of its own")
     name = block.one("name")
--- a/tealwing/gossip/send_queue.py
+++ b/tealwing/gossip/send_queue.py
@@ -9,15 +9,13 @@
 from collections import deque
 from enum import IntEnum
 
-from tealwing.gossip.messages import HEADERS_BYTES
+from tealwing.gossip.messages import HEADERS_BYTES, Address
 
 RESERVED_SHARES = (0.0, 0.1, 0.4, 0.4)  # of the depth that must be left after a datagram, by urgency: a storm of
 # rumours must not starve the answers that tell who lives
 QUEUE_LIMIT = 64  # datagrams that may wait of one urgency; past that the oldest goes
 MAX_QUEUE_DELAY = 1.0  # s that one may wait: an answer that late is taken for none
 
-Address = tuple[str, int]
-
 
 class Priority(IntEnum):
     """What goes first."""
--- a/tealwing/gossip/service.py
+++ b/tealwing/gossip/service.py
@@ -16,6 +16,9 @@
 from tealwing.gossip import keys, local_evidence, messages, persisted_state
 from tealwing.gossip.config import GossipConfig
 from tealwing.gossip.control import ControlSocket
+from tealwing.gossip.errors import CorruptStateError, GossipConfigError, InvalidKeyError
+from tealwing.gossip.events import GossipEvent
+from tealwing.gossip.identity import Clock, LocalIdentity
 from tealwing.gossip.messages import MAX_DATAGRAM_BYTES
 from tealwing.gossip.node import Node, member_status
 
@@ -34,10 +37,6 @@
 EventSink = Callable[[api.Event], None]
 
 
-class GossipConfigError(ValueError):
-    """Gossip can't begin; the text says why."""
-
-
 class GossipService:
     """One instance on its socket. The node is used under one lock, and nothing waits for a socket under it."""
 
@@ -45,7 +44,7 @@
         self.config, self._evidence, self._submit = plan, evidence, tell
         try:
             own = keys.read_private(Path(plan.key_path))
-        except keys.InvalidKeyError as error:
+        except InvalidKeyError as error:
             raise GossipConfigError(f"gossip: key: {error}") from None
         self._check_own(own, plan)
         self._ring = keys.Keyring(plan.allowed_keys)
@@ -59,12 +58,11 @@
             self._sock.close()
             raise GossipConfigError(f"gossip: listen {plan.listen[0]}:{plan.listen[1]}: {error.strerror}") from None
         host, port = self._sock.getsockname()
-        now, wall = time.monotonic(), time.time()
-        self.node = Node(
-            plan.name, (host, port), own, self._ring.verify, plan.timing, plan.seeds, random.Random(), now, wall
-        )
+        clock = Clock(time.monotonic(), time.time())
+        identity = LocalIdentity(plan.name, (host, port), own, clock)
+        self.node = Node(identity, clock, self._ring.verify, plan.timing, plan.seeds, random.Random())
         self.suppress_relay = False  # for trials: passes no rumour of others on
-        self.on_event: Callable[[str, dict[str, Any]], None] = lambda name, fields: log.event(name, **fields)
+        self.on_event: Callable[[GossipEvent], None] = lambda event: log.event(event.log_name, **event.log_fields)
         self._believed: dict[tuple[int, int], float] = {}
         try:
             self._load_state()
@@ -110,7 +108,7 @@
                 raise GossipConfigError(f"gossip: {name} changed; allowed: only key and peer without a restart")
         try:
             own = keys.read_private(Path(plan.key_path))
-        except keys.InvalidKeyError as error:
+        except InvalidKeyError as error:
             raise GossipConfigError(f"gossip: key: {error}") from None
         self._check_own(own, plan)
         with self.lock:
@@ -120,7 +118,7 @@
             self.config = plan
 
     def _own_public(self) -> bytes:
-        signer = self.node.signer
+        signer = self.node.identity.signer
         return signer.public if isinstance(signer, keys.LocalKey) else b""
 
     def members(self) -> dict[str, Any]:
@@ -130,7 +128,7 @@
             return {
                 "name": node.name,
                 "members": member_status(node, now),
-                "health": node.health,
+                "health": node.health_score,
                 "bytes_sent": node.send_queue.sent_bytes,
                 "datagrams_dropped": node.send_queue.dropped_datagrams,
                 "rejected": dict(node.counters.rejected),
@@ -161,8 +159,8 @@
                 out, events = self.node.take_datagrams(now), list(self.node.events)
                 self.node.events.clear()
             self._send(out)
-            for name, fields in events:
-                self.on_event(name, fields)
+            for event in events:
+                self.on_event(event)
             if now >= look:
                 look = now + HEALTH_INTERVAL
                 self._exchange_health()
@@ -185,7 +183,7 @@
         if doubts != self._believed:
             for (engine, started), doubt in doubts.items():
                 if (engine, started) not in self._believed:
-                    log.event("gossip_doubt", engine=engine, started_ms=started, factor=round(doubt, 2))
+                    log.event("gossip_engine_suspected", engine=engine, started_ms=started, factor=round(doubt, 2))
             self._believed = doubts
             self._submit(api.EngineHealthEstimates(doubts))
 
@@ -201,8 +199,8 @@
             return
         try:
             found = persisted_state.load(Path(self.config.state_path), self.config.name)
-        except persisted_state.CorruptStateError as error:
-            log.event("gossip_file_set_aside", why=str(error))
+        except CorruptStateError as error:
+            log.event("gossip_state_quarantined", why=str(error))
             return
         except OSError as error:
             raise GossipConfigError(f"gossip: file {self.config.state_path}: {error.strerror}") from None
@@ -215,11 +213,11 @@
             return
         with self.lock:
             alive = [member.alive for member in self.node.members]
-            trust, boot = dict(self.node.health_estimator.trust), self.node.boot
+            trust, boot = dict(self.node.health_estimator.trust), self.node.identity.boot
         try:
             persisted_state.save(Path(self.config.state_path), self.config.name, boot, alive, trust)
         except OSError as error:  # a full disk costs the memory of a restart, and nothing else
-            log.event("gossip_file_not_written", why=str(error))
+            log.event("gossip_state_save_failed", why=str(error))
 
 
 def strip_relayed_rumours(data: bytes, node: Node) -> bytes:
@@ -227,4 +225,4 @@
     payload = messages.decode(data, lambda *_: True)
     own = [rumour for rumour in payload.rumours if rumour.name == node.name]
     bare = messages.Payload(payload.name, payload.boot, payload.sequence, payload.sent_at_ms, payload.body, own)
-    return messages.encode(bare, node.signer)
+    return messages.encode(bare, node.identity.signer)
--- a/tealwing/lab/network.py
+++ b/tealwing/lab/network.py
@@ -11,10 +11,12 @@
 from dataclasses import dataclass, field
 
 from tealwing.gossip import keys
+from tealwing.gossip.config import Timing
+from tealwing.gossip.identity import Clock as NodeClock
+from tealwing.gossip.identity import LocalIdentity
 from tealwing.gossip.members import State
-from tealwing.gossip.messages import HEADERS_BYTES, KEY_ID_BYTES, MAX_DATAGRAM_BYTES, SIGNATURE_BYTES
-from tealwing.gossip.node import Node, Timing
-from tealwing.gossip.send_queue import Address
+from tealwing.gossip.messages import HEADERS_BYTES, KEY_ID_BYTES, MAX_DATAGRAM_BYTES, SIGNATURE_BYTES, Address
+from tealwing.gossip.node import Node
 from tealwing.lab.clock import Clock
 
 TICK = 0.1  # s between two ticks of an instance
@@ -105,8 +107,9 @@
         if self._real:
             signer = real_key(name)
             ring = _Everybody()
-        wall = self.wall(skew)
-        node = Node(name, address, signer, ring.verify, self.times, seeds, rng, self.clock.now, wall)
+        clock = NodeClock(self.clock.now, self.wall(skew))
+        identity = LocalIdentity(name, address, signer, clock)
+        node = Node(identity, clock, ring.verify, self.times, seeds, rng)
         instance = Instance(node, address, skew)
         self.instances[name] = instance
         self._by_address[address] = instance
@@ -151,8 +154,8 @@
 
     def _flush(self, instance: Instance) -> None:
         node = instance.node
-        for name, fields in node.events:
-            self.events.append((self.clock.now, node.name, name, fields))
+        for event in node.events:
+            self.events.append((self.clock.now, node.name, event.log_name, event.log_fields))
         node.events.clear()
         second = int(self.clock.now)
         for to, data in node.take_datagrams(self.clock.now):
--- a/tealwing/lab/processes.py
+++ b/tealwing/lab/processes.py
@@ -15,11 +15,10 @@
 from tealwing import interface as api
 from tealwing import log
 from tealwing.gossip import keys
-from tealwing.gossip.config import GossipConfig
+from tealwing.gossip.config import GossipConfig, Timing
 from tealwing.gossip.health_estimator import OWN_EVIDENCE_SAMPLES, SLOW_RATIO, EngineHealth
 from tealwing.gossip.keys import AllowedKey
 from tealwing.gossip.messages import Dead, Gossip, Rumour
-from tealwing.gossip.node import Timing
 from tealwing.gossip.send_queue import Priority
 from tealwing.gossip.service import GossipService
 from tealwing.lab import rumours
@@ -116,7 +115,7 @@
     deaths = Counter[str]()
     if kind == "silent":
         link.suppress_relay = True
-    link.on_event = lambda name, _: deaths.update([name])
+    link.on_event = lambda event: deaths.update([event.log_name])
     link.start()
     seconds: dict[int, int] = {}
     sent, seen = 0, time.time()
--- a/tealwing/lab/rumours.py
+++ b/tealwing/lab/rumours.py
@@ -16,10 +16,11 @@
 
 from tealwing import interface as api
 from tealwing.gossip import local_evidence
+from tealwing.gossip.config import Timing
 from tealwing.gossip.health_estimator import OWN_EVIDENCE_SAMPLES, SLOW_RATIO, EngineHealth
-from tealwing.gossip.messages import Dead, Gossip, Rumour
-from tealwing.gossip.node import Node, Timing
-from tealwing.gossip.send_queue import Address, Priority
+from tealwing.gossip.messages import Address, Dead, Gossip, Rumour
+from tealwing.gossip.node import Node
+from tealwing.gossip.send_queue import Priority
 from tealwing.gossip.service import strip_relayed_rumours
 from tealwing.lab import arrivals, site, worth
 from tealwing.lab.harness import Deployment
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -20,22 +20,13 @@
 from tealwing.conf import reader
 from tealwing.conf.reader import ConfError
 from tealwing.gossip import control, health_estimator, keys, local_evidence, messages, persisted_state, suspicion
+from tealwing.gossip.config import Timing
+from tealwing.gossip.errors import CorruptStateError, InvalidKeyError, MessageRejectedError, RejectionCause
 from tealwing.gossip.health_estimator import EngineHealth, HealthEstimator
+from tealwing.gossip.identity import Clock, LocalIdentity
 from tealwing.gossip.members import Member, Members, State
-from tealwing.gossip.messages import (
-    Alive,
-    Dead,
-    EngineObservation,
-    Gossip,
-    HealthReport,
-    Left,
-    MessageRejectedError,
-    Payload,
-    Ping,
-    RejectionCause,
-    Suspect,
-)
-from tealwing.gossip.node import Node, Timing
+from tealwing.gossip.messages import Alive, Dead, EngineObservation, Gossip, HealthReport, Left, Payload, Ping, Suspect
+from tealwing.gossip.node import Node
 from tealwing.gossip.replay_protection import ReplayFilter
 from tealwing.gossip.rumour_queue import RumourQueue
 from tealwing.gossip.send_queue import Priority, SendQueue
@@ -112,7 +103,7 @@
     with pytest.raises(FileExistsError):
         keys.write_private(path, old.private)
     path.chmod(0o644)
-    with pytest.raises(keys.InvalidKeyError, match="0600"):
+    with pytest.raises(InvalidKeyError, match="0600"):
         keys.read_private(path)
 
 
@@ -409,16 +400,18 @@
     second = network.start("n4", [("10.0.0.1", 7946)])
     network.clock.run(network.clock.now + 20)
     assert first.node.silent and not second.node.silent, "the later start keeps the name"
-    assert any(what == "gossip_name_taken" for _, _, what, _ in network.events)
+    assert any(what == "gossip_name_conflict" for _, _, what, _ in network.events)
     network.kill("n4")
     first.running = False
     monkeypatch.setattr(messages, "MAX_INCARNATION", 3)
-    monkeypatch.setattr(messages, "MAX_SEQUENCE", network.instances["n0"].node._sequence + 20)
+    monkeypatch.setattr(messages, "MAX_SEQUENCE", network.instances["n0"].node.identity.sequence + 20)
     for _ in range(4):
-        network.instances["n1"].node._refute()
+        network.instances["n1"].node.membership.refute()
     network.clock.run(network.clock.now + 20)
     assert network.until(network.agreed, 60) is not None, "numbers at their limits begin a later life"
-    assert network.instances["n0"].node._sequence < 2000 and network.instances["n1"].node._incarnation <= 3
+    assert (
+        network.instances["n0"].node.identity.sequence < 2000 and network.instances["n1"].node.identity.incarnation <= 3
+    )
 
 
 def test_false_words_on_oneself_on_others_and_on_the_dead() -> None:
@@ -426,19 +419,19 @@
     cluster(network, 8)
     network.until(network.agreed, 30)
     liar, victim = network.instances["n7"].node, network.instances["n2"].node
-    before = victim._incarnation
+    before = victim.identity.incarnation
     for other in network.live()[:7]:
         words: list[Any] = [
-            Dead("n2", victim.boot, before),
-            Suspect("n2", victim.boot, 2**31),  # of an incarnation that it never had
-            Left("n3", network.instances["n3"].node.boot, 0, bytes(8), bytes(64)),  # in another's name
-            alive("n3", 2**31, network.instances["n3"].node.boot + 5),
+            Dead("n2", victim.identity.boot, before),
+            Suspect("n2", victim.identity.boot, 2**31),  # of an incarnation that it never had
+            Left("n3", network.instances["n3"].node.identity.boot, 0, bytes(8), bytes(64)),  # in another's name
+            alive("n3", 2**31, network.instances["n3"].node.identity.boot + 5),
         ]
         words[3] = messages.sign_rumour(words[3], Toy("n7"))
         liar.send(Priority.ANSWER, other.address, Gossip(), words)
     network._flush(network.instances["n7"])
     network.clock.run(network.clock.now + 3)
-    assert victim._incarnation == before + 1 and network.instances["n3"].node._incarnation == 0
+    assert victim.identity.incarnation == before + 1 and network.instances["n3"].node.identity.incarnation == 0
     assert network.agreed() and not any(what == "gossip_dead" for _, _, what, _ in network.events)
     network.kill("n5")
     network.until(network.agreed, 40)
@@ -493,9 +486,9 @@
     assert network.until(network.agreed, 60) is not None
     for instance in network.live():
         if instance.node.name != "n2":
-            allowed = instance.node._verify
-            instance.node._verify = lambda name, *rest, allowed=allowed: name != "n2" and allowed(name, *rest)
-            instance.node._checked.clear()
+            allowed = instance.node.verifier.verify
+            instance.node.verifier.verify = lambda name, *rest, allowed=allowed: name != "n2" and allowed(name, *rest)
+            instance.node.verifier.valid.clear()
     network.clock.run(network.clock.now + 40)
     held = {m.alive.name: m.state for m in network.instances["n0"].node.members}
     assert held["n2"] is State.DEAD and network.instances["n0"].node.counters.rejected["signature"] > 0
@@ -601,17 +594,18 @@
     whole = path.read_bytes()
     for bad in (whole[:-20], b"", b"hello\n", whole.replace(b"n1", b"n9", 1)):
         path.write_bytes(bad)
-        with pytest.raises(persisted_state.CorruptStateError, match="set aside"):
+        with pytest.raises(CorruptStateError, match="set aside"):
             persisted_state.load(path, "n0")
         assert not path.exists() and path.with_name("gossip.state.bad").read_bytes() == bad
     path.write_bytes(whole)
-    with pytest.raises(persisted_state.CorruptStateError, match="it is of n0"):
+    with pytest.raises(CorruptStateError, match="it is of n0"):
         persisted_state.load(path, "other")
 
 
 def test_what_was_written_is_looked_for_again() -> None:
     ring, toy = ToyRing(), Toy("n0")
-    node = Node("n0", ("10.0.0.1", 1), toy, ring.verify, Timing(), [], random.Random(1), 0.0, EPOCH)
+    clock = Clock(0.0, EPOCH)
+    node = Node(LocalIdentity("n0", ("10.0.0.1", 1), toy, clock), clock, ring.verify, Timing(), [], random.Random(1))
     node.restore([alive("n1"), replace_signature(alive("n2"))], {"n1": 0.2})
     assert [m.alive.name for m in node.members] == ["n1"] and node.health_estimator.trust == {"n1": 0.2}
 
