--- a/tealwing/gossip/control.py
+++ b/tealwing/gossip/control.py
@@ -1,4 +1,4 @@
-"""The operators' socket: a Unix socket that answers each connection with one JSON line."""
+"""The control socket: a Unix socket that answers each connection with one JSON line."""
 
 from __future__ import annotations
 
@@ -7,70 +7,81 @@
 import socket
 import threading
 from collections.abc import Callable
+from pathlib import Path
 from typing import Any
 
 import orjson
 
-CLIENT_TIMEOUT = 2.0  # s for one asker
-MAX_ANSWER_BYTES = 4 << 20  # bytes of an answer: some thousand members
+from tealwing.gossip.errors import GossipConfigError
+
+CLIENT_TIMEOUT = 2.0  # s
+MAX_ANSWER_BYTES = 4 << 20  # some thousand members
+OWNER_ONLY_MASK = 0o177
 
 
 class ControlSocket:
-    """Answers with what `tell` gives."""
-
-    def __init__(self, path: str, tell: Callable[[], dict[str, Any]]) -> None:
-        self._path, self._tell = path, tell
-        if os.path.exists(path) and is_answering(path):
-            raise ValueError(f"gossip: control {path}: another instance answers there")
-        with contextlib.suppress(FileNotFoundError):
-            os.unlink(path)
+    """Answers each connection with the status.
+
+    Raises:
+        GossipConfigError: another instance answers at the path, or it can't be bound.
+    """
+
+    def __init__(self, path: str, status: Callable[[], dict[str, Any]]) -> None:
+        self._path, self._status = Path(path), status
+        if self._path.exists() and is_answering(path):
+            raise GossipConfigError(f"gossip: control {path}: another instance answers there")
+        self._path.unlink(missing_ok=True)
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        mask = os.umask(0o177)  # its owner's alone
+        mask = os.umask(OWNER_ONLY_MASK)
         try:
             self._sock.bind(path)
         except OSError as error:
-            raise ValueError(f"gossip: control {path}: {error.strerror}") from None
+            raise GossipConfigError(f"gossip: control {path}: {error.strerror}") from None
         finally:
             os.umask(mask)
         self._sock.listen(8)
 
     def start(self) -> None:
-        """Answer from now on."""
+        """Start the thread that answers."""
         threading.Thread(target=self._run, name="gossip-control", daemon=True).start()
 
     def stop(self) -> None:
-        """Answer no more."""
+        """Close the socket and remove its path."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
         with contextlib.suppress(OSError):
-            os.unlink(self._path)
+            self._path.unlink()
 
     def _run(self) -> None:
         while True:
             try:
-                asker, _ = self._sock.accept()
+                client, _ = self._sock.accept()
             except OSError:
                 return
-            with asker, contextlib.suppress(OSError):  # an asker that goes costs nothing
-                asker.settimeout(CLIENT_TIMEOUT)
-                asker.sendall(orjson.dumps(self._tell()) + b"\n")
+            with client, contextlib.suppress(OSError):  # a client that disconnects costs nothing
+                client.settimeout(CLIENT_TIMEOUT)
+                client.sendall(orjson.dumps(self._status()) + b"\n")
 
 
 def query(path: str) -> dict[str, Any]:
-    """What the instance at that socket tells; OSError where none does."""
+    """Return the status of the instance at a socket.
+
+    Raises:
+        OSError: nobody answers there.
+    """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(CLIENT_TIMEOUT)
         sock.connect(path)
         data = bytearray()
         while len(data) <= MAX_ANSWER_BYTES and (part := sock.recv(65536)):
             data += part
-    found: dict[str, Any] = orjson.loads(data)
-    return found
+    status: dict[str, Any] = orjson.loads(data)
+    return status
 
 
 def is_answering(path: str) -> bool:
-    """Whether an instance answers there."""
+    """Return whether an instance answers at a socket."""
     try:
         query(path)
     except (OSError, orjson.JSONDecodeError):
--- a/tealwing/gossip/health_estimator.py
+++ b/tealwing/gossip/health_estimator.py
@@ -1,12 +1,12 @@
-"""What peers say of engines, weighed into what this gateway may believe; pure.
+"""Estimates the health of engines from the members' reports; pure.
 
-A claim is evidence of bounded weight. For one start of one engine the words of distinct peers are drawn together into a
-trimmed mean: a third of the weight at either end is left out, so a minority can't move it far whatever it says, and
-it needs a quorum of weight behind it. A word weighs by the answers that it rests on, up to a few, and by the trust in
-its speaker. What is believed only makes us expect a longer latency there, by a factor up to MOST_DOUBT, for a bounded
-share of the fleet. Our own fresh evidence goes before it. Nothing here bars an engine.
+A report is evidence of bounded weight. For one start of one engine the reports of distinct members are combined in a
+trimmed mean: a third of the weight at either end is left out, so a minority can't move it far whatever it reports, and
+it needs a quorum of weight behind it. A report weighs by the answers that it rests on, up to a few, and by the trust in
+its member. The estimate only raises the latency that we expect there, by a factor up to MAX_LATENCY_FACTOR, for a
+bounded share of the fleet. Our own fresh evidence takes precedence. Nothing here bars an engine.
 
-A peer whose words our own later answers contradict loses trust, quickly and down to a floor; it comes back slowly.
+A member whose reports our own later answers contradict loses trust, quickly and down to a floor; it regains it slowly.
 """
 
 from __future__ import annotations
@@ -15,167 +15,181 @@
 from dataclasses import dataclass
 from math import ceil
 
-MAX_SLOWNESS = 10.0  # that a word may claim: beyond it all are as bad
-MAX_LATENCY_FACTOR = 2.0  # that a belief multiplies the engine's expected latency by at most
-SLOW_RATIO = 1.8  # slowness over the fleet's past which an engine is notable: short of that it is noise
-FAILING_RATIO = 0.3  # share of failures past which it is
-HEALTHY_LIMITS = (1.3, 0.1)  # slowness and failures below which an engine is well: apart from the above
-MIN_SAMPLES = 0.5  # answers that a word must rest on at least: where each sees little, all see enough
-FULL_WEIGHT_SAMPLES = 1.5  # answers at which a word has its full weight: whoever claims more counts for no more
-TRUST_CHECK_SAMPLES = 2.0  # of our own answers, faded, with which we hold others' words against them
-TRIMMED_SHARE = 0.35  # of the weight at either end that is left out: so much may lie together
-SUSPECTED_COST = 1.4  # mean slowness, failures included, at which a belief begins: many words are quieter than one
-MAX_REPORTERS = 24  # of the members that speak of one engine, about: more words would only cost more
-REPORTABLE = (1.6, 1.0)  # slowness, and answers it rests on, at which one speaks up: earlier than one would act
-OWN_EVIDENCE_SAMPLES = 4.0  # of our own answers, faded, with which we need nobody's word
-CONFIRM_TIME = 0.2  # s for which a belief must have been there before it counts: a second look
-REPORT_LIFETIME = 6.0  # s after which a claim has aged out: engines that are slow are so for 10 s or more
-QUORUM_WEIGHTS = (
-    2.0,
-    0.5,
-)  # weight behind a belief: at least, and for each member that may speak: liars alone have none
-MAX_FLEET_SHARE = 0.25  # of the engines that beliefs lean on at once: past it the fleet is the matter
-TRUST_LIMITS = (0.1, 1.0)  # floor, and full: a liar's word keeps a tenth, so that it can come back
-TRUST_LOSS_FACTOR, TRUST_GAIN_STEP = 0.5, 0.02  # factor at a contradiction; step at a word that held
+MAX_SLOWNESS = 10.0  # that counts of a report: beyond it all are as bad
+MAX_LATENCY_FACTOR = 2.0  # by which an estimate multiplies the engine's expected latency at most
+SLOW_RATIO = 1.8  # slowness over the fleet's at which an engine is unhealthy: below that it is noise
+FAILING_RATIO = 0.3  # share of failures at which it is
+HEALTHY_SLOWNESS, HEALTHY_FAILURES = 1.3, 0.1  # up to which an engine is healthy: apart from the above
+MIN_SAMPLES = 0.5  # answers that a report must rest on: where each member sees little, all see enough
+FULL_WEIGHT_SAMPLES = 1.5  # answers at which a report has its full weight, so that claiming more gains nothing
+TRUST_CHECK_SAMPLES = 2.0  # of our own answers, decayed, from which others' reports are checked against them
+TRIMMED_SHARE = 0.35  # of the weight at either end that is left out: so much may be false together
+SUSPECTED_COST = 1.4  # mean cost from which an engine is suspected: many reports are less noisy than one
+MAX_REPORTERS = 24  # of the members that report on one engine, about: more reports would only cost more
+REPORTABLE_SLOWNESS, REPORTABLE_SAMPLES = 1.6, 1.0  # from which a member reports: earlier than one would act
+OWN_EVIDENCE_SAMPLES = 4.0  # of our own answers, decayed, from which reports are not needed
+CONFIRM_TIME = 0.2  # s for which an engine must be suspected before that counts
+REPORT_LIFETIME = 6.0  # s after which a report has aged out: engines that are slow are so for 10 s or more
+MIN_QUORUM = 2.0  # weight behind an estimate
+QUORUM_PER_MEMBER = 0.5  # of that weight, for each member that may report: false reporters alone have none
+MAX_FLEET_SHARE = 0.25  # of the engines that are suspected at once: past it the fault is the fleet's
+MIN_TRUST, FULL_TRUST = 0.1, 1.0  # a false reporter keeps a tenth of its weight, so that it can recover
+TRUST_LOSS_FACTOR, TRUST_GAIN_STEP = 0.5, 0.02  # at a contradiction; at a report that is confirmed
+
+EngineKey = tuple[int, int]  # engine, and ms of its start
 
 
 @dataclass(frozen=True, slots=True)
 class EngineHealth:
-    """One instance's word on one start of one engine."""
+    """What one instance saw of one start of one engine."""
 
     engine: int
-    started_ms: int  # ms
-    slowness: float
+    started_ms: int
+    slowness: float  # latency over the fleet's
     failure_ratio: float
-    samples: float
+    samples: float  # answers that this rests on
 
     @property
-    def key(self) -> tuple[int, int]:
+    def key(self) -> EngineKey:
         """Which start of which engine."""
         return self.engine, self.started_ms
 
     @property
     def is_unhealthy(self) -> bool:
-        """Whether it accuses the engine."""
+        """Whether it reports the engine as unhealthy; both this and is_healthy may be false."""
         return self.slowness >= SLOW_RATIO or self.failure_ratio >= FAILING_RATIO
 
     @property
     def is_healthy(self) -> bool:
-        """Whether it clears the engine."""
-        return self.slowness <= HEALTHY_LIMITS[0] and self.failure_ratio <= HEALTHY_LIMITS[1]
+        """Whether it reports the engine as healthy."""
+        return self.slowness <= HEALTHY_SLOWNESS and self.failure_ratio <= HEALTHY_FAILURES
 
     @property
     def is_reportable(self) -> bool:
-        """Whether it is worth saying unasked."""
-        return self.samples >= REPORTABLE[1] and (self.slowness >= REPORTABLE[0] or self.failure_ratio >= FAILING_RATIO)
+        """Whether it is worth a report that nobody else began."""
+        is_notable = self.slowness >= REPORTABLE_SLOWNESS or self.failure_ratio >= FAILING_RATIO
+        return self.samples >= REPORTABLE_SAMPLES and is_notable
 
     @property
     def weight(self) -> float:
-        """What it weighs, up to 1."""
+        """Its weight before trust, up to 1."""
         return min(self.samples / FULL_WEIGHT_SAMPLES, 1.0)
 
     @property
     def cost(self) -> float:
-        """How much longer a query takes there until it is served, over the fleet."""
+        """How many times longer a query takes there until it is served, over the fleet."""
         return min(self.slowness, MAX_SLOWNESS) / max(1 - self.failure_ratio, 1 / MAX_SLOWNESS)
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """What one peer said last, and when by our clock."""
+    """The latest report of one member."""
 
-    received_at: float
+    received_at: float  # s of our clock
     engines: tuple[EngineHealth, ...]
 
+    def is_current(self, now: float) -> bool:
+        """Return whether it still counts."""
+        return now - self.received_at <= REPORT_LIFETIME
+
 
 class HealthEstimator:
-    """Keeps what was heard of each peer, and the trust in it."""
+    """Owns the latest report of each member, and the trust in it."""
 
     def __init__(self) -> None:
-        self._heard: dict[str, ReceivedReport] = {}
+        self._reports: dict[str, ReceivedReport] = {}
         self.trust: dict[str, float] = {}
-        self._since: dict[tuple[int, int], float] = {}  # when a belief was first there
-        self._judged: dict[tuple[str, tuple[int, int]], float] = {}  # when a peer's word was held against ours
-
-    def add_report(self, peer: str, at: float, words: Iterable[EngineHealth]) -> None:
-        """A peer's latest words; those before are gone. A start spoken of twice counts once."""
-        by_key = {word.key: word for word in words if word.samples >= MIN_SAMPLES}
-        self._heard[peer] = ReceivedReport(at, tuple(by_key.values()))
-
-    def reported_unhealthy(self, now: float) -> set[tuple[int, int]]:
-        """The starts that a peer accuses now: who knows better should speak."""
-        return {
-            word.key
-            for heard in self._heard.values()
-            if now - heard.received_at <= REPORT_LIFETIME
-            for word in heard.engines
-            if word.is_unhealthy
-        }
+        self._suspected_since: dict[EngineKey, float] = {}
+        self._checked: dict[tuple[str, EngineKey], float] = {}  # when a report that was checked had been received
+
+    def add_report(self, member: str, now: float, engines: Iterable[EngineHealth]) -> None:
+        """Replace a member's report. A start that is reported twice counts once."""
+        by_key = {engine.key: engine for engine in engines if engine.samples >= MIN_SAMPLES}
+        self._reports[member] = ReceivedReport(now, tuple(by_key.values()))
+
+    def reported_unhealthy(self, now: float) -> set[EngineKey]:
+        """Return the starts that a member reports as unhealthy now: the others should report what they saw."""
+        current = [report for report in self._reports.values() if report.is_current(now)]
+        return {engine.key for report in current for engine in report.engines if engine.is_unhealthy}
 
     def estimate(
-        self, now: float, own: Mapping[tuple[int, int], EngineHealth], members: int, engines: int
-    ) -> dict[tuple[int, int], float]:
-        """The doubt by start of engine, above 1; own is our own evidence, members those live, engines those ready."""
-        self._judge(now, own)
-        said: dict[tuple[int, int], list[tuple[float, float]]] = {}
-        for peer, heard in self._heard.items():
-            if now - heard.received_at > REPORT_LIFETIME:
-                continue
-            for word in heard.engines:
-                weight = self.trust.get(peer, TRUST_LIMITS[1]) * word.weight
-                said.setdefault(word.key, []).append((word.cost, weight))
-        quorum = max(QUORUM_WEIGHTS[0], QUORUM_WEIGHTS[1] * min(members, MAX_REPORTERS))
-        found = {}
-        for key, words in said.items():
+        self, now: float, own: Mapping[EngineKey, EngineHealth], members: int, engines: int
+    ) -> dict[EngineKey, float]:
+        """Return the latency factors above 1, by start of engine.
+
+        Args:
+            now: s of our clock.
+            own: Our own evidence.
+            members: How many are live.
+            engines: How many are ready.
+        """
+        self._update_trust(now, own)
+        quorum = max(MIN_QUORUM, QUORUM_PER_MEMBER * min(members, MAX_REPORTERS))
+        factors = {}
+        for key, weighted in self._weighted_costs(now).items():
             ours = own.get(key)
-            if (
-                ours is not None
-                and ours.samples >= OWN_EVIDENCE_SAMPLES
-                and (ours.is_unhealthy or ours.cost < SUSPECTED_COST)
-            ):
-                continue  # we know; what lies between the two we do not
-            if ours is not None:  # less than enough to stand alone, but a word like the others'
-                words.append((ours.cost, ours.weight))
-            if sum(weight for _, weight in words) >= quorum and (mean := trimmed_mean(words)) >= SUSPECTED_COST:
-                found[key] = min(mean, MAX_LATENCY_FACTOR)
-        # one look may catch a quorum by chance: a belief must be there at a second one too
-        self._since = {key: self._since.get(key, now) for key in found}
-        found = {key: doubt for key, doubt in found.items() if now - self._since[key] >= CONFIRM_TIME}
-        most = ceil(MAX_FLEET_SHARE * engines) if engines else 0
-        worst = sorted(found, key=lambda key: (-found[key], key))[:most]
-        return {key: found[key] for key in worst}
-
-    def _judge(self, now: float, own: Mapping[tuple[int, int], EngineHealth]) -> None:
-        """Hold fresh words against our own fresh evidence, each once."""
-        for peer, heard in self._heard.items():
-            for word in heard.engines:
-                ours, mark = own.get(word.key), (peer, word.key)
-                if ours is None or ours.samples < TRUST_CHECK_SAMPLES or now - heard.received_at > REPORT_LIFETIME:
-                    continue
-                if self._judged.get(mark, -REPORT_LIFETIME) >= heard.received_at:
+            if ours is not None:
+                if ours.samples >= OWN_EVIDENCE_SAMPLES and (ours.is_unhealthy or ours.cost < SUSPECTED_COST):
+                    continue  # our own evidence decides; between the two it does not
+                weighted.append((ours.cost, ours.weight))
+            if sum(weight for _, weight in weighted) >= quorum and (mean := trimmed_mean(weighted)) >= SUSPECTED_COST:
+                factors[key] = min(mean, MAX_LATENCY_FACTOR)
+        # a quorum may come about by chance, so it must be there at a second estimate too
+        self._suspected_since = {key: self._suspected_since.get(key, now) for key in factors}
+        factors = {key: factor for key, factor in factors.items() if now - self._suspected_since[key] >= CONFIRM_TIME}
+        limit = ceil(MAX_FLEET_SHARE * engines) if engines else 0
+        slowest = sorted(factors, key=lambda key: (-factors[key], key))[:limit]
+        return {key: factors[key] for key in slowest}
+
+    def forget(self, member: str) -> None:
+        """Drop a member that has been removed, and the trust in it."""
+        self._reports.pop(member, None)
+        self.trust.pop(member, None)
+
+    def _weighted_costs(self, now: float) -> dict[EngineKey, list[tuple[float, float]]]:
+        """Return cost and weight of each current report, by start of engine."""
+        costs: dict[EngineKey, list[tuple[float, float]]] = {}
+        for member, report in self._reports.items():
+            if not report.is_current(now):
+                continue
+            for engine in report.engines:
+                weight = self.trust.get(member, FULL_TRUST) * engine.weight
+                costs.setdefault(engine.key, []).append((engine.cost, weight))
+        return costs
+
+    def _update_trust(self, now: float, own: Mapping[EngineKey, EngineHealth]) -> None:
+        """Check current reports against our own fresh evidence, each once."""
+        for member, report in self._reports.items():
+            if not report.is_current(now):
+                continue
+            for engine in report.engines:
+                ours, check = own.get(engine.key), (member, engine.key)
+                if ours is None or ours.samples < TRUST_CHECK_SAMPLES:
                     continue
-                before = self.trust.get(peer, TRUST_LIMITS[1])
-                if (word.is_unhealthy and ours.is_healthy) or (word.is_healthy and ours.is_unhealthy):
-                    self.trust[peer] = max(TRUST_LIMITS[0], before * TRUST_LOSS_FACTOR)
-                elif (word.is_unhealthy and ours.is_unhealthy) or (word.is_healthy and ours.is_healthy):
-                    self.trust[peer] = min(TRUST_LIMITS[1], before + TRUST_GAIN_STEP)
-                else:
+                if self._checked.get(check, -REPORT_LIFETIME) >= report.received_at:
                     continue
-                self._judged[mark] = heard.received_at
-        self._judged = {mark: at for mark, at in self._judged.items() if now - at <= REPORT_LIFETIME}
-
-    def forget(self, peer: str) -> None:
-        """A member has been let go of; its trust is kept by whoever keeps its name."""
-        self._heard.pop(peer, None)
-        self.trust.pop(peer, None)
-
-
-def trimmed_mean(words: Sequence[tuple[float, float]]) -> float:
-    """The mean of (value, weight) over the middle of the weight: TRIMMED of it is left out at either end."""
-    total = sum(weight for _, weight in words)
+                if self._check(member, engine, ours):
+                    self._checked[check] = report.received_at
+        self._checked = {check: at for check, at in self._checked.items() if now - at <= REPORT_LIFETIME}
+
+    def _check(self, member: str, reported: EngineHealth, ours: EngineHealth) -> bool:
+        """Lower or raise the trust in a member; return whether our evidence decided either."""
+        trust = self.trust.get(member, FULL_TRUST)
+        if (reported.is_unhealthy and ours.is_healthy) or (reported.is_healthy and ours.is_unhealthy):
+            self.trust[member] = max(MIN_TRUST, trust * TRUST_LOSS_FACTOR)
+            return True
+        if (reported.is_unhealthy and ours.is_unhealthy) or (reported.is_healthy and ours.is_healthy):
+            self.trust[member] = min(FULL_TRUST, trust + TRUST_GAIN_STEP)
+            return True
+        return False
+
+
+def trimmed_mean(weighted: Sequence[tuple[float, float]]) -> float:
+    """Return the mean of (value, weight) over the middle of the weight: TRIMMED_SHARE is left out at either end."""
+    total = sum(weight for _, weight in weighted)
     low, high = TRIMMED_SHARE * total, (1 - TRIMMED_SHARE) * total
     mean = at = 0.0
-    for value, weight in sorted(words):
+    for value, weight in sorted(weighted):
         mean += value * max(0.0, min(at + weight, high) - max(at, low))
         at += weight
     return mean / (high - low) if high > low else 1.0
--- a/tealwing/gossip/replay_protection.py
+++ b/tealwing/gossip/replay_protection.py
@@ -1,4 +1,4 @@
-"""Which datagrams are new: by the sender's life, its sequence, and its clock; pure. Memory is bounded by senders."""
+"""Replay protection by the sender's boot, its sequence and its clock; pure. Memory is bounded by senders."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from tealwing.gossip.errors import MessageRejectedError, RejectionCause
 
-WINDOW = 256  # sequences behind the highest that may still come: datagrams overtake one another
+WINDOW = 256  # sequences behind the highest that are still accepted: datagrams overtake one another
 
 
 @dataclass(slots=True)
 class SenderWindow:
-    """What was heard of one sender's present life."""
+    """The sequences accepted of one sender's present boot."""
 
     boot: int
     highest: int = -1
@@ -19,35 +19,39 @@
 
 
 class ReplayFilter:
-    """Takes each datagram once, and none that is too old or from too far ahead."""
+    """Accepts each datagram once, and none that is too old or from too far ahead."""
 
-    def __init__(self, skew: float) -> None:
-        self._skew = skew
-        self._heard: dict[str, SenderWindow] = {}
+    def __init__(self, max_clock_skew: float) -> None:
+        self._max_clock_skew = max_clock_skew
+        self._senders: dict[str, SenderWindow] = {}
 
-    def accept(self, name: str, boot: int, sequence: int, at: int, wall: float) -> None:
-        """Note one datagram; Rejected says why it is not taken. Times: ms as sent, s of our Unix clock."""
-        if abs(at / 1e3 - wall) > self._skew:
+    def accept(self, name: str, boot: int, sequence: int, sent_at_ms: int, unix_time: float) -> None:
+        """Note one datagram; `unix_time` is s of our own clock.
+
+        Raises:
+            MessageRejectedError: it is a repetition, of an earlier boot, or its times are out of range.
+        """
+        if abs(sent_at_ms / 1e3 - unix_time) > self._max_clock_skew:
             raise MessageRejectedError(RejectionCause.TIME)
-        if boot / 1e3 > wall + self._skew:
+        if boot / 1e3 > unix_time + self._max_clock_skew:
             raise MessageRejectedError(RejectionCause.TIME)
-        heard = self._heard.get(name)
-        if heard is None or boot > heard.boot:
-            heard = self._heard[name] = SenderWindow(boot)
-        elif boot < heard.boot:
+        window = self._senders.get(name)
+        if window is None or boot > window.boot:
+            window = self._senders[name] = SenderWindow(boot)
+        elif boot < window.boot:
             raise MessageRejectedError(RejectionCause.STALE)
-        behind = heard.highest - sequence
+        behind = window.highest - sequence
         if behind < 0:
-            heard.bits = (heard.bits << -behind | 1) & ((1 << WINDOW) - 1) if -behind < WINDOW else 1
-            heard.highest = sequence
-        elif behind >= WINDOW or heard.bits >> behind & 1:
+            window.bits = (window.bits << -behind | 1) & ((1 << WINDOW) - 1) if -behind < WINDOW else 1
+            window.highest = sequence
+        elif behind >= WINDOW or window.bits >> behind & 1:
             raise MessageRejectedError(RejectionCause.REPEATED)
         else:
-            heard.bits |= 1 << behind
+            window.bits |= 1 << behind
 
     def forget(self, name: str) -> None:
-        """A member has been let go of."""
-        self._heard.pop(name, None)
+        """Drop a member that has been removed."""
+        self._senders.pop(name, None)
 
     def __len__(self) -> int:
-        return len(self._heard)
+        return len(self._senders)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -531,11 +531,11 @@
     for second in range(12):
         held.add_report("liar", second, words(9.0))
         held.estimate(second, own, 20, 8)
-    assert held.trust["liar"] == health_estimator.TRUST_LIMITS[0]
+    assert held.trust["liar"] == health_estimator.MIN_TRUST
     for second in range(12, 22):
         held.add_report("liar", second, words(1.0))
         held.estimate(second, own, 20, 8)
-    assert health_estimator.TRUST_LIMITS[0] < held.trust["liar"] < 0.35
+    assert health_estimator.MIN_TRUST < held.trust["liar"] < 0.35
 
 
 @given(st.lists(st.tuples(st.floats(0, 1000), st.floats(0, 1)), min_size=1, max_size=30), st.floats(0.0, 0.34))
