--- a/tealwing/gossip/anti_entropy.py
+++ b/tealwing/gossip/anti_entropy.py
@@ -42,18 +42,18 @@
         return True
 
     def handle_digest(self, source: Address, digest: Digest) -> None:
-        """Fetch the buckets that differ; return our own digest where it is wanted."""
+        """Fetch the buckets that differ; send our own digest where it is requested."""
         context, alive = self._context, self._context.identity.alive
         pairs = zip(digest.buckets, context.members.digest(alive), strict=False)
         differing = [number for number, (theirs, ours) in enumerate(pairs) if theirs != ours]
-        if digest.reply_wanted:
+        if digest.request_reply:
             context.outgoing.send(Priority.BULK, source, Digest(context.members.digest(alive), False), [alive])
         if differing:  # and it may not be the only one: compare again soon, until one agrees
             context.outgoing.send(Priority.BULK, source, Fetch(differing), [])
             self._interval = context.timing.sync_interval * RESYNC_FACTOR
             next_sync = context.clock.now + self._interval * context.random.uniform(0.5, 1.5)
             self._next_sync = min(self._next_sync, next_sync)
-        elif not digest.reply_wanted:
+        elif not digest.request_reply:
             self._interval = self._settled_interval()
             self._next_sync = context.clock.now + self._interval * context.random.uniform(0.8, 1.2)
 
@@ -97,7 +97,7 @@
             targets += context.random.sample(self._seeds, min(SEEDS_PER_SYNC, len(self._seeds)))
         for target in targets:
             context.outgoing.send(Priority.BULK, target, Digest(context.members.digest(alive), True), [alive])
-        for member in context.members.sample(1, dead=True):  # it may be back, and can refute what we hold
+        for member in context.members.sample_dead(1):  # it may be back, and can refute what we hold
             ping = Ping(context.outgoing.next_ping_number(), "")
             context.outgoing.send(Priority.BULK, member.address, ping, [alive, member.rumour()])
 
--- a/tealwing/gossip/health_reports.py
+++ b/tealwing/gossip/health_reports.py
@@ -18,7 +18,7 @@
 MAX_ENGINES = 16  # of one report: its format allows no more
 
 
-class Gist(NamedTuple):
+class HealthSummary(NamedTuple):
     """What of an engine's health makes a report worth publishing again."""
 
     engine: tuple[int, int]
@@ -34,20 +34,22 @@
         self.estimator = HealthEstimator()
         self._latest: dict[str, HealthReport] = {}
         self._own: HealthReport | None = None
-        self._published_at, self._published = -inf, set[Gist]()
+        self._published_at, self._published = -inf, set[HealthSummary]()
 
     def publish(self, engines: Sequence[EngineHealth]) -> None:
         """Publish this instance's report; it replaces the one before. The most costly engines go first."""
         identity, clock = self._context.identity, self._context.clock
         if identity.silent:
             return
-        gists = {Gist(engine.key, engine.is_reportable, round(log2(max(engine.cost, 0.1)))) for engine in engines}
-        if clock.now < self._published_at + (REPUBLISH_INTERVAL if gists == self._published else 0.0):
+        summaries = {
+            HealthSummary(engine.key, engine.is_reportable, round(log2(max(engine.cost, 0.1)))) for engine in engines
+        }
+        if clock.now < self._published_at + (REPUBLISH_INTERVAL if summaries == self._published else 0.0):
             return
-        self._published_at, self._published = clock.now, gists
-        most_costly = sorted(engines, key=lambda engine: (-engine.cost, engine.key))[:MAX_ENGINES]
+        self._published_at, self._published = clock.now, summaries
+        by_cost = sorted(engines, key=lambda engine: (-engine.cost, engine.key))[:MAX_ENGINES]
         observations = [
-            EngineObservation(e.engine, e.started_ms, e.slowness, e.failure_ratio, e.samples) for e in most_costly
+            EngineObservation(e.engine, e.started_ms, e.slowness, e.failure_ratio, e.samples) for e in by_cost
         ]
         version = clock.unix_ms
         if self._own is not None and self._own.boot == identity.boot and version <= self._own.version:
--- a/tealwing/gossip/keys.py
+++ b/tealwing/gossip/keys.py
@@ -1,4 +1,4 @@
-"""Ed25519 keys: our own from a file, and the list of those allowed, with a time until which each holds."""
+"""Ed25519 keys: the local key from a file, and the keyring of those allowed, with a time until which each is valid."""
 
 from __future__ import annotations
 
@@ -17,17 +17,21 @@
 from tealwing.gossip.errors import InvalidKeyError
 from tealwing.gossip.messages import KEY_ID_BYTES
 
-PUBLIC_KEY_BYTES = 32  # bytes of a public key (RFC 8032)
-MAX_KEYS_PER_NAME = 4  # of one name at a time: the old, the new, and room for a mistake
+PUBLIC_KEY_BYTES = 32  # RFC 8032
+MAX_KEYS_PER_NAME = 4  # the old, the new, and two spare
 
 
 def key_id(public: bytes) -> bytes:
-    """The first bytes of a public key: enough to choose among those allowed, never a proof."""
+    """Return the first bytes of a public key: enough to choose among those allowed, never a proof."""
     return public[:KEY_ID_BYTES]
 
 
 def read_public(text: str) -> bytes:
-    """A public key as the file has it, in base64."""
+    """Return a public key from base64.
+
+    Raises:
+        InvalidKeyError: the text is no public key.
+    """
     try:
         raw = base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError):
@@ -38,7 +42,7 @@
 
 
 def write_public(raw: bytes) -> str:
-    """A public key as the file has it."""
+    """Return a public key in base64."""
     return base64.b64encode(raw).decode()
 
 
@@ -51,22 +55,26 @@
         self.key_id = key_id(self.public)
 
     def sign(self, data: bytes) -> bytes:
-        """A signature."""
+        """Return a signature."""
         return self.private.sign(data)
 
 
 def generate() -> Ed25519PrivateKey:
-    """A new key."""
+    """Return a new key."""
     return Ed25519PrivateKey.generate()
 
 
 def from_seed(seed: bytes) -> LocalKey:
-    """A key from 32 bytes: for tests and trials only."""
+    """Return a key from 32 bytes; for tests and trials only."""
     return LocalKey(Ed25519PrivateKey.from_private_bytes(seed))
 
 
 def write_private(path: Path, private: Ed25519PrivateKey) -> None:
-    """A new file that only its owner reads; one that is there stays, with an error."""
+    """Write a new file that only its owner can read.
+
+    Raises:
+        FileExistsError: the file exists; it stays as it is.
+    """
     pem = private.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
@@ -75,7 +83,11 @@
 
 
 def read_private(path: Path) -> LocalKey:
-    """The key in a file that others can't read."""
+    """Return the key in a file.
+
+    Raises:
+        InvalidKeyError: the file can't be read, others may read it, or it holds no Ed25519 key.
+    """
     try:
         mode = path.stat().st_mode & 0o077
         data = path.read_bytes()
@@ -94,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AllowedKey:
-    """One name's key, and the Unix time until which it holds."""
+    """A key allowed to one name, and the Unix time in s until which it is valid."""
 
     name: str
     public: bytes
@@ -102,7 +114,7 @@
 
 
 class Keyring:
-    """The keys allowed. `wall`, seconds of the Unix clock, is kept by whoever owns it."""
+    """The keys allowed. Its owner keeps `unix_time`, s of the Unix clock, up to date."""
 
     def __init__(self, allowed: Iterable[AllowedKey]) -> None:
         self.unix_time = 0.0
@@ -110,14 +122,14 @@
         self.replace(allowed)
 
     def replace(self, allowed: Iterable[AllowedKey]) -> None:
-        """Another list, in whole: a key that it lacks holds no more."""
+        """Replace all keys: one that is not in the new list is revoked."""
         self._keys = {
             (entry.name, key_id(entry.public)): (Ed25519PublicKey.from_public_bytes(entry.public), entry.valid_until)
             for entry in allowed
         }
 
     def verify(self, name: str, key: bytes, data: bytes, signature: bytes) -> bool:
-        """Whether that name signed that data, with a key that holds now."""
+        """Return whether that name signed the data with a key that is valid now."""
         found = self._keys.get((name, key))
         if found is None or self.unix_time >= found[1]:
             return False
--- a/tealwing/gossip/local_evidence.py
+++ b/tealwing/gossip/local_evidence.py
@@ -1,23 +1,20 @@
-"""What the decision module shows of its engines, as words for the peers and as our own evidence; pure."""
+"""Our own evidence of engines, read from the decision module, and what of it is reported to the members; pure."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 from typing import Protocol
 
-from tealwing.gossip.health_estimator import MAX_REPORTERS, MIN_SAMPLES, EngineHealth
+from tealwing.gossip.health_estimator import MAX_REPORTERS, MIN_SAMPLES, EngineHealth, EngineKey
 
-Evidence = tuple[dict[tuple[int, int], EngineHealth], int]  # our own by start of engine, and how many engines are ready
+MIN_SUCCESS = 0.05  # that failures are measured against
+MAX_REPORTED_SLOWNESS, MAX_REPORTED_SAMPLES = 1000.0, 1e6  # the bounds of the wire
 
-
-class Estimate(Protocol):
-    """One class at one engine."""
-
-    success: float
+Evidence = tuple[dict[EngineKey, EngineHealth], int]  # our own by start of engine, and how many engines are ready
 
 
 class Pace(Protocol):
-    """The last moments, faded: answers, and time that queries were out over the best of their class."""
+    """Decayed counts: answers, and time that queries were in flight, over the best of their class."""
 
     done: float
     exposed: float
@@ -40,7 +37,7 @@
 
 
 class Fleet(Protocol):
-    """What the decision module shows; tealwing.policy.Gateway has all of it."""
+    """What is read of the decision module; tealwing.policy.Gateway implements it."""
 
     slow: float
 
@@ -49,27 +46,41 @@
         """The engines that are ready."""
 
 
-def observe_engines(fleet: Fleet) -> dict[tuple[int, int], EngineHealth]:
-    """Our own evidence by start of engine: slowness over the fleet's, and failures beyond the common."""
-    found = {}
-    best = max((engine.success for engine in fleet.ready), default=1.0)
+def observe_engines(fleet: Fleet) -> dict[EngineKey, EngineHealth]:
+    """Return our own evidence by start of engine: slowness over the fleet's, and failures beyond the common ones."""
+    evidence = {}
+    best_success = max((engine.success for engine in fleet.ready), default=1.0)
     for engine in fleet.ready:
-        failed = max(0.0, 1 - engine.success / max(best, 0.05))
-        slow = min(engine.slow / max(fleet.slow, 1.0), 1000.0)
-        # what it rests on: as many answers as were due by now of an engine that is like the others
-        due = max(engine.pace.done, engine.pace.exposed / max(fleet.slow, 1.0))
-        word = EngineHealth(engine.id, round(engine.started * 1e3), slow, min(failed, 1.0), min(due, 1e6))
-        found[word.key] = word
-    return found
+        failure_ratio = max(0.0, 1 - engine.success / max(best_success, MIN_SUCCESS))
+        slowness = min(engine.slow / max(fleet.slow, 1.0), MAX_REPORTED_SLOWNESS)
+        # as many answers as were due by now of an engine like the others, so that one that hangs counts too
+        samples = max(engine.pace.done, engine.pace.exposed / max(fleet.slow, 1.0))
+        health = EngineHealth(
+            engine.id,
+            round(engine.started * 1e3),
+            slowness,
+            min(failure_ratio, 1.0),
+            min(samples, MAX_REPORTED_SAMPLES),
+        )
+        evidence[health.key] = health
+    return evidence
 
 
 def select_reportable(
-    own: Iterable[EngineHealth], accused: set[tuple[int, int]], lot: float, members: int
+    own: Iterable[EngineHealth], reported_unhealthy: set[EngineKey], sampling_key: float, members: int
 ) -> list[EngineHealth]:
-    """Words on engines that seem not well, and on those that another accuses: then all we saw helps to weigh it.
+    """Return what to publish: engines that seem unhealthy, and those that another member reports so.
 
-    lot, from 0 to 1, is drawn once a speaker: among many only some speak, so that the cost does not grow with them.
+    Args:
+        own: Our own evidence.
+        reported_unhealthy: What other members report; all that was seen of these helps the estimate.
+        sampling_key: From 0 to 1, drawn once an instance: of many only some report, so that the cost does not grow.
+        members: How many are live.
     """
-    if lot * members >= MAX_REPORTERS:
+    if sampling_key * members >= MAX_REPORTERS:
         return []
-    return [word for word in own if word.samples >= MIN_SAMPLES and (word.is_reportable or word.key in accused)]
+    return [
+        engine
+        for engine in own
+        if engine.samples >= MIN_SAMPLES and (engine.is_reportable or engine.key in reported_unhealthy)
+    ]
--- a/tealwing/gossip/members.py
+++ b/tealwing/gossip/members.py
@@ -1,9 +1,9 @@
-"""What is known of the members, and which word on one goes before another; pure.
+"""The member list, and which rumour about a member overrides another; pure.
 
-A life is a start under a name (`boot`); within it the incarnation grows each time that the member refutes a doubt.
-Only a member itself raises either: `Alive` and `Left` are signed by it. At one incarnation left goes before dead, dead
-before suspect, suspect before alive (SWIM's order). A word on an incarnation that its member never spoke of counts for
-nothing, so nobody can run a member's numbers up.
+A `boot` is a start under a name; within it the incarnation grows each time that the member refutes a suspicion. Only a
+member itself raises either: `Alive` and `Left` are signed by it. At one incarnation left overrides dead, dead overrides
+suspect, suspect overrides alive (SWIM's order). A rumour about an incarnation that the member never announced counts
+for nothing, so nobody can drive a member's numbers up.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from tealwing.gossip.messages import Alive, Dead, Left, Rumour, Suspect
 from tealwing.gossip.suspicion import Suspicion
 
-BUCKETS = 64  # into which members fall by their names, for telling where two instances differ
-RECENT_CONTACT = 2.0  # s since a member spoke to us itself in which others' doubts of it are nothing to us
-REMOVE_AFTER = 600.0  # s for which the dead and the left are remembered: so long a cut may last and heal
+BUCKETS = 64  # into which members fall by their names, to find where two instances differ
+RECENT_CONTACT = 2.0  # s after a datagram of a member in which others' suspicions of it do not count
+REMOVE_AFTER = 600.0  # s for which members that died or left are kept: a network partition of that length heals
 
 
 class State(IntEnum):
-    """What a member is held for, in the order in which words go before one another."""
+    """A member's state; at one incarnation a later one overrides an earlier."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -35,18 +35,18 @@
 
 @dataclass(slots=True)
 class Member:
-    """One member."""
+    """One member as this instance knows it."""
 
     alive: Alive
     state: State
-    since: float
+    since: float  # s, when the state began
     suspicion: Suspicion | None = None
     left: Left | None = None
-    last_contact: float = -inf  # when it last spoke to us itself
+    last_contact: float = -inf  # s, of a datagram of its own
 
     @property
     def version(self) -> tuple[int, int]:
-        """Its life and incarnation, as words on it are compared."""
+        """Its boot and incarnation, by which rumours about it are compared."""
         return self.alive.boot, self.alive.incarnation
 
     @property
@@ -55,7 +55,7 @@
         return self.alive.host, self.alive.port
 
     def rumour(self) -> Rumour:
-        """The word on it that is passed on."""
+        """Return the rumour that states what is known of it."""
         name, (boot, incarnation) = self.alive.name, self.version
         if self.state is State.ALIVE:
             return self.alive
@@ -64,9 +64,9 @@
         return (Suspect if self.state is State.SUSPECT else Dead)(name, boot, incarnation)
 
     def state_hash(self) -> int:
-        """A number that two instances share where both hold it live in the same life and incarnation.
+        """Return a hash that two instances share where both hold it live in the same boot and incarnation.
 
-        The dead count for nothing, so that one instance may forget them before another does.
+        It is 0 for the dead, so that one instance may remove them before another does.
         """
         if self.state >= State.DEAD:
             return 0
@@ -75,20 +75,20 @@
 
 
 def bucket_of(name: str) -> int:
-    """The bucket of a name, the same at every instance."""
+    """Return the bucket of a name, the same at every instance."""
     return xxhash.xxh3_64_intdigest(name.encode()) % BUCKETS
 
 
 class Members:
-    """All members but this instance, and the round in which they are probed."""
+    """Owns all members but this instance, and the order in which they are probed."""
 
-    def __init__(self, me: str, rng: random.Random) -> None:
-        self._local_name, self._random = me, rng
+    def __init__(self, local_name: str, rng: random.Random) -> None:
+        self._local_name, self._random = local_name, rng
         self._by_name: dict[str, Member] = {}
         self._probe_order: list[str] = []
         self._bucket_hashes = [0] * BUCKETS
         self._bucket_names: list[set[str]] = [set() for _ in range(BUCKETS)]
-        self._live_names: list[str] = []  # alive or suspected, in any order: for drawing some without a walk over all
+        self._live_names: list[str] = []  # alive or suspected, in any order: sampled without a walk over all
         self._live_index: dict[str, int] = {}
         self.suspected: dict[str, Member] = {}
 
@@ -100,61 +100,65 @@
 
     @property
     def live(self) -> int:
-        """How many are alive or suspected."""
+        """The number of members that are alive or suspected."""
         return len(self._live_names)
 
     def get(self, name: str) -> Member | None:
-        """A member by its name."""
+        """Return a member by its name."""
         return self._by_name.get(name)
 
     def digest(self, ours: Alive) -> list[int]:
-        """A hash of what is known by bucket, this instance included: others know it as a member."""
-        found = list(self._bucket_hashes)
-        found[bucket_of(ours.name)] ^= Member(ours, State.ALIVE, 0.0).state_hash()
-        return found
+        """Return a hash of each bucket, with this instance in it, as the others know it as a member."""
+        hashes = list(self._bucket_hashes)
+        hashes[bucket_of(ours.name)] ^= Member(ours, State.ALIVE, 0.0).state_hash()
+        return hashes
 
     def in_bucket(self, number: int) -> list[Member]:
-        """The members of a bucket."""
+        """Return the members of a bucket."""
         return [self._by_name[name] for name in sorted(self._bucket_names[number])]
 
-    # Words
+    # Rumours
 
-    def apply_alive(self, word: Alive, now: float) -> Member | None:
-        """A member's word that it lives; the member where that is news."""
-        known = self._by_name.get(word.name)
+    def apply_alive(self, rumour: Alive, now: float) -> Member | None:
+        """Apply a member's statement that it is alive; return the member where that is news."""
+        known = self._by_name.get(rumour.name)
         if known is None:
-            member = self._store(Member(word, State.ALIVE, now))
+            member = self._store(Member(rumour, State.ALIVE, now))
             # a new one joins the round at a random place, so that all are probed within two rounds
-            self._probe_order.insert(self._random.randint(0, len(self._probe_order)), word.name)
+            self._probe_order.insert(self._random.randint(0, len(self._probe_order)), rumour.name)
             return member
-        if (word.boot, word.incarnation) <= known.version:
+        if (rumour.boot, rumour.incarnation) <= known.version:
             return None
-        return self._store(Member(word, State.ALIVE, now))
+        return self._store(Member(rumour, State.ALIVE, now))
 
-    def apply_left(self, word: Left, now: float) -> Member | None:
-        """A member's word that it ends."""
-        known = self._by_name.get(word.name)
-        if known is None or known.state is State.LEFT or (word.boot, word.incarnation) < known.version:
+    def apply_left(self, rumour: Left, now: float) -> Member | None:
+        """Apply a member's statement that it leaves; return the member where that is news."""
+        known = self._by_name.get(rumour.name)
+        if known is None or known.state is State.LEFT or (rumour.boot, rumour.incarnation) < known.version:
             return None
-        return self._store(Member(known.alive, State.LEFT, now, left=word))
+        return self._store(Member(known.alive, State.LEFT, now, left=rumour))
 
-    def apply_suspicion(self, word: Suspect | Dead, by: str, now: float) -> tuple[Member | None, bool]:
-        """Another's doubt: the member where it begins a suspicion here, and whether it is worth passing on.
+    def apply_suspicion(self, rumour: Suspect | Dead, reporter: str, now: float) -> tuple[Member | None, bool]:
+        """Apply another's suspicion; return the member where a suspicion begins here, and whether to pass it on.
 
-        That somebody holds a member dead is no more than a doubt here: each instance waits its own time, and the
+        That another holds a member dead is no more than a suspicion here: each instance waits its own timeout, and the
         member can refute.
         """
-        known = self._by_name.get(word.name)
-        if known is None or (word.boot, word.incarnation) != known.version or now - known.last_contact < RECENT_CONTACT:
+        known = self._by_name.get(rumour.name)
+        if (
+            known is None
+            or (rumour.boot, rumour.incarnation) != known.version
+            or now - known.last_contact < RECENT_CONTACT
+        ):
             return None, False
         if known.state is State.ALIVE:
-            return self.suspect(known, by, now), True
+            return self.suspect(known, reporter, now), True
         if known.state is State.SUSPECT and known.suspicion is not None:
-            return None, known.suspicion.confirm(by)
+            return None, known.suspicion.confirm(reporter)
         return None, False
 
     def record_contact(self, name: str, boot: int, now: float) -> bool:
-        """A member spoke to us, under its own signature; whether that ended a suspicion of ours."""
+        """Note a datagram that a member signed; return whether that ended a suspicion of ours."""
         member = self._by_name.get(name)
         if member is None or member.alive.boot != boot or member.state >= State.DEAD:
             return False
@@ -164,26 +168,26 @@
             return True
         return False
 
-    # What this instance finds
+    # What this instance detects
 
-    def suspect(self, member: Member, by: str, now: float) -> Member:
+    def suspect(self, member: Member, reporter: str, now: float) -> Member:
         """Begin a suspicion."""
-        return self._store(Member(member.alive, State.SUSPECT, now, Suspicion(now, {by})))
+        return self._store(Member(member.alive, State.SUSPECT, now, Suspicion(now, {reporter})))
 
     def mark_dead(self, member: Member, now: float) -> Member:
-        """Hold it dead."""
+        """Hold a member dead."""
         return self._store(Member(member.alive, State.DEAD, now))
 
-    def remove_expired(self, now: float, gone: Callable[[str], None]) -> None:
-        """Let go of those that have been dead or left for long."""
+    def remove_expired(self, now: float, on_removed: Callable[[str], None]) -> None:
+        """Remove members that died or left long ago, and call `on_removed` with each name."""
         for name in [m.alive.name for m in self if m.state >= State.DEAD and now - m.since > REMOVE_AFTER]:
             number, member = bucket_of(name), self._by_name.pop(name)
             self._bucket_hashes[number] ^= member.state_hash()
             self._bucket_names[number].discard(name)
-            gone(name)
+            on_removed(name)
 
     def next_probe_target(self) -> Member | None:
-        """The next member to probe: a round over all in a random order, then another."""
+        """Return the next member to probe: a round over all in a random order, then another."""
         for _ in range(2):
             while self._probe_order:
                 member = self._by_name.get(self._probe_order.pop())
@@ -193,11 +197,13 @@
             self._random.shuffle(self._probe_order)
         return None
 
-    def sample(self, count: int, dead: bool = False, exclude: str = "") -> list[Member]:
-        """A few members at random, live ones or dead ones."""
-        if dead:
-            buried = [m for m in self if m.state is State.DEAD]
-            return buried if len(buried) <= count else self._random.sample(buried, count)
+    def sample_dead(self, count: int) -> list[Member]:
+        """Return up to `count` dead members at random."""
+        dead = [member for member in self if member.state is State.DEAD]
+        return dead if len(dead) <= count else self._random.sample(dead, count)
+
+    def sample(self, count: int, exclude: str = "") -> list[Member]:
+        """Return up to `count` live members at random."""
         drawn = self._random.sample(self._live_names, min(count + bool(exclude), len(self._live_names)))
         return [self._by_name[name] for name in drawn if name != exclude][:count]
 
@@ -217,7 +223,7 @@
             self._live_index[name] = len(self._live_names)
             self._live_names.append(name)
         elif member.state >= State.DEAD and name in self._live_index:
-            place, last = self._live_index.pop(name), self._live_names.pop()
+            index, last = self._live_index.pop(name), self._live_names.pop()
             if last != name:
-                self._live_names[place], self._live_index[last] = last, place
+                self._live_names[index], self._live_index[last] = last, index
         return member
--- a/tealwing/gossip/messages.py
+++ b/tealwing/gossip/messages.py
@@ -1,10 +1,11 @@
-"""The datagrams: a versioned binary codec, signed and bounded; pure. Bad input is a Rejected with its cause.
+"""The datagrams: a versioned binary codec, signed and bounded; pure. Bad input raises MessageRejectedError.
 
     magic (3 bytes) | version (1) | key id (8) | signature (64) | payload
 
-The payload is a msgpack array of msgspec's typed records. What an instance says of itself (that it lives, that it
-leaves, what it saw of engines) carries a signature of its own and is passed on unchanged, so nobody can speak for
-another; what it says of others counts as its own word.
+The payload is a msgpack array of msgspec's typed records, told apart by their tags; order and tags are the format, the
+names are not. A statement of an instance about itself (that it is alive, that it leaves, its health report) carries a
+signature of its own and is passed on unchanged, so nobody can make one for another; a rumour about others counts as
+its sender's.
 """
 
 from __future__ import annotations
@@ -40,23 +41,23 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The base of all that is sent."""
+    """The base of all records on the wire."""
 
 
 class Alive(Record, tag=1, frozen=True):
-    """An instance's word that it lives: its address, and the incarnation that refutes doubts of lower ones."""
+    """An instance's statement that it is alive: its address, and the incarnation that refutes suspicions."""
 
     name: Name
     host: Host
     port: Port
-    boot: Uint48  # ms of the Unix clock at its start: a later start under the name goes before an earlier one
+    boot: Uint48  # ms of the Unix clock at its start: of two under one name the later keeps it
     incarnation: Count
     key: KeyId
     signature: Signature
 
 
 class Left(Record, tag=2, frozen=True):
-    """An instance's word that it ends."""
+    """An instance's statement that it leaves."""
 
     name: Name
     boot: Uint48
@@ -74,7 +75,7 @@
 
 
 class Dead(Record, tag=4, frozen=True):
-    """The sender holds a member for dead, as of an incarnation."""
+    """The sender holds a member dead, as of an incarnation."""
 
     name: Name
     boot: Uint48
@@ -85,18 +86,18 @@
     """What an instance saw of one start of one engine."""
 
     engine: Count
-    started_ms: Uint48  # ms; 0: long ago
+    started_ms: Uint48  # 0: long ago
     slowness: Slowness  # latency over the class's best, over the same of the whole fleet
     failure_ratio: Fraction
     samples: Samples  # answers that this rests on
 
 
 class HealthReport(Record, tag=5, frozen=True):
-    """What an instance saw of engines, the latest word of it; version is ms of its Unix clock."""
+    """What an instance saw of engines; of two reports that with the higher version counts."""
 
     name: Name
     boot: Uint48
-    version: Uint48
+    version: Uint48  # ms of its Unix clock
     observations: Annotated[list[EngineObservation], msgspec.Meta(max_length=16)]
     key: KeyId
     signature: Signature
@@ -108,44 +109,44 @@
 
 
 class Ping(Record, tag=11, frozen=True):
-    """Are you there? `to` must be the receiver's name, or empty where it is not known yet."""
+    """A probe; `to` must be the receiver's name, or empty where it is not known yet."""
 
     number: Count
     to: Annotated[str, msgspec.Meta(max_length=32)]
 
 
 class Ack(Record, tag=12, frozen=True):
-    """I am here, or the member that you asked me to ping is."""
+    """The answer to a ping, or to a ping request whose member answered."""
 
     number: Count
 
 
 class Nack(Record, tag=13, frozen=True):
-    """The member that you asked me to ping has not answered me."""
+    """The answer to a ping request whose member has not answered yet."""
 
     number: Count
 
 
 class PingRequest(Record, tag=14, frozen=True):
-    """Ping a member for me."""
+    """Asks the receiver to ping a member (SWIM's ping-req)."""
 
     number: Count
     name: Name
 
 
 class Gossip(Record, tag=15, frozen=True):
-    """Rumours alone."""
+    """A datagram for its rumours alone."""
 
 
 class Digest(Record, tag=16, frozen=True):
-    """Hashes of all that the sender knows of members, by bucket; `answer` asks for the receiver's too."""
+    """Hashes of the sender's member list, by bucket; `request_reply` asks for the receiver's too."""
 
     buckets: Annotated[list[Uint48], msgspec.Meta(max_length=64)]
-    reply_wanted: bool
+    request_reply: bool
 
 
 class Fetch(Record, tag=17, frozen=True):
-    """Send me what you know of the members of these buckets."""
+    """Asks for the rumours about the members of these buckets."""
 
     buckets: Annotated[list[Annotated[int, msgspec.Meta(ge=0, le=63)]], msgspec.Meta(max_length=64)]
 
@@ -154,12 +155,12 @@
 
 
 class Payload(Record, frozen=True):
-    """What is signed: who sends, in which life, which message of it, when, and what."""
+    """What a datagram's signature covers: the sender, its start, the message's number and time, and its content."""
 
     name: Name
     boot: Uint48
     sequence: Uint48
-    sent_at_ms: Uint48  # ms of the sender's Unix clock
+    sent_at_ms: Uint48  # of the sender's Unix clock
     body: Body
     rumours: Annotated[list[Rumour], msgspec.Meta(max_length=64)]
 
@@ -170,7 +171,7 @@
     key_id: bytes
 
     def sign(self, data: bytes) -> bytes:
-        """A signature."""
+        """Return a signature."""
 
 
 Verify = Callable[[str, bytes, bytes, bytes], bool]  # name, key id, data, signature
@@ -180,24 +181,28 @@
 
 
 def encode(payload: Payload, signer: Signer) -> bytes:
-    """A datagram."""
+    """Return the datagram of a payload."""
     data = _encoder.encode(payload)
     head = MAGIC + bytes([VERSION]) + signer.key_id
     return head + signer.sign(head + data) + data
 
 
 def rumour_size(rumour: Rumour) -> int:
-    """Bytes that a rumour takes in a datagram."""
+    """Return the bytes that a rumour takes in a datagram."""
     return len(_encoder.encode(rumour))
 
 
 def datagram_size(payload: Payload) -> int:
-    """Bytes of a datagram with this payload."""
+    """Return the bytes of a datagram with this payload."""
     return FRAME_BYTES + len(_encoder.encode(payload))
 
 
 def split_frame(data: bytes) -> tuple[bytes, bytes, bytes, bytes]:
-    """Key id, signature, what was signed, and the payload's bytes; cheap checks only."""
+    """Return key id, signature, the bytes that it covers, and the payload's bytes.
+
+    Raises:
+        MessageRejectedError: the size, the magic or the version is wrong; nothing else is checked.
+    """
     if not FRAME_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
         raise MessageRejectedError(RejectionCause.SIZE)
     if data[: len(MAGIC)] != MAGIC:
@@ -210,7 +215,11 @@
 
 
 def decode(data: bytes, verify: Verify) -> Payload:
-    """The payload of a datagram whose sender's signature holds."""
+    """Return the payload of a datagram.
+
+    Raises:
+        MessageRejectedError: the datagram is malformed, or its signature is not valid.
+    """
     key, signature, signed, body = split_frame(data)
     try:
         payload = _decoder.decode(body)
--- a/tealwing/gossip/rumour_queue.py
+++ b/tealwing/gossip/rumour_queue.py
@@ -42,8 +42,8 @@
         self._by_sends[0][key] = rumour, messages.rumour_size(rumour)
         self._sends[key] = 0
         if len(self._sends) > QUEUE_LIMIT:
-            sent_most = next(queued for queued in reversed(self._by_sends) if queued)
-            self._remove(next(iter(sent_most)))
+            last_queue = next(queued for queued in reversed(self._by_sends) if queued)
+            self._remove(next(iter(last_queue)))
 
     def record_received(self, rumour: Rumour, max_sends: int) -> None:
         """Count a rumour that another member sent too as sent once."""
--- a/tealwing/gossip/section.py
+++ b/tealwing/gossip/section.py
@@ -13,7 +13,7 @@
 from tealwing.gossip.keys import AllowedKey
 from tealwing.gossip.messages import MAX_DATAGRAM_BYTES
 
-MIN_BYTES_PER_S = 4 * MAX_DATAGRAM_BYTES  # bytes a second: below that a probe and its answers do not fit a period
+MIN_BYTES_PER_S = 4 * MAX_DATAGRAM_BYTES  # below that a probe and its answers do not fit the probe interval
 
 
 def _peer(words: values.Words) -> AllowedKey:
@@ -62,7 +62,7 @@
 
 
 def build(block: Block, report: Report) -> GossipConfig:
-    """The plan that a checked section makes."""
+    """Return the configuration that a checked section makes."""
     peers: list[Entry] = block.all("peer")
     allowed = tuple(entry.value for entry in peers)
     for entry in peers:
