--- a/tealwing/lab/rumours.py
+++ b/tealwing/lab/rumours.py
@@ -32,7 +32,7 @@
 LATENCY = 0.2  # s of a lookup at an engine that is well
 KEEP, PRIOR = 0.6, 3.0  # a second, and answers, as `policy.PACE_KEEP` and `policy.PACE_PRIOR`
 TIMES_SLOWER = 5.0
-LOOK = 0.25  # s between two looks, as `transport.LOOK`
+LOOK = 0.25  # s between two looks, as `service.HEALTH_INTERVAL`
 
 
 class Eyes:
@@ -64,7 +64,7 @@
         self._now = end
 
     def evidence(self) -> dict[tuple[int, int], EngineHealth]:
-        """As `observe.words` would show it."""
+        """As `local_evidence.observe_engines` would return it."""
         found = {}
         for engine in range(ENGINES):
             exposed, done = self._exposed[engine], self._done[engine]
