--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -91,7 +91,8 @@
     with ProcessPoolExecutor(jobs, mp_context=get_context("spawn")) as pool:
         results = dict(zip(todo, pool.map(play, todo), strict=True))
     print(
-        "| case | worth before / off / on | worst 10 s off / on | lookups in time off / on | first account off / on | changes, most a minute |"
+        "| case | worth before / off / on | worst 10 s off / on | lookups in time off / on | first account off / on"
+        " | changes, most a minute |"
     )
     print("| --- | --- | --- | --- | --- | --- |")
     for name in CASES:
--- a/tealwing/commands/levels.py
+++ b/tealwing/commands/levels.py
@@ -90,20 +90,25 @@
     last: dict[str, Any] = {}
     if not as_json:
         click.echo(
-            f"{'threshold':20} {'form':9} {'period':>7} {'load':>6} {'changes':>8} {'a minute':>9} {'worth on':>9} {'off':>7} {'lookups on':>11} {'off':>7}"
+            f"{'threshold':20} {'form':9} {'period':>7} {'load':>6} {'changes':>8} {'a minute':>9} {'worth on':>9}"
+            f" {'off':>7} {'lookups on':>11} {'off':>7}"
         )
     for last in module.swing(plan, seed, minutes * 60, jobs or os.cpu_count() or 1):
         if as_json:
             line(last)
         elif "summary" not in last:
             click.echo(
-                f"{last['threshold']:20} {last['form']:9} {last['period_s']:>6g}s {last['load']:>6.2f} {last['changes']:>8} {last['changes_per_minute_max']:>9} {last['worth']['on']:>9.4f} {last['worth']['off']:>7.4f} {last['lookup_in_time']['on']:>11.4f} {last['lookup_in_time']['off']:>7.4f}"
+                f"{last['threshold']:20} {last['form']:9} {last['period_s']:>6g}s {last['load']:>6.2f}"
+                f" {last['changes']:>8} {last['changes_per_minute_max']:>9} {last['worth']['on']:>9.4f}"
+                f" {last['worth']['off']:>7.4f} {last['lookup_in_time']['on']:>11.4f}"
+                f" {last['lookup_in_time']['off']:>7.4f}"
             )
     if not as_json:
         for name in last["not_entered_by_load"]:
             click.echo(f"{name}: load alone does not enter it")
         click.echo(
-            f"most changes in a minute: {last['changes_per_minute_max']}; worth on {last['worth']['on']:.4f}, off {last['worth']['off']:.4f}"
+            f"most changes in a minute: {last['changes_per_minute_max']}; worth on {last['worth']['on']:.4f}, off"
+            f" {last['worth']['off']:.4f}"
         )
     if last["changes_per_minute_max"] > MOST_CHANGES or last["rules_broken"]:
         raise SystemExit(1)
--- a/tealwing/lab/hollow/fleet.py
+++ b/tealwing/lab/hollow/fleet.py
@@ -175,7 +175,8 @@
                 return time.monotonic() - begun
             if time.monotonic() - begun > settle:
                 raise HollowFault(
-                    f"after {settle:g} s {open_gates} of {len(self.fleet.members)} gates are open, and {found.leader() or 'nobody'} leads: {self.faults()[:600]}"
+                    f"after {settle:g} s {open_gates} of {len(self.fleet.members)} gates are open, and"
+                    f" {found.leader() or 'nobody'} leads: {self.faults()[:600]}"
                 )
             time.sleep(POLL)
 
