--- a/tealwing/adapter.py
+++ b/tealwing/adapter.py
@@ -43,7 +43,7 @@
         records: list[bytes] = []
         for instance, event in self.decoder.events(body, count):
             if isinstance(event, wire.Init):
-                self.gateways[instance] = self._begin(wire.settings(event.facts), event.seed)
+                self.gateways[instance] = self._begin(wire.parse_settings(event.facts), event.seed)
             elif isinstance(event, wire.Teardown):
                 self.gateways.pop(instance, None)
             elif instance not in self.gateways:
--- a/tealwing/config.py
+++ b/tealwing/config.py
@@ -112,7 +112,7 @@
         raise ConfigError(f"limits.cores: {cores!r} is not a number above 0 and up to {MAX_CORES}")
     facts = _section(data.get("settings"), "settings")
     try:
-        settings = wire.settings(orjson.dumps(facts))
+        settings = wire.parse_settings(orjson.dumps(facts))
     except (ValueError, wire.WireError) as error:
         raise ConfigError(f"settings: {error}") from None
     try:
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -216,7 +216,7 @@
     def _fleet_settings(self, version: int, text: bytes) -> None:
         """A version of the replicated settings that is good, from the disk or as the fleet has agreed on it."""
         try:
-            settings = wire.settings(text)
+            settings = wire.parse_settings(text)
         except (ValueError, wire.WireError) as error:  # checked by whoever proposed it, by another version of us
             log.event("fleet_settings_unusable", version=version, error=str(error))
             return
--- a/tealwing/replica/service.py
+++ b/tealwing/replica/service.py
@@ -74,7 +74,7 @@
         if not self._replica.back.may_change:
             return {"word": "unavailable", "why": self._replica.back.reason(self._replica.seen())}
         try:
-            wire.settings(text)
+            wire.parse_settings(text)
         except (ValueError, wire.WireError) as error:
             raise CallRejectedError(f"text: {error}") from None
 
--- /dev/null
+++ b/tealwing/wire/settings.py
@@ -0,0 +1,176 @@
+"""The settings as the platform's JSON tells them, read into `tealwing.interface.Settings`.
+
+The keys are those of the operators' page; this module maps them to the terms that the rest of the program uses.
+"""
+
+from __future__ import annotations
+
+import json
+import math
+from typing import Any
+
+from tealwing import interface as api
+from tealwing.wire.errors import WireError
+
+NS = 1_000_000_000  # nanoseconds in a second
+IDEMPOTENCY = {
+    "repeatable": api.Idempotency.IDEMPOTENT,
+    "by_key": api.Idempotency.KEYED,
+    "once": api.Idempotency.NOT_IDEMPOTENT,
+}
+
+
+class Facts:
+    """A JSON object of the settings, with errors that name what is missing or wrong."""
+
+    def __init__(self, data: Any, path: str = "") -> None:
+        if not isinstance(data, dict):
+            raise ValueError(f"setting {path or 'Facts'} is not an object")
+        self.data, self.path = data, path
+
+    def get(self, name: str, kind: type, *default: Any) -> Any:
+        """One value of the kind; the default stands for a key that the wire lets be absent."""
+        where = f"{self.path}.{name}" if self.path else name
+        value = self.data.get(name)
+        if value is None:
+            if default:
+                return default[0]
+            raise ValueError(f"missing setting {where}")
+        if kind is float and isinstance(value, int) and not isinstance(value, bool):
+            value = float(value)
+        if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
+            raise ValueError(f"impossible setting {where}: {value!r}")
+        if isinstance(value, float) and not math.isfinite(value):
+            raise ValueError(f"impossible setting {where}: {value!r}")
+        return value
+
+    def seconds(self, name: str, *default: float) -> float:
+        """A duration, told in nanoseconds."""
+        value: float = self.get(name, float, *(d * NS for d in default))
+        return value / NS
+
+    def sub(self, name: str) -> Facts:
+        """An object within this one."""
+        return Facts(self.get(name, dict), f"{self.path}.{name}" if self.path else name)
+
+    def choice(self, name: str, values: dict[str, Any]) -> Any:
+        """Return what one of the wire's words stands for."""
+        value = self.get(name, str)
+        if value not in values:
+            raise ValueError(f"impossible setting {self.path}.{name}: {value!r}")
+        return values[value]
+
+    def places(self, name: str) -> frozenset[int] | None:
+        """A set of places in a settings list; None where the key is absent."""
+        values = self.get(name, list, None)
+        if values is None:
+            return None
+        if not all(isinstance(v, int) and not isinstance(v, bool) for v in values):
+            raise ValueError(f"impossible setting {self.path}.{name}: {values!r}")
+        return frozenset(values)
+
+
+def _class(facts: Facts, threads: int, holds: bool, waits: bool) -> api.RequestClass:
+    groups = {group.value: group for group in api.IdempotencyScope}
+    return api.RequestClass(
+        name=facts.get("Name", str),
+        latency_objective=facts.seconds("TargetNs"),
+        objective_per_work=facts.get("AimStretch", float, 0.0),
+        deadline=facts.seconds("DeadlineNs"),
+        priority_weight=facts.get("Credit", float),
+        late_weight_share=facts.get("LateShare", float, 0.0),
+        idempotency=facts.choice("Effect", IDEMPOTENCY),
+        idempotency_scope=facts.choice("Group", groups) if "Group" in facts.data else api.IdempotencyScope.ALL,
+        idempotency_window=facts.seconds("WindowNs", 0.0),
+        ordered=facts.get("FifoByKey", bool, False),
+        threads=threads,
+        zones=facts.places("ConfinedTo"),
+        machine_kinds=facts.places("BoundTo"),
+        locks_tables=holds,
+        waits_for_locks=waits,
+    )
+
+
+def _account(facts: Facts) -> api.TenantQuota:
+    share, rate = facts.get("Share", float, 1.0), facts.get("QuotaRps", float, 0.0)
+    return api.TenantQuota(facts.get("Name", str), share, rate)
+
+
+def _listed(facts: Facts, name: str, length: int) -> list[Any]:
+    values: list[Any] = facts.get(name, list)
+    if len(values) < length or not all(isinstance(v, (int, float)) for v in values):
+        raise ValueError(f"impossible setting {facts.path}.{name}: {values!r}")
+    return values
+
+
+def parse_settings(text: bytes) -> api.Settings:
+    """The settings of an instance from its JSON text."""
+    try:
+        facts = Facts(json.loads(text))
+    except (json.JSONDecodeError, UnicodeDecodeError) as error:
+        raise WireError(f"the settings are not JSON: {error}") from None
+    family, allowed, rules = facts.sub("FamilyInfo"), facts.sub("Allowed"), facts.sub("Contract")
+    prices, report = facts.sub("Prices"), facts.sub("Report")
+    grades, kinds = facts.get("Grades", list), facts.get("Kinds", list)
+    accounts = facts.get("Accounts", list, [])
+    threads = _listed(family, "WidthByClass", len(grades))
+    cores, memory = _listed(family, "CoresByKind", len(kinds)), _listed(family, "RamOfKindMb", len(kinds))
+    # older settings name neither loads nor the classes that wait for them
+    none = [False] * len(grades)
+    holds, waits = family.get("HoldsTables", list, none), family.get("ClassWaits", list, none)
+    if len(holds) < len(grades) or len(waits) < len(grades):
+        raise ValueError(f"impossible setting {family.path}: HoldsTables or ClassWaits is too short")
+    return api.Settings(
+        instance_number=facts.get("Me", int),
+        gateway_count=facts.get("Siblings", int),
+        zone=facts.get("Zone", int),
+        zones=tuple(facts.get("Zones", list)),
+        machine_kinds=tuple(
+            api.MachineKind(str(k), c, float(m)) for k, c, m in zip(kinds, cores, memory, strict=False)
+        ),
+        classes=tuple(
+            _class(Facts(g, f"Grades[{i}]"), threads[i], bool(holds[i]), bool(waits[i])) for i, g in enumerate(grades)
+        ),
+        limits=api.Limits(
+            cancellation=allowed.get("Cancelling", bool),
+            hedging=allowed.get("MayDuplicate", bool),
+            health_checks=allowed.get("Probing", bool, False),
+            peer_messages=allowed.get("Peers", bool, False),
+            retry_after=allowed.get("RetryAfter", bool),
+            max_attempts=allowed.get("MaxAttempts", int),
+            max_retry_after=allowed.seconds("MaxRetryAfterNs", 0.0),
+            connect_timeout=allowed.seconds("ConnectTimeoutNs", 1.0),
+            idle_timeout=allowed.seconds("ConnIdleNs", 30.0),
+            attempts_per_connection=allowed.get("Multiplex", int, 100),
+        ),
+        rules=api.Rules(
+            answer_slack=rules.seconds("AnswerSlackNs"),
+            poll_interval=rules.seconds("AskWithinNs", 0.0),
+            slow_start_share=rules.get("ColdShare", float),
+            slow_start_time=rules.seconds("ColdNs"),
+            drain_grace=rules.seconds("DrainGraceNs"),
+            overload_multiple=rules.get("FallMultiple", float),
+            overload_time=rules.seconds("TipAfterNs"),
+            ordering_settle_time=rules.seconds("SettleAfterDoubtNs", 0.0),
+            retry_budget_floor=rules.get("ExtraFree", float, None),
+            retry_budget_share=rules.get("ExtraPerRequest", float, 0.0),
+            retry_budget_window=rules.seconds("BudgetSpanNs", 0.0),
+        ),
+        prices=api.Prices(
+            prices.get("CrossZone", float, 0.0),
+            prices.get("Waste", float, 0.0),
+            prices.get("LateFail", float, 0.0),
+        ),
+        polls_discovery=facts.choice("Discovery", {"push": False, "ask": True}),
+        report_fields=() if report.get("Via", str) == "silent" else tuple(report.get("Columns", list, [])),
+        heeds_memory_grants=family.get("TakesGrants", bool, False),
+        heeds_priorities=family.get("RanksHeeded", bool, False),
+        max_grant_share=family.get("MostGrant", float, 1.0),
+        progress_interval=family.seconds("TellsEveryNs", 0.0),
+        reports_cost=family.get("TellsCost", bool, False),
+        memory_shortage_policy=family.get("Overbooked", str, "wait"),
+        clients_mark_retries=facts.sub("Clients").get("MarksRetry", bool, False),
+        tick=facts.seconds("TickNs"),
+        tenants=tuple(Facts(a, f"Accounts[{i}]").get("Name", str) for i, a in enumerate(accounts)),
+        tenant_quotas=tuple(_account(Facts(a, f"Accounts[{i}]")) for i, a in enumerate(accounts)),
+    )
--- a/tests/sites.py
+++ b/tests/sites.py
@@ -125,7 +125,7 @@
 
 def read(text: dict[str, Any]) -> api.Settings:
     """Settings as the gateway reads them."""
-    return wire.settings(json.dumps(text).encode())
+    return wire.parse_settings(json.dumps(text).encode())
 
 
 def fields(text: dict[str, Any], cls: int, tenant: int, call: int) -> dict[str, Any]:
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -21,7 +21,7 @@
 from tealwing.lab.standins.coordinator import Coordinator
 from tealwing.lab.standins.engine import Engine, Keys, truth
 from tealwing.resp import messages
-from tealwing.wire import settings as read_settings
+from tealwing.wire import parse_settings as read_settings
 from tests.peers import LIMIT, ROOT, SETTINGS, Client, Program, member
 
 SEED = 9
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -169,7 +169,7 @@
 
 
 def test_settings_are_read_and_unknown_keys_ignored() -> None:
-    got = wire.settings(json.dumps(FACTS).encode())
+    got = wire.parse_settings(json.dumps(FACTS).encode())
     cls = got.classes[0]
     assert (cls.latency_objective, cls.deadline, cls.priority_weight, cls.threads) == (1.0, 5.0, 2.0, 2)
     assert (cls.idempotency, cls.idempotency_scope, cls.idempotency_window) == (
@@ -215,9 +215,9 @@
 )
 def test_a_missing_or_impossible_setting_is_named(path: str, value: Any, named: str) -> None:
     with pytest.raises(ValueError, match=named):
-        wire.settings(changed(path, value))
+        wire.parse_settings(changed(path, value))
 
 
 def test_broken_json_is_an_error() -> None:
     with pytest.raises(wire.WireError, match="JSON"):
-        wire.settings(b"{")
+        wire.parse_settings(b"{")
