--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -12,11 +12,11 @@
 from tealwing.lab.hollow.requirements import TooLarge
 from tealwing.lab.rollout import trials
 from tealwing.lab.rollout.measure import share
-from tealwing.rules.records import LostTouch
+from tealwing.rules.records import PartitionMode
 
 NAME = "change"
 SUMMARY = "a change of the rules on real sockets: time until in force everywhere, messages and bytes by role"
-VIRTUAL_NAMES: dict[LostTouch, str] = {"serve": "virtual-serve", "hold": "virtual-hold"}
+VIRTUAL_NAMES: dict[PartitionMode, str] = {"serve": "virtual-serve", "hold": "virtual-hold"}
 VIRTUAL_SUMMARY = (
     "changes in virtual time up to 1,100 gateways, without loss: gap, time until open, messages; lost-touch {}"
 )
@@ -31,7 +31,7 @@
 TEXT = b"[classes.lookup]\naim-ms = %d\n"
 AIM = 600  # ms, of the first version; each further one has one more
 SEED = 20
-MODES: tuple[LostTouch, ...] = ("serve", "hold")
+MODES: tuple[PartitionMode, ...] = ("serve", "hold")
 
 
 def make(fleet: HollowFleet, number: int) -> tuple[float, str]:
@@ -105,7 +105,7 @@
     return Measured(NAME, "members", sizes, tuple(series), (note, "costs are over those at rest"))
 
 
-def measure_virtual(mode: LostTouch, options: Options) -> Measured:
+def measure_virtual(mode: PartitionMode, options: Options) -> Measured:
     """Measure one mode at each size, in virtual time."""
     sizes = VIRTUAL_SMALL if options.small else VIRTUAL_SIZES
     series = []
--- a/benchmarks/capacity/day.py
+++ b/benchmarks/capacity/day.py
@@ -11,9 +11,9 @@
 from benchmarks.capacity.records import CapacityError, Measured, Options, Point, Series
 from tealwing.lab.hollow.fleet import HollowFault, HollowFleet
 from tealwing.lab.hollow.requirements import TooLarge
-from tealwing.rules.records import LostTouch
+from tealwing.rules.records import PartitionMode
 
-NAMES: dict[LostTouch, str] = {"serve": "day-serve", "hold": "day-hold"}
+NAMES: dict[PartitionMode, str] = {"serve": "day-serve", "hold": "day-hold"}
 SUMMARY = "changes each 16 s while members restart each 7.2 s, then the leader's loss; lost-touch {}"
 SIZE, SMALL_SIZE = 96, 12
 SINGLES, SMALL_SINGLES = 8, 2  # learners that restart, each in a process of its own
@@ -51,7 +51,7 @@
         found.restarts += 1
 
 
-def one(mode: LostTouch, size: int, singles: int, seconds: float, every: float) -> Found:
+def one(mode: PartitionMode, size: int, singles: int, seconds: float, every: float) -> Found:
     """One mode at one size. CapacityError where the machine can't carry it."""
     found = Found()
     try:
@@ -100,7 +100,7 @@
             time.sleep(POLL)
 
 
-def measure(mode: LostTouch, options: Options) -> Measured:
+def measure(mode: PartitionMode, options: Options) -> Measured:
     """One mode."""
     size, singles = (SMALL_SIZE, SMALL_SINGLES) if options.small else (SIZE, SINGLES)
     seconds, every = (SMALL_SECONDS, SMALL_CHANGE_EVERY) if options.small else (SECONDS, CHANGE_EVERY)
--- a/benchmarks/rollout_scale.py
+++ b/benchmarks/rollout_scale.py
@@ -10,10 +10,10 @@
 
 from tealwing.lab.rollout import trials
 from tealwing.lab.rollout.measure import Found, share
-from tealwing.rules.records import LostTouch
+from tealwing.rules.records import PartitionMode
 
 SEED = 20
-MODES: tuple[LostTouch, ...] = ("serve", "hold")
+MODES: tuple[PartitionMode, ...] = ("serve", "hold")
 SIZES = ((1, 5), (1, 50), (1, 200), (3, 3), (20, 3), (20, 5))
 LOSSES = (0.0, 0.01)
 HEAD = ("run", "loss", "changes", "in force", "gap p50 p99 ms", "decided p50 p99 ms", "open p50 p99 ms",
--- a/tealwing/federation/delegate.py
+++ b/tealwing/federation/delegate.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from tealwing.rollout.retry import Retry
-from tealwing.rollout.view import CLOSING, View, view
+from tealwing.rollout.view import CLOSING, View, view_of
 from tealwing.rules.records import (
     Abort,
     Activate,
@@ -18,8 +18,8 @@
     Body,
     Close,
     Closed,
-    LostTouch,
     Member,
+    PartitionMode,
     Propose,
     Verdict,
     Version,
@@ -35,33 +35,33 @@
 
     The federation's state is that at fed_index. Said again, each of these changes nothing more.
     """
-    here, there = view(site_tables, 0, site), view(fed_tables, fed_index, site)
+    here, there = view_of(site_tables, 0, site), view_of(fed_tables, fed_index, site)
     gateways: Mapping[str, Member] = site_tables["rule_members"]
     if not gateways:
         return [], []
     versions: Mapping[str, Version] = fed_tables["rules"]
     ours = _here(here, there, versions, fed_index)
     theirs = _begin(site, here, there, gateways)
-    me, flight = there.me, there.flight
-    if me is not None and not me.lapsed and flight is not None and not theirs:
+    me, flight = there.local_member, there.in_flight
+    if me is not None and not me.expiry_index and flight is not None and not theirs:
         number = flight.number
         if flight.phase in ("proposed", "checked"):
-            said = flight.said.get(site)
+            said = flight.verdicts.get(site)
             if (said is None or said.start != me.start) and (word := _word(here, site_tables, number)) is not None:
                 theirs.append(Verdict(number, site, me.start, *word))
-        elif here.closing == number and me.closed != number and here.known(number) == "agreed":
+        elif here.closing_for == number and me.closed != number and here.phase_of(number) == "agreed":
             theirs.append(Closed(number, site, me.start))
     return ours, theirs
 
 
 def _here(here: View, there: View, versions: Mapping[str, Version], fed_index: int) -> list[Body]:
-    flight = here.flight
+    flight = here.in_flight
     if flight is not None:
         if not flight.federated:
             return []  # of before the site took part: its own log ends it
         number, theirs = flight.number, versions.get(str(flight.number))
         if theirs is None:  # not heard of yet, or over so long ago that nothing needs it here
-            gone = there.known(number) is not None
+            gone = there.phase_of(number) is not None
             return [Abort(number, "it is long over in the federation", fed_index)] if gone else []
         if theirs.phase in ("rejected", "aborted", "withdrawn"):
             return [Abort(number, theirs.outcome, theirs.changed)]
@@ -71,10 +71,10 @@
         if flight.phase == "agreed" and in_force:
             return [Activate(number, theirs.changed)]
         return []
-    wanted = versions.get(str(there.active)) if not here.is_up_to(there) else there.flight
+    wanted = versions.get(str(there.active)) if not here.is_up_to(there) else there.in_flight
     if wanted is None:
         return []
-    phase = here.known(wanted.number)
+    phase = here.phase_of(wanted.number)
     if phase is None or phase == "rejected" and wanted.phase == "active":
         return [Propose(
             here.active, wanted.digest, wanted.text, wanted.who, wanted.when, wanted.why, wanted.number, True,
@@ -88,29 +88,29 @@
 
     A lapsed gateway's new start is its own; a site's is nobody's: its gateways may still have permits of the old one.
     """
-    me = there.me
-    serves = any(member.lost_touch == "serve" for member in gateways.values())
-    mode: LostTouch = "serve" if serves or me is not None and me.lost_touch == "serve" else "hold"
+    me = there.local_member
+    serves = any(member.partition_mode == "serve" for member in gateways.values())
+    mode: PartitionMode = "serve" if serves or me is not None and me.partition_mode == "serve" else "hold"
     build = min(member.build for member in gateways.values())
     permit = max(member.permit for member in gateways.values())
     if me is None:
         return [Begin(site, 1, mode, build, permit)] if here.is_up_to(there) else []
-    if me.lapsed and not (me.over and here.is_up_to(there)):
+    if me.expiry_index and not (me.expiry_confirmed and here.is_up_to(there)):
         return []
-    if me.lapsed or me.lost_touch != mode:
+    if me.expiry_index or me.partition_mode != mode:
         return [Begin(site, me.start + 1, mode, build, permit, me.start)]
     return []
 
 
 def _word(here: View, site_tables: Tables, number: int) -> tuple[bool, str] | None:
     """The site's word on a version that is proposed; None as long as it has none."""
-    phase = here.known(number)
+    phase = here.phase_of(number)
     if phase in ("checked", "preparing", "agreed", "active"):
         return True, ""
     if phase in ("rejected", "aborted", "withdrawn"):
         kept: Version | None = site_tables["rules"].get(str(number))
         return False, kept.outcome if kept is not None else f"number {number} was given at this site already"
-    if phase is None and 0 < number <= here.last or phase == "superseded":
+    if phase is None and 0 < number <= here.last_number or phase == "superseded":
         return False, f"number {number} was given at this site already"
     return None
 
@@ -125,14 +125,14 @@
         """What to propose now in the site's log, and in the federation's; for whoever leads the site's log."""
         ours, theirs = duties(self.site, site_tables, fed_tables, fed_index)
         keyed: list[tuple[Hashable, Body]] = [(_key(body), body) for body in (*ours, *theirs)]
-        self._retry.keep([key for key, body in keyed if not isinstance(body, Propose)])
+        self._retry.retain([key for key, body in keyed if not isinstance(body, Propose)])
         ready = [body for key, body in keyed if self._due(now, key, body)]
         return [body for body in ours if body in ready], [body for body in theirs if body in ready]
 
     def _due(self, now: float, key: Hashable, body: Body) -> bool:
         if not isinstance(body, Propose):
             return self._retry.ready(now, key)
-        self._proposals.keep([key])  # not forgotten while it is in flight: one that is turned down comes again seldom
+        self._proposals.retain([key])  # not forgotten while it is in flight: one that is turned down comes again seldom
         return self._proposals.ready(now, key)
 
 
--- a/tealwing/federation/shell.py
+++ b/tealwing/federation/shell.py
@@ -20,10 +20,10 @@
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
 from tealwing.replica.node import Replica
-from tealwing.rollout.conductor import Conductor
-from tealwing.rollout.leading import HURRY
-from tealwing.rollout.seen import TABLES, Seen, seen
-from tealwing.rollout.witnesses import Witnesses
+from tealwing.rollout.conductor import RolloutCoordinator
+from tealwing.rollout.leading import EXPEDITED
+from tealwing.rollout.seen import TABLES, ObservedState, observe
+from tealwing.rollout.witnesses import ExpiryObserver
 from tealwing.rules import records
 
 TICK = 0.05  # s between two looks where no entry comes
@@ -43,13 +43,13 @@
         self.plan, self.site_name, self.replica = plan, plan.site_of(name), all_
         self._site, self._link, self._clock = site, link, clock
         self._delegate = Delegate(self.site_name, all_.start_number)
-        self._conductor = Conductor(self.site_name, plan.limit, patience, bounds, all_.start_number)
-        self._witnesses = Witnesses(self.site_name, bounds, all_.start_number)
+        self._conductor = RolloutCoordinator(self.site_name, plan.limit, patience, bounds, all_.start_number)
+        self._witnesses = ExpiryObserver(self.site_name, bounds, all_.start_number)
         self._woken, self._stopped = threading.Event(), threading.Event()
         self._speaks = self._decides = self._conducts = False
         self._lapses: list[tuple[int, records.Body]] = []  # applied and not yet told to the witnesses
         self._lock = threading.Lock()  # round the lapses
-        self.seen: Seen = seen(all_.state, self.site_name)  # set on the replica's thread alone
+        self.state: ObservedState = observe(all_.state, self.site_name)  # set on the replica's thread alone
         self._changed: Callable[[], None] = lambda: None
         site.watch(lambda index, command, result: self._woken.set())
         site.on_led(self._site_led)
@@ -73,16 +73,16 @@
 
     def status(self) -> dict[str, Any]:
         """What operators ask for: the sites as the federation's log has them, and who speaks for ours."""
-        seen_ = self.seen
-        flight = seen_.me.flight
-        said = {} if flight is None else {who: {"yes": w.yes, "reason": w.reason} for who, w in flight.said.items()}
+        seen_ = self.state
+        flight = seen_.view.in_flight
+        said = {} if flight is None else {who: {"yes": w.yes, "reason": w.reason} for who, w in flight.verdicts.items()}
         return {
             "site": self.site_name, "speaks": self._speaks, "decides": self._decides, "index": seen_.index,
             "leader": self.replica.core.leader, "active": seen_.facts.active, "last": seen_.facts.last,
             "flight": None if flight is None else {"number": flight.number, "phase": flight.phase, "said": said},
             "sites": {
-                name: {"start": site.start, "lost_touch": site.lost_touch, "closed": site.closed,
-                       "lapsed": site.lapsed, "over": site.over, "heard": self._hears(name)}
+                name: {"start": site.start, "lost_touch": site.partition_mode, "closed": site.closed,
+                       "lapsed": site.expiry_index, "over": site.expiry_confirmed, "heard": self._hears(name)}
                 for name, site in sorted(seen_.members.items())
             },
         }  # fmt: skip
@@ -101,19 +101,19 @@
     def _applied(self, index: int, command: c.Command | None, result: c.CommandResult | None) -> None:
         body = command.body if command is not None else None
         if not isinstance(body, records.Body):
-            self.seen = replace(self.seen, index=index, me=replace(self.seen.me, index=index))
+            self.state = replace(self.state, index=index, view=replace(self.state.view, index=index))
             return
-        self.seen = seen(self.replica.state, self.site_name)
-        if isinstance(body, records.Lapse | records.Forget):
+        self.state = observe(self.replica.state, self.site_name)
+        if isinstance(body, records.ExpirePermit | records.Forget):
             with self._lock:
                 self._lapses.append((index, body))
-        if self._decides and result is not None and result.ok and isinstance(body, HURRY):
+        if self._decides and result is not None and result.ok and isinstance(body, EXPEDITED):
             self.replica.hurry()  # each step waits for the one before: sites must not learn of it with the next beat
         self._changed()
         self._woken.set()
 
     def _installed(self) -> None:
-        self.seen = seen(self.replica.state, self.site_name)
+        self.state = observe(self.replica.state, self.site_name)
         self._changed()
         self._woken.set()
 
@@ -133,18 +133,20 @@
 
     def _look(self) -> None:
         now = self._clock.now()
-        tables, index = self.seen.tables, self.seen.index
+        tables, index = self.state.tables, self.state.index
         with self._lock:
             lapses, self._lapses = self._lapses, []
         for at, body in lapses:
             self._witnesses.applied(now, at, body)
         if self._decides != self._conducts:
             self._conducts = self._decides
-            self._conductor.lead(now, self._conducts)
+            self._conductor.set_leading(now, self._conducts)
         if self._conducts:
             silent = [name for name in tables["rule_members"] if not self._hears(name)]
-            for body in self._conductor.look(now, tables, silent):
-                log.event("federation_says", what=type(body).__name__.lower(), number=getattr(body, "number", None))
+            for body in self._conductor.step(now, tables, silent):
+                log.event(
+                    "federation_says", what=records.COMMAND_NAMES[type(body)], number=getattr(body, "number", None)
+                )
                 self.replica.propose_here(c.encode(c.Command("", 0, body)))
         found = self._witnesses.due(now, tables)
         if not self._speaks:
@@ -155,7 +157,7 @@
         for body in ours:
             self._site.propose_here(c.encode(c.Command("", 0, body)))
         for body in theirs:
-            log.event("federation_site_says", site=self.site_name, what=type(body).__name__.lower(),
+            log.event("federation_site_says", site=self.site_name, what=records.COMMAND_NAMES[type(body)],
                       number=getattr(body, "number", None))  # fmt: skip
             self.replica.pass_on(c.encode(c.Command("", 0, body)))
 
--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -32,7 +32,7 @@
     from tealwing.rollout.gate import Gate
     from tealwing.rollout.here import Gateway
     from tealwing.rollout.plan import Plan as RulesPlan
-    from tealwing.rollout.shell import Shell
+    from tealwing.rollout.shell import Runtime
 
 MOST_RATE, LEAST_RATE = 2.0, 0.5  # of a clock that the laboratory skews
 
@@ -50,7 +50,7 @@
         """
         self.plan, self.replica_plan = plan, replica
         self.rules_plan: RulesPlan | None = None
-        self.rules: Shell | None = None
+        self.rules: Runtime | None = None
         self.federation_plan = federation
         self.federation: Federation | None = None
         self.clock = Clock()
--- a/tealwing/lab/hollow/host.py
+++ b/tealwing/lab/hollow/host.py
@@ -61,7 +61,7 @@
     peering = member.peering
     traffic = peering.link.traffic()
     assert peering.replica is not None and peering.rules is not None
-    core, steering = peering.replica.core, peering.rules.steering
+    core, steering = peering.replica.core, peering.rules.gate_control
     return MemberFigures(
         member.name, core.role.value, peering.replica.state.applied, steering.in_force, steering.is_open,
         traffic.sent, traffic.sent_bytes, traffic.received, traffic.received_bytes,
--- a/tealwing/lab/hollow/specification.py
+++ b/tealwing/lab/hollow/specification.py
@@ -57,4 +57,4 @@
 
 def rules_plan(fleet: Fleet) -> RulesPlan:
     """A member's section `rules`."""
-    return RulesPlan(lost_touch=fleet.lost_touch, limit=fleet.limit)
+    return RulesPlan(partition_mode=fleet.lost_touch, limit=fleet.limit)
--- a/tealwing/lab/models/federation.py
+++ b/tealwing/lab/models/federation.py
@@ -71,7 +71,7 @@
             if isinstance(body, r.Closed) and log == TOP:
                 world = model.apply(world, log, body)
         if lapse:
-            world = model.apply(world, TOP, r.Lapse(lapse, 1))
+            world = model.apply(world, TOP, r.ExpirePermit(lapse, 1))
         return world
 
     return begin
--- a/tealwing/lab/models/rollout.py
+++ b/tealwing/lab/models/rollout.py
@@ -39,8 +39,17 @@
     told,
     told_apart,
 )
-from tealwing.rollout.member import HELD, Check, Machine, Restart, Say, View, WriteMark, view
-from tealwing.rollout.witnesses import Witnesses
+from tealwing.rollout.member import (
+    HOLD_MARKER,
+    CheckBundle,
+    Machine,
+    PersistMarker,
+    Restart,
+    SubmitCommand,
+    View,
+    view_of,
+)
+from tealwing.rollout.witnesses import ExpiryObserver
 from tealwing.rules import records as r
 from tealwing.rules import registry
 
@@ -88,14 +97,14 @@
     def _node(self, name: str, mode: str, rate: float) -> Node:
         rate = WILD if name == self._wild else rate
         logs = self.logs_of(name)
-        nodes = {log: Witnesses(who, COARSE) for log, who in logs.items()}
+        nodes = {log: ExpiryObserver(who, COARSE) for log, who in logs.items()}
         for watch in nodes.values():
             watch._retry = EAGER
         machine = self._machine(name, mode, 1, 0, None, None)
         return Node(machine, rate, dict.fromkeys(logs, 0), dict.fromkeys(logs, 0), nodes)
 
     def _machine(self, name: str, mode: str, start: int, mark: int, disk: View | None, fed: View | None) -> Machine:
-        touch: r.LostTouch = "hold" if mode[0] == "h" else "serve"
+        touch: r.PartitionMode = "hold" if mode[0] == "h" else "serve"
         machine = Machine(
             name, touch, start, PERMIT, COARSE, mark, sabotage=self._sabotage, disk=disk,
             federated=len(self.logs_of(name)) > 1, disk_federated=fed,
@@ -188,13 +197,13 @@
                     yield log, r.Abort(flight.number)
             if world.budget.lapses and len(tables["rule_members"]) > 1:
                 for name, member in tables["rule_members"].items():
-                    if member.lost_touch == "hold" and not member.lapsed:
-                        yield log, r.Lapse(name, member.start)
+                    if member.partition_mode == "hold" and not member.expiry_index:
+                        yield log, r.ExpirePermit(name, member.start)
 
     top = LOG  # the log that decides
 
     def _may_read(self, world: World, node: Node, log: str) -> bool:
-        return node.machine.lost_touch == "hold" or node.machine.read_wanted(log != next(iter(node.at)))
+        return node.machine.partition_mode == "hold" or node.machine.read_would_extend(log != next(iter(node.at)))
 
     def apply(self, world: World, log: str, body: r.Body) -> World:
         """An entry is applied to the state; members come to it later. The same world if it changes nothing."""
@@ -207,7 +216,7 @@
         tables = self._applied[known][1]
         if tables is None:
             return world
-        kinds = {"lapses": r.Lapse, "aborts": r.Abort, "proposals": r.Propose}
+        kinds = {"lapses": r.ExpirePermit, "aborts": r.Abort, "proposals": r.Propose}
         spent = {key: int(isinstance(body, kind) and log == self.top) for key, kind in kinds.items()}
         after = self._after(world, spent)
         keys = *world.logs[log].keys, self._small(told_apart(tables))
@@ -236,7 +245,7 @@
         after = self._with(world, name, reads=1)
         node = after.nodes[name]
         token = node.machine.read_sent(self._clock(after, node), log != next(iter(node.at)))
-        node.machine.read_done(self._clock(after, node), token, len(after.logs[log].states) - 1)
+        node.machine.read_completed(self._clock(after, node), token, len(after.logs[log].states) - 1)
         return self._settled(after, name)
 
     def crash(self, world: World, name: str, at: Mapping[str, int], **spent: int) -> World:
@@ -244,22 +253,22 @@
         after = self._with(world, name, crashes=1, **spent)
         node = after.nodes[name]
         lost = "empty" in spent
-        touch = node.machine.lost_touch
+        touch = node.machine.partition_mode
         if "flips" in spent:
             touch = "hold" if touch == "serve" else "serve"
         views = [
-            None if lost else view(world.logs[log].states[at[log]], at[log], who)
+            None if lost else view_of(world.logs[log].states[at[log]], at[log], who)
             for log, who in self.logs_of(name).items()
         ]
-        start, mark = (1, 0) if lost else (node.machine.start + 1, node.machine.mark)
-        if mark == HELD and self._mutation == "mode-forgotten":
+        start, mark = (1, 0) if lost else (node.machine.start + 1, node.machine.marker)
+        if mark == HOLD_MARKER and self._mutation == "mode-forgotten":
             mark = 0
         node.machine = self._machine(name, touch, start, mark, views[0], views[1] if len(views) > 1 else None)
         if lost and self._mutation == "empty-trusted":
-            node.machine._site.trust()
+            node.machine._site_permit.grant_forever()
         node.at, node.disk = dict(at), dict(at)
         for watch in node.witnesses.values():
-            watch._since = {}
+            watch._observed_at = {}
         return self._settled(after, name)
 
     def passed(self, world: World) -> World:
@@ -301,14 +310,14 @@
         again = True
         while again:
             again = False
-            for action in machine.look(now, *views):
+            for action in machine.step(now, *views):
                 match action:
-                    case Say(body):
+                    case SubmitCommand(body):
                         said.add((next(iter(node.at)), body))
-                    case WriteMark(number):
-                        machine.marked(number)
+                    case PersistMarker(number):
+                        machine.marker_written(number)
                         again = True
-                    case Check(number):
+                    case CheckBundle(number):
                         machine.checked(number, True)
                         again = True
                     case Restart():
@@ -316,17 +325,17 @@
         for log, watch in node.witnesses.items():
             said |= {(log, body) for body in watch.due(now, world.logs[log].states[node.at[log]])}
         world.requests = world.requests | said | self._told(world, name)
-        gate = machine.gate(now)
+        gate = machine.gate_state(now)
         if gate.mode == "open" and not world.wrong:
             if gate.number < world.newest:
                 world.wrong = f"{name} decides under version {gate.number}, and one was decided under {world.newest}"
-            phase = self._view(world, self.top, len(world.logs[self.top].states) - 1, "").known(gate.number)
+            phase = self._view(world, self.top, len(world.logs[self.top].states) - 1, "").phase_of(gate.number)
             if gate.number and phase not in ("active", "superseded"):
                 world.wrong = f"{name} decides under version {gate.number}, which is {phase}"
             if gate.number > world.newest:
                 world.newest = gate.number
                 for other, its in world.nodes.items():
-                    theirs = its.machine.gate(self._clock(world, its))
+                    theirs = its.machine.gate_state(self._clock(world, its))
                     if theirs.mode == "open" and theirs.number < gate.number:
                         world.wrong = f"{name} decides under version {gate.number}, and {other} under {theirs.number}"
         return world
@@ -351,7 +360,7 @@
             logs.append((len(log.states), log.keys[least:]))
         nodes = tuple(
             (self._small(node.machine.key()), tuple(node.at.values()), tuple(node.disk.values()),
-             tuple(tuple(sorted(watch._since.items())) for watch in node.witnesses.values()))
+             tuple(tuple(sorted(watch._observed_at.items())) for watch in node.witnesses.values()))
             for node in world.nodes.values()
         )  # fmt: skip
         return tuple(logs), nodes, self._small(world.requests), world.budget, world.newest
@@ -363,5 +372,5 @@
         tables = world.logs[log].states[at]
         known = self._seen.get((id(tables), who))
         if known is None or known[1].index != at:
-            known = self._seen[id(tables), who] = tables, view(tables, at, who)
+            known = self._seen[id(tables), who] = tables, view_of(tables, at, who)
         return known[1]
--- a/tealwing/lab/models/rollout_faults.py
+++ b/tealwing/lab/models/rollout_faults.py
@@ -14,7 +14,7 @@
     if mutation == "old-leader" and isinstance(body, r.Activate):
         found: r.Version | None = tables["rules"].get(str(body.number))
         if found is not None and found.phase == "preparing":
-            kept.turn(tables, index, found, "agreed")
+            kept.set_phase(tables, index, found, "agreed")
             tables["rule_members"].update(
                 {name: _closed(member, body.number) for name, member in tables["rule_members"].items()}
             )
@@ -22,11 +22,11 @@
     if mutation == "begin-counts" and isinstance(body, r.Begin) and flight is not None:
         begun = registry.apply(tables, index, body).ok
         new = begun and tables["rule_members"][body.member].begun == index
-        if new and body.lost_touch == "hold" and flight.phase in ("preparing", "agreed"):
+        if new and body.partition_mode == "hold" and flight.phase in ("preparing", "agreed"):
             return registry.apply(tables, index, r.Closed(flight.number, body.member, body.start)).ok
         return begun
-    if mutation == "one-clock" and isinstance(body, r.Witness):
-        body2 = r.Witness(body.member, body.lapse, "another")
+    if mutation == "one-clock" and isinstance(body, r.ConfirmExpiry):
+        body2 = r.ConfirmExpiry(body.member, body.expiry_index, "another")
         tables["rule_members"]["another"] = r.Member(1, "hold")
         registry.apply(tables, index, body2)
         del tables["rule_members"]["another"]
--- a/tealwing/lab/models/rollout_parts.py
+++ b/tealwing/lab/models/rollout_parts.py
@@ -9,7 +9,7 @@
 from tealwing.peers.bounds import Bounds
 from tealwing.rollout.member import Machine
 from tealwing.rollout.retry import Retry
-from tealwing.rollout.witnesses import Witnesses
+from tealwing.rollout.witnesses import ExpiryObserver
 from tealwing.rules import records as r
 from tealwing.rules.digests import digest
 
@@ -28,7 +28,7 @@
         """Always."""
         return True
 
-    def keep(self, wanted: Iterable[Hashable]) -> None:
+    def retain(self, wanted: Iterable[Hashable]) -> None:
         """Nothing is kept."""
 
 
@@ -66,7 +66,7 @@
     rate: float
     at: dict[str, int]
     disk: dict[str, int]
-    witnesses: dict[str, Witnesses]
+    witnesses: dict[str, ExpiryObserver]
 
 
 @dataclass(slots=True)
@@ -97,9 +97,10 @@
     """What of the tables decides anything later."""
     found: list[r.Version] = list(tables["rules"].values())
     versions = tuple(
-        (v.number, v.phase, tuple(sorted(v.said.items())) if v.phase in r.IN_FLIGHT else (), v.decided) for v in found
+        (v.number, v.phase, tuple(sorted(v.verdicts.items())) if v.phase in r.IN_FLIGHT else (), v.decided)
+        for v in found
     )
-    return versions, tuple(sorted(tables["rule_members"].items())), tables["rule_facts"].get(r.NOW)
+    return versions, tuple(sorted(tables["rule_members"].items())), tables["rule_facts"].get(r.FACTS_KEY)
 
 
 def told(body: r.Body) -> str:
@@ -113,9 +114,9 @@
             return f"{member} (start {start}) has closed for {number}"
         case r.Begin(member, start, touch):
             return f"{member} begins (start {start}, {touch})"
-        case r.Lapse(member, start):
+        case r.ExpirePermit(member, start):
             return f"{member} (start {start}) lapses"
-        case r.Witness(member, lapse, by):
+        case r.ConfirmExpiry(member, lapse, by):
             return f"{by} says that the lapse {lapse} of {member} is over"
         case _:
             return f"{type(body).__name__} {body.number}" if hasattr(body, "number") else repr(body)
--- a/tealwing/lab/models/rollout_starts.py
+++ b/tealwing/lab/models/rollout_starts.py
@@ -20,7 +20,7 @@
 
 def lapsed(model: Rollout, world: World) -> World:
     """And the first has lapsed, as all others know."""
-    world = model.apply(nearly_closed(model, world), LOG, r.Lapse(next(iter(world.nodes)), 1))
+    world = model.apply(nearly_closed(model, world), LOG, r.ExpirePermit(next(iter(world.nodes)), 1))
     for name in list(world.nodes)[1:]:
         world = model.catch_up(world, name, LOG, len(world.logs[LOG].states) - 1)
     return world
@@ -32,7 +32,7 @@
     name, *others = world.nodes
     lapse = len(world.logs[LOG].states) - 1
     for other in others:
-        world = model.apply(world, LOG, r.Witness(name, lapse, other))
+        world = model.apply(world, LOG, r.ConfirmExpiry(name, lapse, other))
     return model.read(world, others[0], LOG)
 
 
@@ -54,10 +54,10 @@
     for other in others:
         world = model.apply(world, LOG, r.Verdict(1, other, 1, True))
     world = model.apply(world, LOG, r.Verdict(1, name, 2, True))
-    world = model.apply(nearly_closed(model, world), LOG, r.Lapse(name, 2))
+    world = model.apply(nearly_closed(model, world), LOG, r.ExpirePermit(name, 2))
     lapse = len(world.logs[LOG].states) - 1
     for other in others:
-        world = model.apply(world, LOG, r.Witness(name, lapse, other))
+        world = model.apply(world, LOG, r.ConfirmExpiry(name, lapse, other))
     return model.apply(world, LOG, r.Activate(1))
 
 
--- a/tealwing/lab/rollout/copies.py
+++ b/tealwing/lab/rollout/copies.py
@@ -13,7 +13,7 @@
 from tealwing.replica.messages import Entry, Kind
 from tealwing.replica.state import State
 from tealwing.rollout.seen import TABLES
-from tealwing.rollout.view import View, view
+from tealwing.rollout.view import View, view_of
 
 KEPT = 4096  # indices
 
@@ -32,7 +32,7 @@
     def view(self, name: str) -> View:
         """The state as a member of that name reads it."""
         v = self.plain
-        return replace(v, me=self.tables["rule_members"].get(name))
+        return replace(v, local_member=self.tables["rule_members"].get(name))
 
 
 class Copies:
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self._state = State()
         tables: dict[str, dict[str, Any]] = {name: {} for name in TABLES}
-        self.first = Shot(0, None, None, None, tables, view(tables, 0, ""))
+        self.first = Shot(0, None, None, None, tables, view_of(tables, 0, ""))
         self._shots = {0: self.first}
 
     @property
@@ -67,4 +67,4 @@
         result = self._state.apply(entry.index, entry.data)
         tables = {name: dict(self._state.tables[name]) for name in TABLES}
         command = c.decode(entry.data)
-        return Shot(entry.index, entry, command, result, tables, view(tables, entry.index, ""))
+        return Shot(entry.index, entry, command, result, tables, view_of(tables, entry.index, ""))
--- a/tealwing/lab/rollout/logs.py
+++ b/tealwing/lab/rollout/logs.py
@@ -20,7 +20,7 @@
 from tealwing.replica.raft import Busy, NotLeader, Options, Raft, Ready, Role
 from tealwing.replica.reading import Reading
 from tealwing.replica.waiting import Waiting
-from tealwing.rules.records import Words
+from tealwing.rules.records import Reports
 
 
 def words_of(entry: Entry) -> int:
@@ -28,7 +28,7 @@
     if entry.kind is not Kind.DATA:
         return 0
     body = c.decode(entry.data).body
-    return len(body.words) if isinstance(body, Words) else 1
+    return len(body.reports) if isinstance(body, Reports) else 1
 
 
 class _Reached(Pending):
--- a/tealwing/lab/rollout/measure.py
+++ b/tealwing/lab/rollout/measure.py
@@ -54,12 +54,12 @@
 
 def _one(fleet: Fleet, found: Found, turn: int, at: str) -> None:
     clock, wires = fleet.clock, fleet.wires
-    number = fleet.state.plain.last + 1
+    number = fleet.state.plain.last_number + 1
     sent = {name: host.sent for name, host in wires.hosts.items()}
     entries = sum(copies.last.index for copies in fleet.copies.values())
     begun = clock.now
     fleet.propose(b"version %d" % turn, at)
-    fleet.until(lambda: fleet.state.plain.settled(number), PATIENCE, 0.001)
+    fleet.until(lambda: fleet.state.plain.has_outcome(number), PATIENCE, 0.001)
     decided = clock.now - begun
     found.changes += 1
     if fleet.state.plain.active != number:
--- a/tealwing/lab/rollout/part.py
+++ b/tealwing/lab/rollout/part.py
@@ -10,15 +10,15 @@
 from tealwing.lab.rollout.logs import Log
 from tealwing.lab.rollout.tasks import Signal, Step, Task
 from tealwing.replica import commands as c
-from tealwing.rollout.actions import Action, Check, Read, Say, WriteMark
-from tealwing.rollout.conductor import Conductor
-from tealwing.rollout.errands import MOST
-from tealwing.rollout.leading import HURRY
+from tealwing.rollout.actions import Action, CheckBundle, PersistMarker, ReadIndex, SubmitCommand
+from tealwing.rollout.conductor import RolloutCoordinator
+from tealwing.rollout.errands import MAX_QUEUED
+from tealwing.rollout.leading import EXPEDITED
 from tealwing.rollout.member import Machine
 from tealwing.rollout.plan import Plan
-from tealwing.rollout.shell import STEPS, TICK
-from tealwing.rollout.talk import PASSED, READ_WAIT, SAY_WAIT
-from tealwing.rollout.witnesses import Witnesses
+from tealwing.rollout.shell import MAX_STEPS, TICK
+from tealwing.rollout.talk import FORWARDED, READ_TIMEOUT, SUBMIT_TIMEOUT
+from tealwing.rollout.witnesses import ExpiryObserver
 from tealwing.rules.records import Body
 
 START = 1_800_000_000_000
@@ -33,11 +33,11 @@
         self.host, self._clock = log.host, log.host.wires.clock
         number = log.core.start
         self.machine = Machine(
-            log.host.name, plan.lost_touch, START, plan.permit, seed=number, federated=outside is not None,
+            log.host.name, plan.partition_mode, START, plan.permit, seed=number, federated=outside is not None,
             sabotage=frozenset({plan.sabotage} - {""}), peers=len(log.core.members) + len(log.core.learners),
         )  # fmt: skip
-        self._conductor = Conductor(log.host.name, plan.limit, plan.patience, seed=number)
-        self._witnesses = Witnesses(log.host.name, seed=number)
+        self._conductor = RolloutCoordinator(log.host.name, plan.limit, plan.patience, seed=number)
+        self._witnesses = ExpiryObserver(log.host.name, seed=number)
         self.shot: Shot = log.shot
         self._due: list[Action] = []
         self._in_force = 0
@@ -63,7 +63,7 @@
             return
         body = shot.command.body
         self._look()
-        if self.log.leads and shot.result is not None and shot.result.ok and isinstance(body, HURRY):
+        if self.log.leads and shot.result is not None and shot.result.ok and isinstance(body, EXPEDITED):
             self.log.hurry()
         if isinstance(body, Body):
             self._witnesses.applied(self._clock.now, shot.index, body)
@@ -77,12 +77,12 @@
     def _look(self) -> None:
         now = self._clock.now
         fed = self._outside.shot.view(self._site) if self._outside is not None else None
-        found = self.machine.look(now, self.shot.view(self.host.name), fed)
+        found = self.machine.step(now, self.shot.view(self.host.name), fed)
         self._due += [action for action in found if action not in self._due]
         self._follow()
 
     def _follow(self) -> None:
-        wanted = self.machine.gate(self._clock.now)
+        wanted = self.machine.gate_state(self._clock.now)
         if wanted.mode == "shut":
             self.door.close(by_change=False)
         elif wanted.number != self._in_force or wanted.mode == "closed":
@@ -101,8 +101,8 @@
             yield from self._turn()
 
     def _turn(self) -> Step:
-        for _ in range(STEPS):
-            wanted = self.machine.gate(self._clock.now).number
+        for _ in range(MAX_STEPS):
+            wanted = self.machine.gate_state(self._clock.now).number
             if wanted != self._in_force:
                 yield from self.host.use(self.host.wires.costs.enforce)
                 self._in_force = wanted
@@ -115,33 +115,33 @@
                 yield from self._do(action)
         for witness in self._witnesses.due(self._clock.now, self.shot.tables):
             self._say(witness)
-        self._conductor.lead(self._clock.now, self.log.leads)
+        self._conductor.set_leading(self._clock.now, self.log.leads)
         if self.log.leads:
-            silent = self.host.wires.silent(self.host.name) if self.shot.plain.flight is not None else ()
+            silent = self.host.wires.silent(self.host.name) if self.shot.plain.in_flight is not None else ()
             members = self.shot.tables["rule_members"]
-            for body in self._conductor.look(self._clock.now, self.shot.tables, [n for n in silent if n in members]):
+            for body in self._conductor.step(self._clock.now, self.shot.tables, [n for n in silent if n in members]):
                 self.log.propose_here(body)
 
     def _do(self, action: Action) -> Step:
         wires = self.host.wires
         match action:
-            case WriteMark(number):
+            case PersistMarker(number):
                 yield wires.costs.disk(wires.random) + wires.costs.disk(wires.random)  # the file, and its folder
-                self.machine.marked(number)
-            case Check(number):
+                self.machine.marker_written(number)
+            case CheckBundle(number):
                 yield from self.host.use(wires.costs.check)
                 self.machine.checked(number, True)
-            case Say(body):
+            case SubmitCommand(body):
                 self._say(body)
-            case Read(federation):
+            case ReadIndex(federation):
                 self._wants[federation].set()
 
     # The threads that talk
 
     def _say(self, body: Body) -> None:
-        if isinstance(body, PASSED):
+        if isinstance(body, FORWARDED):
             self.log.pass_on(body)
-        elif body not in self._words and len(self._words) < MOST:
+        elif body not in self._words and len(self._words) < MAX_QUEUED:
             self._words.append(body)
             self._said.set()
 
@@ -151,7 +151,7 @@
                 self._said.clear()
                 yield self._said, None
             body: Any = self._words.popleft()
-            yield from self.log.write(c.Command("", 0, body), SAY_WAIT)
+            yield from self.log.write(c.Command("", 0, body), SUBMIT_TIMEOUT)
             self.wake.set()
 
     def _read(self, federation: bool) -> Step:
@@ -160,9 +160,9 @@
             yield self._wants[federation], None
             self._wants[federation].clear()
             token = self.machine.read_sent(self._clock.now, federation)
-            index = yield from log.read_index(READ_WAIT)
+            index = yield from log.read_index(READ_TIMEOUT)
             if index is None:
                 self.machine.read_failed(self._clock.now, token)
             else:
-                self.machine.read_done(self._clock.now, token, index)
+                self.machine.read_completed(self._clock.now, token, index)
                 self.wake.set()
--- a/tealwing/lab/rollout/sites.py
+++ b/tealwing/lab/rollout/sites.py
@@ -9,10 +9,10 @@
 from tealwing.lab.rollout.copies import Shot
 from tealwing.lab.rollout.logs import Log
 from tealwing.lab.rollout.tasks import Signal, Step, Task
-from tealwing.rollout.conductor import Conductor
-from tealwing.rollout.leading import HURRY
-from tealwing.rollout.witnesses import Witnesses
-from tealwing.rules.records import Body, Forget, Lapse
+from tealwing.rollout.conductor import RolloutCoordinator
+from tealwing.rollout.leading import EXPEDITED
+from tealwing.rollout.witnesses import ExpiryObserver
+from tealwing.rules.records import Body, ExpirePermit, Forget
 
 
 class Federated:
@@ -26,8 +26,8 @@
         self._clock = site.host.wires.clock
         number = all_.core.start
         self._delegate = Delegate(name, number)
-        self._conductor = Conductor(name, limit, patience, seed=number)
-        self._witnesses = Witnesses(name, seed=number)
+        self._conductor = RolloutCoordinator(name, limit, patience, seed=number)
+        self._witnesses = ExpiryObserver(name, seed=number)
         self._lapses: list[tuple[int, Body]] = []
         self._wake = Signal(self._clock)
         site.applied.append(lambda shot: self._wake.set())
@@ -38,9 +38,9 @@
 
     def _applied(self, shot: Shot) -> None:
         if shot.command is not None and shot.result is not None:
-            if isinstance(shot.command.body, Lapse | Forget):
+            if isinstance(shot.command.body, ExpirePermit | Forget):
                 self._lapses.append((shot.index, shot.command.body))
-            if self._all.leads and shot.result.ok and isinstance(shot.command.body, HURRY):
+            if self._all.leads and shot.result.ok and isinstance(shot.command.body, EXPEDITED):
                 self._all.hurry()
             self._wake.set()
 
@@ -55,10 +55,10 @@
         lapses, self._lapses = self._lapses, []
         for at, body in lapses:
             self._witnesses.applied(now, at, body)
-        self._conductor.lead(now, self._all.leads)
+        self._conductor.set_leading(now, self._all.leads)
         if self._all.leads:
             silent = [name for name in shot.tables["rule_members"] if not self._hears(name)]
-            for word in self._conductor.look(now, shot.tables, silent):
+            for word in self._conductor.step(now, shot.tables, silent):
                 self._all.propose_here(word)
         found = self._witnesses.due(now, shot.tables)
         if not self._site.leads:
--- a/tealwing/lab/rollout/trials.py
+++ b/tealwing/lab/rollout/trials.py
@@ -8,7 +8,7 @@
 from tealwing.lab.rollout.fleet import Fleet, Shape
 from tealwing.lab.rollout.measure import PATIENCE, Found, changes
 from tealwing.rollout.plan import Plan
-from tealwing.rules.records import LostTouch
+from tealwing.rules.records import PartitionMode
 
 VOTERS = 5  # of one site that is alone; sites of a federation have three each
 CUT_BEFORE = 1.0  # s before a proposal
@@ -24,9 +24,9 @@
     wrong: list[str] = field(default_factory=list)
 
 
-def shape(sites: int, gateways: int, mode: LostTouch, sabotage: str = "") -> Shape:
+def shape(sites: int, gateways: int, mode: PartitionMode, sabotage: str = "") -> Shape:
     """Sites with so many gateways each, as an operator would have them."""
-    return Shape(sites, gateways, VOTERS if sites == 1 else 3, Plan(lost_touch=mode, sabotage=sabotage))
+    return Shape(sites, gateways, VOTERS if sites == 1 else 3, Plan(partition_mode=mode, sabotage=sabotage))
 
 
 def sized(what: Shape, count: int, seed: int, loss: float = 0.01) -> tuple[Found, Fleet]:
@@ -46,12 +46,12 @@
         clock.run(clock.now + AGAIN)
         fleet.wires.cut[alone] = clock.now
         clock.run(clock.now + CUT_BEFORE)
-        number, begun = fleet.state.plain.last + 1, clock.now
+        number, begun = fleet.state.plain.last_number + 1, clock.now
         fleet.propose(b"version %d" % turn, fleet.leader(fleet.deciding))
-        if not fleet.until(lambda n=number: fleet.state.plain.settled(n), PATIENCE, 0.001):  # type: ignore[misc]
+        if not fleet.until(lambda n=number: fleet.state.plain.has_outcome(n), PATIENCE, 0.001):  # type: ignore[misc]
             found.wrong.append(f"version {number} is neither in force nor over after a minute")
             break
-        found.ended.append(fleet.state.plain.known(number) or "")
+        found.ended.append(fleet.state.plain.phase_of(number) or "")
         found.took.append(clock.now - begun)
         clock.run(clock.now + AGAIN)
         del fleet.wires.cut[alone]
--- a/tealwing/replica/gathering.py
+++ b/tealwing/replica/gathering.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from tealwing.replica import commands as c
-from tealwing.rules.records import Closed, Verdict, Words
+from tealwing.rules.records import Closed, Reports, Verdict
 
 MOST = 256  # words in one entry
 MOST_BYTES = 48 * 1024  # of commands in one entry: several fit into one message
@@ -46,4 +46,4 @@
 
 
 def _entry(words: list[Verdict | Closed]) -> bytes:
-    return c.encode(c.Command("", 0, Words(tuple(words)) if len(words) > 1 else words[0]))
+    return c.encode(c.Command("", 0, Reports(tuple(words)) if len(words) > 1 else words[0]))
--- a/tealwing/rollout/actions.py
+++ b/tealwing/rollout/actions.py
@@ -8,33 +8,35 @@
 from tealwing.rules.records import Body
 
 Mode = Literal["open", "closed", "shut"]
-HELD = 2**63 - 1  # the mark of `hold`: no version's outcome is known, so that nothing of this disk is served from
+HOLD_MARKER = (
+    2**63 - 1
+)  # the mark of `hold`: no version's outcome is known, so that nothing of this disk is served from
 FOREVER = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
-class WriteMark:
+class PersistMarker:
     """Have this number on disk in place of what is there, fsynced, then say so: Machine.marked."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SubmitCommand:
     """Propose this in the site's log."""
 
     body: Body
 
 
 @dataclass(frozen=True, slots=True)
-class Check:
+class CheckBundle:
     """Check that version's bundle against what runs here, then say so: Machine.checked."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
+class ReadIndex:
     """Ask for a read-index, of the federation's log where that says so; Machine.read_sent as it is sent."""
 
     federation: bool = False
@@ -47,21 +49,21 @@
     start: int
 
 
-Action = WriteMark | Say | Check | Read | Restart
+Action = PersistMarker | SubmitCommand | CheckBundle | ReadIndex | Restart
 
 
 @dataclass(frozen=True, slots=True)
-class Token:
+class ReadToken:
     """A read that was sent: when by our clock, in which start, of which log."""
 
     serial: int
-    sent: float
+    sent_at: float
     start: int
     federation: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Gate:
+class GateState:
     """What may be decided here now."""
 
     mode: Mode  # open; closed: not what the change to `closing` touches; shut: nothing
--- a/tealwing/rollout/conductor.py
+++ b/tealwing/rollout/conductor.py
@@ -10,23 +10,23 @@
 
 from tealwing.peers.bounds import USUAL, Bounds
 from tealwing.rollout.retry import Retry
-from tealwing.rollout.view import CLOSING, view
-from tealwing.rollout.witnesses import Witnesses
-from tealwing.rules.records import Abort, Activate, Body, Close, Lapse, Member
+from tealwing.rollout.view import CLOSING, view_of
+from tealwing.rollout.witnesses import ExpiryObserver
+from tealwing.rules.records import Abort, Activate, Body, Close, ExpirePermit, Member
 
-__all__ = ["Conductor", "Witnesses"]
+__all__ = ["ExpiryObserver", "RolloutCoordinator"]
 
 
-class Conductor:
+class RolloutCoordinator:
     """Its times count by our clock from when we lead: each leader begins anew."""
 
     def __init__(self, name: str, limit: float, patience: float, bounds: Bounds = USUAL, seed: int = 0) -> None:
         """limit and patience are s; name is ours, who are never silent."""
         self.name, self._limit, self._patience, self._seed = name, limit, patience, seed
         self._leads = False
-        self.lead(0.0, False)
+        self.set_leading(0.0, False)
 
-    def lead(self, now: float, leads: bool) -> None:
+    def set_leading(self, now: float, leads: bool) -> None:
         """We lead from now on, or no more."""
         if leads and self._leads:
             return
@@ -34,18 +34,18 @@
         self._stage: tuple[int, bool, float] | None = None  # version, whether members close for it, since when
         self._silent: dict[str, float] = {}  # since when
 
-    def look(self, now: float, tables: Mapping[str, Mapping[str, Any]], silent: Collection[str]) -> list[Body]:
+    def step(self, now: float, tables: Mapping[str, Mapping[str, Any]], silent: Collection[str]) -> list[Body]:
         """What to propose now; silent are the members that are not heard now."""
         self._silent = {
             name: self._silent.get(name, now) for name in silent if name != self.name and name in tables["rule_members"]
         }
-        wanted = self._wanted(now, tables) if self._leads else []
-        self._retry.keep([key for key, _ in wanted])
+        pending = self._proposals(now, tables) if self._leads else []
+        self._retry.retain([key for key, _ in pending])
         members = len(tables["rule_members"])
-        return [body for key, body in wanted if self._retry.ready(now, key, members)]
+        return [body for key, body in pending if self._retry.ready(now, key, members)]
 
-    def _wanted(self, now: float, tables: Mapping[str, Mapping[str, Any]]) -> list[tuple[Hashable, Body]]:
-        flight = view(tables, 0, "").flight
+    def _proposals(self, now: float, tables: Mapping[str, Mapping[str, Any]]) -> list[tuple[Hashable, Body]]:
+        flight = view_of(tables, 0, "").in_flight
         if flight is None:
             self._stage = None
             return []
@@ -57,27 +57,32 @@
         for name, since in sorted(self._silent.items()):
             member = members[name]
             covered = closing and member.closed == number
-            if member.lost_touch == "hold" and not member.lapsed and not covered and now - since >= self._patience:
-                found.append((("lapse", name, member.start), Lapse(name, member.start)))
+            if (
+                member.partition_mode == "hold"
+                and not member.expiry_index
+                and not covered
+                and now - since >= self._patience
+            ):
+                found.append((("lapse", name, member.start), ExpirePermit(name, member.start)))
         if flight.federated:  # its site is told by the federation when to close, and what came of it
             return found
         if flight.phase == "agreed":
             return [*found, (("activate", number), Activate(number))]
         if now - self._stage[2] >= self._limit:
-            return [*found, (("abort", number), Abort(number, self._why(tables, number, closing)))]
-        waits = found or any(member.lapsed and not member.over for member in members.values())
+            return [*found, (("abort", number), Abort(number, self._abort_reason(tables, number, closing)))]
+        waits = found or any(member.expiry_index and not member.expiry_confirmed for member in members.values())
         if flight.phase == "checked" and not waits:  # nobody closes only to wait for the permits of the silent
             found.append((("close", number), Close(number)))
         return found
 
-    def _why(self, tables: Mapping[str, Mapping[str, Any]], number: int, closing: bool) -> str:
-        said = tables["rules"][str(number)].said
+    def _abort_reason(self, tables: Mapping[str, Mapping[str, Any]], number: int, closing: bool) -> str:
+        verdicts = tables["rules"][str(number)].verdicts
         missing = []
         for name, member in sorted(tables["rule_members"].items()):
-            if member.lapsed and member.over:
+            if member.expiry_index and member.expiry_confirmed:
                 continue
-            if member.closed != number if closing else name not in said or said[name].start != member.start:
+            if member.closed != number if closing else name not in verdicts or verdicts[name].start != member.start:
                 missing.append(f"{name} (silent)" if name in self._silent else name)
         what = "closed for it" if closing else "said that it can put it in force"
-        some = ", ".join(missing[:8]) + (f" and {len(missing) - 8} more" if len(missing) > 8 else "")
-        return f"within {self._limit:g} s not every member had {what}: {some or 'a lapse is not over'}"
+        shown = ", ".join(missing[:8]) + (f" and {len(missing) - 8} more" if len(missing) > 8 else "")
+        return f"within {self._limit:g} s not every member had {what}: {shown or 'a lapse is not over'}"
--- a/tealwing/rollout/deeds.py
+++ b/tealwing/rollout/deeds.py
@@ -8,99 +8,104 @@
 
 from tealwing import log
 from tealwing.coordinator.backoff import Backoff
-from tealwing.rollout.actions import HELD
-from tealwing.rollout.mark import Mark, MarkDamaged
+from tealwing.rollout.actions import HOLD_MARKER
+from tealwing.rollout.mark import MarkerDamagedError, PersistedMarker
 from tealwing.rollout.member import Machine
-from tealwing.rollout.seen import Seen
-from tealwing.rollout.steering import EVERYTHING, Here, Steering
+from tealwing.rollout.seen import ObservedState
+from tealwing.rollout.steering import ALL_REQUESTS, GateControl, RulesAdapter
 
-AGAIN = (0.1, 2.0)  # s between two tries to put a version in force, least and most
-LONGEST_REASON = 500  # characters of a fault in a check
+RETRY_BACKOFF = (0.1, 2.0)  # s between two tries to put a version in force, least and most
+MAX_REASON_LENGTH = 500  # characters of a fault in a check
 
 
-def read(mark: Mark) -> int:
+def read_marker(marker: PersistedMarker) -> int:
     """The number on disk. OSError where it can't be read for another reason than damage."""
     try:
-        return mark.read()
-    except MarkDamaged as error:
-        log.event("rules_mark_damaged", error=str(error), remedy=error.remedy)
-        return HELD  # nothing is decided from this disk before the log has told what there is
+        return marker.read()
+    except MarkerDamagedError as error:
+        log.event("rules_marker_damaged", error=str(error), remedy=error.remedy)
+        return HOLD_MARKER  # nothing is decided from this disk before the log has told what there is
 
 
-class Deeds:
+class EffectExecutor:
     """lock is round the machine and the steering; follow, called under it, has the gate follow the machine."""
 
     def __init__(
-        self, machine: Machine, mark: Mark, here: Here, steering: Steering, lock: threading.Lock,
+        self,
+        machine: Machine,
+        marker: PersistedMarker,
+        rules: RulesAdapter,
+        gate_control: GateControl,
+        lock: threading.Lock,
         follow: Callable[[], None],
-    ) -> None:  # fmt: skip
-        self._machine, self._mark, self._here, self._steering = machine, mark, here, steering
+    ) -> None:
+        self._machine, self._marker, self._rules, self._gate_control = machine, marker, rules, gate_control
         self._lock, self._follow = lock, follow
-        self._again, self._next_try = Backoff(*AGAIN), 0.0  # of putting in force what could not be
-        self._mark_failed = False
+        self._retry_backoff, self._next_try = Backoff(*RETRY_BACKOFF), 0.0  # of putting in force what could not be
+        self._marker_failed = False
 
-    def write_mark(self, number: int) -> None:
+    def persist_marker(self, number: int) -> None:
         """Have it on disk. Where that fails nothing is told, and the machine asks for it again."""
         try:
-            self._mark.write(number)
+            self._marker.write(number)
         except OSError as error:
-            if not self._mark_failed:
-                log.event("rules_mark_failed", number=number, error=str(error))
-            self._mark_failed = True
+            if not self._marker_failed:
+                log.event("rules_marker_failed", number=number, error=str(error))
+            self._marker_failed = True
             return
-        self._mark_failed = False
+        self._marker_failed = False
         with self._lock:
-            self._machine.marked(number)
+            self._machine.marker_written(number)
 
-    def check(self, seen: Seen, number: int) -> None:
+    def check(self, state: ObservedState, number: int) -> None:
         """This gateway's word on a version."""
-        found = seen.version(number)
+        found = state.version(number)
         if found is None:
             return
         try:
-            yes, reason = self._here.verdict(seen.text(seen.facts.active), found.text, found.needs)
+            yes, reason = self._rules.verdict(state.text(state.facts.active), found.text, found.needs)
         except Exception as error:  # what it can't read it can't put in force
-            yes, reason = False, f"{type(error).__name__}: {error}"[:LONGEST_REASON]
+            yes, reason = False, f"{type(error).__name__}: {error}"[:MAX_REASON_LENGTH]
         log.event("rules_verdict", number=number, yes=yes, reason=reason)
         with self._lock:
             self._machine.checked(number, yes, reason)
 
-    def put_in_force(self, seen: Callable[[], Seen]) -> None:
+    def activate(self, observed_state: Callable[[], ObservedState]) -> None:
         """Decide under the version that the machine names; until that is done the gate lets nobody in."""
         with self._lock:
             self._follow()
-            steering = self._steering
-            wanted = steering.shown.number if steering.shown is not None else 0
-            log.check_invariant(wanted == steering.in_force or not steering.is_open, "nobody is let in meanwhile")
-        if wanted == steering.in_force or time.monotonic() < self._next_try:
+            control = self._gate_control
+            target = control.followed.number if control.followed is not None else 0
+            log.check_invariant(target == control.in_force or not control.is_open, "nobody is let in meanwhile")
+        if target == control.in_force or time.monotonic() < self._next_try:
             return
         try:
-            self._here.put_in_force(wanted, seen().text(wanted))
+            self._rules.put_in_force(target, observed_state().text(target))
         except Exception as error:  # whatever it is: the gateway must not open under another version
-            why = f"version {wanted} of the rules can't be put in force here: {error}"
-            if why != steering.unusable:
-                log.event("rules_unusable", number=wanted, error=str(error), remedy="install the build that took it, or"
+            why = f"version {target} of the rules can't be put in force here: {error}"
+            if why != control.unusable:
+                log.event("rules_unusable", number=target, error=str(error), remedy="install the build that took it, or"
                           " propose a version that this gateway can put in force")  # fmt: skip
-            self._next_try = time.monotonic() + self._again.next()
+            self._next_try = time.monotonic() + self._retry_backoff.next()
             with self._lock:
-                steering.unusable = why
+                control.unusable = why
                 self._follow()
             return
-        self._again.reset()
+        self._retry_backoff.reset()
         with self._lock:
-            steering.in_force, steering.unusable = wanted, ""
+            control.in_force, control.unusable = target, ""
             self._follow()
 
-    def learn_touch(self, seen: Seen) -> None:
+    def update_affected(self, state: ObservedState) -> None:
         """Narrow what is closed to what the change touches; worked out as soon as the version is proposed."""
-        active, flight = seen.facts.active, seen.me.flight
-        if flight is None or self._steering.knows(active, flight.number):
+        active, flight = state.facts.active, state.view.in_flight
+        if flight is None or self._gate_control.knows_affected(active, flight.number):
             return
         try:
-            touch = self._here.touch(seen.text(active), flight.text)
+            affected = self._rules.affected_requests(state.text(active), flight.text)
         except Exception as error:  # another build's, perhaps: then all of it waits
-            log.event("rules_touch_unknown", number=flight.number, error=str(error))
-            touch = EVERYTHING
+            log.event("rules_affected_unknown", number=flight.number, error=str(error))
+            affected = ALL_REQUESTS
         with self._lock:
-            self._steering.learn(active, flight.number, touch)
+            self._gate_control.set_affected(active, flight.number, affected)
             self._follow()
--- a/tealwing/rollout/errands.py
+++ b/tealwing/rollout/errands.py
@@ -8,10 +8,10 @@
 
 from tealwing import log, threads
 
-MOST = 16  # errands that wait: more are turned away, and asked for again when they are due
+MAX_QUEUED = 16  # errands that wait: more are turned away, and asked for again when they are due
 
 
-class Errands:
+class BackgroundWorker:
     """One thread; what waits for it is bounded."""
 
     def __init__(self, name: str) -> None:
@@ -26,16 +26,16 @@
         """End after the errand that is being done."""
         self._queue.put(None)
 
-    def do(self, errand: Callable[[], None]) -> bool:
+    def submit(self, task: Callable[[], None]) -> bool:
         """Have it done once those before it are; False where too many wait."""
-        if self._queue.qsize() >= MOST:
+        if self._queue.qsize() >= MAX_QUEUED:
             return False
-        self._queue.put(errand)
+        self._queue.put(task)
         return True
 
     def _run(self) -> None:
-        while (errand := self._queue.get()) is not None:
+        while (task := self._queue.get()) is not None:
             try:
-                errand()
+                task()
             except Exception:  # one errand's fault must not silence the gateway: the machine asks again
-                log.event("rules_errand_failed", thread=self._name, trace=traceback.format_exc(limit=-3))
+                log.event("rules_task_failed", thread=self._name, trace=traceback.format_exc(limit=-3))
--- a/tealwing/rollout/gate.py
+++ b/tealwing/rollout/gate.py
@@ -16,25 +16,25 @@
 
 from tealwing.exchange import Admitted, Deferred
 
-PASSED, HELD = Admitted(False), Admitted(True)
-SPREAD = (0.5, 1.0)  # of the pushback, at random: those turned away together must not return together
+ADMITTED, ADMITTED_AFTER_WAIT = Admitted(False), Admitted(True)
+JITTER = (0.5, 1.0)  # of the pushback, at random: those turned away together must not return together
 
 
-class Touch(Protocol):
+class RequestFilter(Protocol):
     """What a change touches."""
 
-    def hits(self, cls: str, tenant: str, group: int) -> bool:
+    def includes(self, cls: str, tenant: str, group: int) -> bool:
         """Whether requests of that class, account and group of tables may be decided otherwise after it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class GateMetrics:
     """What the gate has done: requests held so far, turned away, waiting now; s of the longest wait."""
 
     held: int
-    turned: int
+    rejected: int
     waiting: int
-    longest: float
+    max_wait: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 class _Closed:
     """Who the change touches waits."""
 
-    touch: Touch
+    affected: RequestFilter
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,16 +70,16 @@
         self._state: _Open | _Closed | _Shut = _Shut("the rules are not known here yet", pushback)
         self._is_open = False  # whether _state is _Open, for who passes
         self._valid_until = inf
-        self._held = self._turned = self._waiting = 0
-        self._longest = 0.0
+        self._held = self._rejected = self._waiting = 0
+        self._max_wait = 0.0
 
     def open(self) -> None:
         """Let everybody pass, as far as the permit goes; who waits is let in."""
         self._set(_Open())
 
-    def close(self, touch: Touch) -> None:
+    def close(self, affected: RequestFilter) -> None:
         """Have who the change touches wait, from now on; others pass. It waits for nobody."""
-        self._set(_Closed(touch))
+        self._set(_Closed(affected))
 
     def shut(self, why: str, pushback: float | None = None) -> None:
         """Turn everybody away, who waits too; pushback in seconds, the usual one where it is None."""
@@ -102,10 +102,10 @@
             return state.why
         return "" if self._clock() < self._valid_until else "the permit to decide is over"
 
-    def figures(self) -> Figures:
+    def metrics(self) -> GateMetrics:
         """What it has done so far."""
         with self._changed:
-            return Figures(self._held, self._turned, self._waiting, self._longest)
+            return GateMetrics(self._held, self._rejected, self._waiting, self._max_wait)
 
     def admit(self, cls: str | None, tenant: str, group: int, until: float) -> Admitted | Deferred:
         """Let a request pass, now or when it may, by the monotonic time `until` at the latest; else turn it away.
@@ -114,13 +114,13 @@
         has no class (None): every change may be the one that makes it readable.
         """
         if self._is_open and self._clock() < self._valid_until:
-            return PASSED
-        found = self._judge(cls, tenant, group, PASSED)
+            return ADMITTED
+        found = self._decide(cls, tenant, group, ADMITTED)
         if found is None:
             return self._wait(cls, tenant, group, until)
         if isinstance(found, Deferred):
             with self._changed:
-                self._turned += 1
+                self._rejected += 1
         return found
 
     def _set(self, state: _Open | _Closed | _Shut) -> None:
@@ -130,36 +130,36 @@
             self._is_open = isinstance(state, _Open)
             self._changed.notify_all()
 
-    def _judge(self, cls: str | None, tenant: str, group: int, passed: Admitted) -> Admitted | Deferred | None:
+    def _decide(self, cls: str | None, tenant: str, group: int, passed: Admitted) -> Admitted | Deferred | None:
         """What becomes of a request as things stand; None: it waits."""
         state = self._state
         if isinstance(state, _Shut):
-            return self._away(state.pushback, state.why)
-        if isinstance(state, _Closed) and (cls is None or state.touch.hits(cls, tenant, group)):
+            return self._reject(state.pushback, state.why)
+        if isinstance(state, _Closed) and (cls is None or state.affected.includes(cls, tenant, group)):
             return None
         if self._clock() >= self._valid_until:
-            return self._away(self._pushback, "the permit to decide is over")
+            return self._reject(self._pushback, "the permit to decide is over")
         return passed
 
     def _wait(self, cls: str | None, tenant: str, group: int, until: float) -> Admitted | Deferred:
         begun = time.monotonic()
         with self._changed:
             if self._waiting >= self._queue:
-                self._turned += 1
-                return self._away(self._pushback, "too many requests wait for the change")
+                self._rejected += 1
+                return self._reject(self._pushback, "too many requests wait for the change")
             self._waiting, self._held = self._waiting + 1, self._held + 1
             try:
-                while (found := self._judge(cls, tenant, group, HELD)) is None:
+                while (found := self._decide(cls, tenant, group, ADMITTED_AFTER_WAIT)) is None:
                     left = until - time.monotonic()
                     if left <= 0:
-                        found = self._away(self._pushback, "the change took longer than the request had time")
+                        found = self._reject(self._pushback, "the change took longer than the request had time")
                         break
                     self._changed.wait(left)
             finally:
                 self._waiting -= 1
-                self._longest = max(self._longest, time.monotonic() - begun)
-            self._turned += isinstance(found, Deferred)
+                self._max_wait = max(self._max_wait, time.monotonic() - begun)
+            self._rejected += isinstance(found, Deferred)
             return found
 
-    def _away(self, pushback: float, why: str) -> Deferred:
-        return Deferred(pushback * self._random.uniform(*SPREAD), why)
+    def _reject(self, pushback: float, why: str) -> Deferred:
+        return Deferred(pushback * self._random.uniform(*JITTER), why)
--- a/tealwing/rollout/here.py
+++ b/tealwing/rollout/here.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from tealwing.levels.plan import Plan
 
-LONGEST_REASON = 1900  # characters of a no: the log keeps each
+MAX_REASON_LENGTH = 1900  # characters of a no: the log keeps each
 
 
 class Gateway(Protocol):
@@ -37,7 +37,7 @@
         """Put a version in force for new requests. ValueError, with nothing changed, where it does not fit."""
 
 
-class Here:
+class LocalGateway:
     """One gateway; texts are bundles, empty where none is in force. See steering.Here."""
 
     def __init__(self, gateway: Gateway) -> None:
@@ -53,12 +53,12 @@
 
     def verdict(self, before: bytes, text: bytes, needs: int) -> tuple[bool, str]:
         """Whether this gateway can put it in force in place of the one before, and why not."""
-        reasons = check.judge(text, self._running(before), needs)
-        return not reasons, "; ".join(map(str, reasons))[:LONGEST_REASON]
+        reasons = check.check_text(text, self._running(before), needs)
+        return not reasons, "; ".join(map(str, reasons))[:MAX_REASON_LENGTH]
 
-    def touch(self, before: bytes, after: bytes) -> touch.Touch:
+    def affected_requests(self, before: bytes, after: bytes) -> touch.AffectedRequests:
         """What a change touches. RulesError where one of them can't be read."""
-        return touch.touched(_read(before), bundle.parse(after))
+        return touch.affected_requests(_read(before), bundle.parse(after))
 
     def put_in_force(self, number: int, text: bytes) -> None:
         """Have new requests decided under it. ValueError, with nothing changed, where that can't be."""
@@ -67,7 +67,7 @@
         if found.levels:
             from tealwing.rules import leveltext  # only where there are some
 
-            levels = leveltext.plan(found.levels)
+            levels = leveltext.parse_levels(found.levels)
         settings = overlay.apply(found, self._gateway.platform_settings)
         self._gateway.put_in_force(settings, table if table.routes else None, levels, number)
 
--- a/tealwing/rollout/joining.py
+++ b/tealwing/rollout/joining.py
@@ -6,25 +6,30 @@
 from tealwing.peers.link import Link
 from tealwing.replica.node import Replica
 from tealwing.rollout.gate import Gate
-from tealwing.rollout.here import Gateway, Here
-from tealwing.rollout.outside import Outside
+from tealwing.rollout.here import Gateway, LocalGateway
+from tealwing.rollout.outside import FederationLog
 from tealwing.rollout.plan import Plan
-from tealwing.rollout.service import Service
-from tealwing.rollout.shell import Shell
+from tealwing.rollout.service import ControlCalls
+from tealwing.rollout.shell import Runtime
 
 PUSHBACK = 0.2  # s after which who was turned away may come again: a change takes less
 
 
 def join(
-    plan: Plan, replica: Replica, link: Link, gateway: Gateway, control: Control | None, outside: Outside | None = None
-) -> Shell:
+    plan: Plan,
+    replica: Replica,
+    link: Link,
+    gateway: Gateway,
+    control: Control | None,
+    outside: FederationLog | None = None,
+) -> Runtime:
     """Before the replica starts; what the disk says is in force and the gate set by it when this returns.
 
     OSError where the mark can't be read.
     """
     gate = Gate(plan.queue, PUSHBACK, replica.clock.now, replica.start_number)
-    shell = Shell(plan, replica, link, Here(gateway), gate, outside)
+    shell = Runtime(plan, replica, link, LocalGateway(gateway), gate, outside)
     shell.begin()
     if control is not None:
-        Service(shell, replica, control)
+        ControlCalls(shell, replica, control)
     return shell
--- a/tealwing/rollout/leading.py
+++ b/tealwing/rollout/leading.py
@@ -5,54 +5,54 @@
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
 from tealwing.replica.node import Replica
-from tealwing.rollout.conductor import Conductor, Witnesses
+from tealwing.rollout.conductor import ExpiryObserver, RolloutCoordinator
 from tealwing.rollout.plan import Plan
-from tealwing.rollout.seen import Seen
+from tealwing.rollout.seen import ObservedState
 from tealwing.rules import records
 
-SILENT_BEATS = 2.0  # beats of the link without a sign of life after which a peer counts as silent
-HURRY = (records.Propose, records.Close, records.Activate, records.Abort, records.Withdraw)  # others wait for these
+SILENT_HEARTBEATS = 2.0  # beats of the link without a sign of life after which a peer counts as silent
+EXPEDITED = (records.Propose, records.Close, records.Activate, records.Abort, records.Withdraw)  # others wait for these
 
 
-class Leading:
+class LeaderDuties:
     """The conductor and the witness with their surroundings."""
 
     def __init__(self, plan: Plan, replica: Replica, link: Link) -> None:
         self._replica, self._link, self._name = replica, link, link.plan.name
-        self._conductor = Conductor(self._name, plan.limit, plan.patience, seed=replica.start_number)
-        self._witnesses = Witnesses(self._name, seed=replica.start_number)
-        self.leads = False
+        self._coordinator = RolloutCoordinator(self._name, plan.limit, plan.patience, seed=replica.start_number)
+        self._expiry_observer = ExpiryObserver(self._name, seed=replica.start_number)
+        self.is_leader = False
 
     def applied(self, now: float, index: int, body: records.Body, ok: bool) -> None:
         """An entry was applied; on the replica's thread, and with `due` never at once."""
-        if self.leads and ok and isinstance(body, HURRY):
+        if self.is_leader and ok and isinstance(body, EXPEDITED):
             self._replica.hurry()  # followers learn it at once, not with the next beat
-        self._witnesses.applied(now, index, body)
+        self._expiry_observer.applied(now, index, body)
 
     @property
     def is_waiting(self) -> bool:
         """Whether permits of a member that has lapsed are waited for."""
-        return self._witnesses.is_waiting
+        return self._expiry_observer.is_waiting
 
-    def due(self, now: float, seen: Seen) -> list[records.Witness]:
+    def due_confirmations(self, now: float, state: ObservedState) -> list[records.ConfirmExpiry]:
         """What we can witness now."""
-        return self._witnesses.due(now, seen.tables)
+        return self._expiry_observer.due(now, state.tables)
 
-    def conduct(self, now: float, seen: Seen) -> None:
+    def propose_next(self, now: float, state: ObservedState) -> None:
         """Propose what the leader is to."""
-        self._conductor.lead(now, self.leads)
-        if not self.leads:
+        self._coordinator.set_leading(now, self.is_leader)
+        if not self.is_leader:
             return
-        silent = self._silent(now, seen) if seen.me.flight is not None else []
-        for body in self._conductor.look(now, seen.tables, silent):
+        silent = self._silent(now, state) if state.view.in_flight is not None else []
+        for body in self._coordinator.step(now, state.tables, silent):
             self._replica.propose_here(c.encode(c.Command("", 0, body)))
 
-    def _silent(self, now: float, seen: Seen) -> list[str]:
+    def _silent(self, now: float, state: ObservedState) -> list[str]:
         """Names of the members that are not heard on the link, or whose copy of the log takes nothing more."""
-        limit, core = SILENT_BEATS * self._link.plan.times.beat, self._replica.core
-        heard = {peer["name"] for peer in self._link.status()
+        limit, core = SILENT_HEARTBEATS * self._link.plan.times.beat, self._replica.core
+        reachable = {peer["name"] for peer in self._link.status()
                  if peer["silence_s"] is not None and peer["silence_s"] <= limit}  # fmt: skip
         for name, progress in list(core.progress.items()):
             if name in core.members and now - progress.heard >= self._replica.plan.election:
-                heard.discard(name)
-        return [name for name in seen.members if name not in heard and name != self._name]
+                reachable.discard(name)
+        return [name for name in state.members if name not in reachable and name != self._name]
--- a/tealwing/rollout/mark.py
+++ b/tealwing/rollout/mark.py
@@ -13,11 +13,11 @@
 
 from tealwing.replica.disk import Disk
 
-NAME = "rules-mark"  # in the folder of the replicated log: who loses one loses both
-LARGEST = 200  # bytes of the file
+FILE_NAME = "rules-mark"  # in the folder of the replicated log: who loses one loses both
+MAX_FILE_BYTES = 200  # bytes of the file
 
 
-class MarkDamaged(RuntimeError):
+class MarkerDamagedError(RuntimeError):
     """The file is there and is not what was written."""
 
     remedy = (
@@ -26,24 +26,24 @@
     )
 
 
-class Mark:
+class PersistedMarker:
     """The file. One thread uses it at a time."""
 
-    def __init__(self, folder: Path, disk: Disk) -> None:
-        self._folder, self._path, self._disk = folder, folder / NAME, disk
+    def __init__(self, directory: Path, disk: Disk) -> None:
+        self._directory, self._path, self._disk = directory, directory / FILE_NAME, disk
         self.number = 0
 
     def read(self) -> int:
         """The number; 0 where none was ever written. MarkDamaged where it can't be trusted, OSError as it comes."""
         try:
             with self._path.open("rb") as file:
-                data = file.read(LARGEST)
+                data = file.read(MAX_FILE_BYTES)
         except FileNotFoundError:
             return 0
         head, _, digest = data.strip().rpartition(b" ")
-        word, _, number = head.partition(b" ")
-        if word != b"closed-for" or not number.isdigit() or digest != _digest(head):
-            raise MarkDamaged(f"{self._path}: damaged; {MarkDamaged.remedy}")
+        keyword, _, number = head.partition(b" ")
+        if keyword != b"closed-for" or not number.isdigit() or digest != _digest(head):
+            raise MarkerDamagedError(f"{self._path}: damaged; {MarkerDamagedError.remedy}")
         self.number = int(number)
         return self.number
 
@@ -56,7 +56,7 @@
                 self._disk.write(file, head + b" " + _digest(head) + b"\n")
                 self._disk.sync(file)
             self._disk.rename(part, self._path)
-            self._disk.sync_folder(self._folder)
+            self._disk.sync_folder(self._directory)
         except OSError:
             with contextlib.suppress(OSError):
                 part.unlink()
--- a/tealwing/rollout/outside.py
+++ b/tealwing/rollout/outside.py
@@ -6,14 +6,14 @@
 from typing import Any, Protocol
 
 from tealwing.replica.node import Replica
-from tealwing.rollout.seen import Seen
+from tealwing.rollout.seen import ObservedState
 
 
-class Outside(Protocol):
+class FederationLog(Protocol):
     """The federation, as this process takes part in its log."""
 
     @property
-    def seen(self) -> Seen:
+    def state(self) -> ObservedState:
         """Its registry as it is applied here."""
 
     @property
--- a/tealwing/rollout/retry.py
+++ b/tealwing/rollout/retry.py
@@ -6,16 +6,19 @@
 
 from tealwing.coordinator.backoff import Backoff
 
-LEAST, MOST = 0.1, 1.0  # s: 200 members take half as long to show what all said, and it need not be said twice
+MIN_BACKOFF, MAX_BACKOFF = (
+    0.1,
+    1.0,
+)  # s: 200 members take half as long to show what all said, and it need not be said twice
 REPEAT_RATE = 1000.0  # messages a second that all members together repeat at most: a leader has others to take in
-SPAN = 4.0  # times the least wait that the longest is, at least
+MIN_BACKOFF_RATIO = 4.0  # times the least wait that the longest is, at least
 
 
 class Retry:
     """Things that are wanted until the state shows them. At most as many as are wanted at one moment."""
 
-    def __init__(self, seed: int, most: float = MOST) -> None:
-        self._seed, self._most = seed, most
+    def __init__(self, seed: int, max_backoff: float = MAX_BACKOFF) -> None:
+        self._seed, self._max_backoff = seed, max_backoff
         self._due: dict[Hashable, tuple[float, Backoff]] = {}
 
     def ready(self, now: float, key: Hashable, members: int = 0) -> bool:
@@ -23,14 +26,18 @@
         found = self._due.get(key)
         if found is not None and now < found[0]:
             return False
-        least = max(LEAST, members / REPEAT_RATE)
-        backoff = found[1] if found is not None else Backoff(least, max(self._most, SPAN * least), self._seed)
+        min_backoff = max(MIN_BACKOFF, members / REPEAT_RATE)
+        backoff = (
+            found[1]
+            if found is not None
+            else Backoff(min_backoff, max(self._max_backoff, MIN_BACKOFF_RATIO * min_backoff), self._seed)
+        )
         self._due[key] = now + backoff.next(), backoff
         return True
 
-    def keep(self, wanted: Collection[Hashable]) -> None:
+    def retain(self, keys: Collection[Hashable]) -> None:
         """Forget all that is wanted no more."""
-        for key in [key for key in self._due if key not in wanted]:
+        for key in [key for key in self._due if key not in keys]:
             del self._due[key]
 
     def due(self) -> tuple[tuple[Hashable, float], ...]:
--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -36,12 +36,12 @@
     )  # fmt: skip
     place = block.entries["lost-touch"][0].place
     if plan.limit <= plan.patience:
-        least = f"more than patience, {values.written_duration(plan.patience)}"
-        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), least)
+        allowed = f"more than patience, {values.written_duration(plan.patience)}"
+        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), allowed)
     over = USUAL.leader_waits(plan.permit) + plan.patience
-    if plan.lost_touch == "hold" and plan.limit <= over:
-        least = f"more than patience and a permit's end, {values.written_duration(round(over, 3))}"
-        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), least)
+    if plan.partition_mode == "hold" and plan.limit <= over:
+        allowed = f"more than patience and a permit's end, {values.written_duration(round(over, 3))}"
+        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), allowed)
     return plan
 
 
@@ -55,7 +55,7 @@
     peers, replica = records.get("peers"), records.get("replica")
     if plan is None or peers is None or replica is None:
         return
-    if plan.lost_touch == "serve" and replica.stale > 0:
+    if plan.partition_mode == "serve" and replica.stale > 0:
         report.add(
             block.place("lost-touch", place), "lost-touch", f"serve, with stale {replica.stale} in the section replica",
             "hold; or stale 0: a gateway that serves on what its disk says can't come back with an older disk",
--- a/tealwing/rollout/seen.py
+++ b/tealwing/rollout/seen.py
@@ -6,21 +6,21 @@
 from typing import Any
 
 from tealwing.replica.state import State
-from tealwing.rollout.view import View, view
+from tealwing.rollout.view import View, view_of
 from tealwing.rules import kept
-from tealwing.rules.cover import uncovered, unheard
+from tealwing.rules.cover import unanswered, uncovered
 from tealwing.rules.records import Facts, Member, Version
 
 TABLES = ("rules", "rule_members", "rule_facts")
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ObservedState:
     """All that is known of versions here. Records are immutable, so copies of the tables are enough."""
 
     index: int
     tables: dict[str, dict[str, Any]]
-    me: View
+    view: View
 
     @property
     def facts(self) -> Facts:
@@ -45,17 +45,17 @@
 
     def phase(self, number: int) -> str:
         """A version's phase, or `unknown`."""
-        return self.me.known(number) or "unknown"
+        return self.view.phase_of(number) or "unknown"
 
     def waits_for(self) -> list[str]:
         """Names of the members whose word the version in flight waits for."""
-        flight = self.me.flight
+        flight = self.view.in_flight
         if flight is None:
             return []
-        return uncovered(self.tables, flight.number) if self.me.closing else unheard(self.tables, flight)
+        return uncovered(self.tables, flight.number) if self.view.closing_for else unanswered(self.tables, flight)
 
 
-def seen(state: State, name: str) -> Seen:
+def observe(state: State, name: str) -> ObservedState:
     """The tables as they are now, for the member of that name; on the thread that applies."""
     tables = {table: dict(state.tables[table]) for table in TABLES}
-    return Seen(state.applied, tables, view(tables, state.applied, name))
+    return ObservedState(state.applied, tables, view_of(tables, state.applied, name))
--- a/tealwing/rollout/talk.py
+++ b/tealwing/rollout/talk.py
@@ -14,14 +14,17 @@
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
 from tealwing.replica.outcomes import Unavailable, Unknown
-from tealwing.rollout.actions import Read, Say, Token
-from tealwing.rollout.errands import Errands
+from tealwing.rollout.actions import ReadIndex, ReadToken, SubmitCommand
+from tealwing.rollout.errands import BackgroundWorker
 from tealwing.rollout.member import Machine
 from tealwing.rules import records
 
-SAY_WAIT = 1.0  # s that one word to the log may take before it is said again
-PASSED = (records.Verdict, records.Closed, records.Witness)
-READ_WAIT, READ_SHARE = 1.0, 0.25  # s that a read may take, and share of a permit: one lost frame must not cost it
+SUBMIT_TIMEOUT = 1.0  # s that one word to the log may take before it is said again
+FORWARDED = (records.Verdict, records.Closed, records.ConfirmExpiry)
+READ_TIMEOUT, READ_TIMEOUT_SHARE = (
+    1.0,
+    0.25,
+)  # s that a read may take, and share of a permit: one lost frame must not cost it
 
 
 class Log(Protocol):
@@ -37,81 +40,81 @@
         """Wait until the state here has all that was committed when this was called."""
 
 
-class Talk:
+class LogClient:
     """One thread for words, one for reads of each log: a read must not wait for a word."""
 
     def __init__(
         self, machine: Machine, clock: Clock, site: Log, lock: threading.Lock, changed: Callable[[], None],
-        federation: Log | None = None, permit: float = READ_WAIT / READ_SHARE,
+        federation: Log | None = None, permit: float = READ_TIMEOUT / READ_TIMEOUT_SHARE,
     ) -> None:  # fmt: skip
         """permit is s that one lasts. lock is round the machine.
 
         changed is told, without the lock, whenever the machine has heard something.
         """
         self._machine, self._clock, self._site, self._lock, self._changed = machine, clock, site, lock, changed
-        self._federation, self._read_wait = federation, min(READ_WAIT, READ_SHARE * permit)
-        self._words, self._reads = Errands("rules-words"), Errands("rules-reads")
-        self._outside = Errands("rules-reads-federation") if federation is not None else None
-        self._saying: set[records.Body] = set()
-        self.refusal = ""  # the last word with which the log turned ours down
+        self._federation, self._read_timeout = federation, min(READ_TIMEOUT, READ_TIMEOUT_SHARE * permit)
+        self._submissions, self._reads = BackgroundWorker("rules-words"), BackgroundWorker("rules-reads")
+        self._federation_reads = BackgroundWorker("rules-reads-federation") if federation is not None else None
+        self._queued: set[records.Body] = set()
+        self.last_rejection = ""  # the last word with which the log turned ours down
 
     def start(self) -> None:
         """Begin; threads.NoThread where the system has none."""
-        for errands in (self._words, self._reads, self._outside):
-            if errands is not None:
-                errands.start()
+        for worker in (self._submissions, self._reads, self._federation_reads):
+            if worker is not None:
+                worker.start()
 
     def stop(self) -> None:
         """End after what is being said."""
-        for errands in (self._words, self._reads, self._outside):
-            if errands is not None:
-                errands.stop()
+        for worker in (self._submissions, self._reads, self._federation_reads):
+            if worker is not None:
+                worker.stop()
 
-    def say(self, action: Say) -> None:
+    def submit(self, action: SubmitCommand) -> None:
         """Have a word said, where it is not about to be already.
 
         What all members say of every change is passed on, and nobody waits for an answer: a lost one would be waited
         for while the word could be said again, and the leader has more to do than to answer each.
         """
-        if isinstance(action.body, PASSED):
+        if isinstance(action.body, FORWARDED):
             self._site.pass_on(c.encode(c.Command("", 0, action.body)))
             return
-        if action.body not in self._saying and self._words.do(lambda: self._send(action)):
-            self._saying.add(action.body)
+        if action.body not in self._queued and self._submissions.submit(lambda: self._send(action)):
+            self._queued.add(action.body)
 
-    def read(self, action: Read) -> None:
+    def read(self, action: ReadIndex) -> None:
         """Ask the log up to where it is committed; the machine wants one at a time."""
-        log_, errands = (self._federation, self._outside) if action.federation else (self._site, self._reads)
-        if log_ is None or errands is None or not errands.do(lambda: self._ask(log_, action)):
+        log_, worker = (self._federation, self._federation_reads) if action.federation else (self._site, self._reads)
+        if log_ is None or worker is None or not worker.submit(lambda: self._read(log_, action)):
             with self._lock:
                 now = self._clock.now()
                 self._machine.read_failed(now, self._machine.read_sent(now, action.federation))
 
-    def _send(self, action: Say) -> None:
+    def _send(self, action: SubmitCommand) -> None:
         ok = False
-        self._saying.discard(action.body)  # if it is wanted again while it is said, it is said again
+        self._queued.discard(action.body)  # if it is wanted again while it is said, it is said again
         try:
-            result = self._site.write(c.Command("", 0, action.body), SAY_WAIT)
+            result = self._site.write(c.Command("", 0, action.body), SUBMIT_TIMEOUT)
         except (Unknown, Unavailable):
             pass
         else:
             ok = result.ok
-            if not ok and result.reason != self.refusal:
-                log.event("rules_word_refused", word=type(action.body).__name__.lower(), why=result.reason)
-            self.refusal = "" if ok else result.reason
+            if not ok and result.reason != self.last_rejection:
+                log.event("rules_command_rejected", command=records.COMMAND_NAMES[type(action.body)], why=result.reason)
+            self.last_rejection = "" if ok else result.reason
         with self._lock:
-            self._machine.said(self._clock.now(), action, ok)
+            self._machine.submitted(self._clock.now(), action, ok)
         self._changed()
 
-    def _ask(self, log_: Log, action: Read) -> None:
+    def _read(self, log_: Log, action: ReadIndex) -> None:
         with self._lock:
-            token: Token = self._machine.read_sent(self._clock.now(), action.federation)
+            token: ReadToken = self._machine.read_sent(self._clock.now(), action.federation)
         try:
-            index = log_.read_index(self._read_wait)
+            index = log_.read_index(self._read_timeout)
         except Unavailable:
             with self._lock:
                 self._machine.read_failed(self._clock.now(), token)
             return
         with self._lock:
-            self._machine.read_done(self._clock.now(), token, index)
+            self._machine.read_completed(self._clock.now(), token, index)
         self._changed()
--- a/tealwing/rollout/witnesses.py
+++ b/tealwing/rollout/witnesses.py
@@ -12,55 +12,61 @@
 
 from tealwing.peers.bounds import USUAL, Bounds
 from tealwing.rollout.retry import Retry
-from tealwing.rules.records import Body, Forget, Lapse, Member, Witness
+from tealwing.rules.records import Body, ConfirmExpiry, ExpirePermit, Forget, Member
 
-FIRST = 3  # members that speak at once: two are needed, and one may be away
-NEXT = 0.5  # s after which as many more do
+BATCH_SIZE = 3  # members that speak at once: two are needed, and one may be away
+BATCH_INTERVAL = 0.5  # s after which as many more do
 
 
-class Witnesses:
+class ExpiryObserver:
     """One member's watch over lapses."""
 
     def __init__(self, name: str, bounds: Bounds = USUAL, seed: int = 0) -> None:
         self.name, self._bounds, self._retry = name, bounds, Retry(seed)
-        self._since: dict[tuple[str, int], float] = {}  # by member and lapse: when it was applied here, or seen first
+        self._observed_at: dict[
+            tuple[str, int], float
+        ] = {}  # by member and lapse: when it was applied here, or seen first
 
     @property
     def is_waiting(self) -> bool:
         """Whether a lapse is open, as of the last look."""
-        return bool(self._since)
+        return bool(self._observed_at)
 
     def applied(self, now: float, index: int, body: Body) -> None:
         """An entry was applied."""
-        if isinstance(body, Lapse | Forget):
-            self._since.setdefault((body.member, index), now)
+        if isinstance(body, ExpirePermit | Forget):
+            self._observed_at.setdefault((body.member, index), now)
 
-    def due(self, now: float, tables: Mapping[str, Mapping[str, Any]]) -> list[Witness]:
+    def due(self, now: float, tables: Mapping[str, Mapping[str, Any]]) -> list[ConfirmExpiry]:
         """What we can say now."""
         members: Mapping[str, Member] = tables["rule_members"]
-        open_ = {(name, member.lapsed) for name, member in members.items() if member.lapsed and not member.over}
-        self._since = {key: self._since.get(key, now) for key in sorted(open_)}
-        self._retry.keep(open_)
+        open_ = {
+            (name, member.expiry_index)
+            for name, member in members.items()
+            if member.expiry_index and not member.expiry_confirmed
+        }
+        self._observed_at = {key: self._observed_at.get(key, now) for key in sorted(open_)}
+        self._retry.retain(open_)
         me = members.get(self.name)
-        found: list[Witness] = []
-        if me is None or me.lapsed:
+        found: list[ConfirmExpiry] = []
+        if me is None or me.expiry_index:
             return found
-        for name, lapse in sorted(open_):
+        for name, expiry_index in sorted(open_):
             member = members[name]
-            if name == self.name or self.name in member.witnesses:
+            if name == self.name or self.name in member.confirmed_by:
                 continue
-            waited = now - self._since[name, lapse] - self._bounds.leader_waits(member.permit / 1e3)
-            if waited < 0 or waited < NEXT * (self._rank(name, lapse, members) // FIRST):
+            waited = now - self._observed_at[name, expiry_index] - self._bounds.leader_waits(member.permit / 1e3)
+            if waited < 0 or waited < BATCH_INTERVAL * (self._rank(name, expiry_index, members) // BATCH_SIZE):
                 continue
-            if self._retry.ready(now, (name, lapse)):
-                found.append(Witness(name, lapse, self.name))
+            if self._retry.ready(now, (name, expiry_index)):
+                found.append(ConfirmExpiry(name, expiry_index, self.name))
         return found
 
-    def _rank(self, name: str, lapse: int, members: Mapping[str, Member]) -> int:
-        ours = _order(name, lapse, self.name)
-        able = (other for other, member in members.items() if other != name and not member.lapsed)
-        return sum(1 for other in able if _order(name, lapse, other) < ours)
+    def _rank(self, name: str, expiry_index: int, members: Mapping[str, Member]) -> int:
+        ours = _order(name, expiry_index, self.name)
+        able = (other for other, member in members.items() if other != name and not member.expiry_index)
+        return sum(1 for other in able if _order(name, expiry_index, other) < ours)
 
 
-def _order(name: str, lapse: int, other: str) -> tuple[int, str]:
-    return xxhash.xxh3_64_intdigest(f"{name}/{lapse}/{other}".encode()), other
+def _order(name: str, expiry_index: int, other: str) -> tuple[int, str]:
+    return xxhash.xxh3_64_intdigest(f"{name}/{expiry_index}/{other}".encode()), other
--- a/tealwing/rules/bundle.py
+++ b/tealwing/rules/bundle.py
@@ -14,16 +14,16 @@
 from tealwing.routing.table import Route, Table
 from tealwing.rules import typed
 from tealwing.rules.digests import digest
-from tealwing.rules.errors import BadRoutes, NotToml, TooLarge
-from tealwing.rules.records import LARGEST
+from tealwing.rules.errors import InvalidRoutesError, TomlError, TooLargeError
+from tealwing.rules.records import MAX_BUNDLE_BYTES
 
-__all__ = ["Attempts", "Bundle", "Class", "Ranged", "Tenant", "digest", "parse", "table"]
+__all__ = ["Attempts", "Bundle", "Class", "GroupRange", "Tenant", "digest", "parse", "table"]
 
-MOST_ROUTES = 4096
-MOST_GROUP = 2**53 - 1  # what a group's number may be: the decision module holds it as a float
+MAX_ROUTES = 4096
+MAX_GROUP = 2**53 - 1  # what a group's number may be: the decision module holds it as a float
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=100)]
 Milliseconds = Annotated[int, msgspec.Meta(ge=1, le=3_600_000)]
-GroupNumber = Annotated[int, msgspec.Meta(ge=validate.NO_GROUP, le=MOST_GROUP)]
+GroupNumber = Annotated[int, msgspec.Meta(ge=validate.NO_GROUP, le=MAX_GROUP)]
 
 
 class _Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
@@ -33,16 +33,16 @@
 class Attempts(_Table, frozen=True):
     """How often a request is tried."""
 
-    most: Annotated[int, msgspec.Meta(ge=1, le=100)] | None = None
+    max_attempts: Annotated[int, msgspec.Meta(ge=1, le=100)] | None = msgspec.field(default=None, name="most")
 
 
 class Class(_Table, frozen=True):
     """What is other for one class than the platform's settings say; None: nothing."""
 
-    aim_ms: Milliseconds | None = None
+    latency_objective_ms: Milliseconds | None = msgspec.field(default=None, name="aim-ms")
     deadline_ms: Milliseconds | None = None
     effect: Literal["safe", "keyed", "unsafe"] | None = None
-    worth: Annotated[float, msgspec.Meta(ge=0, le=1e6)] | None = None
+    priority_weight: Annotated[float, msgspec.Meta(ge=0, le=1e6)] | None = msgspec.field(default=None, name="worth")
 
 
 class Tenant(_Table, frozen=True):
@@ -51,7 +51,7 @@
     share: Annotated[float, msgspec.Meta(ge=0, le=1)] | None = None
 
 
-class Ranged(_Table, frozen=True):
+class GroupRange(_Table, frozen=True):
     """The groups of tables from first to last, both among them, and their sites, the preferred one first."""
 
     first: GroupNumber
@@ -62,11 +62,13 @@
 class Bundle(_Table, frozen=True):
     """All of it; what is absent is as the platform and the operators' files say."""
 
-    levels: Annotated[str, msgspec.Meta(max_length=LARGEST)] = ""  # a section `levels` in the operators' grammar
+    levels: Annotated[str, msgspec.Meta(max_length=MAX_BUNDLE_BYTES)] = (
+        ""  # a section `levels` in the operators' grammar
+    )
     attempts: Attempts = Attempts()
     classes: Annotated[dict[Name, Class], msgspec.Meta(max_length=256)] = {}
     tenants: Annotated[dict[Name, Tenant], msgspec.Meta(max_length=1024)] = {}
-    routes: Annotated[tuple[Ranged, ...], msgspec.Meta(max_length=MOST_ROUTES)] = ()
+    routes: Annotated[tuple[GroupRange, ...], msgspec.Meta(max_length=MAX_ROUTES)] = ()
 
 
 EMPTY = Bundle()  # what is in force before the first version
@@ -74,21 +76,21 @@
 
 def parse(text: bytes) -> Bundle:
     """The bundle of a text. errors.BundleError with the key, what was found, and what is allowed."""
-    if len(text) > LARGEST:
-        raise TooLarge("the bundle", f"{len(text)} bytes; allowed: {LARGEST}")
+    if len(text) > MAX_BUNDLE_BYTES:
+        raise TooLargeError("the bundle", f"{len(text)} bytes; allowed: {MAX_BUNDLE_BYTES}")
     try:
         data = tomllib.loads(text.decode())
     except RecursionError:
-        raise NotToml("the bundle", "too many brackets within one another") from None
+        raise TomlError("the bundle", "too many brackets within one another") from None
     except ValueError as error:  # no TOML, no UTF-8, or a number of thousands of figures
-        raise NotToml("the bundle", str(error)[:200]) from None
+        raise TomlError("the bundle", str(error)[:200]) from None
     found = typed.read(Bundle, data)
     for fault in validate.faults(table(found).routes):
-        raise BadRoutes(fault.place, f"{fault.what}; {fault.remedy}")
+        raise InvalidRoutesError(fault.place, f"{fault.what}; {fault.remedy}")
     if found.levels:
         from tealwing.rules import leveltext  # only where there are some: the grammar takes memory
 
-        leveltext.plan(found.levels)
+        leveltext.parse_levels(found.levels)
     return found
 
 
--- a/tealwing/rules/check.py
+++ b/tealwing/rules/check.py
@@ -11,19 +11,19 @@
 from tealwing.rules import overlay
 from tealwing.rules.bundle import Bundle
 from tealwing.rules.errors import (
-    BeyondMemory,
-    NeedsNewerBuild,
-    NeedsRestart,
-    NoSite,
+    BuildTooOldError,
+    MemoryLimitError,
+    RestartRequiredError,
     RulesError,
-    UnknownName,
+    UnknownNameError,
+    UnknownSiteError,
 )
 
 BUILD = 1  # what this build can put in force; a version says what it needs
 Reason = RulesError
 ROUTE_BYTES = 1100  # of memory that a route takes at most while it is read
 MEMORY_SHARE = 1 / 16  # of a gateway's memory that routes may take
-MOST_TOLD = 5  # routes that are told; what holds for hundreds is one mistake
+MAX_REPORTED_ROUTES = 5  # routes that are told; what holds for hundreds is one mistake
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     build: int = BUILD
 
 
-def judge(text: bytes, running: Running, needs: int = 1) -> list[Reason]:
+def check_text(text: bytes, running: Running, needs: int = 1) -> list[Reason]:
     """The same for a text, which may be no bundle at all."""
     try:
         return check(bundles.parse(text), running, needs)
@@ -51,7 +51,7 @@
     """All reasons against a good bundle; none: it can be in force here at once."""
     found: list[Reason] = []
     if needs > running.build:
-        found.append(NeedsNewerBuild("needs", f"build {needs}; this is {running.build}"))
+        found.append(BuildTooOldError("needs", f"build {needs}; this is {running.build}"))
     try:
         settings = overlay.apply(bundle, running.settings)
         found += _restart(bundle, running, settings)
@@ -59,9 +59,11 @@
         found.append(error)
     if bundle.levels:
         found += _levels(bundle, running)
-    takes, most = len(bundle.routes) * ROUTE_BYTES, running.memory * MEMORY_SHARE
-    if running.memory and takes > most:
-        found.append(BeyondMemory("routes", f"{takes} bytes for {len(bundle.routes)}; allowed: {most:.0f}"))
+    route_bytes, max_bytes = len(bundle.routes) * ROUTE_BYTES, running.memory * MEMORY_SHARE
+    if running.memory and route_bytes > max_bytes:
+        found.append(
+            MemoryLimitError("routes", f"{route_bytes} bytes for {len(bundle.routes)}; allowed: {max_bytes:.0f}")
+        )
     return found + _routes(bundle, running)
 
 
@@ -69,7 +71,7 @@
     """Levels and gossip are built on the settings that there were at their start."""
     found: list[Reason] = []
     if bundle.levels and running.levels:
-        found.append(NeedsRestart("levels", "this gateway's operators' file has a section levels of its own"))
+        found.append(RestartRequiredError("levels", "this gateway's operators' file has a section levels of its own"))
     try:
         before = overlay.apply(running.active or bundles.EMPTY, running.settings)
     except RulesError:  # the platform's settings have changed since: what is in force here is theirs
@@ -77,7 +79,7 @@
     if settings != before:
         for name, is_on in (("gossip", running.gossip), ("levels", running.levels)):
             if is_on:
-                found.append(NeedsRestart("the settings", f"they change, and the section {name} is on here"))
+                found.append(RestartRequiredError("the settings", f"they change, and the section {name} is on here"))
     return found
 
 
@@ -85,9 +87,9 @@
     from tealwing.rules import leveltext  # only where there are some
 
     try:
-        leveltext.plan(bundle.levels).measures(running.settings)
+        leveltext.parse_levels(bundle.levels).measures(running.settings)
     except PlanError as error:
-        return [UnknownName("levels", str(error)[:400])]
+        return [UnknownNameError("levels", str(error)[:400])]
     return []
 
 
@@ -101,10 +103,12 @@
             continue
         where, sites = f"routes[{place}].sites", ", ".join(route.sites[:8])
         if not known & set(route.sites):
-            found.append(NoSite(where, f"{sites}: none is known here; allowed: {', '.join(sorted(known)[:20])}"))
+            found.append(
+                UnknownSiteError(where, f"{sites}: none is known here; allowed: {', '.join(sorted(known)[:20])}")
+            )
         elif running.sites is not None and not running.sites & set(route.sites):
             listed = ", ".join(sorted(running.sites)[:20]) or "none"
-            found.append(NoSite(where, f"{sites}: without engines; sites with engines: {listed}"))
-        if len(found) == MOST_TOLD:
+            found.append(UnknownSiteError(where, f"{sites}: without engines; sites with engines: {listed}"))
+        if len(found) == MAX_REPORTED_ROUTES:
             break
     return found
--- a/tealwing/rules/closing.py
+++ b/tealwing/rules/closing.py
@@ -6,65 +6,69 @@
 
 from tealwing.record import CommandResult
 from tealwing.rules import kept
-from tealwing.rules.cover import settle, witnesses_needed
-from tealwing.rules.kept import Tables, no, yes
+from tealwing.rules.cover import confirmations_needed, update_phase
+from tealwing.rules.kept import Tables, accept, reject
 from tealwing.rules.members import remove
-from tealwing.rules.records import Close, Closed, Lapse, Witness
+from tealwing.rules.records import Close, Closed, ConfirmExpiry, ExpirePermit
 
 
 def close(tables: Tables, index: int, body: Close) -> CommandResult:
     """Every member closes as it applies this."""
     found = kept.version(tables, body.number)
     if found is None or found.phase != "checked":
-        return no(index, _not(body.number, found.phase if found else "unknown", "checked"), body.number)
-    kept.turn(tables, index, found, "preparing")
-    settle(tables, index)
-    return yes(index, body.number)
+        return reject(index, _wrong_phase(body.number, found.phase if found else "unknown", "checked"), body.number)
+    kept.set_phase(tables, index, found, "preparing")
+    update_phase(tables, index)
+    return accept(index, body.number)
 
 
 def closed(tables: Tables, index: int, body: Closed) -> CommandResult:
     """A member has closed, and its disk says so."""
     found = kept.version(tables, body.number)
     if found is None or found.phase not in ("preparing", "agreed"):
-        return no(index, _not(body.number, found.phase if found else "unknown", "preparing"), body.number)
+        return reject(index, _wrong_phase(body.number, found.phase if found else "unknown", "preparing"), body.number)
     member = kept.members(tables).get(body.member)
     if member is None or member.start != body.start:
-        return no(index, f"{body.member} has not begun in that start: begin first", body.number)
+        return reject(index, f"{body.member} has not begun in that start: begin first", body.number)
     kept.members(tables)[body.member] = replace(member, closed=body.number)
-    settle(tables, index)
-    return yes(index, body.number)
+    update_phase(tables, index)
+    return accept(index, body.number)
 
 
-def lapse(tables: Tables, index: int, body: Lapse) -> CommandResult:
+def expire_permit(tables: Tables, index: int, body: ExpirePermit) -> CommandResult:
     """No permit of that start is given after this entry; those given before run out."""
     member = kept.members(tables).get(body.member)
-    if member is None or member.start != body.start or member.lapsed:
-        return no(index, f"{body.member} has not begun in that start, or it has lapsed already")
-    if member.lost_touch != "hold":
-        return no(index, f"{body.member} serves on when it is cut off: it has no permit that could lapse")
-    kept.members(tables)[body.member] = replace(member, lapsed=index, witnesses=(), over=False)
-    settle(tables, index)
-    return yes(index, index)
+    if member is None or member.start != body.start or member.expiry_index:
+        return reject(index, f"{body.member} has not begun in that start, or it has lapsed already")
+    if member.partition_mode != "hold":
+        return reject(index, f"{body.member} serves on when it is cut off: it has no permit that could lapse")
+    kept.members(tables)[body.member] = replace(member, expiry_index=index, confirmed_by=(), expiry_confirmed=False)
+    update_phase(tables, index)
+    return accept(index, index)
 
 
-def witness(tables: Tables, index: int, body: Witness) -> CommandResult:
+def confirm_expiry(tables: Tables, index: int, body: ConfirmExpiry) -> CommandResult:
     """By another member's clock, what was given before a lapse is over; two must say so, where there are two."""
     table = kept.members(tables)
-    member, other = table.get(body.member), table.get(body.by)
-    if member is None or not member.lapsed or member.lapsed != body.lapse:
-        return no(index, f"{body.member} has no lapse at {body.lapse}")
-    if other is None or other.lapsed or body.by == body.member:
-        return no(index, f"{body.by} is no other member, or has lapsed itself: its clock is not asked")
-    if member.over or body.by in member.witnesses:
-        return yes(index, index)
-    told = (*member.witnesses, body.by)
-    member = replace(member, witnesses=told, over=len(told) >= witnesses_needed(tables, body.member))
+    member, other = table.get(body.member), table.get(body.confirmed_by)
+    if member is None or not member.expiry_index or member.expiry_index != body.expiry_index:
+        return reject(index, f"{body.member} has no lapse at {body.expiry_index}")
+    if other is None or other.expiry_index or body.confirmed_by == body.member:
+        return reject(index, f"{body.confirmed_by} is no other member, or has lapsed itself: its clock is not asked")
+    if member.expiry_confirmed or body.confirmed_by in member.confirmed_by:
+        return accept(index, index)
+    confirmed_by = (*member.confirmed_by, body.confirmed_by)
+    member = replace(
+        member,
+        confirmed_by=confirmed_by,
+        expiry_confirmed=len(confirmed_by) >= confirmations_needed(tables, body.member),
+    )
     table[body.member] = member
-    if member.over and member.leaving:
+    if member.expiry_confirmed and member.leaving:
         remove(tables, index, body.member)
-    settle(tables, index)
-    return yes(index, index)
+    update_phase(tables, index)
+    return accept(index, index)
 
 
-def _not(number: int, phase: str, wanted: str) -> str:
-    return f"version {number} is {phase}, not {wanted}"
+def _wrong_phase(number: int, phase: str, required: str) -> str:
+    return f"version {number} is {phase}, not {required}"
--- a/tealwing/rules/deciding.py
+++ b/tealwing/rules/deciding.py
@@ -6,7 +6,7 @@
 from tealwing.record import CommandResult
 from tealwing.rules import history, kept
 from tealwing.rules.cover import uncovered
-from tealwing.rules.kept import Tables, no, yes
+from tealwing.rules.kept import Tables, accept, reject
 from tealwing.rules.records import IN_FLIGHT, Abort, Activate, Facts, Version, Withdraw
 
 
@@ -14,31 +14,31 @@
     """In force from here on. Refused where some member may still decide under the old rules, whoever leads."""
     found = kept.version(tables, body.number)
     if found is None or found.phase != "agreed":
-        return no(index, f"version {body.number} is {found.phase if found else 'unknown'}, not agreed", body.number)
+        return reject(index, f"version {body.number} is {found.phase if found else 'unknown'}, not agreed", body.number)
     missing = uncovered(tables, body.number)
     check_invariant(not missing, "an agreed version is covered")
     if missing:
-        return no(index, f"version {body.number} is not closed for at {', '.join(missing)}", body.number)
+        return reject(index, f"version {body.number} is not closed for at {', '.join(missing)}", body.number)
     if found.federated and not body.decided:
-        return no(index, _elsewhere(found), body.number)
+        return reject(index, _decided_by_federation(found), body.number)
     now, before = kept.facts(tables), kept.active(tables)
     if before is not None:
-        kept.turn(tables, index, before, "superseded", decided=before.decided)
-    kept.turn(tables, index, found, "active", decided=body.decided)
+        kept.set_phase(tables, index, before, "superseded", decided=before.decided)
+    kept.set_phase(tables, index, found, "active", decided=body.decided)
     tables["rule_facts"]["now"] = Facts(now.last, body.number)
     history.trim(tables)
-    return yes(index, body.number)
+    return accept(index, body.number)
 
 
 def abort(tables: Tables, index: int, body: Abort) -> CommandResult:
     """It will never be in force; who has closed for it opens under the rules there were."""
     found = kept.version(tables, body.number)
     if found is None or found.phase not in IN_FLIGHT:
-        return no(index, f"version {body.number} is {found.phase if found else 'unknown'}", body.number)
+        return reject(index, f"version {body.number} is {found.phase if found else 'unknown'}", body.number)
     if found.federated and not body.decided:
-        return no(index, _elsewhere(found), body.number)
-    kept.turn(tables, index, found, "aborted", body.reason, body.decided)
-    return yes(index, body.number)
+        return reject(index, _decided_by_federation(found), body.number)
+    kept.set_phase(tables, index, found, "aborted", body.reason, body.decided)
+    return accept(index, body.number)
 
 
 def withdraw(tables: Tables, index: int, body: Withdraw) -> CommandResult:
@@ -46,12 +46,12 @@
     found = kept.version(tables, body.number)
     if found is None or found.phase not in ("proposed", "checked"):
         phase = found.phase if found else "unknown"
-        return no(index, f"version {body.number} is {phase}: it can be withdrawn until members close", body.number)
+        return reject(index, f"version {body.number} is {phase}: it can be withdrawn until members close", body.number)
     if found.federated:
-        return no(index, _elsewhere(found), body.number)
-    kept.turn(tables, index, found, "withdrawn", f"{body.who}: {body.why}")
-    return yes(index, body.number)
+        return reject(index, _decided_by_federation(found), body.number)
+    kept.set_phase(tables, index, found, "withdrawn", f"{body.who}: {body.why}")
+    return accept(index, body.number)
 
 
-def _elsewhere(found: Version) -> str:
+def _decided_by_federation(found: Version) -> str:
     return f"version {found.number} is decided in the federation's log and not here"
--- a/tealwing/rules/history.py
+++ b/tealwing/rules/history.py
@@ -5,16 +5,16 @@
 from tealwing.rules.kept import Tables, active
 from tealwing.rules.records import IN_FLIGHT, Version
 
-KEPT = 32  # versions
+MAX_VERSIONS = 32  # versions
 
 
 def trim(tables: Tables) -> None:
     """Let the oldest go; never the one in force, its parent (the way back), nor one in flight."""
     table: dict[str, Version] = tables["rules"]
     now = active(tables)
-    stay = {now.number, now.parent} if now is not None else set()
+    protected = {now.number, now.parent} if now is not None else set()
     for number in sorted(map(int, table)):
-        if len(table) <= KEPT:
+        if len(table) <= MAX_VERSIONS:
             return
-        if number not in stay and table[str(number)].phase not in IN_FLIGHT:
+        if number not in protected and table[str(number)].phase not in IN_FLIGHT:
             del table[str(number)]
--- a/tealwing/rules/kept.py
+++ b/tealwing/rules/kept.py
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from tealwing.record import CommandResult
-from tealwing.rules.records import IN_FLIGHT, NOW, Facts, Member, Phase, Version
+from tealwing.rules.records import FACTS_KEY, IN_FLIGHT, Facts, Member, Phase, Version
 
 Tables = dict[str, dict[str, Any]]
 _EPOCH = datetime(1970, 1, 1)
@@ -17,7 +17,7 @@
 
 def facts(tables: Tables) -> Facts:
     """What holds of all versions."""
-    found: Facts = tables["rule_facts"].get(NOW) or Facts()
+    found: Facts = tables["rule_facts"].get(FACTS_KEY) or Facts()
     return found
 
 
@@ -47,28 +47,28 @@
     tables["rules"][str(found.number)] = found
 
 
-def turn(tables: Tables, index: int, found: Version, phase: Phase, outcome: str = "", decided: int = 0) -> None:
+def set_phase(tables: Tables, index: int, found: Version, phase: Phase, outcome: str = "", decided: int = 0) -> None:
     """A version comes into a phase by the entry at an index."""
     put(tables, replace(found, phase=phase, changed=index, outcome=outcome or found.outcome, decided=decided))
 
 
-def no(index: int, why: str, number: int = 0) -> CommandResult:
+def reject(index: int, why: str, number: int = 0) -> CommandResult:
     """The registry refuses a command."""
     return CommandResult(False, index, number, why)
 
 
-def yes(index: int, number: int) -> CommandResult:
+def accept(index: int, number: int) -> CommandResult:
     """The registry has applied a command."""
     return CommandResult(True, index, number)
 
 
-def moment(when: int) -> str:
+def format_timestamp(when: int) -> str:
     """A time of the Unix clock in ms, as people read it; always UTC."""
     if when > _LAST_MS:
         return f"{when} ms"
     return (_EPOCH + timedelta(milliseconds=when)).isoformat(" ", "seconds") + " UTC"
 
 
-def by(found: Version) -> str:
+def describe(found: Version) -> str:
     """Whose a version is, and since when."""
-    return f"version {found.number} by {found.who} of {moment(found.when)}"
+    return f"version {found.number} by {found.who} of {format_timestamp(found.when)}"
--- a/tealwing/rules/leveltext.py
+++ b/tealwing/rules/leveltext.py
@@ -9,22 +9,24 @@
 from tealwing.conf.schema import Report, check
 from tealwing.levels.plan import Plan
 from tealwing.levels.section import SECTION
-from tealwing.rules.errors import BadLevels
+from tealwing.rules.errors import InvalidLevelsError
 
 FILE = "levels"  # stands for a file's name in what is told
 
 
-def plan(text: str) -> Plan:
+def parse_levels(text: str) -> Plan:
     """The plan of a text: the section's name, and its lines indented below it. BadLevels for the first fault."""
     report = Report()
     tops = _nested(text, report)
-    _tell(report)
+    _raise_first_problem(report)
     if len(tops) != 1 or tops[0].name != SECTION.name or tops[0].words:
-        raise BadLevels(f"{FILE}:1", f"{len(tops)} lines at the margin; allowed: the line `levels`, the rest below it")
+        raise InvalidLevelsError(
+            f"{FILE}:1", f"{len(tops)} lines at the margin; allowed: the line `levels`, the rest below it"
+        )
     block = check(SECTION.specs, tops[0].children, tops[0].place, SECTION.name, report)
-    _tell(report)
+    _raise_first_problem(report)
     found: Plan = SECTION.build(block, report)
-    _tell(report)
+    _raise_first_problem(report)
     return found
 
 
@@ -49,7 +51,7 @@
     return top
 
 
-def _tell(report: Report) -> None:
+def _raise_first_problem(report: Report) -> None:
     for problem in report.problems:
         what = f"{problem.directive}: found {problem.found}; allowed: {problem.allowed}"
-        raise BadLevels(str(problem.place), what)
+        raise InvalidLevelsError(str(problem.place), what)
--- a/tealwing/rules/members.py
+++ b/tealwing/rules/members.py
@@ -6,11 +6,11 @@
 
 from tealwing.record import CommandResult
 from tealwing.rules import kept
-from tealwing.rules.cover import settle
-from tealwing.rules.kept import Tables, no, yes
+from tealwing.rules.cover import update_phase
+from tealwing.rules.kept import Tables, accept, reject
 from tealwing.rules.records import Begin, Forget, Member
 
-MOST = 1100  # members: as many as the section `peers` takes
+MAX_MEMBERS = 1100  # members: as many as the section `peers` takes
 
 
 def begin(tables: Tables, index: int, body: Begin) -> CommandResult:
@@ -23,20 +23,26 @@
     before = table.get(body.member)
     present = before.start if before else 0
     if before is not None and present == body.start:  # it was sent twice
-        return no(index, "that start has lapsed: begin with another", present) if before.lapsed else yes(index, index)
+        return (
+            reject(index, "that start has lapsed: begin with another", present)
+            if before.expiry_index
+            else accept(index, index)
+        )
     if body.replaces != present:
-        return no(index, f"{body.member} is there with the start {present}, not {body.replaces}: name that", present)
-    if before is None and len(table) >= MOST:
-        return no(index, f"{MOST} members already; forget those that are gone")
-    flying = kept.in_flight(tables)
-    for found in (kept.active(tables), flying):
+        return reject(
+            index, f"{body.member} is there with the start {present}, not {body.replaces}: name that", present
+        )
+    if before is None and len(table) >= MAX_MEMBERS:
+        return reject(index, f"{MAX_MEMBERS} members already; forget those that are gone")
+    in_flight = kept.in_flight(tables)
+    for found in (kept.active(tables), in_flight):
         if found is not None and found.phase != "proposed" and found.needs > body.build:  # to a proposed one it says no
-            return no(index, f"version {found.number} of the rules needs build {found.needs}, and {body.member} is"
+            return reject(index, f"version {found.number} of the rules needs build {found.needs}, and {body.member} is"
                              f" build {body.build}: install that one or a newer one", present)  # fmt: skip
-    table[body.member] = Member(body.start, body.lost_touch, body.build, body.permit, index)
-    _unsay(tables, body.member)
-    settle(tables, index)
-    return yes(index, index)
+    table[body.member] = Member(body.start, body.partition_mode, body.build, body.permit, index)
+    _discard_verdict(tables, body.member)
+    update_phase(tables, index)
+    return accept(index, index)
 
 
 def forget(tables: Tables, index: int, body: Forget) -> CommandResult:
@@ -44,26 +50,30 @@
     table = kept.members(tables)
     member = table.get(body.member)
     if member is None:
-        return no(index, f"there is no member {body.member}")
-    if body.off or (member.lapsed and member.over):
+        return reject(index, f"there is no member {body.member}")
+    if body.off or (member.expiry_index and member.expiry_confirmed):
         remove(tables, index, body.member)
-    elif member.lost_touch == "serve":
-        return no(index, f"{body.member} serves on when it is cut off: switch it off for good, then forget it with off")
+    elif member.partition_mode == "serve":
+        return reject(
+            index, f"{body.member} serves on when it is cut off: switch it off for good, then forget it with off"
+        )
     else:
-        table[body.member] = replace(member, lapsed=member.lapsed or index, leaving=True)
-        settle(tables, index)
-    return yes(index, index)
+        table[body.member] = replace(member, expiry_index=member.expiry_index or index, leaving=True)
+        update_phase(tables, index)
+    return accept(index, index)
 
 
 def remove(tables: Tables, index: int, name: str) -> None:
     """A member is in the table no more."""
     del kept.members(tables)[name]
-    _unsay(tables, name)
-    settle(tables, index)
+    _discard_verdict(tables, name)
+    update_phase(tables, index)
 
 
-def _unsay(tables: Tables, name: str) -> None:
+def _discard_verdict(tables: Tables, name: str) -> None:
     """What a member said of the version in flight counts no more."""
-    flying = kept.in_flight(tables)
-    if flying is not None and name in flying.said:
-        kept.put(tables, replace(flying, said={who: word for who, word in flying.said.items() if who != name}))
+    in_flight = kept.in_flight(tables)
+    if in_flight is not None and name in in_flight.verdicts:
+        kept.put(
+            tables, replace(in_flight, verdicts={who: word for who, word in in_flight.verdicts.items() if who != name})
+        )
--- a/tealwing/rules/overlay.py
+++ b/tealwing/rules/overlay.py
@@ -7,7 +7,7 @@
 
 from tealwing import interface
 from tealwing.rules.bundle import Bundle
-from tealwing.rules.errors import BeyondPlatform, UnknownName
+from tealwing.rules.errors import PlatformLimitError, UnknownNameError
 
 
 def apply(bundle: Bundle, settings: interface.Settings) -> interface.Settings:
@@ -18,35 +18,37 @@
     for name in bundle.tenants:
         if all(account.name != name for account in settings.tenant_quotas):
             _unknown(f"tenants.{name}", "account", [account.name for account in settings.tenant_quotas])
-    limits, most = settings.limits, bundle.attempts.most
-    if most is not None and most > limits.max_attempts:
-        raise BeyondPlatform("attempts.most", f"{most}; allowed: 1 to {limits.max_attempts}")
+    limits, max_attempts = settings.limits, bundle.attempts.max_attempts
+    if max_attempts is not None and max_attempts > limits.max_attempts:
+        raise PlatformLimitError("attempts.most", f"{max_attempts}; allowed: 1 to {limits.max_attempts}")
     return replace(
         settings,
         classes=tuple(_class(cls, bundle) for cls in settings.classes),
         tenant_quotas=tuple(_account(account, bundle) for account in settings.tenant_quotas),
-        limits=limits if most is None else replace(limits, max_attempts=most),
+        limits=limits if max_attempts is None else replace(limits, max_attempts=max_attempts),
     )
 
 
 def _class(cls: interface.RequestClass, bundle: Bundle) -> interface.RequestClass:
-    said = bundle.classes.get(cls.name)
-    if said is None:
+    override = bundle.classes.get(cls.name)
+    if override is None:
         return cls
     return replace(
         cls,
-        latency_objective=cls.latency_objective if said.aim_ms is None else said.aim_ms / 1e3,
-        deadline=cls.deadline if said.deadline_ms is None else said.deadline_ms / 1e3,
-        idempotency=cls.idempotency if said.effect is None else interface.Idempotency(said.effect),
-        priority_weight=cls.priority_weight if said.worth is None else said.worth,
+        latency_objective=cls.latency_objective
+        if override.latency_objective_ms is None
+        else override.latency_objective_ms / 1e3,
+        deadline=cls.deadline if override.deadline_ms is None else override.deadline_ms / 1e3,
+        idempotency=cls.idempotency if override.effect is None else interface.Idempotency(override.effect),
+        priority_weight=cls.priority_weight if override.priority_weight is None else override.priority_weight,
     )
 
 
 def _account(account: interface.TenantQuota, bundle: Bundle) -> interface.TenantQuota:
-    said = bundle.tenants.get(account.name)
-    return account if said is None or said.share is None else replace(account, share=said.share)
+    override = bundle.tenants.get(account.name)
+    return account if override is None or override.share is None else replace(account, share=override.share)
 
 
 def _unknown(where: str, what: str, known: list[str]) -> NoReturn:
     shown = ", ".join(known[:20]) + (f" and {len(known) - 20} more" if len(known) > 20 else "")
-    raise UnknownName(where, f"no such {what}; allowed: {shown or 'none: the platform tells none'}")
+    raise UnknownNameError(where, f"no such {what}; allowed: {shown or 'none: the platform tells none'}")
--- a/tealwing/rules/records.py
+++ b/tealwing/rules/records.py
@@ -11,11 +11,11 @@
 
 from tealwing.record import Record, UnsignedInt63
 
-Word = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 Text = Annotated[str, msgspec.Meta(max_length=2000)]
-LARGEST = 256 * 1024  # bytes of a bundle's text
-Bundled = Annotated[bytes, msgspec.Meta(max_length=LARGEST)]
-LostTouch = Literal["serve", "hold"]
+MAX_BUNDLE_BYTES = 256 * 1024  # bytes of a bundle's text
+Bundled = Annotated[bytes, msgspec.Meta(max_length=MAX_BUNDLE_BYTES)]
+PartitionMode = Literal["serve", "hold"]
 Phase = Literal[
     "proposed", "checked", "preparing", "agreed", "active", "superseded", "rejected", "aborted", "withdrawn"
 ]
@@ -29,9 +29,9 @@
     """A new version with that parent; number 0 takes the next one, else the federation's."""
 
     parent: UnsignedInt63
-    digest: Word  # of the text: bundle.digest
+    digest: Name  # of the text: bundle.digest
     text: Bundled
-    who: Word
+    who: Name
     when: UnsignedInt63  # ms of the Unix clock at the proposer; nothing is decided by it
     why: Text = ""
     number: UnsignedInt63 = 0
@@ -43,7 +43,7 @@
     """A member's word on a proposed version, as checked in that start of it."""
 
     number: UnsignedInt63
-    member: Word
+    member: Name
     start: UnsignedInt63
     yes: bool
     reason: Text = ""
@@ -59,14 +59,14 @@
     """A member has closed in that start of it, and its disk says so."""
 
     number: UnsignedInt63
-    member: Word
+    member: Name
     start: UnsignedInt63
 
 
-class Words(Record, tag="rules.words", frozen=True):
+class Reports(Record, tag="rules.words", frozen=True):
     """What several members say, written as one entry by the leader that heard them; applied one after the other."""
 
-    words: Annotated[tuple[Verdict | Closed, ...], msgspec.Meta(max_length=256)]
+    reports: Annotated[tuple[Verdict | Closed, ...], msgspec.Meta(max_length=256)]
 
 
 class Activate(Record, tag="rules.activate", frozen=True):
@@ -88,7 +88,7 @@
     """Its proposer, or another operator, takes it back before anyone closes for it."""
 
     number: UnsignedInt63
-    who: Word
+    who: Name
     why: Text = ""
 
 
@@ -99,43 +99,72 @@
     names the one that it replaces.
     """
 
-    member: Word
+    member: Name
     start: UnsignedInt63
-    lost_touch: LostTouch
+    partition_mode: PartitionMode
     build: UnsignedInt63 = 1
     permit: UnsignedInt63 = 0  # ms that a permit of it lasts (hold)
     replaces: UnsignedInt63 = 0  # the start that the table has; 0: the member is not in it
 
 
-class Lapse(Record, tag="rules.lapse", frozen=True):
+class ExpirePermit(Record, tag="rules.lapse", frozen=True):
     """No permit of that start is given any more (hold only)."""
 
-    member: Word
+    member: Name
     start: UnsignedInt63
 
 
-class Witness(Record, tag="rules.witness", frozen=True):
+class ConfirmExpiry(Record, tag="rules.witness", frozen=True):
     """By its own clock, a member has waited until a permit given before that lapse must be over."""
 
-    member: Word
-    lapse: UnsignedInt63  # index of the lapse
-    by: Word
+    member: Name
+    expiry_index: UnsignedInt63  # index of the lapse
+    confirmed_by: Name
 
 
 class Forget(Record, tag="rules.forget", frozen=True):
     """An operator takes a member out; off: they vouch that it is switched off for good."""
 
-    member: Word
+    member: Name
     off: bool = False
 
 
-Body = Propose | Verdict | Close | Closed | Words | Activate | Abort | Withdraw | Begin | Lapse | Witness | Forget
+Body = (
+    Propose
+    | Verdict
+    | Close
+    | Closed
+    | Reports
+    | Activate
+    | Abort
+    | Withdraw
+    | Begin
+    | ExpirePermit
+    | ConfirmExpiry
+    | Forget
+)
+
+
+COMMAND_NAMES: dict[type[Body], str] = {
+    Propose: "propose",
+    Verdict: "verdict",
+    Close: "close",
+    Closed: "closed",
+    Reports: "words",
+    Activate: "activate",
+    Abort: "abort",
+    Withdraw: "withdraw",
+    Begin: "begin",
+    ExpirePermit: "lapse",
+    ConfirmExpiry: "witness",
+    Forget: "forget",
+}  # as log events name a command
 
 
 # What is kept
 
 
-class Said(Record, frozen=True):
+class RecordedVerdict(Record, frozen=True):
     """A member's verdict."""
 
     start: UnsignedInt63
@@ -148,9 +177,9 @@
 
     number: UnsignedInt63
     parent: UnsignedInt63
-    digest: Word
+    digest: Name
     text: Bundled
-    who: Word
+    who: Name
     when: UnsignedInt63
     why: Text
     phase: Phase
@@ -158,7 +187,7 @@
     changed: UnsignedInt63  # index of the entry that gave it its phase
     federated: bool = False
     needs: UnsignedInt63 = 1
-    said: dict[str, Said] = {}  # by member
+    verdicts: dict[str, RecordedVerdict] = {}  # by member
     outcome: Text = ""  # why it was rejected, aborted or withdrawn, and by whom
     decided: UnsignedInt63 = 0
 
@@ -167,14 +196,14 @@
     """One member in its present start."""
 
     start: UnsignedInt63
-    lost_touch: LostTouch
+    partition_mode: PartitionMode
     build: UnsignedInt63 = 1
     permit: UnsignedInt63 = 0  # ms
     begun: UnsignedInt63 = 0  # index of its Begin
     closed: UnsignedInt63 = 0  # number of the version that it has closed for, in this start
-    lapsed: UnsignedInt63 = 0  # index of its Lapse; 0: none
-    witnesses: tuple[str, ...] = ()
-    over: bool = False  # every permit given before the lapse is over
+    expiry_index: UnsignedInt63 = 0  # index of its Lapse; 0: none
+    confirmed_by: tuple[str, ...] = ()
+    expiry_confirmed: bool = False  # every permit given before the lapse is over
     leaving: bool = False  # it is forgotten once that is so
 
 
@@ -185,4 +214,4 @@
     active: UnsignedInt63 = 0  # number of the version in force; 0: none yet
 
 
-NOW = "now"  # the one key of the table of facts
+FACTS_KEY = "now"  # the one key of the table of facts
--- a/tealwing/rules/registry.py
+++ b/tealwing/rules/registry.py
@@ -10,7 +10,7 @@
 from tealwing.record import CommandResult
 from tealwing.rules import closing, deciding, members, proposing, records
 from tealwing.rules.cover import covered, uncovered
-from tealwing.rules.kept import Tables, active, facts, in_flight, yes
+from tealwing.rules.kept import Tables, accept, active, facts, in_flight
 
 __all__ = ["active", "apply", "covered", "facts", "in_flight", "uncovered"]
 
@@ -26,10 +26,10 @@
             return closing.close(tables, index, body)
         case records.Closed():
             return closing.closed(tables, index, body)
-        case records.Words():
-            for word in body.words:
-                apply(tables, index, word)
-            return yes(index, index)
+        case records.Reports():
+            for report in body.reports:
+                apply(tables, index, report)
+            return accept(index, index)
         case records.Activate():
             return deciding.activate(tables, index, body)
         case records.Abort():
@@ -38,9 +38,9 @@
             return deciding.withdraw(tables, index, body)
         case records.Begin():
             return members.begin(tables, index, body)
-        case records.Lapse():
-            return closing.lapse(tables, index, body)
-        case records.Witness():
-            return closing.witness(tables, index, body)
+        case records.ExpirePermit():
+            return closing.expire_permit(tables, index, body)
+        case records.ConfirmExpiry():
+            return closing.confirm_expiry(tables, index, body)
         case records.Forget():
             return members.forget(tables, index, body)
--- a/tealwing/rules/touch.py
+++ b/tealwing/rules/touch.py
@@ -11,11 +11,11 @@
 from tealwing.routing.diff import Ranges, moved
 from tealwing.rules.bundle import EMPTY, Bundle, Class, table
 
-NOTHING = Class()
+NO_OVERRIDE = Class()
 
 
 @dataclass(frozen=True, slots=True)
-class Touch:
+class AffectedRequests:
     """Requests of these classes, and those for these groups of tables; or every one.
 
     No account is touched alone: service levels admit each by its share beside all the others'.
@@ -25,28 +25,28 @@
     classes: frozenset[str] = frozenset()
     groups: Ranges = Ranges()
 
-    def hits(self, cls: str, tenant: str, group: int) -> bool:
+    def includes(self, cls: str, tenant: str, group: int) -> bool:
         """Whether a request of that class and account, for that group, has to wait."""
         return self.everything or cls in self.classes or self.groups.has(group)
 
 
-EVERYTHING = Touch(everything=True)
+ALL_REQUESTS = AffectedRequests(everything=True)
 
 
-def touched(old: Bundle | None, new: Bundle) -> Touch:
+def affected_requests(old: Bundle | None, new: Bundle) -> AffectedRequests:
     """What the change from one bundle to another touches; old is None before the first version."""
     old = old or EMPTY
     if (old.attempts, old.levels, _shares(old)) != (new.attempts, new.levels, _shares(new)):
-        return EVERYTHING
+        return ALL_REQUESTS
     classes = set()
     for name in old.classes.keys() | new.classes.keys():
-        before, after = old.classes.get(name, NOTHING), new.classes.get(name, NOTHING)
-        if before.worth != after.worth:  # a class is ranked by its worth beside the others'
-            return EVERYTHING
+        before, after = old.classes.get(name, NO_OVERRIDE), new.classes.get(name, NO_OVERRIDE)
+        if before.priority_weight != after.priority_weight:  # a class is ranked by its worth beside the others'
+            return ALL_REQUESTS
         if before != after:
             classes.add(name)
-    return Touch(False, frozenset(classes), moved(table(old), table(new)))
+    return AffectedRequests(False, frozenset(classes), moved(table(old), table(new)))
 
 
 def _shares(bundle: Bundle) -> dict[str, float]:
-    return {name: said.share for name, said in bundle.tenants.items() if said.share is not None}
+    return {name: override.share for name, override in bundle.tenants.items() if override.share is not None}
--- a/tealwing/rules/typed.py
+++ b/tealwing/rules/typed.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import inspect
 
-from tealwing.rules.errors import BadValue, TooLarge, UnknownKey
+from tealwing.rules.errors import InvalidValueError, TooLargeError, UnknownKeyError
 
 Record = TypeVar("Record", bound=msgspec.Struct)
 SHOWN = 60  # characters of what was found
@@ -24,31 +24,31 @@
     found = {}
     for key, value in _table(data, where).items():
         if key not in known:
-            raise UnknownKey(_under(where, key), f"no such key; allowed: {', '.join(known)}")
+            raise UnknownKeyError(_under(where, key), f"no such key; allowed: {', '.join(known)}")
         found[known[key].name] = _value(known[key].type, value, _under(where, key))
     for key, field in known.items():
         if field.required and field.name not in found:
-            raise UnknownKey(_under(where, key), "missing")
+            raise UnknownKeyError(_under(where, key), "missing")
     return kind(**found)
 
 
 def _value(kind: Any, data: Any, where: str) -> Any:
     if get_origin(kind) in (Union, UnionType):  # with None, for a key that may be absent
         kind = get_args(kind)[0]
-    bare, most = kind, None
+    bare, max_length = kind, None
     if get_origin(kind) is Annotated:
         bare, meta = get_args(kind)
-        most = meta.max_length
+        max_length = meta.max_length
     if isinstance(bare, type) and issubclass(bare, msgspec.Struct):
         return read(bare, data, where)
     if get_origin(bare) is dict:
         names, values = get_args(bare)
-        _few(_table(data, where), most, where)
+        _check_length(_table(data, where), max_length, where)
         return {_leaf(names, key, where): _value(values, value, _under(where, key)) for key, value in data.items()}
     if get_origin(bare) is tuple:
         if not isinstance(data, list):
-            raise BadValue(where, f"{_shown(data)}; allowed: a list")
-        _few(data, most, where)
+            raise InvalidValueError(where, f"{_shown(data)}; allowed: a list")
+        _check_length(data, max_length, where)
         try:
             return msgspec.convert(data, kind)  # lists are long, and are walked only to tell what is wrong
         except msgspec.ValidationError:
@@ -64,18 +64,18 @@
             return found
     except msgspec.ValidationError:
         pass
-    raise BadValue(where, f"{_shown(data)}; allowed: {_allowed(inspect.type_info(kind))}")
+    raise InvalidValueError(where, f"{_shown(data)}; allowed: {_allowed(inspect.type_info(kind))}")
 
 
 def _table(data: Any, where: str) -> dict[str, Any]:
     if not isinstance(data, dict):
-        raise BadValue(where, f"{_shown(data)}; allowed: a table")
+        raise InvalidValueError(where, f"{_shown(data)}; allowed: a table")
     return data
 
 
-def _few(found: Any, most: int | None, where: str) -> None:
-    if most is not None and len(found) > most:
-        raise TooLarge(where, f"{len(found)} of them; allowed: {most}")
+def _check_length(found: Any, max_length: int | None, where: str) -> None:
+    if max_length is not None and len(found) > max_length:
+        raise TooLargeError(where, f"{len(found)} of them; allowed: {max_length}")
 
 
 def _allowed(kind: inspect.Type) -> str:
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -23,7 +23,7 @@
 from tealwing.replica.disk import Disk
 from tealwing.replica.state import State
 from tealwing.replica.storage import Storage
-from tealwing.rollout.mark import Mark
+from tealwing.rollout.mark import PersistedMarker
 from tealwing.rules import records
 from tealwing.rules.digests import digest
 
@@ -90,13 +90,13 @@
     VERDICT,
     records.Close(2),
     CLOSED,
-    records.Words((VERDICT, CLOSED)),
+    records.Reports((VERDICT, CLOSED)),
     records.Activate(2, 8),
     records.Abort(2, "too late", 8),
     records.Withdraw(2, "operator", "why"),
     records.Begin("n1", 11, "hold", 3, 2000, 10),
-    records.Lapse("n1", 11),
-    records.Witness("n1", 9, "n2"),
+    records.ExpirePermit("n1", 11),
+    records.ConfirmExpiry("n1", 9, "n2"),
     records.Forget("n1", True),
 )
 COMMANDS = (
@@ -117,8 +117,8 @@
     commands.Command("n2/1", 3, records.Verdict(1, "n2", 12, True)),
     commands.Command("n1/1", 9, records.Close(1)),
     commands.Command("n2/1", 4, records.Closed(1, "n2", 12)),
-    commands.Command("n1/1", 10, records.Lapse("n2", 12)),
-    commands.Command("n1/1", 11, records.Witness("n2", 14, "n1")),
+    commands.Command("n1/1", 10, records.ExpirePermit("n2", 12)),
+    commands.Command("n1/1", 11, records.ConfirmExpiry("n2", 14, "n1")),
 )
 RESULT = CommandResult(False, 9, 8, "why")
 
@@ -169,7 +169,7 @@
 def write_marker(folder: Path) -> None:
     """The marker of the version that a gateway has closed for."""
     folder.mkdir()
-    Mark(folder, Disk()).write(MARKED_VERSION)
+    PersistedMarker(folder, Disk()).write(MARKED_VERSION)
 
 
 def write_gossip(folder: Path) -> None:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -497,7 +497,7 @@
 class Touched:
     """A change that touches everything."""
 
-    def hits(self, cls: str, tenant: str, group: int) -> bool:
+    def includes(self, cls: str, tenant: str, group: int) -> bool:
         return True
 
 
@@ -513,7 +513,7 @@
     client = rig.client()
     gate.close(Touched())
     rig.ask(client)
-    wait(lambda: gate.figures().waiting)
+    wait(lambda: gate.metrics().waiting)
     if what == "killed":
         kill(rig, client)
     else:
--- a/tests/test_disk_returns.py
+++ b/tests/test_disk_returns.py
@@ -38,7 +38,7 @@
 from tealwing.replica.plan import Plan
 from tealwing.replica.raft import Meta, Ready, Role
 from tealwing.replica.storage import FolderForgot, Found, Storage, StorageError
-from tealwing.rollout.mark import Mark
+from tealwing.rollout.mark import PersistedMarker
 from tests.lossy_disk import LossyDisk
 from tests.test_peers import until
 
@@ -454,12 +454,12 @@
         disk = LossyDisk()
         folder = tmp_path / f"{number}"
         folder.mkdir()
-        mark = Mark(folder, disk)
+        mark = PersistedMarker(folder, disk)
         mark.write(1)
         disk.fail_at(disk.operations + number)
         with pytest.raises(OSError, match=r"No space|Input/output|Read-only"):
             mark.write(2)
         assert mark.number == 1  # nobody is told of the other
         mark.write(2)
-        assert Mark(disk.after_power_loss(tmp_path / f"loss-{number}"), Disk()).read() == 2
+        assert PersistedMarker(disk.after_power_loss(tmp_path / f"loss-{number}"), Disk()).read() == 2
         disk.close()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -31,7 +31,7 @@
 class Loads:
     """A change that touches one class, or one group of tables."""
 
-    def hits(self, cls: str, tenant: str, group: int) -> bool:
+    def includes(self, cls: str, tenant: str, group: int) -> bool:
         return cls == "load" or group == 7
 
 
@@ -48,7 +48,7 @@
 
 def waiting(gate: Gate, count: int) -> None:
     until = later()
-    while gate.figures().waiting != count:
+    while gate.metrics().waiting != count:
         assert time.monotonic() < until
         time.sleep(0.005)
 
@@ -75,8 +75,8 @@
     assert gate.admit("look", "", 6, 0.0) == Admitted(False)
     gate.open()
     assert [one.get(timeout=LIMIT) for one in held] == [Admitted(True)] * 2
-    figures = gate.figures()
-    assert (figures.held, figures.turned, figures.waiting) == (2, 0, 0) and figures.longest > 0
+    figures = gate.metrics()
+    assert (figures.held, figures.rejected, figures.waiting) == (2, 0, 0) and figures.max_wait > 0
 
 
 def test_what_cannot_be_read_waits_for_any_change(gate: Gate) -> None:
@@ -98,7 +98,7 @@
     gate.shut("it ends", 1.0)  # nobody waits for nothing
     ended = [one.get(timeout=LIMIT) for one in held]
     assert all(isinstance(one, Deferred) and one.reason == "it ends" and one.retry_after >= 0.5 for one in ended)
-    assert gate.figures().turned == 4 and gate.figures().waiting == 0
+    assert gate.metrics().rejected == 4 and gate.metrics().waiting == 0
 
 
 def test_past_its_permit_the_gate_turns_everybody_away_by_itself() -> None:
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -20,7 +20,7 @@
 from tealwing.replica.disk import Disk
 from tealwing.replica.state import State
 from tealwing.replica.storage import Storage, verify
-from tealwing.rollout.mark import Mark
+from tealwing.rollout.mark import PersistedMarker
 from tealwing.rules import bundle
 from tests.golden import samples
 
@@ -100,7 +100,7 @@
 
 
 def test_a_stored_marker_is_read() -> None:
-    assert Mark(samples.HERE / "marker", Disk()).read() == samples.MARKED_VERSION
+    assert PersistedMarker(samples.HERE / "marker", Disk()).read() == samples.MARKED_VERSION
 
 
 def test_a_stored_gossip_file_is_read() -> None:
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -17,7 +17,7 @@
 from tealwing.replica.messages import Append
 from tealwing.replica.raft import Options, Raft, Role
 from tealwing.rollout import retry
-from tealwing.rollout.actions import Say
+from tealwing.rollout.actions import SubmitCommand
 from tealwing.rollout.member import Machine
 from tealwing.rollout.view import View
 from tests.test_conf import problems
@@ -143,7 +143,7 @@
     few, many = retry.Retry(1), retry.Retry(1)
     assert few.ready(0.0, "x", 200) and many.ready(0.0, "x", 4000)
     ((_, due),) = few.due()
-    assert retry.LEAST <= due <= 3 * retry.LEAST
+    assert retry.MIN_BACKOFF <= due <= 3 * retry.MIN_BACKOFF
     ((_, later),) = many.due()
     assert later >= 4000 / retry.REPEAT_RATE
     assert not many.ready(later - 0.01, "x", 4000) and many.ready(later, "x", 4000)
@@ -154,8 +154,10 @@
     nothing = View(0, 0, None, None)
     few, many = Machine("g1", "serve", 1, seed=1, peers=5), Machine("g1", "serve", 1, seed=1, peers=4000)
     moments = [tenth / 10 for tenth in range(40)]
-    said_by_few = [action for now in moments for action in few.look(now, nothing) if isinstance(action, Say)]
-    said_by_many = [action for now in moments for action in many.look(now, nothing) if isinstance(action, Say)]
+    said_by_few = [action for now in moments for action in few.step(now, nothing) if isinstance(action, SubmitCommand)]
+    said_by_many = [
+        action for now in moments for action in many.step(now, nothing) if isinstance(action, SubmitCommand)
+    ]
     assert len(said_by_many) == 1 < len(said_by_few)
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,7 +9,7 @@
 from tealwing.conf import reader
 from tealwing.conf.reader import ConfError
 from tealwing.replica.disk import Disk
-from tealwing.rollout.mark import NAME, Mark, MarkDamaged
+from tealwing.rollout.mark import FILE_NAME, MarkerDamagedError, PersistedMarker
 from tealwing.rollout.plan import Plan
 
 PEERS = "peers\n    name n0\n    member n0 127.0.0.1:1\n"
@@ -50,22 +50,22 @@
 
 def test_a_mark_outlives_its_writer_and_a_write_that_failed(tmp_path: Path) -> None:
     disk = Disk()
-    mark = Mark(tmp_path, disk)
+    mark = PersistedMarker(tmp_path, disk)
     assert mark.read() == 0
     mark.write(7)
     for fault in ("fsync", "short", "full"):
         disk.fail(fault, 1)
         with pytest.raises(OSError):
             mark.write(8)
-        assert Mark(tmp_path, disk).read() == 7
+        assert PersistedMarker(tmp_path, disk).read() == 7
     mark.write(8)
-    assert Mark(tmp_path, disk).read() == 8
-    assert [path.name for path in tmp_path.iterdir()] == [NAME]
+    assert PersistedMarker(tmp_path, disk).read() == 8
+    assert [path.name for path in tmp_path.iterdir()] == [FILE_NAME]
 
 
 @pytest.mark.parametrize("damage", [b"", b"closed-for 8", b"\x00" * 60])
 def test_a_damaged_mark_is_told_with_its_remedy(damage: bytes, tmp_path: Path) -> None:
-    Mark(tmp_path, Disk()).write(7)
-    (tmp_path / NAME).write_bytes(damage)
-    with pytest.raises(MarkDamaged, match="holds all requests until the log has told"):
-        Mark(tmp_path, Disk()).read()
+    PersistedMarker(tmp_path, Disk()).write(7)
+    (tmp_path / FILE_NAME).write_bytes(damage)
+    with pytest.raises(MarkerDamagedError, match="holds all requests until the log has told"):
+        PersistedMarker(tmp_path, Disk()).read()
--- a/tests/test_rollout_cores.py
+++ b/tests/test_rollout_cores.py
@@ -7,8 +7,17 @@
 from tealwing.federation.delegate import Delegate, duties
 from tealwing.lab.models.rollout_parts import empty, propose
 from tealwing.peers.bounds import USUAL
-from tealwing.rollout.conductor import Conductor, Witnesses
-from tealwing.rollout.member import HELD, Check, Machine, Read, Restart, Say, WriteMark, view
+from tealwing.rollout.conductor import ExpiryObserver, RolloutCoordinator
+from tealwing.rollout.member import (
+    HOLD_MARKER,
+    CheckBundle,
+    Machine,
+    PersistMarker,
+    ReadIndex,
+    Restart,
+    SubmitCommand,
+    view_of,
+)
 from tealwing.rules import records as r
 from tealwing.rules import registry
 
@@ -18,7 +27,7 @@
 class Log:
     """A registry and its index."""
 
-    def __init__(self, *modes: tuple[str, r.LostTouch]) -> None:
+    def __init__(self, *modes: tuple[str, r.PartitionMode]) -> None:
         self.tables: dict[str, dict[str, Any]] = empty()
         self.index = 0
         for name, mode in modes:
@@ -38,41 +47,45 @@
             self.do(r.Verdict(flight.number, name, member.start, True))
 
     def view(self, name: str) -> Any:
-        return view(self.tables, self.index, name)
+        return view_of(self.tables, self.index, name)
 
 
 def test_a_member_closes_at_once_says_so_once_its_mark_is_on_disk_and_opens_on_the_outcome() -> None:
     log = Log(("a", "serve"), ("b", "serve"))
     machine = Machine("a", "serve", 1, disk=log.view("a"))
-    assert machine.gate(0.0).mode == "open"
+    assert machine.gate_state(0.0).mode == "open"
     log.do(propose(0))
-    assert machine.look(0.0, log.view("a")) == [Check(1)]
+    assert machine.step(0.0, log.view("a")) == [CheckBundle(1)]
     machine.checked(1, True)
-    assert machine.look(0.1, log.view("a")) == [Say(r.Verdict(1, "a", 1, True))]
+    assert machine.step(0.1, log.view("a")) == [SubmitCommand(r.Verdict(1, "a", 1, True))]
     log.do(r.Verdict(1, "a", 1, True), r.Verdict(1, "b", 1, True), r.Close(1))
-    assert machine.look(0.2, log.view("a")) == [WriteMark(1)] and machine.gate(0.2).mode == "closed"
-    assert machine.look(0.21, log.view("a")) == []  # it is being written
-    machine.marked(1)
-    assert machine.look(0.22, log.view("a")) == [Say(r.Closed(1, "a", 1))]
-    assert machine.gate(1e6).mode == "closed"  # never on a guess
-    times = [now / 100 for now in range(23, 1000) if machine.look(now / 100, log.view("a"))]
+    assert machine.step(0.2, log.view("a")) == [PersistMarker(1)] and machine.gate_state(0.2).mode == "closed"
+    assert machine.step(0.21, log.view("a")) == []  # it is being written
+    machine.marker_written(1)
+    assert machine.step(0.22, log.view("a")) == [SubmitCommand(r.Closed(1, "a", 1))]
+    assert machine.gate_state(1e6).mode == "closed"  # never on a guess
+    times = [now / 100 for now in range(23, 1000) if machine.step(now / 100, log.view("a"))]
     waits = [b - a for a, b in zip(times, times[1:], strict=False)]
     assert 5 < len(times) < 60 and max(waits) <= 1.02  # again and again, ever more seldom
     log.do(r.Closed(1, "a", 1), r.Closed(1, "b", 1), r.Activate(1))
-    assert machine.look(11.0, log.view("a")) == []
-    assert (machine.gate(11.0).mode, machine.gate(11.0).number) == ("open", 1)
+    assert machine.step(11.0, log.view("a")) == []
+    assert (machine.gate_state(11.0).mode, machine.gate_state(11.0).number) == ("open", 1)
 
 
 def test_at_a_start_a_serving_members_disk_is_enough_but_for_a_change_that_its_mark_names() -> None:
     log = Log(("a", "serve"), ("b", "serve"))
-    assert Machine("a", "serve", 2, disk=log.view("a"), mark=0).gate(0.0).mode == "open"
-    assert Machine("a", "serve", 2, disk=log.view("a"), mark=1).gate(0.0).mode == "shut"  # the bundle is not here
+    assert Machine("a", "serve", 2, disk=log.view("a"), marker=0).gate_state(0.0).mode == "open"
+    assert (
+        Machine("a", "serve", 2, disk=log.view("a"), marker=1).gate_state(0.0).mode == "shut"
+    )  # the bundle is not here
     log.checked()
-    assert Machine("a", "serve", 2, disk=log.view("a"), mark=1).gate(0.0).mode == "closed"
+    assert Machine("a", "serve", 2, disk=log.view("a"), marker=1).gate_state(0.0).mode == "closed"
     log.do(r.Abort(1))
-    assert Machine("a", "serve", 2, disk=log.view("a"), mark=1).gate(0.0).mode == "open"
-    assert Machine("a", "serve", 2, disk=log.view("a"), mark=HELD).gate(0.0).mode == "shut"  # it was `hold` since
-    assert Machine("a", "serve", 1).gate(0.0).mode == "shut"
+    assert Machine("a", "serve", 2, disk=log.view("a"), marker=1).gate_state(0.0).mode == "open"
+    assert (
+        Machine("a", "serve", 2, disk=log.view("a"), marker=HOLD_MARKER).gate_state(0.0).mode == "shut"
+    )  # it was `hold` since
+    assert Machine("a", "serve", 1).gate_state(0.0).mode == "shut"
 
 
 def test_an_empty_folder_serves_once_a_read_is_applied_even_if_its_start_number_was_used_before() -> None:
@@ -81,78 +94,78 @@
     log.checked()
     log.do(r.Close(1), r.Closed(1, "a", 1), r.Closed(1, "b", 1), r.Activate(1))
     machine = Machine("a", "serve", 1)
-    assert machine.look(0.0, old) == [Read()] and machine.gate(0.0).mode == "shut"
-    machine.read_done(0.1, machine.read_sent(0.0), log.index)
-    machine.look(0.2, old)
-    assert machine.gate(0.2).mode == "shut"
-    machine.look(0.3, log.view("a"))
-    assert (machine.gate(0.3).mode, machine.gate(0.3).number) == ("open", 1)
+    assert machine.step(0.0, old) == [ReadIndex()] and machine.gate_state(0.0).mode == "shut"
+    machine.read_completed(0.1, machine.read_sent(0.0), log.index)
+    machine.step(0.2, old)
+    assert machine.gate_state(0.2).mode == "shut"
+    machine.step(0.3, log.view("a"))
+    assert (machine.gate_state(0.3).mode, machine.gate_state(0.3).number) == ("open", 1)
 
 
 def test_hold_decides_under_a_permit_alone_counted_from_when_it_was_asked_for() -> None:
     log = Log(("b", "serve"))
     machine = Machine("a", "hold", 7)
-    assert machine.look(0.0, log.view("a")) == [WriteMark(HELD)]  # before the log may ever have it as `hold`
-    machine.marked(HELD)
-    (say,) = machine.look(0.1, log.view("a"))
-    assert isinstance(say, Say) and isinstance(say.body, r.Begin)
+    assert machine.step(0.0, log.view("a")) == [PersistMarker(HOLD_MARKER)]  # before the log may ever have it as `hold`
+    machine.marker_written(HOLD_MARKER)
+    (say,) = machine.step(0.1, log.view("a"))
+    assert isinstance(say, SubmitCommand) and isinstance(say.body, r.Begin)
     log.do(say.body)
-    assert machine.look(0.2, log.view("a")) == [Read()] and machine.gate(0.2).mode == "shut"
+    assert machine.step(0.2, log.view("a")) == [ReadIndex()] and machine.gate_state(0.2).mode == "shut"
     token = machine.read_sent(10.0)
-    machine.read_done(11.0, token, log.index + 1)
-    assert machine.gate(11.0).mode == "shut"  # not applied yet
+    machine.read_completed(11.0, token, log.index + 1)
+    assert machine.gate_state(11.0).mode == "shut"  # not applied yet
     log.do(r.Begin("c", 1, "serve"))
-    machine.look(11.1, log.view("a"))
-    gate = machine.gate(11.1)
+    machine.step(11.1, log.view("a"))
+    gate = machine.gate_state(11.1)
     assert gate.mode == "open" and abs(gate.until - 10.0 - MAY) < 1e-9
-    assert machine.gate(10.0 + MAY).mode == "shut" and "lost touch" in machine.gate(10.0 + MAY).reason
-    log.do(r.Lapse("a", 7))
-    actions = machine.look(11.2, log.view("a"))
-    assert actions[0] == Restart(8) and machine.gate(11.2).mode == "shut"
-    assert isinstance(actions[1], Say) and actions[1].body == r.Begin("a", 8, "hold", 1, 2000, 7)
-    machine.read_done(11.3, token, log.index)  # of the start before
+    assert machine.gate_state(10.0 + MAY).mode == "shut" and "lost touch" in machine.gate_state(10.0 + MAY).reason
+    log.do(r.ExpirePermit("a", 7))
+    actions = machine.step(11.2, log.view("a"))
+    assert actions[0] == Restart(8) and machine.gate_state(11.2).mode == "shut"
+    assert isinstance(actions[1], SubmitCommand) and actions[1].body == r.Begin("a", 8, "hold", 1, 2000, 7)
+    machine.read_completed(11.3, token, log.index)  # of the start before
     log.do(actions[1].body)
-    machine.look(11.4, log.view("a"))
-    assert machine.gate(11.4).mode == "shut"
+    machine.step(11.4, log.view("a"))
+    assert machine.gate_state(11.4).mode == "shut"
 
 
 def test_the_conductor_lapses_the_silent_before_anyone_closes_and_aborts_at_the_limit() -> None:
     log = Log(("a", "serve"), ("b", "hold"), ("c", "serve"))
     log.checked()
-    conductor = Conductor("a", 5.0, 0.5)
-    assert conductor.look(0.0, log.tables, []) == []  # it does not lead
-    conductor.lead(0.0, True)
-    assert conductor.look(0.0, log.tables, []) == [r.Close(1)]
-    conductor.lead(1.0, False)
-    conductor.lead(1.0, True)
-    conductor.look(1.0, log.tables, ["b"])
-    assert conductor.look(1.6, log.tables, ["b"]) == [r.Lapse("b", 1)]
-    log.do(r.Lapse("b", 1))
-    assert conductor.look(2.0, log.tables, ["b"]) == []
-    log.do(r.Witness("b", log.index, "a"), r.Witness("b", log.index, "c"))
-    (close,) = conductor.look(3.0, log.tables, ["b"])
+    conductor = RolloutCoordinator("a", 5.0, 0.5)
+    assert conductor.step(0.0, log.tables, []) == []  # it does not lead
+    conductor.set_leading(0.0, True)
+    assert conductor.step(0.0, log.tables, []) == [r.Close(1)]
+    conductor.set_leading(1.0, False)
+    conductor.set_leading(1.0, True)
+    conductor.step(1.0, log.tables, ["b"])
+    assert conductor.step(1.6, log.tables, ["b"]) == [r.ExpirePermit("b", 1)]
+    log.do(r.ExpirePermit("b", 1))
+    assert conductor.step(2.0, log.tables, ["b"]) == []
+    log.do(r.ConfirmExpiry("b", log.index, "a"), r.ConfirmExpiry("b", log.index, "c"))
+    (close,) = conductor.step(3.0, log.tables, ["b"])
     log.do(close, r.Closed(1, "a", 1))
-    assert conductor.look(3.1, log.tables, ["b", "c"]) == []  # c serves on: nobody goes on without it
-    (abort,) = conductor.look(8.2, log.tables, ["b", "c"])
+    assert conductor.step(3.1, log.tables, ["b", "c"]) == []  # c serves on: nobody goes on without it
+    (abort,) = conductor.step(8.2, log.tables, ["b", "c"])
     assert isinstance(abort, r.Abort) and "c (silent)" in abort.reason
     log.do(r.Closed(1, "c", 1))
-    assert conductor.look(8.3, log.tables, []) == [r.Activate(1)]
+    assert conductor.step(8.3, log.tables, []) == [r.Activate(1)]
 
 
 def test_witnesses_wait_their_whole_time_and_few_of_many_speak_at_first() -> None:
     names = [f"m{place}" for place in range(20)]
     log = Log(*[(name, "hold") for name in ("x", *names)])
-    watches = {name: Witnesses(name) for name in ("x", *names)}
-    log.do(r.Lapse("x", 1))
+    watches = {name: ExpiryObserver(name) for name in ("x", *names)}
+    log.do(r.ExpirePermit("x", 1))
     for watch in watches.values():
-        watch.applied(1.0, log.index, r.Lapse("x", 1))
+        watch.applied(1.0, log.index, r.ExpirePermit("x", 1))
     waits = USUAL.leader_waits(2.0)
     assert not any(watch.due(1.0 + waits - 0.01, log.tables) for watch in watches.values())
     first = [name for name, watch in watches.items() if watch.due(1.0 + waits + 0.01, log.tables)]
     assert len(first) == 3 and "x" not in first
     later = [name for name, watch in watches.items() if watch.due(1.0 + waits + 3.6, log.tables)]
     assert len(later) == 20
-    late = Witnesses(first[0])  # it began anew: by no earlier time than it can vouch for
+    late = ExpiryObserver(first[0])  # it began anew: by no earlier time than it can vouch for
     assert late.due(9.0, log.tables) == [] and late.due(9.01 + waits, log.tables)
 
 
@@ -191,10 +204,10 @@
 def test_a_lapsed_site_begins_anew_only_when_its_permits_are_over_and_it_has_what_is_in_force() -> None:
     fed, site = Log(("A", "hold"), ("B", "hold"), ("C", "hold")), Log(("a", "hold"))
     fed.checked()
-    fed.do(r.Close(1), r.Closed(1, "B", 1), r.Closed(1, "C", 1), r.Lapse("A", 1))
+    fed.do(r.Close(1), r.Closed(1, "B", 1), r.Closed(1, "C", 1), r.ExpirePermit("A", 1))
     assert duties("A", site.tables, fed.tables, fed.index)[1] == []
     lapse = fed.index
-    fed.do(r.Witness("A", lapse, "B"), r.Witness("A", lapse, "C"), r.Activate(1))
+    fed.do(r.ConfirmExpiry("A", lapse, "B"), r.ConfirmExpiry("A", lapse, "C"), r.Activate(1))
     (ours,), theirs = duties("A", site.tables, fed.tables, fed.index)
     assert isinstance(ours, r.Propose) and theirs == []
     site.checked(ours)
@@ -204,12 +217,12 @@
 
 def test_a_gateway_of_a_federated_site_is_shut_where_the_federation_has_gone_on_without_it() -> None:
     fed, site = Log(("A", "hold"), ("B", "hold"), ("C", "hold")), Log(("a", "hold"))
-    machine = Machine("a", "hold", 1, mark=HELD, federated=True)
-    assert machine.look(0.0, site.view("a"), fed.view("A")) == [Read(), Read(True)]
-    machine.read_done(0.0, machine.read_sent(0.0), site.index)
-    assert "federation" in machine.gate(0.0).reason and machine.gate(0.0).mode == "shut"
-    machine.read_done(0.0, machine.read_sent(0.0, True), fed.index)
-    assert machine.gate(0.1).mode == "open" and machine.gate(MAY).mode == "shut"
-    fed.do(r.Lapse("A", 1))
-    machine.look(0.2, site.view("a"), fed.view("A"))
-    assert machine.gate(0.2).mode == "shut"
+    machine = Machine("a", "hold", 1, marker=HOLD_MARKER, federated=True)
+    assert machine.step(0.0, site.view("a"), fed.view("A")) == [ReadIndex(), ReadIndex(True)]
+    machine.read_completed(0.0, machine.read_sent(0.0), site.index)
+    assert "federation" in machine.gate_state(0.0).reason and machine.gate_state(0.0).mode == "shut"
+    machine.read_completed(0.0, machine.read_sent(0.0, True), fed.index)
+    assert machine.gate_state(0.1).mode == "open" and machine.gate_state(MAY).mode == "shut"
+    fed.do(r.ExpirePermit("A", 1))
+    machine.step(0.2, site.view("a"), fed.view("A"))
+    assert machine.gate_state(0.2).mode == "shut"
--- a/tests/test_rollout_scale.py
+++ b/tests/test_rollout_scale.py
@@ -10,11 +10,11 @@
 from tealwing.replica.gathering import gathered
 from tealwing.replica.state import State
 from tealwing.rules.digests import digest
-from tealwing.rules.records import Begin, Body, Close, Closed, LostTouch, Propose, Verdict
+from tealwing.rules.records import Begin, Body, Close, Closed, PartitionMode, Propose, Verdict
 
 
 @pytest.mark.parametrize("mode", ["serve", "hold"])
-def test_a_fleet_of_twenty_changes_as_quickly_as_one_of_five_and_says_little_more(mode: LostTouch) -> None:
+def test_a_fleet_of_twenty_changes_as_quickly_as_one_of_five_and_says_little_more(mode: PartitionMode) -> None:
     few, _ = trials.sized(trials.shape(1, 5, mode), 5, 3, loss=0.0)
     many, fleet = trials.sized(trials.shape(1, 20, mode), 5, 3, loss=0.0)
     for found in (few, many):
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("mode", ["serve", "hold"])
-def test_three_sites_change_together_though_messages_are_lost(mode: LostTouch) -> None:
+def test_three_sites_change_together_though_messages_are_lost(mode: PartitionMode) -> None:
     found, _ = trials.sized(trials.shape(3, 3, mode), 4, 3)
     assert found.wrong == [] and found.failed == 0
     assert share(found.gaps, 0.5) < 0.25  # seven times the 20 ms between sites, and what is done at each
@@ -60,7 +60,7 @@
                 state.apply(state.applied + 1, data)
     assert one.applied == 29 and other.applied == 13
     assert one.tables["rule_members"].keys() == other.tables["rule_members"].keys()
-    phases = [(s.tables["rules"]["1"].phase, sorted(s.tables["rules"]["1"].said)) for s in (one, other)]
+    phases = [(s.tables["rules"]["1"].phase, sorted(s.tables["rules"]["1"].verdicts)) for s in (one, other)]
     assert phases == [("agreed", names)] * 2
     kept = c.encode(c.Command("client", 3, words[0]))
     assert gathered([kept, kept]) == [kept, kept]  # somebody counts on its number
--- a/tests/test_rollout_shell.py
+++ b/tests/test_rollout_shell.py
@@ -18,12 +18,12 @@
 from tealwing.replica.disk import Disk
 from tealwing.replica.state import State
 from tealwing.rollout.gate import Gate
-from tealwing.rollout.mark import NAME
+from tealwing.rollout.mark import FILE_NAME
 from tealwing.rollout.plan import Plan
-from tealwing.rollout.shell import Shell
+from tealwing.rollout.shell import Runtime
 from tealwing.rules import records
 from tealwing.rules.digests import digest
-from tealwing.rules.touch import Touch
+from tealwing.rules.touch import AffectedRequests
 from tests.test_peers import until
 
 
@@ -80,8 +80,8 @@
             raise RecursionError("too deep")
         return True, ""
 
-    def touch(self, before: bytes, after: bytes) -> Touch:
-        return Touch(classes=frozenset({"lookup"}))
+    def affected_requests(self, before: bytes, after: bytes) -> AffectedRequests:
+        return AffectedRequests(classes=frozenset({"lookup"}))
 
     def put_in_force(self, number: int, text: bytes) -> None:
         if self.broken:
@@ -97,7 +97,7 @@
         members = (("n0", ("127.0.0.1", 1)),)  # as the section has them
         times = SimpleNamespace(name="n0", times=SimpleNamespace(beat=0.2), members=members)
         link = SimpleNamespace(plan=times, status=lambda: [])
-        self.shell = Shell(Plan(**changes), cast(Any, self.log), cast(Any, link), self.place, self.gate)
+        self.shell = Runtime(Plan(**changes), cast(Any, self.log), cast(Any, link), self.place, self.gate)
         if answers:
             self.log.answers.set()
         self.shell.begin()
@@ -114,7 +114,7 @@
         return not isinstance(self.gate.admit(cls, "", 1, time.monotonic()), Deferred)
 
     def phase(self, number: int) -> str:
-        return self.shell.seen.phase(number)
+        return self.shell.observed.phase(number)
 
 
 @pytest.fixture
@@ -145,10 +145,10 @@
     number = one.propose(b"x")
     until(lambda: one.log.disk.failed >= 2)
     assert one.phase(number) == "preparing" and not one.passes() and one.passes("loads")
-    assert one.shell.seen.members["n0"].closed == 0
+    assert one.shell.observed.members["n0"].closed == 0
     one.log.disk.fail("none", 0)
     until(lambda: one.phase(number) == "active" and one.passes())
-    assert f"closed-for {number} ".encode() in (tmp_path / NAME).read_bytes()
+    assert f"closed-for {number} ".encode() in (tmp_path / FILE_NAME).read_bytes()
 
 
 def test_a_bundle_that_makes_the_check_fall_over_is_a_no_with_the_reason(made: Any) -> None:
@@ -156,7 +156,7 @@
     until(one.passes)
     number = one.propose(b"garbage")
     until(lambda: one.phase(number) == "rejected")
-    assert "RecursionError: too deep" in one.shell.seen.version(number).outcome and one.passes()
+    assert "RecursionError: too deep" in one.shell.observed.version(number).outcome and one.passes()
 
 
 def test_nobody_passes_where_a_version_can_not_be_put_in_force_until_it_can(made: Any) -> None:
@@ -181,15 +181,15 @@
     one = made()
     until(one.passes)
     one.place.broken = True
-    reached, go, look = threading.Event(), threading.Event(), one.shell._look
+    reached, go, look = threading.Event(), threading.Event(), one.shell._step
 
     def look_later() -> None:
-        if one.shell.seen.phase(1) == "active" and not go.is_set():
+        if one.shell.observed.phase(1) == "active" and not go.is_set():
             reached.set()
             assert go.wait(30.0)
         look()
 
-    monkeypatch.setattr(one.shell, "_look", look_later)
+    monkeypatch.setattr(one.shell, "_step", look_later)
     number = one.propose(b"x")
     assert reached.wait(30.0) and one.phase(number) == "active"
     assert not one.passes() and one.passes("loads")
@@ -206,10 +206,10 @@
     until(lambda: before.phase(number) == "active")
     before.shell.stop()
     if damage:
-        (tmp_path / NAME).write_bytes(b"closed-for 1 0")
+        (tmp_path / FILE_NAME).write_bytes(b"closed-for 1 0")
     after = made(state=before.log.state.copy(), answers=False)
     assert after.place.forced == [number]  # what the disk says, before anybody is asked
     assert after.passes() is not damage
     after.log.answers.set()
     until(after.passes)
-    until(lambda: len((tmp_path / NAME).read_bytes()) > 20)
+    until(lambda: len((tmp_path / FILE_NAME).read_bytes()) > 20)
--- a/tests/test_rules_bundle.py
+++ b/tests/test_rules_bundle.py
@@ -13,8 +13,8 @@
 from tealwing import interface as api
 from tealwing.replica.commands import NewerEntry
 from tealwing.rules import check, errors, overlay
-from tealwing.rules.bundle import EMPTY, MOST_ROUTES, Bundle, parse
-from tealwing.rules.touch import EVERYTHING, touched
+from tealwing.rules.bundle import EMPTY, MAX_ROUTES, Bundle, parse
+from tealwing.rules.touch import ALL_REQUESTS, affected_requests
 from tests.build import make_settings, request_class
 
 WHOLE = """
@@ -74,27 +74,55 @@
 @pytest.mark.parametrize(
     ("text", "kind", "told"),
     [
-        ("classes.lookup.aim-ms = 0", errors.BadValue, "classes.lookup.aim-ms: 0; allowed: 1 to 3600000"),
-        ("classes.lookup.aim-ms = true", errors.BadValue, "aim-ms: True; allowed: 1 to"),
-        ("classes.a.worth = nan", errors.BadValue, "classes.a.worth: nan; allowed: 0 to 1e+06"),
-        ("classes.a.effect = 'often'", errors.BadValue, "often; allowed: keyed or safe or unsafe"),
-        ("classes.a.aim = 3", errors.UnknownKey, "classes.a.aim: no such key; allowed: aim-ms, deadline-ms, effect"),
-        ("classes = 3", errors.BadValue, "classes: 3; allowed: a table"),
-        ("tenants.x.share = 1.1", errors.BadValue, "tenants.x.share: 1.1; allowed: 0 to 1"),
-        ("routes = [{first = 1, sites = ['a']}]", errors.UnknownKey, "routes[0].last: missing"),
-        ("routes = [{first = -1, last = 2, sites = ['a']}]", errors.BadValue, "routes[0].first: -1; allowed: 0 to"),
-        ("routes = [{first = 1, last = 2, sites = [3]}]", errors.BadValue, "routes[0].sites[0]: 3; allowed: text"),
-        ("routes = 7", errors.BadValue, "routes: 7; allowed: a list"),
-        ("rutes = []", errors.UnknownKey, "rutes: no such key; allowed: levels, attempts, classes, tenants, routes"),
-        ("a = ", errors.NotToml, "(at end of document)"),
-        ("a = " + "[" * 100_000, errors.NotToml, "too many brackets"),
-        ("a = " + "9" * 5000, errors.NotToml, "digits"),
-        ("levels = 'levels'", errors.BadLevels, "levels:1: levels: found no level"),
-        ("levels = 'include x'", errors.BadLevels, "the line `levels`, the rest below it"),
-        ("levels = '''levels\n  window 9d'''", errors.BadLevels, "levels:2: window: found 9d; allowed: from 500ms"),
-        ("levels = '''levels\n  level ?\n   x'''", errors.BadLevels, "levels:2: level: found ?; allowed: one name"),
-        ("levels = '''levels\n   every 1s\n  every 1s'''", errors.BadLevels, "levels:3: every: found an indentation"),
-        ("#" * (256 * 1024 + 1), errors.TooLarge, "allowed: 262144"),
+        ("classes.lookup.aim-ms = 0", errors.InvalidValueError, "classes.lookup.aim-ms: 0; allowed: 1 to 3600000"),
+        ("classes.lookup.aim-ms = true", errors.InvalidValueError, "aim-ms: True; allowed: 1 to"),
+        ("classes.a.worth = nan", errors.InvalidValueError, "classes.a.worth: nan; allowed: 0 to 1e+06"),
+        ("classes.a.effect = 'often'", errors.InvalidValueError, "often; allowed: keyed or safe or unsafe"),
+        (
+            "classes.a.aim = 3",
+            errors.UnknownKeyError,
+            "classes.a.aim: no such key; allowed: aim-ms, deadline-ms, effect",
+        ),
+        ("classes = 3", errors.InvalidValueError, "classes: 3; allowed: a table"),
+        ("tenants.x.share = 1.1", errors.InvalidValueError, "tenants.x.share: 1.1; allowed: 0 to 1"),
+        ("routes = [{first = 1, sites = ['a']}]", errors.UnknownKeyError, "routes[0].last: missing"),
+        (
+            "routes = [{first = -1, last = 2, sites = ['a']}]",
+            errors.InvalidValueError,
+            "routes[0].first: -1; allowed: 0 to",
+        ),
+        (
+            "routes = [{first = 1, last = 2, sites = [3]}]",
+            errors.InvalidValueError,
+            "routes[0].sites[0]: 3; allowed: text",
+        ),
+        ("routes = 7", errors.InvalidValueError, "routes: 7; allowed: a list"),
+        (
+            "rutes = []",
+            errors.UnknownKeyError,
+            "rutes: no such key; allowed: levels, attempts, classes, tenants, routes",
+        ),
+        ("a = ", errors.TomlError, "(at end of document)"),
+        ("a = " + "[" * 100_000, errors.TomlError, "too many brackets"),
+        ("a = " + "9" * 5000, errors.TomlError, "digits"),
+        ("levels = 'levels'", errors.InvalidLevelsError, "levels:1: levels: found no level"),
+        ("levels = 'include x'", errors.InvalidLevelsError, "the line `levels`, the rest below it"),
+        (
+            "levels = '''levels\n  window 9d'''",
+            errors.InvalidLevelsError,
+            "levels:2: window: found 9d; allowed: from 500ms",
+        ),
+        (
+            "levels = '''levels\n  level ?\n   x'''",
+            errors.InvalidLevelsError,
+            "levels:2: level: found ?; allowed: one name",
+        ),
+        (
+            "levels = '''levels\n   every 1s\n  every 1s'''",
+            errors.InvalidLevelsError,
+            "levels:3: every: found an indentation",
+        ),
+        ("#" * (256 * 1024 + 1), errors.TooLargeError, "allowed: 262144"),
     ],
 )
 def test_what_is_wrong_with_a_bundle_is_told_with_its_key_what_was_found_and_what_is_allowed(
@@ -111,7 +139,7 @@
     for text, now in [
         (b"\xff", running),
         (routes((0, 5, "upington"), (5, 9, "upington")), running),
-        (routes(*[(n, n, "upington") for n in range(MOST_ROUTES + 1)]), running),
+        (routes(*[(n, n, "upington") for n in range(MAX_ROUTES + 1)]), running),
         (b"classes.no.aim-ms = 1", running),
         (b"tenants.no.share = 1", running),
         (WHOLE.replace("look 1", "lock 1").encode(), running),
@@ -122,10 +150,10 @@
         (WHOLE.encode(), check.Running(platform(), levels=True)),
         (routes((0, 5, "upington")), check.Running(platform(), memory=1000.0)),
     ]:
-        reasons = check.judge(text, now)
+        reasons = check.check_text(text, now)
         assert reasons, text[:40]
         yield from reasons
-    yield from check.judge(b"", running, needs=check.BUILD + 1)
+    yield from check.check_text(b"", running, needs=check.BUILD + 1)
 
 
 def kinds(of: type[errors.RulesError] = errors.RulesError) -> set[type[errors.RulesError]]:
@@ -133,8 +161,12 @@
 
 
 def test_every_error_is_met_and_its_remedy_stands_in_the_manual_word_for_word() -> None:
-    met = {type(fault) for fault in faults()} | {errors.BadValue, errors.UnknownKey, errors.BadLevels}
-    bases = {errors.RulesError, errors.BundleError, errors.MisfitError}
+    met = {type(fault) for fault in faults()} | {
+        errors.InvalidValueError,
+        errors.UnknownKeyError,
+        errors.InvalidLevelsError,
+    }
+    bases = {errors.RulesError, errors.BundleError, errors.IncompatibleError}
     ours = {kind for kind in kinds() if kind.__module__ == errors.__name__}
     assert met == ours - bases
     pages = [Path(__file__).parent.parent / "docs" / "operating" / f"{name}.md" for name in ("rules", "federation")]
@@ -146,16 +178,16 @@
 def test_a_site_in_trouble_does_not_stop_a_change_that_leaves_its_groups_alone() -> None:
     old = routes((0, 5, "upington"), (6, 9, "bloemfontein"))
     down = check.Running(platform(), parse(old), frozenset({"bloemfontein"}))
-    assert check.judge(old + b"[classes.look]\naim-ms = 5\n", down) == []
-    assert check.judge(routes((0, 9, "bloemfontein")), down) == []
-    assert len(check.judge(routes((0, 9, "upington")), down)) == 1
+    assert check.check_text(old + b"[classes.look]\naim-ms = 5\n", down) == []
+    assert check.check_text(routes((0, 9, "bloemfontein")), down) == []
+    assert len(check.check_text(routes((0, 9, "upington")), down)) == 1
 
 
 def test_a_change_that_gossip_need_not_hear_of_passes_while_gossip_is_on() -> None:
     active = parse(b"classes.look.aim-ms = 7")
     running = check.Running(platform(), active, gossip=True)
-    assert check.judge(b"classes.look.aim-ms = 7\n" + routes((0, 5, "upington")), running) == []
-    assert [type(reason) for reason in check.judge(b"", running)] == [errors.NeedsRestart]
+    assert check.check_text(b"classes.look.aim-ms = 7\n" + routes((0, 5, "upington")), running) == []
+    assert [type(reason) for reason in check.check_text(b"", running)] == [errors.RestartRequiredError]
 
 
 @pytest.mark.parametrize(
@@ -172,11 +204,14 @@
     ],
 )
 def test_a_change_touches_the_class_it_is_about_or_everything(text: bytes, everything: bool, classes: set[str]) -> None:
-    for touch in (touched(None, parse(text)), touched(parse(text), EMPTY)):
+    for touch in (affected_requests(None, parse(text)), affected_requests(parse(text), EMPTY)):
         assert (touch.everything, set(touch.classes)) == (everything, classes)
-        assert touch.hits("look", "wol", 3) == (everything or "look" in classes)
-        assert touch.hits("load", "wol", 3) == everything
-    assert EVERYTHING.hits("any", "any", 0) and not touched(parse(text), parse(text + b"\n# more")).everything
+        assert touch.includes("look", "wol", 3) == (everything or "look" in classes)
+        assert touch.includes("load", "wol", 3) == everything
+    assert (
+        ALL_REQUESTS.includes("any", "any", 0)
+        and not affected_requests(parse(text), parse(text + b"\n# more")).everything
+    )
 
 
 LISTS = st.lists(st.tuples(st.integers(0, 6), st.integers(0, 4), st.sampled_from(["a", "b", "a b", "b a"])), max_size=5)
@@ -195,6 +230,6 @@
         return parse(routes(*reversed(ranges))), plain
 
     (before, was), (after, will) = laid(old), laid(new)
-    touch = touched(before, after)
+    touch = affected_requests(before, after)
     for group in range(60):
-        assert touch.hits("look", "wol", group) == (was.get(group) != will.get(group))
+        assert touch.includes("look", "wol", group) == (was.get(group) != will.get(group))
--- a/tests/test_rules_machine.py
+++ b/tests/test_rules_machine.py
@@ -9,7 +9,7 @@
 from tealwing.replica.state import State
 from tealwing.rules import records as r
 from tealwing.rules import registry
-from tealwing.rules.history import KEPT
+from tealwing.rules.history import MAX_VERSIONS
 from tests.test_rules_registry import Log, propose
 
 NAMES = st.sampled_from(["a", "b", "c", "d"])
@@ -29,7 +29,7 @@
 class Books:
     """What a member's present start may still do, by the commands that were taken and not by the tables."""
 
-    def __init__(self, start: int, mode: r.LostTouch) -> None:
+    def __init__(self, start: int, mode: r.PartitionMode) -> None:
         self.start, self.mode = start, mode
         self.closed, self.lapse, self.witnesses = 0, 0, set[str]()
 
@@ -58,7 +58,7 @@
         return result.ok
 
     @initialize(modes=st.lists(MODES, min_size=3, max_size=4))
-    def first_members(self, modes: list[r.LostTouch]) -> None:
+    def first_members(self, modes: list[r.PartitionMode]) -> None:
         for name, mode in zip("abcd", modes, strict=False):
             self.begins(name, mode, 1, False)
 
@@ -82,7 +82,7 @@
             self.federated.add(number)
 
     @rule(name=NAMES, mode=MODES, start=st.integers(1, 9), late=st.booleans())
-    def begins(self, name: str, mode: r.LostTouch, start: int, late: bool) -> None:
+    def begins(self, name: str, mode: r.PartitionMode, start: int, late: bool) -> None:
         present = self.books[name].start if name in self.books else 0
         if self.do(r.Begin(name, start, mode, replaces=start % 3 if late else present)) and start != present:
             assert not late or start % 3 == present
@@ -119,14 +119,14 @@
 
     @rule(name=NAMES)
     def lapses(self, name: str) -> None:
-        if name in self.books and self.do(r.Lapse(name, self.books[name].start)):
+        if name in self.books and self.do(r.ExpirePermit(name, self.books[name].start)):
             assert self.books[name].mode == "hold" and not self.books[name].lapse
             self.books[name].lapse, self.books[name].witnesses = self.result.index, set()
 
     @rule(name=NAMES, by=NAMES, off=st.sampled_from([0, 0, 0, 1]))
     def witnesses(self, name: str, by: str, off: int) -> None:
         lapse = self.books[name].lapse if name in self.books else 5
-        if self.do(r.Witness(name, lapse + off, by)):
+        if self.do(r.ConfirmExpiry(name, lapse + off, by)):
             assert off == 0 and by != name and not self.books[by].lapse
             self.books[name].witnesses.add(by)
             if name not in self.log.state.tables["rule_members"]:
@@ -203,16 +203,16 @@
         versions: dict[str, r.Version] = tables["rules"]
         found = [version.phase for version in versions.values()]
         assert sum(phase in r.IN_FLIGHT for phase in found) <= 1 and found.count("active") <= 1
-        assert len(versions) <= KEPT and set(tables["rule_members"]) == set(self.books)
+        assert len(versions) <= MAX_VERSIONS and set(tables["rule_members"]) == set(self.books)
         for version in versions.values():
-            assert version.text == self.texts[version.number] and set(version.said) <= {"a", "b", "c", "d"}
+            assert version.text == self.texts[version.number] and set(version.verdicts) <= {"a", "b", "c", "d"}
         facts, active = registry.facts(tables), registry.active(tables)
         assert (facts.last, facts.active) == (self.last, self.actives[-1] if self.actives else 0)
         if active is not None:
             assert active.phase == "active"
             assert not active.parent or versions[str(active.parent)].phase == "superseded"
         for member in tables["rule_members"].values():
-            assert len(member.witnesses) <= 4
+            assert len(member.confirmed_by) <= 4
 
     def teardown(self) -> None:
         twin = State()
--- a/tests/test_rules_registry.py
+++ b/tests/test_rules_registry.py
@@ -18,7 +18,7 @@
 from tealwing.rules import records as r
 from tealwing.rules import registry
 from tealwing.rules.digests import digest
-from tealwing.rules.history import KEPT
+from tealwing.rules.history import MAX_VERSIONS
 
 TEXT = b"# rules\n"
 
@@ -63,7 +63,7 @@
     def to_preparing(self, **more: Any) -> int:
         number = self.propose(registry.facts(self.state.tables).active, **more)
         for name, member in self.state.tables["rule_members"].items():
-            if not member.lapsed:
+            if not member.expiry_index:
                 self.ok(r.Verdict(number, name, member.start, True))
         self.ok(r.Close(number))
         return number
@@ -71,7 +71,7 @@
     def to_active(self) -> int:
         number = self.to_preparing()
         for name, member in self.state.tables["rule_members"].items():
-            if not member.lapsed:
+            if not member.expiry_index:
                 self.ok(r.Closed(number, name, member.start))
         self.ok(r.Activate(number))
         return number
@@ -153,36 +153,36 @@
 def test_one_clock_alone_can_not_end_a_lapse() -> None:
     log = Log(("a", "hold"), ("b", "hold"), ("c", "hold"), ("d", "serve"))
     number = log.to_preparing()
-    log.refused(r.Lapse("d", 1), "serves on")
-    lapse = log.ok(r.Lapse("c", 1)).index
+    log.refused(r.ExpirePermit("d", 1), "serves on")
+    lapse = log.ok(r.ExpirePermit("c", 1)).index
     for name in ("a", "b", "d"):
         log.ok(r.Closed(number, name, 1))
     for _ in range(3):
-        log.ok(r.Witness("c", lapse, "a"))
-    log.refused(r.Witness("c", lapse, "c"), "no other member")
-    log.refused(r.Witness("c", lapse - 1, "b"), "no lapse at")
-    assert not log.member("c").over and log.phase(number) == "preparing"
-    log.ok(r.Witness("c", lapse, "b"))
-    assert log.member("c").over and log.phase(number) == "agreed"
+        log.ok(r.ConfirmExpiry("c", lapse, "a"))
+    log.refused(r.ConfirmExpiry("c", lapse, "c"), "no other member")
+    log.refused(r.ConfirmExpiry("c", lapse - 1, "b"), "no lapse at")
+    assert not log.member("c").expiry_confirmed and log.phase(number) == "preparing"
+    log.ok(r.ConfirmExpiry("c", lapse, "b"))
+    assert log.member("c").expiry_confirmed and log.phase(number) == "agreed"
 
 
 def test_a_leader_with_a_wild_clock_can_not_lapse_all_others_and_be_the_only_witness() -> None:
     log = Log(("a", "hold"), ("b", "hold"), ("c", "hold"))
     for name in ("b", "c"):
-        lapse = log.ok(r.Lapse(name, 1)).index
-        log.ok(r.Witness(name, lapse, "a"))
-    log.refused(r.Witness("b", log.member("b").lapsed, "c"), "its clock is not asked")
-    assert not log.member("b").over and not log.member("c").over
+        lapse = log.ok(r.ExpirePermit(name, 1)).index
+        log.ok(r.ConfirmExpiry(name, lapse, "a"))
+    log.refused(r.ConfirmExpiry("b", log.member("b").expiry_index, "c"), "its clock is not asked")
+    assert not log.member("b").expiry_confirmed and not log.member("c").expiry_confirmed
 
 
 def test_with_two_members_the_other_one_ends_a_lapse() -> None:
     log = Log(("a", "hold"), ("b", "hold"))
-    lapse = log.ok(r.Lapse("b", 1)).index
-    log.ok(r.Witness("b", lapse, "a"))
-    assert log.member("b").over
+    lapse = log.ok(r.ExpirePermit("b", 1)).index
+    log.ok(r.ConfirmExpiry("b", lapse, "a"))
+    assert log.member("b").expiry_confirmed
     log.refused(r.Begin("b", 1, "hold", replaces=1), "that start has lapsed")
     log.ok(r.Begin("b", 2, "hold", replaces=1))
-    assert not log.member("b").lapsed
+    assert not log.member("b").expiry_index
 
 
 def test_a_federated_version_is_not_decided_here() -> None:
@@ -206,7 +206,7 @@
     log.ok(r.Verdict(4, "a", 1, False, "not mended yet"))
     log.refused(propose(text=b"# another\n", number=4, federated=True), "was given already")
     assert log.propose(number=4, federated=True) == 4
-    assert log.phase(4) == "proposed" and not log.version(4).said
+    assert log.phase(4) == "proposed" and not log.version(4).verdicts
 
 
 def test_forgetting_a_serve_member_needs_the_operators_word_and_a_hold_member_goes_when_it_is_over() -> None:
@@ -215,10 +215,10 @@
     log.ok(r.Closed(number, "c", 1))
     log.refused(r.Forget("a"), "switch it off")
     log.ok(r.Forget("b"))
-    lapse = log.member("b").lapsed
+    lapse = log.member("b").expiry_index
     assert lapse and log.member("b").leaving
     for name in ("a", "c"):
-        log.ok(r.Witness("b", lapse, name))
+        log.ok(r.ConfirmExpiry("b", lapse, name))
     assert "b" not in log.state.tables["rule_members"] and log.phase(number) == "preparing"
     log.ok(r.Forget("a", off=True))
     assert log.phase(number) == "agreed"
@@ -311,9 +311,9 @@
 def test_the_history_is_bounded_and_keeps_what_is_in_force_and_the_way_back() -> None:
     log = Log(("a", "serve"))
     first, second = log.to_active(), log.to_active()
-    for _ in range(KEPT + 10):
+    for _ in range(MAX_VERSIONS + 10):
         log.ok(r.Withdraw(log.propose(second), "lerato"))
     flying = log.propose(second)
     kept = sorted(map(int, log.state.tables["rules"]))
-    assert len(kept) == KEPT and kept[:2] == [first, second] and kept[-1] == flying
+    assert len(kept) == MAX_VERSIONS and kept[:2] == [first, second] and kept[-1] == flying
     log.refused(r.Activate(first + 2), "unknown")
