--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -126,7 +126,7 @@
     run, series = _series(found, "control", "learner: processor time")
     need, basis = value_at(series, MEMBERS, constant_if_bent=True)
     rows.append(Row("learner", "processor time at rest", need, CONTROL_PERCENT, "% of a core", basis,
-                    "idle ticks (`rollout/shell.py`), links to the voters alone", run=run))  # fmt: skip
+                    "idle ticks (`rollout/runtime.py`), links to the voters alone", run=run))  # fmt: skip
     heartbeats = MEMBERS / Times().paced(MEMBERS).beat
     rounds = MEMBERS / Options().learner_beat
     for role, messages in (("voter", heartbeats), ("leader", heartbeats + rounds)):
@@ -169,19 +169,27 @@
         need, basis = value_at(series, GATEWAYS)
         rows.append(Row("change of rules", f"`{mode}`: in force everywhere, longest", need, EVERYWHERE_S, "s",
                         basis + ", virtual time",
-                        "paced rounds and repeats (`replica/raft/sending.py`, `rollout/retry.py`)",
+                        "paced rounds and repeats (`replica/raft/sending.py`, `rollout/agent/retry.py`)",
                         "relays", run=run))  # fmt: skip
     rows.append(
-        Row("change of rules", "members", float(MEMBERS), float(section.MOST_MEMBERS), "members", "the section's bound",
-            "`peers/section.py`, `rules/members.py`", "raise the bounds and pace what grows; then relays",
-            is_refused=True)
-    )  # fmt: skip
+        Row(
+            "change of rules",
+            "members",
+            float(MEMBERS),
+            float(section.MOST_MEMBERS),
+            "members",
+            "the section's bound",
+            "`peers/section.py`, `rules/transitions/membership.py`",
+            "raise the bounds and pace what grows; then relays",
+            is_refused=True,
+        )
+    )
     restart_share = RESTARTS_A_DAY * RESTART_S / DAY
     failure_share = FAILURES_A_DAY * REPLACE_S / DAY
     rows.append(
         Row("change of rules", "`serve`: share of changes that meet an absent member", restart_share + failure_share,
             0.01, "of changes", f"worked out; {RESTART_S:g} s a restart and {REPLACE_S:g} s a replacement assumed",
-            "aborted at the section's limit (`rollout/conductor.py`)",
+            "aborted at the section's limit (`rollout/leader/coordinator.py`)",
             "`hold` on the learners; a change that waits for who is away, or leaves it out once its permit is over")
     )  # fmt: skip
     return rows
--- a/tealwing/exchange.py
+++ b/tealwing/exchange.py
@@ -100,7 +100,7 @@
 
 
 class AdmissionGate(Protocol):
-    """What requests pass before they are opened; see `tealwing.rollout.gate`."""
+    """What requests pass before they are opened; see `tealwing.rollout.admission.gate`."""
 
     def admit(self, cls: str | None, tenant: str, group: int, until: float) -> Admitted | Deferred:
         """Let a request in, at once or when it may be, by the monotonic time `until` at the latest."""
--- a/tealwing/federation/delegate.py
+++ b/tealwing/federation/delegate.py
@@ -9,8 +9,8 @@
 from collections.abc import Hashable, Mapping
 from typing import Any
 
-from tealwing.rollout.retry import Retry
-from tealwing.rollout.view import CLOSING, View, view_of
+from tealwing.rollout.agent.retry import Retry
+from tealwing.rollout.agent.view import CLOSING, View, view_of
 from tealwing.rules.records import (
     Abort,
     Activate,
@@ -49,7 +49,7 @@
             said = flight.verdicts.get(site)
             if (said is None or said.start != me.start) and (word := _word(here, site_tables, number)) is not None:
                 theirs.append(Verdict(number, site, me.start, *word))
-        elif here.closing_for == number and me.closed != number and here.phase_of(number) == "agreed":
+        elif here.closing_for == number and me.closed_for != number and here.phase_of(number) == "agreed":
             theirs.append(Closed(number, site, me.start))
     return ours, theirs
 
@@ -64,22 +64,31 @@
             gone = there.phase_of(number) is not None
             return [Abort(number, "it is long over in the federation", fed_index)] if gone else []
         if theirs.phase in ("rejected", "aborted", "withdrawn"):
-            return [Abort(number, theirs.outcome, theirs.changed)]
+            return [Abort(number, theirs.outcome, theirs.phase_index)]
         in_force = theirs.phase in ("active", "superseded")
         if flight.phase == "checked" and (in_force or theirs.phase in CLOSING):
             return [Close(number)]
         if flight.phase == "agreed" and in_force:
-            return [Activate(number, theirs.changed)]
+            return [Activate(number, theirs.phase_index)]
         return []
     wanted = versions.get(str(there.active)) if not here.is_up_to(there) else there.in_flight
     if wanted is None:
         return []
     phase = here.phase_of(wanted.number)
     if phase is None or phase == "rejected" and wanted.phase == "active":
-        return [Propose(
-            here.active, wanted.digest, wanted.text, wanted.who, wanted.when, wanted.why, wanted.number, True,
-            wanted.needs,
-        )]  # fmt: skip
+        return [
+            Propose(
+                here.active,
+                wanted.digest,
+                wanted.text,
+                wanted.author,
+                wanted.created_ms,
+                wanted.reason,
+                wanted.number,
+                True,
+                wanted.min_build,
+            )
+        ]
     return []
 
 
--- a/tealwing/federation/shell.py
+++ b/tealwing/federation/shell.py
@@ -20,10 +20,10 @@
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
 from tealwing.replica.node import Replica
-from tealwing.rollout.conductor import RolloutCoordinator
-from tealwing.rollout.leading import EXPEDITED
-from tealwing.rollout.seen import TABLES, ObservedState, observe
-from tealwing.rollout.witnesses import ExpiryObserver
+from tealwing.rollout.leader.coordinator import RolloutCoordinator
+from tealwing.rollout.leader.duties import EXPEDITED
+from tealwing.rollout.leader.expiry_observer import ExpiryObserver
+from tealwing.rollout.observed_state import TABLES, ObservedState, observe
 from tealwing.rules import records
 
 TICK = 0.05  # s between two looks where no entry comes
@@ -75,13 +75,17 @@
         """What operators ask for: the sites as the federation's log has them, and who speaks for ours."""
         seen_ = self.state
         flight = seen_.view.in_flight
-        said = {} if flight is None else {who: {"yes": w.yes, "reason": w.reason} for who, w in flight.verdicts.items()}
+        said = (
+            {}
+            if flight is None
+            else {who: {"yes": w.accepted, "reason": w.reason} for who, w in flight.verdicts.items()}
+        )
         return {
             "site": self.site_name, "speaks": self._speaks, "decides": self._decides, "index": seen_.index,
-            "leader": self.replica.core.leader, "active": seen_.facts.active, "last": seen_.facts.last,
+            "leader": self.replica.core.leader, "active": seen_.facts.active_number, "last": seen_.facts.last_number,
             "flight": None if flight is None else {"number": flight.number, "phase": flight.phase, "said": said},
             "sites": {
-                name: {"start": site.start, "lost_touch": site.partition_mode, "closed": site.closed,
+                name: {"start": site.start, "lost_touch": site.partition_mode, "closed": site.closed_for,
                        "lapsed": site.expiry_index, "over": site.expiry_confirmed, "heard": self._hears(name)}
                 for name, site in sorted(seen_.members.items())
             },
--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -29,10 +29,10 @@
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
     from tealwing.federation.plan import Plan as FederationPlan
     from tealwing.federation.shell import Federation
-    from tealwing.rollout.gate import Gate
-    from tealwing.rollout.here import Gateway
+    from tealwing.rollout.admission.gate import Gate
+    from tealwing.rollout.local_gateway import Gateway
     from tealwing.rollout.plan import Plan as RulesPlan
-    from tealwing.rollout.shell import Runtime
+    from tealwing.rollout.runtime import Runtime
 
 MOST_RATE, LEAST_RATE = 2.0, 0.5  # of a clock that the laboratory skews
 
@@ -98,7 +98,7 @@
 
         LinkFault where the mark of changes can't be read.
         """
-        from tealwing.rollout import joining  # only where it is on
+        from tealwing.rollout import setup  # only where it is on
 
         assert self.replica is not None and self.replica_plan is not None  # the section needs it
         self.rules_plan = plan
@@ -113,7 +113,7 @@
                 self.stop()
                 raise LinkFault(f"federation: folder {self.federation_plan.folder}: {error}") from None
         try:
-            self.rules = joining.join(plan, self.replica, self.link, gateway, self.control, self.federation)
+            self.rules = setup.join_rollout(plan, self.replica, self.link, gateway, self.control, self.federation)
         except OSError as error:
             self.stop()
             raise LinkFault(f"rules: {error}; allowed: a folder of the section replica that can be read") from None
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -34,7 +34,7 @@
     from tealwing.levels.plan import Plan
     from tealwing.peers.plan import Plan as PeersPlan
     from tealwing.replica.plan import Plan as ReplicaPlan
-    from tealwing.rollout.gate import Gate
+    from tealwing.rollout.admission.gate import Gate
     from tealwing.rollout.plan import Plan as RulesPlan
     from tealwing.routing.table import Table
 
--- a/tealwing/lab/models/rollout.py
+++ b/tealwing/lab/models/rollout.py
@@ -39,7 +39,7 @@
     told,
     told_apart,
 )
-from tealwing.rollout.member import (
+from tealwing.rollout.agent.machine import (
     HOLD_MARKER,
     CheckBundle,
     Machine,
@@ -49,7 +49,7 @@
     View,
     view_of,
 )
-from tealwing.rollout.witnesses import ExpiryObserver
+from tealwing.rollout.leader.expiry_observer import ExpiryObserver
 from tealwing.rules import records as r
 from tealwing.rules import registry
 
@@ -188,7 +188,7 @@
             flight = registry.in_flight(tables)
             if flight is None:
                 if world.budget.proposals and log == self.top:
-                    yield log, propose(registry.facts(tables).active)
+                    yield log, propose(registry.facts(tables).active_number)
                 continue
             if log == self.top:
                 yield log, r.Close(flight.number)
--- a/tealwing/lab/models/rollout_faults.py
+++ b/tealwing/lab/models/rollout_faults.py
@@ -5,8 +5,8 @@
 from msgspec import structs
 
 from tealwing.lab.models.rollout_parts import Tables
-from tealwing.rules import kept, registry
 from tealwing.rules import records as r
+from tealwing.rules import registry, registry_state
 
 
 def applied(tables: Tables, index: int, body: r.Body, mutation: str) -> bool:
@@ -14,14 +14,14 @@
     if mutation == "old-leader" and isinstance(body, r.Activate):
         found: r.Version | None = tables["rules"].get(str(body.number))
         if found is not None and found.phase == "preparing":
-            kept.set_phase(tables, index, found, "agreed")
+            registry_state.set_phase(tables, index, found, "agreed")
             tables["rule_members"].update(
                 {name: _closed(member, body.number) for name, member in tables["rule_members"].items()}
             )
     flight = registry.in_flight(tables)
     if mutation == "begin-counts" and isinstance(body, r.Begin) and flight is not None:
         begun = registry.apply(tables, index, body).ok
-        new = begun and tables["rule_members"][body.member].begun == index
+        new = begun and tables["rule_members"][body.member].begin_index == index
         if new and body.partition_mode == "hold" and flight.phase in ("preparing", "agreed"):
             return registry.apply(tables, index, r.Closed(flight.number, body.member, body.start)).ok
         return begun
@@ -34,4 +34,4 @@
 
 
 def _closed(member: r.Member, number: int) -> r.Member:
-    return structs.replace(member, closed=number)
+    return structs.replace(member, closed_for=number)
--- a/tealwing/lab/models/rollout_parts.py
+++ b/tealwing/lab/models/rollout_parts.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from tealwing.peers.bounds import Bounds
-from tealwing.rollout.member import Machine
-from tealwing.rollout.retry import Retry
-from tealwing.rollout.witnesses import ExpiryObserver
+from tealwing.rollout.agent.machine import Machine
+from tealwing.rollout.agent.retry import Retry
+from tealwing.rollout.leader.expiry_observer import ExpiryObserver
 from tealwing.rules import records as r
 from tealwing.rules.digests import digest
 
@@ -97,7 +97,7 @@
     """What of the tables decides anything later."""
     found: list[r.Version] = list(tables["rules"].values())
     versions = tuple(
-        (v.number, v.phase, tuple(sorted(v.verdicts.items())) if v.phase in r.IN_FLIGHT else (), v.decided)
+        (v.number, v.phase, tuple(sorted(v.verdicts.items())) if v.phase in r.IN_FLIGHT else (), v.federation_index)
         for v in found
     )
     return versions, tuple(sorted(tables["rule_members"].items())), tables["rule_facts"].get(r.FACTS_KEY)
--- a/tealwing/lab/rollout/copies.py
+++ b/tealwing/lab/rollout/copies.py
@@ -12,8 +12,8 @@
 from tealwing.replica import commands as c
 from tealwing.replica.messages import Entry, Kind
 from tealwing.replica.state import State
-from tealwing.rollout.seen import TABLES
-from tealwing.rollout.view import View, view_of
+from tealwing.rollout.agent.view import View, view_of
+from tealwing.rollout.observed_state import TABLES
 
 KEPT = 4096  # indices
 
--- a/tealwing/lab/rollout/part.py
+++ b/tealwing/lab/rollout/part.py
@@ -1,4 +1,4 @@
-"""One gateway's part in changes, as rollout/shell.py, talk.py, leading.py and steering.py have it on threads."""
+"""One gateway's part in changes, as rollout/runtime.py, talk.py, leading.py and steering.py have it on threads."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from tealwing.lab.rollout.logs import Log
 from tealwing.lab.rollout.tasks import Signal, Step, Task
 from tealwing.replica import commands as c
-from tealwing.rollout.actions import Action, CheckBundle, PersistMarker, ReadIndex, SubmitCommand
-from tealwing.rollout.conductor import RolloutCoordinator
-from tealwing.rollout.errands import MAX_QUEUED
-from tealwing.rollout.leading import EXPEDITED
-from tealwing.rollout.member import Machine
+from tealwing.rollout.agent.actions import Action, CheckBundle, PersistMarker, ReadIndex, SubmitCommand
+from tealwing.rollout.agent.machine import Machine
+from tealwing.rollout.effects.background_worker import MAX_QUEUED
+from tealwing.rollout.effects.log_client import FORWARDED, READ_TIMEOUT, SUBMIT_TIMEOUT
+from tealwing.rollout.leader.coordinator import RolloutCoordinator
+from tealwing.rollout.leader.duties import EXPEDITED
+from tealwing.rollout.leader.expiry_observer import ExpiryObserver
 from tealwing.rollout.plan import Plan
-from tealwing.rollout.shell import MAX_STEPS, TICK
-from tealwing.rollout.talk import FORWARDED, READ_TIMEOUT, SUBMIT_TIMEOUT
-from tealwing.rollout.witnesses import ExpiryObserver
+from tealwing.rollout.runtime import MAX_STEPS, TICK
 from tealwing.rules.records import Body
 
 START = 1_800_000_000_000
--- a/tealwing/lab/rollout/sites.py
+++ b/tealwing/lab/rollout/sites.py
@@ -9,9 +9,9 @@
 from tealwing.lab.rollout.copies import Shot
 from tealwing.lab.rollout.logs import Log
 from tealwing.lab.rollout.tasks import Signal, Step, Task
-from tealwing.rollout.conductor import RolloutCoordinator
-from tealwing.rollout.leading import EXPEDITED
-from tealwing.rollout.witnesses import ExpiryObserver
+from tealwing.rollout.leader.coordinator import RolloutCoordinator
+from tealwing.rollout.leader.duties import EXPEDITED
+from tealwing.rollout.leader.expiry_observer import ExpiryObserver
 from tealwing.rules.records import Body, ExpirePermit, Forget
 
 
--- /dev/null
+++ b/tealwing/rollout/admission/__init__.py
@@ -0,0 +1,1 @@
+"""Admit requests, or hold them while a version is changed. Read gate, then gate_control."""
--- a/tealwing/rollout/gate.py
+++ b/tealwing/rollout/admission/gate.py
@@ -53,7 +53,7 @@
 class _Shut:
     """Nobody passes, and nobody waits."""
 
-    why: str
+    reason: str
     pushback: float
 
 
@@ -81,9 +81,9 @@
         """Have who the change touches wait, from now on; others pass. It waits for nobody."""
         self._set(_Closed(affected))
 
-    def shut(self, why: str, pushback: float | None = None) -> None:
+    def shut(self, reason: str, pushback: float | None = None) -> None:
         """Turn everybody away, who waits too; pushback in seconds, the usual one where it is None."""
-        self._set(_Shut(why, self._pushback if pushback is None else pushback))
+        self._set(_Shut(reason, self._pushback if pushback is None else pushback))
 
     def permit(self, until: float) -> None:
         """By the gate's clock, nobody passes from then on, whatever else holds; inf where no permit is needed."""
@@ -95,11 +95,11 @@
         return self._valid_until
 
     @property
-    def why_not(self) -> str:
+    def denial_reason(self) -> str:
         """Why nobody passes; nothing where somebody may."""
         state = self._state
         if isinstance(state, _Shut):
-            return state.why
+            return state.reason
         return "" if self._clock() < self._valid_until else "the permit to decide is over"
 
     def metrics(self) -> GateMetrics:
@@ -134,7 +134,7 @@
         """What becomes of a request as things stand; None: it waits."""
         state = self._state
         if isinstance(state, _Shut):
-            return self._reject(state.pushback, state.why)
+            return self._reject(state.pushback, state.reason)
         if isinstance(state, _Closed) and (cls is None or state.affected.includes(cls, tenant, group)):
             return None
         if self._clock() >= self._valid_until:
@@ -161,5 +161,5 @@
             self._rejected += isinstance(found, Deferred)
             return found
 
-    def _reject(self, pushback: float, why: str) -> Deferred:
-        return Deferred(pushback * self._random.uniform(*JITTER), why)
+    def _reject(self, pushback: float, reason: str) -> Deferred:
+        return Deferred(pushback * self._random.uniform(*JITTER), reason)
--- a/tealwing/rollout/steering.py
+++ b/tealwing/rollout/admission/gate_control.py
@@ -7,8 +7,8 @@
 from typing import Protocol
 
 from tealwing import log
-from tealwing.rollout import gate as gates
-from tealwing.rollout.actions import GateState
+from tealwing.rollout.admission import gate as gates
+from tealwing.rollout.agent.actions import GateState
 from tealwing.rules.records import PartitionMode
 
 
@@ -29,7 +29,7 @@
     def faults(self, text: bytes) -> list[str]:
         """What is wrong with a bundle, whoever runs it."""
 
-    def verdict(self, before: bytes, text: bytes, needs: int) -> tuple[bool, str]:
+    def verdict(self, before: bytes, text: bytes, min_build: int) -> tuple[bool, str]:
         """Whether this gateway can put it in force in place of the one before, and why not."""
 
     def affected_requests(self, before: bytes, after: bytes) -> gates.RequestFilter:
--- /dev/null
+++ b/tealwing/rollout/agent/__init__.py
@@ -0,0 +1,1 @@
+"""Decide what one gateway does in a rollout; pure. Read view, actions, retry, permit, then machine."""
--- a/tealwing/rollout/member.py
+++ b/tealwing/rollout/agent/machine.py
@@ -11,7 +11,7 @@
 from collections.abc import Hashable
 
 from tealwing.peers.bounds import USUAL, Bounds
-from tealwing.rollout.actions import (
+from tealwing.rollout.agent.actions import (
     FOREVER,
     HOLD_MARKER,
     Action,
@@ -23,9 +23,9 @@
     Restart,
     SubmitCommand,
 )
-from tealwing.rollout.permit import Permit
-from tealwing.rollout.retry import MAX_BACKOFF, Retry
-from tealwing.rollout.view import FederatedView, View, view_of
+from tealwing.rollout.agent.permit import Permit
+from tealwing.rollout.agent.retry import MAX_BACKOFF, Retry
+from tealwing.rollout.agent.view import FederatedView, View, view_of
 from tealwing.rules.records import Begin, Closed, PartitionMode, Verdict
 
 __all__ = [
@@ -44,7 +44,7 @@
     "view_of",
 ]
 
-GUESS_AFTER = 1.0  # s after which the sabotaged guess
+SABOTAGED_OPEN_AFTER = 1.0  # s after which the sabotaged guess
 
 
 class Machine:
@@ -102,9 +102,9 @@
         """That number is on disk."""
         self.marker = number
 
-    def checked(self, number: int, yes: bool, reason: str = "") -> None:
+    def checked(self, number: int, accepted: bool, reason: str = "") -> None:
         """What the check of a version's bundle gave."""
-        self._checked = {number: (yes, reason)}
+        self._checked = {number: (accepted, reason)}
 
     def submitted(self, now: float, action: Action, ok: bool) -> None:
         """An action was done, or was not: what the state does not show is asked for again in its time anyway."""
@@ -198,12 +198,15 @@
                 return []
             if number not in self._checked:
                 return [(("check", number, self.start), CheckBundle(number))]
-            yes, reason = self._checked[number]
+            accepted, reason = self._checked[number]
             return [
-                (("verdict", number, self.start), SubmitCommand(Verdict(number, self.name, self.start, yes, reason)))
+                (
+                    ("verdict", number, self.start),
+                    SubmitCommand(Verdict(number, self.name, self.start, accepted, reason)),
+                )
             ]
         number = view.closing_for
-        if me.closed == number:
+        if me.closed_for == number:
             return []
         if not holds and self.marker != number:
             is_stale = self.marker > number and not (self.marker == HOLD_MARKER and self._site_permit.until == FOREVER)
@@ -250,34 +253,34 @@
 
     def gate_state(self, now: float) -> GateState:
         """What may be decided now. To be asked for anew after every look, and when `until` has come."""
-        seen = self._view
-        if seen is None:
+        view = self._view
+        if view is None:
             return GateState("shut", 0, 0, "nothing is known yet of the versions of the rules")
-        closing = seen.closing_for
-        if not closing and self.marker not in (0, HOLD_MARKER) and not seen.has_outcome(self.marker):
+        closing = view.closing_for
+        if not closing and self.marker not in (0, HOLD_MARKER) and not view.has_outcome(self.marker):
             closing = self.marker
         if not (closing and self._closed_at and self._closed_at[0] == closing):
             self._closed_at = (closing, now) if closing else None
-        why, until = self._denial(now, seen)
-        if why:
-            return GateState("shut", seen.active, closing, why)
-        if (early := self._sabotaged_version(now, seen, closing)) is not None:
-            return GateState("open", early, 0, "", until)
+        reason, until = self._denial(now, view)
+        if reason:
+            return GateState("shut", view.active, closing, reason)
+        if (sabotaged := self._sabotaged_version(now, view, closing)) is not None:
+            return GateState("open", sabotaged, 0, "", until)
         if not closing:
-            return GateState("open", seen.active, 0, "", until)
-        if seen.phase_of(closing) is None or 0 < self.marker < HOLD_MARKER and seen.phase_of(self.marker) is None:
+            return GateState("open", view.active, 0, "", until)
+        if view.phase_of(closing) is None or 0 < self.marker < HOLD_MARKER and view.phase_of(self.marker) is None:
             return GateState(
-                "shut", seen.active, closing, f"closed for version {closing}, which is not known here", until
+                "shut", view.active, closing, f"closed for version {closing}, which is not known here", until
             )
         return GateState(
-            "closed", seen.active, closing, f"closed for version {closing} until its outcome is known", until
+            "closed", view.active, closing, f"closed for version {closing} until its outcome is known", until
         )
 
-    def _denial(self, now: float, seen: View) -> tuple[str, float]:
+    def _denial(self, now: float, view: View) -> tuple[str, float]:
         """Why nothing may be decided, and until when that does not change by itself."""
         if "start-from-disk" in self._sabotage and self._from_disk and self.partition_mode == "hold":
             return "", FOREVER
-        me, until = seen.local_member, self._site_permit.until
+        me, until = view.local_member, self._site_permit.until
         if "no-permit" in self._sabotage and until:
             return "", FOREVER
         if me is None:
@@ -293,10 +296,10 @@
             return "it does not know yet whether what its disk has is the newest", until
         if not self._federated:
             return "", until
-        why = self._federation_denial(now, seen)
-        return why, min(until, self._federation_permit.until)
+        reason = self._federation_denial(now, view)
+        return reason, min(until, self._federation_permit.until)
 
-    def _federation_denial(self, now: float, seen: View) -> str:
+    def _federation_denial(self, now: float, view: View) -> str:
         """Why the federation bars this site."""
         fed = self._federated_view
         if fed is None or fed.local_member is None:
@@ -310,26 +313,30 @@
                 "it does not know yet whether what its disk has of the federation is the newest"  # fmt: skip
         if (
             fed.closing_for
-            and fed.local_member.closed == fed.closing_for
-            and fed.closing_for not in (seen.closing_for, seen.active)
+            and fed.local_member.closed_for == fed.closing_for
+            and fed.closing_for not in (view.closing_for, view.active)
         ):
             return (
                 f"the federation counts this site as closed for version {fed.closing_for}, and it has not closed here"
             )
-        if not seen.is_up_to(fed) and (seen.closing_for != fed.active or seen.active and not seen.decided_index):
+        if not view.is_up_to(fed) and (view.closing_for != fed.active or view.active and not view.federation_index):
             return f"version {fed.active} is in force in the federation, and not here yet"
         return ""
 
-    def _sabotaged_version(self, now: float, seen: View, closing: int) -> int | None:
+    def _sabotaged_version(self, now: float, view: View, closing: int) -> int | None:
         """The version that a sabotaged member opens under without an outcome."""
-        flight = seen.in_flight
+        flight = view.in_flight
         if not closing or flight is None or flight.number != closing:
             return None
-        reported = seen.local_member is not None and seen.local_member.closed == closing
+        reported = view.local_member is not None and view.local_member.closed_for == closing
         if "early-open" in self._sabotage and (self.marker == closing or reported):
             return closing
         if "site-early" in self._sabotage and flight.federated and flight.phase == "agreed":
             return closing
-        if "guess-after-close" in self._sabotage and self._closed_at and now - self._closed_at[1] >= GUESS_AFTER:
-            return seen.active
+        if (
+            "guess-after-close" in self._sabotage
+            and self._closed_at
+            and now - self._closed_at[1] >= SABOTAGED_OPEN_AFTER
+        ):
+            return view.active
         return None
--- a/tealwing/rollout/permit.py
+++ b/tealwing/rollout/agent/permit.py
@@ -6,8 +6,8 @@
 from collections.abc import Hashable
 
 from tealwing.peers.bounds import RENEW_SHARE, Bounds
-from tealwing.rollout.actions import FOREVER, ReadToken
-from tealwing.rollout.view import View
+from tealwing.rollout.agent.actions import FOREVER, ReadToken
+from tealwing.rollout.agent.view import View
 
 READ_LOST_AFTER = 5.0  # s after which a read of which nothing was heard counts as failed
 
--- a/tealwing/rollout/view.py
+++ b/tealwing/rollout/agent/view.py
@@ -21,7 +21,9 @@
     local_member: Member | None  # of rule_members; None: not in the table
     last_number: int = 0  # number given last
     phases: Mapping[int, Phase] = field(default_factory=dict)
-    decided_index: int = 0  # of the version in force: the index in the federation's log that decided it; 0: made here
+    federation_index: int = (
+        0  # of the version in force: the index in the federation's log that decided it; 0: made here
+    )
     member_count: int = 0  # how many take part
 
     def phase_of(self, number: int) -> Phase | None:
@@ -46,7 +48,7 @@
         """Whether the version in force at this site is at least the one that is in the federation's state."""
         if not self.active and not federated.active:
             return True
-        return self.decided_index > 0 and self.active >= federated.active
+        return self.federation_index > 0 and self.active >= federated.active
 
 
 FederatedView = View  # of the federation's log: its members are sites, and `me` is ours
@@ -56,9 +58,11 @@
     """The state's tables at an index, for the member (or the site) of that name."""
     versions: list[Version] = list(tables["rules"].values())
     flight = next((version for version in versions if version.phase in IN_FLIGHT), None)
-    now: Facts = tables["rule_facts"].get(FACTS_KEY) or Facts()
+    facts: Facts = tables["rule_facts"].get(FACTS_KEY) or Facts()
     phases = {version.number: version.phase for version in versions}
-    found = next((version for version in versions if version.number == now.active), None)
-    decided = found.decided if found is not None else 0
+    found = next((version for version in versions if version.number == facts.active_number), None)
+    federation_index = found.federation_index if found is not None else 0
     members: Mapping[str, Member] = tables["rule_members"]
-    return View(index, now.active, flight, members.get(name), now.last, phases, decided, len(members))
+    return View(
+        index, facts.active_number, flight, members.get(name), facts.last_number, phases, federation_index, len(members)
+    )
--- a/tealwing/rollout/service.py
+++ b/tealwing/rollout/control_calls.py
@@ -11,9 +11,9 @@
 from tealwing.replica import commands as c
 from tealwing.replica.messages import UnsignedInt63
 from tealwing.replica.node import Replica, Unavailable, Unknown
-from tealwing.rollout.outcomes import version_status
-from tealwing.rollout.seen import ObservedState
-from tealwing.rollout.shell import Runtime
+from tealwing.rollout.observed_state import ObservedState
+from tealwing.rollout.runtime import Runtime
+from tealwing.rollout.status import version_status
 from tealwing.rules import bundle, records
 
 WAIT = 5.0  # s that a call waits where it does not say
@@ -57,7 +57,7 @@
             made_from = parent
             if made_from is None:
                 self._deciding_log.read_index(wait)
-                made_from = self._deciding_state().facts.active
+                made_from = self._deciding_state().facts.active_number
             body = records.Propose(made_from, bundle.digest(text), text, who, int(time.time() * 1e3), why)
             result = self._write(self._deciding_log, body, max(0.0, end - time.monotonic()))
             while (
--- a/tealwing/rollout/deeds.py
+++ b/tealwing/rollout/effects/executor.py
@@ -8,11 +8,11 @@
 
 from tealwing import log
 from tealwing.coordinator.backoff import Backoff
-from tealwing.rollout.actions import HOLD_MARKER
-from tealwing.rollout.mark import MarkerDamagedError, PersistedMarker
-from tealwing.rollout.member import Machine
-from tealwing.rollout.seen import ObservedState
-from tealwing.rollout.steering import ALL_REQUESTS, GateControl, RulesAdapter
+from tealwing.rollout.admission.gate_control import ALL_REQUESTS, GateControl, RulesAdapter
+from tealwing.rollout.agent.actions import HOLD_MARKER
+from tealwing.rollout.agent.machine import Machine
+from tealwing.rollout.effects.persisted_marker import MarkerDamagedError, PersistedMarker
+from tealwing.rollout.observed_state import ObservedState
 
 RETRY_BACKOFF = (0.1, 2.0)  # s between two tries to put a version in force, least and most
 MAX_REASON_LENGTH = 500  # characters of a fault in a check
@@ -63,12 +63,12 @@
         if found is None:
             return
         try:
-            yes, reason = self._rules.verdict(state.text(state.facts.active), found.text, found.needs)
+            accepted, reason = self._rules.verdict(state.text(state.facts.active_number), found.text, found.min_build)
         except Exception as error:  # what it can't read it can't put in force
-            yes, reason = False, f"{type(error).__name__}: {error}"[:MAX_REASON_LENGTH]
-        log.event("rules_verdict", number=number, yes=yes, reason=reason)
+            accepted, reason = False, f"{type(error).__name__}: {error}"[:MAX_REASON_LENGTH]
+        log.event("rules_verdict", number=number, yes=accepted, reason=reason)
         with self._lock:
-            self._machine.checked(number, yes, reason)
+            self._machine.checked(number, accepted, reason)
 
     def activate(self, observed_state: Callable[[], ObservedState]) -> None:
         """Decide under the version that the machine names; until that is done the gate lets nobody in."""
@@ -82,13 +82,13 @@
         try:
             self._rules.put_in_force(target, observed_state().text(target))
         except Exception as error:  # whatever it is: the gateway must not open under another version
-            why = f"version {target} of the rules can't be put in force here: {error}"
-            if why != control.unusable:
+            reason = f"version {target} of the rules can't be put in force here: {error}"
+            if reason != control.unusable:
                 log.event("rules_unusable", number=target, error=str(error), remedy="install the build that took it, or"
                           " propose a version that this gateway can put in force")  # fmt: skip
             self._next_try = time.monotonic() + self._retry_backoff.next()
             with self._lock:
-                control.unusable = why
+                control.unusable = reason
                 self._follow()
             return
         self._retry_backoff.reset()
@@ -98,7 +98,7 @@
 
     def update_affected(self, state: ObservedState) -> None:
         """Narrow what is closed to what the change touches; worked out as soon as the version is proposed."""
-        active, flight = state.facts.active, state.view.in_flight
+        active, flight = state.facts.active_number, state.view.in_flight
         if flight is None or self._gate_control.knows_affected(active, flight.number):
             return
         try:
--- a/tealwing/rollout/talk.py
+++ b/tealwing/rollout/effects/log_client.py
@@ -14,9 +14,9 @@
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
 from tealwing.replica.outcomes import Unavailable, Unknown
-from tealwing.rollout.actions import ReadIndex, ReadToken, SubmitCommand
-from tealwing.rollout.errands import BackgroundWorker
-from tealwing.rollout.member import Machine
+from tealwing.rollout.agent.actions import ReadIndex, ReadToken, SubmitCommand
+from tealwing.rollout.agent.machine import Machine
+from tealwing.rollout.effects.background_worker import BackgroundWorker
 from tealwing.rules import records
 
 SUBMIT_TIMEOUT = 1.0  # s that one word to the log may take before it is said again
--- a/tealwing/rollout/outside.py
+++ b/tealwing/rollout/federation_log.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from tealwing.replica.node import Replica
-from tealwing.rollout.seen import ObservedState
+from tealwing.rollout.observed_state import ObservedState
 
 
 class FederationLog(Protocol):
--- a/tealwing/rollout/conductor.py
+++ b/tealwing/rollout/leader/coordinator.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from tealwing.peers.bounds import USUAL, Bounds
-from tealwing.rollout.retry import Retry
-from tealwing.rollout.view import CLOSING, view_of
-from tealwing.rollout.witnesses import ExpiryObserver
+from tealwing.rollout.agent.retry import Retry
+from tealwing.rollout.agent.view import CLOSING, view_of
+from tealwing.rollout.leader.expiry_observer import ExpiryObserver
 from tealwing.rules.records import Abort, Activate, Body, Close, ExpirePermit, Member
 
 __all__ = ["ExpiryObserver", "RolloutCoordinator"]
@@ -56,7 +56,7 @@
         found: list[tuple[Hashable, Body]] = []
         for name, since in sorted(self._silent.items()):
             member = members[name]
-            covered = closing and member.closed == number
+            covered = closing and member.closed_for == number
             if (
                 member.partition_mode == "hold"
                 and not member.expiry_index
@@ -81,7 +81,7 @@
         for name, member in sorted(tables["rule_members"].items()):
             if member.expiry_index and member.expiry_confirmed:
                 continue
-            if member.closed != number if closing else name not in verdicts or verdicts[name].start != member.start:
+            if member.closed_for != number if closing else name not in verdicts or verdicts[name].start != member.start:
                 missing.append(f"{name} (silent)" if name in self._silent else name)
         what = "closed for it" if closing else "said that it can put it in force"
         shown = ", ".join(missing[:8]) + (f" and {len(missing) - 8} more" if len(missing) > 8 else "")
--- a/tealwing/rollout/leading.py
+++ b/tealwing/rollout/leader/duties.py
@@ -5,9 +5,9 @@
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
 from tealwing.replica.node import Replica
-from tealwing.rollout.conductor import ExpiryObserver, RolloutCoordinator
+from tealwing.rollout.leader.coordinator import ExpiryObserver, RolloutCoordinator
+from tealwing.rollout.observed_state import ObservedState
 from tealwing.rollout.plan import Plan
-from tealwing.rollout.seen import ObservedState
 from tealwing.rules import records
 
 SILENT_HEARTBEATS = 2.0  # beats of the link without a sign of life after which a peer counts as silent
--- a/tealwing/rollout/witnesses.py
+++ b/tealwing/rollout/leader/expiry_observer.py
@@ -11,7 +11,7 @@
 import xxhash
 
 from tealwing.peers.bounds import USUAL, Bounds
-from tealwing.rollout.retry import Retry
+from tealwing.rollout.agent.retry import Retry
 from tealwing.rules.records import Body, ConfirmExpiry, ExpirePermit, Forget, Member
 
 BATCH_SIZE = 3  # members that speak at once: two are needed, and one may be away
--- a/tealwing/rollout/here.py
+++ b/tealwing/rollout/local_gateway.py
@@ -6,7 +6,7 @@
 
 from tealwing import interface as api
 from tealwing.routing.table import Table
-from tealwing.rules import bundle, check, overlay, touch
+from tealwing.rules import affected, bundle, check, overlay
 from tealwing.rules.bundle import EMPTY, Bundle
 from tealwing.rules.errors import RulesError
 
@@ -51,23 +51,23 @@
             return [str(error)]
         return []
 
-    def verdict(self, before: bytes, text: bytes, needs: int) -> tuple[bool, str]:
+    def verdict(self, before: bytes, text: bytes, min_build: int) -> tuple[bool, str]:
         """Whether this gateway can put it in force in place of the one before, and why not."""
-        reasons = check.check_text(text, self._running(before), needs)
+        reasons = check.check_text(text, self._running(before), min_build)
         return not reasons, "; ".join(map(str, reasons))[:MAX_REASON_LENGTH]
 
-    def affected_requests(self, before: bytes, after: bytes) -> touch.AffectedRequests:
+    def affected_requests(self, before: bytes, after: bytes) -> affected.AffectedRequests:
         """What a change touches. RulesError where one of them can't be read."""
-        return touch.affected_requests(_read(before), bundle.parse(after))
+        return affected.affected_requests(_read(before), bundle.parse(after))
 
     def put_in_force(self, number: int, text: bytes) -> None:
         """Have new requests decided under it. ValueError, with nothing changed, where that can't be."""
         found = _read(text)
         table, levels = bundle.table(found), None
         if found.levels:
-            from tealwing.rules import leveltext  # only where there are some
+            from tealwing.rules import levels_section  # only where there are some
 
-            levels = leveltext.parse_levels(found.levels)
+            levels = levels_section.parse_levels(found.levels)
         settings = overlay.apply(found, self._gateway.platform_settings)
         self._gateway.put_in_force(settings, table if table.routes else None, levels, number)
 
--- a/tealwing/rollout/seen.py
+++ b/tealwing/rollout/observed_state.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from tealwing.replica.state import State
-from tealwing.rollout.view import View, view_of
-from tealwing.rules import kept
-from tealwing.rules.cover import unanswered, uncovered
+from tealwing.rollout.agent.view import View, view_of
+from tealwing.rules import registry_state
+from tealwing.rules.coverage import unanswered, uncovered
 from tealwing.rules.records import Facts, Member, Version
 
 TABLES = ("rules", "rule_members", "rule_facts")
@@ -25,16 +25,16 @@
     @property
     def facts(self) -> Facts:
         """What holds of all versions."""
-        return kept.facts(self.tables)
+        return registry_state.facts(self.tables)
 
     @property
     def members(self) -> dict[str, Member]:
         """All members by name."""
-        return kept.members(self.tables)
+        return registry_state.members(self.tables)
 
     def version(self, number: int) -> Version | None:
         """A version that is kept."""
-        return kept.version(self.tables, number)
+        return registry_state.version(self.tables, number)
 
     def text(self, number: int) -> bytes:
         """A version's bundle; empty for 0. LookupError where it is not kept here."""
--- a/tealwing/rollout/shell.py
+++ b/tealwing/rollout/runtime.py
@@ -17,16 +17,26 @@
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
 from tealwing.replica.node import Replica
-from tealwing.rollout import deeds, gate, outcomes
-from tealwing.rollout.actions import HOLD_MARKER, Action, CheckBundle, PersistMarker, ReadIndex, Restart, SubmitCommand
-from tealwing.rollout.leading import LeaderDuties
-from tealwing.rollout.mark import PersistedMarker
-from tealwing.rollout.member import Machine
-from tealwing.rollout.outside import FederationLog
+from tealwing.rollout import status
+from tealwing.rollout.admission import gate
+from tealwing.rollout.admission.gate_control import GateControl, RulesAdapter
+from tealwing.rollout.agent.actions import (
+    HOLD_MARKER,
+    Action,
+    CheckBundle,
+    PersistMarker,
+    ReadIndex,
+    Restart,
+    SubmitCommand,
+)
+from tealwing.rollout.agent.machine import Machine
+from tealwing.rollout.effects import executor
+from tealwing.rollout.effects.log_client import LogClient
+from tealwing.rollout.effects.persisted_marker import PersistedMarker
+from tealwing.rollout.federation_log import FederationLog
+from tealwing.rollout.leader.duties import LeaderDuties
+from tealwing.rollout.observed_state import ObservedState, observe
 from tealwing.rollout.plan import Plan
-from tealwing.rollout.seen import ObservedState, observe
-from tealwing.rollout.steering import GateControl, RulesAdapter
-from tealwing.rollout.talk import LogClient
 from tealwing.rules import records
 from tealwing.rules.check import BUILD
 
@@ -61,7 +71,7 @@
         me = self._observed.members.get(self.name)
         self._machine = Machine(
             self.name, plan.partition_mode, max(int(time.time() * 1e3), me.start + 1 if me else 0), plan.permit,
-            marker=deeds.read_marker(marker), build=BUILD, seed=replica.start_number, disk=self._observed.view,
+            marker=executor.read_marker(marker), build=BUILD, seed=replica.start_number, disk=self._observed.view,
             sabotage=frozenset({plan.sabotage} - {""}), federated=federation is not None,
             disk_federated=federation.state.view if federation is not None else None, peers=len(link.plan.members),
         )  # fmt: skip
@@ -73,10 +83,12 @@
         )
         self._leader_duties = LeaderDuties(plan, replica, link)
         self.gate_control = GateControl(gate_, plan.partition_mode)
-        self._executor = deeds.EffectExecutor(self._machine, marker, rules, self.gate_control, self._lock, self._follow)
+        self._executor = executor.EffectExecutor(
+            self._machine, marker, rules, self.gate_control, self._lock, self._follow
+        )
         self._fault = ""  # of the last turn
         self._due: list[Action] = []  # what the machine wants and nobody does yet
-        self.outcomes = outcomes.RolloutStatus(self._observed)
+        self.outcomes = status.RolloutStatus(self._observed)
         replica.watch(self._applied)
         replica.on_installed(self._installed)
         replica.on_led(self._leadership_changed)
@@ -130,7 +142,7 @@
         mode, reason = self.gate_control.current()
         if mode == "shut" or mode == "closed" and self.gate_control.closed_for > UNREADY_AFTER:
             return reason
-        return self.gate_control.gate.why_not
+        return self.gate_control.gate.denial_reason
 
     def status(self) -> dict[str, Any]:
         """What operators ask for."""
@@ -149,7 +161,7 @@
             "gate": {"mode": mode, "closing": target.closing if target is not None else 0, "reason": reason},
             "permit_left_s": round(left, 3) if holds else None,
             "mark": "held" if marker == HOLD_MARKER else marker,
-            "figures": outcomes.gate_metrics(self.gate_control.gate.metrics()),
+            "figures": status.gate_metrics(self.gate_control.gate.metrics()),
             "broken": self._replica.broken,
             "leads": self._leader_duties.is_leader,
             "refusal": self._log_client.last_rejection,
--- a/tealwing/rollout/outcomes.py
+++ b/tealwing/rollout/status.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from tealwing import log
-from tealwing.rollout.gate import GateMetrics
-from tealwing.rollout.seen import ObservedState
+from tealwing.rollout.admission.gate import GateMetrics
+from tealwing.rollout.observed_state import ObservedState
 from tealwing.rules.records import Version
 
 FAILED = ("rejected", "aborted", "withdrawn")
@@ -19,38 +19,40 @@
 
     def __init__(self, state: ObservedState) -> None:
         self._lock = threading.Lock()
-        self._active = state.facts.active
-        self._flight: tuple[int, str, float] | None = None  # number, phase, since when
+        self._active = state.facts.active_number
+        self._in_flight: tuple[int, str, float] | None = None  # number, phase, since when
         self.update(state)
 
     def update(self, state: ObservedState) -> None:
         """Another entry has been applied."""
-        before, flight = self._flight, state.view.in_flight
+        before, flight = self._in_flight, state.view.in_flight
         now = time.monotonic()
         with self._lock:
             if flight is None:
-                self._flight = None
+                self._in_flight = None
             elif before is None or before[:2] != (flight.number, flight.phase):
-                self._flight = flight.number, flight.phase, now
+                self._in_flight = flight.number, flight.phase, now
         if before is not None and (found := state.version(before[0])) and found.phase in FAILED:
             log.event("rules_aborted", number=found.number, phase=found.phase, why=found.outcome)
-        if state.facts.active != self._active:
-            self._active = state.facts.active
+        if state.facts.active_number != self._active:
+            self._active = state.facts.active_number
             if (active := state.version(self._active)) is not None:
-                log.event("rules_active", number=self._active, who=active.who, why=active.why, index=active.changed)
+                log.event(
+                    "rules_active", number=self._active, who=active.author, why=active.reason, index=active.phase_index
+                )
 
     def status(self, state: ObservedState) -> dict[str, Any]:
         """Versions and members, as they are applied here."""
         with self._lock:
-            since = self._flight
+            since = self._in_flight
         flight = state.view.in_flight
         under_way = None
         if flight is not None:
             took = time.monotonic() - since[2] if since is not None and since[0] == flight.number else 0.0
             under_way = version_status(flight) | {"for_s": round(took, 3), "waits_for": state.waits_for()}
         return {
-            "active": state.facts.active,
-            "last": state.facts.last,
+            "active": state.facts.active_number,
+            "last": state.facts.last_number,
             "applied": state.index,
             "in_flight": under_way,
             "members": [
@@ -59,7 +61,7 @@
                     "lost_touch": member.partition_mode,
                     "start": member.start,
                     "build": member.build,
-                    "closed": member.closed,
+                    "closed": member.closed_for,
                     "lapsed": member.expiry_index,
                     "over": member.expiry_confirmed,
                     "leaving": member.leaving,
@@ -74,9 +76,9 @@
     """A version for operators, without its text."""
     return {
         "number": found.number, "parent": found.parent, "phase": found.phase, "digest": found.digest,
-        "who": found.who, "when_ms": found.when, "why": found.why, "outcome": found.outcome,
-        "federated": found.federated, "needs": found.needs, "index": found.index, "changed": found.changed,
-        "said": {name: {"yes": verdict.yes, "reason": verdict.reason} for name, verdict in found.verdicts.items()},
+        "who": found.author, "when_ms": found.created_ms, "why": found.reason, "outcome": found.outcome,
+        "federated": found.federated, "needs": found.min_build, "index": found.index, "changed": found.phase_index,
+        "said": {name: {"yes": verdict.accepted, "reason": verdict.reason} for name, verdict in found.verdicts.items()},
     }  # fmt: skip
 
 
--- a/tealwing/rules/bundle.py
+++ b/tealwing/rules/bundle.py
@@ -88,9 +88,9 @@
     for fault in validate.faults(table(found).routes):
         raise InvalidRoutesError(fault.place, f"{fault.what}; {fault.remedy}")
     if found.levels:
-        from tealwing.rules import leveltext  # only where there are some: the grammar takes memory
+        from tealwing.rules import levels_section  # only where there are some: the grammar takes memory
 
-        leveltext.parse_levels(found.levels)
+        levels_section.parse_levels(found.levels)
     return found
 
 
--- a/tealwing/rules/check.py
+++ b/tealwing/rules/check.py
@@ -39,35 +39,35 @@
     build: int = BUILD
 
 
-def check_text(text: bytes, running: Running, needs: int = 1) -> list[Reason]:
+def check_text(text: bytes, running: Running, min_build: int = 1) -> list[Reason]:
     """The same for a text, which may be no bundle at all."""
     try:
-        return check(bundles.parse(text), running, needs)
+        return check(bundles.parse(text), running, min_build)
     except RulesError as error:
         return [error]
 
 
-def check(bundle: Bundle, running: Running, needs: int = 1) -> list[Reason]:
+def check(bundle: Bundle, running: Running, min_build: int = 1) -> list[Reason]:
     """All reasons against a good bundle; none: it can be in force here at once."""
     found: list[Reason] = []
-    if needs > running.build:
-        found.append(BuildTooOldError("needs", f"build {needs}; this is {running.build}"))
+    if min_build > running.build:
+        found.append(BuildTooOldError("needs", f"build {min_build}; this is {running.build}"))
     try:
         settings = overlay.apply(bundle, running.settings)
-        found += _restart(bundle, running, settings)
+        found += _restart_errors(bundle, running, settings)
     except RulesError as error:
         found.append(error)
     if bundle.levels:
-        found += _levels(bundle, running)
+        found += _level_errors(bundle, running)
     route_bytes, max_bytes = len(bundle.routes) * ROUTE_BYTES, running.memory * MEMORY_SHARE
     if running.memory and route_bytes > max_bytes:
         found.append(
             MemoryLimitError("routes", f"{route_bytes} bytes for {len(bundle.routes)}; allowed: {max_bytes:.0f}")
         )
-    return found + _routes(bundle, running)
+    return found + _route_errors(bundle, running)
 
 
-def _restart(bundle: Bundle, running: Running, settings: interface.Settings) -> list[Reason]:
+def _restart_errors(bundle: Bundle, running: Running, settings: interface.Settings) -> list[Reason]:
     """Levels and gossip are built on the settings that there were at their start."""
     found: list[Reason] = []
     if bundle.levels and running.levels:
@@ -83,17 +83,17 @@
     return found
 
 
-def _levels(bundle: Bundle, running: Running) -> list[Reason]:
-    from tealwing.rules import leveltext  # only where there are some
+def _level_errors(bundle: Bundle, running: Running) -> list[Reason]:
+    from tealwing.rules import levels_section  # only where there are some
 
     try:
-        leveltext.parse_levels(bundle.levels).measures(running.settings)
+        levels_section.parse_levels(bundle.levels).measures(running.settings)
     except PlanError as error:
         return [UnknownNameError("levels", str(error)[:400])]
     return []
 
 
-def _routes(bundle: Bundle, running: Running) -> list[Reason]:
+def _route_errors(bundle: Bundle, running: Running) -> list[Reason]:
     """Groups that no engine could serve. Only those that move: another site's trouble must not stop a change."""
     found: list[Reason] = []
     known = set(running.settings.zones)
--- a/tealwing/rules/cover.py
+++ b/tealwing/rules/coverage.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from tealwing.rules.kept import Tables, in_flight, members, set_phase
 from tealwing.rules.records import Member, Phase, Version
+from tealwing.rules.registry_state import Tables, in_flight, members, set_phase
 
 MIN_CONFIRMATIONS = 2  # different members whose clocks must say that a lapse is over, where there are so many
 
@@ -14,11 +14,11 @@
 def uncovered(tables: Tables, number: int) -> list[str]:
     """Names of the members that may still decide without the change to that version."""
     return sorted(
-        name for name, member in members(tables).items() if member.closed != number and not _is_expired(member)
+        name for name, member in members(tables).items() if member.closed_for != number and not _is_expired(member)
     )
 
 
-def covered(tables: Tables, number: int) -> bool:
+def is_covered(tables: Tables, number: int) -> bool:
     """Whether no member may decide without the change to that version."""
     return not uncovered(tables, number)
 
@@ -52,7 +52,7 @@
         expects_verdicts = any(not member.expiry_index for member in members(tables).values())
         phase = "checked" if expects_verdicts and not unanswered(tables, found) else "proposed"
     else:
-        phase = "agreed" if covered(tables, found.number) else "preparing"
+        phase = "agreed" if is_covered(tables, found.number) else "preparing"
     if phase != found.phase:
         set_phase(tables, index, found, phase)
 
--- a/tealwing/rules/errors.py
+++ b/tealwing/rules/errors.py
@@ -12,7 +12,7 @@
 
     def __init__(self, where: str, what: str) -> None:
         super().__init__(f"{where}: {what}; {self.remedy}")
-        self.where, self.what = where, what
+        self.place, self.finding = where, what
 
 
 class BundleError(RulesError):
--- a/tealwing/rules/history.py
+++ b/tealwing/rules/history.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from tealwing.rules.kept import Tables, active
 from tealwing.rules.records import IN_FLIGHT, Version
+from tealwing.rules.registry_state import Tables, active
 
 MAX_VERSIONS = 32  # versions
 
--- a/tealwing/rules/records.py
+++ b/tealwing/rules/records.py
@@ -31,12 +31,12 @@
     parent: UnsignedInt63
     digest: Name  # of the text: bundle.digest
     text: Bundled
-    who: Name
-    when: UnsignedInt63  # ms of the Unix clock at the proposer; nothing is decided by it
-    why: Text = ""
+    author: Name
+    created_ms: UnsignedInt63  # ms of the Unix clock at the proposer; nothing is decided by it
+    reason: Text = ""
     number: UnsignedInt63 = 0
     federated: bool = False  # decided in the federation's log, not here
-    needs: UnsignedInt63 = 1  # the least build that can put it in force
+    min_build: UnsignedInt63 = 1  # the least build that can put it in force
 
 
 class Verdict(Record, tag="rules.verdict", frozen=True):
@@ -45,7 +45,7 @@
     number: UnsignedInt63
     member: Name
     start: UnsignedInt63
-    yes: bool
+    accepted: bool
     reason: Text = ""
 
 
@@ -73,7 +73,7 @@
     """The version is in force; refused where it is not covered."""
 
     number: UnsignedInt63
-    decided: UnsignedInt63 = 0  # of a federated version: the index in the federation's log
+    federation_index: UnsignedInt63 = 0  # of a federated version: the index in the federation's log
 
 
 class Abort(Record, tag="rules.abort", frozen=True):
@@ -81,15 +81,15 @@
 
     number: UnsignedInt63
     reason: Text = ""
-    decided: UnsignedInt63 = 0
+    federation_index: UnsignedInt63 = 0
 
 
 class Withdraw(Record, tag="rules.withdraw", frozen=True):
     """Its proposer, or another operator, takes it back before anyone closes for it."""
 
     number: UnsignedInt63
-    who: Name
-    why: Text = ""
+    author: Name
+    reason: Text = ""
 
 
 class Begin(Record, tag="rules.begin", frozen=True):
@@ -126,7 +126,7 @@
     """An operator takes a member out; off: they vouch that it is switched off for good."""
 
     member: Name
-    off: bool = False
+    switched_off: bool = False
 
 
 Body = (
@@ -168,7 +168,7 @@
     """A member's verdict."""
 
     start: UnsignedInt63
-    yes: bool
+    accepted: bool
     reason: Text = ""
 
 
@@ -179,17 +179,17 @@
     parent: UnsignedInt63
     digest: Name
     text: Bundled
-    who: Name
-    when: UnsignedInt63
-    why: Text
+    author: Name
+    created_ms: UnsignedInt63
+    reason: Text
     phase: Phase
     index: UnsignedInt63  # of its proposal
-    changed: UnsignedInt63  # index of the entry that gave it its phase
+    phase_index: UnsignedInt63  # index of the entry that gave it its phase
     federated: bool = False
-    needs: UnsignedInt63 = 1
+    min_build: UnsignedInt63 = 1
     verdicts: dict[str, RecordedVerdict] = {}  # by member
     outcome: Text = ""  # why it was rejected, aborted or withdrawn, and by whom
-    decided: UnsignedInt63 = 0
+    federation_index: UnsignedInt63 = 0
 
 
 class Member(Record, frozen=True):
@@ -199,8 +199,8 @@
     partition_mode: PartitionMode
     build: UnsignedInt63 = 1
     permit: UnsignedInt63 = 0  # ms
-    begun: UnsignedInt63 = 0  # index of its Begin
-    closed: UnsignedInt63 = 0  # number of the version that it has closed for, in this start
+    begin_index: UnsignedInt63 = 0  # index of its Begin
+    closed_for: UnsignedInt63 = 0  # number of the version that it has closed for, in this start
     expiry_index: UnsignedInt63 = 0  # index of its Lapse; 0: none
     confirmed_by: tuple[str, ...] = ()
     expiry_confirmed: bool = False  # every permit given before the lapse is over
@@ -210,8 +210,8 @@
 class Facts(Record, frozen=True):
     """What holds of all versions."""
 
-    last: UnsignedInt63 = 0  # number given last
-    active: UnsignedInt63 = 0  # number of the version in force; 0: none yet
+    last_number: UnsignedInt63 = 0  # number given last
+    active_number: UnsignedInt63 = 0  # number of the version in force; 0: none yet
 
 
 FACTS_KEY = "now"  # the one key of the table of facts
--- a/tealwing/rules/registry.py
+++ b/tealwing/rules/registry.py
@@ -8,11 +8,12 @@
 from __future__ import annotations
 
 from tealwing.record import CommandResult
-from tealwing.rules import closing, deciding, members, proposing, records
-from tealwing.rules.cover import covered, uncovered
-from tealwing.rules.kept import Tables, accept, active, facts, in_flight
+from tealwing.rules import records
+from tealwing.rules.coverage import is_covered, uncovered
+from tealwing.rules.registry_state import Tables, accept, active, facts, in_flight
+from tealwing.rules.transitions import closing, concluding, membership, proposing
 
-__all__ = ["active", "apply", "covered", "facts", "in_flight", "uncovered"]
+__all__ = ["active", "apply", "facts", "in_flight", "is_covered", "uncovered"]
 
 
 def apply(tables: Tables, index: int, body: records.Body) -> CommandResult:
@@ -31,16 +32,16 @@
                 apply(tables, index, report)
             return accept(index, index)
         case records.Activate():
-            return deciding.activate(tables, index, body)
+            return concluding.activate(tables, index, body)
         case records.Abort():
-            return deciding.abort(tables, index, body)
+            return concluding.abort(tables, index, body)
         case records.Withdraw():
-            return deciding.withdraw(tables, index, body)
+            return concluding.withdraw(tables, index, body)
         case records.Begin():
-            return members.begin(tables, index, body)
+            return membership.begin(tables, index, body)
         case records.ExpirePermit():
             return closing.expire_permit(tables, index, body)
         case records.ConfirmExpiry():
             return closing.confirm_expiry(tables, index, body)
         case records.Forget():
-            return members.forget(tables, index, body)
+            return membership.forget(tables, index, body)
--- a/tealwing/rules/kept.py
+++ b/tealwing/rules/registry_state.py
@@ -29,7 +29,7 @@
 
 def active(tables: Tables) -> Version | None:
     """The version in force; None before the first."""
-    return version(tables, facts(tables).active)
+    return version(tables, facts(tables).active_number)
 
 
 def in_flight(tables: Tables) -> Version | None:
@@ -47,14 +47,21 @@
     tables["rules"][str(found.number)] = found
 
 
-def set_phase(tables: Tables, index: int, found: Version, phase: Phase, outcome: str = "", decided: int = 0) -> None:
+def set_phase(
+    tables: Tables, index: int, found: Version, phase: Phase, outcome: str = "", federation_index: int = 0
+) -> None:
     """A version comes into a phase by the entry at an index."""
-    put(tables, replace(found, phase=phase, changed=index, outcome=outcome or found.outcome, decided=decided))
+    put(
+        tables,
+        replace(
+            found, phase=phase, phase_index=index, outcome=outcome or found.outcome, federation_index=federation_index
+        ),
+    )
 
 
-def reject(index: int, why: str, number: int = 0) -> CommandResult:
+def reject(index: int, reason: str, number: int = 0) -> CommandResult:
     """The registry refuses a command."""
-    return CommandResult(False, index, number, why)
+    return CommandResult(False, index, number, reason)
 
 
 def accept(index: int, number: int) -> CommandResult:
@@ -62,13 +69,13 @@
     return CommandResult(True, index, number)
 
 
-def format_timestamp(when: int) -> str:
+def format_timestamp(unix_ms: int) -> str:
     """A time of the Unix clock in ms, as people read it; always UTC."""
-    if when > _LAST_MS:
-        return f"{when} ms"
-    return (_EPOCH + timedelta(milliseconds=when)).isoformat(" ", "seconds") + " UTC"
+    if unix_ms > _LAST_MS:
+        return f"{unix_ms} ms"
+    return (_EPOCH + timedelta(milliseconds=unix_ms)).isoformat(" ", "seconds") + " UTC"
 
 
 def describe(found: Version) -> str:
     """Whose a version is, and since when."""
-    return f"version {found.number} by {found.who} of {format_timestamp(found.when)}"
+    return f"version {found.number} by {found.author} of {format_timestamp(found.created_ms)}"
--- a/tealwing/rules/closing.py
+++ b/tealwing/rules/transitions/closing.py
@@ -5,51 +5,53 @@
 from msgspec.structs import replace
 
 from tealwing.record import CommandResult
-from tealwing.rules import kept
-from tealwing.rules.cover import confirmations_needed, update_phase
-from tealwing.rules.kept import Tables, accept, reject
-from tealwing.rules.members import remove
+from tealwing.rules import registry_state
+from tealwing.rules.coverage import confirmations_needed, update_phase
 from tealwing.rules.records import Close, Closed, ConfirmExpiry, ExpirePermit
+from tealwing.rules.registry_state import Tables, accept, reject
+from tealwing.rules.transitions.membership import remove
 
 
 def close(tables: Tables, index: int, body: Close) -> CommandResult:
     """Every member closes as it applies this."""
-    found = kept.version(tables, body.number)
+    found = registry_state.version(tables, body.number)
     if found is None or found.phase != "checked":
         return reject(index, _wrong_phase(body.number, found.phase if found else "unknown", "checked"), body.number)
-    kept.set_phase(tables, index, found, "preparing")
+    registry_state.set_phase(tables, index, found, "preparing")
     update_phase(tables, index)
     return accept(index, body.number)
 
 
 def closed(tables: Tables, index: int, body: Closed) -> CommandResult:
     """A member has closed, and its disk says so."""
-    found = kept.version(tables, body.number)
+    found = registry_state.version(tables, body.number)
     if found is None or found.phase not in ("preparing", "agreed"):
         return reject(index, _wrong_phase(body.number, found.phase if found else "unknown", "preparing"), body.number)
-    member = kept.members(tables).get(body.member)
+    member = registry_state.members(tables).get(body.member)
     if member is None or member.start != body.start:
         return reject(index, f"{body.member} has not begun in that start: begin first", body.number)
-    kept.members(tables)[body.member] = replace(member, closed=body.number)
+    registry_state.members(tables)[body.member] = replace(member, closed_for=body.number)
     update_phase(tables, index)
     return accept(index, body.number)
 
 
 def expire_permit(tables: Tables, index: int, body: ExpirePermit) -> CommandResult:
     """No permit of that start is given after this entry; those given before run out."""
-    member = kept.members(tables).get(body.member)
+    member = registry_state.members(tables).get(body.member)
     if member is None or member.start != body.start or member.expiry_index:
         return reject(index, f"{body.member} has not begun in that start, or it has lapsed already")
     if member.partition_mode != "hold":
         return reject(index, f"{body.member} serves on when it is cut off: it has no permit that could lapse")
-    kept.members(tables)[body.member] = replace(member, expiry_index=index, confirmed_by=(), expiry_confirmed=False)
+    registry_state.members(tables)[body.member] = replace(
+        member, expiry_index=index, confirmed_by=(), expiry_confirmed=False
+    )
     update_phase(tables, index)
     return accept(index, index)
 
 
 def confirm_expiry(tables: Tables, index: int, body: ConfirmExpiry) -> CommandResult:
     """By another member's clock, what was given before a lapse is over; two must say so, where there are two."""
-    table = kept.members(tables)
+    table = registry_state.members(tables)
     member, other = table.get(body.member), table.get(body.confirmed_by)
     if member is None or not member.expiry_index or member.expiry_index != body.expiry_index:
         return reject(index, f"{body.member} has no lapse at {body.expiry_index}")
--- a/tealwing/rules/deciding.py
+++ b/tealwing/rules/transitions/concluding.py
@@ -4,52 +4,52 @@
 
 from tealwing.log import check_invariant
 from tealwing.record import CommandResult
-from tealwing.rules import history, kept
-from tealwing.rules.cover import uncovered
-from tealwing.rules.kept import Tables, accept, reject
+from tealwing.rules import history, registry_state
+from tealwing.rules.coverage import uncovered
 from tealwing.rules.records import IN_FLIGHT, Abort, Activate, Facts, Version, Withdraw
+from tealwing.rules.registry_state import Tables, accept, reject
 
 
 def activate(tables: Tables, index: int, body: Activate) -> CommandResult:
     """In force from here on. Refused where some member may still decide under the old rules, whoever leads."""
-    found = kept.version(tables, body.number)
+    found = registry_state.version(tables, body.number)
     if found is None or found.phase != "agreed":
         return reject(index, f"version {body.number} is {found.phase if found else 'unknown'}, not agreed", body.number)
     missing = uncovered(tables, body.number)
     check_invariant(not missing, "an agreed version is covered")
     if missing:
         return reject(index, f"version {body.number} is not closed for at {', '.join(missing)}", body.number)
-    if found.federated and not body.decided:
+    if found.federated and not body.federation_index:
         return reject(index, _decided_by_federation(found), body.number)
-    now, before = kept.facts(tables), kept.active(tables)
+    now, before = registry_state.facts(tables), registry_state.active(tables)
     if before is not None:
-        kept.set_phase(tables, index, before, "superseded", decided=before.decided)
-    kept.set_phase(tables, index, found, "active", decided=body.decided)
-    tables["rule_facts"]["now"] = Facts(now.last, body.number)
+        registry_state.set_phase(tables, index, before, "superseded", federation_index=before.federation_index)
+    registry_state.set_phase(tables, index, found, "active", federation_index=body.federation_index)
+    tables["rule_facts"]["now"] = Facts(now.last_number, body.number)
     history.trim(tables)
     return accept(index, body.number)
 
 
 def abort(tables: Tables, index: int, body: Abort) -> CommandResult:
     """It will never be in force; who has closed for it opens under the rules there were."""
-    found = kept.version(tables, body.number)
+    found = registry_state.version(tables, body.number)
     if found is None or found.phase not in IN_FLIGHT:
         return reject(index, f"version {body.number} is {found.phase if found else 'unknown'}", body.number)
-    if found.federated and not body.decided:
+    if found.federated and not body.federation_index:
         return reject(index, _decided_by_federation(found), body.number)
-    kept.set_phase(tables, index, found, "aborted", body.reason, body.decided)
+    registry_state.set_phase(tables, index, found, "aborted", body.reason, body.federation_index)
     return accept(index, body.number)
 
 
 def withdraw(tables: Tables, index: int, body: Withdraw) -> CommandResult:
     """An operator takes it back before anyone closes for it."""
-    found = kept.version(tables, body.number)
+    found = registry_state.version(tables, body.number)
     if found is None or found.phase not in ("proposed", "checked"):
         phase = found.phase if found else "unknown"
         return reject(index, f"version {body.number} is {phase}: it can be withdrawn until members close", body.number)
     if found.federated:
         return reject(index, _decided_by_federation(found), body.number)
-    kept.set_phase(tables, index, found, "withdrawn", f"{body.who}: {body.why}")
+    registry_state.set_phase(tables, index, found, "withdrawn", f"{body.author}: {body.reason}")
     return accept(index, body.number)
 
 
--- a/tealwing/rules/members.py
+++ b/tealwing/rules/transitions/membership.py
@@ -5,10 +5,10 @@
 from msgspec.structs import replace
 
 from tealwing.record import CommandResult
-from tealwing.rules import kept
-from tealwing.rules.cover import update_phase
-from tealwing.rules.kept import Tables, accept, reject
+from tealwing.rules import registry_state
+from tealwing.rules.coverage import update_phase
 from tealwing.rules.records import Begin, Forget, Member
+from tealwing.rules.registry_state import Tables, accept, reject
 
 MAX_MEMBERS = 1100  # members: as many as the section `peers` takes
 
@@ -19,7 +19,7 @@
     It says anew that it has closed, whatever its mode: this entry may come late, from a process that is no more, and
     the one that decides now may have a permit that was given before it.
     """
-    table = kept.members(tables)
+    table = registry_state.members(tables)
     before = table.get(body.member)
     present = before.start if before else 0
     if before is not None and present == body.start:  # it was sent twice
@@ -34,11 +34,17 @@
         )
     if before is None and len(table) >= MAX_MEMBERS:
         return reject(index, f"{MAX_MEMBERS} members already; forget those that are gone")
-    in_flight = kept.in_flight(tables)
-    for found in (kept.active(tables), in_flight):
-        if found is not None and found.phase != "proposed" and found.needs > body.build:  # to a proposed one it says no
-            return reject(index, f"version {found.number} of the rules needs build {found.needs}, and {body.member} is"
-                             f" build {body.build}: install that one or a newer one", present)  # fmt: skip
+    in_flight = registry_state.in_flight(tables)
+    for found in (registry_state.active(tables), in_flight):
+        if (
+            found is not None and found.phase != "proposed" and found.min_build > body.build
+        ):  # to a proposed one it says no
+            return reject(
+                index,
+                f"version {found.number} of the rules needs build {found.min_build}, and {body.member} is"
+                f" build {body.build}: install that one or a newer one",
+                present,
+            )
     table[body.member] = Member(body.start, body.partition_mode, body.build, body.permit, index)
     _discard_verdict(tables, body.member)
     update_phase(tables, index)
@@ -47,11 +53,11 @@
 
 def forget(tables: Tables, index: int, body: Forget) -> CommandResult:
     """Take a member out: at once where an operator vouches for it, else when it surely decides no more."""
-    table = kept.members(tables)
+    table = registry_state.members(tables)
     member = table.get(body.member)
     if member is None:
         return reject(index, f"there is no member {body.member}")
-    if body.off or (member.expiry_index and member.expiry_confirmed):
+    if body.switched_off or (member.expiry_index and member.expiry_confirmed):
         remove(tables, index, body.member)
     elif member.partition_mode == "serve":
         return reject(
@@ -65,15 +71,16 @@
 
 def remove(tables: Tables, index: int, name: str) -> None:
     """A member is in the table no more."""
-    del kept.members(tables)[name]
+    del registry_state.members(tables)[name]
     _discard_verdict(tables, name)
     update_phase(tables, index)
 
 
 def _discard_verdict(tables: Tables, name: str) -> None:
     """What a member said of the version in flight counts no more."""
-    in_flight = kept.in_flight(tables)
+    in_flight = registry_state.in_flight(tables)
     if in_flight is not None and name in in_flight.verdicts:
-        kept.put(
-            tables, replace(in_flight, verdicts={who: word for who, word in in_flight.verdicts.items() if who != name})
+        registry_state.put(
+            tables,
+            replace(in_flight, verdicts={who: verdict for who, verdict in in_flight.verdicts.items() if who != name}),
         )
--- a/tealwing/rules/proposing.py
+++ b/tealwing/rules/transitions/proposing.py
@@ -5,40 +5,53 @@
 from msgspec.structs import replace
 
 from tealwing.record import CommandResult
-from tealwing.rules import history, kept
-from tealwing.rules.cover import update_phase
+from tealwing.rules import history, registry_state
+from tealwing.rules.coverage import update_phase
 from tealwing.rules.digests import digest
-from tealwing.rules.kept import Tables, accept, reject
 from tealwing.rules.records import Facts, Propose, RecordedVerdict, Verdict, Version
+from tealwing.rules.registry_state import Tables, accept, reject
 
 
 def propose(tables: Tables, index: int, body: Propose) -> CommandResult:
     """Take a version up. Refused where another is in flight, or it was made from one that is not in force."""
-    now = kept.facts(tables)
+    now = registry_state.facts(tables)
     if digest(body.text) != body.digest:
         return reject(index, f"the text's digest is not {body.digest}: it was changed on its way; propose it again")
-    if body.parent != now.active:
-        active = kept.active(tables)
-        whose = kept.describe(active) if active else "none"
+    if body.parent != now.active_number:
+        active = registry_state.active(tables)
+        whose = registry_state.describe(active) if active else "none"
         return reject(index, f"made from version {body.parent}, but in force is {whose}; look at it, and propose"
-                         " what you want with that as the parent", now.active)  # fmt: skip
-    in_flight = kept.in_flight(tables)
+                         " what you want with that as the parent", now.active_number)  # fmt: skip
+    in_flight = registry_state.in_flight(tables)
     if in_flight is not None:
         return reject(
             index,
-            f"{kept.describe(in_flight)} is {in_flight.phase}; wait for its end, or withdraw it",
+            f"{registry_state.describe(in_flight)} is {in_flight.phase}; wait for its end, or withdraw it",
             in_flight.number,
         )
     if body.federated != bool(body.number):
-        return reject(index, "a number is given by the federation's log and by nobody else", now.last)
-    number = body.number or now.last + 1
-    if number <= now.last and not _is_retried(tables, body):
-        return reject(index, f"number {number} was given already; {now.last} is the last", now.last)
-    kept.put(tables, Version(
-        number, body.parent, body.digest, body.text, body.who, body.when, body.why, "proposed", index, index,
-        body.federated, body.needs,
-    ))  # fmt: skip
-    tables["rule_facts"]["now"] = Facts(max(number, now.last), now.active)
+        return reject(index, "a number is given by the federation's log and by nobody else", now.last_number)
+    number = body.number or now.last_number + 1
+    if number <= now.last_number and not _is_retried(tables, body):
+        return reject(index, f"number {number} was given already; {now.last_number} is the last", now.last_number)
+    registry_state.put(
+        tables,
+        Version(
+            number,
+            body.parent,
+            body.digest,
+            body.text,
+            body.author,
+            body.created_ms,
+            body.reason,
+            "proposed",
+            index,
+            index,
+            body.federated,
+            body.min_build,
+        ),
+    )
+    tables["rule_facts"]["now"] = Facts(max(number, now.last_number), now.active_number)
     history.trim(tables)
     return accept(index, number)
 
@@ -48,34 +61,36 @@
 
     It comes up again once the member is mended. Its text stays what it was.
     """
-    before = kept.version(tables, body.number)
+    before = registry_state.version(tables, body.number)
     return (
         before is not None
         and before.federated
         and before.phase == "rejected"
         and before.text == body.text
-        and body.number > kept.facts(tables).active
+        and body.number > registry_state.facts(tables).active_number
     )
 
 
 def verdict(tables: Tables, index: int, body: Verdict) -> CommandResult:
     """A member's word. One no ends it; when all have said yes, it is checked."""
-    found = kept.version(tables, body.number)
+    found = registry_state.version(tables, body.number)
     if found is None:
         return reject(index, f"there is no version {body.number}")
     if found.phase not in ("proposed", "checked"):
         return reject(index, f"version {body.number} is {found.phase}", body.number)
-    member = kept.members(tables).get(body.member)
+    member = registry_state.members(tables).get(body.member)
     if member is None or member.start != body.start or member.expiry_index:
         return reject(index, f"{body.member} has not begun in that start, or it has lapsed: begin first", body.number)
-    able = member.build >= found.needs
-    reason = body.reason if able or not body.yes else f"it needs build {found.needs}, and this is {member.build}"
+    able = member.build >= found.min_build
+    reason = (
+        body.reason if able or not body.accepted else f"it needs build {found.min_build}, and this is {member.build}"
+    )
     found = replace(
-        found, verdicts={**found.verdicts, body.member: RecordedVerdict(body.start, body.yes and able, reason)}
+        found, verdicts={**found.verdicts, body.member: RecordedVerdict(body.start, body.accepted and able, reason)}
     )
-    if body.yes and able:
-        kept.put(tables, found)
+    if body.accepted and able:
+        registry_state.put(tables, found)
         update_phase(tables, index)
     else:
-        kept.set_phase(tables, index, found, "rejected", f"{body.member}: {reason}")
+        registry_state.set_phase(tables, index, found, "rejected", f"{body.member}: {reason}")
     return accept(index, body.number)
--- a/tealwing/rules/typed.py
+++ b/tealwing/rules/typed.py
@@ -15,24 +15,24 @@
 from tealwing.rules.errors import InvalidValueError, TooLargeError, UnknownKeyError
 
 Record = TypeVar("Record", bound=msgspec.Struct)
-SHOWN = 60  # characters of what was found
+MAX_SHOWN_CHARACTERS = 60  # characters of what was found
 
 
 def read(kind: type[Record], data: Any, where: str = "") -> Record:
     """The record that a table makes. UnknownKey, BadValue or TooLarge for the first thing that is wrong."""
     known = {field.encode_name: field for field in msgspec.structs.fields(kind)}
     found = {}
-    for key, value in _table(data, where).items():
+    for key, value in _require_table(data, where).items():
         if key not in known:
-            raise UnknownKeyError(_under(where, key), f"no such key; allowed: {', '.join(known)}")
-        found[known[key].name] = _value(known[key].type, value, _under(where, key))
+            raise UnknownKeyError(_child_path(where, key), f"no such key; allowed: {', '.join(known)}")
+        found[known[key].name] = _convert(known[key].type, value, _child_path(where, key))
     for key, field in known.items():
         if field.required and field.name not in found:
-            raise UnknownKeyError(_under(where, key), "missing")
+            raise UnknownKeyError(_child_path(where, key), "missing")
     return kind(**found)
 
 
-def _value(kind: Any, data: Any, where: str) -> Any:
+def _convert(kind: Any, data: Any, where: str) -> Any:
     if get_origin(kind) in (Union, UnionType):  # with None, for a key that may be absent
         kind = get_args(kind)[0]
     bare, max_length = kind, None
@@ -43,33 +43,36 @@
         return read(bare, data, where)
     if get_origin(bare) is dict:
         names, values = get_args(bare)
-        _check_length(_table(data, where), max_length, where)
-        return {_leaf(names, key, where): _value(values, value, _under(where, key)) for key, value in data.items()}
+        _check_length(_require_table(data, where), max_length, where)
+        return {
+            _convert_scalar(names, key, where): _convert(values, value, _child_path(where, key))
+            for key, value in data.items()
+        }
     if get_origin(bare) is tuple:
         if not isinstance(data, list):
-            raise InvalidValueError(where, f"{_shown(data)}; allowed: a list")
+            raise InvalidValueError(where, f"{_format_value(data)}; allowed: a list")
         _check_length(data, max_length, where)
         try:
             return msgspec.convert(data, kind)  # lists are long, and are walked only to tell what is wrong
         except msgspec.ValidationError:
             pass
-        return tuple(_value(get_args(bare)[0], value, f"{where}[{place}]") for place, value in enumerate(data))
-    return _leaf(kind, data, where)
+        return tuple(_convert(get_args(bare)[0], value, f"{where}[{place}]") for place, value in enumerate(data))
+    return _convert_scalar(kind, data, where)
 
 
-def _leaf(kind: Any, data: Any, where: str) -> Any:
+def _convert_scalar(kind: Any, data: Any, where: str) -> Any:
     try:
         found = msgspec.convert(data, kind)
         if not isinstance(found, float) or isfinite(found):
             return found
     except msgspec.ValidationError:
         pass
-    raise InvalidValueError(where, f"{_shown(data)}; allowed: {_allowed(inspect.type_info(kind))}")
+    raise InvalidValueError(where, f"{_format_value(data)}; allowed: {_describe_allowed(inspect.type_info(kind))}")
 
 
-def _table(data: Any, where: str) -> dict[str, Any]:
+def _require_table(data: Any, where: str) -> dict[str, Any]:
     if not isinstance(data, dict):
-        raise InvalidValueError(where, f"{_shown(data)}; allowed: a table")
+        raise InvalidValueError(where, f"{_format_value(data)}; allowed: a table")
     return data
 
 
@@ -78,7 +81,7 @@
         raise TooLargeError(where, f"{len(found)} of them; allowed: {max_length}")
 
 
-def _allowed(kind: inspect.Type) -> str:
+def _describe_allowed(kind: inspect.Type) -> str:
     """What values are allowed, as a fault says it."""
     match kind:
         case inspect.IntType():
@@ -92,13 +95,13 @@
     return "another kind of value"
 
 
-def _under(where: str, key: str) -> str:
-    return f"{where}.{_shown(key)}" if where else _shown(key)
+def _child_path(where: str, key: str) -> str:
+    return f"{where}.{_format_value(key)}" if where else _format_value(key)
 
 
-def _shown(data: Any) -> str:
+def _format_value(data: Any) -> str:
     if isinstance(data, (dict, list)):
         return "a table" if isinstance(data, dict) else "a list"
     text = data if isinstance(data, str) else repr(data)
-    text = "".join(sign if sign.isprintable() else "?" for sign in text[: SHOWN + 1])
-    return text if len(text) <= SHOWN else text[:SHOWN] + "..."
+    text = "".join(sign if sign.isprintable() else "?" for sign in text[: MAX_SHOWN_CHARACTERS + 1])
+    return text if len(text) <= MAX_SHOWN_CHARACTERS else text[:MAX_SHOWN_CHARACTERS] + "..."
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -23,7 +23,7 @@
 from tealwing.replica.disk import Disk
 from tealwing.replica.state import State
 from tealwing.replica.storage import Storage
-from tealwing.rollout.mark import PersistedMarker
+from tealwing.rollout.effects.persisted_marker import PersistedMarker
 from tealwing.rules import records
 from tealwing.rules.digests import digest
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -29,7 +29,7 @@
 from tealwing.policy import Gateway
 from tealwing.resp import engine
 from tealwing.resp.engine_pool import EnginePool
-from tealwing.rollout.gate import Gate
+from tealwing.rollout.admission.gate import Gate
 from tests.build import entry, listing, make_settings, request_class
 from tests.peers import LIMIT, Client, Peer, request, say
 
--- a/tests/test_disk_returns.py
+++ b/tests/test_disk_returns.py
@@ -38,7 +38,7 @@
 from tealwing.replica.plan import Plan
 from tealwing.replica.raft import Meta, Ready, Role
 from tealwing.replica.storage import FolderForgot, Found, Storage, StorageError
-from tealwing.rollout.mark import PersistedMarker
+from tealwing.rollout.effects.persisted_marker import PersistedMarker
 from tests.lossy_disk import LossyDisk
 from tests.test_peers import until
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -22,7 +22,7 @@
 from tealwing.gateway.daemon import Daemon
 from tealwing.mysql import server
 from tealwing.policy import Gateway
-from tealwing.rollout.gate import Gate
+from tealwing.rollout.admission.gate import Gate
 from tealwing.routing.table import Route, Table
 from tests.build import bad, delta, entry, listing, make_settings, request_class, sends
 from tests.peers import LIMIT, SETTINGS, Client, event, member
@@ -107,9 +107,9 @@
     assert isinstance(gate.admit("look", "", 1, 0.0), Deferred)  # nothing is known at the start
     gate.open()
     gate.permit(12.0)
-    assert gate.admit("look", "", 1, 0.0) == Admitted(False) and not gate.why_not
+    assert gate.admit("look", "", 1, 0.0) == Admitted(False) and not gate.denial_reason
     now[0] = 12.0
-    assert isinstance(gate.admit("look", "", 1, 0.0), Deferred) and "permit" in gate.why_not
+    assert isinstance(gate.admit("look", "", 1, 0.0), Deferred) and "permit" in gate.denial_reason
     gate.close(Loads())
     held = aside(lambda: gate.admit("load", "", 1, later()))
     waiting(gate, 1)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -16,10 +16,10 @@
 from tealwing.peers.plan import BEAT_RATE, Plan, Times
 from tealwing.replica.messages import Append
 from tealwing.replica.raft import Options, Raft, Role
-from tealwing.rollout import retry
-from tealwing.rollout.actions import SubmitCommand
-from tealwing.rollout.member import Machine
-from tealwing.rollout.view import View
+from tealwing.rollout.agent import retry
+from tealwing.rollout.agent.actions import SubmitCommand
+from tealwing.rollout.agent.machine import Machine
+from tealwing.rollout.agent.view import View
 from tests.test_conf import problems
 
 # Heartbeats of the link
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,7 +9,7 @@
 from tealwing.conf import reader
 from tealwing.conf.reader import ConfError
 from tealwing.replica.disk import Disk
-from tealwing.rollout.mark import FILE_NAME, MarkerDamagedError, PersistedMarker
+from tealwing.rollout.effects.persisted_marker import FILE_NAME, MarkerDamagedError, PersistedMarker
 from tealwing.rollout.plan import Plan
 
 PEERS = "peers\n    name n0\n    member n0 127.0.0.1:1\n"
--- a/tests/test_rollout_cores.py
+++ b/tests/test_rollout_cores.py
@@ -7,8 +7,7 @@
 from tealwing.federation.delegate import Delegate, duties
 from tealwing.lab.models.rollout_parts import empty, propose
 from tealwing.peers.bounds import USUAL
-from tealwing.rollout.conductor import ExpiryObserver, RolloutCoordinator
-from tealwing.rollout.member import (
+from tealwing.rollout.agent.machine import (
     HOLD_MARKER,
     CheckBundle,
     Machine,
@@ -18,6 +17,7 @@
     SubmitCommand,
     view_of,
 )
+from tealwing.rollout.leader.coordinator import ExpiryObserver, RolloutCoordinator
 from tealwing.rules import records as r
 from tealwing.rules import registry
 
--- a/tests/test_rollout_shell.py
+++ b/tests/test_rollout_shell.py
@@ -17,13 +17,13 @@
 from tealwing.replica import commands as c
 from tealwing.replica.disk import Disk
 from tealwing.replica.state import State
-from tealwing.rollout.gate import Gate
-from tealwing.rollout.mark import FILE_NAME
+from tealwing.rollout.admission.gate import Gate
+from tealwing.rollout.effects.persisted_marker import FILE_NAME
 from tealwing.rollout.plan import Plan
-from tealwing.rollout.shell import Runtime
+from tealwing.rollout.runtime import Runtime
 from tealwing.rules import records
+from tealwing.rules.affected import AffectedRequests
 from tealwing.rules.digests import digest
-from tealwing.rules.touch import AffectedRequests
 from tests.test_peers import until
 
 
@@ -145,7 +145,7 @@
     number = one.propose(b"x")
     until(lambda: one.log.disk.failed >= 2)
     assert one.phase(number) == "preparing" and not one.passes() and one.passes("loads")
-    assert one.shell.observed.members["n0"].closed == 0
+    assert one.shell.observed.members["n0"].closed_for == 0
     one.log.disk.fail("none", 0)
     until(lambda: one.phase(number) == "active" and one.passes())
     assert f"closed-for {number} ".encode() in (tmp_path / FILE_NAME).read_bytes()
--- a/tests/test_rules_bundle.py
+++ b/tests/test_rules_bundle.py
@@ -13,8 +13,8 @@
 from tealwing import interface as api
 from tealwing.replica.commands import NewerEntry
 from tealwing.rules import check, errors, overlay
+from tealwing.rules.affected import ALL_REQUESTS, affected_requests
 from tealwing.rules.bundle import EMPTY, MAX_ROUTES, Bundle, parse
-from tealwing.rules.touch import ALL_REQUESTS, affected_requests
 from tests.build import make_settings, request_class
 
 WHOLE = """
@@ -153,7 +153,7 @@
         reasons = check.check_text(text, now)
         assert reasons, text[:40]
         yield from reasons
-    yield from check.check_text(b"", running, needs=check.BUILD + 1)
+    yield from check.check_text(b"", running, min_build=check.BUILD + 1)
 
 
 def kinds(of: type[errors.RulesError] = errors.RulesError) -> set[type[errors.RulesError]]:
--- a/tests/test_rules_machine.py
+++ b/tests/test_rules_machine.py
@@ -65,7 +65,7 @@
     @rule(who=st.sampled_from(["lerato", "andries"]), back=st.integers(0, 1), text=st.binary(max_size=3))
     def proposed(self, who: str, back: int, text: bytes) -> None:
         flying = registry.in_flight(self.log.state.tables)
-        active = registry.facts(self.log.state.tables).active
+        active = registry.facts(self.log.state.tables).active_number
         if self.do(propose(max(0, active - back), who, text)):
             number = self.result.version
             assert flying is None and number > self.last and (back == 0 or active == 0)
@@ -74,7 +74,7 @@
     @rule(ahead=st.integers(-1, 3), text=st.sampled_from([b"x", b"y"]))
     def proposed_by_the_federation(self, ahead: int, text: bytes) -> None:
         number = self.last + ahead
-        parent = registry.facts(self.log.state.tables).active
+        parent = registry.facts(self.log.state.tables).active_number
         if number > 0 and self.do(propose(parent, "elsewhere", text, number=number, federated=True)):
             if number <= self.last:
                 assert self.texts[number] == text and number in self.federated
@@ -207,7 +207,7 @@
         for version in versions.values():
             assert version.text == self.texts[version.number] and set(version.verdicts) <= {"a", "b", "c", "d"}
         facts, active = registry.facts(tables), registry.active(tables)
-        assert (facts.last, facts.active) == (self.last, self.actives[-1] if self.actives else 0)
+        assert (facts.last_number, facts.active_number) == (self.last, self.actives[-1] if self.actives else 0)
         if active is not None:
             assert active.phase == "active"
             assert not active.parent or versions[str(active.parent)].phase == "superseded"
--- a/tests/test_rules_registry.py
+++ b/tests/test_rules_registry.py
@@ -61,7 +61,7 @@
         return found
 
     def to_preparing(self, **more: Any) -> int:
-        number = self.propose(registry.facts(self.state.tables).active, **more)
+        number = self.propose(registry.facts(self.state.tables).active_number, **more)
         for name, member in self.state.tables["rule_members"].items():
             if not member.expiry_index:
                 self.ok(r.Verdict(number, name, member.start, True))
@@ -138,7 +138,7 @@
     late = r.Begin("b", 5, "hold", replaces=9)  # of a process that is no more
     log.refused(late, "b is there with the start 1")
     assert log.phase(number) == "preparing"
-    assert log.do(r.Begin("b", 1, "hold")).ok and log.member("b").closed == 0  # sent twice: nothing changes
+    assert log.do(r.Begin("b", 1, "hold")).ok and log.member("b").closed_for == 0  # sent twice: nothing changes
 
 
 def test_a_member_that_begins_while_a_change_closes_has_not_closed_in_that_start_whatever_its_mode() -> None:
@@ -194,8 +194,8 @@
     log.refused(r.Abort(4, "slow"), "decided in the federation's log")
     log.ok(r.Closed(4, "a", 1))
     log.refused(r.Activate(4), "decided in the federation's log")
-    log.ok(r.Activate(4, decided=31))
-    assert log.version(4).decided == 31
+    log.ok(r.Activate(4, federation_index=31))
+    assert log.version(4).federation_index == 31
     log.refused(propose(4, number=3, federated=True), "number 3 was given already")
 
 
@@ -220,18 +220,18 @@
     for name in ("a", "c"):
         log.ok(r.ConfirmExpiry("b", lapse, name))
     assert "b" not in log.state.tables["rule_members"] and log.phase(number) == "preparing"
-    log.ok(r.Forget("a", off=True))
+    log.ok(r.Forget("a", switched_off=True))
     assert log.phase(number) == "agreed"
 
 
 def test_a_member_whose_build_is_too_old_is_refused_or_rejects_what_it_can_not_put_in_force() -> None:
     log = Log(("a", "serve"), build=3)
-    number = log.propose(needs=3)
+    number = log.propose(min_build=3)
     log.ok(r.Begin("b", 1, "serve", 2))
     log.ok(r.Verdict(number, "b", 1, True))
     assert log.phase(number) == "rejected" and "needs build 3" in log.version(number).outcome
-    log.ok(r.Forget("b", off=True))
-    log.to_preparing(needs=3)
+    log.ok(r.Forget("b", switched_off=True))
+    log.to_preparing(min_build=3)
     log.refused(r.Begin("b", 1, "serve", 2), "install that one or a newer one")
 
 
