--- a/tealwing/lab/models/rollout_parts.py
+++ b/tealwing/lab/models/rollout_parts.py
@@ -11,7 +11,7 @@
 from tealwing.rollout.agent.retry import Retry
 from tealwing.rollout.leader.expiry_observer import ExpiryObserver
 from tealwing.rules import records as r
-from tealwing.rules.digests import digest
+from tealwing.rules.records import digest
 
 PERMIT, DT = 2.0, 1.0  # s: of a permit, of a step of time
 COARSE = Bounds(drift=0.25, step=0.0, told=0.0)
--- a/tealwing/lab/rollout/fleet.py
+++ b/tealwing/lab/rollout/fleet.py
@@ -18,7 +18,7 @@
 from tealwing.replica.raft import Options
 from tealwing.rollout.plan import Plan
 from tealwing.rules import records
-from tealwing.rules.digests import digest
+from tealwing.rules.records import digest
 
 ALL = "federation"
 
--- a/tealwing/lab/rollout/part.py
+++ b/tealwing/lab/rollout/part.py
@@ -12,8 +12,7 @@
 from tealwing.replica import commands as c
 from tealwing.rollout.agent.actions import Action, CheckBundle, PersistMarker, ReadIndex, SubmitCommand
 from tealwing.rollout.agent.machine import Machine
-from tealwing.rollout.effects.background_worker import MAX_QUEUED
-from tealwing.rollout.effects.log_client import FORWARDED, READ_TIMEOUT, SUBMIT_TIMEOUT
+from tealwing.rollout.effects.log_client import FORWARDED, MAX_QUEUED, READ_TIMEOUT, SUBMIT_TIMEOUT
 from tealwing.rollout.leader.coordinator import RolloutCoordinator
 from tealwing.rollout.leader.duties import EXPEDITED
 from tealwing.rollout.leader.expiry_observer import ExpiryObserver
--- a/tealwing/rollout/__init__.py
+++ b/tealwing/rollout/__init__.py
@@ -1,4 +1,5 @@
-"""A change of rules takes hold everywhere or nowhere.
+"""Rollout: a version of the rules (package rules) takes force at all gateways or at none.
 
-Read view, actions, retry, permit, member, witnesses, conductor (pure); then gate, mark, steering, shell, service.
+Read agent (what one gateway does), leader (what the log's leader does), admission (the gate that requests pass) and
+effects (disk, checks, log); then observed_state, local_gateway, runtime (the threads), setup, control_calls and status.
 """
--- a/tealwing/rollout/admission/gate.py
+++ b/tealwing/rollout/admission/gate.py
@@ -1,7 +1,7 @@
-"""The gate that requests pass before they are decided: open, closed for what a change touches, or shut.
+"""Admission gate before the decisions: open, closed for the requests that a change affects, or shut.
 
-It has no thread of its own. Who passes while it is open takes no lock: what says so is read as single attributes, and
-a request that has read them began before whatever changes them next.
+It has no thread. Admission through the open gate takes no lock: it reads single attributes, and a request that has read
+them began before their next change.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from tealwing.exchange import Admitted, Deferred
 
 ADMITTED, ADMITTED_AFTER_WAIT = Admitted(False), Admitted(True)
-JITTER = (0.5, 1.0)  # of the pushback, at random: those turned away together must not return together
+JITTER = (0.5, 1.0)  # random factor of Retry-After, so that rejected requests do not return together
 
 
 class RequestFilter(Protocol):
-    """What a change touches."""
+    """Selects the requests that a change affects."""
 
     def includes(self, cls: str, tenant: str, group: int) -> bool:
-        """Whether requests of that class, account and group of tables may be decided otherwise after it."""
+        """Return whether the change may affect requests of that class, tenant and table group."""
 
 
 @dataclass(frozen=True, slots=True)
 class GateMetrics:
-    """What the gate has done: requests held so far, turned away, waiting now; s of the longest wait."""
+    """Counts of requests held so far, rejected, and waiting now; the longest wait in s."""
 
     held: int
     rejected: int
@@ -39,79 +39,79 @@
 
 @dataclass(frozen=True, slots=True)
 class _Open:
-    """Anybody may pass."""
+    """All requests pass."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Closed:
-    """Who the change touches waits."""
+    """Affected requests wait."""
 
     affected: RequestFilter
 
 
 @dataclass(frozen=True, slots=True)
 class _Shut:
-    """Nobody passes, and nobody waits."""
+    """All requests are rejected at once."""
 
     reason: str
     pushback: float
 
 
 class Gate:
-    """One gateway's gate; it is made shut. All its calls may come from any thread, and only `enter` waits."""
+    """One gateway's gate, initially shut. Thread-safe; only `admit` blocks."""
 
     def __init__(self, queue: int, pushback: float, clock: Callable[[], float] = time.monotonic, seed: int = 0) -> None:
-        """At most queue requests wait at once; others, and who waits too long, hear of pushback seconds.
+        """Limit waiting requests to queue; others are rejected with a Retry-After around pushback (s).
 
-        clock measures the permit alone: waits are measured by the system's own.
+        clock measures only the permit; waits use time.monotonic.
         """
         self._queue, self._pushback, self._clock, self._random = queue, pushback, clock, Random(seed)
         self._changed = threading.Condition(threading.Lock())
         self._state: _Open | _Closed | _Shut = _Shut("the rules are not known here yet", pushback)
-        self._is_open = False  # whether _state is _Open, for who passes
+        self._is_open = False  # whether _state is _Open, read without the lock
         self._valid_until = inf
         self._held = self._rejected = self._waiting = 0
         self._max_wait = 0.0
 
     def open(self) -> None:
-        """Let everybody pass, as far as the permit goes; who waits is let in."""
+        """Admit all requests while the permit is valid, waiting ones too."""
         self._set(_Open())
 
     def close(self, affected: RequestFilter) -> None:
-        """Have who the change touches wait, from now on; others pass. It waits for nobody."""
+        """Hold affected requests from now on; others pass. Does not block."""
         self._set(_Closed(affected))
 
     def shut(self, reason: str, pushback: float | None = None) -> None:
-        """Turn everybody away, who waits too; pushback in seconds, the usual one where it is None."""
+        """Reject all requests, waiting ones too; pushback in s, None: the default."""
         self._set(_Shut(reason, self._pushback if pushback is None else pushback))
 
     def permit(self, until: float) -> None:
-        """By the gate's clock, nobody passes from then on, whatever else holds; inf where no permit is needed."""
+        """Set the time by the gate's clock from which nothing is admitted; inf: no permit is needed."""
         self._valid_until = until
 
     @property
     def valid_until(self) -> float:
-        """Until when it may be open, by its clock."""
+        """End of the permit by the gate's clock."""
         return self._valid_until
 
     @property
     def denial_reason(self) -> str:
-        """Why nobody passes; nothing where somebody may."""
+        """Why no request is admitted; empty if some are."""
         state = self._state
         if isinstance(state, _Shut):
             return state.reason
         return "" if self._clock() < self._valid_until else "the permit to decide is over"
 
     def metrics(self) -> GateMetrics:
-        """What it has done so far."""
+        """Return the counters."""
         with self._changed:
             return GateMetrics(self._held, self._rejected, self._waiting, self._max_wait)
 
     def admit(self, cls: str | None, tenant: str, group: int, until: float) -> Admitted | Deferred:
-        """Let a request pass, now or when it may, by the monotonic time `until` at the latest; else turn it away.
+        """Admit a request, waiting until the monotonic time `until` at most; else reject it.
 
-        cls is the name of its class, tenant of its account, group its group of tables. A request that can't be read
-        has no class (None): every change may be the one that makes it readable.
+        cls is the name of its class, group its table group. A request that can't be parsed has no class (None): any
+        change may make it parseable, so every change affects it.
         """
         if self._is_open and self._clock() < self._valid_until:
             return ADMITTED
@@ -125,13 +125,13 @@
 
     def _set(self, state: _Open | _Closed | _Shut) -> None:
         with self._changed:
-            self._is_open = False  # nobody passes between the two that belong together
+            self._is_open = False  # no admission between the two assignments
             self._state = state
             self._is_open = isinstance(state, _Open)
             self._changed.notify_all()
 
     def _decide(self, cls: str | None, tenant: str, group: int, passed: Admitted) -> Admitted | Deferred | None:
-        """What becomes of a request as things stand; None: it waits."""
+        """Return the answer to a request in the present state; None: it waits."""
         state = self._state
         if isinstance(state, _Shut):
             return self._reject(state.pushback, state.reason)
--- a/tealwing/rollout/admission/gate_control.py
+++ b/tealwing/rollout/admission/gate_control.py
@@ -1,4 +1,4 @@
-"""Has a gateway's gate follow its machine, and puts a version in force before anybody is let in under it."""
+"""Control of the gate: it follows the state machine, and opens only once the version is active locally."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class AllRequests:
-    """A change of which it is not known here what it touches."""
+    """Filter of a change whose affected requests are unknown."""
 
     def includes(self, cls: str, tenant: str, group: int) -> bool:
-        """Always."""
+        """Return True."""
         return True
 
 
@@ -24,42 +24,42 @@
 
 
 class RulesAdapter(Protocol):
-    """What versions of the rules are to one gateway; texts are bundles, empty where none is in force."""
+    """What the rollout needs of a gateway; texts are bundles, empty if no version is active."""
 
     def faults(self, text: bytes) -> list[str]:
-        """What is wrong with a bundle, whoever runs it."""
+        """Return the faults of a bundle at any gateway."""
 
     def verdict(self, before: bytes, text: bytes, min_build: int) -> tuple[bool, str]:
-        """Whether this gateway can put it in force in place of the one before, and why not."""
+        """Return whether this gateway can activate the text after the one before, and why not."""
 
     def affected_requests(self, before: bytes, after: bytes) -> gates.RequestFilter:
-        """What a change touches."""
+        """Return the requests that a change affects."""
 
     def put_in_force(self, number: int, text: bytes) -> None:
-        """Have new requests decided under it. ValueError, with nothing changed, where that can't be."""
+        """Decide new requests under it. Raises ValueError, with nothing changed, if that is impossible."""
 
 
 class GateControl:
-    """All but `put` is done under the shell's lock, on whichever thread applied what changes it; none of it waits."""
+    """Applies gate states; called under the runtime's lock on any thread, and never blocks."""
 
     def __init__(self, gate: gates.Gate, partition_mode: PartitionMode) -> None:
         self.gate, self._holds = gate, partition_mode == "hold"
-        self.in_force = 0  # number of the version in force here; 0: what the configuration says
-        self.followed: GateState | None = None  # what the gate last followed
-        self.unusable = ""  # why the version that it should decide under can't be put in force here
+        self.in_force = 0  # number of the locally active version; 0: the configuration
+        self.followed: GateState | None = None  # the last gate state
+        self.unusable = ""  # why the wanted version can't be activated here
         self._state: tuple[object, ...] = ()
-        self._closed: tuple[int, float] | None = None  # the change that it waits for the outcome of, and since when
+        self._closed: tuple[int, float] | None = None  # the change whose outcome is open, and since when
         self._affected: dict[
             tuple[int, int], gates.RequestFilter
-        ] = {}  # by the versions before and after: of the one in flight
+        ] = {}  # by versions before and after; of the one in flight
 
     @property
     def is_open(self) -> bool:
-        """Whether anybody may pass, as far as the permit goes."""
+        """Whether the gate is open, apart from the permit."""
         return self._state == ("open",)
 
     def current(self) -> tuple[str, str]:
-        """As the gate stands: open, closed or shut, and why."""
+        """Return the mode (open, closed or shut) and its reason."""
         target = self.followed
         if target is None or target.mode == "shut":
             return "shut", target.reason if target is not None else "the rules are not known here yet"
@@ -69,19 +69,19 @@
 
     @property
     def closed_for(self) -> float:
-        """Seconds for which it has waited for an outcome; 0 where it does not."""
+        """Seconds since it closed for an open outcome; 0 if it has not."""
         return time.monotonic() - self._closed[1] if self._closed else 0.0
 
     def knows_affected(self, before: int, after: int) -> bool:
-        """Whether it is known what a change touches."""
+        """Return whether the affected requests of a change are known."""
         return (before, after) in self._affected
 
     def set_affected(self, before: int, after: int, affected: gates.RequestFilter) -> None:
-        """What a change touches; those before it are over."""
+        """Set the affected requests of the change in flight."""
         self._affected = {(before, after): affected}
 
     def follow(self, target: GateState, phase: Callable[[int], str]) -> None:
-        """Show what the machine says; phase gives that of a version."""
+        """Apply a gate state; phase returns the phase of a version."""
         before, self.followed = self.followed, target
         if target.closing and (self._closed is None or self._closed[0] != target.closing):
             self._log_opened(phase)
@@ -91,12 +91,12 @@
             self._set(("shut", target.reason), lambda: self.gate.shut(target.reason))
         elif target.number != self.in_force and self.unusable:
             self._set(("shut", self.unusable), lambda: self.gate.shut(self.unusable))
-        elif target.number != self.in_force:  # nobody is let in under another one: they wait until it is
+        elif target.number != self.in_force:  # requests wait until it is active
             self._set(("closed", ALL_REQUESTS), lambda: self.gate.close(ALL_REQUESTS))
         elif target.mode == "closed":
             affected = self._affected.get((target.number, target.closing), ALL_REQUESTS)
             self._set(("closed", affected), lambda: self.gate.close(affected))
-            self.gate.permit(target.until)  # after it has closed
+            self.gate.permit(target.until)  # only after it has closed
         else:
             if not target.closing:
                 self._log_opened(phase)
--- a/tealwing/rollout/agent/actions.py
+++ b/tealwing/rollout/agent/actions.py
@@ -1,4 +1,4 @@
-"""What a member's machine asks of its shell; pure."""
+"""Actions that a member's state machine requests of the runtime; pure."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistMarker:
-    """Have this number on disk in place of what is there, fsynced, then say so: Machine.marked."""
+    """Write this number to disk with fsync, then call Machine.marker_written."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class SubmitCommand:
-    """Propose this in the site's log."""
+    """Propose a command in the site's log."""
 
     body: Body
 
 
 @dataclass(frozen=True, slots=True)
 class CheckBundle:
-    """Check that version's bundle against what runs here, then say so: Machine.checked."""
+    """Check a version's bundle against this gateway, then call Machine.checked."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReadIndex:
-    """Ask for a read-index, of the federation's log where that says so; Machine.read_sent as it is sent."""
+    """Request a read index of the site's or the federation's log; call Machine.read_sent as it is sent."""
 
     federation: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """The machine goes on under this start number."""
+    """The machine has taken this new start number."""
 
     start: int
 
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadToken:
-    """A read that was sent: when by our clock, in which start, of which log."""
+    """A read that was sent: when by the local clock, in which start, of which log."""
 
     serial: int
     sent_at: float
@@ -64,10 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GateState:
-    """What may be decided here now."""
+    """Which requests may be decided here now."""
 
-    mode: Mode  # open; closed: not what the change to `closing` touches; shut: nothing
+    mode: Mode  # closed: none that the change to `closing` affects; shut: none
     number: int  # the version under which requests are decided
     closing: int = 0  # 0: none
     reason: str = ""  # for readiness; empty when open
-    until: float = FOREVER  # by our clock: not valid from then
+    until: float = FOREVER  # by the local clock: invalid from then on
--- a/tealwing/rollout/agent/machine.py
+++ b/tealwing/rollout/agent/machine.py
@@ -1,8 +1,8 @@
-"""One gateway's part in a change of rules: when it may decide, and under which version; pure.
+"""State machine of one gateway in a rollout: when it may decide, and under which version; pure.
 
-It closes as it applies `Close`, says so once the mark is on its disk, and opens on nothing but a known outcome. With
-`serve` its disk is enough at a start; with `hold` it decides nothing until its Begin is applied here and a permit says
-that nobody has gone on without it. The argument is in docs/rules.md.
+It closes as it applies `Close`, reports that once the marker is on disk, and opens only on a known outcome. In mode
+`serve` its disk suffices at a start; in mode `hold` it decides nothing until its Begin is applied here and a permit
+shows that the fleet has not gone on without it. The proof is in docs/rules.md.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from tealwing.rollout.agent.permit import Permit
 from tealwing.rollout.agent.retry import MAX_BACKOFF, Retry
 from tealwing.rollout.agent.view import FederatedView, View, view_of
-from tealwing.rules.records import Begin, Closed, PartitionMode, Verdict
+from tealwing.rules.records import Begin, Closed, PartitionMode, Verdict, Version
 
 __all__ = [
     "HOLD_MARKER",
@@ -44,13 +44,13 @@
     "view_of",
 ]
 
-SABOTAGED_OPEN_AFTER = 1.0  # s after which the sabotaged guess
+SABOTAGED_OPEN_AFTER = 1.0  # s; sabotage only
 
 
 class Machine:
-    """Asked by the shell after every applied entry and on a tick; it never waits."""
+    """Called by the runtime after every applied entry and on a tick; it never blocks."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 -- facts known before the start; callers name them
         self,
         name: str,
         partition_mode: PartitionMode,
@@ -66,11 +66,11 @@
         disk_federated: FederatedView | None = None,
         peers: int = 0,
     ) -> None:
-        """permit is s. mark is the number on disk, 0 for none.
+        """Set the state from disk; permit is in s, marker the number on disk (0: none).
 
-        disk is what the state on this disk said at the start, before any entry came from others; None, or one without
-        us: it knows nothing. peers is how many members the section `peers` has: at a start the log is not known yet.
-        federated: this site takes part in a federation, whose log on this disk is disk_federated.
+        disk is the view of the local state at the start, before any entry came from others; None, or one without this
+        member, proves nothing. peers is the number of members in the section `peers`, as the log is not known yet.
+        federated: this site is part of a federation, and disk_federated the view of its log on this disk.
         """
         self.name, self.partition_mode, self.start, self.marker = name, partition_mode, start, marker
         self._permit, self._build, self._sabotage, self._federated = permit, build, sabotage, federated
@@ -87,56 +87,57 @@
             and disk.local_member.partition_mode == "serve"
             and marker != HOLD_MARKER
         ):
-            # whoever went on has waited for a word of ours, which the mark would tell
+            # no change can have completed without a report of this member, which the marker would show
             self._site_permit.grant_forever()
         if not holds and disk_federated is not None and disk_federated.local_member is not None:
             self._federation_permit.grant_forever()
         self._retry, self._serial = Retry(seed), 0
         self._peers = peers
-        self._checked: dict[int, tuple[bool, str]] = {}  # of the version in flight alone
-        self._closed_at: tuple[int, float] | None = None  # for the sabotaged
+        self._checked: dict[int, tuple[bool, str]] = {}  # of the version in flight only
+        self._closed_at: tuple[int, float] | None = None  # sabotage only
 
-    # What came of what was asked for
+    # Results of actions
 
     def marker_written(self, number: int) -> None:
-        """That number is on disk."""
+        """Record that the number is on disk."""
         self.marker = number
 
     def checked(self, number: int, accepted: bool, reason: str = "") -> None:
-        """What the check of a version's bundle gave."""
+        """Record the result of the check of a version's bundle."""
         self._checked = {number: (accepted, reason)}
 
     def submitted(self, now: float, action: Action, ok: bool) -> None:
-        """An action was done, or was not: what the state does not show is asked for again in its time anyway."""
+        """Do nothing: an action is retried until the state shows its effect, whatever the answer was."""
 
     def read_sent(self, now: float, federation: bool = False) -> ReadToken:
-        """A read is sent now; the token goes with it."""
+        """Return the token of a read that is sent now."""
         self._serial += 1
         return ReadToken(self._serial, now, self.start, federation)
 
     def read_completed(self, now: float, token: ReadToken, index: int) -> None:
-        """All that was committed when the read was sent lies at or before that index."""
+        """Record a read's index: all that was committed when it was sent lies at or before it."""
         (self._federation_permit if token.federation else self._site_permit).read_completed(token, index)
         self._apply_reads()
 
     def read_would_extend(self, federation: bool = False) -> bool:
-        """Whether a read of that log would allow more than is allowed already: for the model check."""
+        """Return whether a read of that log could extend its permit, for the model check."""
         return (self._federation_permit if federation else self._site_permit).until < FOREVER
 
     def read_failed(self, now: float, token: ReadToken) -> None:
-        """Nobody could say."""
+        """Record that a read got no answer."""
         (self._federation_permit if token.federation else self._site_permit).read_failed(
             now, min(MAX_BACKOFF, 0.1 * self._permit)
         )
 
     def clone(self) -> Machine:
-        """One like this that goes its own way, but for its retries: for the model check."""
+        """Return an independent copy that shares the retries, for the model check."""
         twin = copy.copy(self)
-        twin._site_permit, twin._federation_permit = self._site_permit.clone(), self._federation_permit.clone()
+        twin._site_permit = self._site_permit.clone()  # noqa: SLF001 -- a copy of its own class
+        twin._federation_permit = self._federation_permit.clone()  # noqa: SLF001
         return twin
 
     def key(self) -> tuple[Hashable, ...]:
-        """All that decides what it does later, but for its views and its retries: for the model check."""
+        """Return the state that determines later behaviour, except views and retries, for the model check."""
         closed = self._closed_at if self._sabotage else None
         return (
             self.partition_mode,
@@ -149,10 +150,10 @@
             *self._checked,
         )
 
-    # What to do
+    # Actions
 
     def step(self, now: float, view: View, federated: FederatedView | None = None) -> list[Action]:
-        """What there is to do by that state."""
+        """Return the actions that are due at that state."""
         self._view, self._federated_view = view, federated or self._federated_view
         found: list[Action] = []
         me, renewed = view.local_member, False
@@ -172,43 +173,38 @@
         return found + self._reads(now, view)
 
     def _pending_actions(self, view: View) -> list[tuple[Hashable, Action]]:
-        me, flight, holds = view.local_member, view.in_flight, self.partition_mode == "hold"
-        if (
-            holds and self.marker != HOLD_MARKER
-        ):  # before the log may ever have us as `hold`: a later `serve` must not trust us
+        me, holds = view.local_member, self.partition_mode == "hold"
+        if holds and self.marker != HOLD_MARKER:
+            # before the log may have this member as `hold`: started as `serve` later, it must not trust its disk
             return [("mark", PersistMarker(HOLD_MARKER))]
         if me is None or me.start != self.start or me.partition_mode != self.partition_mode:
             replaces = me.start if me is not None else 0
             permit = round(self._permit * 1e3) if holds else 0
-            return [
-                (
-                    ("begin", self.start, replaces),
-                    SubmitCommand(Begin(self.name, self.start, self.partition_mode, self._build, permit, replaces)),
-                )
-            ]
-        if flight is None:
+            begin = Begin(self.name, self.start, self.partition_mode, self._build, permit, replaces)
+            return [(("begin", self.start, replaces), SubmitCommand(begin))]
+        if view.in_flight is None:
             self._checked = {}
-        if not view.closing_for:
-            if self.marker == HOLD_MARKER and not holds and self._site_permit.until == FOREVER:
-                return [("mark", PersistMarker(view.active))]
-            if flight is None or flight.phase not in ("proposed", "checked"):
-                return []
-            number, recorded = flight.number, flight.verdicts.get(self.name)
-            if recorded is not None and recorded.start == self.start:
-                return []
-            if number not in self._checked:
-                return [(("check", number, self.start), CheckBundle(number))]
-            accepted, reason = self._checked[number]
-            return [
-                (
-                    ("verdict", number, self.start),
-                    SubmitCommand(Verdict(number, self.name, self.start, accepted, reason)),
-                )
-            ]
-        number = view.closing_for
-        if me.closed_for == number:
+        if view.closing_for:
+            return self._closing_actions(view.closing_for, me.closed_for)
+        if self.marker == HOLD_MARKER and not holds and self._site_permit.until == FOREVER:
+            return [("mark", PersistMarker(view.active))]
+        return self._verdict_actions(view.in_flight)
+
+    def _verdict_actions(self, flight: Version | None) -> list[tuple[Hashable, Action]]:
+        if flight is None or flight.phase not in ("proposed", "checked"):
+            return []
+        number, recorded = flight.number, flight.verdicts.get(self.name)
+        if recorded is not None and recorded.start == self.start:
+            return []
+        if number not in self._checked:
+            return [(("check", number, self.start), CheckBundle(number))]
+        verdict = Verdict(number, self.name, self.start, *self._checked[number])
+        return [(("verdict", number, self.start), SubmitCommand(verdict))]
+
+    def _closing_actions(self, number: int, closed_for: int) -> list[tuple[Hashable, Action]]:
+        if closed_for == number:
             return []
-        if not holds and self.marker != number:
+        if self.partition_mode != "hold" and self.marker != number:
             is_stale = self.marker > number and not (self.marker == HOLD_MARKER and self._site_permit.until == FOREVER)
             return [] if is_stale else [(("mark", number), PersistMarker(number))]
         return [(("closed", number, self.start), SubmitCommand(Closed(number, self.name, self.start)))]
@@ -249,10 +245,10 @@
             duration = fed.local_member.permit / 1e3 if fed.local_member.partition_mode == "hold" else self._permit
             self._federation_permit.apply_reads(fed, self.start, duration, fed.local_member.start)
 
-    # Whether requests are decided
+    # Admission
 
     def gate_state(self, now: float) -> GateState:
-        """What may be decided now. To be asked for anew after every look, and when `until` has come."""
+        """Return what may be decided now; call it again after every step, and once `until` has passed."""
         view = self._view
         if view is None:
             return GateState("shut", 0, 0, "nothing is known yet of the versions of the rules")
@@ -268,7 +264,7 @@
             return GateState("open", sabotaged, 0, "", until)
         if not closing:
             return GateState("open", view.active, 0, "", until)
-        if view.phase_of(closing) is None or 0 < self.marker < HOLD_MARKER and view.phase_of(self.marker) is None:
+        if view.phase_of(closing) is None or (0 < self.marker < HOLD_MARKER and view.phase_of(self.marker) is None):
             return GateState(
                 "shut", view.active, closing, f"closed for version {closing}, which is not known here", until
             )
@@ -277,7 +273,7 @@
         )
 
     def _denial(self, now: float, view: View) -> tuple[str, float]:
-        """Why nothing may be decided, and until when that does not change by itself."""
+        """Return why nothing may be decided (empty: it may), and until when that is valid."""
         if "start-from-disk" in self._sabotage and self._from_disk and self.partition_mode == "hold":
             return "", FOREVER
         me, until = view.local_member, self._site_permit.until
@@ -300,7 +296,7 @@
         return reason, min(until, self._federation_permit.until)
 
     def _federation_denial(self, now: float, view: View) -> str:
-        """Why the federation bars this site."""
+        """Return why the federation allows no decisions at this site; empty: it does."""
         fed = self._federated_view
         if fed is None or fed.local_member is None:
             return "its site is not in the federation's table yet"
@@ -319,12 +315,12 @@
             return (
                 f"the federation counts this site as closed for version {fed.closing_for}, and it has not closed here"
             )
-        if not view.is_up_to(fed) and (view.closing_for != fed.active or view.active and not view.federation_index):
+        if not view.is_up_to(fed) and (view.closing_for != fed.active or (view.active and not view.federation_index)):
             return f"version {fed.active} is in force in the federation, and not here yet"
         return ""
 
     def _sabotaged_version(self, now: float, view: View, closing: int) -> int | None:
-        """The version that a sabotaged member opens under without an outcome."""
+        """Return the version under which a sabotaged member opens without an outcome."""
         flight = view.in_flight
         if not closing or flight is None or flight.number != closing:
             return None
--- a/tealwing/rollout/agent/permit.py
+++ b/tealwing/rollout/agent/permit.py
@@ -1,4 +1,4 @@
-"""What reads of a log allow: for `hold` a permit that runs out, for `serve` to know that one has caught up; pure."""
+"""Permit from reads of a log: for `hold` it expires, for `serve` it only shows that the member has caught up; pure."""
 
 from __future__ import annotations
 
@@ -9,33 +9,32 @@
 from tealwing.rollout.agent.actions import FOREVER, ReadToken
 from tealwing.rollout.agent.view import View
 
-READ_LOST_AFTER = 5.0  # s after which a read of which nothing was heard counts as failed
+READ_LOST_AFTER = 5.0  # s without an answer
 
 
 class Permit:
-    """Reads of one log, and until when what they showed counts."""
+    """Reads of one log, and until when the last one is valid."""
 
     def __init__(self, duration: float, bounds: Bounds, expires: bool) -> None:
-        """lasts is s; with lapses what was read counts for so long, else for good."""
+        """Duration is in s; without expires one successful read is valid forever."""
         self._duration, self._bounds, self._expires = duration, bounds, expires
-        self.until = 0.0  # by our clock
+        self.until = 0.0  # by the local clock
         self._renew_at = 0.0
-        self._requested_at: float | None = None  # when a read was last asked for, while it is out
-        self._pending: list[tuple[ReadToken, int]] = []  # answered, and not yet applied here
+        self._requested_at: float | None = None  # time of the outstanding read
+        self._pending: list[tuple[ReadToken, int]] = []  # answered, index not yet applied here
 
     def valid(self, now: float) -> bool:
-        """Whether it counts now."""
+        """Return whether the permit is valid now."""
         return now < self.until
 
     def grant_forever(self) -> None:
-        """It counts for good, without a read."""
+        """Make it valid forever, without a read."""
         self.until = self._renew_at = FOREVER
 
     def should_read(self, now: float) -> bool:
-        """Whether a read should be sent; counts as asked for if so."""
+        """Return whether to send a read now, and if so count it as outstanding."""
         if (
-            self._requested_at is not None
-            and now - self._requested_at < READ_LOST_AFTER
+            (self._requested_at is not None and now - self._requested_at < READ_LOST_AFTER)
             or self._pending
             or now < self._renew_at
         ):
@@ -44,17 +43,17 @@
         return True
 
     def read_completed(self, token: ReadToken, index: int) -> None:
-        """A read's index is known."""
+        """Record a read's index."""
         self._requested_at = None
         self._pending.append((token, index))
         del self._pending[:-4]
 
     def read_failed(self, now: float, wait: float) -> None:
-        """It is asked for again after a wait."""
+        """Schedule another read after a wait in s."""
         self._requested_at, self._renew_at = None, now + wait
 
     def apply_reads(self, view: View, start: int, duration: float, member: int) -> None:
-        """Count reads whose index is applied; member is the start that the log's table must have for us, unlapsed."""
+        """Use reads whose index is applied; member is the unexpired start that the table must show for this member."""
         for token, index in [pair for pair in self._pending if pair[1] <= view.index]:
             self._pending.remove((token, index))
             me = view.local_member
@@ -67,16 +66,16 @@
                 self.until, self._renew_at = until, token.sent_at + RENEW_SHARE * min(duration, self._duration)
 
     def revoke(self) -> None:
-        """Nothing read before counts any more."""
+        """Invalidate all earlier reads."""
         self.until, self._renew_at, self._requested_at = 0.0, 0.0, None
         self._pending.clear()
 
     def clone(self) -> Permit:
-        """One like this that goes its own way: for the model check."""
+        """Return an independent copy, for the model check."""
         twin = copy.copy(self)
-        twin._pending = list(self._pending)
+        twin._pending = list(self._pending)  # noqa: SLF001 -- a copy of its own class
         return twin
 
     def key(self) -> tuple[Hashable, ...]:
-        """All that allows something now or later: for the model check."""
+        """Return the state that determines later behaviour, for the model check."""
         return (self.until, *((token.sent_at, token.start, index) for token, index in self._pending))
--- a/tealwing/rollout/agent/view.py
+++ b/tealwing/rollout/agent/view.py
@@ -1,4 +1,4 @@
-"""What the applied state says about one member and the versions of the rules; pure."""
+"""The applied registry as one member reads it; pure."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 from tealwing.rules.records import FACTS_KEY, IN_FLIGHT, Facts, Member, Phase, Version
 
-CLOSING: tuple[Phase, ...] = ("preparing", "agreed")  # in these nobody decides what the change touches
+CLOSING: tuple[Phase, ...] = ("preparing", "agreed")  # in these, affected requests wait
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """The state at one index, as one member reads it."""
+    """The registry at one index, as one member reads it."""
 
     index: int  # applied
     active: int  # number of the version in force; 0: none yet
-    in_flight: Version | None  # the version that is neither in force nor over
-    local_member: Member | None  # of rule_members; None: not in the table
-    last_number: int = 0  # number given last
+    in_flight: Version | None  # the version whose outcome is open
+    local_member: Member | None  # its row of rule_members; None: not registered
+    last_number: int = 0  # assigned last
     phases: Mapping[int, Phase] = field(default_factory=dict)
     federation_index: int = (
-        0  # of the version in force: the index in the federation's log that decided it; 0: made here
+        0  # of the active version: the index in the federation's log that decided it; 0: decided here
     )
-    member_count: int = 0  # how many take part
+    member_count: int = 0
 
     def phase_of(self, number: int) -> Phase | None:
-        """The phase of a version; None if this state has not heard of it. Those long gone are superseded or aborted."""
+        """Return a version's phase; None if it is unknown here. Trimmed ones are superseded or aborted."""
         if number in self.phases:
             return self.phases[number]
         if not 0 < number <= self.last_number:
@@ -35,7 +35,7 @@
         return "superseded" if number < self.active else "aborted"
 
     def has_outcome(self, number: int) -> bool:
-        """Whether this state knows what came of a version."""
+        """Return whether a version's outcome is known here."""
         phase = self.phase_of(number)
         return phase is not None and phase not in IN_FLIGHT
 
@@ -45,17 +45,17 @@
         return self.in_flight.number if self.in_flight is not None and self.in_flight.phase in CLOSING else 0
 
     def is_up_to(self, federated: FederatedView) -> bool:
-        """Whether the version in force at this site is at least the one that is in the federation's state."""
+        """Return whether the site's active version is at least the federation's."""
         if not self.active and not federated.active:
             return True
         return self.federation_index > 0 and self.active >= federated.active
 
 
-FederatedView = View  # of the federation's log: its members are sites, and `me` is ours
+FederatedView = View  # of the federation's log: its members are sites
 
 
 def view_of(tables: Mapping[str, Mapping[str, Any]], index: int, name: str) -> View:
-    """The state's tables at an index, for the member (or the site) of that name."""
+    """Return the view of the tables at an index, for the member (or site) of that name."""
     versions: list[Version] = list(tables["rules"].values())
     flight = next((version for version in versions if version.phase in IN_FLIGHT), None)
     facts: Facts = tables["rule_facts"].get(FACTS_KEY) or Facts()
--- a/tealwing/rollout/control_calls.py
+++ b/tealwing/rollout/control_calls.py
@@ -1,4 +1,4 @@
-"""The calls of the control address about versions of the rules."""
+"""Control calls `rules.*`."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from tealwing.rollout.status import version_status
 from tealwing.rules import bundle, records
 
-WAIT = 5.0  # s that a call waits where it does not say
-APPLIED_POLL_INTERVAL = 0.005  # s between two looks whether an entry has been applied here
-REMOVAL_POLL_INTERVAL = 0.05  # s between two looks whether a member has gone
+WAIT = 5.0  # s, the default timeout of a call
+APPLIED_POLL_INTERVAL = 0.005  # s
+REMOVAL_POLL_INTERVAL = 0.05  # s
 
 
 class ControlCalls:
-    """Answers for one gateway."""
+    """Handlers of one gateway."""
 
     def __init__(self, runtime: Runtime, replica: Replica, control: Control) -> None:
         self._runtime, self._replica = runtime, replica
         self._deciding_log = (
             runtime.federation.replica if runtime.federation is not None else replica
-        )  # the log that decides
+        )  # the log that decides versions
         self._lock, self._sequence = threading.Lock(), 0
         calls: dict[str, Callable[[Fields], Fields]] = {
             "rules.propose": self._propose,
@@ -42,7 +42,7 @@
             control.serve(name, call)
 
     def _propose(self, fields: Fields) -> Fields:
-        """Propose a bundle; what is wrong with it here is told at once, and nothing is proposed."""
+        """Propose a bundle, unless the local check finds faults."""
         text, who = field(fields, "text", bytes), field(fields, "who", records.Name)
         why = field(fields, "why", records.Text, "")
         parent = field(fields, "parent", UnsignedInt63) if "parent" in fields else None
@@ -62,7 +62,7 @@
             result = self._write(self._deciding_log, body, max(0.0, end - time.monotonic()))
             while (
                 self._deciding_state().index < result["index"] and time.monotonic() < end
-            ):  # who asks for it next finds it
+            ):  # so that a following status call shows it
                 time.sleep(APPLIED_POLL_INTERVAL)
             return result | {"number": result.pop("version")}
 
@@ -88,7 +88,7 @@
         return self._outcome(lambda wait: self._write(self._deciding_log, body, wait), fields)
 
     def _forget(self, fields: Fields) -> Fields:
-        """Take a member out, or a federation's site; waits until every permit that it may have is over."""
+        """Remove a member, or a federation's site; wait until all its permits have expired."""
         body = records.Forget(field(fields, "member", records.Name), bool(field(fields, "off", bool, False)))
 
         federation = self._runtime.federation
@@ -112,22 +112,22 @@
         return self._outcome(forget, fields)
 
     def _deciding_state(self) -> ObservedState:
-        """The registry in which changes are decided: the federation's, where this site takes part in one."""
+        """Return the registry that decides versions: the federation's, if the site is part of one."""
         return self._runtime.federation.state if self._runtime.federation is not None else self._runtime.observed
 
     def _write(self, where: Replica, body: records.Body, wait: float) -> dict[str, Any]:
-        """Have it applied once, however often it is sent."""
+        """Write a command so that it is applied at most once, however often it is sent."""
         with self._lock:
             self._sequence += 1
             number = self._sequence
-        turn = number % MOST_CALLERS  # calls come at once, and a client has one under way
+        turn = number % MOST_CALLERS  # calls are concurrent, and a client id allows one at a time
         client = f"{where.core.me}/{where.start_number}/rules/{turn}"
         result = where.write(c.Command(client, number, body), wait)
         outcome = "ok" if result.ok else "refused"
         return {"word": outcome, "index": result.index, "version": result.version, "why": result.reason}
 
     def _outcome(self, run: Callable[[float], Fields], fields: Fields) -> Fields:
-        """What came of it, in a word: ok, refused (by the state), unavailable (surely not done), unknown."""
+        """Run a call; the key `word` is ok, refused (by the state), unavailable (surely not done) or unknown."""
         try:
             return {"word": "ok"} | run(wait_of(fields, WAIT))
         except Unavailable as error:
--- a/tealwing/rollout/effects/executor.py
+++ b/tealwing/rollout/effects/executor.py
@@ -1,4 +1,4 @@
-"""What a gateway does for its machine: the disk, the check, putting in force. On one thread, none under the lock."""
+"""Execute effects for the state machine: marker, check, activation. On one thread, outside the lock."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from tealwing.rollout.effects.persisted_marker import MarkerDamagedError, PersistedMarker
 from tealwing.rollout.observed_state import ObservedState
 
-RETRY_BACKOFF = (0.1, 2.0)  # s between two tries to put a version in force, least and most
-MAX_REASON_LENGTH = 500  # characters of a fault in a check
+RETRY_BACKOFF = (0.1, 2.0)  # s: minimum and maximum between two attempts to activate
+MAX_REASON_LENGTH = 500  # characters
 
 
 def read_marker(marker: PersistedMarker) -> int:
-    """The number on disk. OSError where it can't be read for another reason than damage."""
+    """Return the number on disk, HOLD_MARKER if it is damaged. Raises OSError if it can't be read."""
     try:
         return marker.read()
     except MarkerDamagedError as error:
         log.event("rules_marker_damaged", error=str(error), remedy=error.remedy)
-        return HOLD_MARKER  # nothing is decided from this disk before the log has told what there is
+        return HOLD_MARKER  # decide nothing from this disk before the log is read
 
 
 class EffectExecutor:
-    """lock is round the machine and the steering; follow, called under it, has the gate follow the machine."""
+    """Executor; lock guards the machine and the gate control, and follow, called under it, updates the gate."""
 
     def __init__(
         self,
@@ -41,11 +41,11 @@
     ) -> None:
         self._machine, self._marker, self._rules, self._gate_control = machine, marker, rules, gate_control
         self._lock, self._follow = lock, follow
-        self._retry_backoff, self._next_try = Backoff(*RETRY_BACKOFF), 0.0  # of putting in force what could not be
+        self._retry_backoff, self._next_try = Backoff(*RETRY_BACKOFF), 0.0  # of failed activations
         self._marker_failed = False
 
     def persist_marker(self, number: int) -> None:
-        """Have it on disk. Where that fails nothing is told, and the machine asks for it again."""
+        """Write the marker; after a failure nothing is reported, and the machine requests it again."""
         try:
             self._marker.write(number)
         except OSError as error:
@@ -58,20 +58,20 @@
             self._machine.marker_written(number)
 
     def check(self, state: ObservedState, number: int) -> None:
-        """This gateway's word on a version."""
+        """Check a version and record the verdict."""
         found = state.version(number)
         if found is None:
             return
         try:
             accepted, reason = self._rules.verdict(state.text(state.facts.active_number), found.text, found.min_build)
-        except Exception as error:  # what it can't read it can't put in force
+        except Exception as error:  # what can't be parsed can't be activated
             accepted, reason = False, f"{type(error).__name__}: {error}"[:MAX_REASON_LENGTH]
         log.event("rules_verdict", number=number, yes=accepted, reason=reason)
         with self._lock:
             self._machine.checked(number, accepted, reason)
 
     def activate(self, observed_state: Callable[[], ObservedState]) -> None:
-        """Decide under the version that the machine names; until that is done the gate lets nobody in."""
+        """Activate the version that the machine names; the gate admits nothing until then."""
         with self._lock:
             self._follow()
             control = self._gate_control
@@ -81,7 +81,7 @@
             return
         try:
             self._rules.put_in_force(target, observed_state().text(target))
-        except Exception as error:  # whatever it is: the gateway must not open under another version
+        except Exception as error:  # the gateway must not open under another version
             reason = f"version {target} of the rules can't be put in force here: {error}"
             if reason != control.unusable:
                 log.event("rules_unusable", number=target, error=str(error), remedy="install the build that took it, or"
@@ -97,13 +97,13 @@
             self._follow()
 
     def update_affected(self, state: ObservedState) -> None:
-        """Narrow what is closed to what the change touches; worked out as soon as the version is proposed."""
+        """Compute the affected requests once a version is proposed, so that only those wait."""
         active, flight = state.facts.active_number, state.view.in_flight
         if flight is None or self._gate_control.knows_affected(active, flight.number):
             return
         try:
             affected = self._rules.affected_requests(state.text(active), flight.text)
-        except Exception as error:  # another build's, perhaps: then all of it waits
+        except Exception as error:  # perhaps another build's format: all requests wait
             log.event("rules_affected_unknown", number=flight.number, error=str(error))
             affected = ALL_REQUESTS
         with self._lock:
--- a/tealwing/rollout/effects/log_client.py
+++ b/tealwing/rollout/effects/log_client.py
@@ -1,80 +1,112 @@
-"""What a gateway says to the log and asks of it for its machine: calls that may wait, on threads of their own.
+"""Client of the replicated logs: submits commands and read indexes for the state machine, on threads of its own.
 
-Nothing here is sure to be heard: whoever wants a word said asks for it again until the state shows it, and the registry
-takes the second copy of a word for what it is.
+Delivery is best effort: the machine requests a command again until the state shows it, and the registry tolerates
+duplicates.
 """
 
 from __future__ import annotations
 
 import threading
+import traceback
 from collections.abc import Callable
+from queue import SimpleQueue
 from typing import Protocol
 
-from tealwing import log
+from tealwing import log, threads
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
 from tealwing.replica.outcomes import Unavailable, Unknown
 from tealwing.rollout.agent.actions import ReadIndex, ReadToken, SubmitCommand
 from tealwing.rollout.agent.machine import Machine
-from tealwing.rollout.effects.background_worker import BackgroundWorker
 from tealwing.rules import records
 
-SUBMIT_TIMEOUT = 1.0  # s that one word to the log may take before it is said again
+MAX_QUEUED = 16  # tasks; more are rejected, and requested again when due
+SUBMIT_TIMEOUT = 1.0  # s
 FORWARDED = (records.Verdict, records.Closed, records.ConfirmExpiry)
 READ_TIMEOUT, READ_TIMEOUT_SHARE = (
     1.0,
     0.25,
-)  # s that a read may take, and share of a permit: one lost frame must not cost it
+)  # s, and share of a permit: one lost frame must not cost it
 
 
 class Log(Protocol):
-    """The replicated log, as far as it is needed here."""
+    """What is needed of a replicated log."""
 
     def write(self, command: c.Command, wait: float) -> c.CommandResult:
-        """Have a command applied."""
+        """Propose a command and wait until it is applied."""
 
     def pass_on(self, data: bytes) -> None:
-        """Have whoever leads propose a command, if anybody does; nobody hears what comes of it."""
+        """Forward a command to the leader, if there is one, without an answer."""
 
     def read_index(self, wait: float) -> int:
-        """Wait until the state here has all that was committed when this was called."""
+        """Wait until the local state has all that was committed at the call; return the index."""
+
+
+class BackgroundWorker:
+    """One thread with a bounded queue of tasks."""
+
+    def __init__(self, name: str) -> None:
+        self._name = name
+        self._queue: SimpleQueue[Callable[[], None] | None] = SimpleQueue()
+
+    def start(self) -> None:
+        """Start the threads. Raises threads.NoThread if the system has none."""
+        threads.start(self._run, self._name)
+
+    def stop(self) -> None:
+        """Stop after the current task."""
+        self._queue.put(None)
+
+    def submit(self, task: Callable[[], None]) -> bool:
+        """Queue a task; return False if the queue is full."""
+        if self._queue.qsize() >= MAX_QUEUED:
+            return False
+        self._queue.put(task)
+        return True
+
+    def _run(self) -> None:
+        while (task := self._queue.get()) is not None:
+            try:
+                task()
+            except Exception:  # the machine requests it again
+                log.event("rules_task_failed", thread=self._name, trace=traceback.format_exc(limit=-3))
 
 
 class LogClient:
-    """One thread for words, one for reads of each log: a read must not wait for a word."""
+    """One thread for commands, one for reads of each log: a read must not wait for a command."""
 
     def __init__(
         self, machine: Machine, clock: Clock, site: Log, lock: threading.Lock, changed: Callable[[], None],
         federation: Log | None = None, permit: float = READ_TIMEOUT / READ_TIMEOUT_SHARE,
     ) -> None:  # fmt: skip
-        """permit is s that one lasts. lock is round the machine.
+        """Set up the threads; permit is its duration in s, and lock guards the machine.
 
-        changed is told, without the lock, whenever the machine has heard something.
+        changed is called, without the lock, after each answer.
         """
         self._machine, self._clock, self._site, self._lock, self._changed = machine, clock, site, lock, changed
         self._federation, self._read_timeout = federation, min(READ_TIMEOUT, READ_TIMEOUT_SHARE * permit)
         self._submissions, self._reads = BackgroundWorker("rules-words"), BackgroundWorker("rules-reads")
         self._federation_reads = BackgroundWorker("rules-reads-federation") if federation is not None else None
         self._queued: set[records.Body] = set()
-        self.last_rejection = ""  # the last word with which the log turned ours down
+        self.last_rejection = ""  # reason of the log's last rejection
 
     def start(self) -> None:
-        """Begin; threads.NoThread where the system has none."""
+        """Start the threads. Raises threads.NoThread if the system has none."""
         for worker in (self._submissions, self._reads, self._federation_reads):
             if worker is not None:
                 worker.start()
 
     def stop(self) -> None:
-        """End after what is being said."""
+        """Stop after the current tasks."""
         for worker in (self._submissions, self._reads, self._federation_reads):
             if worker is not None:
                 worker.stop()
 
     def submit(self, action: SubmitCommand) -> None:
-        """Have a word said, where it is not about to be already.
+        """Submit a command unless it is queued already.
 
-        What all members say of every change is passed on, and nobody waits for an answer: a lost one would be waited
-        for while the word could be said again, and the leader has more to do than to answer each.
+        Reports that all members send for every change are forwarded without an answer: this spares the leader, and a
+        retry need not wait for a lost answer.
         """
         if isinstance(action.body, FORWARDED):
             self._site.pass_on(c.encode(c.Command("", 0, action.body)))
@@ -83,7 +115,7 @@
             self._queued.add(action.body)
 
     def read(self, action: ReadIndex) -> None:
-        """Ask the log up to where it is committed; the machine wants one at a time."""
+        """Queue a read index; the machine requests one at a time."""
         log_, worker = (self._federation, self._federation_reads) if action.federation else (self._site, self._reads)
         if log_ is None or worker is None or not worker.submit(lambda: self._read(log_, action)):
             with self._lock:
@@ -92,7 +124,7 @@
 
     def _send(self, action: SubmitCommand) -> None:
         ok = False
-        self._queued.discard(action.body)  # if it is wanted again while it is said, it is said again
+        self._queued.discard(action.body)  # a request during the call queues it again
         try:
             result = self._site.write(c.Command("", 0, action.body), SUBMIT_TIMEOUT)
         except (Unknown, Unavailable):
--- a/tealwing/rollout/effects/persisted_marker.py
+++ b/tealwing/rollout/effects/persisted_marker.py
@@ -1,7 +1,7 @@
-"""The number of the version that this gateway has closed for, on its disk before anybody is told.
+"""The persisted marker: the number of the version that this gateway has closed for, on disk before it is reported.
 
-After a start it says up to which change the gateway must know the outcome before it decides anything. It is never
-erased, only put in the place of by later ones.
+After a start the gateway must know the outcome of that version before it decides anything. The marker is never deleted,
+only replaced by later ones.
 """
 
 from __future__ import annotations
@@ -13,28 +13,32 @@
 
 from tealwing.replica.disk import Disk
 
-FILE_NAME = "rules-mark"  # in the folder of the replicated log: who loses one loses both
+FILE_NAME = "rules-mark"  # beside the replicated log: both get lost together
 MAX_FILE_BYTES = 200  # bytes of the file
 
 
 class MarkerDamagedError(RuntimeError):
-    """The file is there and is not what was written."""
+    """The file exists and its content is not what was written."""
 
     remedy = (
         "nothing is to be done if the fleet's quorum is there: the gateway holds all requests until the log has told"
         " which changes it may have closed for, and then writes the file anew"
     )
 
+    def __init__(self, path: Path) -> None:
+        super().__init__(f"{path}: damaged; {self.remedy}")
+        self.path = path
+
 
 class PersistedMarker:
-    """The file. One thread uses it at a time."""
+    """The marker's file; not thread-safe."""
 
     def __init__(self, directory: Path, disk: Disk) -> None:
         self._directory, self._path, self._disk = directory, directory / FILE_NAME, disk
         self.number = 0
 
     def read(self) -> int:
-        """The number; 0 where none was ever written. MarkDamaged where it can't be trusted, OSError as it comes."""
+        """Return the number; 0 if none was ever written. Raises MarkerDamagedError or OSError."""
         try:
             with self._path.open("rb") as file:
                 data = file.read(MAX_FILE_BYTES)
@@ -43,12 +47,12 @@
         head, _, digest = data.strip().rpartition(b" ")
         keyword, _, number = head.partition(b" ")
         if keyword != b"closed-for" or not number.isdigit() or digest != _digest(head):
-            raise MarkerDamagedError(f"{self._path}: damaged; {MarkerDamagedError.remedy}")
+            raise MarkerDamagedError(self._path)
         self.number = int(number)
         return self.number
 
     def write(self, number: int) -> None:
-        """Have the number on the disk when this returns. OSError: it is not, or nobody knows; it may be tried again."""
+        """Write the number durably. Raises OSError: it may or may not be on disk, and a retry is safe."""
         head = b"closed-for %d" % number
         part = self._path.with_suffix(".part")
         try:
--- a/tealwing/rollout/leader/coordinator.py
+++ b/tealwing/rollout/leader/coordinator.py
@@ -1,6 +1,6 @@
-"""What whoever leads the log does for a change of rules; pure.
+"""Rollout duties of the log's leader: which commands to propose, and when; pure.
 
-Nothing rests on it but how soon a change comes about: the state machine refuses what is not covered, whoever asks.
+Only progress depends on it: the registry rejects the activation of a version that is not covered.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
 
 class RolloutCoordinator:
-    """Its times count by our clock from when we lead: each leader begins anew."""
+    """Proposes the next command of a rollout; its timeouts restart with each leader."""
 
     def __init__(self, name: str, limit: float, patience: float, bounds: Bounds = USUAL, seed: int = 0) -> None:
-        """limit and patience are s; name is ours, who are never silent."""
+        """Name is the local member; limit and patience are in s."""
         self.name, self._limit, self._patience, self._seed = name, limit, patience, seed
         self._leads = False
         self.set_leading(0.0, False)
 
     def set_leading(self, now: float, leads: bool) -> None:
-        """We lead from now on, or no more."""
+        """Set whether the local member leads."""
         if leads and self._leads:
             return
         self._leads, self._retry = leads, Retry(self._seed)
-        self._stage: tuple[int, bool, float] | None = None  # version, whether members close for it, since when
+        self._stage: tuple[int, bool, float] | None = None  # version, whether it is closing, since when
         self._silent: dict[str, float] = {}  # since when
 
     def step(self, now: float, tables: Mapping[str, Mapping[str, Any]], silent: Collection[str]) -> list[Body]:
-        """What to propose now; silent are the members that are not heard now."""
+        """Return the commands to propose now; silent are the members that are unreachable."""
         self._silent = {
             name: self._silent.get(name, now) for name in silent if name != self.name and name in tables["rule_members"]
         }
@@ -64,14 +64,14 @@
                 and now - since >= self._patience
             ):
                 found.append((("lapse", name, member.start), ExpirePermit(name, member.start)))
-        if flight.federated:  # its site is told by the federation when to close, and what came of it
+        if flight.federated:  # the federation decides when to close, and the outcome
             return found
         if flight.phase == "agreed":
             return [*found, (("activate", number), Activate(number))]
         if now - self._stage[2] >= self._limit:
             return [*found, (("abort", number), Abort(number, self._abort_reason(tables, number, closing)))]
         waits = found or any(member.expiry_index and not member.expiry_confirmed for member in members.values())
-        if flight.phase == "checked" and not waits:  # nobody closes only to wait for the permits of the silent
+        if flight.phase == "checked" and not waits:  # wait for permits to expire before closing
             found.append((("close", number), Close(number)))
         return found
 
--- a/tealwing/rollout/leader/duties.py
+++ b/tealwing/rollout/leader/duties.py
@@ -1,4 +1,4 @@
-"""What a gateway does for the fleet's changes beside its own part: as the leader of the log, and as a witness."""
+"""A gateway's duties in rollouts beside its own part: as the log's leader, and as observer of permit expiry."""
 
 from __future__ import annotations
 
@@ -10,12 +10,18 @@
 from tealwing.rollout.plan import Plan
 from tealwing.rules import records
 
-SILENT_HEARTBEATS = 2.0  # beats of the link without a sign of life after which a peer counts as silent
-EXPEDITED = (records.Propose, records.Close, records.Activate, records.Abort, records.Withdraw)  # others wait for these
+SILENT_HEARTBEATS = 2.0  # heartbeats without a message after which a peer counts as silent
+EXPEDITED = (
+    records.Propose,
+    records.Close,
+    records.Activate,
+    records.Abort,
+    records.Withdraw,
+)  # commands that members wait for
 
 
 class LeaderDuties:
-    """The conductor and the witness with their surroundings."""
+    """Connects the coordinator and the expiry observer to the log and the peers' link."""
 
     def __init__(self, plan: Plan, replica: Replica, link: Link) -> None:
         self._replica, self._link, self._name = replica, link, link.plan.name
@@ -24,22 +30,22 @@
         self.is_leader = False
 
     def applied(self, now: float, index: int, body: records.Body, ok: bool) -> None:
-        """An entry was applied; on the replica's thread, and with `due` never at once."""
+        """Handle an applied entry; on the replica's thread, never concurrently with due_confirmations."""
         if self.is_leader and ok and isinstance(body, EXPEDITED):
-            self._replica.hurry()  # followers learn it at once, not with the next beat
+            self._replica.hurry()  # followers learn the commit index before the next heartbeat
         self._expiry_observer.applied(now, index, body)
 
     @property
     def is_waiting(self) -> bool:
-        """Whether permits of a member that has lapsed are waited for."""
+        """Whether an expiry is unconfirmed."""
         return self._expiry_observer.is_waiting
 
     def due_confirmations(self, now: float, state: ObservedState) -> list[records.ConfirmExpiry]:
-        """What we can witness now."""
+        """Return the confirmations of expiry that are due."""
         return self._expiry_observer.due(now, state.tables)
 
     def propose_next(self, now: float, state: ObservedState) -> None:
-        """Propose what the leader is to."""
+        """Propose the leader's next commands, if this member leads."""
         self._coordinator.set_leading(now, self.is_leader)
         if not self.is_leader:
             return
@@ -48,7 +54,7 @@
             self._replica.propose_here(c.encode(c.Command("", 0, body)))
 
     def _silent(self, now: float, state: ObservedState) -> list[str]:
-        """Names of the members that are not heard on the link, or whose copy of the log takes nothing more."""
+        """Return the members that are silent on the link, or whose replica acknowledges nothing."""
         limit, core = SILENT_HEARTBEATS * self._link.plan.times.beat, self._replica.core
         reachable = {peer["name"] for peer in self._link.status()
                  if peer["silence_s"] is not None and peer["silence_s"] <= limit}  # fmt: skip
--- a/tealwing/rollout/leader/expiry_observer.py
+++ b/tealwing/rollout/leader/expiry_observer.py
@@ -1,6 +1,6 @@
-"""Every member measures by its own clock when the permits given before a lapse must be over; pure.
+"""Observe by the local clock when permits given before an ExpirePermit must have expired; pure.
 
-All measure, and few speak: the first in an order by lapse, and others only where those stay silent.
+All members measure; only the first ones in a pseudo-random order report, and others if those stay silent.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 from tealwing.rollout.agent.retry import Retry
 from tealwing.rules.records import Body, ConfirmExpiry, ExpirePermit, Forget, Member
 
-BATCH_SIZE = 3  # members that speak at once: two are needed, and one may be away
-BATCH_INTERVAL = 0.5  # s after which as many more do
+BATCH_SIZE = 3  # members that report at once: two are needed, and one may be down
+BATCH_INTERVAL = 0.5  # s between batches
 
 
 class ExpiryObserver:
-    """One member's watch over lapses."""
+    """One member's observation of permit expiry."""
 
     def __init__(self, name: str, bounds: Bounds = USUAL, seed: int = 0) -> None:
         self.name, self._bounds, self._retry = name, bounds, Retry(seed)
         self._observed_at: dict[
             tuple[str, int], float
-        ] = {}  # by member and lapse: when it was applied here, or seen first
+        ] = {}  # by member and index: when it was applied, or first seen, here
 
     @property
     def is_waiting(self) -> bool:
-        """Whether a lapse is open, as of the last look."""
+        """Whether an expiry was unconfirmed at the last call."""
         return bool(self._observed_at)
 
     def applied(self, now: float, index: int, body: Body) -> None:
-        """An entry was applied."""
+        """Start the measurement if the applied entry expires a permit."""
         if isinstance(body, ExpirePermit | Forget):
             self._observed_at.setdefault((body.member, index), now)
 
     def due(self, now: float, tables: Mapping[str, Mapping[str, Any]]) -> list[ConfirmExpiry]:
-        """What we can say now."""
+        """Return the confirmations that this member can give now."""
         members: Mapping[str, Member] = tables["rule_members"]
         open_ = {
             (name, member.expiry_index)
--- a/tealwing/rollout/local_gateway.py
+++ b/tealwing/rollout/local_gateway.py
@@ -1,4 +1,4 @@
-"""What versions of the rules are to this gateway: read, checked against what it runs, put in force."""
+"""Adapter between the rollout and the local gateway: parse, check and activate versions of the rules."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 if TYPE_CHECKING:
     from tealwing.levels.plan import Plan
 
-MAX_REASON_LENGTH = 1900  # characters of a no: the log keeps each
+MAX_REASON_LENGTH = 1900  # characters; the log stores each
 
 
 class Gateway(Protocol):
-    """What the gateway lends for it."""
+    """What the adapter needs of the gateway."""
 
     @property
     def platform_settings(self) -> api.Settings:
-        """What the configuration says, before any version of the rules."""
+        """The configured settings, without any version of the rules."""
 
     @property
     def engine_list(self) -> tuple[api.EngineListEntry, ...]:
-        """The engine list as it was last heard."""
+        """The last engine list."""
 
     @property
     def sections(self) -> frozenset[str]:
-        """Names of the sections of the operators' file that are on."""
+        """Names of the active sections of the operators' file."""
 
     def put_in_force(
         self, settings: api.Settings | None, table: Table | None, levels: Plan | None, version: int
     ) -> None:
-        """Put a version in force for new requests. ValueError, with nothing changed, where it does not fit."""
+        """Decide new requests under a version. Raises ValueError, with nothing changed, if it does not fit."""
 
 
 class LocalGateway:
-    """One gateway; texts are bundles, empty where none is in force. See steering.Here."""
+    """Implements admission.gate_control.RulesAdapter; texts are bundles, empty if no version is active."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
 
     def faults(self, text: bytes) -> list[str]:
-        """What is wrong with a bundle, whoever runs it."""
+        """Return the faults of a bundle at any gateway."""
         try:
             bundle.parse(text)
         except RulesError as error:
@@ -52,20 +52,20 @@
         return []
 
     def verdict(self, before: bytes, text: bytes, min_build: int) -> tuple[bool, str]:
-        """Whether this gateway can put it in force in place of the one before, and why not."""
+        """Return whether this gateway can activate the text after the one before, and why not."""
         reasons = check.check_text(text, self._running(before), min_build)
         return not reasons, "; ".join(map(str, reasons))[:MAX_REASON_LENGTH]
 
     def affected_requests(self, before: bytes, after: bytes) -> affected.AffectedRequests:
-        """What a change touches. RulesError where one of them can't be read."""
+        """Return the requests that a change affects. Raises RulesError if a bundle can't be parsed."""
         return affected.affected_requests(_read(before), bundle.parse(after))
 
     def put_in_force(self, number: int, text: bytes) -> None:
-        """Have new requests decided under it. ValueError, with nothing changed, where that can't be."""
+        """Decide new requests under it. Raises ValueError, with nothing changed, if that is impossible."""
         found = _read(text)
         table, levels = bundle.table(found), None
         if found.levels:
-            from tealwing.rules import levels_section  # only where there are some
+            from tealwing.rules import levels_section  # imported only if needed
 
             levels = levels_section.parse_levels(found.levels)
         settings = overlay.apply(found, self._gateway.platform_settings)
--- a/tealwing/rollout/observed_state.py
+++ b/tealwing/rollout/observed_state.py
@@ -1,10 +1,12 @@
-"""The registry's tables as they were after one entry: copied as it is applied, read by any thread."""
+"""Snapshot of the registry's tables after one entry: copied as it is applied, read by any thread."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, Protocol
 
+from tealwing.replica.node import Replica
 from tealwing.replica.state import State
 from tealwing.rollout.agent.view import View, view_of
 from tealwing.rules import registry_state
@@ -16,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedState:
-    """All that is known of versions here. Records are immutable, so copies of the tables are enough."""
+    """The registry as applied here. Records are immutable, so shallow copies of the tables suffice."""
 
     index: int
     tables: dict[str, dict[str, Any]]
@@ -24,38 +26,56 @@
 
     @property
     def facts(self) -> Facts:
-        """What holds of all versions."""
+        """The facts that concern all versions."""
         return registry_state.facts(self.tables)
 
     @property
     def members(self) -> dict[str, Member]:
-        """All members by name."""
+        """The members by name."""
         return registry_state.members(self.tables)
 
     def version(self, number: int) -> Version | None:
-        """A version that is kept."""
+        """Return a version; None if it is unknown or trimmed."""
         return registry_state.version(self.tables, number)
 
     def text(self, number: int) -> bytes:
-        """A version's bundle; empty for 0. LookupError where it is not kept here."""
+        """Return a version's bundle; empty for 0. Raises LookupError if it is unknown or trimmed."""
         found = self.version(number)
         if number and found is None:
             raise LookupError(f"version {number} of the rules is not kept here")
         return found.text if found is not None else b""
 
     def phase(self, number: int) -> str:
-        """A version's phase, or `unknown`."""
+        """Return a version's phase, or `unknown`."""
         return self.view.phase_of(number) or "unknown"
 
     def waits_for(self) -> list[str]:
-        """Names of the members whose word the version in flight waits for."""
+        """Return the members whose report the version in flight waits for."""
         flight = self.view.in_flight
         if flight is None:
             return []
         return uncovered(self.tables, flight.number) if self.view.closing_for else unanswered(self.tables, flight)
 
 
+class FederationLog(Protocol):
+    """What is needed of the federation's log, where the site is part of one."""
+
+    @property
+    def state(self) -> ObservedState:
+        """Its registry as applied here."""
+
+    @property
+    def replica(self) -> Replica:
+        """Its replica."""
+
+    def on_change(self, changed: Callable[[], None]) -> None:
+        """Call changed on the log's thread whenever versions or sites have changed there."""
+
+    def status(self) -> dict[str, Any]:
+        """Return its status for operators."""
+
+
 def observe(state: State, name: str) -> ObservedState:
-    """The tables as they are now, for the member of that name; on the thread that applies."""
+    """Return a snapshot for the member of that name; call it on the thread that applies entries."""
     tables = {table: dict(state.tables[table]) for table in TABLES}
     return ObservedState(state.applied, tables, view_of(tables, state.applied, name))
--- a/tealwing/rollout/plan.py
+++ b/tealwing/rollout/plan.py
@@ -1,4 +1,4 @@
-"""What the operators' section `rules` says, as one record; pure."""
+"""The parsed section `rules` of the operators' file; pure."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How this gateway takes part in changes of the rules. Durations are seconds."""
+    """How this gateway takes part in rollouts. Durations are in seconds."""
 
-    partition_mode: PartitionMode = "serve"  # what it does when cut off from the others
-    permit: float = 2.0  # hold: how long a permit lasts
-    limit: float = 5.0  # a change that is not covered by then is aborted
-    patience: float = 0.5  # silence of a member after which a change goes on without it (hold)
-    queue: int = 64  # requests that may wait closed, at most
-    sabotage: str = ""  # laboratory only: what is broken on purpose
+    partition_mode: PartitionMode = "serve"  # behaviour when partitioned from the others
+    permit: float = 2.0  # hold: duration of a permit
+    limit: float = 5.0  # until a change that is not covered is aborted
+    patience: float = 0.5  # silence of a member after which its permits expire (hold)
+    queue: int = 64  # maximum of waiting requests
+    sabotage: str = ""  # laboratory only: the injected fault
--- a/tealwing/rollout/runtime.py
+++ b/tealwing/rollout/runtime.py
@@ -1,7 +1,7 @@
-"""The shell round a gateway's machine and the leader's duties: the threads, the log, the disk and the gate.
+"""Runtime around the state machine and the leader's duties: threads, log, disk and gate.
 
-The gate closes on the replica's own thread as an entry is applied, before anybody is told. All that may wait is done
-elsewhere: the disk, checks and putting in force on one thread, words to the log on a second, reads on a third.
+The gate closes on the replica's thread as an entry is applied, before that is reported. Whatever may block runs
+elsewhere: disk, checks and activation on one thread, commands to the log on a second, reads on a third.
 """
 
 from __future__ import annotations
@@ -33,23 +33,22 @@
 from tealwing.rollout.effects import executor
 from tealwing.rollout.effects.log_client import LogClient
 from tealwing.rollout.effects.persisted_marker import PersistedMarker
-from tealwing.rollout.federation_log import FederationLog
 from tealwing.rollout.leader.duties import LeaderDuties
-from tealwing.rollout.observed_state import ObservedState, observe
+from tealwing.rollout.observed_state import FederationLog, ObservedState, observe
 from tealwing.rollout.plan import Plan
 from tealwing.rules import records
 from tealwing.rules.check import BUILD
 
-TICK = 0.02  # s between two looks at the clock while a change, a lapse or a start is under way
-IDLE_TICK = 0.25  # s between them else: what comes wakes the thread, and half of a resting member's time was ticks
-IDLE_SHARE = 0.05  # of a permit, where that is less: it is renewed in time
-MAX_STEPS = 3  # looks in a row at most: what was done may be what the next step waits for
-FAULT_PAUSE = 0.1  # s before the next turn
-UNREADY_AFTER = 1.0  # s of waiting for an outcome after which the gateway says that it is not ready
+TICK = 0.02  # s between steps while a change, an expiry or a start is under way
+IDLE_TICK = 0.25  # s between steps otherwise; events wake the thread
+IDLE_SHARE = 0.05  # of a permit, if less, so that it is renewed in time
+MAX_STEPS = 3  # in a row: one step's effects may enable the next
+FAULT_PAUSE = 0.1  # s
+UNREADY_AFTER = 1.0  # s closed after which readiness fails
 
 
 class Runtime:
-    """One gateway's part in changes of the rules."""
+    """One gateway's part in rollouts."""
 
     def __init__(
         self,
@@ -60,13 +59,13 @@
         gate_: gate.Gate,
         federation: FederationLog | None = None,
     ) -> None:
-        """Before the replica starts. OSError where the mark can't be read for another reason than damage.
+        """Create it before the replica starts. Raises OSError if the marker can't be read (damage is handled).
 
-        outside: the federation, where the site is part of one.
+        federation: its log, if the site is part of one.
         """
         self.plan, self._replica, self._rules, self.federation = plan, replica, rules, federation
         self.name, self._clock = link.plan.name, replica.clock
-        self._observed = observe(replica.state, self.name)  # set on the replica's thread alone
+        self._observed = observe(replica.state, self.name)  # set only on the replica's thread
         marker = PersistedMarker(Path(replica.plan.folder), replica.disk)
         me = self._observed.members.get(self.name)
         self._machine = Machine(
@@ -75,7 +74,7 @@
             sabotage=frozenset({plan.sabotage} - {""}), federated=federation is not None,
             disk_federated=federation.state.view if federation is not None else None, peers=len(link.plan.members),
         )  # fmt: skip
-        self._lock = threading.Lock()  # round the machine, the witness and what steers the gate
+        self._lock = threading.Lock()  # guards the machine, the leader's duties and the gate control
         self._wake, self._stopped = threading.Event(), threading.Event()
         other = federation.replica if federation is not None else None
         self._log_client = LogClient(
@@ -86,8 +85,8 @@
         self._executor = executor.EffectExecutor(
             self._machine, marker, rules, self.gate_control, self._lock, self._follow
         )
-        self._fault = ""  # of the last turn
-        self._due: list[Action] = []  # what the machine wants and nobody does yet
+        self._fault = ""  # trace of the last run
+        self._due: list[Action] = []  # requested and not yet executed
         self.outcomes = status.RolloutStatus(self._observed)
         replica.watch(self._applied)
         replica.on_installed(self._installed)
@@ -95,57 +94,57 @@
         if federation is not None:
             federation.on_change(self.notice)
 
-    # Start and end
+    # Start and stop
 
     def begin(self) -> None:
-        """Put in force what the disk says, and set the gate by it: before any client is taken."""
+        """Activate the version on disk and set the gate, before any client is accepted."""
         with self._lock:
             self._step()
         self._executor.activate(lambda: self._observed)
 
     def start(self) -> None:
-        """Take part from now on; threads.NoThread where the system has none."""
+        """Start the threads. Raises threads.NoThread if the system has none."""
         self._log_client.start()
         threads.start(self._run, "rules")
 
     def stop(self) -> None:
-        """Take part no more; the gate stays as it is, and a permit runs out."""
+        """Stop the threads; the gate keeps its state until the permit expires."""
         self._stopped.set()
         self._wake.set()
         self._log_client.stop()
 
-    # For others
+    # Public interface
 
     def notice(self) -> None:
-        """What the gate depends on has moved elsewhere; quick, from any thread."""
+        """Step after a change outside the log, as of the federation; does not block."""
         with self._lock:
             self._step()
         self._wake.set()
 
     @property
     def observed(self) -> ObservedState:
-        """The registry as it is applied here."""
+        """The registry as applied here."""
         return self._observed
 
     @property
     def gate(self) -> gate.Gate:
-        """What requests pass."""
+        """The gate that requests pass."""
         return self.gate_control.gate
 
     @property
     def rules(self) -> RulesAdapter:
-        """What versions are to this gateway."""
+        """The adapter to the local gateway."""
         return self._rules
 
     def readiness(self) -> str:
-        """Why clients should not be sent here; empty where they may be."""
+        """Return why this gateway is not ready for clients; empty if it is."""
         mode, reason = self.gate_control.current()
-        if mode == "shut" or mode == "closed" and self.gate_control.closed_for > UNREADY_AFTER:
+        if mode == "shut" or (mode == "closed" and self.gate_control.closed_for > UNREADY_AFTER):
             return reason
         return self.gate_control.gate.denial_reason
 
     def status(self) -> dict[str, Any]:
-        """What operators ask for."""
+        """Return the status for operators."""
         with self._lock:
             now = self._clock.now()
             self._follow()
@@ -168,7 +167,7 @@
             "federation": self.federation.status() if self.federation is not None else None,
         }
 
-    # The replica's thread: quick, and it waits for nobody but our own quick looks
+    # On the replica's thread; blocks only on the lock
 
     def _applied(self, index: int, command: c.Command | None, result: c.CommandResult | None) -> None:
         body = command.body if command is not None else None
@@ -195,7 +194,7 @@
     # Under the lock
 
     def _step(self) -> None:
-        """Have the machine look at the state, and the gate follow it."""
+        """Step the machine and update the gate."""
         now = self._clock.now()
         federated = self.federation.state.view if self.federation is not None else None
         self._due += [
@@ -206,7 +205,7 @@
     def _follow(self) -> None:
         self.gate_control.follow(self._machine.gate_state(self._clock.now()), self._observed.phase)
 
-    # Our thread
+    # On the runtime's thread
 
     def _run(self) -> None:
         while not self._stopped.is_set():
@@ -215,7 +214,7 @@
             try:
                 self._run_once()
                 self._fault = ""
-            except Exception:  # what holds holds by the gate; the machine asks again for what was not done
+            except Exception:  # the gate keeps its state; the machine requests again
                 trace = traceback.format_exc(limit=-4)
                 if trace != self._fault:
                     log.event("rules_fault", trace=trace)
@@ -223,7 +222,7 @@
                 self._stopped.wait(FAULT_PAUSE)
 
     def _tick(self) -> float:
-        """Seconds until the next look at the clock, unless something wakes us before."""
+        """Return the seconds until the next step, unless an event wakes the thread."""
         is_idle = self._observed.view.in_flight is None and self.gate_control.is_open and not self._due
         if not is_idle or self._leader_duties.is_waiting:
             return TICK
--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -1,4 +1,4 @@
-"""The section `rules` of the operators' file."""
+"""Schema of the section `rules` of the operators' file."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def build(block: Block, report: Report) -> Plan:
-    """The plan that a checked section makes."""
+    """Build the plan of a checked section."""
     plan = Plan(
         block.one("lost-touch"), block.one("permit"), block.one("limit"), block.one("patience"), block.one("queue"),
         block.one("sabotage") or "",
@@ -46,7 +46,7 @@
 
 
 def across(records: Mapping[str, Any], blocks: Mapping[str, Block], report: Report) -> None:
-    """What the section contradicts in others; the others stand by themselves already."""
+    """Report contradictions with other sections, which are valid by themselves."""
     block, plan = blocks["rules"], records.get("rules")
     place = next((entries[0].place for entries in block.entries.values()), Place("", 0))
     for other in ("peers", "replica"):
--- a/tealwing/rollout/setup.py
+++ b/tealwing/rollout/setup.py
@@ -1,4 +1,4 @@
-"""Puts a gateway's part in changes of the rules together."""
+"""Assemble a gateway's part in rollouts."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from tealwing.replica.node import Replica
 from tealwing.rollout.admission.gate import Gate
 from tealwing.rollout.control_calls import ControlCalls
-from tealwing.rollout.federation_log import FederationLog
 from tealwing.rollout.local_gateway import Gateway, LocalGateway
+from tealwing.rollout.observed_state import FederationLog
 from tealwing.rollout.plan import Plan
 from tealwing.rollout.runtime import Runtime
 
-PUSHBACK = 0.2  # s after which who was turned away may come again: a change takes less
+PUSHBACK = 0.2  # s of Retry-After; a change takes less
 
 
 def join_rollout(
@@ -23,9 +23,9 @@
     control: Control | None,
     federation: FederationLog | None = None,
 ) -> Runtime:
-    """Before the replica starts; what the disk says is in force and the gate set by it when this returns.
+    """Create the runtime before the replica starts; the version on disk is active and the gate set on return.
 
-    OSError where the mark can't be read.
+    Raises OSError if the marker can't be read.
     """
     gate = Gate(plan.queue, PUSHBACK, replica.clock.now, replica.start_number)
     shell = Runtime(plan, replica, link, LocalGateway(gateway), gate, federation)
--- a/tealwing/rollout/status.py
+++ b/tealwing/rollout/status.py
@@ -1,4 +1,4 @@
-"""What has become of versions, as this gateway applies it: told to the log once, and to operators who ask."""
+"""Status of versions as this gateway applies them: log events, and answers for operators."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RolloutStatus:
-    """Follows the version in flight, and since when it is in its phase by our clock."""
+    """Tracks the version in flight, and since when it has been in its phase."""
 
     def __init__(self, state: ObservedState) -> None:
         self._lock = threading.Lock()
@@ -24,7 +24,7 @@
         self.update(state)
 
     def update(self, state: ObservedState) -> None:
-        """Another entry has been applied."""
+        """Log outcomes after an applied entry."""
         before, flight = self._in_flight, state.view.in_flight
         now = time.monotonic()
         with self._lock:
@@ -42,7 +42,7 @@
                 )
 
     def status(self, state: ObservedState) -> dict[str, Any]:
-        """Versions and members, as they are applied here."""
+        """Return versions and members as applied here."""
         with self._lock:
             since = self._in_flight
         flight = state.view.in_flight
@@ -73,7 +73,7 @@
 
 
 def version_status(found: Version) -> dict[str, Any]:
-    """A version for operators, without its text."""
+    """Return a version for operators, without its text."""
     return {
         "number": found.number, "parent": found.parent, "phase": found.phase, "digest": found.digest,
         "who": found.author, "when_ms": found.created_ms, "why": found.reason, "outcome": found.outcome,
@@ -83,6 +83,6 @@
 
 
 def gate_metrics(found: GateMetrics) -> dict[str, Any]:
-    """What the gate has done, for operators."""
+    """Return the gate's counters for operators."""
     return {"held": found.held, "turned": found.rejected, "waiting": found.waiting,
             "longest_ms": round(found.max_wait * 1e3, 2)}  # fmt: skip
--- a/tealwing/rules/affected.py
+++ b/tealwing/rules/affected.py
@@ -1,7 +1,7 @@
-"""What a change of the rules touches: which requests have to wait while it closes; pure.
+"""Which requests a change of the rules affects, and which must therefore wait while it closes; pure.
 
-In doubt everything: a request that waits for nothing costs milliseconds, one that is decided under the old rules after
-the new ones hold breaks what this is for.
+In doubt, all of them: a needless wait costs milliseconds, while a request decided under the old version after the new
+one is in force violates the guarantee.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AffectedRequests:
-    """Requests of these classes, and those for these groups of tables; or every one.
+    """Requests of these classes, and those for these table groups; or all requests.
 
-    No account is touched alone: service levels admit each by its share beside all the others'.
+    No tenant is affected alone: service levels admit each by its quota relative to all others.
     """
 
     everything: bool = False
     classes: frozenset[str] = frozenset()
-    groups: Ranges = Ranges()
+    groups: Ranges = Ranges()  # noqa: RUF009 -- Ranges is immutable
 
     def includes(self, cls: str, tenant: str, group: int) -> bool:
-        """Whether a request of that class and account, for that group, has to wait."""
+        """Return whether a request of that class and tenant, for that group, must wait."""
         return self.everything or cls in self.classes or self.groups.has(group)
 
 
@@ -34,14 +34,16 @@
 
 
 def affected_requests(old: Bundle | None, new: Bundle) -> AffectedRequests:
-    """What the change from one bundle to another touches; old is None before the first version."""
+    """Return the requests that a change between two bundles affects; old is None before the first version."""
     old = old or EMPTY
     if (old.attempts, old.levels, _shares(old)) != (new.attempts, new.levels, _shares(new)):
         return ALL_REQUESTS
     classes = set()
     for name in old.classes.keys() | new.classes.keys():
         before, after = old.classes.get(name, NO_OVERRIDE), new.classes.get(name, NO_OVERRIDE)
-        if before.priority_weight != after.priority_weight:  # a class is ranked by its worth beside the others'
+        if (
+            before.priority_weight != after.priority_weight
+        ):  # classes are ranked by their weights relative to each other
             return ALL_REQUESTS
         if before != after:
             classes.add(name)
--- a/tealwing/rules/bundle.py
+++ b/tealwing/rules/bundle.py
@@ -1,6 +1,6 @@
-"""A bundle: one version of the rules as operators write it, in TOML; pure.
+"""The bundle: one version of the rules as operators write it, in TOML; pure.
 
-The text as it was proposed is what the log keeps and what the digest is of; this reads it. Keys name their units.
+The log stores the proposed text and its digest; this module parses the text. Keys name their units.
 """
 
 from __future__ import annotations
@@ -13,31 +13,30 @@
 from tealwing.routing import validate
 from tealwing.routing.table import Route, Table
 from tealwing.rules import typed
-from tealwing.rules.digests import digest
 from tealwing.rules.errors import InvalidRoutesError, TomlError, TooLargeError
-from tealwing.rules.records import MAX_BUNDLE_BYTES
+from tealwing.rules.records import MAX_BUNDLE_BYTES, digest
 
 __all__ = ["Attempts", "Bundle", "Class", "GroupRange", "Tenant", "digest", "parse", "table"]
 
 MAX_ROUTES = 4096
-MAX_GROUP = 2**53 - 1  # what a group's number may be: the decision module holds it as a float
+MAX_GROUP = 2**53 - 1  # the decision module stores a group as a float
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=100)]
 Milliseconds = Annotated[int, msgspec.Meta(ge=1, le=3_600_000)]
 GroupNumber = Annotated[int, msgspec.Meta(ge=validate.NO_GROUP, le=MAX_GROUP)]
 
 
 class _Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """The base of a bundle's tables."""
+    """Base class of a bundle's tables."""
 
 
 class Attempts(_Table, frozen=True):
-    """How often a request is tried."""
+    """Limit on attempts of a request."""
 
     max_attempts: Annotated[int, msgspec.Meta(ge=1, le=100)] | None = msgspec.field(default=None, name="most")
 
 
 class Class(_Table, frozen=True):
-    """What is other for one class than the platform's settings say; None: nothing."""
+    """Overrides of the platform's settings for one request class; None: no override."""
 
     latency_objective_ms: Milliseconds | None = msgspec.field(default=None, name="aim-ms")
     deadline_ms: Milliseconds | None = None
@@ -46,13 +45,13 @@
 
 
 class Tenant(_Table, frozen=True):
-    """What is other for one account; None: nothing."""
+    """Overrides for one tenant; None: no override."""
 
     share: Annotated[float, msgspec.Meta(ge=0, le=1)] | None = None
 
 
 class GroupRange(_Table, frozen=True):
-    """The groups of tables from first to last, both among them, and their sites, the preferred one first."""
+    """The table groups from first to last (inclusive) and their sites in order of preference."""
 
     first: GroupNumber
     last: GroupNumber
@@ -60,7 +59,7 @@
 
 
 class Bundle(_Table, frozen=True):
-    """All of it; what is absent is as the platform and the operators' files say."""
+    """A whole bundle; what is absent is left to the platform's settings and the operators' files."""
 
     levels: Annotated[str, msgspec.Meta(max_length=MAX_BUNDLE_BYTES)] = (
         ""  # a section `levels` in the operators' grammar
@@ -71,29 +70,29 @@
     routes: Annotated[tuple[GroupRange, ...], msgspec.Meta(max_length=MAX_ROUTES)] = ()
 
 
-EMPTY = Bundle()  # what is in force before the first version
+EMPTY = Bundle()  # in force before the first version
 
 
 def parse(text: bytes) -> Bundle:
-    """The bundle of a text. errors.BundleError with the key, what was found, and what is allowed."""
+    """Parse a bundle. Raises BundleError with the key, what was found, and what is allowed."""
     if len(text) > MAX_BUNDLE_BYTES:
         raise TooLargeError("the bundle", f"{len(text)} bytes; allowed: {MAX_BUNDLE_BYTES}")
     try:
         data = tomllib.loads(text.decode())
     except RecursionError:
         raise TomlError("the bundle", "too many brackets within one another") from None
-    except ValueError as error:  # no TOML, no UTF-8, or a number of thousands of figures
+    except ValueError as error:  # no TOML, no UTF-8, or an integer of thousands of digits
         raise TomlError("the bundle", str(error)[:200]) from None
     found = typed.read(Bundle, data)
     for fault in validate.faults(table(found).routes):
         raise InvalidRoutesError(fault.place, f"{fault.what}; {fault.remedy}")
     if found.levels:
-        from tealwing.rules import levels_section  # only where there are some: the grammar takes memory
+        from tealwing.rules import levels_section  # imported only if needed: the grammar takes memory
 
         levels_section.parse_levels(found.levels)
     return found
 
 
 def table(bundle: Bundle) -> Table:
-    """The routing table that a bundle has, in the order of the groups; one without routes where it has none."""
+    """Return the bundle's routing table in order of groups; empty if it has no routes."""
     return Table.of(Route(route.first, route.last, route.sites) for route in bundle.routes)
--- a/tealwing/rules/check.py
+++ b/tealwing/rules/check.py
@@ -1,4 +1,4 @@
-"""Whether a gateway could put a version in force as it runs now: each reason against it, with its remedy; pure."""
+"""Check whether a running gateway could activate a version; each reason against it names its remedy; pure."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     UnknownSiteError,
 )
 
-BUILD = 1  # what this build can put in force; a version says what it needs
+BUILD = 1  # compared with a version's min_build
 Reason = RulesError
-ROUTE_BYTES = 1100  # of memory that a route takes at most while it is read
-MEMORY_SHARE = 1 / 16  # of a gateway's memory that routes may take
-MAX_REPORTED_ROUTES = 5  # routes that are told; what holds for hundreds is one mistake
+ROUTE_BYTES = 1100  # upper bound of the memory per route while parsing
+MEMORY_SHARE = 1 / 16  # of a gateway's memory, for routes
+MAX_REPORTED_ROUTES = 5  # hundreds usually have one cause
 
 
 @dataclass(frozen=True, slots=True)
 class Running:
-    """What a gateway is."""
+    """The running gateway as the check sees it."""
 
     settings: interface.Settings  # the platform's, without any bundle
     active: Bundle | None = None  # in force here
@@ -40,7 +40,7 @@
 
 
 def check_text(text: bytes, running: Running, min_build: int = 1) -> list[Reason]:
-    """The same for a text, which may be no bundle at all."""
+    """Return all reasons against a bundle's text, which may fail to parse."""
     try:
         return check(bundles.parse(text), running, min_build)
     except RulesError as error:
@@ -48,7 +48,7 @@
 
 
 def check(bundle: Bundle, running: Running, min_build: int = 1) -> list[Reason]:
-    """All reasons against a good bundle; none: it can be in force here at once."""
+    """Return all reasons against a parsed bundle; an empty list: it can be activated here."""
     found: list[Reason] = []
     if min_build > running.build:
         found.append(BuildTooOldError("needs", f"build {min_build}; this is {running.build}"))
@@ -68,7 +68,7 @@
 
 
 def _restart_errors(bundle: Bundle, running: Running, settings: interface.Settings) -> list[Reason]:
-    """Levels and gossip are built on the settings that there were at their start."""
+    """Return reasons that need a restart: levels and gossip use the settings of their start."""
     found: list[Reason] = []
     if bundle.levels and running.levels:
         found.append(RestartRequiredError("levels", "this gateway's operators' file has a section levels of its own"))
@@ -84,7 +84,7 @@
 
 
 def _level_errors(bundle: Bundle, running: Running) -> list[Reason]:
-    from tealwing.rules import levels_section  # only where there are some
+    from tealwing.rules import levels_section  # imported only if needed
 
     try:
         levels_section.parse_levels(bundle.levels).measures(running.settings)
@@ -94,7 +94,7 @@
 
 
 def _route_errors(bundle: Bundle, running: Running) -> list[Reason]:
-    """Groups that no engine could serve. Only those that move: another site's trouble must not stop a change."""
+    """Return routes that no engine could serve; only changed ones, so that another site's fault blocks no change."""
     found: list[Reason] = []
     known = set(running.settings.zones)
     changed = moved(bundles.table(running.active or bundles.EMPTY), bundles.table(bundle))
--- a/tealwing/rules/coverage.py
+++ b/tealwing/rules/coverage.py
@@ -1,6 +1,6 @@
-"""Whether a change is covered: nobody can decide under the old rules any more; pure.
+"""Coverage of a change: whether any member may still decide under the old version; pure.
 
-A member is covered that has closed in its present start, or whose permits are surely over.
+A member is covered once it has closed in its present start, or once its permits have surely expired.
 """
 
 from __future__ import annotations
@@ -8,33 +8,33 @@
 from tealwing.rules.records import Member, Phase, Version
 from tealwing.rules.registry_state import Tables, in_flight, members, set_phase
 
-MIN_CONFIRMATIONS = 2  # different members whose clocks must say that a lapse is over, where there are so many
+MIN_CONFIRMATIONS = 2  # members whose clocks must confirm an expiry, where there are so many
 
 
 def uncovered(tables: Tables, number: int) -> list[str]:
-    """Names of the members that may still decide without the change to that version."""
+    """Return the names of the members that may still decide under an older version."""
     return sorted(
         name for name, member in members(tables).items() if member.closed_for != number and not _is_expired(member)
     )
 
 
 def is_covered(tables: Tables, number: int) -> bool:
-    """Whether no member may decide without the change to that version."""
+    """Return whether no member may decide under an older version."""
     return not uncovered(tables, number)
 
 
 def confirmations_needed(tables: Tables, name: str) -> int:
-    """How many must say that this member's lapse is over: one clock that was stepped must not do it alone.
+    """Return how many members must confirm this member's expiry: a single stepped clock must not decide it.
 
-    Others that have lapsed count until that is over: else a leader whose clock runs wild could lapse all but itself,
-    and be the only one left to ask.
+    Others whose own expiry is unconfirmed count too: else a leader with a wrong clock could expire all but itself and
+    be the only one left to ask.
     """
     others = sum(1 for other, member in members(tables).items() if other != name and not _is_expired(member))
     return max(1, min(MIN_CONFIRMATIONS, others))
 
 
 def unanswered(tables: Tables, found: Version) -> list[str]:
-    """Names of the members that have not said yes to a version in their present start; the lapsed are not asked."""
+    """Return the names of the members without a verdict in their present start; expired members are not asked."""
     return sorted(
         name
         for name, member in members(tables).items()
@@ -43,7 +43,7 @@
 
 
 def update_phase(tables: Tables, index: int) -> None:
-    """Bring the version in flight into the phase that its members' words make, after any of them has changed."""
+    """Set the phase of the version in flight from its members' reports; call it after any of them has changed."""
     found = in_flight(tables)
     if found is None:
         return
--- a/tealwing/rules/errors.py
+++ b/tealwing/rules/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a bundle, or with it at one gateway; each with what an operator can do."""
+"""Errors of a bundle, or of a bundle at one gateway; each with a remedy for operators."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RulesError(ValueError):
-    """where names the key or the place, what says what was found there, and what is allowed."""
+    """Base class: place is the key, finding says what was found there and what is allowed."""
 
     remedy: ClassVar[str] = "look at what it names, mend that, and propose the bundle anew"
 
@@ -16,80 +16,80 @@
 
 
 class BundleError(RulesError):
-    """A bundle that no gateway can use."""
+    """A bundle is invalid at every gateway."""
 
 
 class TooLargeError(BundleError):
-    """More of something than fits."""
+    """Something exceeds its maximum size."""
 
     remedy = "take out what is not used any more, and join ranges of groups that have the same sites"
 
 
 class TomlError(BundleError):
-    """No TOML in UTF-8."""
+    """The text is not TOML in UTF-8."""
 
     remedy = "mend the file at the place that is named; any checker of TOML 1.0 shows the same"
 
 
 class UnknownKeyError(BundleError):
-    """A key that no bundle has, or one that is missing."""
+    """A key is unknown, or a required one is missing."""
 
     remedy = "write the key as docs/operating/rules.md has it, or leave it out"
 
 
 class InvalidValueError(BundleError):
-    """A value of another kind, or out of its range."""
+    """A value has the wrong type or is out of range."""
 
     remedy = "give a value within what is allowed, in the unit that the key's name ends with"
 
 
 class InvalidLevelsError(BundleError):
-    """Service levels that do not hold together."""
+    """The section of service levels is invalid."""
 
     remedy = "mend the line; `tealwing check` on a file with the same section tells all of them"
 
 
 class InvalidRoutesError(BundleError):
-    """Routes that overlap, or that are none."""
+    """Routes overlap or are invalid."""
 
     remedy = "mend the route that is named, so that each group of tables stands in one route at most"
 
 
 class IncompatibleError(RulesError):
-    """A good bundle that does not fit a gateway; what it says is the reason of its no."""
+    """A valid bundle does not fit this gateway; the text is the reason in its verdict."""
 
 
 class UnknownNameError(IncompatibleError):
-    """A class, an account or a level's name that the platform's settings have not."""
+    """The platform's settings have no class, tenant or level of that name."""
 
     remedy = "name what the platform's settings have, or have the platform's settings changed first"
 
 
 class PlatformLimitError(IncompatibleError):
-    """More than the platform's settings allow."""
+    """A value exceeds the platform's settings."""
 
     remedy = "stay within the platform's settings, or have those changed first"
 
 
 class UnknownSiteError(IncompatibleError):
-    """A group of tables that no engine could serve."""
+    """No engine could serve a table group."""
 
     remedy = "name a site that has engines in the engine list, spelled as there, or leave the route out"
 
 
 class RestartRequiredError(IncompatibleError):
-    """A change that a running gateway can't take here."""
+    """A running gateway can't apply the change."""
 
     remedy = "take that section out of this gateway's operators' file and start it again, then propose anew"
 
 
 class MemoryLimitError(IncompatibleError):
-    """A routing table that would take too much of the gateway's memory."""
+    """The routing table would take too much memory."""
 
     remedy = "join ranges of groups that have the same sites, or give this gateway more memory"
 
 
 class BuildTooOldError(IncompatibleError):
-    """A version that this build can't put in force."""
+    """The version needs a newer build."""
 
     remedy = "install the newer build at this gateway and start it again, then propose anew"
--- a/tealwing/rules/levels_section.py
+++ b/tealwing/rules/levels_section.py
@@ -1,6 +1,6 @@
-"""The service levels in a bundle: a section of the operators' file, by the same grammar; pure.
+"""Parse the service levels of a bundle: a section in the grammar of the operators' file; pure.
 
-Read from the text alone: it may not include files, as those could differ from gateway to gateway.
+It may not include files, as those could differ between gateways.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from tealwing.levels.section import SECTION
 from tealwing.rules.errors import InvalidLevelsError
 
-FILE = "levels"  # stands for a file's name in what is told
+FILE = "levels"  # file name in error messages
 
 
 def parse_levels(text: str) -> Plan:
-    """The plan of a text: the section's name, and its lines indented below it. BadLevels for the first fault."""
+    """Parse the section's name and the lines indented below it. Raises InvalidLevelsError for the first fault."""
     report = Report()
     tops = _nested(text, report)
     _raise_first_problem(report)
@@ -31,9 +31,9 @@
 
 
 def _nested(text: str, report: Report) -> list[Directive]:
-    """The lines at the margin, those below them as their children."""
+    """Return the top-level lines with the indented ones as their children."""
     top: list[Directive] = []
-    outer: list[Directive] = []  # from the margin inwards
+    outer: list[Directive] = []  # by depth
     for number, raw in enumerate(text.splitlines(), 1):
         found = line(raw, Place(FILE, number))
         if found is None:
--- a/tealwing/rules/overlay.py
+++ b/tealwing/rules/overlay.py
@@ -1,4 +1,4 @@
-"""The settings that a gateway decides by: the platform's, and what a bundle says in their place; pure."""
+"""Apply a bundle's overrides to the platform's settings; pure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def apply(bundle: Bundle, settings: interface.Settings) -> interface.Settings:
-    """The platform's settings under a bundle. UnknownName or BeyondPlatform where the two do not fit."""
+    """Return the settings with a bundle's overrides. Raises UnknownNameError or PlatformLimitError."""
     for name in bundle.classes:
         if all(cls.name != name for cls in settings.classes):
             _unknown(f"classes.{name}", "class", [cls.name for cls in settings.classes])
--- a/tealwing/rules/records.py
+++ b/tealwing/rules/records.py
@@ -1,6 +1,7 @@
-"""What is said and kept of versions of the rules in the replicated log; pure.
+"""Commands and stored records of versions of the rules in the replicated log; pure.
 
-A version is one immutable bundle under a number. Commands change its phase; the registry applies them.
+A version is one immutable bundle under a number. Commands change its phase; the registry applies them. Tags, the order
+of fields and their bounds are the stored format: they must not change.
 """
 
 from __future__ import annotations
@@ -8,6 +9,7 @@
 from typing import Annotated, Literal
 
 import msgspec
+import xxhash
 
 from tealwing.record import Record, UnsignedInt63
 
@@ -26,21 +28,21 @@
 
 
 class Propose(Record, tag="rules.propose", frozen=True):
-    """A new version with that parent; number 0 takes the next one, else the federation's."""
+    """Propose a version with that parent; number 0: the next one, else the federation's number."""
 
     parent: UnsignedInt63
     digest: Name  # of the text: bundle.digest
     text: Bundled
     author: Name
-    created_ms: UnsignedInt63  # ms of the Unix clock at the proposer; nothing is decided by it
+    created_ms: UnsignedInt63  # ms of the Unix clock at the proposer; informational
     reason: Text = ""
     number: UnsignedInt63 = 0
-    federated: bool = False  # decided in the federation's log, not here
-    min_build: UnsignedInt63 = 1  # the least build that can put it in force
+    federated: bool = False  # its outcome is decided in the federation's log
+    min_build: UnsignedInt63 = 1  # that can activate it
 
 
 class Verdict(Record, tag="rules.verdict", frozen=True):
-    """A member's word on a proposed version, as checked in that start of it."""
+    """A member's verdict on a proposed version, from that start of the member."""
 
     number: UnsignedInt63
     member: Name
@@ -50,13 +52,13 @@
 
 
 class Close(Record, tag="rules.close", frozen=True):
-    """Every member stops deciding what the change touches as it applies this."""
+    """Start the close phase: members stop deciding affected requests as they apply this."""
 
     number: UnsignedInt63
 
 
 class Closed(Record, tag="rules.closed", frozen=True):
-    """A member has closed in that start of it, and its disk says so."""
+    """A member has closed in that start and has persisted that."""
 
     number: UnsignedInt63
     member: Name
@@ -64,20 +66,20 @@
 
 
 class Reports(Record, tag="rules.words", frozen=True):
-    """What several members say, written as one entry by the leader that heard them; applied one after the other."""
+    """Reports of several members that the leader batched into one entry; applied in order."""
 
     reports: Annotated[tuple[Verdict | Closed, ...], msgspec.Meta(max_length=256)]
 
 
 class Activate(Record, tag="rules.activate", frozen=True):
-    """The version is in force; refused where it is not covered."""
+    """Put a version in force; rejected if it is not covered."""
 
     number: UnsignedInt63
     federation_index: UnsignedInt63 = 0  # of a federated version: the index in the federation's log
 
 
 class Abort(Record, tag="rules.abort", frozen=True):
-    """The version will never be in force."""
+    """End a version without activation."""
 
     number: UnsignedInt63
     reason: Text = ""
@@ -85,7 +87,7 @@
 
 
 class Withdraw(Record, tag="rules.withdraw", frozen=True):
-    """Its proposer, or another operator, takes it back before anyone closes for it."""
+    """End a version on an operator's request, before any member closes for it."""
 
     number: UnsignedInt63
     author: Name
@@ -93,37 +95,36 @@
 
 
 class Begin(Record, tag="rules.begin", frozen=True):
-    """A member's present start; the member is in the table from here on.
+    """Register a member's present start, and the member with it.
 
-    One that comes late, sent by a process that is no more, must not take the place of the start that decides now: it
-    names the one that it replaces.
+    It names the start that it replaces, so that a late one of an ended process can't replace its successor's.
     """
 
     member: Name
     start: UnsignedInt63
     partition_mode: PartitionMode
     build: UnsignedInt63 = 1
-    permit: UnsignedInt63 = 0  # ms that a permit of it lasts (hold)
-    replaces: UnsignedInt63 = 0  # the start that the table has; 0: the member is not in it
+    permit: UnsignedInt63 = 0  # ms that its permits last (hold)
+    replaces: UnsignedInt63 = 0  # the start in the table; 0: none
 
 
 class ExpirePermit(Record, tag="rules.lapse", frozen=True):
-    """No permit of that start is given any more (hold only)."""
+    """Give no more permits of that start (hold only)."""
 
     member: Name
     start: UnsignedInt63
 
 
 class ConfirmExpiry(Record, tag="rules.witness", frozen=True):
-    """By its own clock, a member has waited until a permit given before that lapse must be over."""
+    """By a member's own clock, all permits given before an ExpirePermit must have expired."""
 
     member: Name
-    expiry_index: UnsignedInt63  # index of the lapse
+    expiry_index: UnsignedInt63  # index of the ExpirePermit
     confirmed_by: Name
 
 
 class Forget(Record, tag="rules.forget", frozen=True):
-    """An operator takes a member out; off: they vouch that it is switched off for good."""
+    """Remove a member; switched_off: the operator confirms that it is off for good."""
 
     member: Name
     switched_off: bool = False
@@ -161,11 +162,11 @@
 }  # as log events name a command
 
 
-# What is kept
+# Stored records
 
 
 class RecordedVerdict(Record, frozen=True):
-    """A member's verdict."""
+    """A member's verdict as stored with the version."""
 
     start: UnsignedInt63
     accepted: bool
@@ -173,7 +174,7 @@
 
 
 class Version(Record, frozen=True):
-    """One version, and all that was said of it."""
+    """A version with its verdicts and outcome."""
 
     number: UnsignedInt63
     parent: UnsignedInt63
@@ -184,34 +185,39 @@
     reason: Text
     phase: Phase
     index: UnsignedInt63  # of its proposal
-    phase_index: UnsignedInt63  # index of the entry that gave it its phase
+    phase_index: UnsignedInt63  # index of the entry that set its phase
     federated: bool = False
     min_build: UnsignedInt63 = 1
-    verdicts: dict[str, RecordedVerdict] = {}  # by member
+    verdicts: dict[str, RecordedVerdict] = {}  # noqa: RUF012 -- msgspec copies it; by member
     outcome: Text = ""  # why it was rejected, aborted or withdrawn, and by whom
     federation_index: UnsignedInt63 = 0
 
 
 class Member(Record, frozen=True):
-    """One member in its present start."""
+    """A member in its present start."""
 
     start: UnsignedInt63
     partition_mode: PartitionMode
     build: UnsignedInt63 = 1
     permit: UnsignedInt63 = 0  # ms
     begin_index: UnsignedInt63 = 0  # index of its Begin
-    closed_for: UnsignedInt63 = 0  # number of the version that it has closed for, in this start
-    expiry_index: UnsignedInt63 = 0  # index of its Lapse; 0: none
+    closed_for: UnsignedInt63 = 0  # number of the version, in this start
+    expiry_index: UnsignedInt63 = 0  # index of its ExpirePermit; 0: none
     confirmed_by: tuple[str, ...] = ()
-    expiry_confirmed: bool = False  # every permit given before the lapse is over
-    leaving: bool = False  # it is forgotten once that is so
+    expiry_confirmed: bool = False  # all permits given before have expired
+    leaving: bool = False  # removed once that is confirmed
 
 
 class Facts(Record, frozen=True):
-    """What holds of all versions."""
+    """Facts that concern all versions."""
 
-    last_number: UnsignedInt63 = 0  # number given last
+    last_number: UnsignedInt63 = 0  # assigned last
     active_number: UnsignedInt63 = 0  # number of the version in force; 0: none yet
 
 
-FACTS_KEY = "now"  # the one key of the table of facts
+FACTS_KEY = "now"  # the only key of the table of facts
+
+
+def digest(text: bytes) -> str:
+    """Return the digest of a bundle's text as proposed, byte for byte: 32 hexadecimal digits."""
+    return xxhash.xxh3_128_hexdigest(text)
--- a/tealwing/rules/registry.py
+++ b/tealwing/rules/registry.py
@@ -1,12 +1,15 @@
-"""The machine of versions in the replicated log: what each command does to its three tables; pure.
+"""The state machine of versions in the replicated log: applies each command to the three tables; pure.
 
 proposed -> checked -> preparing -> agreed -> active -> superseded; or rejected, aborted, withdrawn. A member that
-begins anew may bring checked back to proposed, and agreed back to preparing. Safety rests on nobody who leads: what is
-not covered is refused here, the same at every member.
+restarts may take checked back to proposed, and agreed back to preparing. Safety does not depend on the leader: every
+member rejects the activation of a version that is not covered (see coverage).
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from typing import Any
+
 from tealwing.record import CommandResult
 from tealwing.rules import records
 from tealwing.rules.coverage import is_covered, uncovered
@@ -17,31 +20,27 @@
 
 
 def apply(tables: Tables, index: int, body: records.Body) -> CommandResult:
-    """Apply a command at its index of the log; the result says what was done, or why not."""
-    match body:
-        case records.Propose():
-            return proposing.propose(tables, index, body)
-        case records.Verdict():
-            return proposing.verdict(tables, index, body)
-        case records.Close():
-            return closing.close(tables, index, body)
-        case records.Closed():
-            return closing.closed(tables, index, body)
-        case records.Reports():
-            for report in body.reports:
-                apply(tables, index, report)
-            return accept(index, index)
-        case records.Activate():
-            return concluding.activate(tables, index, body)
-        case records.Abort():
-            return concluding.abort(tables, index, body)
-        case records.Withdraw():
-            return concluding.withdraw(tables, index, body)
-        case records.Begin():
-            return membership.begin(tables, index, body)
-        case records.ExpirePermit():
-            return closing.expire_permit(tables, index, body)
-        case records.ConfirmExpiry():
-            return closing.confirm_expiry(tables, index, body)
-        case records.Forget():
-            return membership.forget(tables, index, body)
+    """Apply a command at its index of the log; the result says what was done, or why it was rejected."""
+    return _HANDLERS[type(body)](tables, index, body)
+
+
+def _apply_reports(tables: Tables, index: int, body: records.Reports) -> CommandResult:
+    for report in body.reports:
+        apply(tables, index, report)
+    return accept(index, index)
+
+
+_HANDLERS: dict[type[records.Body], Callable[[Tables, int, Any], CommandResult]] = {
+    records.Propose: proposing.propose,
+    records.Verdict: proposing.verdict,
+    records.Close: closing.close,
+    records.Closed: closing.closed,
+    records.Reports: _apply_reports,
+    records.Activate: concluding.activate,
+    records.Abort: concluding.abort,
+    records.Withdraw: concluding.withdraw,
+    records.Begin: membership.begin,
+    records.ExpirePermit: closing.expire_permit,
+    records.ConfirmExpiry: closing.confirm_expiry,
+    records.Forget: membership.forget,
+}
--- a/tealwing/rules/registry_state.py
+++ b/tealwing/rules/registry_state.py
@@ -1,4 +1,4 @@
-"""The registry's three tables, read and written; pure. A change of a record is another record in its place."""
+"""The three tables of the registry of versions: read and write them; pure. Records are immutable and get replaced."""
 
 from __future__ import annotations
 
@@ -11,46 +11,47 @@
 from tealwing.rules.records import FACTS_KEY, IN_FLIGHT, Facts, Member, Phase, Version
 
 Tables = dict[str, dict[str, Any]]
+MAX_VERSIONS = 32  # that the registry holds
 _EPOCH = datetime(1970, 1, 1)
 _LAST_MS = 250_000_000_000_000  # of the calendar that datetime knows
 
 
 def facts(tables: Tables) -> Facts:
-    """What holds of all versions."""
+    """Return the facts that concern all versions."""
     found: Facts = tables["rule_facts"].get(FACTS_KEY) or Facts()
     return found
 
 
 def version(tables: Tables, number: int) -> Version | None:
-    """The version of that number, as far as it is kept."""
+    """Return the version with that number; None if it is unknown or was trimmed."""
     found: Version | None = tables["rules"].get(str(number))
     return found
 
 
 def active(tables: Tables) -> Version | None:
-    """The version in force; None before the first."""
+    """Return the version in force; None before the first."""
     return version(tables, facts(tables).active_number)
 
 
 def in_flight(tables: Tables) -> Version | None:
-    """The version that is neither in force nor over; there is one at most."""
+    """Return the version whose outcome is open; there is at most one."""
     return next((found for found in tables["rules"].values() if found.phase in IN_FLIGHT), None)
 
 
 def members(tables: Tables) -> dict[str, Member]:
-    """All members by name; the table itself."""
+    """Return the table of members by name, not a copy."""
     return tables["rule_members"]
 
 
 def put(tables: Tables, found: Version) -> None:
-    """Keep a version as it is now."""
+    """Store a version under its number."""
     tables["rules"][str(found.number)] = found
 
 
 def set_phase(
     tables: Tables, index: int, found: Version, phase: Phase, outcome: str = "", federation_index: int = 0
 ) -> None:
-    """A version comes into a phase by the entry at an index."""
+    """Store a version in a new phase, which the entry at that index gave it."""
     put(
         tables,
         replace(
@@ -60,22 +61,34 @@
 
 
 def reject(index: int, reason: str, number: int = 0) -> CommandResult:
-    """The registry refuses a command."""
+    """Return the result of a command that is rejected."""
     return CommandResult(False, index, number, reason)
 
 
 def accept(index: int, number: int) -> CommandResult:
-    """The registry has applied a command."""
+    """Return the result of a command that was applied."""
     return CommandResult(True, index, number)
 
 
 def format_timestamp(unix_ms: int) -> str:
-    """A time of the Unix clock in ms, as people read it; always UTC."""
+    """Format a time of the Unix clock in ms for people, in UTC."""
     if unix_ms > _LAST_MS:
         return f"{unix_ms} ms"
     return (_EPOCH + timedelta(milliseconds=unix_ms)).isoformat(" ", "seconds") + " UTC"
 
 
 def describe(found: Version) -> str:
-    """Whose a version is, and since when."""
+    """Describe a version by its number, author and time."""
     return f"version {found.number} by {found.author} of {format_timestamp(found.created_ms)}"
+
+
+def trim(tables: Tables) -> None:
+    """Delete the oldest versions above the limit; never the active one, its parent (the way back) or one in flight."""
+    table: dict[str, Version] = tables["rules"]
+    now = active(tables)
+    protected = {now.number, now.parent} if now is not None else set()
+    for number in sorted(map(int, table)):
+        if len(table) <= MAX_VERSIONS:
+            return
+        if number not in protected and table[str(number)].phase not in IN_FLIGHT:
+            del table[str(number)]
--- a/tealwing/rules/transitions/closing.py
+++ b/tealwing/rules/transitions/closing.py
@@ -1,4 +1,4 @@
-"""Between the old rules and the new: members close, or lapse until that is surely over; pure."""
+"""The close phase: members close, or their permits expire and others confirm that; pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def close(tables: Tables, index: int, body: Close) -> CommandResult:
-    """Every member closes as it applies this."""
+    """Start the close phase: each member closes as it applies this entry."""
     found = registry_state.version(tables, body.number)
     if found is None or found.phase != "checked":
         return reject(index, _wrong_phase(body.number, found.phase if found else "unknown", "checked"), body.number)
@@ -23,7 +23,7 @@
 
 
 def closed(tables: Tables, index: int, body: Closed) -> CommandResult:
-    """A member has closed, and its disk says so."""
+    """Record that a member has closed and has persisted that."""
     found = registry_state.version(tables, body.number)
     if found is None or found.phase not in ("preparing", "agreed"):
         return reject(index, _wrong_phase(body.number, found.phase if found else "unknown", "preparing"), body.number)
@@ -36,7 +36,7 @@
 
 
 def expire_permit(tables: Tables, index: int, body: ExpirePermit) -> CommandResult:
-    """No permit of that start is given after this entry; those given before run out."""
+    """Give no permit of that start after this entry; those given before expire."""
     member = registry_state.members(tables).get(body.member)
     if member is None or member.start != body.start or member.expiry_index:
         return reject(index, f"{body.member} has not begun in that start, or it has lapsed already")
@@ -50,7 +50,7 @@
 
 
 def confirm_expiry(tables: Tables, index: int, body: ConfirmExpiry) -> CommandResult:
-    """By another member's clock, what was given before a lapse is over; two must say so, where there are two."""
+    """Record that permits have expired by another member's clock; two members must confirm, where there are two."""
     table = registry_state.members(tables)
     member, other = table.get(body.member), table.get(body.confirmed_by)
     if member is None or not member.expiry_index or member.expiry_index != body.expiry_index:
--- a/tealwing/rules/transitions/concluding.py
+++ b/tealwing/rules/transitions/concluding.py
@@ -1,17 +1,17 @@
-"""How a version ends: in force, or not; pure. Whoever asks for it, the state itself looks whether it may be."""
+"""The outcome of a version: active, aborted or withdrawn; pure. The state checks each, whoever proposed it."""
 
 from __future__ import annotations
 
 from tealwing.log import check_invariant
 from tealwing.record import CommandResult
-from tealwing.rules import history, registry_state
+from tealwing.rules import registry_state
 from tealwing.rules.coverage import uncovered
 from tealwing.rules.records import IN_FLIGHT, Abort, Activate, Facts, Version, Withdraw
 from tealwing.rules.registry_state import Tables, accept, reject
 
 
 def activate(tables: Tables, index: int, body: Activate) -> CommandResult:
-    """In force from here on. Refused where some member may still decide under the old rules, whoever leads."""
+    """Put a version in force; rejected while any member may still decide under the old one."""
     found = registry_state.version(tables, body.number)
     if found is None or found.phase != "agreed":
         return reject(index, f"version {body.number} is {found.phase if found else 'unknown'}, not agreed", body.number)
@@ -26,12 +26,12 @@
         registry_state.set_phase(tables, index, before, "superseded", federation_index=before.federation_index)
     registry_state.set_phase(tables, index, found, "active", federation_index=body.federation_index)
     tables["rule_facts"]["now"] = Facts(now.last_number, body.number)
-    history.trim(tables)
+    registry_state.trim(tables)
     return accept(index, body.number)
 
 
 def abort(tables: Tables, index: int, body: Abort) -> CommandResult:
-    """It will never be in force; who has closed for it opens under the rules there were."""
+    """Abort a version; members that have closed reopen under the version in force."""
     found = registry_state.version(tables, body.number)
     if found is None or found.phase not in IN_FLIGHT:
         return reject(index, f"version {body.number} is {found.phase if found else 'unknown'}", body.number)
@@ -42,7 +42,7 @@
 
 
 def withdraw(tables: Tables, index: int, body: Withdraw) -> CommandResult:
-    """An operator takes it back before anyone closes for it."""
+    """Withdraw a version on an operator's request, before any member closes for it."""
     found = registry_state.version(tables, body.number)
     if found is None or found.phase not in ("proposed", "checked"):
         phase = found.phase if found else "unknown"
--- a/tealwing/rules/transitions/membership.py
+++ b/tealwing/rules/transitions/membership.py
@@ -1,4 +1,4 @@
-"""Who takes part: members come, and go by an operator's word; pure."""
+"""Membership: members join at their start, and leave when an operator removes them; pure."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from tealwing.rules.records import Begin, Forget, Member
 from tealwing.rules.registry_state import Tables, accept, reject
 
-MAX_MEMBERS = 1100  # members: as many as the section `peers` takes
+MAX_MEMBERS = 1100  # the limit of the section `peers`
 
 
 def begin(tables: Tables, index: int, body: Begin) -> CommandResult:
-    """A member's new start; what was said and closed in the one before counts no more.
+    """Record a member's new start; reports of the previous start no longer count.
 
-    It says anew that it has closed, whatever its mode: this entry may come late, from a process that is no more, and
-    the one that decides now may have a permit that was given before it.
+    The member reports anew that it has closed, in both modes: this entry may be late and come from a process that has
+    ended, while its successor holds a permit given earlier.
     """
     table = registry_state.members(tables)
     before = table.get(body.member)
     present = before.start if before else 0
-    if before is not None and present == body.start:  # it was sent twice
+    if before is not None and present == body.start:  # a duplicate
         return (
             reject(index, "that start has lapsed: begin with another", present)
             if before.expiry_index
@@ -38,7 +38,7 @@
     for found in (registry_state.active(tables), in_flight):
         if (
             found is not None and found.phase != "proposed" and found.min_build > body.build
-        ):  # to a proposed one it says no
+        ):  # it rejects a proposed one by its verdict
             return reject(
                 index,
                 f"version {found.number} of the rules needs build {found.min_build}, and {body.member} is"
@@ -52,7 +52,7 @@
 
 
 def forget(tables: Tables, index: int, body: Forget) -> CommandResult:
-    """Take a member out: at once where an operator vouches for it, else when it surely decides no more."""
+    """Remove a member: at once if an operator confirms that it is off, else once its permits have expired."""
     table = registry_state.members(tables)
     member = table.get(body.member)
     if member is None:
@@ -70,14 +70,14 @@
 
 
 def remove(tables: Tables, index: int, name: str) -> None:
-    """A member is in the table no more."""
+    """Delete a member and its verdict."""
     del registry_state.members(tables)[name]
     _discard_verdict(tables, name)
     update_phase(tables, index)
 
 
 def _discard_verdict(tables: Tables, name: str) -> None:
-    """What a member said of the version in flight counts no more."""
+    """Delete a member's verdict on the version in flight."""
     in_flight = registry_state.in_flight(tables)
     if in_flight is not None and name in in_flight.verdicts:
         registry_state.put(
--- a/tealwing/rules/transitions/proposing.py
+++ b/tealwing/rules/transitions/proposing.py
@@ -1,19 +1,18 @@
-"""New versions, and what members say of them; pure."""
+"""Proposals of new versions, and the members' verdicts on them; pure."""
 
 from __future__ import annotations
 
 from msgspec.structs import replace
 
 from tealwing.record import CommandResult
-from tealwing.rules import history, registry_state
+from tealwing.rules import registry_state
 from tealwing.rules.coverage import update_phase
-from tealwing.rules.digests import digest
-from tealwing.rules.records import Facts, Propose, RecordedVerdict, Verdict, Version
+from tealwing.rules.records import Facts, Propose, RecordedVerdict, Verdict, Version, digest
 from tealwing.rules.registry_state import Tables, accept, reject
 
 
 def propose(tables: Tables, index: int, body: Propose) -> CommandResult:
-    """Take a version up. Refused where another is in flight, or it was made from one that is not in force."""
+    """Accept a new version; rejected if another is in flight or its parent is not the version in force."""
     now = registry_state.facts(tables)
     if digest(body.text) != body.digest:
         return reject(index, f"the text's digest is not {body.digest}: it was changed on its way; propose it again")
@@ -52,14 +51,14 @@
         ),
     )
     tables["rule_facts"]["now"] = Facts(max(number, now.last_number), now.active_number)
-    history.trim(tables)
+    registry_state.trim(tables)
     return accept(index, number)
 
 
 def _is_retried(tables: Tables, body: Propose) -> bool:
-    """Whether it is the federation's version that a member here has rejected: elsewhere it may be in force.
+    """Return whether this is a federation's version that a member here rejected: elsewhere it may be in force.
 
-    It comes up again once the member is mended. Its text stays what it was.
+    It is proposed again with the same text once that member can accept it.
     """
     before = registry_state.version(tables, body.number)
     return (
@@ -72,7 +71,7 @@
 
 
 def verdict(tables: Tables, index: int, body: Verdict) -> CommandResult:
-    """A member's word. One no ends it; when all have said yes, it is checked."""
+    """Record a member's verdict: one rejection ends the version; once all accept, it is checked."""
     found = registry_state.version(tables, body.number)
     if found is None:
         return reject(index, f"there is no version {body.number}")
--- a/tealwing/rules/typed.py
+++ b/tealwing/rules/typed.py
@@ -1,6 +1,6 @@
-"""Typed records from plain data, with faults that name the key, what was found, and what is allowed; pure.
+"""Convert plain data to typed records; errors name the key, what was found, and what is allowed; pure.
 
-msgspec checks each value; the walk is ours, as its own messages leave out the keys of tables.
+msgspec checks each value; its own messages omit the keys of tables, so the traversal is done here.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from tealwing.rules.errors import InvalidValueError, TooLargeError, UnknownKeyError
 
 Record = TypeVar("Record", bound=msgspec.Struct)
-MAX_SHOWN_CHARACTERS = 60  # characters of what was found
+MAX_SHOWN_CHARACTERS = 60
 
 
 def read(kind: type[Record], data: Any, where: str = "") -> Record:
-    """The record that a table makes. UnknownKey, BadValue or TooLarge for the first thing that is wrong."""
+    """Convert a table to a record. Raises UnknownKeyError, InvalidValueError or TooLargeError for the first fault."""
     known = {field.encode_name: field for field in msgspec.structs.fields(kind)}
     found = {}
     for key, value in _require_table(data, where).items():
@@ -33,7 +33,7 @@
 
 
 def _convert(kind: Any, data: Any, where: str) -> Any:
-    if get_origin(kind) in (Union, UnionType):  # with None, for a key that may be absent
+    if get_origin(kind) in (Union, UnionType):  # an optional key
         kind = get_args(kind)[0]
     bare, max_length = kind, None
     if get_origin(kind) is Annotated:
@@ -53,7 +53,7 @@
             raise InvalidValueError(where, f"{_format_value(data)}; allowed: a list")
         _check_length(data, max_length, where)
         try:
-            return msgspec.convert(data, kind)  # lists are long, and are walked only to tell what is wrong
+            return msgspec.convert(data, kind)  # lists can be long and are traversed only to locate a fault
         except msgspec.ValidationError:
             pass
         return tuple(_convert(get_args(bare)[0], value, f"{where}[{place}]") for place, value in enumerate(data))
@@ -82,7 +82,7 @@
 
 
 def _describe_allowed(kind: inspect.Type) -> str:
-    """What values are allowed, as a fault says it."""
+    """Describe the allowed values for an error message."""
     match kind:
         case inspect.IntType():
             return f"{kind.ge} to {kind.le}"
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -25,7 +25,7 @@
 from tealwing.replica.storage import Storage
 from tealwing.rollout.effects.persisted_marker import PersistedMarker
 from tealwing.rules import records
-from tealwing.rules.digests import digest
+from tealwing.rules.records import digest
 
 HERE = Path(__file__).parent
 KEY = keys.from_seed(bytes(range(32)))
--- a/tests/test_rollout_scale.py
+++ b/tests/test_rollout_scale.py
@@ -9,8 +9,7 @@
 from tealwing.replica import commands as c
 from tealwing.replica.gathering import gathered
 from tealwing.replica.state import State
-from tealwing.rules.digests import digest
-from tealwing.rules.records import Begin, Body, Close, Closed, PartitionMode, Propose, Verdict
+from tealwing.rules.records import Begin, Body, Close, Closed, PartitionMode, Propose, Verdict, digest
 
 
 @pytest.mark.parametrize("mode", ["serve", "hold"])
--- a/tests/test_rollout_shell.py
+++ b/tests/test_rollout_shell.py
@@ -23,7 +23,7 @@
 from tealwing.rollout.runtime import Runtime
 from tealwing.rules import records
 from tealwing.rules.affected import AffectedRequests
-from tealwing.rules.digests import digest
+from tealwing.rules.records import digest
 from tests.test_peers import until
 
 
--- a/tests/test_rules_machine.py
+++ b/tests/test_rules_machine.py
@@ -9,7 +9,7 @@
 from tealwing.replica.state import State
 from tealwing.rules import records as r
 from tealwing.rules import registry
-from tealwing.rules.history import MAX_VERSIONS
+from tealwing.rules.registry_state import MAX_VERSIONS
 from tests.test_rules_registry import Log, propose
 
 NAMES = st.sampled_from(["a", "b", "c", "d"])
--- a/tests/test_rules_registry.py
+++ b/tests/test_rules_registry.py
@@ -17,8 +17,8 @@
 from tealwing.replica.state import State
 from tealwing.rules import records as r
 from tealwing.rules import registry
-from tealwing.rules.digests import digest
-from tealwing.rules.history import MAX_VERSIONS
+from tealwing.rules.records import digest
+from tealwing.rules.registry_state import MAX_VERSIONS
 
 TEXT = b"# rules\n"
 
