--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -9,7 +9,7 @@
 from benchmarks.capacity.records import Measured, Series
 from tealwing import config, descriptors
 from tealwing.peers import section
-from tealwing.peers.plan import Times
+from tealwing.peers.plan import LinkTimes
 from tealwing.replica.raft import Options
 
 # The operators' figures
@@ -127,7 +127,7 @@
     need, basis = value_at(series, MEMBERS, constant_if_bent=True)
     rows.append(Row("learner", "processor time at rest", need, CONTROL_PERCENT, "% of a core", basis,
                     "idle ticks (`rollout/runtime.py`), links to the voters alone", run=run))  # fmt: skip
-    heartbeats = MEMBERS / Times().paced(MEMBERS).beat
+    heartbeats = MEMBERS / LinkTimes().scaled_for(MEMBERS).heartbeat
     rounds = MEMBERS / Options().learner_beat
     for role, messages in (("voter", heartbeats), ("leader", heartbeats + rounds)):
         need, last = _by_message(found, role, messages)
@@ -176,7 +176,7 @@
             "change of rules",
             "members",
             float(MEMBERS),
-            float(section.MOST_MEMBERS),
+            float(section.MAX_MEMBERS),
             "members",
             "the section's bound",
             "`peers/section.py`, `rules/transitions/membership.py`",
--- a/tealwing/lab/models/rollout_parts.py
+++ b/tealwing/lab/models/rollout_parts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tealwing.peers.bounds import Bounds
+from tealwing.leases.bounds import LeaseBounds
 from tealwing.rollout.agent.machine import Machine
 from tealwing.rollout.agent.retry import Retry
 from tealwing.rollout.leader.expiry_observer import ExpiryObserver
@@ -14,7 +14,7 @@
 from tealwing.rules.records import digest
 
 PERMIT, DT = 2.0, 1.0  # s: of a permit, of a step of time
-COARSE = Bounds(drift=0.25, step=0.0, told=0.0)
+COARSE = LeaseBounds(max_drift=0.25, max_step=0.0, loss_notice=0.0)
 SLOW, FAST, WILD = 0.75, 1.25, 10.0
 LOG = "log"
 TEXT = b"[attempts]\nmost = 3\n"
@@ -93,7 +93,7 @@
     return r.Propose(parent, digest(TEXT), TEXT, "operator", 0, "", number, number > 0)
 
 
-def told_apart(tables: Tables) -> Hashable:
+def message_key(tables: Tables) -> Hashable:
     """What of the tables decides anything later."""
     found: list[r.Version] = list(tables["rules"].values())
     versions = tuple(
@@ -103,7 +103,7 @@
     return versions, tuple(sorted(tables["rule_members"].items())), tables["rule_facts"].get(r.FACTS_KEY)
 
 
-def told(body: r.Body) -> str:
+def describe(body: r.Body) -> str:
     """A command in a few words."""
     match body:
         case r.Propose(parent=parent, number=number):
@@ -125,6 +125,6 @@
 LIKELY = (("crashes", 0.1), ("lapses", 0.3), ("Abort", 0.1), ("pass", 0.4), ("Close ", 2.0))
 
 
-def likely(word: str) -> float:
+def likely(message: str) -> float:
     """For walks at random: entries are applied more often than anything breaks."""
-    return next((weight for part, weight in LIKELY if part in word), 1.0)
+    return next((weight for part, weight in LIKELY if part in message), 1.0)
--- a/tealwing/lab/network.py
+++ b/tealwing/lab/network.py
@@ -11,10 +11,12 @@
 from dataclasses import dataclass, field
 
 from tealwing.gossip import keys
-from tealwing.gossip.budget import Address
+from tealwing.gossip.config import Timing
+from tealwing.gossip.identity import Clock as NodeClock
+from tealwing.gossip.identity import LocalIdentity
 from tealwing.gossip.members import State
-from tealwing.gossip.messages import KEY_ID, LARGEST, OVERHEAD, SIGNATURE
-from tealwing.gossip.node import Node, Times
+from tealwing.gossip.messages import HEADERS_BYTES, KEY_ID_BYTES, MAX_DATAGRAM_BYTES, SIGNATURE_BYTES, Address
+from tealwing.gossip.node import Node
 from tealwing.lab.clock import Clock
 
 TICK = 0.1  # s between two ticks of an instance
@@ -23,7 +25,7 @@
 EPOCH = 1_800_000_000.0  # s of the Unix clock at which virtual time begins
 
 
-class Toy:
+class SimulatedKey:
     """A keyed hash in place of a signature: as long, and a hundred times as quick, for hundreds of instances.
 
     Whoever reads this code can forge it, so it is for trials of behaviour, never of security.
@@ -31,27 +33,27 @@
 
     def __init__(self, name: str) -> None:
         self._secret = hashlib.blake2b(name.encode(), digest_size=32).digest()
-        self.key = self._secret[:KEY_ID]
+        self.key_id = self._secret[:KEY_ID_BYTES]
 
     def sign(self, data: bytes) -> bytes:
         """A tag of a signature's length."""
-        return hashlib.blake2b(data, key=self._secret, digest_size=SIGNATURE).digest()
+        return hashlib.blake2b(data, key=self._secret, digest_size=SIGNATURE_BYTES).digest()
 
 
-class ToyRing:
+class SimulatedKeyring:
     """Verifies what `Toy` signs."""
 
     def __init__(self) -> None:
         self.wall = 0.0
-        self._toys: dict[str, Toy] = {}
+        self._simulated_keys: dict[str, SimulatedKey] = {}
 
     def verify(self, name: str, key: bytes, data: bytes, signature: bytes) -> bool:
         """Whether that name signed that data."""
-        toy = self._toys.get(name) or self._toys.setdefault(name, Toy(name))
-        return toy.key == key and toy.sign(data) == signature
+        simulated = self._simulated_keys.get(name) or self._simulated_keys.setdefault(name, SimulatedKey(name))
+        return simulated.key_id == key and simulated.sign(data) == signature
 
 
-def real_key(name: str) -> keys.OwnKey:
+def real_key(name: str) -> keys.LocalKey:
     """An Ed25519 key that follows from a name, for trials."""
     return keys.from_seed(hashlib.blake2b(name.encode(), digest_size=32).digest())
 
@@ -70,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class Weather:
+class LinkConditions:
     """What the network does to datagrams."""
 
     loss: float = 0.0
@@ -82,9 +84,9 @@
 class Network:
     """Instances, and the weather between them."""
 
-    def __init__(self, seed: int, times: Times | None = None, real_keys: bool = False) -> None:
-        self.clock, self.times = Clock(), times or Times()
-        self.weather = Weather()
+    def __init__(self, seed: int, times: Timing | None = None, real_keys: bool = False) -> None:
+        self.clock, self.times = Clock(), times or Timing()
+        self.conditions = LinkConditions()
         self.instances: dict[str, Instance] = {}
         self.events: list[tuple[float, str, str, dict[str, object]]] = []  # when, whose, what
         self.tamper: dict[str, Callable[[Instance, Address, bytes], list[tuple[Address, bytes]]]] = {}
@@ -100,13 +102,14 @@
             self._hosts += 1
             address = (f"10.{self._hosts >> 16}.{self._hosts >> 8 & 255}.{self._hosts & 255}", PORT)
         rng = random.Random(f"{self._seed}/{name}/{self.clock.now}")
-        ring: ToyRing | keys.Keyring = ToyRing()
-        signer: Toy | keys.OwnKey = Toy(name)
+        ring: SimulatedKeyring | keys.Keyring = SimulatedKeyring()
+        signer: SimulatedKey | keys.LocalKey = SimulatedKey(name)
         if self._real:
             signer = real_key(name)
             ring = _Everybody()
-        wall = self.wall(skew)
-        node = Node(name, address, signer, ring.verify, self.times, seeds, rng, self.clock.now, wall)
+        clock = NodeClock(self.clock.now, self.wall(skew))
+        identity = LocalIdentity(name, address, signer, clock)
+        node = Node(identity, clock, ring.verify, self.times, seeds, rng)
         instance = Instance(node, address, skew)
         self.instances[name] = instance
         self._by_address[address] = instance
@@ -133,7 +136,7 @@
     def _resume(self, instance: Instance) -> None:
         waiting, instance.paused = instance.paused or [], None
         for source, data in waiting[:200]:
-            instance.node.datagram(self.clock.now, self.wall(instance.skew), source, data)
+            instance.node.receive(self.clock.now, self.wall(instance.skew), source, data)
 
     def _tick(self, instance: Instance) -> None:
         if not instance.running:
@@ -147,37 +150,37 @@
 
     def inject(self, source: Address, to: Address, data: bytes) -> None:
         """A datagram from anybody."""
-        self._carry(source, to, data)
+        self._transmit(source, to, data)
 
     def _flush(self, instance: Instance) -> None:
         node = instance.node
-        for name, fields in node.events:
-            self.events.append((self.clock.now, node.name, name, fields))
+        for event in node.events:
+            self.events.append((self.clock.now, node.name, event.log_name, event.log_fields))
         node.events.clear()
         second = int(self.clock.now)
-        for to, data in node.out(self.clock.now):
-            instance.seconds[second] = instance.seconds.get(second, 0) + len(data) + OVERHEAD
+        for to, data in node.take_datagrams(self.clock.now):
+            instance.seconds[second] = instance.seconds.get(second, 0) + len(data) + HEADERS_BYTES
             instance.largest = max(instance.largest, len(data))
-            assert len(data) <= LARGEST, f"a datagram of {len(data)} bytes"
+            assert len(data) <= MAX_DATAGRAM_BYTES, f"a datagram of {len(data)} bytes"
             tamper = self.tamper.get(node.name)
             for target, what in tamper(instance, to, data) if tamper else [(to, data)]:
-                self._carry(instance.address, target, what)
+                self._transmit(instance.address, target, what)
 
-    def _carry(self, source: Address, to: Address, data: bytes) -> None:
-        weather, rng = self.weather, self._random
-        if weather.cut(source, to) or (weather.loss and rng.random() < weather.loss):
+    def _transmit(self, source: Address, to: Address, data: bytes) -> None:
+        conditions, rng = self.conditions, self._random
+        if conditions.cut(source, to) or (conditions.loss and rng.random() < conditions.loss):
             return
-        for _ in range(1 + (rng.random() < weather.copies if weather.copies else 0)):
-            self.clock.after(rng.uniform(*weather.delay), self._land, source, to, data)
+        for _ in range(1 + (rng.random() < conditions.copies if conditions.copies else 0)):
+            self.clock.after(rng.uniform(*conditions.delay), self._deliver, source, to, data)
 
-    def _land(self, source: Address, to: Address, data: bytes) -> None:
+    def _deliver(self, source: Address, to: Address, data: bytes) -> None:
         instance = self._by_address.get(to)
         if instance is None or not instance.running:
             return
         if instance.paused is not None:
             instance.paused.append((source, data))
             return
-        instance.node.datagram(self.clock.now, self.wall(instance.skew), source, data)
+        instance.node.receive(self.clock.now, self.wall(instance.skew), source, data)
         self._flush(instance)
 
     # What is so
@@ -203,7 +206,7 @@
             self.clock.run(self.clock.now + step)
         return self.clock.now - begun if holds() else None
 
-    def most_bytes(self) -> int:
+    def max_bytes_per_second(self) -> int:
         """The most that any instance sent in any second."""
         return max((n for i in self.instances.values() for n in i.seconds.values()), default=0)
 
@@ -217,7 +220,7 @@
     def verify(self, name: str, key: bytes, data: bytes, signature: bytes) -> bool:
         if (name, key) not in self._keys:
             public = real_key(name).public
-            self._keys |= keys.Keyring([keys.Allowed(name, public)])._keys
+            self._keys |= keys.Keyring([keys.AllowedKey(name, public)])._keys
         return super().verify(name, key, data, signature)
 
 
--- a/tealwing/rollout/agent/machine.py
+++ b/tealwing/rollout/agent/machine.py
@@ -10,7 +10,7 @@
 import copy
 from collections.abc import Hashable
 
-from tealwing.peers.bounds import USUAL, Bounds
+from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.rollout.agent.actions import (
     FOREVER,
     HOLD_MARKER,
@@ -25,25 +25,9 @@
 )
 from tealwing.rollout.agent.permit import Permit
 from tealwing.rollout.agent.retry import MAX_BACKOFF, Retry
-from tealwing.rollout.agent.view import FederatedView, View, view_of
+from tealwing.rollout.agent.view import FederatedView, View
 from tealwing.rules.records import Begin, Closed, PartitionMode, Verdict, Version
 
-__all__ = [
-    "HOLD_MARKER",
-    "Action",
-    "CheckBundle",
-    "FederatedView",
-    "GateState",
-    "Machine",
-    "PersistMarker",
-    "ReadIndex",
-    "ReadToken",
-    "Restart",
-    "SubmitCommand",
-    "View",
-    "view_of",
-]
-
 SABOTAGED_OPEN_AFTER = 1.0  # s; sabotage only
 
 
@@ -56,7 +40,7 @@
         partition_mode: PartitionMode,
         start: int,
         permit: float = 2.0,
-        bounds: Bounds = USUAL,
+        bounds: LeaseBounds = DEFAULT_BOUNDS,
         marker: int = 0,
         build: int = 1,
         seed: int = 0,
--- a/tealwing/rollout/agent/permit.py
+++ b/tealwing/rollout/agent/permit.py
@@ -5,7 +5,7 @@
 import copy
 from collections.abc import Hashable
 
-from tealwing.peers.bounds import RENEW_SHARE, Bounds
+from tealwing.leases.bounds import RENEW_FRACTION, LeaseBounds
 from tealwing.rollout.agent.actions import FOREVER, ReadToken
 from tealwing.rollout.agent.view import View
 
@@ -15,7 +15,7 @@
 class Permit:
     """Reads of one log, and until when the last one is valid."""
 
-    def __init__(self, duration: float, bounds: Bounds, expires: bool) -> None:
+    def __init__(self, duration: float, bounds: LeaseBounds, expires: bool) -> None:
         """Duration is in s; without expires one successful read is valid forever."""
         self._duration, self._bounds, self._expires = duration, bounds, expires
         self.until = 0.0  # by the local clock
@@ -59,11 +59,11 @@
             me = view.local_member
             if token.start != start or me is None or me.expiry_index or me.start != member:
                 continue
-            until = token.sent_at + self._bounds.holder_may(min(duration, self._duration))
+            until = token.sent_at + self._bounds.holder_duration(min(duration, self._duration))
             if not self._expires:
                 self.grant_forever()
             elif until > self.until:
-                self.until, self._renew_at = until, token.sent_at + RENEW_SHARE * min(duration, self._duration)
+                self.until, self._renew_at = until, token.sent_at + RENEW_FRACTION * min(duration, self._duration)
 
     def revoke(self) -> None:
         """Invalidate all earlier reads."""
--- a/tealwing/rollout/control_calls.py
+++ b/tealwing/rollout/control_calls.py
@@ -1,4 +1,4 @@
-"""Control calls `rules.*`."""
+"""ControlServer calls `rules.*`."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from tealwing.peers.control import MOST_CALLERS, Control, Denied, Fields, field, wait_of
+from tealwing.peers.control import MAX_CONNECTIONS, CallRejectedError, ControlServer, Fields, field, wait_seconds
 from tealwing.replica import commands as c
 from tealwing.replica.messages import UnsignedInt63
 from tealwing.replica.node import Replica, Unavailable, Unknown
 from tealwing.rollout.observed_state import ObservedState
 from tealwing.rollout.runtime import Runtime
 from tealwing.rollout.status import version_status
-from tealwing.rules import bundle, records
+from tealwing.rules import records
 
 WAIT = 5.0  # s, the default timeout of a call
 APPLIED_POLL_INTERVAL = 0.005  # s
@@ -24,7 +24,7 @@
 class ControlCalls:
     """Handlers of one gateway."""
 
-    def __init__(self, runtime: Runtime, replica: Replica, control: Control) -> None:
+    def __init__(self, runtime: Runtime, replica: Replica, control: ControlServer) -> None:
         self._runtime, self._replica = runtime, replica
         self._deciding_log = (
             runtime.federation.replica if runtime.federation is not None else replica
@@ -47,10 +47,10 @@
         why = field(fields, "why", records.Text, "")
         parent = field(fields, "parent", UnsignedInt63) if "parent" in fields else None
         if len(text) > records.MAX_BUNDLE_BYTES:
-            raise Denied(f"text: {len(text)} bytes; allowed: {records.MAX_BUNDLE_BYTES}")
+            raise CallRejectedError(f"text: {len(text)} bytes; allowed: {records.MAX_BUNDLE_BYTES}")
         faults = self._runtime.rules.faults(text)
         if faults:
-            raise Denied("text: " + "; ".join(faults))
+            raise CallRejectedError("text: " + "; ".join(faults))
 
         def propose(wait: float) -> Fields:
             end = time.monotonic() + wait
@@ -58,7 +58,7 @@
             if made_from is None:
                 self._deciding_log.read_index(wait)
                 made_from = self._deciding_state().facts.active_number
-            body = records.Propose(made_from, bundle.digest(text), text, who, int(time.time() * 1e3), why)
+            body = records.Propose(made_from, records.digest(text), text, who, int(time.time() * 1e3), why)
             result = self._write(self._deciding_log, body, max(0.0, end - time.monotonic()))
             while (
                 self._deciding_state().index < result["index"] and time.monotonic() < end
@@ -69,7 +69,7 @@
         return self._outcome(propose, fields)
 
     def _settings(self, _: Fields) -> Fields:
-        raise Denied("replica.settings: the section rules is on here, and settings are part of the rules;"
+        raise CallRejectedError("replica.settings: the section rules is on here, and settings are part of the rules;"
                      " propose a version: tealwing rules propose FILE --control HOST:PORT --why TEXT")  # fmt: skip
 
     def _show(self, fields: Fields) -> Fields:
@@ -77,7 +77,7 @@
         found = self._runtime.observed.version(number)
         if found is None:
             available = ", ".join(sorted(self._runtime.observed.tables["rules"], key=int)) or "none yet"
-            raise Denied(f"number: no version {number} is kept here; allowed: {available}")
+            raise CallRejectedError(f"number: no version {number} is kept here; allowed: {available}")
         return version_status(found) | {"text": found.text.decode("utf-8", "replace")}
 
     def _withdraw(self, fields: Fields) -> Fields:
@@ -120,7 +120,7 @@
         with self._lock:
             self._sequence += 1
             number = self._sequence
-        turn = number % MOST_CALLERS  # calls are concurrent, and a client id allows one at a time
+        turn = number % MAX_CONNECTIONS  # calls are concurrent, and a client id allows one at a time
         client = f"{where.core.me}/{where.start_number}/rules/{turn}"
         result = where.write(c.Command(client, number, body), wait)
         outcome = "ok" if result.ok else "refused"
@@ -129,10 +129,10 @@
     def _outcome(self, run: Callable[[float], Fields], fields: Fields) -> Fields:
         """Run a call; the key `word` is ok, refused (by the state), unavailable (surely not done) or unknown."""
         try:
-            return {"word": "ok"} | run(wait_of(fields, WAIT))
+            return {"word": "ok"} | run(wait_seconds(fields, WAIT))
         except Unavailable as error:
             return {"word": "unavailable", "why": f"{error}; nothing was changed: try again, or at another gateway"}
         except Unknown as error:
             return {"word": "unknown", "why": f"{error}; see rules.status for whether it was taken"}
         except ValueError as error:
-            raise Denied(str(error)) from None
+            raise CallRejectedError(str(error)) from None
--- a/tealwing/rollout/leader/coordinator.py
+++ b/tealwing/rollout/leader/coordinator.py
@@ -8,19 +8,18 @@
 from collections.abc import Collection, Hashable, Mapping
 from typing import Any
 
-from tealwing.peers.bounds import USUAL, Bounds
+from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.rollout.agent.retry import Retry
 from tealwing.rollout.agent.view import CLOSING, view_of
-from tealwing.rollout.leader.expiry_observer import ExpiryObserver
 from tealwing.rules.records import Abort, Activate, Body, Close, ExpirePermit, Member
 
-__all__ = ["ExpiryObserver", "RolloutCoordinator"]
-
 
 class RolloutCoordinator:
     """Proposes the next command of a rollout; its timeouts restart with each leader."""
 
-    def __init__(self, name: str, limit: float, patience: float, bounds: Bounds = USUAL, seed: int = 0) -> None:
+    def __init__(
+        self, name: str, limit: float, patience: float, bounds: LeaseBounds = DEFAULT_BOUNDS, seed: int = 0
+    ) -> None:
         """Name is the local member; limit and patience are in s."""
         self.name, self._limit, self._patience, self._seed = name, limit, patience, seed
         self._leads = False
--- a/tealwing/rollout/leader/duties.py
+++ b/tealwing/rollout/leader/duties.py
@@ -5,7 +5,8 @@
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
 from tealwing.replica.node import Replica
-from tealwing.rollout.leader.coordinator import ExpiryObserver, RolloutCoordinator
+from tealwing.rollout.leader.coordinator import RolloutCoordinator
+from tealwing.rollout.leader.expiry_observer import ExpiryObserver
 from tealwing.rollout.observed_state import ObservedState
 from tealwing.rollout.plan import Plan
 from tealwing.rules import records
@@ -55,7 +56,7 @@
 
     def _silent(self, now: float, state: ObservedState) -> list[str]:
         """Return the members that are silent on the link, or whose replica acknowledges nothing."""
-        limit, core = SILENT_HEARTBEATS * self._link.plan.times.beat, self._replica.core
+        limit, core = SILENT_HEARTBEATS * self._link.plan.times.heartbeat, self._replica.core
         reachable = {peer["name"] for peer in self._link.status()
                  if peer["silence_s"] is not None and peer["silence_s"] <= limit}  # fmt: skip
         for name, progress in list(core.progress.items()):
--- a/tealwing/rollout/leader/expiry_observer.py
+++ b/tealwing/rollout/leader/expiry_observer.py
@@ -10,7 +10,7 @@
 
 import xxhash
 
-from tealwing.peers.bounds import USUAL, Bounds
+from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.rollout.agent.retry import Retry
 from tealwing.rules.records import Body, ConfirmExpiry, ExpirePermit, Forget, Member
 
@@ -21,7 +21,7 @@
 class ExpiryObserver:
     """One member's observation of permit expiry."""
 
-    def __init__(self, name: str, bounds: Bounds = USUAL, seed: int = 0) -> None:
+    def __init__(self, name: str, bounds: LeaseBounds = DEFAULT_BOUNDS, seed: int = 0) -> None:
         self.name, self._bounds, self._retry = name, bounds, Retry(seed)
         self._observed_at: dict[
             tuple[str, int], float
@@ -55,7 +55,7 @@
             member = members[name]
             if name == self.name or self.name in member.confirmed_by:
                 continue
-            waited = now - self._observed_at[name, expiry_index] - self._bounds.leader_waits(member.permit / 1e3)
+            waited = now - self._observed_at[name, expiry_index] - self._bounds.expiry_delay(member.permit / 1e3)
             if waited < 0 or waited < BATCH_INTERVAL * (self._rank(name, expiry_index, members) // BATCH_SIZE):
                 continue
             if self._retry.ready(now, (name, expiry_index)):
--- a/tealwing/rollout/setup.py
+++ b/tealwing/rollout/setup.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tealwing.peers.control import Control
+from tealwing.peers.control import ControlServer
 from tealwing.peers.link import Link
 from tealwing.replica.node import Replica
 from tealwing.rollout.admission.gate import Gate
@@ -20,7 +20,7 @@
     replica: Replica,
     link: Link,
     gateway: Gateway,
-    control: Control | None,
+    control: ControlServer | None,
     federation: FederationLog | None = None,
 ) -> Runtime:
     """Create the runtime before the replica starts; the version on disk is active and the gate set on return.
--- a/tealwing/rules/affected.py
+++ b/tealwing/rules/affected.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from tealwing.routing.diff import Ranges, moved
+from tealwing.routing.diff import Ranges, changed_groups
 from tealwing.rules.bundle import EMPTY, Bundle, Class, table
 
 NO_OVERRIDE = Class()
@@ -27,7 +27,7 @@
 
     def includes(self, cls: str, tenant: str, group: int) -> bool:
         """Return whether a request of that class and tenant, for that group, must wait."""
-        return self.everything or cls in self.classes or self.groups.has(group)
+        return self.everything or cls in self.classes or self.groups.contains(group)
 
 
 ALL_REQUESTS = AffectedRequests(everything=True)
@@ -47,7 +47,7 @@
             return ALL_REQUESTS
         if before != after:
             classes.add(name)
-    return AffectedRequests(False, frozenset(classes), moved(table(old), table(new)))
+    return AffectedRequests(False, frozenset(classes), changed_groups(table(old), table(new)))
 
 
 def _shares(bundle: Bundle) -> dict[str, float]:
--- a/tealwing/rules/bundle.py
+++ b/tealwing/rules/bundle.py
@@ -14,9 +14,9 @@
 from tealwing.routing.table import Route, Table
 from tealwing.rules import typed
 from tealwing.rules.errors import InvalidRoutesError, TomlError, TooLargeError
-from tealwing.rules.records import MAX_BUNDLE_BYTES, digest
+from tealwing.rules.records import MAX_BUNDLE_BYTES
 
-__all__ = ["Attempts", "Bundle", "Class", "GroupRange", "Tenant", "digest", "parse", "table"]
+__all__ = ["Attempts", "Bundle", "Class", "GroupRange", "Tenant", "parse", "table"]
 
 MAX_ROUTES = 4096
 MAX_GROUP = 2**53 - 1  # the decision module stores a group as a float
@@ -84,7 +84,7 @@
     except ValueError as error:  # no TOML, no UTF-8, or an integer of thousands of digits
         raise TomlError("the bundle", str(error)[:200]) from None
     found = typed.read(Bundle, data)
-    for fault in validate.faults(table(found).routes):
+    for fault in validate.find_faults(table(found).routes):
         raise InvalidRoutesError(fault.place, f"{fault.what}; {fault.remedy}")
     if found.levels:
         from tealwing.rules import levels_section  # imported only if needed: the grammar takes memory
--- a/tealwing/rules/check.py
+++ b/tealwing/rules/check.py
@@ -6,7 +6,7 @@
 
 from tealwing import interface
 from tealwing.levels.plan import PlanError
-from tealwing.routing.diff import moved
+from tealwing.routing.diff import changed_groups
 from tealwing.rules import bundle as bundles
 from tealwing.rules import overlay
 from tealwing.rules.bundle import Bundle
@@ -87,7 +87,7 @@
     from tealwing.rules import levels_section  # imported only if needed
 
     try:
-        levels_section.parse_levels(bundle.levels).measures(running.settings)
+        levels_section.parse_levels(bundle.levels).admission_limits(running.settings)
     except PlanError as error:
         return [UnknownNameError("levels", str(error)[:400])]
     return []
@@ -97,7 +97,7 @@
     """Return routes that no engine could serve; only changed ones, so that another site's fault blocks no change."""
     found: list[Reason] = []
     known = set(running.settings.zones)
-    changed = moved(bundles.table(running.active or bundles.EMPTY), bundles.table(bundle))
+    changed = changed_groups(bundles.table(running.active or bundles.EMPTY), bundles.table(bundle))
     for place, route in enumerate(bundle.routes):
         if not any(first <= route.last and route.first <= last for first, last in changed.pairs):
             continue
--- a/tealwing/rules/records.py
+++ b/tealwing/rules/records.py
@@ -31,7 +31,7 @@
     """Propose a version with that parent; number 0: the next one, else the federation's number."""
 
     parent: UnsignedInt63
-    digest: Name  # of the text: bundle.digest
+    digest: Name  # digest() of the text
     text: Bundled
     author: Name
     created_ms: UnsignedInt63  # ms of the Unix clock at the proposer; informational
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -12,8 +12,8 @@
 import pytest
 
 from tealwing.gossip import messages as gossip
-from tealwing.gossip import written
-from tealwing.peers import echo, frames
+from tealwing.gossip import persisted_state
+from tealwing.peers import frames, ping
 from tealwing.peers import messages as peers
 from tealwing.replica import commands, outcomes
 from tealwing.replica import messages as replica
@@ -21,7 +21,7 @@
 from tealwing.replica.state import State
 from tealwing.replica.storage import Storage, verify
 from tealwing.rollout.effects.persisted_marker import PersistedMarker
-from tealwing.rules import bundle
+from tealwing.rules import bundle, records
 from tests.golden import samples
 
 GOLDEN: dict[str, str] = msgspec.json.decode((samples.HERE / "messages.json").read_bytes())
@@ -30,7 +30,7 @@
 
 
 def _of_key(name: str, key: bytes, data: bytes, signature: bytes) -> bool:
-    return name == "n1" and key == samples.KEY.key and signature == samples.KEY.sign(data)
+    return name == "n1" and key == samples.KEY.key_id and signature == samples.KEY.sign(data)
 
 
 def _entry(data: bytes) -> replica.Entry:
@@ -40,7 +40,7 @@
 DECODERS: dict[str, Callable[[bytes], Any]] = {
     "replica": replica.decode,
     "peers": peers.decode,
-    "echo": msgspec.msgpack.Decoder(echo.Ask | echo.Answer).decode,
+    "echo": msgspec.msgpack.Decoder(ping.PingRequest | ping.PingReply).decode,
     "forwarded": outcomes.decode,
     "gossip": lambda data: gossip.decode(data, _of_key),
     "command": commands.decode,
@@ -104,13 +104,13 @@
 
 
 def test_a_stored_gossip_file_is_read() -> None:
-    found = written.load(samples.HERE / "gossip" / "members", "n1")
+    found = persisted_state.load(samples.HERE / "gossip" / "members", "n1")
     assert found is not None and found.boot == 1234567890123 and found.trust == {"n2": 0.75}
     assert found.members == [rumour for rumour in samples.SIGNED if isinstance(rumour, gossip.Alive)]
 
 
 def test_a_bundle_is_read_and_has_its_digest() -> None:
-    assert bundle.digest(samples.BUNDLE) == BUNDLE_DIGEST
+    assert records.digest(samples.BUNDLE) == BUNDLE_DIGEST
     assert msgspec.to_builtins(bundle.parse(samples.BUNDLE)) == {
         "levels": "",
         "attempts": {"most": 2},
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -13,7 +13,7 @@
 from tealwing.lab.rig import layouts, runs
 from tealwing.lab.rig.configuration import Layout
 from tealwing.lab.rig.trial import Trial
-from tealwing.peers.bounds import USUAL
+from tealwing.leases.bounds import DEFAULT_BOUNDS
 from tealwing.replica import commands as c
 from tealwing.replica.feed import words
 from tealwing.replica.messages import Snap
@@ -47,7 +47,7 @@
     do(state, 3, c.Release("free", 2))
     found = believed(state)
     assert found["lease", "sweep"].trust is Trust.WAITS and ("lease", "free") not in found
-    assert found["lease", "sweep"].until_ms == NOW + round(USUAL.leader_waits(5.0) * 1e3)
+    assert found["lease", "sweep"].until_ms == NOW + round(DEFAULT_BOUNDS.expiry_delay(5.0) * 1e3)
 
 
 def test_a_drain_goes_on_under_its_first_cutoff_and_what_has_no_age_is_marked() -> None:
@@ -145,15 +145,15 @@
     ]
     crossed = {"t": 2.1, "kind": "unknown", "id": 2, "why": "closed"}
     events = [*query(1, 1.0, 1.1), *query(2, 1.9, 2.1)[:1], *down, crossed, *query(3, 4.5, 4.6)]
-    assert clients.judge(events, 10.0) == []
-    assert len(clients.judge([*events, *query(4, 5.0, 5.1, "refused")], 10.0)) == 1
+    assert clients.check(events, 10.0) == []
+    assert len(clients.check([*events, *query(4, 5.0, 5.1, "refused")], 10.0)) == 1
 
 
 @pytest.mark.trial
 def test_a_whole_fleet_comes_back_from_a_power_loss(tmp_path: Path) -> None:
-    found = runs.attempt(scenario.load("power-loss"), 5, 20.0, 1, tmp_path / "out")
+    found = runs.run_trial(scenario.load("power-loss"), 5, 20.0, 1, tmp_path / "out")
     assert [str(violation) for violation in found.violations] == []
-    figures = found.figures
+    figures = found.summary
     assert [figures[key] for key in ("lost", "divergent", "split_brain", "refused_for_quorum")] == [0, 0, 0, 0]
     assert figures["acknowledged_before"] > 50 and figures["ready"] == 5 and figures["quorum_ms"] is not None
 
@@ -168,11 +168,11 @@
         trial.start()
         one = trial.processes["n0"]
         engine = trial.engines.members()[1] | {"phase": "draining"}
-        trial.coordinator.tell([engine])
+        trial.coordinator.publish([engine])
         caller = trial.caller("n0")
-        until(lambda: caller.ask("replica.status")["held"]["drains"] == 1)  # told by all three, and kept once
-        applied = caller.ask("replica.status")["applied"]
-        until(lambda: caller.ask("replica.status")["kept"] >= applied)  # its disk knows that it is committed
+        until(lambda: caller.call("replica.status")["held"]["drains"] == 1)  # told by all three, and kept once
+        applied = caller.call("replica.status")["applied"]
+        until(lambda: caller.call("replica.status")["kept"] >= applied)  # its disk knows that it is committed
         caller.close()
         for process in trial.processes.values():
             process.kill()
@@ -181,20 +181,20 @@
         listen, admin = one.address("listen"), one.address("admin")
         assert listen is not None and admin is not None
         text = b"/* op=lookup,call=00000000000000aa,ttl=3000,org=graan-koop,work=2.0,heap_mb=4 */ SELECT a FROM s_1.t"
-        assert Session(listen).ask(text, 5.0).word == "served"  # whatever readiness says
+        assert Session(listen).query(text, 5.0).outcome == "served"  # whatever readiness says
         until(lambda: readiness(admin).startswith("ready: no leader is known; 1 of 3 members are heard"))
         caller = trial.caller("n0")
-        told = caller.ask("replica.settings", text=b"{}")
+        told = caller.call("replica.settings", text=b"{}")
         assert told["word"] == "unavailable" and "no leader is known" in told["why"]
-        back = caller.ask("replica.recovery")
+        back = caller.call("replica.recovery")
         assert back["phase"] == "alone"
         assert [(b["trust"], b["until_ms"] > 0) for b in back["beliefs"] if b["what"] == "drain"] == [("held", True)]
-        assert not any(lease["valid"] for lease in caller.ask("lease.list")["here"])
+        assert not any(lease["valid"] for lease in caller.call("lease.list")["here"])
         for name in ("n1", "n2"):
             trial.processes[name].start()
         until(lambda: readiness(admin).startswith("ready: caught up"))
         with pytest.raises(Exception, match="text: "):
-            caller.ask("replica.settings", text=b"{}")
+            caller.call("replica.settings", text=b"{}")
         code, said = run("replica", "status", "--control", "{}:{}".format(*one.control))
         assert code == 0 and "members n0, n1, n2" in said
-        assert trial.trouble() == []
+        assert trial.fault_lines() == []
