--- a/tealwing/federation/service.py
+++ b/tealwing/federation/service.py
@@ -20,10 +20,10 @@
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
 from tealwing.replica.node import Replica
-from tealwing.rollout.conductor import Conductor
-from tealwing.rollout.leading import HURRY
-from tealwing.rollout.seen import TABLES, Seen, seen
-from tealwing.rollout.witnesses import Witnesses
+from tealwing.rollout.leader.coordinator import RolloutCoordinator
+from tealwing.rollout.leader.duties import EXPEDITED
+from tealwing.rollout.leader.expiry_observer import ExpiryObserver
+from tealwing.rollout.observed_state import TABLES, ObservedState, observe
 from tealwing.rules import records
 
 TICK = 0.05  # s between two looks where no entry comes
@@ -43,15 +43,15 @@
         self.plan, self.site_name, self.replica = plan, plan.site_of(name), federation
         self._site, self._link, self._clock = site, link, clock
         self._delegate = SiteDelegate(self.site_name, federation.start_number)
-        self._conductor = Conductor(
+        self._conductor = RolloutCoordinator(
             self.site_name, plan.agreement_timeout, silence_timeout, bounds, federation.start_number
         )
-        self._witnesses = Witnesses(self.site_name, bounds, federation.start_number)
+        self._witnesses = ExpiryObserver(self.site_name, bounds, federation.start_number)
         self._wake, self._stopped = threading.Event(), threading.Event()
         self._leads_site = self._leads_federation = self._coordinates = False
         self._lapses: list[tuple[int, records.Body]] = []  # applied and not yet told to the witnesses
         self._lock = threading.Lock()  # round the lapses
-        self.seen: Seen = seen(federation.state, self.site_name)  # set on the replica's thread alone
+        self.state: ObservedState = observe(federation.state, self.site_name)  # set on the replica's thread alone
         self._changed: Callable[[], None] = lambda: None
         site.watch(lambda index, command, result: self._wake.set())
         site.on_led(self._site_leadership_changed)
@@ -75,16 +75,20 @@
 
     def status(self) -> dict[str, Any]:
         """What operators ask for: the sites as the federation's log has them, and who speaks for ours."""
-        seen_ = self.seen
-        flight = seen_.me.flight
-        verdicts = {} if flight is None else {who: {"yes": w.yes, "reason": w.reason} for who, w in flight.said.items()}
+        seen_ = self.state
+        flight = seen_.view.in_flight
+        verdicts = (
+            {}
+            if flight is None
+            else {who: {"yes": w.accepted, "reason": w.reason} for who, w in flight.verdicts.items()}
+        )
         return {
             "site": self.site_name, "speaks": self._leads_site, "decides": self._leads_federation, "index": seen_.index,
-            "leader": self.replica.core.leader, "active": seen_.facts.active, "last": seen_.facts.last,
+            "leader": self.replica.core.leader, "active": seen_.facts.active_number, "last": seen_.facts.last_number,
             "flight": None if flight is None else {"number": flight.number, "phase": flight.phase, "said": verdicts},
             "sites": {
-                name: {"start": site.start, "lost_touch": site.lost_touch, "closed": site.closed,
-                       "lapsed": site.lapsed, "over": site.over, "heard": self._is_reachable(name)}
+                name: {"start": site.start, "lost_touch": site.partition_mode, "closed": site.closed_for,
+                       "lapsed": site.expiry_index, "over": site.expiry_confirmed, "heard": self._is_reachable(name)}
                 for name, site in sorted(seen_.members.items())
             },
         }  # fmt: skip
@@ -103,19 +107,19 @@
     def _applied(self, index: int, command: c.Command | None, result: c.CommandResult | None) -> None:
         body = command.body if command is not None else None
         if not isinstance(body, records.Body):
-            self.seen = replace(self.seen, index=index, me=replace(self.seen.me, index=index))
+            self.state = replace(self.state, index=index, view=replace(self.state.view, index=index))
             return
-        self.seen = seen(self.replica.state, self.site_name)
-        if isinstance(body, records.Lapse | records.Forget):
+        self.state = observe(self.replica.state, self.site_name)
+        if isinstance(body, records.ExpirePermit | records.Forget):
             with self._lock:
                 self._lapses.append((index, body))
-        if self._leads_federation and result is not None and result.ok and isinstance(body, HURRY):
+        if self._leads_federation and result is not None and result.ok and isinstance(body, EXPEDITED):
             self.replica.hurry()  # each step waits for the one before: sites must not learn of it with the next beat
         self._changed()
         self._wake.set()
 
     def _installed(self) -> None:
-        self.seen = seen(self.replica.state, self.site_name)
+        self.state = observe(self.replica.state, self.site_name)
         self._changed()
         self._wake.set()
 
@@ -135,20 +139,20 @@
 
     def _step(self) -> None:
         now = self._clock.now()
-        tables, index = self.seen.tables, self.seen.index
+        tables, index = self.state.tables, self.state.index
         with self._lock:
             lapses, self._lapses = self._lapses, []
         for at, body in lapses:
             self._witnesses.applied(now, at, body)
         if self._leads_federation != self._coordinates:
             self._coordinates = self._leads_federation
-            self._conductor.lead(now, self._coordinates)
+            self._conductor.set_leading(now, self._coordinates)
         if self._coordinates:
             silent = [name for name in tables["rule_members"] if not self._is_reachable(name)]
-            for body in self._conductor.look(now, tables, silent):
+            for body in self._conductor.step(now, tables, silent):
                 log.event(
                     "federation_command_proposed",
-                    what=type(body).__name__.lower(),
+                    what=records.COMMAND_NAMES[type(body)],
                     number=getattr(body, "number", None),
                 )
                 self.replica.propose_here(c.encode(c.Command("", 0, body)))
@@ -161,7 +165,7 @@
         for body in site_proposals:
             self._site.propose_here(c.encode(c.Command("", 0, body)))
         for body in federation_proposals:
-            log.event("federation_site_command_proposed", site=self.site_name, what=type(body).__name__.lower(),
+            log.event("federation_site_command_proposed", site=self.site_name, what=records.COMMAND_NAMES[type(body)],
                       number=getattr(body, "number", None))  # fmt: skip
             self.replica.pass_on(c.encode(c.Command("", 0, body)))
 
--- a/tealwing/lab/rollout/part.py
+++ b/tealwing/lab/rollout/part.py
@@ -1,4 +1,4 @@
-"""One gateway's part in changes, as rollout/shell.py, talk.py, leading.py and steering.py have it on threads."""
+"""One gateway's part in changes, as rollout/runtime.py, talk.py, leading.py and steering.py have it on threads."""
 
 from __future__ import annotations
 
@@ -10,15 +10,14 @@
 from tealwing.lab.rollout.logs import Log
 from tealwing.lab.rollout.tasks import Signal, Step, Task
 from tealwing.replica import commands as c
-from tealwing.rollout.actions import Action, Check, Read, Say, WriteMark
-from tealwing.rollout.conductor import Conductor
-from tealwing.rollout.errands import MOST
-from tealwing.rollout.leading import HURRY
-from tealwing.rollout.member import Machine
+from tealwing.rollout.agent.actions import Action, CheckBundle, PersistMarker, ReadIndex, SubmitCommand
+from tealwing.rollout.agent.machine import Machine
+from tealwing.rollout.effects.log_client import FORWARDED, MAX_QUEUED, READ_TIMEOUT, SUBMIT_TIMEOUT
+from tealwing.rollout.leader.coordinator import RolloutCoordinator
+from tealwing.rollout.leader.duties import EXPEDITED
+from tealwing.rollout.leader.expiry_observer import ExpiryObserver
 from tealwing.rollout.plan import Plan
-from tealwing.rollout.shell import STEPS, TICK
-from tealwing.rollout.talk import PASSED, READ_WAIT, SAY_WAIT
-from tealwing.rollout.witnesses import Witnesses
+from tealwing.rollout.runtime import MAX_STEPS, TICK
 from tealwing.rules.records import Body
 
 START = 1_800_000_000_000
@@ -35,11 +34,11 @@
         self.host, self._clock = log.host, log.host.wires.clock
         number = log.core.start
         self.machine = Machine(
-            log.host.name, plan.lost_touch, START, plan.permit, seed=number, federated=federation is not None,
+            log.host.name, plan.partition_mode, START, plan.permit, seed=number, federated=federation is not None,
             sabotage=frozenset({plan.sabotage} - {""}), peers=len(log.core.members) + len(log.core.learners),
         )  # fmt: skip
-        self._conductor = Conductor(log.host.name, plan.limit, plan.patience, seed=number)
-        self._witnesses = Witnesses(log.host.name, seed=number)
+        self._conductor = RolloutCoordinator(log.host.name, plan.limit, plan.patience, seed=number)
+        self._witnesses = ExpiryObserver(log.host.name, seed=number)
         self.snapshot: StateSnapshot = log.snapshot
         self._due: list[Action] = []
         self._in_force = 0
@@ -65,7 +64,7 @@
             return
         body = snapshot.command.body
         self._look()
-        if self.log.leads and snapshot.result is not None and snapshot.result.ok and isinstance(body, HURRY):
+        if self.log.leads and snapshot.result is not None and snapshot.result.ok and isinstance(body, EXPEDITED):
             self.log.flush_commit()
         if isinstance(body, Body):
             self._witnesses.applied(self._clock.now, snapshot.index, body)
@@ -79,12 +78,12 @@
     def _look(self) -> None:
         now = self._clock.now
         fed = self._federation.snapshot.view(self._site) if self._federation is not None else None
-        found = self.machine.look(now, self.snapshot.view(self.host.name), fed)
+        found = self.machine.step(now, self.snapshot.view(self.host.name), fed)
         self._due += [action for action in found if action not in self._due]
         self._follow()
 
     def _follow(self) -> None:
-        target = self.machine.gate(self._clock.now)
+        target = self.machine.gate_state(self._clock.now)
         if target.mode == "shut":
             self.gate.close(by_change=False)
         elif target.number != self._in_force or target.mode == "closed":
@@ -103,8 +102,8 @@
             yield from self._turn()
 
     def _turn(self) -> Step:
-        for _ in range(STEPS):
-            target = self.machine.gate(self._clock.now).number
+        for _ in range(MAX_STEPS):
+            target = self.machine.gate_state(self._clock.now).number
             if target != self._in_force:
                 yield from self.host.use(self.host.wires.costs.enforce)
                 self._in_force = target
@@ -117,11 +116,11 @@
                 yield from self._do(action)
         for witness in self._witnesses.due(self._clock.now, self.snapshot.tables):
             self._publish(witness)
-        self._conductor.lead(self._clock.now, self.log.leads)
+        self._conductor.set_leading(self._clock.now, self.log.leads)
         if self.log.leads:
-            silent = self.host.wires.silent(self.host.name) if self.snapshot.plain.flight is not None else ()
+            silent = self.host.wires.silent(self.host.name) if self.snapshot.plain.in_flight is not None else ()
             members = self.snapshot.tables["rule_members"]
-            for body in self._conductor.look(
+            for body in self._conductor.step(
                 self._clock.now, self.snapshot.tables, [n for n in silent if n in members]
             ):
                 self.log.propose_if_leader(body)
@@ -129,23 +128,23 @@
     def _do(self, action: Action) -> Step:
         wires = self.host.wires
         match action:
-            case WriteMark(number):
+            case PersistMarker(number):
                 yield wires.costs.disk(wires.random) + wires.costs.disk(wires.random)  # the file, and its folder
-                self.machine.marked(number)
-            case Check(number):
+                self.machine.marker_written(number)
+            case CheckBundle(number):
                 yield from self.host.use(wires.costs.check)
                 self.machine.checked(number, True)
-            case Say(body):
+            case SubmitCommand(body):
                 self._publish(body)
-            case Read(federation):
+            case ReadIndex(federation):
                 self._wants[federation].set()
 
     # The threads that talk
 
     def _publish(self, body: Body) -> None:
-        if isinstance(body, PASSED):
+        if isinstance(body, FORWARDED):
             self.log.pass_on(body)
-        elif body not in self._messages and len(self._messages) < MOST:
+        elif body not in self._messages and len(self._messages) < MAX_QUEUED:
             self._messages.append(body)
             self._published.set()
 
@@ -155,7 +154,7 @@
                 self._published.clear()
                 yield self._published, None
             body: Any = self._messages.popleft()
-            yield from self.log.write(c.Command("", 0, body), SAY_WAIT)
+            yield from self.log.write(c.Command("", 0, body), SUBMIT_TIMEOUT)
             self.wake.set()
 
     def _read(self, federation: bool) -> Step:
@@ -164,9 +163,9 @@
             yield self._wants[federation], None
             self._wants[federation].clear()
             token = self.machine.read_sent(self._clock.now, federation)
-            index = yield from log.read_index(READ_WAIT)
+            index = yield from log.read_index(READ_TIMEOUT)
             if index is None:
                 self.machine.read_failed(self._clock.now, token)
             else:
-                self.machine.read_done(self._clock.now, token, index)
+                self.machine.read_completed(self._clock.now, token, index)
                 self.wake.set()
--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -1,4 +1,4 @@
-"""The section `rules` of the operators' file."""
+"""Schema of the section `rules` of the operators' file."""
 
 from __future__ import annotations
 
@@ -29,24 +29,24 @@
 
 
 def build(block: Block, report: Report) -> Plan:
-    """The plan that a checked section makes."""
+    """Build the plan of a checked section."""
     plan = Plan(
         block.one("lost-touch"), block.one("permit"), block.one("limit"), block.one("patience"), block.one("queue"),
         block.one("sabotage") or "",
     )  # fmt: skip
     place = block.entries["lost-touch"][0].place
     if plan.limit <= plan.patience:
-        least = f"more than patience, {values.written_duration(plan.patience)}"
-        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), least)
+        allowed = f"more than patience, {values.written_duration(plan.patience)}"
+        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), allowed)
     over = DEFAULT_BOUNDS.expiry_delay(plan.permit) + plan.patience
-    if plan.lost_touch == "hold" and plan.limit <= over:
-        least = f"more than patience and a permit's end, {values.written_duration(round(over, 3))}"
-        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), least)
+    if plan.partition_mode == "hold" and plan.limit <= over:
+        allowed = f"more than patience and a permit's end, {values.written_duration(round(over, 3))}"
+        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), allowed)
     return plan
 
 
 def across(records: Mapping[str, Any], blocks: Mapping[str, Block], report: Report) -> None:
-    """What the section contradicts in others; the others stand by themselves already."""
+    """Report contradictions with other sections, which are valid by themselves."""
     block, plan = blocks["rules"], records.get("rules")
     place = next((entries[0].place for entries in block.entries.values()), Place("", 0))
     for other in ("peers", "replica"):
@@ -55,7 +55,7 @@
     peers, replica = records.get("peers"), records.get("replica")
     if plan is None or peers is None or replica is None:
         return
-    if plan.lost_touch == "serve" and replica.stale > 0:
+    if plan.partition_mode == "serve" and replica.stale > 0:
         report.add(
             block.place("lost-touch", place), "lost-touch", f"serve, with stale {replica.stale} in the section replica",
             "hold; or stale 0: a gateway that serves on what its disk says can't come back with an older disk",
--- a/tealwing/rules/typed.py
+++ b/tealwing/rules/typed.py
@@ -1,6 +1,6 @@
-"""Typed records from plain data, with faults that name the key, what was found, and what is allowed; pure.
+"""Convert plain data to typed records; errors name the key, what was found, and what is allowed; pure.
 
-msgspec checks each value; the walk is ours, as its own messages leave out the keys of tables.
+msgspec checks each value; its own messages omit the keys of tables, so the traversal is done here.
 """
 
 from __future__ import annotations
@@ -12,74 +12,77 @@
 import msgspec
 from msgspec import inspect
 
-from tealwing.rules.errors import BadValue, TooLarge, UnknownKey
+from tealwing.rules.errors import InvalidValueError, TooLargeError, UnknownKeyError
 
 Record = TypeVar("Record", bound=msgspec.Struct)
-SHOWN = 60  # characters of what was found
+MAX_SHOWN_CHARACTERS = 60
 
 
 def read(kind: type[Record], data: Any, where: str = "") -> Record:
-    """The record that a table makes. UnknownKey, BadValue or TooLarge for the first thing that is wrong."""
+    """Convert a table to a record. Raises UnknownKeyError, InvalidValueError or TooLargeError for the first fault."""
     known = {field.encode_name: field for field in msgspec.structs.fields(kind)}
     found = {}
-    for key, value in _table(data, where).items():
+    for key, value in _require_table(data, where).items():
         if key not in known:
-            raise UnknownKey(_under(where, key), f"no such key; allowed: {', '.join(known)}")
-        found[known[key].name] = _value(known[key].type, value, _under(where, key))
+            raise UnknownKeyError(_child_path(where, key), f"no such key; allowed: {', '.join(known)}")
+        found[known[key].name] = _convert(known[key].type, value, _child_path(where, key))
     for key, field in known.items():
         if field.required and field.name not in found:
-            raise UnknownKey(_under(where, key), "missing")
+            raise UnknownKeyError(_child_path(where, key), "missing")
     return kind(**found)
 
 
-def _value(kind: Any, data: Any, where: str) -> Any:
-    if get_origin(kind) in (Union, UnionType):  # with None, for a key that may be absent
+def _convert(kind: Any, data: Any, where: str) -> Any:
+    if get_origin(kind) in (Union, UnionType):  # an optional key
         kind = get_args(kind)[0]
-    bare, most = kind, None
+    bare, max_length = kind, None
     if get_origin(kind) is Annotated:
         bare, meta = get_args(kind)
-        most = meta.max_length
+        max_length = meta.max_length
     if isinstance(bare, type) and issubclass(bare, msgspec.Struct):
         return read(bare, data, where)
     if get_origin(bare) is dict:
         names, values = get_args(bare)
-        _few(_table(data, where), most, where)
-        return {_leaf(names, key, where): _value(values, value, _under(where, key)) for key, value in data.items()}
+        _check_length(_require_table(data, where), max_length, where)
+        return {
+            _convert_scalar(names, key, where): _convert(values, value, _child_path(where, key))
+            for key, value in data.items()
+        }
     if get_origin(bare) is tuple:
         if not isinstance(data, list):
-            raise BadValue(where, f"{_shown(data)}; allowed: a list")
-        _few(data, most, where)
+            raise InvalidValueError(where, f"{_format_value(data)}; allowed: a list")
+        _check_length(data, max_length, where)
         try:
-            return msgspec.convert(data, kind)  # lists are long, and are walked only to tell what is wrong
+            return msgspec.convert(data, kind)  # lists can be long and are traversed only to locate a fault
         except msgspec.ValidationError:
             pass
-        return tuple(_value(get_args(bare)[0], value, f"{where}[{place}]") for place, value in enumerate(data))
-    return _leaf(kind, data, where)
+        return tuple(_convert(get_args(bare)[0], value, f"{where}[{place}]") for place, value in enumerate(data))
+    return _convert_scalar(kind, data, where)
 
 
-def _leaf(kind: Any, data: Any, where: str) -> Any:
+def _convert_scalar(kind: Any, data: Any, where: str) -> Any:
     try:
         found = msgspec.convert(data, kind)
         if not isinstance(found, float) or isfinite(found):
             return found
     except msgspec.ValidationError:
         pass
-    raise BadValue(where, f"{_shown(data)}; allowed: {_allowed(inspect.type_info(kind))}")
+    raise InvalidValueError(where, f"{_format_value(data)}; allowed: {_describe_allowed(inspect.type_info(kind))}")
 
 
-def _table(data: Any, where: str) -> dict[str, Any]:
+def _require_table(data: Any, where: str) -> dict[str, Any]:
     if not isinstance(data, dict):
-        raise BadValue(where, f"{_shown(data)}; allowed: a table")
+        raise InvalidValueError(where, f"{_format_value(data)}; allowed: a table")
     return data
 
 
-def _few(found: Any, most: int | None, where: str) -> None:
-    if most is not None and len(found) > most:
-        raise TooLarge(where, f"{len(found)} of them; allowed: {most}")
+def _check_length(found: Any, max_length: int | None, where: str) -> None:
+    if max_length is not None and len(found) > max_length:
+        raise TooLargeError(where, f"{len(found)} of them; allowed: {max_length}")
 
 
-def _allowed(kind: inspect.Type) -> str:
-    """What values are allowed, as a fault says it."""
+def _describe_allowed(kind: inspect.Type) -> str:
+    """Describe the allowed values for an error message."""
     match kind:
         case inspect.IntType():
             return f"{kind.ge} to {kind.le}"
@@ -92,13 +95,13 @@
     return "another kind of value"
 
 
-def _under(where: str, key: str) -> str:
-    return f"{where}.{_shown(key)}" if where else _shown(key)
+def _child_path(where: str, key: str) -> str:
+    return f"{where}.{_format_value(key)}" if where else _format_value(key)
 
 
-def _shown(data: Any) -> str:
+def _format_value(data: Any) -> str:
     if isinstance(data, (dict, list)):
         return "a table" if isinstance(data, dict) else "a list"
     text = data if isinstance(data, str) else repr(data)
-    text = "".join(sign if sign.isprintable() else "?" for sign in text[: SHOWN + 1])
-    return text if len(text) <= SHOWN else text[:SHOWN] + "..."
+    text = "".join(sign if sign.isprintable() else "?" for sign in text[: MAX_SHOWN_CHARACTERS + 1])
+    return text if len(text) <= MAX_SHOWN_CHARACTERS else text[:MAX_SHOWN_CHARACTERS] + "..."
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -20,8 +20,8 @@
 from tealwing.replica.disk import Disk
 from tealwing.replica.state import State
 from tealwing.replica.storage import Storage, verify
-from tealwing.rollout.mark import Mark
-from tealwing.rules import bundle
+from tealwing.rollout.effects.persisted_marker import PersistedMarker
+from tealwing.rules import bundle, records
 from tests.golden import samples
 
 GOLDEN: dict[str, str] = msgspec.json.decode((samples.HERE / "messages.json").read_bytes())
@@ -100,7 +100,7 @@
 
 
 def test_a_stored_marker_is_read() -> None:
-    assert Mark(samples.HERE / "marker", Disk()).read() == samples.MARKED_VERSION
+    assert PersistedMarker(samples.HERE / "marker", Disk()).read() == samples.MARKED_VERSION
 
 
 def test_a_stored_gossip_file_is_read() -> None:
@@ -110,7 +110,7 @@
 
 
 def test_a_bundle_is_read_and_has_its_digest() -> None:
-    assert bundle.digest(samples.BUNDLE) == BUNDLE_DIGEST
+    assert records.digest(samples.BUNDLE) == BUNDLE_DIGEST
     assert msgspec.to_builtins(bundle.parse(samples.BUNDLE)) == {
         "levels": "",
         "attempts": {"most": 2},
