--- a/tealwing/federation/joining.py
+++ b/tealwing/federation/joining.py
@@ -1,4 +1,4 @@
-"""Puts a gateway's part in the federation's log together."""
+"""Assembles a gateway's part in the federation's log."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 def join(
     plan: Plan, site: Replica, site_plan: ReplicaPlan, link: Link, control: ControlServer | None, silence_timeout: float
 ) -> Federation:
-    """Before either log's member starts; what its disk says is known when this returns. patience is s.
+    """Assemble the federation's replica, loaded from its disk, and the service; before either log's member starts.
 
-    storage.StorageError or OSError where its disk can't be trusted or read, ValueError where the plan does not fit.
+    silence_timeout is s of a site's silence. StorageError or OSError where the disk can't be trusted or read,
+    ValueError where the plan does not match the section `peers`.
     """
     check_members(plan, link)
     group = dataclasses.replace(
@@ -35,7 +36,7 @@
 
 
 def check_members(plan: Plan, link: Link) -> None:
-    """ValueError where the sites' gateways are not those of the section `peers`."""
+    """Raise ValueError where the sites' gateways are not those of the section `peers`."""
     peers = {name for name, _ in link.plan.members}
     assigned = {name for _, members in plan.sites for name in members}
     if unassigned := sorted(peers - assigned):
--- a/tealwing/federation/plan.py
+++ b/tealwing/federation/plan.py
@@ -1,4 +1,4 @@
-"""What the operators' section `federation` says, as one record; pure."""
+"""The settings of the section `federation`, as one record; pure."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
     directory: str  # of the federation's log and snapshots
     sites: tuple[tuple[str, tuple[str, ...]], ...]  # name, and its gateways' names in the section `peers`
-    agreement_timeout: float = 8.0  # s in which all sites must have agreed, or the change is aborted
+    agreement_timeout: float = 8.0  # s within which all sites must agree; otherwise the change is aborted
     voters_per_site: int = 3  # gateways of one site that vote in the federation's log, at most; its others learn
     heartbeat: float = 0.1
     election_timeout: float = 1.0
 
     def site_of(self, gateway: str) -> str:
-        """The site of a gateway; empty where it has none."""
+        """Return the site of a gateway; empty where it has none."""
         return next((site for site, members in self.sites if gateway in members), "")
 
     def gateways(self, site: str) -> tuple[str, ...]:
-        """The gateways of a site."""
+        """Return the gateways of a site."""
         return next((members for name, members in self.sites if name == site), ())
 
     def initial_voters(self) -> tuple[str, ...]:
-        """Who votes in the federation's log at first: so many of each site, so that no site has a majority."""
+        """Return the initial voters of the federation's log: so many of each site that none has a majority."""
         return tuple(sorted(name for _, members in self.sites for name in members[: self.voters_per_site]))
 
     def initial_learners(self) -> tuple[str, ...]:
-        """Who follows it without a vote."""
+        """Return the initial learners of the federation's log."""
         return tuple(sorted(name for _, members in self.sites for name in members[self.voters_per_site :]))
--- a/tealwing/federation/section.py
+++ b/tealwing/federation/section.py
@@ -34,7 +34,7 @@
 
 
 def build(block: Block, report: Report) -> Plan:
-    """The plan that a checked section makes."""
+    """Return the plan of a checked section; problems go to the report."""
     sites: list[Entry] = [entry for entry in block.all("site") if entry.value is not None]
     seen: dict[str, Entry] = {}
     home: dict[str, str] = {}
--- a/tealwing/federation/service.py
+++ b/tealwing/federation/service.py
@@ -1,7 +1,8 @@
-"""One gateway's part in the federation's log: it speaks for its site where it leads that, decides where it leads all.
+"""One gateway's part in the federation's log.
 
-One thread, woken by entries of either log and by time. Nothing here waits: what is said goes to whoever leads, and is
-said again, in its time, until the states show it.
+It is the site delegate while it leads the site's log, and the coordinator while it leads the federation's.
+One thread, woken by entries of either log and by time. It never blocks: proposals are forwarded to the leader, and
+repeated with backoff until the states show them.
 """
 
 from __future__ import annotations
@@ -26,8 +27,8 @@
 from tealwing.rollout.witnesses import Witnesses
 from tealwing.rules import records
 
-TICK = 0.05  # s between two looks where no entry comes
-SILENT_HEARTBEATS = 2.0  # beats of the link without a sign of life after which a gateway counts as silent
+TICK = 0.05  # s between two steps where no entry comes
+SILENT_HEARTBEATS = 2.0  # link heartbeats without a message after which a gateway is unreachable
 Tables = Mapping[str, Mapping[str, Any]]
 
 
@@ -38,7 +39,7 @@
         self, plan: Plan, site: Replica, federation: Replica, link: Link, clock: Clock, silence_timeout: float,
         bounds: LeaseBounds = DEFAULT_BOUNDS,
     ) -> None:  # fmt: skip
-        """site and all_ are this process's members of the two logs; patience is s of a site's silence."""
+        """Site and all_ are this process's members of the two logs; patience is s of a site's silence."""
         name = link.plan.name
         self.plan, self.site_name, self.replica = plan, plan.site_of(name), federation
         self._site, self._link, self._clock = site, link, clock
@@ -49,7 +50,7 @@
         self._witnesses = Witnesses(self.site_name, bounds, federation.start_number)
         self._wake, self._stopped = threading.Event(), threading.Event()
         self._leads_site = self._leads_federation = self._coordinates = False
-        self._lapses: list[tuple[int, records.Body]] = []  # applied and not yet told to the witnesses
+        self._lapses: list[tuple[int, records.Body]] = []  # applied and not yet passed to the witnesses
         self._lock = threading.Lock()  # round the lapses
         self.seen: Seen = seen(federation.state, self.site_name)  # set on the replica's thread alone
         self._changed: Callable[[], None] = lambda: None
@@ -61,15 +62,15 @@
         federation.on_installed(self._installed)
 
     def on_change(self, changed: Callable[[], None]) -> None:
-        """Be told, on the replica's thread, when versions or sites have changed; before the start."""
+        """Register a callback for changed versions or sites, called on the replica's thread; before the start."""
         self._changed = changed
 
     def start(self) -> None:
-        """Take part from now on."""
+        """Start the thread."""
         threads.start(self._run, "federation")
 
     def stop(self) -> None:
-        """Take part no more."""
+        """Stop the thread."""
         self._stopped.set()
         self._wake.set()
 
@@ -110,7 +111,7 @@
             with self._lock:
                 self._lapses.append((index, body))
         if self._leads_federation and result is not None and result.ok and isinstance(body, HURRY):
-            self.replica.hurry()  # each step waits for the one before: sites must not learn of it with the next beat
+            self.replica.hurry()  # each step waits for the one before: do not wait for the next heartbeat to send it
         self._changed()
         self._wake.set()
 
@@ -129,7 +130,7 @@
                 return
             try:
                 self._step()
-            except Exception:  # one fault must not leave the site without a voice: the next look begins anew
+            except Exception:  # a defect must not stop the delegate: the next step starts afresh
                 log.event("federation_failed", trace=traceback.format_exc(limit=-3))
                 log.check_invariant(False, "a look at the federation's log goes through")
 
@@ -166,7 +167,7 @@
             self.replica.pass_on(c.encode(c.Command("", 0, body)))
 
     def _is_reachable(self, site: str) -> bool:
-        """Whether a gateway of the site is heard, or it is ours."""
+        """Return whether the site is ours, or one of its gateways has been heard of lately."""
         if site == self.site_name:
             return True
         limit = SILENT_HEARTBEATS * self._link.plan.times.heartbeat
@@ -176,6 +177,6 @@
 
 
 def _tables(replica: Replica) -> Tables:
-    """The tables of the rules as they are applied here, for another thread."""
+    """Return a copy of the tables of the rules as applied here, for another thread."""
     with replica.lock:
         return {name: dict(replica.state.tables[name]) for name in TABLES}
--- a/tealwing/federation/site_delegate.py
+++ b/tealwing/federation/site_delegate.py
@@ -1,7 +1,7 @@
-"""What whoever leads a site's log says for the site in the federation's log, and does in its own; pure.
+"""The site delegate: what the leader of a site's log proposes for it in the federation's log and in its own; pure.
 
-In the federation's registry the members are sites. All here follows from entries that are committed in either log and
-from nothing else: two delegates of one site, or an old one, say nothing that is not so.
+In the federation's registry the members are sites. All proposals follow from committed entries of either log and from
+nothing else: so those of two delegates of one site, or of a former one, are correct too.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 Tables = Mapping[str, Mapping[str, Any]]
 Proposals = tuple[list[Body], list[Body]]  # for the site's log, and for the federation's
-REJECTED_RETRY_INTERVAL = 30.0  # s at most between tries of a version that this site turns down
+REJECTED_RETRY_INTERVAL = 30.0  # s; max between proposals of a version that this site rejects
 
 
 def required_proposals(site: str, site_tables: Tables, fed_tables: Tables, fed_index: int) -> Proposals:
-    """What to propose in the site's log, and what in the federation's, by both states as they are applied here.
+    """Return what to propose in the site's log, and what in the federation's, by both states as applied here.
 
-    The federation's state is that at fed_index. Said again, each of these changes nothing more.
+    The federation's state is that at fed_index. Each proposal is idempotent.
     """
     site_view, federation_view = view(site_tables, 0, site), view(fed_tables, fed_index, site)
     gateways: Mapping[str, Member] = site_tables["rule_members"]
@@ -62,9 +62,9 @@
     flight = site_view.flight
     if flight is not None:
         if not flight.federated:
-            return []  # of before the site took part: its own log ends it
+            return []  # from before the site joined: its own log ends it
         number, federation_version = flight.number, versions.get(str(flight.number))
-        if federation_version is None:  # not heard of yet, or over so long ago that nothing needs it here
+        if federation_version is None:  # not applied here yet, or over so long ago that its record is gone
             expired = federation_view.known(number) is not None
             return [Abort(number, "it is long over in the federation", fed_index)] if expired else []
         if federation_version.phase in ("rejected", "aborted", "withdrawn"):
@@ -81,7 +81,7 @@
     if target is None:
         return []
     phase = site_view.known(target.number)
-    if phase is None or phase == "rejected" and target.phase == "active":
+    if phase is None or (phase == "rejected" and target.phase == "active"):
         return [Propose(
             site_view.active, target.digest, target.text, target.who, target.when, target.why, target.number, True,
             target.needs,
@@ -92,13 +92,14 @@
 def _membership_proposals(
     site: str, site_view: View, federation_view: View, gateways: Mapping[str, Member]
 ) -> list[Body]:
-    """A site begins when it has what is in force, and its earlier permits are over.
+    """Return the site's `Begin`, due when it has the version in force and its earlier permits have expired.
 
-    A lapsed gateway's new start is its own; a site's is nobody's: its gateways may still have permits of the old one.
+    The start number of a site, unlike that of a gateway, is of no process: its gateways may still hold permits of an
+    earlier one.
     """
     me = federation_view.me
     serves = any(member.lost_touch == "serve" for member in gateways.values())
-    mode: LostTouch = "serve" if serves or me is not None and me.lost_touch == "serve" else "hold"
+    mode: LostTouch = "serve" if serves or (me is not None and me.lost_touch == "serve") else "hold"
     build = min(member.build for member in gateways.values())
     permit = max(member.permit for member in gateways.values())
     if me is None:
@@ -111,26 +112,26 @@
 
 
 def _site_verdict(site_view: View, site_tables: Tables, number: int) -> tuple[bool, str] | None:
-    """The site's word on a version that is proposed; None as long as it has none."""
+    """Return whether the site accepts a proposed version, and the reason if not; None while undecided."""
     phase = site_view.known(number)
     if phase in ("checked", "preparing", "agreed", "active"):
         return True, ""
     if phase in ("rejected", "aborted", "withdrawn"):
         recorded: Version | None = site_tables["rules"].get(str(number))
         return False, recorded.outcome if recorded is not None else f"number {number} was given at this site already"
-    if phase is None and 0 < number <= site_view.last or phase == "superseded":
+    if (phase is None and 0 < number <= site_view.last) or phase == "superseded":
         return False, f"number {number} was given at this site already"
     return None
 
 
 class SiteDelegate:
-    """The duties, each no more often than its wait allows."""
+    """The required proposals, each repeated no sooner than its backoff allows."""
 
     def __init__(self, site: str, seed: int = 0) -> None:
         self.site, self._retry, self._proposals = site, Retry(seed), Retry(seed + 1, REJECTED_RETRY_INTERVAL)
 
     def due_proposals(self, now: float, site_tables: Tables, fed_tables: Tables, fed_index: int) -> Proposals:
-        """What to propose now in the site's log, and in the federation's; for whoever leads the site's log."""
+        """Return what to propose now in the site's log and in the federation's, as the leader of the site's."""
         site_proposals, federation_proposals = required_proposals(self.site, site_tables, fed_tables, fed_index)
         keyed: list[tuple[Hashable, Body]] = [(_key(body), body) for body in (*site_proposals, *federation_proposals)]
         self._retry.keep([key for key, body in keyed if not isinstance(body, Propose)])
@@ -142,7 +143,7 @@
     def _is_due(self, now: float, key: Hashable, body: Body) -> bool:
         if not isinstance(body, Propose):
             return self._retry.ready(now, key)
-        self._proposals.keep([key])  # not forgotten while it is in flight: one that is turned down comes again seldom
+        self._proposals.keep([key])  # kept while it is in flight: a rejected one is repeated seldom
         return self._proposals.ready(now, key)
 
 
--- a/tealwing/fleet/__init__.py
+++ b/tealwing/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway runs among its peers, put together: peering.py."""
+"""Assembles what a gateway runs among its peers: link, control address, replica, leases, rules (peering.py)."""
--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -1,4 +1,4 @@
-"""What a gateway runs among its peers, put together: the link, the control address, the replicated state."""
+"""Assembles what a gateway runs among its peers: the link, the control address, the replicated state."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tealwing.peers.errors import LinkError
 from tealwing.peers.link import Link
 from tealwing.peers.ping import PingService
-from tealwing.peers.plan import Plan
+from tealwing.peers.plan import Address, Plan
 from tealwing.replica.commands import Command, CommandResult, Settings
 from tealwing.replica.feed import Feed
 from tealwing.replica.group import SITE, Group
@@ -35,7 +35,7 @@
     from tealwing.rollout.plan import Plan as RulesPlan
     from tealwing.rollout.shell import Shell
 
-MAX_CLOCK_RATE, MIN_CLOCK_RATE = 2.0, 0.5  # of a clock that the laboratory skews
+MAX_CLOCK_RATE, MIN_CLOCK_RATE = 2.0, 0.5  # multiples of the real rate, of an injected clock fault
 
 
 class Peering:
@@ -48,9 +48,10 @@
         on_settings: Callable[[int, bytes], None] = lambda version, text: None,
         federation: FederationPlan | None = None,
     ) -> None:
-        """take hears good versions of the settings: the last one on the disk, and those that the fleet agrees on.
+        """Assemble the parts that the plans enable, and load the replicated state from its disk.
 
-        LinkFault where an address can't be had, or a disk can't be trusted.
+        on_settings is called with the last good version of the settings on the disk, and with each that the fleet
+        agrees on later. LinkError where an address is not available, or a disk can't be trusted.
         """
         self.plan, self.replica_plan = plan, replica
         self.rules_plan: RulesPlan | None = None
@@ -72,35 +73,38 @@
         if self.replica is not None:
             self.replica.watch(self._applied)
             self.replica.on_installed(self._apply_last_good)
-            self._apply_last_good()  # it serves at once, before anybody is asked
+            self._apply_last_good()  # it serves at once, before the fleet answers
         if self.replica is not None and replica is not None and replica.replace_after:
             Promotion(self.replica, next_change, replica.replace_after, len(SITE.first(plan)[0]))
         self.lease_manager: LeaseManager | None = None
         if self.replica is not None and replica is not None and replica.leases:
             self.lease_manager = LeaseManager(self.replica, self.clock)
-        self.control: ControlServer | None = None
-        if plan.control is not None:
-            try:
-                self.control = ControlServer(plan.control)
-            except OSError as error:
-                self.link.stop()
-                host, port = plan.control
-                raise LinkError(f"peers: control {host}:{port}: {error.strerror}") from None
-            self.control.serve("status", lambda _: self.status())
-            self.ping.serve(self.control)
-            if plan.faults:
-                self.control.serve("fault.clock", self._skew_clock)
-                self.control.serve("fault.echo", self._corrupt_replies)
-                self.control.serve("fault.disk", self._fail_disk)
-            if self.replica is not None:
-                Service(self.replica, self.control)
-            if self.lease_manager is not None:
-                LeaseService(self.lease_manager, self.control, plan.faults)
+        self.control = self._control_server(plan.control) if plan.control is not None else None
+
+    def _control_server(self, address: Address) -> ControlServer:
+        """Return the control server with the calls of all parts, not yet started."""
+        try:
+            control = ControlServer(address)
+        except OSError as error:
+            self.link.stop()
+            host, port = address
+            raise LinkError(f"peers: control {host}:{port}: {error.strerror}") from None
+        control.serve("status", lambda _: self.status())
+        self.ping.serve(control)
+        if self.plan.faults:
+            control.serve("fault.clock", self._skew_clock)
+            control.serve("fault.echo", self._corrupt_replies)
+            control.serve("fault.disk", self._fail_disk)
+        if self.replica is not None:
+            Service(self.replica, control)
+        if self.lease_manager is not None:
+            LeaseService(self.lease_manager, control, self.plan.faults)
+        return control
 
     def follow_rules(self, plan: RulesPlan, gateway: Gateway) -> Gate:
-        """Take part in changes of the rules; before the start. What requests pass from now on.
+        """Take part in changes of the rules; before the start. Return the gate that requests must pass.
 
-        LinkFault where the mark of changes can't be read.
+        LinkError where the persisted marker of changes can't be read, or the federation can't be joined.
         """
         from tealwing.rollout import joining  # only where it is on
 
@@ -125,18 +129,18 @@
 
     @property
     def plans(self) -> tuple[Plan, ReplicaPlan | None, RulesPlan | None, FederationPlan | None]:
-        """The sections that this was put together by: a change of one needs a restart."""
+        """The plans that this was assembled from: a change of one needs a restart."""
         return self.plan, self.replica_plan, self.rules_plan, self.federation_plan
 
     def _group(self) -> Group:
-        """The site's log: of all gateways of the section `peers`, or of those of this site."""
+        """Return the group of the site's log: all gateways of the section `peers`, or those of this site."""
         if self.federation_plan is None:
             return SITE
         site = self.federation_plan.site_of(self.plan.name)
         return dataclasses.replace(SITE, members=self.federation_plan.gateways(site))
 
     def start(self) -> None:
-        """Speak, listen and answer from now on."""
+        """Start all parts."""
         if self.replica is not None:
             self.replica.start()
         if self.federation is not None:
@@ -160,7 +164,7 @@
             )
 
     def stop(self) -> None:
-        """The gateway ends."""
+        """Stop all parts."""
         if self.control is not None:
             self.control.stop()
         if self.feed is not None:
@@ -177,7 +181,7 @@
         self.link.stop()
 
     def _apply_last_good(self) -> None:
-        """The last good version of the settings that the state has."""
+        """Pass on the last good version of the settings in the replicated state."""
         if self.replica is not None and (best := self.replica.state.last_good()):
             self._on_settings(best, self.replica.state.tables["settings"][str(best)].text)
 
@@ -187,7 +191,7 @@
             self._on_settings(body.version, body.text)
 
     def readiness(self) -> tuple[bool, str, int]:
-        """Whether clients may be sent here, why, and the phase of the return as a number (0 where there is none)."""
+        """Return whether clients may be sent here, why not, and the recovery phase as a number (0: no replica)."""
         if self.replica is None:
             return True, "", 0
         back = self.replica.back
@@ -196,7 +200,7 @@
         return back.ready, back.reason(self.replica.seen()), list(Phase).index(back.phase) + 1
 
     def status(self) -> dict[str, Any]:
-        """What operators ask for: who is heard, and what each further part says of itself."""
+        """Return the answer of the call `status`: the peers, and the replica's own status."""
         status = {
             "name": self.plan.name,
             "fleet": self.plan.fleet,
@@ -207,7 +211,7 @@
         return status | (self.replica.status() if self.replica is not None else {})
 
     def _skew_clock(self, fields: Fields) -> Fields:
-        """The laboratory steps our clock, or changes its rate."""
+        """Inject a clock fault: a step, or another rate."""
         step, rate = float(field(fields, "step_s", float, 0.0)), float(field(fields, "rate", float, 1.0))
         if not MIN_CLOCK_RATE <= rate <= MAX_CLOCK_RATE:
             raise CallRejectedError(f"rate: {rate:g}; allowed: {MIN_CLOCK_RATE:g} to {MAX_CLOCK_RATE:g}")
@@ -216,12 +220,12 @@
         return {"now": self.clock.now()}
 
     def _corrupt_replies(self, fields: Fields) -> Fields:
-        """The laboratory has us answer asks wrongly."""
+        """Inject a fault of ping replies."""
         self.ping.corrupts_replies = bool(field(fields, "lie", bool, False))
         return {}
 
     def _fail_disk(self, fields: Fields) -> Fields:
-        """The laboratory has the next writes of our storage fail."""
+        """Inject faults of the next writes of the storage."""
         if self.replica is None:
             raise CallRejectedError("there is no replicated state here, and no disk")
         fault, count = str(field(fields, "fault", str)), int(field(fields, "count", int, 1))
--- a/tealwing/leases/expiry.py
+++ b/tealwing/leases/expiry.py
@@ -1,7 +1,7 @@
-"""The leader's side: which leases have run out by its clock; pure.
+"""The leader's side: which leases have expired by its clock; pure.
 
-The time of a grant counts from when this leader applied it, or came to lead, whichever is later: so it never ends
-before the holder's own time, which began when the holder sent the request.
+The time of a grant counts from when this leader applied it or was elected, whichever is later: so it never ends before
+the holder's own time, which began when the holder sent the request.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
 
-REPROPOSE_INTERVAL = 1.0  # s after which an expiry that was proposed and not seen is proposed again
+REPROPOSE_INTERVAL = 1.0  # s after which an expiry that was proposed and not applied is proposed again
 
 
 @dataclass(slots=True)
 class WatchedGrant:
-    """One grant: its token, the entry that renewed it last, and when it runs out."""
+    """One grant: its token, the index of the entry that renewed it last, and when it expires."""
 
     token: int
     renewed: int
@@ -23,7 +23,7 @@
 
 
 class LeaseExpiry:
-    """The grants that are held, as the log tells them."""
+    """The current grants, by the entries applied."""
 
     def __init__(self, bounds: LeaseBounds = DEFAULT_BOUNDS) -> None:
         self._bounds = bounds
@@ -32,7 +32,7 @@
         self._watched: dict[str, WatchedGrant] = {}
 
     def set_leading(self, now: float, leads: bool) -> None:
-        """We lead from now on, or no more."""
+        """Record whether this member leads from now on."""
         self._leading = leads
         self._watched = {}
         if leads:
@@ -40,34 +40,34 @@
                 self._watched[name] = WatchedGrant(token, renewed, now + self._bounds.expiry_delay(ttl))
 
     def granted(self, now: float, name: str, token: int, renewed: int, ttl: float) -> None:
-        """A grant or a renewal was applied."""
+        """Record an applied grant or renewal; ttl in s."""
         self._grants[name] = token, renewed, ttl
         if self._leading:
             self._watched[name] = WatchedGrant(token, renewed, now + self._bounds.expiry_delay(ttl))
 
     def replace(self, now: float, grants: dict[str, tuple[int, int, float]]) -> None:
-        """Other grants, from a snapshot: token, renewal and time to live by name."""
+        """Replace all grants by those of a snapshot: token, renewal and TTL by name."""
         self._grants = dict(grants)
         self.set_leading(now, self._leading)
 
     def ended(self, name: str) -> None:
-        """A grant was released or found expired."""
+        """Record an applied release or expiry."""
         self._grants.pop(name, None)
         self._watched.pop(name, None)
 
     def clone(self) -> LeaseExpiry:
-        """One like this that goes its own way: for the model check."""
+        """Return an independent copy, for the model checker."""
         twin = LeaseExpiry(self._bounds)
         twin._leading, twin._grants = self._leading, dict(self._grants)
         twin._watched = {name: replace(watched) for name, watched in self._watched.items()}
         return twin
 
     def deadlines(self) -> tuple[tuple[str, int, int, float], ...]:
-        """What is watched, and until when."""
+        """Return the watched grants: name, token, renewal and deadline."""
         return tuple((name, w.token, w.renewed, w.expires_at) for name, w in sorted(self._watched.items()))
 
     def expired(self, now: float) -> list[tuple[str, int, int]]:
-        """The grants that have run out: name, token, and the entry that renewed them last."""
+        """Return the expired grants: name, token, and the index of the entry that renewed them last."""
         expired = []
         for name, watched in self._watched.items():
             if now >= watched.expires_at:
--- a/tealwing/leases/holder.py
+++ b/tealwing/leases/holder.py
@@ -1,7 +1,7 @@
-"""One gateway's wish to hold a lease, as a machine of states; pure, with its own clock's time passed in.
+"""The state machine of a lease's holder; pure, with its own clock's time passed in.
 
-It acts only while the lease is valid by its own clock, counted from when it sent the request that was granted, and
-stops before the end whether it reaches anyone or not. An answer that does not come leaves all as it was.
+A lease is valid by the holder's clock from when it sent the granted request, and ends there whether the fleet can be
+reached or not. A request without an answer changes nothing.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 
 from tealwing.leases.bounds import DEFAULT_BOUNDS, RENEW_FRACTION, LeaseBounds
 
-ACQUIRE_BACKOFF = (0.1, 1.0)  # s between two tries to acquire, least and most
+ACQUIRE_BACKOFF = (0.1, 1.0)  # s between two attempts to acquire: min and max
 
 
 class Action(Enum):
-    """What the shell is to do."""
+    """What the lease manager is to do."""
 
     ACQUIRE = "acquire"
     RENEW = "renew"
-    GAINED = "gained"  # tell the task
-    LOST = "lost"  # tell the task, before the lease is over
+    GAINED = "gained"  # notify the task
+    LOST = "lost"  # notify the task, before the lease expires
 
 
 @dataclass(slots=True)
 class Holder:
-    """The wish, and what came of it so far."""
+    """A lease that this gateway wants, and its state."""
 
     name: str
     ttl: float  # s
@@ -34,7 +34,7 @@
     renew_at: float = 0.0
     acquire_at: float = 0.0
     backoff: float = ACQUIRE_BACKOFF[0]
-    request_sent_at: float | None = None  # when the request that is out was sent; None: none is
+    request_sent_at: float | None = None  # when the request in flight was sent; None: none is
     bounds: LeaseBounds = DEFAULT_BOUNDS
 
     def valid(self, now: float) -> bool:
@@ -42,7 +42,7 @@
         return self.token != 0 and now < self.expires_at - self.bounds.loss_notice
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed. A request that is to be sent counts as sent now."""
+        """Return the actions that are due. A request among them counts as sent now."""
         actions = []
         if self.token and not self.valid(now):
             self.token = 0
@@ -58,16 +58,16 @@
         return actions
 
     def granted(self, now: float, token: int) -> list[Action]:
-        """The request that was out has been granted, or renewed the grant."""
+        """Handle the grant or renewal of the request in flight."""
         sent, self.request_sent_at = self.request_sent_at, None
         if sent is None:
             return []
         held = self.token
         self.backoff = ACQUIRE_BACKOFF[0]
         until = sent + self.bounds.holder_duration(self.ttl)
-        if held and token != held:  # ours had run out, and another was given: the task begins anew
+        if held and token != held:  # ours had expired, and another was granted: the task starts again
             self.token = 0
-        if until - self.bounds.loss_notice <= now:  # it took so long that nothing is left of it
+        if until - self.bounds.loss_notice <= now:  # it took so long that it is over already
             self.acquire_at = now
             return [Action.LOST] if held and not self.token else []
         self.expires_at = max(self.expires_at, until) if self.token == token else until
@@ -78,7 +78,7 @@
         return [Action.LOST, Action.GAINED] if held else [Action.GAINED]
 
     def rejected(self, now: float) -> list[Action]:
-        """Another holds it, or our grant is over."""
+        """Handle a rejection: another holds the lease, or our grant has expired."""
         self.request_sent_at = None
         actions = [Action.LOST] if self.token else []
         self.token = 0
@@ -86,12 +86,12 @@
         return actions
 
     def released(self, now: float) -> None:
-        """Nobody holds it any more, as the log tells: no need to wait."""
+        """Handle its release by the last holder: acquire at once, without backoff."""
         if not self.token:
             self.acquire_at, self.backoff = now, ACQUIRE_BACKOFF[0]
 
     def timed_out(self, now: float) -> list[Action]:
-        """Nothing is known of the request that was out: what is held stays as long as it did."""
+        """Handle a request without an answer: a lease that is held stays valid for as long as before."""
         self.request_sent_at = None
         if self.token:
             self.renew_at = now + ACQUIRE_BACKOFF[0]
--- a/tealwing/leases/manager.py
+++ b/tealwing/leases/manager.py
@@ -1,11 +1,11 @@
-"""The shell: leases of this gateway's tasks, kept through the replicated state.
+"""The lease manager: acquires and renews the leases of this gateway's tasks in the replicated state.
 
-    with keeper.lease("sweep-drains", ttl=5.0) as held:   # waits until it is granted
+    with manager.lease("sweep-drains", ttl=5.0) as held:   # waits until it is granted
         while held.valid():
             act(held.token)
 
-or `keeper.task(name, ttl, gained, lost)`: `gained(held)` is called on a thread of the task's own and should return when
-`held` is no more valid; `lost` is called before the lease is over, even where the fleet can't be reached.
+or `manager.task(name, ttl, gained, lost)`: `gained(held)` is called on a thread of the task's own and should return
+when `held` is no longer valid; `lost` is called before the lease expires, even where the fleet can't be reached.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from tealwing.replica.node import Replica, Unavailable, Unknown
 
 TICK = 0.02  # s between two looks at the clock
-MAX_LEASES = 16  # leases that one gateway may want: each has a thread that asks for it
-RELEASE_TIMEOUT = 0.5  # s that a release may take at the end; without it the lease runs out by itself
+MAX_LEASES = 16  # per gateway: each has a thread for its requests
+RELEASE_TIMEOUT = 0.5  # s; without a release the lease expires by itself
 
 
 class HeldLease:
@@ -41,7 +41,7 @@
             return self._holder.token == self.token and self._holder.valid(self._manager.clock.now())
 
     def wait(self, seconds: float) -> bool:
-        """Wait, no longer than the lease is valid; whether it still is."""
+        """Wait so many seconds while the lease is valid; return whether it still is."""
         end = time.monotonic() + seconds
         while self.valid():
             left = end - time.monotonic()
@@ -51,7 +51,7 @@
         return False
 
     def fence(self) -> c.Fence:
-        """What a command to the replicated state carries to be done under this grant alone."""
+        """Return the fencing token for commands that must apply under this grant alone."""
         return c.Fence(self._holder.name, self.token)
 
 
@@ -59,18 +59,18 @@
 
 
 class ManagedLease:
-    """One lease that a task here wants."""
+    """One lease that a task of this gateway wants."""
 
     def __init__(self, holder: Holder, gained: GainedCallback, lost: Callable[[], None]) -> None:
         self.holder, self.on_gained, self.on_lost = holder, gained, lost
-        self.request_pending = threading.Event()  # there is something for the asking thread
+        self.request_pending = threading.Event()  # next_request is to be sent
         self.next_request = Action.ACQUIRE
         self.dropped = False
-        self.token = 0  # of the grant that the task was told of
+        self.token = 0  # of the grant that the task was notified of
 
 
 class LeaseManager:
-    """All leases that this gateway wants, and, where it leads, the expiry of everyone's."""
+    """All leases that this gateway wants and, while it leads, the expiry of all members' leases."""
 
     def __init__(self, replica: Replica, clock: Clock) -> None:
         self._replica, self.clock = replica, clock
@@ -86,11 +86,11 @@
         self._reload()
 
     def start(self) -> None:
-        """Keep leases from now on."""
+        """Start to acquire and renew leases."""
         threads.start(self._tick_loop, "lease-watch")
 
     def stop(self) -> None:
-        """Give all back, as far as that can be done in time, and hold none."""
+        """Release all leases, as far as that succeeds in time."""
         self.stopped.set()
         with self.lock:
             leases = list(self._leases.values())
@@ -99,7 +99,10 @@
             self._give_up(lease)
 
     def task(self, name: str, ttl: float, gained: GainedCallback, lost: Callable[[], None] = lambda: None) -> None:
-        """Want a lease for good; the task is told each time that it gains and loses it. ValueError if that can't be."""
+        """Hold a lease whenever possible; call `gained` and `lost` each time. ttl in s.
+
+        ValueError for a TTL that is too short, a name that is in use here, or too many leases.
+        """
         if ttl < MIN_TTL:
             raise ValueError(f"a lease of {ttl:g} s; allowed: {MIN_TTL:g} s or more")
         lease = ManagedLease(Holder(name, ttl, acquire_at=self.clock.now()), gained, lost)
@@ -112,7 +115,7 @@
         threads.start(lambda: self._request_loop(lease), f"lease-{name}")
 
     def drop(self, name: str) -> None:
-        """Want it no more, and give it back."""
+        """Stop to acquire a lease, and release it."""
         with self.lock:
             lease = self._leases.pop(name, None)
         if lease is not None:
@@ -122,7 +125,10 @@
 
     @contextlib.contextmanager
     def lease(self, name: str, ttl: float, wait: float = 60.0) -> Iterator[HeldLease]:
-        """Hold a lease for the block, which should end when it is no more valid. TimeoutError if it is not granted."""
+        """Hold a lease for the block, which should end when it is no longer valid.
+
+        TimeoutError if it is not granted in `wait` seconds; ValueError as of `task`.
+        """
         leases: list[HeldLease] = []
         granted = threading.Event()
 
@@ -139,7 +145,7 @@
             self.drop(name)
 
     def status(self) -> dict[str, Any]:
-        """What is wanted and held here, and what the state says of all leases."""
+        """Return the leases of this gateway, and the replicated state's of all."""
         now = self.clock.now()
         with self.lock:
             local = [
@@ -157,7 +163,7 @@
             applied, refused = state.applied, state.refused_stale
         return {"here": local, "leases": leases, "applied": applied, "refused_stale": refused}
 
-    # The watching thread: it waits for nobody, so a loss is told in time
+    # The tick thread: it never blocks, so that a task is notified of a loss in time
 
     def _tick_loop(self) -> None:
         while not self.stopped.wait(self.clock.real(TICK)):
@@ -181,10 +187,10 @@
                 log.event("lease_acquired", name=lease.holder.name, token=lease.token)
                 try:
                     threads.start(lambda held=held: lease.on_gained(held), f"task-{lease.holder.name}")  # type: ignore[misc]
-                except threads.ThreadUnavailableError:  # nobody acts; it runs out, or is renewed until there is one
+                except threads.ThreadUnavailableError:  # no task acts; the lease is renewed, or expires
                     continue
 
-    # The asking threads: one a lease, as a call may wait
+    # The request threads: one a lease, as a call may block
 
     def _request_loop(self, lease: ManagedLease) -> None:
         holder = lease.holder
@@ -214,11 +220,11 @@
     def _command(self, body: c.Body) -> c.Command:
         with self.lock:
             self._sequence += 1
-            # each request is a session of its own: threads of several leases ask at once
+            # each request has a session of its own: several leases' requests run at the same time
             return c.Command(f"{self._client}/{self._sequence % MAX_LEASES}", self._sequence, body)
 
     def _give_up(self, lease: ManagedLease) -> None:
-        """Hold it no more; release what was held, the task having been told."""
+        """Notify the task of the loss of its lease, and release it."""
         with self.lock:
             token, lease.holder.token = lease.holder.token, 0
         if not token:
@@ -244,7 +250,7 @@
                         self._leases[name].holder.released(now)
 
     def _reload(self) -> None:
-        """The state as a whole is new: from the disk, or another's snapshot."""
+        """Take all grants from the state, which was loaded from the disk or a snapshot."""
         leases = self._replica.state.tables["leases"].items()
         held = {name: (lease.token, lease.renewed, lease.ttl / 1e3) for name, lease in leases if lease.held}
         self._expiry.replace(self.clock.now(), held)
--- a/tealwing/leases/service.py
+++ b/tealwing/leases/service.py
@@ -1,4 +1,4 @@
-"""The calls of the control address about leases, and the task with which the laboratory tries them."""
+"""Control calls about leases, and the task with which the test cluster exercises them."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from tealwing.leases.manager import HeldLease, LeaseManager
 from tealwing.peers.control import CallRejectedError, ControlClient, ControlServer, Fields, RemoteCallError, field
 
-ACTION_INTERVAL = 0.02  # s between two actions of the laboratory's task
-ACTION_TIMEOUT = 1.0  # s that an action waits for the resource
+ACTION_INTERVAL = 0.02  # s between two actions of the test task
+ACTION_TIMEOUT = 1.0  # s for one action on the resource
 
 
 class Service:
-    """Answers for one gateway; where it takes faults, also the calls that a trial needs."""
+    """The control calls of one gateway; with fault injection also those of the test cluster."""
 
     def __init__(self, manager: LeaseManager, control: ControlServer, faults: bool) -> None:
         self._manager = manager
@@ -33,9 +33,9 @@
         return {"name": name, "lease": granted[0] if granted else None, "here": local[0] if local else None}
 
     def _run(self, fields: Fields) -> Fields:
-        """Want a lease, and act on a resource of the laboratory while it is held.
+        """Acquire a lease, and act on a resource of the test cluster while it is held.
 
-        `careless`: go on acting when it is lost, as a program without the check would; the resource must refuse it.
+        `careless`: continue after its loss, as a program without the check would; the resource must reject that.
         """
         name, ttl = field(fields, "name", str), float(field(fields, "ttl_s", float, 2.0))
         careless = bool(field(fields, "careless", bool, False))
@@ -49,18 +49,18 @@
 
 
 class _FencedTask:
-    """Acts on the resource again and again while the lease is valid."""
+    """Acts on the resource repeatedly while the lease is valid."""
 
     def __init__(self, name: str, address: tuple[str, int], careless: bool) -> None:
         self._name, self._address, self._careless = name, address, careless
 
     def act(self, held: HeldLease) -> None:
-        """Until it is lost, or the resource says that another's token is newer."""
+        """Act until the lease is lost, or the resource has seen a newer token."""
         client: ControlClient | None = None
         while held.valid() or self._careless:
             try:
                 client = client or ControlClient(self._address)
-                begun = time.monotonic()  # of the whole machine: the resource compares it with its own
+                begun = time.monotonic()  # the machine's clock, which the resource shares
                 if not held.valid() and not self._careless:  # connecting took time
                     break
                 answer = client.call("act", ACTION_TIMEOUT, name=self._name, token=held.token, begun=begun)
--- a/tealwing/leases/sweep.py
+++ b/tealwing/leases/sweep.py
@@ -1,4 +1,4 @@
-"""The first fleet-wide task: drains whose cut-off is long over are forgotten, by one gateway for all."""
+"""A fleet-wide task: the lease holder removes the records of drains whose cut-off has long passed."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from tealwing.replica.node import Replica, Unavailable, Unknown
 
 LEASE_NAME = "sweep-drains"
-LEASE_TTL = 5.0  # s: a sweep that is late by that much harms nobody
+LEASE_TTL = 5.0  # s: a sweep may be late by that much
 SWEEP_INTERVAL = 1.0  # s between two sweeps
-RETENTION_MS = 60_000  # ms after its cut-off for which a drain is remembered: longer than any news of it is late
+RETENTION_MS = 60_000  # ms after its cut-off: longer than any notification of it is late
 COMMAND_TIMEOUT = 2.0  # s for one command
 
 
 class DrainAges:
-    """How long the sweeper has known each drain: a wall clock that is stepped must not end one early; pure."""
+    """The age of each drain's record by the monotonic clock: a step of the wall clock ends none early; pure."""
 
     def __init__(self) -> None:
-        self._first_seen: dict[str, float] = {}  # by the drain's key: monotonic s of the first look at it
+        self._first_seen: dict[str, float] = {}  # monotonic s, by the drain's key
 
     def expired(self, drains: Mapping[str, c.Drain], now: float) -> list[c.Drain]:
-        """The drains whose grace and KEPT_MS have passed since they were first seen; now in monotonic seconds."""
+        """Return the drains first seen longer than their grace and RETENTION_MS ago; now in monotonic seconds."""
         self._first_seen = {key: self._first_seen.get(key, now) for key in drains}
         return [
             drain
@@ -34,7 +34,7 @@
 
 
 def start_sweep(manager: LeaseManager, replica: Replica) -> None:
-    """Want the task's lease, and sweep while it is held; every command is fenced by its token."""
+    """Acquire the task's lease, and sweep while it is held; every command is fenced by its token."""
 
     def sweep(held: HeldLease) -> None:
         ages = DrainAges()
--- a/tealwing/peers/clock.py
+++ b/tealwing/peers/clock.py
@@ -1,7 +1,6 @@
-"""The clock of one process among its peers: the system's, with the laboratory's faults on top.
+"""The monotonic clock of one process, with injected faults: a step of its offset, a drift of its rate.
 
-Monotonic time alone counts among peers. What the laboratory changes is this process's reading of it, never the
-machine's clock: an offset that steps, and a rate that drifts.
+Faults change this process's reading alone, never the machine's clock.
 """
 
 from __future__ import annotations
@@ -11,19 +10,19 @@
 
 
 class Clock:
-    """Seconds that never go back by themselves; `skew` changes offset and rate from now on."""
+    """A monotonic clock; `skew` changes its offset and rate from now on."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._real, self._shown, self._rate = 0.0, 0.0, 1.0  # from that real moment on, at that rate
 
     def now(self) -> float:
-        """The time here, s."""
+        """Return the time, in seconds."""
         with self._lock:
             return self._shown + (time.monotonic() - self._real) * self._rate
 
     def skew(self, step: float = 0.0, rate: float | None = None) -> None:
-        """Step by so many seconds, and run at that rate of the real clock's, from now on."""
+        """Step by so many seconds, and from now on run at that multiple of the real rate."""
         with self._lock:
             real = time.monotonic()
             self._shown += (real - self._real) * self._rate + step
@@ -32,5 +31,5 @@
                 self._rate = rate
 
     def real(self, seconds: float) -> float:
-        """How long that many seconds here last really: for waits, which the system's clock measures."""
+        """Return the real length of that many seconds of this clock, for waits on the system's clock."""
         return seconds / self._rate
--- a/tealwing/peers/control.py
+++ b/tealwing/peers/control.py
@@ -1,8 +1,8 @@
-"""The control address: operators, tools and the laboratory ask a gateway about its peers and its replicated state.
+"""The control address: a server of calls about a gateway's peers and replicated state, and its client.
 
-It speaks the frames of the peer link; a call is one msgpack map with `call` and the call's own fields, and so is its
-answer, with `error` where it was turned down. TCP on an address that should be loopback or an operators' network: a
-Unix socket is not to be had on every platform. Calls may wait, so each connection has a thread, up to a fixed number.
+It uses the frames of the peer link. A call is one msgpack map with `call` and the call's own fields; so is its answer,
+with `error` where it was rejected. TCP on an address that should be loopback or an operators' network: Unix sockets do
+not exist on every platform. Calls may wait, so each connection has a thread, up to a fixed number.
 """
 
 from __future__ import annotations
@@ -19,13 +19,14 @@
 
 from tealwing import log, threads
 from tealwing.peers import frames
+from tealwing.peers.errors import PeersError
 from tealwing.peers.plan import Address
 from tealwing.sockets import set_limit
 
 MAX_CONNECTIONS = 32  # connections at once: each holds a thread
-IDLE_TIMEOUT = 30.0  # s that a caller may say nothing between two calls
-FRAME_TIMEOUT = 2.0  # s for the rest of a call that has begun
-WRITE_TIMEOUT = 2.0  # s that a caller may take nothing of its answer
+IDLE_TIMEOUT = 30.0  # s of silence between two calls
+FRAME_TIMEOUT = 2.0  # s for the rest of a frame that has begun
+WRITE_TIMEOUT = 2.0  # s in which a client reads nothing of its answer
 MAX_WAIT = 60.0  # s that a call may ask to wait
 BACKLOG = 64
 ACCEPT_PAUSE = 0.05  # s before a failed accept is tried again
@@ -37,12 +38,15 @@
 _decode = msgspec.msgpack.Decoder(dict[str, Any]).decode
 
 
-class CallRejectedError(ValueError):
-    """A call that is turned down; the text says why, for the caller."""
+class CallRejectedError(PeersError, ValueError):
+    """Raised by handlers to reject a call; the message goes to the client."""
 
 
 def field(fields: Fields, name: str, kind: Any, default: Any = None) -> Any:
-    """A field of a call as that kind of value; Denied where it is another, or missing and without a default."""
+    """Return a field of a call as that type.
+
+    CallRejectedError where it has another type, or is missing and has no default.
+    """
     if name not in fields:
         if default is not None:
             return default
@@ -54,7 +58,7 @@
 
 
 def wait_seconds(fields: Fields, default: float) -> float:
-    """The seconds that a call may wait, as its field `wait_s` says."""
+    """Return the seconds that a call may wait, by its field `wait_s`; CallRejectedError if out of range."""
     wait = float(field(fields, "wait_s", float, default))
     if not 0 <= wait <= MAX_WAIT:
         raise CallRejectedError(f"wait_s: {wait:g}; allowed: 0 to {MAX_WAIT:g}")
@@ -62,10 +66,10 @@
 
 
 class ControlServer:
-    """Answers calls by the handlers that are registered."""
+    """Answers calls by registered handlers."""
 
     def __init__(self, address: Address) -> None:
-        """Listen; OSError where the address can't be had."""
+        """Listen; OSError where the address is not available."""
         self._listener = socket.create_server(address, backlog=BACKLOG)
         self._handlers: dict[str, Handler] = {}
         self._lock = threading.Lock()
@@ -74,20 +78,20 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address at which it listens."""
         host, port = self._listener.getsockname()
         return host, port
 
     def serve(self, name: str, handler: Handler) -> None:
-        """Answer calls of that name."""
+        """Register the handler of calls of that name."""
         self._handlers[name] = handler
 
     def start(self) -> None:
-        """Take calls from now on."""
+        """Start to accept connections."""
         threads.start(self._accept, "control-accept")
 
     def stop(self) -> None:
-        """Take no more calls, and end those that wait for theirs."""
+        """Accept no more connections, and end those that are open."""
         self._stopped.set()
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RD)
@@ -98,7 +102,7 @@
                     sock.shutdown(socket.SHUT_RD)
 
     def answer(self, payload: bytes) -> Fields:
-        """The answer to one call."""
+        """Return the answer to one call."""
         try:
             fields = _decode(payload)
         except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
@@ -110,7 +114,7 @@
             return handler(fields)
         except CallRejectedError as error:
             return {"error": str(error)}
-        except Exception:  # a fault of ours ends one call
+        except Exception:  # a defect of a handler ends one call only
             log.event("control_call_failed", call=fields.get("call"), trace=traceback.format_exc(limit=-3))
             return {"error": "the call failed within; the gateway's log says how"}
 
@@ -160,7 +164,7 @@
                     limit = time.monotonic() + IDLE_TIMEOUT
                 elif not begun:
                     limit = time.monotonic() + FRAME_TIMEOUT
-        except (OSError, frames.FrameError):  # the caller went, or said what can't be read
+        except (OSError, frames.FrameError):  # the client has gone, or sent no valid frame
             pass
         finally:
             with self._lock:
@@ -168,12 +172,12 @@
             sock.close()
 
 
-class RemoteCallError(RuntimeError):
-    """The gateway turned the call down; the text is its word."""
+class RemoteCallError(PeersError, RuntimeError):
+    """The gateway rejected the call; the message is the gateway's."""
 
 
 class ControlClient:
-    """One connection to a control address, for one thread."""
+    """One connection to a control address; for use by one thread."""
 
     def __init__(self, address: Address, connect_limit: float = 1.0) -> None:
         self._sock = socket.create_connection(address, connect_limit)
@@ -181,7 +185,10 @@
         self._parser = frames.Parser()
 
     def call(self, call: str, limit: float = 5.0, **fields: Any) -> Fields:
-        """One call, waited for so many seconds. Turned where it was turned down, OSError where no answer came."""
+        """Make one call, and return its answer.
+
+        RemoteCallError where it was rejected, OSError where no answer came in `limit` seconds.
+        """
         self._sock.settimeout(limit)
         self._sock.sendall(frames.encode(_encode({"call": call, **fields})))
         while True:
@@ -199,12 +206,12 @@
                 return answer
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         self._sock.close()
 
 
 def call_control(address: Address, call: str, limit: float = 5.0, **fields: Any) -> Fields:
-    """One call on a connection of its own."""
+    """Make one call on a connection of its own; errors as of `ControlClient.call`."""
     caller = ControlClient(address)
     try:
         return caller.call(call, limit, **fields)
--- a/tealwing/peers/frames.py
+++ b/tealwing/peers/frames.py
@@ -11,35 +11,37 @@
 
 import xxhash
 
+from tealwing.peers.errors import PeersError
+
 MAGIC, VERSION = b"TWP", 1
 HEADER = struct.Struct(">3sBIQ")
 MAX_PAYLOAD = 1 << 20  # bytes of a payload: a snapshot goes in chunks well below
 
 
-class FrameError(ValueError):
-    """Bytes that are no frame; the text says why."""
+class FrameError(PeersError, ValueError):
+    """Bytes that are not a valid frame; the message says why."""
 
 
 def encode(payload: bytes) -> bytes:
-    """A payload as a frame."""
+    """Return a payload as a frame; FrameError if it is too large."""
     if len(payload) > MAX_PAYLOAD:
         raise FrameError(f"a payload of {len(payload)} bytes, and {MAX_PAYLOAD} is the most")
     return HEADER.pack(MAGIC, VERSION, len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
 
 
 class Parser:
-    """Cuts a stream into payloads. What it holds is bounded by one frame and one read."""
+    """Splits a stream into payloads. Its buffer is bounded by one frame and one read."""
 
     def __init__(self) -> None:
         self._data = bytearray()
 
     @property
     def has_partial_frame(self) -> bool:
-        """Whether a part of a frame has come."""
+        """Whether a part of a frame is buffered."""
         return bool(self._data)
 
     def feed(self, data: bytes | memoryview) -> list[bytes]:
-        """Take in what has come; the payloads of the frames that are whole now."""
+        """Buffer received bytes; return the payloads of the frames that are complete now. FrameError for others."""
         self._data += data
         payloads, at = [], 0
         while len(self._data) - at >= HEADER.size:
@@ -48,7 +50,7 @@
                 raise FrameError(f"{bytes(magic)!r} where a frame was due")
             if version != VERSION:
                 raise FrameError(f"version {version}, and this is version {VERSION}")
-            if length > MAX_PAYLOAD:  # known before its bytes are kept
+            if length > MAX_PAYLOAD:  # known before its bytes are buffered
                 raise FrameError(f"a frame of {length} bytes, and {MAX_PAYLOAD} is the most")
             end = at + HEADER.size + length
             if len(self._data) < end:
--- a/tealwing/peers/peer_table.py
+++ b/tealwing/peers/peer_table.py
@@ -1,7 +1,7 @@
-"""Who of the peers is heard; pure, with the time passed in.
+"""Failure detection of the peers; pure, with the time passed in.
 
-The states are gossip's (alive, suspect, dead), so that whoever looks at members sees one kind of word. A peer is
-known from the start, as the operators' file names it, and is dead until it has been heard.
+The states are those of gossip (alive, suspect, dead). A peer that the operators' file names is dead until its first
+message.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 
 @dataclass(slots=True)
 class Peer:
-    """One other gateway, as it is heard here."""
+    """One other gateway, as it is seen here."""
 
     name: str
     state: State = State.DEAD
     since: float = 0.0  # of the state
     last_heard: float | None = None
-    incarnation: int = 0  # of the start that was heard last
-    sequence: int = -1  # highest of the data taken from it in this start
-    received: int = 0  # messages taken
-    duplicates: int = 0  # second copies and those that came after a later one
+    incarnation: int = 0  # of the connection accepted last
+    sequence: int = -1  # highest accepted of this incarnation
+    received: int = 0  # messages accepted
+    duplicates: int = 0  # copies, and messages that came after a later one
 
     def silence(self, now: float) -> float | None:
-        """Seconds since it was heard; None if it never was."""
+        """Return the seconds since its last message; None if there was none."""
         return None if self.last_heard is None else now - self.last_heard
 
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A peer is in another state."""
+    """A peer has changed its state."""
 
     name: str
     state: State
     previous: State
-    previous_duration: float  # s that the state before had lasted
+    previous_duration: float  # s
 
 
 class PeerTable:
@@ -52,15 +52,15 @@
         return name in self._peers
 
     def names(self) -> list[str]:
-        """All of them."""
+        """Return all names, sorted."""
         return sorted(self._peers)
 
     def get(self, name: str) -> Peer | None:
-        """One of them."""
+        """Return the peer of that name; None if there is none."""
         return self._peers.get(name)
 
     def set_members(self, names: Iterable[str], now: float) -> None:
-        """Other peers: what was kept of one that goes goes with it."""
+        """Set the peers; the state of those that leave is dropped."""
         members = set(names)
         for name in [name for name in self._peers if name not in members]:
             del self._peers[name]
@@ -68,15 +68,15 @@
             self._peers[name] = Peer(name, since=now)
 
     def reset(self, name: str, now: float) -> None:
-        """One that is spoken to no more: what was heard of it says nothing of whether it lives."""
+        """Drop the state of a peer that is no longer linked: nothing shows whether it lives."""
         if name in self._peers:
             self._peers[name] = Peer(name, since=now)
 
     def accept_hello(self, name: str, incarnation: int, now: float) -> tuple[bool, StateChange | None]:
-        """A connection says that it is the peer's. Whether it may speak: only members do.
+        """Record a peer's hello; return whether it is a member, and the change of its state.
 
-        Of two starts under a name the last that connects counts, whatever its boot: a machine whose clock was set
-        back must not lock its gateway out. An earlier start that still lived would dial again, and be seen to.
+        Of two incarnations the last that connects counts, even if its number is lower: a machine whose clock was set
+        back must not lock its gateway out. An earlier incarnation that still lived would dial again.
         """
         peer = self._peers.get(name)
         if peer is None:
@@ -86,7 +86,7 @@
         return True, self.record_contact(name, now)
 
     def record_contact(self, name: str, now: float) -> StateChange | None:
-        """It has said something."""
+        """Record that a message of the peer has come."""
         peer = self._peers.get(name)
         if peer is None:
             return None
@@ -94,9 +94,9 @@
         return self._set_state(peer, State.ALIVE, now)
 
     def accept_message(self, name: str, incarnation: int, sequence: int) -> bool:
-        """Whether a message is news: of the peer's present start, and after all that came of it.
+        """Return whether a message is of the peer's present incarnation and newer than all accepted before.
 
-        The link keeps order, and what comes late after a reconnect was given up on by its sender or is a copy.
+        The link keeps order: a message that comes late after a reconnect was dropped by its sender or is a copy.
         """
         peer = self._peers.get(name)
         if peer is None or incarnation != peer.incarnation or sequence <= peer.sequence:
@@ -108,7 +108,7 @@
         return True
 
     def check_timeouts(self, now: float) -> list[StateChange]:
-        """Doubt those that have been silent."""
+        """Return the changes to suspect and dead of peers whose silence has exceeded the timeouts."""
         changes = []
         for peer in self._peers.values():
             silence = peer.silence(now)
@@ -124,7 +124,7 @@
         return changes
 
     def live(self) -> list[str]:
-        """Those that are heard."""
+        """Return the names of the peers that are alive."""
         return [peer.name for peer in self._peers.values() if peer.state is State.ALIVE]
 
     def _set_state(self, peer: Peer, state: State, now: float) -> StateChange | None:
--- a/tealwing/peers/ping.py
+++ b/tealwing/peers/ping.py
@@ -1,7 +1,7 @@
-"""Asks a peer to say a text back: whether two gateways reach each other both ways, and in what time.
+"""Ping of a peer with a text that it echoes: whether two gateways reach each other both ways, and in what time.
 
-The smallest thing that crosses two processes, and so the laboratory's first operation: the answer must be of the peer
-that was asked, must be the text that was asked, and can't come while the two are cut off from each other.
+The test cluster uses it as its simplest operation: the reply must come from the peer that was pinged, must have the
+same text, and can't come during a partition of the two.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from tealwing.peers.link import Link
 
 CHANNEL = 1
-MAX_PENDING = 256  # asks of ours that wait for their answer
-MAX_TEXT = 4096  # bytes of a text
+MAX_PENDING = 256  # pings of ours without a reply
+MAX_TEXT = 4096  # characters of a text
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Say this back."""
+    """Request to echo a text."""
 
     request_id: int
     text: Annotated[str, msgspec.Meta(max_length=MAX_TEXT)]
 
 
 class PingReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The text of an ask, and who says it."""
+    """The text of a request, and who echoes it."""
 
     request_id: int
     responder: str
@@ -41,18 +41,18 @@
 
 
 class PingService:
-    """Asks, and answers others' asks."""
+    """Pings peers, and replies to theirs."""
 
     def __init__(self, link: Link) -> None:
         self._link = link
         self._request_ids = itertools.count(1)
         self._lock = threading.Lock()
         self._pending: dict[int, tuple[str, threading.Event, list[PingReply]]] = {}
-        self.corrupts_replies = False  # on purpose, to see a checker find it
+        self.corrupts_replies = False  # an injected fault, which a judge must find
         link.on(CHANNEL, self._handle_message)
 
     def ping(self, to: str, text: str, wait: float) -> PingReply | None:
-        """What the peer says; None where nothing came in time."""
+        """Return the reply; None where none came in `wait` seconds. CallRejectedError where it can't be sent."""
         request_id, done, replies = next(self._request_ids), threading.Event(), list[PingReply]()
         with self._lock:
             if len(self._pending) >= MAX_PENDING:
@@ -68,7 +68,7 @@
         return replies[0] if replies else None
 
     def serve(self, control: ControlServer) -> None:
-        """Answer the call `ping`."""
+        """Register the control call `ping`."""
         control.serve("ping", self._ping)
 
     def _ping(self, fields: Fields) -> Fields:
--- a/tealwing/peers/plan.py
+++ b/tealwing/peers/plan.py
@@ -1,4 +1,4 @@
-"""What the operators' section `peers` says, as one record; pure."""
+"""The settings of the section `peers`, as one record; pure."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
     5.0,
     2.0,
     5.0,
-)  # each of `Times` in those before it, as the usual ones are
+)  # each default of `LinkTimes` in units of the one before
 MAX_QUEUED_BYTES = 512 << 20  # bytes that wait for all peers together, where there are more
 
 
 @dataclass(frozen=True, slots=True)
 class LinkTimes:
-    """Seconds of the link's protocol."""
+    """Intervals and timeouts of the link, in seconds."""
 
-    heartbeat: float = 0.2  # s between two signs of life on a link that carries nothing else
+    heartbeat: float = 0.2  # s between two heartbeats on a link that carries nothing else
     suspect_after: float = 1.0  # s of silence after which a peer is suspected
-    dead_after: float = 2.0  # s of silence after which it is held for lost
-    idle_timeout: float = 10.0  # s without a whole frame after which an inbound connection is closed
-    hello_timeout: float = 2.0  # s in which a connection says whose it is
+    dead_after: float = 2.0  # s of silence after which it counts as dead
+    idle_timeout: float = 10.0  # s without a complete frame after which an inbound connection is closed
+    hello_timeout: float = 2.0  # s within which a new connection must send its hello
 
     def scaled_for(self, members: int) -> LinkTimes:
-        """These times for a fleet of so many members: heartbeats so far apart that a voter can take them in.
+        """Return the times for a fleet of so many members: a voter receives at most MAX_HEARTBEAT_RATE.
 
-        All other times stay at the multiples of a heartbeat that tell silence from a late one. Up to BEAT_RATE * beat
-        members (400 with the usual beat) nothing changes.
+        The timeouts keep their multiples of a heartbeat. Up to MAX_HEARTBEAT_RATE * heartbeat members (400 by default)
+        nothing changes.
         """
         heartbeat = max(self.heartbeat, members / MAX_HEARTBEAT_RATE)
         suspect_after = max(self.suspect_after, SUSPECT_AFTER_HEARTBEATS * heartbeat)
@@ -60,16 +60,16 @@
     learners: tuple[str, ...] = ()  # members that follow the replicated log without a vote
 
     def address(self, name: str) -> Address | None:
-        """Where a member listens."""
+        """Return the address of a member; None if it is unknown."""
         return dict(self.members).get(name)
 
     def linked_members(self) -> set[str]:
-        """The members that we speak to: all; a learner speaks to those that vote."""
+        """Return the members that this one links to: all others; of a learner, the voters."""
         names = {name for name, _ in self.members if name != self.name}
         return names - set(self.learners) if self.name in self.learners else names
 
     def queue_bytes_per_peer(self) -> int:
-        """Bytes that may wait for one peer."""
+        """Return the bytes that may be queued for one peer."""
         if len(self.members) <= FULL_QUEUE_MEMBERS:
             return self.queue_bytes
         return min(self.queue_bytes, MAX_QUEUED_BYTES // len(self.members))
--- a/tealwing/peers/section.py
+++ b/tealwing/peers/section.py
@@ -6,7 +6,7 @@
 from tealwing.conf.schema import Block, Entry, Report, Section, Spec
 from tealwing.peers.plan import Address, LinkTimes, Plan
 
-# Members that link to all: each pair of them has two connections, and each sends a sign of life to everyone each beat.
+# Members that link to all: each pair of them has two connections, and each sends a heartbeat to everyone.
 MAX_VOTERS = 64
 # Members in all (docs/CAPACITY.md). One that votes has a thread (of a small stack) and two descriptors for each, so
 # that many want a higher limit of open files there: the link says so at its start. A learner has them for voters only.
@@ -45,7 +45,7 @@
 
 
 def build(block: Block, report: Report) -> Plan:
-    """The plan that a checked section makes."""
+    """Return the plan of a checked section; problems go to the report."""
     members: list[Entry] = block.all("member")
     first = members[0].place
     seen: dict[str, Entry] = {}
--- a/tealwing/peers/send_queue.py
+++ b/tealwing/peers/send_queue.py
@@ -1,4 +1,4 @@
-"""What waits to be sent to one peer: bounded, the oldest dropped first and counted."""
+"""The bounded queue of payloads to one peer; the oldest is dropped first and counted."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class SendQueue:
-    """A queue of payloads between any threads that send and the one that writes to the peer.
+    """A queue between any threads that send and the one that writes to the peer.
 
-    The newest word of a protocol that repeats itself is worth more than the oldest: so those go first.
+    It drops the oldest, as protocols that repeat themselves need the newest message most.
     """
 
     def __init__(self, max_items: int, max_bytes: int) -> None:
@@ -24,7 +24,7 @@
         return len(self._payloads)
 
     def put(self, payload: bytes) -> None:
-        """Have it sent, if need be in place of the oldest."""
+        """Queue a payload, if need be in place of the oldest."""
         with self._changed:
             if self._closed:
                 return
@@ -36,9 +36,9 @@
             self._changed.notify()
 
     def get(self, seconds: float, max_bytes: int) -> list[bytes] | None:
-        """Some of what waits, at least one if that is not more than so many bytes; empty when none came in time.
+        """Return the oldest payloads up to max_bytes together, one at least; wait so many seconds for one.
 
-        None once it is closed.
+        An empty list when none came in time, None once the queue is closed.
         """
         with self._changed:
             if not self._payloads and not self._closed:
@@ -54,14 +54,14 @@
             return batch
 
     def clear(self) -> None:
-        """Drop what waits: its time is over, as the peer could not be reached for long."""
+        """Drop all payloads, as stale: the peer could not be reached."""
         with self._changed:
             self.dropped += len(self._payloads)
             self._payloads.clear()
             self._bytes = 0
 
     def close(self) -> None:
-        """Nothing more is sent."""
+        """Close the queue; `get` returns None from now on."""
         with self._changed:
             self._closed = True
             self._changed.notify_all()
