--- a/tealwing/levels/__init__.py
+++ b/tealwing/levels/__init__.py
@@ -1,1 +1,6 @@
-"""Reduced service levels: the signals, the conditions on them, the controller, and what a level does. No I/O."""
+"""Reduced service levels: measure signals, step a controller, limit admission. No I/O.
+
+Read in this order: signals (sliding-window metrics), conditions (their grammar and checks), controller (which level
+is in force; pure), admission (what a level admits; pure), plan and section (the operators' section `levels` as
+records), governor (wraps the decision module), replay (a recorded trace through a plan).
+"""
--- a/tealwing/levels/admission.py
+++ b/tealwing/levels/admission.py
@@ -1,9 +1,9 @@
-"""What a level does: the share of each class and account that is admitted, attempts, and the pushback; pure.
+"""What a level admits: shares by class and account, attempts, and Retry-After; pure.
 
-A level names for a class a floor and a ceiling of what it admits. On entry the floor holds. While the level's entry
-condition holds the share is cut, while it does not and the fleet is not cold it rises, by a bounded pace, up to the
-ceiling; after the last level it rises on to the whole. So those who were turned away do not all come back at once,
-and a level that has to stay for its least time costs little once the flood has passed.
+A level has a floor and a ceiling for each class's admitted share. On entry the floor applies. While the level's entry
+condition holds the share is reduced; while it does not, and few engines are in slow start, it rises at a bounded rate
+up to the ceiling. After the last level it rises to 1. So rejected clients do not all return at once, and a level's
+minimum stay costs little once the overload has passed.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLimits:
-    """One level's measures, by class; attempts 0 leaves what the deployment allows."""
+    """One level's limits, by class; max_attempts 0 leaves the deployment's limit."""
 
     floor: tuple[float, ...]
     ceiling: tuple[float, ...]
     max_attempts: tuple[int, ...]
-    account_caps: tuple[float, ...]  # share admitted of each account, beside that of the class
+    account_caps: tuple[float, ...]  # upper bound on each account's admitted share
     retry_after_range: tuple[float, float]  # s
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryRamp:
-    """How shares move, and when they wait."""
+    """How fast admitted shares fall and rise, and when a rise waits."""
 
-    decrease_factor: float  # factor a second while pressed
-    ramp_time: float  # s from nothing to the whole
-    max_warming_up_share: float  # share of the capacity lacking at which a rise waits
+    decrease_factor: float  # per second of overload
+    ramp_time: float  # s from 0 to 1
+    max_warming_up_share: float  # share of capacity missing by slow starts at which a rise waits
 
 
 def full_service_limits(classes: int, accounts: int) -> AdmissionLimits:
-    """What holds at full service."""
+    """Return the limits of full service."""
     shares = (ALL_ADMITTED,) * classes
     return AdmissionLimits(shares, shares, (0,) * classes, (ALL_ADMITTED,) * accounts, (0.0, 0.0))
 
@@ -50,30 +50,30 @@
     overloaded: bool,
     warming_up_share: float,
 ) -> tuple[float, ...]:
-    """The shares by class after some seconds under a measure."""
+    """Return the shares by class after some seconds under the limits."""
     adjusted = []
     for share, floor, ceiling in zip(shares, limits.floor, limits.ceiling, strict=True):
         if overloaded:
             share = max(floor, min(share, ceiling) * ramp.decrease_factor**seconds)
         elif warming_up_share < ramp.max_warming_up_share and share < ceiling:
             share = min(ceiling, share + seconds / ramp.ramp_time)
-        # a level that admits less than is admitted now cuts at once; one that admits more is risen to
+        # a lower ceiling applies at once; a higher one is approached by the ramp
         adjusted.append(min(share, ceiling))
     return tuple(adjusted)
 
 
 def shares_on_entry(shares: Sequence[float], limits: AdmissionLimits) -> tuple[float, ...]:
-    """The shares on entry of a level from below: its floors, or less where less is admitted already."""
+    """Return the shares on entry of a level from below: its floors, or the present shares where lower."""
     return tuple(min(share, floor) for share, floor in zip(shares, limits.floor, strict=True))
 
 
 def divide_among_accounts(
     share: float, requested: Sequence[float], beyond: Sequence[float], caps: Sequence[float]
 ) -> tuple[float, ...]:
-    """One class's share over the accounts, so that what is beyond an account's share goes first.
+    """Divide one class's share among the accounts, so that requests beyond an account's quota are shed first.
 
-    asked is each account's requests of the class, beyond the part of them beyond its share, caps the most admitted
-    of an account. A single request does not show whether it is beyond, so an account's chance is the mean of both.
+    requested is each account's requests of the class, beyond the share of them beyond its quota, caps the upper bound
+    on an account's share. A request does not show whether it is beyond, so an account's chance is the mean of both.
     """
     within = [n * (1 - part) for n, part in zip(requested, beyond, strict=True)]
     excess = [n * part for n, part in zip(requested, beyond, strict=True)]
@@ -96,7 +96,7 @@
     arrivals: Sequence[Sequence[int]],
     beyond: Sequence[float],
 ) -> api.ServiceLevel:
-    """The event that the decision module hears."""
+    """Return the event for the decision module."""
     admitted = tuple(
         divide_among_accounts(share, [counts[cls] for counts in arrivals], beyond, limits.account_caps)
         for cls, share in enumerate(shares)
@@ -105,5 +105,5 @@
 
 
 def is_recovering(shares: Sequence[float]) -> bool:
-    """Whether less than the whole is admitted still."""
+    """Whether some class is admitted in part only."""
     return any(share < ALL_ADMITTED for share in shares)
--- a/tealwing/levels/conditions.py
+++ b/tealwing/levels/conditions.py
@@ -33,27 +33,27 @@
 
 
 class ConditionError(ValueError):
-    """A condition that can't be used; the text says what is allowed."""
+    """A condition that can't be used; the message says what is allowed."""
 
 
 @dataclass(frozen=True, slots=True)
 class SignalKind:
-    """What a signal is: how its values are written, which way is worse, and how it reads with no traffic."""
+    """The kind of a signal: unit, the direction that is worse, the value without traffic, and bounds."""
 
     unit: str  # share, duration or number
-    worse_operator: str  # the operator that an entry has: > or <
+    worse_operator: str  # operator of an entry condition: > or <
     idle_value: float
     minimum: float
     maximum: float
     help: str
 
     def read(self, text: str) -> float:
-        """A value of this signal as the file writes it."""
+        """Parse a value as the file writes it; raise values.Unfit."""
         reader = {"share": values.share, "duration": values.duration, "number": values.number}[self.unit]
         return reader(text)
 
     def write(self, value: float) -> str:
-        """A value as the file would write it."""
+        """Format a value as the file writes it."""
         if self.unit == "share":
             return f"{value * 100:.3g}%"
         return values.written_duration(value) if self.unit == "duration" else f"{value:.3g}"
@@ -95,7 +95,7 @@
 
 
 def signal_kind(signal: str) -> SignalKind:
-    """The kind of a signal by its name; names of classes and accounts are not checked here."""
+    """Return the kind of a signal by its name, without a check of class and account names; raise ConditionError."""
     head, _, rest = signal.partition(".")
     if head in ("fleet", "own") and rest in (table := FLEET_SIGNALS if head == "fleet" else GATEWAY_SIGNALS):
         return table[rest]
@@ -113,14 +113,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """One signal against one bound."""
+    """A comparison of one signal with one bound."""
 
     signal: str
     op: str
     bound: float
 
     def holds(self, signals: Mapping[str, float]) -> bool:
-        """Whether it holds; a signal that is absent reads as calm."""
+        """Whether it holds; an absent signal has its idle value."""
         value = signals.get(self.signal)
         if value is None:
             value = signal_kind(self.signal).idle_value
@@ -141,19 +141,19 @@
     products: tuple[Product, ...]
 
     def first_match(self, signals: Mapping[str, float]) -> Product | None:
-        """The first product that holds, or None."""
+        """Return the first product that holds, or None."""
         for product in self.products:
             if all(compare.holds(signals) for compare in product):
                 return product
         return None
 
     def signals(self) -> set[str]:
-        """The names that it reads."""
+        """Return the names of the signals that it reads."""
         return {compare.signal for product in self.products for compare in product}
 
 
 def format_values(product: Iterable[Comparison], signals: Mapping[str, float]) -> dict[str, str]:
-    """What was read where a product held, as the file writes values."""
+    """Return the values of a product's signals, as the file writes them."""
     formatted = {}
     for compare in product:
         kind = signal_kind(compare.signal)
@@ -167,7 +167,7 @@
 
 
 def parse(text: str) -> Condition:
-    """The condition that a text says; ConditionError tells what is allowed in its place."""
+    """Parse a condition; raise ConditionError, which says what is allowed."""
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
@@ -202,7 +202,7 @@
 
 
 def _intervals(product: Product) -> dict[str, tuple[float, float]] | None:
-    """The open interval that each signal must lie in; None where one is empty or out of its range."""
+    """Return the open interval of each signal; None where one is empty or out of its range."""
     found: dict[str, tuple[float, float]] = {}
     for compare in product:
         kind = signal_kind(compare.signal)
@@ -215,12 +215,12 @@
 
 
 def is_satisfiable(condition: Condition) -> bool:
-    """Whether any signals make it hold."""
+    """Whether some values make it hold."""
     return any(_intervals(product) is not None for product in condition.products)
 
 
 def overlap(one: Condition, other: Condition) -> dict[str, str] | None:
-    """Figures at which both hold, or touch without a gap; None where there are none."""
+    """Return values at which both hold, or touch without a gap; None where there are none."""
     for left in one.products:
         for right in other.products:
             left_intervals, right_intervals = _intervals(left), _intervals(right)
--- a/tealwing/levels/controller.py
+++ b/tealwing/levels/controller.py
@@ -1,15 +1,14 @@
-"""Which level is in force: a pure function of its state, the clock and the conditions seen.
-
-Levels are ordered; 0 is full service. One look makes one change at most. It goes up when an entry condition has held
-for its time: one level, or several where the strong condition of a higher one has held. It goes down one level when
-the exit condition has held for its, longer, time and the least stay, which counts from any change, is over.
-
-One guard stands before every change: the change two before it must be a minute old. So whatever the conditions do,
-no minute has more than two changes, at one boundary or at all. A least stay of a minute or more keeps one of the two
-free for going up again; so a rise never waits, unless two rises in the same minute came before it. The last change
-that a minute has left goes as high as the conditions of the moment say, whether or not they have held for their time.
-tests/test_controller.py proves the bound with an SMT solver for all times, and walks the whole state space of this
-code for small parameters.
+"""Which level is in force: a pure function of its state, the time and the conditions.
+
+Levels are ordered; 0 is full service. One step makes at most one change. It goes up when an entry condition has held
+for its time: by one level, or to a higher one whose strong condition has held. It goes down by one level when the
+exit condition has held for its (longer) time and the minimum stay, counted from the last change, is over.
+
+A guard limits all changes: the change before the last must be CHANGE_WINDOW old. So no minute has more than two
+changes. A minimum stay of a minute or more keeps one of the two free for a rise, so that a rise waits only after two
+rises in the same minute. The last change that the window allows goes as high as the present conditions say, whether
+or not they have held for their time. tests/test_controller.py proves the bound with an SMT solver for all times, and
+explores the whole state space for small parameters.
 """
 
 from __future__ import annotations
@@ -19,10 +18,10 @@
 from math import inf
 from typing import NamedTuple
 
-CHANGE_WINDOW = 60.0  # s in which there are two changes at most (the operators' "not several times a minute")
-REENTRY_WINDOW = 300.0  # s since it was left within which a level that is entered again is kept for longer
-BACKOFF_FACTOR = 2.0  # of the least stay, each time that the level was entered again soon
-MAX_SNAPSHOT_GAP = 2.0  # s between two looks past which nothing is known to have held in between
+CHANGE_WINDOW = 60.0  # s in which there are two changes at most
+REENTRY_WINDOW = 300.0  # s after its exit within which a level entered again has a longer minimum stay
+BACKOFF_FACTOR = 2.0  # on the minimum stay, for each such entry
+MAX_SNAPSHOT_GAP = 2.0  # s between snapshots beyond which no condition counts as held
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,11 +33,11 @@
     exit_for: float
     min_stay: float
     max_stay: float
-    strong_for: float = inf  # there is no strong condition
+    strong_for: float = inf  # inf: no strong condition
 
 
 class ConditionSnapshot(NamedTuple):
-    """Which conditions of a level hold at this look."""
+    """Which conditions of a level hold at one evaluation."""
 
     enter: bool
     strong: bool
@@ -47,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HysteresisState:
-    """What is remembered of one level: when it was left, its least stay now, since when its conditions hold."""
+    """One level's state: time of its last exit, minimum stay (s), and since when its conditions hold (inf: not)."""
 
     left_at: float = -inf
     min_stay: float = 0.0
@@ -58,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerState:
-    """The level in force (0: none), the times of the last change and of the one before, and the levels' marks."""
+    """The level in force (0: full service), each level's state, and the times of the last two changes."""
 
     level: int
     hysteresis: tuple[HysteresisState, ...]
@@ -68,7 +67,7 @@
 
 
 class Change(NamedTuple):
-    """A change of level, and which condition of which level made it."""
+    """A change of level, and the condition that caused it."""
 
     at: float
     from_level: int
@@ -78,22 +77,22 @@
 
 
 def initial_state(timings: Sequence[LevelTimings]) -> ControllerState:
-    """Full service, with nothing remembered."""
-    return ControllerState(0, tuple(HysteresisState(min_stay=term.min_stay) for term in timings))
+    """Return the state at full service, without history."""
+    return ControllerState(0, tuple(HysteresisState(min_stay=level_timings.min_stay) for level_timings in timings))
 
 
-def may_change(now: float, previous_change: float) -> bool:
-    """The guard on every change: the change two before it is a minute old."""
-    return now - previous_change >= CHANGE_WINDOW
+def may_change(now: float, earlier_change: float) -> bool:
+    """Whether CHANGE_WINDOW has passed since an earlier change."""
+    return now - earlier_change >= CHANGE_WINDOW
 
 
 def may_leave(now: float, last_change: float, min_stay: float) -> bool:
-    """Whether the least stay in a level is over."""
+    """Whether the minimum stay in a level is over."""
     return now - last_change >= min_stay
 
 
 def backed_off_stay(min_stay: float, time_away: float, timings: LevelTimings) -> float:
-    """The least stay in a level that is entered again, having been left so long ago; never below the term's."""
+    """Return the minimum stay (s) of a level entered again time_away seconds after its exit."""
     return (
         max(timings.min_stay, min(min_stay * BACKOFF_FACTOR, timings.max_stay))
         if time_away < REENTRY_WINDOW
@@ -104,14 +103,15 @@
 def step(
     timings: Sequence[LevelTimings], state: ControllerState, now: float, snapshots: Sequence[ConditionSnapshot]
 ) -> tuple[ControllerState, Change | None]:
-    """One look: the state after it, and the change that it made, if any.
+    """Return the state after one evaluation, and the change that it made, if any.
 
     A clock that went back stands still until it has caught up. After a gap no condition counts as having held.
     """
     now = max(now, state.now)
     after_gap = now - state.now > MAX_SNAPSHOT_GAP
     hysteresis = tuple(
-        _track_conditions(mark, look, now, after_gap) for mark, look in zip(state.hysteresis, snapshots, strict=True)
+        _track_conditions(state_before, snapshot, now, after_gap)
+        for state_before, snapshot in zip(state.hysteresis, snapshots, strict=True)
     )
     state = replace(state, hysteresis=hysteresis, now=now)
     if not may_change(now, state.previous_change_at):
@@ -123,7 +123,7 @@
 def _track_conditions(
     hysteresis: HysteresisState, snapshot: ConditionSnapshot, now: float, after_gap: bool
 ) -> HysteresisState:
-    """Since when each condition has held without a break."""
+    """Update since when each condition has held without a break."""
     return replace(
         hysteresis,
         enter_since=_holding_since(hysteresis.enter_since, snapshot.enter, now, after_gap),
@@ -141,7 +141,7 @@
 def _rise(
     timings: Sequence[LevelTimings], state: ControllerState, snapshots: Sequence[ConditionSnapshot]
 ) -> Change | None:
-    """A rise to the highest level with strong evidence, else to the next one.
+    """Return a rise to the highest level whose strong condition has held, else to the next one.
 
     Evidence for a higher level is evidence for the next one too.
     """
@@ -154,7 +154,7 @@
     change = Change(now, level, level + 1, "enter", (enter or strong)[0] + 1)
     if strong:
         change = Change(now, level, strong[-1] + 1, "strong", strong[-1] + 1)
-    if not may_change(now, state.last_change_at):  # the last change that this minute has left
+    if not may_change(now, state.last_change_at):  # the last change that the window allows
         holding = [i for i in above if snapshots[i].enter or snapshots[i].strong]
         if holding and holding[-1] + 1 > change.to_level:
             why = "enter" if snapshots[holding[-1]].enter else "strong"
@@ -173,8 +173,8 @@
 
 
 def _apply_change(timings: Sequence[LevelTimings], state: ControllerState, change: Change) -> ControllerState:
-    """The state after a change; every level's conditions must hold anew for the next one down."""
-    hysteresis = [replace(mark, exit_since=inf) for mark in state.hysteresis]
+    """Return the state after a change; exit conditions must hold anew for the next level down."""
+    hysteresis = [replace(level_hysteresis, exit_since=inf) for level_hysteresis in state.hysteresis]
     for i in range(change.from_level, change.to_level):  # entered
         hysteresis[i] = replace(
             hysteresis[i],
@@ -188,16 +188,25 @@
 def adopt(
     old_timings: Sequence[LevelTimings], state: ControllerState, new_timings: Sequence[LevelTimings]
 ) -> tuple[ControllerState, Change | None]:
-    """The state under new terms. Levels are known by name; one in force that is gone gives way to the next below.
+    """Return the state under a new plan. Levels match by name; a removed level in force gives way to the next below.
 
     A change made so is the operators' own and waits for no guard, but it counts for those that follow.
     """
-    by_name = {term.name: mark for term, mark in zip(old_timings, state.hysteresis, strict=True)}
-    names = [term.name for term in new_timings]
+    by_name = {
+        level_timings.name: level_hysteresis
+        for level_timings, level_hysteresis in zip(old_timings, state.hysteresis, strict=True)
+    }
+    names = [level_timings.name for level_timings in new_timings]
     hysteresis = []
-    for term in new_timings:
-        mark = by_name.get(term.name, HysteresisState(min_stay=term.min_stay))
-        hysteresis.append(replace(mark, min_stay=max(term.min_stay, min(mark.min_stay, term.max_stay)), exit_since=inf))
+    for level_timings in new_timings:
+        level_hysteresis = by_name.get(level_timings.name, HysteresisState(min_stay=level_timings.min_stay))
+        hysteresis.append(
+            replace(
+                level_hysteresis,
+                min_stay=max(level_timings.min_stay, min(level_hysteresis.min_stay, level_timings.max_stay)),
+                exit_since=inf,
+            )
+        )
     level = next((names.index(t.name) + 1 for t in reversed(old_timings[: state.level]) if t.name in names), 0)
     if level == state.level:
         return replace(state, hysteresis=tuple(hysteresis)), None
--- a/tealwing/levels/governor.py
+++ b/tealwing/levels/governor.py
@@ -1,7 +1,7 @@
-"""Stands before the decision module: reads signals off what passes, and tells the module of its service level.
+"""Wraps the decision module: derives signals from events and actions, and notifies the module of its service level.
 
-It has the module's own `handle`, so that the gateway on sockets, the simulator's adapter and the laboratory use it
-alike. It changes no event and no action; the module alone admits and refuses.
+It has the module's own `handle`, so that the gateway, the simulator's adapter and the laboratory use it alike. It
+changes no event and no action; only the module admits and rejects.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from tealwing.levels.signals import Signals
 from tealwing.policy import Gateway
 
-MAX_RECENT_CHANGES = 99  # of the past that are kept beside the last
-TIMER_TOKEN = 2  # of the governor's timer: the module's own are 0 or odd
+MAX_RECENT_CHANGES = 99  # kept beside the last one
+TIMER_TOKEN = 2  # the module's own tokens are 0 or odd
 
 LogEvent = Callable[[str, dict[str, Any]], None]  # an event's name and fields, for the log
 
 
 class Governor:
-    """One gateway's decisions under a plan of levels."""
+    """A gateway's decision module under a plan of levels."""
 
     def __init__(self, settings: api.Settings, gateway: Gateway, plan: Plan, log_event: LogEvent | None = None) -> None:
         self.settings, self.gateway, self.plan = settings, gateway, plan
@@ -33,11 +33,11 @@
         self._full_service = admission.full_service_limits(len(settings.classes), len(settings.tenants) or 1)
         self._shares = self._full_service.floor
         self._is_started, self._evaluated_at, self._is_reduced = False, 0.0, False
-        self.changes: list[controller.Change] = []  # the last few, for whoever asks
-        self.latest_signals: dict[str, float] = {}  # the signals of the last look
+        self.changes: list[controller.Change] = []  # the last ones, for the admin interface
+        self.latest_signals: dict[str, float] = {}  # of the last evaluation
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """The module's actions on one event, and the governor's timer."""
+        """Return the module's actions on one event, with the governor's timer."""
         match event:
             case api.TimerFired(token=token) if token == TIMER_TOKEN:
                 return self._evaluate(now)
@@ -62,7 +62,7 @@
         return actions
 
     def end(self, now: float) -> Gateway:
-        """The module alone, at full service at once: the operators have switched the levels off."""
+        """Restore full service and return the module, as the operators have switched the levels off."""
         if self._is_reduced:
             admitted = tuple((chance,) for chance in self._full_service.floor)
             self.gateway.handle(
@@ -71,7 +71,7 @@
         return self.gateway
 
     def adopt(self, plan: Plan, now: float) -> None:
-        """Take a new plan in whole; a level in force that it lacks gives way. PlanError leaves the old one."""
+        """Take over a new plan; a level in force that it lacks gives way. Raise PlanError without a change."""
         new = plan.admission_limits(self.settings)
         self.state, change = controller.adopt(self.plan.timings, self.state, plan.timings)
         before, self.plan, self._limits_by_level = self.plan, plan, new
@@ -83,7 +83,7 @@
         self._notify_gateway(now)
 
     def _evaluate(self, now: float) -> list[api.Action]:
-        """Read the signals, step the controller, move the shares, and tell the module where something holds."""
+        """Sample the signals, step the controller, adjust the admitted shares, and notify the module."""
         seconds, self._evaluated_at = max(now - self._evaluated_at, 0.0), now
         self.latest_signals = signals = self.signals.sample(now, self.gateway)
         matches = self.plan.matches(signals)
@@ -108,10 +108,10 @@
         return self._limits_by_level[self.state.level - 1] if self.state.level else self._full_service
 
     def _notify_gateway(self, now: float) -> None:
-        """The module hears of a level while one holds or is eased, and once more at its end."""
+        """Notify the module while a level is in force or recovering, and once more at its end."""
         is_reduced = self.state.level > 0 or admission.is_recovering(self._shares)
         if is_reduced or self._is_reduced:
-            beyond = self.signals.shares_beyond_quota()  # of no account where the platform tells no shares
+            beyond = self.signals.shares_beyond_quota()  # empty without tenant quotas
             event = admission.service_level_event(
                 self.state.level,
                 self.name,
@@ -130,7 +130,7 @@
 
     @property
     def shares(self) -> dict[str, float]:
-        """The share of each class that is admitted now."""
+        """The admitted share of each class."""
         return {cls.name: share for cls, share in zip(self.settings.classes, self._shares, strict=True)}
 
     def _log_change(self, change: controller.Change, fields: dict[str, Any]) -> None:
--- a/tealwing/levels/plan.py
+++ b/tealwing/levels/plan.py
@@ -1,4 +1,4 @@
-"""What the operators' section `levels` says, as one record; pure."""
+"""The operators' section `levels` as a record, and what follows from it; pure."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from tealwing.levels.conditions import Condition, Product, format_values
 from tealwing.levels.controller import Change, ConditionSnapshot, LevelTimings
 
-FULL_SERVICE = "full"  # the name of full service
-CAUSES = ("enter", "strong", "exit")  # a level's conditions, in the order of Fired
-Matches = tuple[Product | None, Product | None, Product | None]  # what held of each
+FULL_SERVICE = "full"  # name of level 0
+CAUSES = ("enter", "strong", "exit")  # a level's conditions, in the order of Matches
+Matches = tuple[Product | None, Product | None, Product | None]  # the product that holds, of each condition
 
 
 class PlanError(ValueError):
-    """A plan that does not fit the settings; the text names what is unknown."""
+    """A plan that does not fit the settings; the message names what is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Level:
-    """One level as the file has it; classes and accounts by name."""
+    """One level as configured; classes and accounts by name, retry_after_range in seconds."""
 
     timings: LevelTimings
     enter: Condition
@@ -34,14 +34,14 @@
     retry_after_range: tuple[float, float]
 
     def signals(self) -> set[str]:
-        """All signals that its conditions read."""
+        """Return the names of all signals that its conditions read."""
         names = self.enter.signals() | self.exit.signals()
         return names | self.strong.signals() if self.strong else names
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All levels, from the mildest on, and what they share; times in seconds."""
+    """All levels, the mildest first, and common settings; window and interval in seconds."""
 
     levels: tuple[Level, ...]
     window: float
@@ -50,16 +50,16 @@
 
     @property
     def timings(self) -> tuple[LevelTimings, ...]:
-        """What the controller needs of the levels."""
+        """The levels' timings, for the controller."""
         return tuple(level.timings for level in self.levels)
 
     @property
     def names(self) -> list[str]:
-        """Full service, and the levels."""
+        """The names of full service and of the levels, by number."""
         return [FULL_SERVICE, *(level.timings.name for level in self.levels)]
 
     def matches(self, signals: Mapping[str, float]) -> list[Matches]:
-        """Which products of each level's conditions hold."""
+        """Return which product of each level's conditions holds."""
         return [
             (
                 level.enter.first_match(signals),
@@ -70,7 +70,7 @@
         ]
 
     def log_fields(self, change: Change, matches: Sequence[Matches], signals: Mapping[str, float]) -> dict[str, Any]:
-        """A change as operators see it: from, to, and the condition that made it with its figures."""
+        """Return a change's fields for the log: from, to, and the condition that caused it with its values."""
         level, place = self.levels[change.cause_level - 1], CAUSES.index(change.cause)
         condition = (level.enter, level.strong, level.exit)[place]
         return {
@@ -83,7 +83,7 @@
         }
 
     def admission_limits(self, settings: api.Settings) -> tuple[AdmissionLimits, ...]:
-        """The measures by level, in the places of the settings. PlanError names what the settings have not."""
+        """Return the limits by level, in the settings' order of classes and accounts; raise PlanError."""
         classes = [cls.name for cls in settings.classes]
         for level in self.levels:
             for name in (*level.admitted_shares, *level.max_attempts):
@@ -97,7 +97,7 @@
                 name = rest.rpartition(".")[0]
                 if head in ("class", "account") and name not in (classes, settings.tenants)[head == "account"]:
                     raise PlanError(f"level {level.timings.name}: {signal} names no {head} of the settings")
-        all_admitted = (1.0, 1.0)  # of a class that a level does not name
+        all_admitted = (1.0, 1.0)  # of a class that the level does not name
         return tuple(
             AdmissionLimits(
                 tuple(level.admitted_shares.get(name, all_admitted)[0] for name in classes),
@@ -111,5 +111,5 @@
 
 
 def snapshots(matches: Sequence[Matches]) -> list[ConditionSnapshot]:
-    """The same as the controller takes it."""
+    """Convert matches to the controller's snapshots."""
     return [ConditionSnapshot(*(product is not None for product in products)) for products in matches]
--- a/tealwing/levels/replay.py
+++ b/tealwing/levels/replay.py
@@ -1,6 +1,6 @@
-"""A recorded trace of signals, played through the controller; pure.
+"""Plays a recorded trace of signals through the controller; pure.
 
-Between two lines the signals of the earlier one hold, and the controller looks as often as the plan says.
+Signals hold until the trace's next point; the controller steps at the plan's interval.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from tealwing.levels.controller import CHANGE_WINDOW
 from tealwing.levels.plan import Plan, snapshots
 
-MAX_EVALUATIONS = 10_000_000  # of one replay: a trace with a gap of years must not run for ever
+MAX_EVALUATIONS = 10_000_000  # of one replay: bounds the run time on a trace with a long gap
 
 
 class TraceError(ValueError):
-    """A line of a trace that can't be used."""
+    """A line of a trace that can't be used; the message says why."""
 
 
 class TracePoint(msgspec.Struct, forbid_unknown_fields=True):
-    """One line: a time in seconds and the signals from then on."""
+    """One line of a trace: a time in seconds and the signals from then on."""
 
     at: float
     signals: dict[str, float]
 
 
 def read_trace(source: Iterable[bytes]) -> Iterator[TracePoint]:
-    """The lines of a trace, checked: times must rise, and signals be known."""
+    """Yield the points of a trace; raise TraceError unless times rise and signals are known."""
     decoder, last = msgspec.json.Decoder(TracePoint), -float("inf")
     for number, text in enumerate(source, 1):
         if not text.strip():
@@ -53,7 +53,7 @@
 
 
 def max_changes_in_window(times: Iterable[float], window: float = CHANGE_WINDOW) -> int:
-    """The most changes within any window of time."""
+    """Return the largest number of changes within any window of time (s)."""
     recent: deque[float] = deque()
     maximum = 0
     for at in times:
@@ -65,32 +65,32 @@
 
 
 def replay(plan: Plan, trace: Iterable[TracePoint]) -> Iterator[dict[str, Any]]:
-    """One record a change of level, and a last one that sums up."""
+    """Yield one record per change of level, and a summary."""
     state, changes = controller.initial_state(plan.timings), list[float]()
     time_in = dict.fromkeys(plan.names, 0.0)
-    before: TracePoint | None = None
-    at, looks = 0.0, 0
+    previous: TracePoint | None = None
+    now, evaluations = 0.0, 0
 
     def look(signals: dict[str, float]) -> Iterator[dict[str, Any]]:
         nonlocal state
         fired = plan.matches(signals)
-        state, change = controller.step(plan.timings, state, at, snapshots(fired))
+        state, change = controller.step(plan.timings, state, now, snapshots(fired))
         if change is not None:
             changes.append(change.at)
             yield {"at": change.at, **plan.log_fields(change, fired, signals)}
 
-    for line in trace:
-        while before is not None and at < line.at - 1e-9:
-            looks += 1
-            if looks > MAX_EVALUATIONS:
+    for point in trace:
+        while previous is not None and now < point.at - 1e-9:
+            evaluations += 1
+            if evaluations > MAX_EVALUATIONS:
                 raise TraceError(f"the trace is longer than {MAX_EVALUATIONS * plan.interval:g} s")
-            yield from look(before.signals)
-            until = min(at + plan.interval, line.at)
-            time_in[plan.names[state.level]] += until - at
-            at = until
-        before, at = line, line.at
-    if before is not None:
-        yield from look(before.signals)
+            yield from look(previous.signals)
+            until = min(now + plan.interval, point.at)
+            time_in[plan.names[state.level]] += until - now
+            now = until
+        previous, now = point, point.at
+    if previous is not None:
+        yield from look(previous.signals)
     yield {
         "summary": True,
         "changes": len(changes),
--- a/tealwing/levels/section.py
+++ b/tealwing/levels/section.py
@@ -193,7 +193,7 @@
 
 
 def build(block: Block, report: Report) -> Plan | None:
-    """The plan that a checked section makes; what does not hold together is reported."""
+    """Return the plan of a checked section, and report contradictions."""
     entries, found = block.all("level"), list[Level]()
     for entry in entries[MAX_LEVELS:]:
         report.add(entry.place, "level", f"more than {MAX_LEVELS} levels", f"at most {MAX_LEVELS}")
@@ -225,14 +225,14 @@
             f"growing to {values.written_duration(max_stay)}",
             f"growing to {values.written_duration(min_stay)} or more",
         )
-    terms = LevelTimings(
+    timings = LevelTimings(
         entry.value, enter.seconds, exit_.seconds, min_stay, max_stay, strong.seconds if strong else inf
     )
     admit, accounts, attempts = (_repeated(block, name, report) for name in ("admit", "account", "attempts"))
     if not (admit or accounts or attempts):
         report.add(place, "level", f"a level {entry.value} that does nothing", "admit, account or attempts")
     return Level(
-        terms,
+        timings,
         enter.condition,
         exit_.condition,
         strong.condition if strong else None,
@@ -244,7 +244,7 @@
 
 
 def _repeated(block: Block, name: str, report: Report) -> dict[str, Any]:
-    """A directive that may stand several times, by its first word."""
+    """Return a repeatable directive's values by its first word, and report duplicates."""
     found: dict[str, Any] = {}
     for entry in block.all(name):
         key, value = entry.value
@@ -255,7 +255,7 @@
 
 
 def _check_conditions(block: Block, place: Place, report: Report) -> None:
-    """Conditions that can't hold, and an exit that holds with an entry or without a gap to it."""
+    """Report conditions that can't hold, and an exit that overlaps an entry or has no gap to it."""
     exit_ = block.one("exit")
     for name in ("enter", "strong", "exit"):
         times = block.one(name)
@@ -267,11 +267,11 @@
             continue
         witness = conditions.overlap(times.condition, exit_.condition)
         if witness is not None:
-            figures = ", ".join(f"{signal} {value}" for signal, value in witness.items())
+            written = ", ".join(f"{signal} {value}" for signal, value in witness.items())
             report.add(
                 block.place("exit", place),
                 "exit",
-                f"a condition that meets {name} at {figures}",
+                f"a condition that meets {name} at {written}",
                 f"one that lies apart from {name}, with a gap between the two",
             )
     enter = block.one("enter")
--- a/tealwing/levels/signals.py
+++ b/tealwing/levels/signals.py
@@ -1,7 +1,7 @@
-"""The signals that levels go by, from the events and actions of the decision module, over a sliding window; pure.
+"""The signals that levels act on: metrics over a sliding window, from the decision module's events and actions; pure.
 
-A window is a ring of buckets, one a look. Sums over the ring are kept by adding what comes and taking away what
-leaves, so a look costs the same however much traffic there was.
+The window is a ring of buckets, one per evaluation. Sums are updated by the bucket that enters and the one that
+leaves, so an evaluation's cost does not depend on the traffic.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 from tealwing import interface as api
 
-MIN_REQUESTS = 10  # requests below which a share says nothing: one late answer of two is no flood
-READY_WINDOW = 300.0  # s in which the most engines ready are remembered: a release takes minutes
+MIN_REQUESTS = 10  # requests below which a share is left out
+READY_WINDOW = 300.0  # s over which the maximum of ready engines is taken
 
-# places in a class's counters
-# JUDGED: ended in time, or past its aim whether it has ended or not; refusals are not judged
+# indices of a class's counters
+# JUDGED: ended in time, or past its objective whether ended or not; rejections are left out
 ARRIVED, ENDED, JUDGED, MISSED, REFUSED, ATTEMPTS, TIMEOUTS = range(7)
 COUNTS = 7
 
 
 class Fleet(Protocol):
-    """What the decision module shows of the fleet; tealwing.policy.Gateway has all of it."""
+    """The part of tealwing.policy.Gateway that signals are read from."""
 
     mean_report: dict[str, float]
     slowdown: float
@@ -36,7 +36,7 @@
 
 
 class Engine(Protocol):
-    """What is read of one engine."""
+    """The part of tealwing.policy.Engine that signals are read from."""
 
     cores: int
     load: float
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request under way: its class, when it is past its aim, its worth, and whether it was late."""
+    """An open request; objective_at is the time (s) at which it misses its latency objective."""
 
     cls: int
     objective_at: float
@@ -55,24 +55,24 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """What came between two looks."""
+    """The counts between two evaluations."""
 
     counts: list[list[int]]  # by class
-    by_account: list[list[int]]  # arrivals by account and class
-    offered_weight: list[float]  # worth by class, of what ended
+    by_account: list[list[int]]  # arrivals, by account and class
+    offered_weight: list[float]  # priority weight of ended requests, by class
     served_weight: list[float]
 
 
 class Signals:
-    """Takes what passes between host and module; `read` gives the signals of the window."""
+    """Counts the events and actions between host and module; `sample` returns the window's signals."""
 
-    def __init__(self, settings: api.Settings, window: float, every: float) -> None:
+    def __init__(self, settings: api.Settings, window: float, interval: float) -> None:
         self._settings = settings
-        self._interval, self._length = every, max(1, round(window / every))
+        self._interval, self._length = interval, max(1, round(window / interval))
         self._ring: deque[Bucket] = deque()
-        self._open: dict[int, OpenRequest] = {}  # in the order in which they came
+        self._open: dict[int, OpenRequest] = {}  # in order of arrival
         self._window, self._current = self._bucket(), self._bucket()
-        self._ready_peaks: deque[tuple[float, int]] = deque()  # the most ready: falling counts, rising times
+        self._ready_peaks: deque[tuple[float, int]] = deque()  # (time, count): falling counts, rising times
         self._host_load: api.HostLoad | None = None
 
     def _bucket(self) -> Bucket:
@@ -84,12 +84,12 @@
             [0.0] * classes,
         )
 
-    # What passes
+    # Events and actions
 
     def on_request(self, now: float, request: api.Request, latency_objective: float) -> None:
-        """A request; goal is the aim of a usual one of its class, in seconds."""
+        """Count an arrival; latency_objective is that of a usual request of its class, in seconds."""
         cls = self._settings.classes[request.cls]
-        if request.cost is not None:  # the aim grows with the work over its threads
+        if request.cost is not None:  # the objective grows with the work per thread
             latency_objective = cls.latency_objective + cls.objective_per_work * request.cost / cls.threads
         self._open[request.id] = OpenRequest(
             request.cls, now + latency_objective, cls.priority_weight, cls.late_weight_share
@@ -100,7 +100,7 @@
         ] += 1
 
     def on_outcome(self, now: float, event: api.AttemptOutcome) -> None:
-        """An attempt ended, and with it the request where it was served."""
+        """Count the end of an attempt, and of its request where that has ended."""
         open_request = self._open.get(event.id)
         if open_request is None:
             return
@@ -111,13 +111,13 @@
             self._close(now, event.id, open_request, event.result is api.AttemptResult.OK)
 
     def on_failure(self, now: float, request: int) -> None:
-        """The client went, or the module failed the request."""
+        """Count a request whose client has gone or that the module failed."""
         open_request = self._open.get(request)
         if open_request is not None:
             self._close(now, request, open_request, False)
 
     def on_rejection(self, now: float, request: int, is_load_shedding: bool) -> None:
-        """The module refused a request; one that a level shed tells nothing of the fleet and is not counted."""
+        """Count a rejection; load shedding by a level says nothing about the fleet and is not counted."""
         open_request = self._open.get(request)
         if open_request is None:
             return
@@ -130,7 +130,7 @@
         del self._open[request]
 
     def on_host_load(self, load: api.HostLoad) -> None:
-        """The gateway's own state."""
+        """Take in the gateway's own load."""
         self._host_load = load
 
     def _close(self, now: float, request: int, open_request: OpenRequest, served: bool) -> None:
@@ -144,15 +144,15 @@
             self._current.served_weight[open_request.cls] += (
                 open_request.priority_weight * open_request.late_weight_share
             )
-        if not open_request.is_late:  # else it was counted when it passed its aim
+        if not open_request.is_late:  # else counted when it missed its objective
             counts[JUDGED] += 1
             counts[MISSED] += now > open_request.objective_at
 
-    # A look
+    # Evaluation
 
     def sample(self, now: float, fleet: Fleet) -> dict[str, float]:
-        """The signals of the window that ends now. Shares of fewer than LEAST requests are left out."""
-        for request in self._open.values():  # what is past its aim tells of a jam, which ends nothing
+        """Return the signals of the window that ends now. Shares of fewer than MIN_REQUESTS requests are left out."""
+        for request in self._open.values():  # open requests past their objective show an overload in which none ends
             if not request.is_late and request.objective_at < now:
                 request.is_late = True
                 self._current.counts[request.cls][JUDGED] += 1
@@ -171,14 +171,14 @@
             signals["own.processor"] = self._host_load.cpu_utilization
         return signals
 
-    def resize(self, window: float, every: float) -> None:
-        """Another window: what was counted in the old one is let go of, as its buckets have another length."""
-        self._interval, self._length = every, max(1, round(window / every))
+    def resize(self, window: float, interval: float) -> None:
+        """Change the window and interval (s); drop the counts, as the buckets have another length."""
+        self._interval, self._length = interval, max(1, round(window / interval))
         self._ring.clear()
         self._window, self._current = self._bucket(), self._bucket()
 
     def _rotate(self) -> None:
-        """The bucket that is full goes into the ring, and the oldest leaves it."""
+        """Move the current bucket into the window and drop the oldest."""
         self._add(self._current, 1)
         self._ring.append(self._current)
         self._current = self._bucket()
@@ -191,7 +191,7 @@
             for i, count in enumerate(theirs):
                 ours[i] += sign * count
         for i, (offered, kept) in enumerate(zip(bucket.offered_weight, bucket.served_weight, strict=True)):
-            # sums of floats drift: an empty window must read as nothing
+            # rounding stops the drift of float sums: an empty window must sum to 0
             self._window.offered_weight[i] = round(self._window.offered_weight[i] + sign * offered, 6)
             self._window.served_weight[i] = round(self._window.served_weight[i] + sign * kept, 6)
 
@@ -232,11 +232,11 @@
         return signals
 
     def arrivals(self) -> Sequence[Sequence[int]]:
-        """Requests of the window by account and class."""
+        """Return the window's requests by account and class."""
         return self._window.by_account
 
     def shares_beyond_quota(self) -> Mapping[str, float]:
-        """By account, the share of its requests that lie beyond its share of the service."""
+        """Return by account the share of its requests that lie beyond its quota."""
         total = sum(map(sum, self._window.by_account))
         seconds = max(len(self._ring), 1) * self._interval
         shares = {}
--- a/tealwing/policy/__init__.py
+++ b/tealwing/policy/__init__.py
@@ -1,7 +1,22 @@
-"""Every decision of a query gateway. Read: tables, rates, engines, fleet, placement, attempts, gateway.
+"""Every decision of a query gateway: no I/O, clock or thread; `Gateway.handle(now, event)` returns actions.
 
-A query goes to the engine of the smallest marginal productivity index (MPI, Niño-Mora), or is refused at
-once when none is below its class's nu. Equation numbers are the paper's; docs/design.md tells the rest.
+A query goes to the engine of the smallest marginal productivity index (MPI, Niño-Mora), or is rejected at
+once when none is below its class's rejection cost. docs/design.md has the model.
+
+Read in this order: tables (the index, a pure function), rates, engines, fleet, placement, attempts, gateway.
+
+`Gateway` is one class in five modules, each a base class of the next, and a field belongs to the class whose
+`__init__` sets it:
+
+    Rates      settings, time, actions, traffic per class, mix in flight, learned capacity
+    Fleet      engines, open requests, mean load report, slowdown, eligible engines
+    Placement  service level, retry budget, ordering queues
+    Attempts   no state; sends and outcomes
+    Gateway    the table of handlers
+
+They stay one class: each decision reads fields of several of them for each engine, and separate objects would cost
+attribute look-ups there. What is used alone is an object of its own: `ClassTraffic`, `Engine`, `ClassEstimate`,
+`SlowdownEstimate` and `RequestState`.
 """
 
 from tealwing.policy.engines import Engine as Engine
--- a/tealwing/policy/attempts.py
+++ b/tealwing/policy/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of open requests: sends, what their outcomes teach, and the final answer."""
+"""Attempts of open requests: sending, learning from outcomes, and the final answer."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from tealwing.policy.engines import Attempt, Engine, RequestState
 from tealwing.policy.placement import Placement
 
-FULL_BACKOFF = 0.5  # s for which a full engine counts as holding n
-CONNECTION_LOSS_WINDOW = 0.1  # s in which lost attempts count as one failure: one connection takes all on it along
-RETRY_AFTER_SPREAD = (0.5, 1.0)  # of the longest retry-after, at random: returns are spread
-STRAGGLER_FACTOR = 3.0  # time that an attempt has to go, over the class's usual latency, at which it is dropped
-MIN_PROGRESS = 0.01  # least share done that a note is read as
-SILENCE_PERIODS = (1.55, 1.1)  # note periods without a first or a further note that mean a lost answer
+FULL_BACKOFF = 0.5  # s without new attempts to an engine that answered FULL
+CONNECTION_LOSS_WINDOW = 0.1  # s: a lost connection fails all its attempts, which count as one failure
+RETRY_AFTER_SPREAD = (0.5, 1.0)  # share of the maximum Retry-After, drawn uniformly to spread the retries
+STRAGGLER_FACTOR = 3.0  # remaining time over the class's usual latency at which an attempt is cancelled
+MIN_PROGRESS = 0.01  # lower bound on a reported share of work done
+SILENCE_PERIODS = (1.55, 1.1)  # progress intervals without a first or a further note that mean a lost answer
 
 
 class Attempts(Placement):
-    """What becomes of open requests."""
+    """The attempts of open requests and their outcomes."""
 
     def _place(self, state: RequestState, failed: Engine | None = None) -> None:
         if engine := self._choose_engine(state, failed):
@@ -59,7 +59,7 @@
         self._release(state)
 
     def _record_outcome(self, state: RequestState, attempt: Attempt, event: api.AttemptOutcome) -> None:
-        """Settle the counts of an attempt; learn from it, unless its engine started anew since."""
+        """Release an attempt's counts and learn from its outcome, unless its engine has restarted since."""
         engine = self.engines.get(attempt.engine.id, attempt.engine)
         self._count_attempt(state, engine, -1)
         if engine is not attempt.engine:
@@ -91,19 +91,22 @@
                     other.engine.failures = max(0.0, other.engine.failures - other.blamed_failures)
 
     def _record_loss(self, state: RequestState, attempt: Attempt) -> None:
-        """A time-out or a hang-up: a loss past m where it frees the engine, so that theta is a departure."""
+        """Count a timeout or a client that left as an abandonment above capacity, where it frees the engine.
+
+        The abandonment rate (theta of the paper) counts only requests whose attempt is cancelled.
+        """
         self.answers, self.timeouts = self.answers + 1, self.timeouts + 1
         if self.settings.limits.cancellation:
             state.traffic.losses += attempt.engine.estimates[state.request.cls].overload_share
 
     def _handle_progress(self, event: api.AttemptProgress) -> None:
-        """Word of an attempt. One far below the usual pace (a bad plan, a slow engine) is dropped once."""
+        """Take in a progress note; cancel a straggler (a bad plan, a slow engine) once."""
         state = self.requests.get(event.id)
         if state is None or state.ended or event.attempt + 1 != len(state.attempts):
             return
         attempt, traffic = state.attempts[event.attempt], state.traffic
         if event.kind is api.ProgressKind.WAITING:
-            attempt.progress_due_at = inf  # no notes are promised while it waits
+            attempt.progress_due_at = inf  # no notes are due while it waits
             if event.amount == api.WAITING_FOR_LOAD:
                 attempt.engine.remote_locks_until[state.request.dataset] = self.now + self.lock_wait
         if event.kind is not api.ProgressKind.PROGRESS or not self.settings.limits.cancellation or attempt.ended:
@@ -118,19 +121,19 @@
             not event.attempt and time_to_go >= STRAGGLER_FACTOR * expected and time_left >= 2 * traffic.usual_latency
         )
         if slow and not self._fleet_index(state.request.cls):
-            self._cancel_for_retry(state)  # once, and not where all are slow or the query is long by itself
-        elif time_to_go > time_left:  # it would only fill the engine, and jam it for others, until its time is out
+            self._cancel_for_retry(state)  # once, and not where all engines are slow or the query is long by itself
+        elif time_to_go > time_left:  # it would take capacity until its deadline without an answer
             self.actions.append(api.CancelAttempt(event.id, event.attempt))
             self._record_loss(state, attempt)
             self._finish(state)
 
     def _expect_progress(self, state: RequestState, periods: float) -> None:
-        """Be woken when the last attempt's next note is overdue."""
+        """Set a timer for the time at which the last attempt's next progress note is overdue."""
         state.attempts[-1].progress_due_at = self.now + periods * self.settings.progress_interval
         self._set_timer(periods * self.settings.progress_interval, state.request.id << 1 | 1)
 
     def _cancel_for_retry(self, state: RequestState) -> None:
-        """Cancel the last attempt where another may follow; its outcome leads on."""
+        """Cancel the last attempt where a retry is allowed; its outcome starts the retry."""
         if (
             state.cls.idempotency is api.Idempotency.IDEMPOTENT
             and len(state.attempts) < self.settings.limits.max_attempts
@@ -138,15 +141,15 @@
             self.actions.append(api.CancelAttempt(state.request.id, len(state.attempts) - 1))
 
     def _check_silence(self, state: RequestState) -> None:
-        """An attempt without the notes that are due is not running: its answer is lost, or its engine."""
+        """Count the last attempt as failed where its progress notes are overdue: answer or engine is lost."""
         attempt = state.attempts[-1]
         overdue = not attempt.ended and self.now >= attempt.progress_due_at and state.in_flight() <= 1
         if overdue and state.deadline - self.now > state.traffic.usual_latency:
             attempt.engine.outcomes, attempt.engine.failures = attempt.engine.outcomes + 1, attempt.engine.failures + 1
             self._cancel_for_retry(state)
 
-    def _finish(self, state: RequestState, shed: bool = False) -> None:
-        """The final answer at once: a refusal where the effect rule lets it be one, else a failure."""
+    def _finish(self, state: RequestState, is_load_shedding: bool = False) -> None:
+        """Give the final answer: a rejection where the request surely had no effect, else a failure."""
         if state.ended:
             return
         state.ended, limits = True, self.settings.limits
@@ -158,15 +161,17 @@
                 retry_after = min(
                     low + (high - low) * (share - min_share) / (max_share - min_share), limits.max_retry_after
                 )
-            self.actions.append(api.Reject(state.request.id, retry_after if limits.retry_after else 0.0, shed))
+            self.actions.append(
+                api.Reject(state.request.id, retry_after if limits.retry_after else 0.0, is_load_shedding)
+            )
             if not self.settings.clients_mark_retries and not state.attempts:
-                state.traffic.arrivals -= 1  # it may come back as new: lam counts what is let in
+                state.traffic.arrivals -= 1  # a retry arrives as a new request: the arrival rate counts admitted ones
         else:
             self.actions.append(api.Fail(state.request.id))
         self._release(state)
 
     def _release(self, state: RequestState) -> None:
-        """Forget a state that is over with nothing out, and give its key's turn on."""
+        """Drop a request that has ended with no attempt in flight, and wake the next of its ordering key."""
         if not state.ended or state.in_flight():
             return
         self.requests.pop(state.request.id, None)
--- a/tealwing/policy/engines.py
+++ b/tealwing/policy/engines.py
@@ -1,4 +1,4 @@
-"""Engines as this gateway sees them, their evidence, and the requests with attempts there."""
+"""State per engine (reports, latencies, failures, slow start) and per open request."""
 
 from __future__ import annotations
 
@@ -9,34 +9,40 @@
 from tealwing.policy.rates import ANSWER_WEIGHT, MIN_LATENCY, ClassTraffic
 from tealwing.policy.tables import interpolate
 
-SHRINKAGE_SAMPLES = 50.0  # answers that the fleet's mean counts for in an engine's: noise must not look like speed
-SLOWDOWN_RETENTION = 0.6  # share of a pace that a rebuild keeps: a memory of two seconds
-SLOWDOWN_PRIOR_ANSWERS = 3.0  # answers that a pace's prior counts for: one long query is no jam
-MAX_REPORTED = {"inflight": 1e4, "queue": 1e4}  # beyond which a reported value is read as this: absurd ones
-MAX_REPORTED_SHARE = 4.0  # the same for shares
-OVERLOAD_SLOWDOWN = 3.0  # latency of late over the best that means pressure
-OVERLOAD_THRESHOLDS = {"util": 0.85, "x1": 0.9, "x0": 0.9, "queue": 0.5, "load": 1.0}  # values that mean pressure
-SLOWDOWN_AT_CAPACITY = 4.0  # slowness that stands for m where no count is reported: twice the sharing at m
-MIN_SUCCESS_SHARE = 0.05  # least share of successes in mu: keeps the index finite
-BAD_QUERY_ENGINES = 2  # engines with errors at which a query is held to be at fault itself, not they
+SHRINKAGE_SAMPLES = 50.0  # answers that the fleet's mean latency weighs in an engine's estimate
+SLOWDOWN_RETENTION = 0.6  # share of the counts that a rebuild keeps: a memory of about two seconds
+SLOWDOWN_PRIOR_ANSWERS = 3.0  # answers that the prior weighs: a single long query is no overload
+MAX_REPORTED = {"inflight": 1e4, "queue": 1e4}  # upper bounds on reported counts: larger values are faulty
+MAX_REPORTED_SHARE = 4.0  # upper bound on reported shares
+OVERLOAD_SLOWDOWN = 3.0  # recent latency over the best that means overload
+OVERLOAD_THRESHOLDS = {
+    "util": 0.85,
+    "x1": 0.9,
+    "x0": 0.9,
+    "queue": 0.5,
+    "load": 1.0,
+}  # reported values that mean overload
+SLOWDOWN_AT_CAPACITY = 4.0  # slowdown taken as full capacity where no in-flight count is reported
+MIN_SUCCESS_SHARE = 0.05  # lower bound in the service rate: keeps the index finite
+BAD_QUERY_ENGINES = 2  # engines that failed the same query, at which the query is at fault, not the engines
 
 
 class SlowdownEstimate:
-    """Latency over the best, as query-seconds over answers; also of what is out: answers alone hide a jam."""
+    """Estimate of latency over the best latency; counts in-flight queries too, as answers alone hide an overload."""
 
     def __init__(self, now: float = 0.0) -> None:
-        # queries' time out over their class's best; answers
+        # time in flight over the class's best latency; answers
         self.normalized_time = 0.0
         self.completed = 0.0
         self.updated_at = now
 
     def advance(self, now: float, in_flight_over_best: float) -> None:
-        """Time went by with so many queries out, each over its class's best."""
+        """Add the time up to now; in_flight_over_best is the sum over queries in flight of 1 / best latency (1/s)."""
         self.normalized_time = self.normalized_time + in_flight_over_best * (now - self.updated_at)
         self.updated_at = now
 
     def estimate_and_decay(self, prior: float) -> float:
-        """Slowness as a second ends, drawn to the usual; then what it was read from fades."""
+        """Return the slowdown, shrunk to the prior, and decay the counts."""
         slowdown = (self.normalized_time + SLOWDOWN_PRIOR_ANSWERS * prior) / (self.completed + SLOWDOWN_PRIOR_ANSWERS)
         self.normalized_time = SLOWDOWN_RETENTION * self.normalized_time
         self.completed = SLOWDOWN_RETENTION * self.completed
@@ -44,38 +50,42 @@
 
 
 class ClassEstimate:
-    """What one engine shows for one class: mu, and the counts behind j."""
+    """One engine's figures for one class: latency, attempts in flight, and the index."""
 
     def __init__(self, now: float) -> None:
         self.latency, self.samples = 0.0, 0.0
-        self.in_flight = self.unreported = 0  # attempts out; those sent since the last report
-        self.overload_share, self.index = 0.0, 0.0  # share of j past m; the index below m, as of the last view
-        self.query_count, self.capacity, self.index_table = 0.0, inf, list[float]()  # where m binds
-        # the last lot while cold; s it waited for; its time
+        self.in_flight = self.unreported = 0  # attempts in flight; those of them sent since the last report
+        self.overload_share, self.index = 0.0, 0.0  # share of queries above capacity; index below capacity
+        self.query_count, self.capacity, self.index_table = (
+            0.0,
+            inf,
+            list[float](),
+        )  # the paper's j and m, valid where capacity is finite
+        # last sampling key during slow start; s since the draw before; time of the draw
         self.sampling_key = -1.0
         self.draw_interval = 0.0
         self.drawn_at = now
 
     def index_at(self, count_factor: float) -> float:
-        """The index at j as one query reads it."""
+        """Return the index with the query count scaled by count_factor."""
         count = self.query_count * count_factor
         return interpolate(self.index_table, count) if count + 1 > self.capacity else self.index
 
     def service_rate(self, traffic: ClassTraffic) -> float:
-        """Completions per second and query, where none fails."""
+        """Return completions per second of one query, failures left out (the paper's mu)."""
         latency = traffic.mean_latency + self.samples / (self.samples + SHRINKAGE_SAMPLES) * (
             self.latency - traffic.mean_latency
         )
         return 1 / max(latency, MIN_LATENCY)
 
     def record_latency(self, elapsed: float) -> None:
-        """Take in one latency."""
+        """Add one latency in seconds to the mean."""
         self.samples = min(self.samples + 1, 1 / ANSWER_WEIGHT)
         self.latency += (elapsed - self.latency) / self.samples
 
 
 class Engine:
-    """One engine as this gateway sees it."""
+    """One engine as this gateway knows it."""
 
     def __init__(self, entry: api.EngineListEntry, settings: api.Settings, now: float) -> None:
         self.id, self.zone, self.kind, self.cell = entry.engine, entry.zone, entry.kind, entry.cell
@@ -85,47 +95,47 @@
         self.slow_start_until = self.started + self.rules.slow_start_time if self.started > 0 else -inf
         self.estimates = [ClassEstimate(now) for _ in settings.classes]
         self.report, self.report_values = dict[str, float](), tuple[float, ...]()
-        self.report_count, self.reported_at = 0, -inf  # distinct reports seen; when the last came
-        # latency over the best; is full
+        self.report_count, self.reported_at = 0, -inf  # distinct load reports; time of the last
+        # latency over the best; time until which it counts as full
         self.slowdown_estimate = SlowdownEstimate(now)
         self.slowdown = 1.0
         self.full_until = -inf
-        self.other_queries = 0.0  # other gateways' queries there, by the last report or by the fleet's mean
-        # MB of this gateway's attempts there; share of its memory, of all
+        self.other_queries = 0.0  # other gateways' queries there, by the last report or the fleet's mean
+        # MB of this gateway's attempts; share of the engine's memory used by all gateways
         self.memory_reserved = 0.0
         self.memory_utilization = 0.0
-        self.threads = self.queries = 0  # of this gateway's attempts there
-        self.load, self.indices_valid_until = 0.0, -inf  # threads a core; until when load and indices hold
-        self.slow_start_sends: deque[tuple[float, float]] = deque()  # times and work sent while cold
-        self.outcomes, self.failures, self.failed_at = 0.0, 0.0, -inf  # outcomes, fading; the last failure
-        self.latency_factor, self.delisted = 1.0, False  # what peers add to its latency, a factor; left the list
-        # by group: ours; until when others'
+        self.threads = self.queries = 0  # of this gateway's attempts
+        self.load, self.indices_valid_until = 0.0, -inf  # threads per core; time until which load and indices are valid
+        self.slow_start_sends: deque[tuple[float, float]] = deque()  # (time, s of work) sent during slow start
+        self.outcomes, self.failures, self.failed_at = 0.0, 0.0, -inf  # decayed counts; time of the last failure
+        self.latency_factor, self.delisted = 1.0, False  # factor on its latency, by peers; not on the engine list
+        # by group of tables: our attempts that lock it; time until which another's lock is assumed
         self.lock_holders = Counter[float]()
         self.remote_locks_until = dict[float, float]()
 
     @property
     def success(self) -> float:
-        """Share of successes, one of them beforehand: a failure says more where an engine is seldom met."""
+        """Share of successful outcomes, with one success as the prior."""
         return max((self.outcomes - self.failures + 1) / (self.outcomes + 1), MIN_SUCCESS_SHARE)
 
     def warm_up_progress(self, now: float) -> float:
-        """Share of its capacity, by the contract's figures: a straight slow start."""
+        """Return the share of full capacity, 1 after the linear slow start."""
         if now >= self.slow_start_until:
             return 1.0
         passed = max(now - self.started, 0.0) / self.rules.slow_start_time
         return self.rules.slow_start_share + (1 - self.rules.slow_start_share) * passed
 
     def accepts(self, cls: api.RequestClass, within: frozenset[int] | None = None) -> bool:
-        """Whether the class may be placed there, and a request of it that is kept within some zones."""
+        """Whether the class, limited to the zones `within`, may be placed there; None allows all zones."""
         placed = (cls.zones is None or self.zone in cls.zones) and (within is None or self.zone in within)
         return placed and (cls.machine_kinds is None or self.kind in cls.machine_kinds)
 
     def is_locked(self, group: float, now: float) -> bool:
-        """Whether a load holds the group of tables there, as far as we know."""
+        """Whether a load is known to lock the group of tables there."""
         return group in self.lock_holders or self.remote_locks_until.get(group, -inf) > now
 
     def apply_report(self, field_names: tuple[str, ...], values: tuple[float, ...], now: float) -> bool:
-        """Take in a load report; one equal to the last is the same report again. NaN counts as absent."""
+        """Take in a load report; return False for a repeat of the last one. NaN counts as absent."""
         if not values or values == self.report_values:
             return False
         self.report_values, self.report_count, self.reported_at = values, self.report_count + 1, now
@@ -133,14 +143,14 @@
         self.report = {name: min(v, MAX_REPORTED.get(name, MAX_REPORTED_SHARE)) for name, v in pairs if v >= 0}
         for estimate in self.estimates:
             estimate.unreported = 0
-        if "inflight" in self.report:  # our own queries by our books, as reports may be old; others' by these
+        if "inflight" in self.report:  # own queries are counted locally, as reports may be old
             self.other_queries = max(0.0, self.report["inflight"] - self.queries)
         return True
 
     def query_count(
         self, cls: int, traffic: ClassTraffic, settings: api.Settings, capacity: float, unreported_weight: int = 1
     ) -> float:
-        """j: the threads there, by our books and the report, as queries of the class."""
+        """Return the threads in use, by local counts and the report, in queries of the class (the paper's j)."""
         threads = self.other_queries * traffic.weighted_threads
         for estimate, other, weight in zip(self.estimates, settings.classes, traffic.thread_weights, strict=True):
             threads += (
@@ -150,8 +160,8 @@
             )
         utilization = self.report.get(
             "x0", self.memory_utilization * traffic.weighted_share
-        )  # memory is occupancy too: in full it holds m
-        if "inflight" not in settings.report_fields:  # nor does one that slows all queries so far hold less
+        )  # full memory counts as full capacity
+        if "inflight" not in settings.report_fields:  # a slowdown counts as utilization
             utilization = max(utilization, (self.slowdown - 1.0) / (SLOWDOWN_AT_CAPACITY - 1.0))
         return max(
             threads / settings.classes[cls].threads,
@@ -159,7 +169,7 @@
         )
 
     def is_overloaded(self, now: float, load: float) -> bool:
-        """Whether m and n bind: a full refusal, a busy report, busy cores, or latency far above the best."""
+        """Whether the capacity limit applies: answered FULL, reported or counted load, or slowdown."""
         saturated = (
             now < self.full_until
             or max(load, self.memory_utilization) > OVERLOAD_THRESHOLDS["load"]
@@ -169,45 +179,48 @@
 
 
 class Attempt:
-    """One send of a state."""
+    """One attempt of a request."""
 
-    def __init__(self, engine: Engine, sent: float) -> None:
+    def __init__(self, engine: Engine, sent_at: float) -> None:
         self.engine, self.sent_at, self.report_count, self.progress_due_at = (
             engine,
-            sent,
+            sent_at,
             engine.report_count,
             inf,
-        )  # due: for its note
-        self.ended, self.may_have_run, self.blamed_failures = False, True, 0.0  # failures that its error counted for
+        )  # progress_due_at: when its next note is overdue
+        self.ended, self.may_have_run, self.blamed_failures = False, True, 0.0  # failures counted for its error
 
 
 class RequestState:
-    """A request from its arrival until it is over and nothing of it is out."""
+    """A request from arrival until it has ended and no attempt is in flight."""
 
-    def __init__(self, request: api.Request, traffic: ClassTraffic, now: float, lot: float) -> None:
+    def __init__(self, request: api.Request, traffic: ClassTraffic, now: float, sampling_key: float) -> None:
         self.request, self.traffic, self.cls, self.deadline = (
             request,
             traffic,
             traffic.cls,
             now + request.time_remaining,
         )
-        self.key, self.ended = request.key if traffic.cls.ordered else 0, False  # 0: no order
-        self.attempts, self.sampling_key = list[Attempt](), lot  # its lot decides where fixed shares are too small
+        self.key, self.ended = request.key if traffic.cls.ordered else 0, False  # key 0: no ordering
+        self.attempts, self.sampling_key = (
+            list[Attempt](),
+            sampling_key,
+        )  # sampling_key: uniform in [0, 1), for random decisions that stay the same per request
 
     def in_flight(self) -> int:
-        """Attempts without an outcome."""
+        """Return the number of attempts without an outcome."""
         return sum(not attempt.ended for attempt in self.attempts)
 
     def possibly_executed(self) -> list[Attempt]:
-        """Attempts that may have run."""
+        """Return the attempts that may have had an effect."""
         return [attempt for attempt in self.attempts if attempt.may_have_run]
 
     def is_bad_query(self) -> bool:
-        """Whether so many engines answered it with errors that the query itself must be at fault."""
+        """Whether so many engines answered with errors that the query itself must be at fault."""
         return len({attempt.engine.id for attempt in self.attempts if attempt.blamed_failures}) >= BAD_QUERY_ENGINES
 
     def may_reject(self) -> bool:
-        """Whether a refusal keeps the effect rule."""
+        """Whether a rejection is allowed: no attempt had an effect that a client's retry could double."""
         discarded = (
             self.cls.idempotency is api.Idempotency.KEYED and self.cls.idempotency_scope is api.IdempotencyScope.ALL
         )
--- a/tealwing/policy/fleet.py
+++ b/tealwing/policy/fleet.py
@@ -1,4 +1,4 @@
-"""All engines together: the list, our books, the mean report, and the rebuild of every second."""
+"""All engines: the engine list, local counts, the mean load report, and the rebuild once a second."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 )
 from tealwing.policy.tables import interpolate
 
-LOCAL_COUNT_WEIGHT = 10.0  # queries of ours that the reports count for when both tell of the fleet: a dozen reports
-REPORT_DECAY = 0.33  # share by which an engine's last report fades into the fleet's mean per rebuild
-MEAN_REPORT_WEIGHT = (0.05, 0.3)  # least and most weight of one report in the fleet's mean: noise, and news
-MEAN_REPORT_MEMORY = 1.5  # s that the fleet's mean remembers: reports are some half a second old
-FLEET_OVERLOAD_FACTOR = 0.7  # of BUSY at which the fleet's mean presses: single engines lie above the mean
-USUAL_RATE_WEIGHT = 0.03  # weight of one second in our usual share of all traffic: half a minute
-FAILURE_RETENTION = 0.9  # share of the counts of an engine's failures that a rebuild keeps: many meet it seldom
-COUNT_SPREAD = (0.8, 1.3)  # of j, as single queries read it: all must not turn at once on the same report
+LOCAL_COUNT_WEIGHT = 10.0  # queries that the reports weigh against local counts in the fleet's load
+REPORT_DECAY = 0.33  # share by which an old report moves to the fleet's mean per rebuild
+MEAN_REPORT_WEIGHT = (0.05, 0.3)  # bounds of one report's weight in the fleet's mean
+MEAN_REPORT_MEMORY = 1.5  # s: time constant of the fleet's mean
+FLEET_OVERLOAD_FACTOR = 0.7  # of the thresholds, for the fleet's mean: single engines lie above it
+USUAL_RATE_WEIGHT = 0.03  # weight of one second in this gateway's usual rate
+FAILURE_RETENTION = 0.9  # share of an engine's outcome counts that a rebuild keeps
+COUNT_SPREAD = (0.8, 1.3)  # factor on the query count, random per query: not all react alike to one report
 
 
 class Fleet(Rates):
-    """The engines of the list, and what this gateway knows of them."""
+    """The engines of the engine list and the fleet's mean."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.requests, self.engines, self.ready = dict[int, RequestState](), dict[int, Engine](), list[Engine]()
-        self.cores, self.is_overloaded = 0.0, False  # of the ready engines, by warmth; whether the fleet is pressed
-        self.eligible_engines: list[list[Engine]] = [[] for _ in settings.classes]  # ready and placed, by class
-        self.mean_report: dict[str, float] = {}  # the fleet's mean report; others' queries, all threads, a core
-        self.slowdown_estimate, self.slowdown = SlowdownEstimate(), 1.0  # of all engines
-        # reports; up to a rebuild ago; the last
+        self.cores, self.is_overloaded = 0.0, False  # ready cores times their warm-up progress
+        self.eligible_engines: list[list[Engine]] = [[] for _ in settings.classes]  # by class
+        self.mean_report: dict[str, float] = {}  # means of report fields; others and load per core
+        self.slowdown_estimate, self.slowdown = SlowdownEstimate(), 1.0  # over all engines
+        # reports in all, and up to the last rebuild; time of the last
         self.report_count = 0
         self.reports_at_rebuild = 0
         self.reported_at = -inf
-        # the best share of successes
+        # best_success: highest success share of a ready engine
         self.reports_in_flight = "inflight" in settings.report_fields
         self.best_success = 1.0
-        # echo: what a send of ours since a report stands for, with others'
+        # unreported_weight: attempts of all gateways that one of ours since a report stands for
         self.is_started = False
         self.unreported_weight = 1
 
@@ -53,7 +53,7 @@
                 self.engines[engine_id].ready, self.engines[engine_id].delisted = False, True
         for entry in event.entries:
             known = self.engines.get(entry.engine)
-            if known is None or entry.started > known.started:  # new, or started anew: nothing learned holds
+            if known is None or entry.started > known.started:  # new or restarted: what was learned is void
                 self.engines[entry.engine] = engine = Engine(entry, self.settings, self.now)
                 if engine.warm_up_progress(self.now) >= 1:
                     engine.other_queries = self.mean_report.get("others", 0.0) * engine.cores
@@ -77,7 +77,9 @@
             self.arrivals / REBUILD_INTERVAL - self.usual_rate
         )
         self.rebuilds, self.arrivals, self.memory_time = self.rebuilds + 1, 0, self.memory_time * MIX_RETENTION
-        self.engines = {n: e for n, e in self.engines.items() if e.queries or not e.delisted}  # others have left
+        self.engines = {
+            n: e for n, e in self.engines.items() if e.queries or not e.delisted
+        }  # drop those that left the list
         for traffic in self.class_traffic:
             traffic.arrival_rate = max(
                 traffic.arrival_rate
@@ -91,7 +93,7 @@
             traffic.best_latency += BEST_LATENCY_DRIFT * (traffic.mean_latency - traffic.best_latency)
         if (
             self.report_count == self.reports_at_rebuild and not self.requests
-        ):  # all are refused, say: what was heard is old
+        ):  # no recent reports, as when all requests are rejected
             self.mean_report = {name: value * (1 - REPORT_DECAY) for name, value in self.mean_report.items()}
         self._update_mix()
         self._adapt_capacity(
@@ -124,7 +126,10 @@
                 traffic.overload_time += REBUILD_INTERVAL * estimate.in_flight * estimate.overload_share
 
     def _decay_report(self, engine: Engine) -> None:
-        """An old report fades, so nobody stays shut out by it; not while we wait there, or for the first."""
+        """Move an old report to the fleet's mean, so that it excludes no engine for ever.
+
+        Not while attempts are in flight there, nor before the first report of an engine in slow start.
+        """
         warming_up = self.now < engine.slow_start_until
         if (
             self.now < engine.reported_at + REBUILD_INTERVAL
@@ -142,7 +147,7 @@
         engine.other_queries += REPORT_DECAY * (expected_queries - engine.other_queries)
 
     def _apply_report(self, engine: Engine, values: tuple[float, ...]) -> None:
-        """Take in a load report, and the fleet's mean with it: by time, as few reports must not be old."""
+        """Take in a load report and update the fleet's mean, weighed by the time since the last report."""
         if not engine.apply_report(self.settings.report_fields, values, self.now):
             return
         weight = min(
@@ -155,7 +160,7 @@
             cores = engine.cores * engine.warm_up_progress(self.now)
             reported["others"] = engine.other_queries / cores
             reported["load"] = (engine.threads + engine.other_queries * self.threads_per_query) / cores
-        if self.now < engine.slow_start_until:  # held back by its budget, it says nothing of those that are warm
+        if self.now < engine.slow_start_until:  # its load is bounded by the slow-start budget: kept apart
             reported = {"cold": reported.get("others", 0.0)}
         for name, value in reported.items():
             mean = self.mean_report.setdefault(name, value)
@@ -168,7 +173,7 @@
         )
 
     def _count_attempt(self, state: RequestState, engine: Engine, change: int) -> None:
-        """One attempt more or less in our books."""
+        """Add `change` (1 or -1) to the local counts of attempts."""
         self.slowdown_estimate.advance(
             self.now, sum(traffic.in_flight / max(traffic.best_latency, MIN_LATENCY) for traffic in self.class_traffic)
         )
@@ -184,7 +189,7 @@
                 del engine.lock_holders[state.request.dataset]
 
     def _refresh_indices(self, engine: Engine) -> None:
-        """Make the engine's load and its indices: nu*(j), or h/mu while nothing presses."""
+        """Compute the engine's load and indices: nu*(j) of the paper, or h/mu without overload."""
         now, cores = self.now, engine.cores * engine.warm_up_progress(self.now)
         engine.load = load = (engine.threads + engine.other_queries * self.threads_per_query) / cores
         engine.memory_utilization = (engine.memory_reserved + engine.other_queries * self.memory_per_query) / engine.ram
@@ -213,7 +218,7 @@
         engine.indices_valid_until = engine.full_until if now < engine.full_until else now + REBUILD_INTERVAL
 
     def _fleet_index(self, cls: int) -> float:
-        """The least index of a mean warm engine, by the mean report and our books: a sample, but not late."""
+        """Return the index of a mean warm engine, by the mean report and local counts; 0 without overload."""
         if not self.is_overloaded:
             return 0.0
         traffic = self.class_traffic[cls]
@@ -225,7 +230,7 @@
         other_queries = self.mean_report.get("others", 0.0) * self.cores
         expected_queries = (
             self.usual_rate / self.quota_rate * (local_queries + other_queries) if self.quota_rate else local_queries
-        )  # our part, by the reports
+        )  # this gateway's part, by the reports
         factor = (
             (LOCAL_COUNT_WEIGHT + local_queries) / (LOCAL_COUNT_WEIGHT + expected_queries)
             if self.reports_in_flight
--- a/tealwing/policy/gateway.py
+++ b/tealwing/policy/gateway.py
@@ -1,53 +1,67 @@
-"""What follows from each event; its records are those of tealwing/interface.py."""
+"""The decisions' entry point: a table of handlers, one a kind of event of tealwing/interface.py."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 from tealwing import interface as api
 from tealwing.policy.attempts import Attempts
 from tealwing.policy.engines import RequestState
 from tealwing.policy.rates import ANSWER_WEIGHT, REBUILD_INTERVAL
 
-ADMISSION_KEY_SCALE = 65536.0  # past which a lot's digits decide on admission: other choices read those before
+ADMISSION_KEY_SCALE = 65536.0  # admission uses the sampling key's digits after these: independent of other choices
 
 
 class Gateway(Attempts):
-    """The decisions of one gateway: handle(now, event) gives the actions, in order."""
+    """The decisions of one gateway; see the package's docstring for the state that each base class owns."""
+
+    def __init__(self, settings: api.Settings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self._handlers: dict[type, Callable[..., None]] = {
+            api.Request: self._handle_request,
+            api.AttemptOutcome: self._handle_outcome,
+            api.TimerFired: self._handle_timer,
+            api.EngineList: self._handle_engine_list,
+            api.ClientGone: self._handle_client_gone,
+            api.AttemptProgress: self._handle_progress,
+            api.ServiceLevel: self._handle_service_level,
+            api.EngineHealthEstimates: self._handle_health_estimates,
+            api.StreamStarted: self._ignore,
+            api.PeerMessage: self._ignore,
+            api.HealthCheckResult: self._ignore,
+        }
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Decide on one event."""
+        """Handle one event at time `now` (s) and return the actions in order; raise TypeError for another type."""
         self.now, self.actions = now, []
         if not self.is_started:
             self.is_started = True
             self._set_timer(REBUILD_INTERVAL, 0)
             if self.settings.polls_discovery:
                 self.actions.append(api.Subscribe(True))
-        match event:
-            case api.Request():
-                self._handle_request(event)
-            case api.AttemptOutcome():
-                self._handle_outcome(event)
-            case api.TimerFired(token=0):
-                self._rebuild()
-            case api.TimerFired(token=token):
-                self._handle_timer(token >> 1)
-            case api.EngineList(kind=api.EngineListKind.FAILED):
-                self.actions.append(api.Subscribe(True))
-            case api.EngineList():
-                self._apply_engine_list(event)
-            case api.ClientGone():
-                self._handle_client_gone(event.id)
-            case api.AttemptProgress():
-                self._handle_progress(event)
-            case api.ServiceLevel():
-                self.service_level = None if event.is_full_service else event
-            case api.EngineHealthEstimates():
-                for engine in self.engines.values():
-                    engine.latency_factor = event.latency_factors.get((engine.id, round(engine.started * 1e3)), 1.0)
-                    engine.indices_valid_until = now
-            case _ if not isinstance(event, api.StreamStarted | api.PeerMessage | api.HealthCheckResult):
-                raise TypeError(f"not an event: {event!r}")
+        handler = self._handlers.get(type(event))
+        if handler is None:
+            raise TypeError(f"not an event: {event!r}")
+        handler(event)
         return self.actions
 
+    def _handle_engine_list(self, event: api.EngineList) -> None:
+        if event.kind is api.EngineListKind.FAILED:
+            self.actions.append(api.Subscribe(True))
+        else:
+            self._apply_engine_list(event)
+
+    def _handle_service_level(self, event: api.ServiceLevel) -> None:
+        self.service_level = None if event.is_full_service else event
+
+    def _handle_health_estimates(self, event: api.EngineHealthEstimates) -> None:
+        for engine in self.engines.values():
+            engine.latency_factor = event.latency_factors.get((engine.id, round(engine.started * 1e3)), 1.0)
+            engine.indices_valid_until = self.now
+
+    def _ignore(self, event: api.Event) -> None:
+        """Do nothing: no decision reads the event."""
+
     def _handle_request(self, request: api.Request) -> None:
         traffic = self.class_traffic[request.cls]
         state = self.requests[request.id] = RequestState(request, traffic, self.now, self.random.random())
@@ -55,7 +69,7 @@
         if self.settings.rules.retry_budget_floor is not None:
             self.request_times.append(self.now)
         if not (self.settings.clients_mark_retries and request.is_client_retry):
-            traffic.arrivals += 1  # a refused query that returns must not swell lam
+            traffic.arrivals += 1  # a client's retry must not raise the arrival rate
         if request.cost:
             self.cost_sum, self.cost_count = self.cost_sum + request.cost, self.cost_count + 1
             traffic.estimates = min(traffic.estimates + 1, 2 / ANSWER_WEIGHT)
@@ -64,7 +78,7 @@
             traffic.estimated_time = traffic.estimated_time + length
             self.memory_time = self.memory_time + length * request.memory_estimate
         if not self._is_admitted(state):
-            self._finish(state, shed=True)
+            self._finish(state, is_load_shedding=True)
             return
         if state.key:
             self.ordering_queues[state.key].append(state)
@@ -72,7 +86,7 @@
                 len(self.ordering_queues[state.key]) * traffic.usual_latency
                 > request.time_remaining + traffic.cls.latency_objective
             ):
-                self._finish(state)  # its turn would come too late
+                self._finish(state)  # its turn in the ordering queue would come too late
             elif not self._is_in_order(state):
                 self._set_timer(state.deadline - self.deadline_margin - self.now, request.id << 1 | 1)
                 self._set_timer(self.ordering_wait_until.get(state.key, 0.0) - self.now, request.id << 1 | 1)
@@ -80,23 +94,29 @@
             self._place(state)
 
     def _is_admitted(self, state: RequestState) -> bool:
-        """Whether the service level lets a new request in: a lot, of digits that no other choice reads."""
+        """Whether the service level admits a new request, by its sampling key."""
         chances = self.service_level.admission_probability[state.request.cls] if self.service_level else (1.0,)
         return state.sampling_key * ADMISSION_KEY_SCALE % 1.0 < chances[min(state.request.tenant, len(chances) - 1)]
 
-    def _handle_client_gone(self, id_: int) -> None:
-        state = self.requests.get(id_)
+    def _handle_client_gone(self, event: api.ClientGone) -> None:
+        state = self.requests.get(event.id)
         if state is not None and not state.ended:
             state.ended = True
             for number, attempt in enumerate(state.attempts):
                 if not attempt.ended:
                     self._record_loss(state, attempt)
                     if self.settings.limits.cancellation:
-                        self.actions.append(api.CancelAttempt(id_, number))
+                        self.actions.append(api.CancelAttempt(event.id, number))
             self._release(state)
 
-    def _handle_timer(self, id_: int) -> None:
-        """A state's time: its attempt may have gone silent; or it is held, and this is its turn or its end."""
+    def _handle_timer(self, event: api.TimerFired) -> None:
+        if event.token == 0:
+            self._rebuild()
+        else:
+            self._resume(event.token >> 1)
+
+    def _resume(self, id_: int) -> None:
+        """Act on a request's timer: check progress notes, or place or finish one that waits for its turn."""
         state = self.requests.get(id_)
         if state is None or state.ended:
             return
--- a/tealwing/policy/placement.py
+++ b/tealwing/policy/placement.py
@@ -1,4 +1,4 @@
-"""The engine that a request goes to; every rule that a send keeps, the cold budget among them."""
+"""The choice of an engine for a request, and the rules that every send keeps."""
 
 from __future__ import annotations
 
@@ -10,58 +10,56 @@
 from tealwing.policy.fleet import COUNT_SPREAD, Fleet
 from tealwing.policy.rates import ClassTraffic
 
-DEADLINE_TICKS = 3  # ticks before the deadline at which a held request is answered
-NEAR_TIE = 0.1  # share of the smallest index within which engines tie
-CANDIDATES = (2, 2.0)  # near-ties compared at least, and over all gateways: many must not herd
-IDLE_LOAD = 0.7  # threads a core that an idle engine is counted as when ties are broken
-SLOW_START_LOAD_FACTOR = 0.5  # factor on the crowding of a cold engine whose lot a query has drawn: that is its part
-HOME_SHARE = 1 / 3  # share of the engines that a group's loads keep to and its readers avoid: loads are few
-HOME_LOCK_CHANCE = 0.25  # chance that a load of another gateway holds the group at one of its homes
-HOME_OFFSET = 0.4142135624  # turns from one group's homes to the next: all gateways find the same
-BUDGET_SAFETY = 0.6  # share of the fail-back budget that fixed shares use: work estimates are rough
-MIN_BUDGET_QUERIES = 2.0  # queries below which a gateway's share of the budget gives way to lots
-BUDGET_SLACK = 2.0  # roots of the budget, and queries, that the rule puts down to chance beyond it
-BUDGET_RISK = 5.0  # -ln of what bounds the chance that the lots of a window fill the slack: a fall is fatal
-OFFERED_WORK = (50.0, 1.6)  # estimates that none counts for, and most work a core, in what engines carry
-GOLDEN_RATIO = 0.6180339887  # its multiples fall evenly between whole numbers: lots of one query at many engines
-RETRY_KEY_SCALE = 1e4  # past which a lot's digits decide on a further attempt: who drew well must not again
+DEADLINE_TICKS = 3  # ticks before the deadline at which a waiting request is answered
+NEAR_TIE = 0.1  # share of the smallest index within which engines count as equal
+CANDIDATES = (2, 2.0)  # engines compared per gateway at least, and over all gateways: prevents herding
+IDLE_LOAD = 0.7  # threads per core added to an engine's load when ties are broken
+SLOW_START_LOAD_FACTOR = 0.5  # factor on the load of an engine in slow start that the query may use
+HOME_SHARE = 1 / 3  # share of the engines that a group's loads prefer and its readers avoid
+HOME_LOCK_CHANCE = 0.25  # chance that another gateway's load locks the group at one of its home engines
+HOME_OFFSET = 0.4142135624  # between the home engines of successive groups; the same at all gateways
+BUDGET_SAFETY = 0.6  # share of the slow-start budget given out as fixed shares: work estimates are rough
+MIN_BUDGET_QUERIES = 2.0  # queries below which a gateway's share gives way to sampling
+BUDGET_SLACK = 2.0  # overshoot that the rule allows for chance, in roots of the budget and in queries
+BUDGET_RISK = 5.0  # -ln of the bound on the chance that sampling uses up the slack
+OFFERED_WORK = (50.0, 1.6)  # prior weight in estimates; most work per core
+GOLDEN_RATIO = 0.6180339887  # low-discrepancy step: spreads one query's sampling keys over the engines
+RETRY_KEY_SCALE = 1e4  # a retry uses the sampling key's digits after these
 
 
 class Placement(Fleet):
-    """The choice among the engines, and the rules that every send keeps."""
+    """Engine selection and the rules for sends."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.service_level: api.ServiceLevel | None = None  # the service level, where one is in force
-        # times of requests and of further attempts
+        self.service_level: api.ServiceLevel | None = None  # None at full service
+        # times (s) of requests and of retries, for the retry budget
         self.request_times = deque[float]()
         self.retry_times = deque[float]()
-        # by key: jobs, rest
+        # by ordering key: waiting requests; time before which none is sent
         self.ordering_queues = defaultdict[int, deque[RequestState]](deque)
         self.ordering_wait_until = dict[int, float]()
         self.deadline_margin = min(DEADLINE_TICKS * settings.tick, settings.rules.answer_slack)  # s
 
     def _choose_engine(self, state: RequestState, failed: Engine | None) -> Engine | None:
-        """The engine of the smallest index below nu; near-ties go to the least crowded."""
+        """Return the engine of the smallest index below the rejection cost; near-ties go to the least loaded."""
         cls, traffic, zones = state.request.cls, state.traffic, state.request.zones
         candidates: list[tuple[float, Engine]] = []
-        # While reports are fresh each query reads j within a spread, so that not all turn away at once.
+        # With recent reports each query scales the count at random, so that not all avoid an engine at once.
         low, high = (
             COUNT_SPREAD if self.unreported_weight > 1 else (1.0, 1.0)
-        )  # few old reports differ enough by themselves
+        )  # without recent reports, counts differ enough by themselves
         count_factor = low + (high - low) * (state.sampling_key / GOLDEN_RATIO % 1.0)
-        uses_locks = (
-            state.cls.locks_tables or state.cls.waits_for_locks
-        )  # behind a load that holds its tables, at the cost h a second
+        uses_locks = state.cls.locks_tables or state.cls.waits_for_locks  # waiting for a lock costs delay_cost a second
         fleet_index = self._fleet_index(cls)
-        traffic.placements += 1  # for the lots of the cold budget
+        traffic.placements += 1  # weighs the sampling of the slow-start budget
         for engine in (
             self.eligible_engines[cls] if zones is None else [e for e in self.eligible_engines[cls] if e.zone in zones]
         ):
             if self.now >= engine.indices_valid_until:
                 self._refresh_indices(engine)
             index = engine.estimates[cls].index_at(count_factor)
-            if self.now >= engine.slow_start_until:  # the cold may have room when none is left elsewhere
+            if self.now >= engine.slow_start_until:  # engines in slow start may have capacity when others have none
                 index = max(index, fleet_index)
             if index < traffic.rejection_cost and engine is not failed and self._fits_slow_start_budget(state, engine):
                 lock_chance = self._lock_chance(state, engine) if uses_locks else 0.0
@@ -72,7 +70,7 @@
             tie_limit = min(index for index, _ in candidates) * (1 + NEAR_TIE)
             tied = [n for n, (index, _) in enumerate(candidates) if index <= tie_limit]
             compared = max(CANDIDATES[0], ceil(CANDIDATES[1] * len(tied) / self.settings.gateway_count))
-            if compared < len(tied):  # and the cold, which few queries may go to at all
+            if compared < len(tied):  # keep those in slow start, which few queries may use
                 tied = self.random.sample(tied, compared) + [
                     n for n in tied if self.now < candidates[n][1].slow_start_until
                 ]
@@ -84,22 +82,22 @@
         return None
 
     def _lock_chance(self, state: RequestState, engine: Engine) -> float:
-        """The chance that a load holds the state's tables there; for a load, that it would hold up readers."""
+        """Return the chance that a load locks the request's tables there; for a load, that it would block readers."""
         group = state.request.dataset
         if engine.is_locked(group, self.now):
             return 1.0
-        # Of others' loads we know little: a group's keep to its homes, by its number, its readers away.
+        # Other gateways' loads are unknown: by convention a group's loads use its home engines, its readers others.
         home = (engine.id * GOLDEN_RATIO - group * HOME_OFFSET) % 1.0 < HOME_SHARE
         return HOME_LOCK_CHANCE if home != state.cls.locks_tables and self.settings.gateway_count > 1 else 0.0
 
     def _weighted_load(self, priority_weight: float, index: float, engine: Engine) -> float:
-        """What decides between near-ties: threads a core, weighed by the index with the price of crossing."""
+        """Return the tie-breaker: load per core times the index plus the price of a cross-zone send."""
         crossing_price = self.settings.prices.cross_zone * priority_weight if engine.zone != self.settings.zone else 0.0
         slow_start_factor = SLOW_START_LOAD_FACTOR if self.now < engine.slow_start_until else 1.0
         return slow_start_factor * (index + crossing_price) * (IDLE_LOAD + engine.load)
 
     def _may_send(self, state: RequestState, engine: Engine) -> bool:
-        """Whether a send now keeps every rule; every send passes here."""
+        """Whether a send now keeps every rule; checked before each send."""
         usable = engine.ready and self.now < state.deadline and not state.ended
         allowed = usable and engine.accepts(state.cls, state.request.zones) and self._is_in_order(state)
         allowed = allowed and (not state.attempts or self._has_attempt_left(state))
@@ -140,7 +138,7 @@
         return deduplicated and state.cls.idempotency is api.Idempotency.KEYED
 
     def _fits_slow_start_budget(self, state: RequestState, engine: Engine) -> bool:
-        """The fail-back rule over any window: this gateway's share or, where that is too small, a lot."""
+        """Whether a send keeps the recovery ramp: by this gateway's share or, where that is small, by sampling."""
         if self.now >= engine.slow_start_until:
             return True
         rules, traffic, gateways, now = self.settings.rules, state.traffic, self.settings.gateway_count, self.now
@@ -148,7 +146,7 @@
             engine.slow_start_sends.popleft()
         offered_work = (
             self.quota_rate * self.cost_sum / (self.cost_count + OFFERED_WORK[0]) / max(self.planned_cores, 1)
-        )  # work a core
+        )  # s of work per core
         budget = (
             rules.overload_multiple
             * rules.overload_time
@@ -156,38 +154,36 @@
             * engine.cores
         )
         budget *= min(max(offered_work, api.CAPACITY_UTILIZATION), OFFERED_WORK[1])
-        share = BUDGET_SAFETY * budget / gateways
-        if share >= MIN_BUDGET_QUERIES * traffic.mean_work:
-            return sum(work for _, work in engine.slow_start_sends) + traffic.mean_work <= share
-        # Lots by the time since the last one: so the mean of a window is known, whatever the traffic.
+        gateway_share = BUDGET_SAFETY * budget / gateways
+        if gateway_share >= MIN_BUDGET_QUERIES * traffic.mean_work:
+            return sum(work for _, work in engine.slow_start_sends) + traffic.mean_work <= gateway_share
+        # The chance grows with the time since the last draw, so a window's mean is independent of traffic.
         estimate = engine.estimates[state.request.cls]
         sampling_key = (
             state.sampling_key * RETRY_KEY_SCALE ** len(state.attempts) + engine.id * GOLDEN_RATIO
-        ) % 1.0  # for each attempt
+        ) % 1.0  # another key for each attempt
         if sampling_key != estimate.sampling_key:
             estimate.sampling_key = sampling_key
             estimate.draw_interval = min(now - estimate.drawn_at, rules.overload_time)
             estimate.drawn_at = now
-        window_share = (
-            estimate.draw_interval / rules.overload_time / gateways
-        )  # no more than the budget: most lots end here
+        window_share = estimate.draw_interval / rules.overload_time / gateways  # cheap bound first: most draws end here
         return (
             sampling_key * traffic.mean_work < window_share * budget
-            and sampling_key < window_share * self._expected_admissions(traffic, budget, share)
+            and sampling_key < window_share * self._expected_admissions(traffic, budget, gateway_share)
         )
 
-    def _expected_admissions(self, traffic: ClassTraffic, budget: float, share: float) -> float:
-        """Queries of the class that lots of all gateways let in within a window, on average."""
+    def _expected_admissions(self, traffic: ClassTraffic, budget: float, gateway_share: float) -> float:
+        """Return the mean number of the class's queries that all gateways admit by sampling in a window."""
         mean_work = sum(f.placements * f.mean_work for f in self.class_traffic) / sum(
             f.placements for f in self.class_traffic
         )
-        sampled = [f for f in self.class_traffic if share < MIN_BUDGET_QUERIES * f.mean_work]
-        reserved = BUDGET_SAFETY * budget if len(sampled) < len(self.class_traffic) else 0.0  # is kept for fixed shares
+        sampled = [f for f in self.class_traffic if gateway_share < MIN_BUDGET_QUERIES * f.mean_work]
+        reserved = BUDGET_SAFETY * budget if len(sampled) < len(self.class_traffic) else 0.0  # for fixed shares
         max_work = budget - reserved + BUDGET_SLACK * (sqrt(budget * mean_work) + mean_work)
         mean_sampled_work = sum(f.placements * f.mean_work for f in sampled) / sum(f.placements for f in sampled)
         decay = (
             (root := sqrt(2 * BUDGET_RISK * mean_sampled_work / max_work)) * (1 + root / 4) / mean_sampled_work
-        )  # lets in most
+        )  # maximizes the admitted number
         capacity = max(min(max_work - BUDGET_RISK / decay, budget), 0.0)
         class_share = sqrt(traffic.placements) / sum(sqrt(f.placements) for f in sampled)
         return class_share * capacity * decay * exp(-decay * traffic.mean_work) / -expm1(-decay * traffic.mean_work)
--- a/tealwing/policy/rates.py
+++ b/tealwing/policy/rates.py
@@ -1,4 +1,4 @@
-"""What is learned over all engines: the rates of each class, their mix in flight, and m."""
+"""Learned over all engines: rates and latencies per class, the mix in flight, and capacity (the paper's m)."""
 
 from __future__ import annotations
 
@@ -8,59 +8,62 @@
 from tealwing import interface as api
 from tealwing.policy.tables import mpi_table
 
-REBUILD_INTERVAL = 1.0  # s between rebuilds of what is learned
-INITIAL_THREADS_PER_CORE = 2.0  # threads a core at which m starts
-CAPACITY_INCREASE = 0.3  # threads a core that m rises by in a rebuild with all aims met
-CAPACITY_DECREASE = 0.8  # factor on m in a rebuild with aims missed: quicker down than up
-CAPACITY_RANGE = (1.25, 2.5)  # threads a core: what learning may make of m
-TIMEOUT_SHARE_LIMIT = 0.15  # share of time-outs among answers at which m falls
-OBJECTIVE_SHARE_LIMIT = 0.5  # latency of late over the aim at which m falls: late answers come too late to tell
-TABLE_LENGTH_FACTOR = 1.5  # n over m: a large learned theta would keep the index below nu for ever
-TABLE_STEPS = (20.0, 2.0)  # steps in ln mu and in m within which a table is shared: tables are dear
-ANSWER_WEIGHT = 0.02  # weight of one answer in a mean: fifty answers, as costs spread widely
-RECENT_ANSWER_WEIGHT = 0.1  # weight of one answer in a mean of late
-MAX_WORK_FACTOR = 2.0  # told work over latency and threads at most: absurd values must not poison a mean
-ARRIVAL_RATE_WEIGHT = 0.3  # weight of one second in lam
-BEST_LATENCY_DRIFT = 0.01  # share by which the best latency creeps up to the mean per rebuild
-MIN_LATENCY = 1e-4  # s: a zero must not make mu infinite
-MIX_RETENTION = 0.97  # share of a class's count of choices that a rebuild keeps: half a minute, some loads
-TIMER_MARGIN = 1e-6  # s that a timer is set later: a sum of floats must not wake it just too early
-LOCK_WAIT_SHARE = 0.5  # of a load's usual latency, for which one that a note told of is counted on: its rest
-CLASS_PRIORITIES = (3, 1)  # priority of the class worth most per work, and of the others
+REBUILD_INTERVAL = 1.0  # s between rebuilds
+INITIAL_THREADS_PER_CORE = 2.0  # the capacity at the start
+CAPACITY_INCREASE = 0.3  # threads per core added per rebuild while objectives are met
+CAPACITY_DECREASE = 0.8  # factor per rebuild while objectives are missed
+CAPACITY_RANGE = (1.25, 2.5)  # threads per core: bounds of the learned capacity
+TIMEOUT_SHARE_LIMIT = 0.15  # timeouts over answers at which capacity is reduced
+OBJECTIVE_SHARE_LIMIT = 0.5  # recent latency over the objective at which capacity is reduced
+TABLE_LENGTH_FACTOR = 1.5  # table length over capacity (n over m): bounds the queue where abandonments are many
+TABLE_STEPS = (20.0, 2.0)  # steps in ln(service rate) and in capacity within which a table is shared
+ANSWER_WEIGHT = 0.02  # weight of one answer in a mean
+RECENT_ANSWER_WEIGHT = 0.1  # weight of one answer in a recent mean
+MAX_WORK_FACTOR = 2.0  # bound on reported work over latency times threads
+ARRIVAL_RATE_WEIGHT = 0.3  # weight of one second in the arrival rate
+BEST_LATENCY_DRIFT = 0.01  # share by which the best latency moves to the mean per rebuild
+MIN_LATENCY = 1e-4  # s: keeps the service rate finite
+MIX_RETENTION = 0.97  # share of a class's decayed counts that a rebuild keeps
+TIMER_MARGIN = 1e-6  # s added to timers, against rounding
+LOCK_WAIT_SHARE = 0.5  # share of a load's usual latency for which a reported lock is assumed to last
+CLASS_PRIORITIES = (3, 1)  # priority of the class with the highest weight per work, and of the others
 
 
 class ClassTraffic:
-    """One class over all engines: lam, theta, latency, work, and what follows from them."""
+    """One class over all engines: arrival and abandonment rate, latency, work, and the index tables."""
 
     def __init__(self, cls: api.RequestClass) -> None:
         self.cls = cls
         self.delay_cost = cls.priority_weight / cls.latency_objective
         self.rejection_cost = cls.priority_weight * cls.deadline / cls.latency_objective
-        self.arrival_rate, self.arrivals = 1.0, 0.0  # per second; of one second
+        self.arrival_rate, self.arrivals = 1.0, 0.0  # per second (the paper's lambda); count since the last rebuild
         self.placements = 1 / (
             cls.latency_objective * cls.threads
-        )  # choices, fading; beforehand a second's work of each
-        # s: mean, late, best
+        )  # decayed count of placements; the prior is a second's work
+        # s
         self.mean_latency = cls.latency_objective
         self.recent_latency = 0.0
         self.best_latency = cls.latency_objective
         self.samples = 0.0
-        # s: the mean once known; s of one thread, a mean
+        # s: mean latency once known; mean work of one query in s of one thread
         self.usual_latency = 0.0
         self.mean_work = cls.latency_objective * cls.threads
-        # s that queries take by their estimates, fading; estimates heard
+        # decayed sum of estimated s; number of cost estimates
         self.estimated_time = 0.0
         self.estimates = 0.0
-        self.losses, self.overload_time = 1.0, cls.deadline  # losses and query-seconds past m: theta's prior
-        self.priority, self.in_flight = api.DEFAULT_PRIORITY, 0  # priority; attempts out
-        # what a thread of each class counts
+        self.losses, self.overload_time = (
+            1.0,
+            cls.deadline,
+        )  # abandonments and query-seconds above capacity: theta is their ratio
+        self.priority, self.in_flight = api.DEFAULT_PRIORITY, 0  # in_flight: attempts
+        # weight of a thread of each class beside this one; mean weighted threads a query; their share
         self.thread_weights = list[float]()
         self.weighted_threads = 0.0
         self.weighted_share = 1.0
         self.index_tables: dict[tuple[int, int], list[float]] = {}
 
     def record_answer(self, elapsed: float, cost: float) -> None:
-        """Take in one served latency, and the work if it is told."""
+        """Add one served request: latency in s, and work in s of one thread (0: not reported)."""
         self.samples = min(self.samples + 1, 2 / ANSWER_WEIGHT)
         self.mean_latency += (elapsed - self.mean_latency) / self.samples
         self.usual_latency = self.mean_latency
@@ -71,15 +74,15 @@
             max_work = MAX_WORK_FACTOR * elapsed * self.cls.threads
             work = min(cost, max_work) if cost > 0 else max_work / MAX_WORK_FACTOR
             self.mean_work += (work - self.mean_work) / self.samples
-        if self.samples * RECENT_ANSWER_WEIGHT >= 1:  # of the slow mean: the least of quick ones is far below the usual
+        if self.samples * RECENT_ANSWER_WEIGHT >= 1:  # from the slow mean, as single answers lie far below it
             self.best_latency = min(self.best_latency, self.mean_latency)
 
     def latency_objective(self) -> float:
-        """The aim of a usual query."""
+        """Return the latency objective of a usual query, in seconds."""
         return self.cls.latency_objective + self.cls.objective_per_work * min(self.best_latency, self.mean_latency)
 
     def index_table(self, service_rate: float, capacity: float, gateways: int) -> list[float]:
-        """The indices at mu and m, made when first asked for; near values share one table."""
+        """Return the index table at a service rate and a capacity; near values share one table."""
         key = (round(TABLE_STEPS[0] * log(service_rate)), round(TABLE_STEPS[1] * capacity))
         if key not in self.index_tables:
             length, loss_cost = ceil(TABLE_LENGTH_FACTOR * capacity), self.cls.priority_weight
@@ -96,26 +99,30 @@
 
 
 class Rates:
-    """The classes together, and what is learned alike for all engines."""
+    """All classes, and what is learned for all engines alike."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.random, self.now = settings, Random(seed), 0.0
         self.actions, self.class_traffic = list[api.Action](), [ClassTraffic(cls) for cls in settings.classes]
-        self.quota_rate = sum(account.rate for account in settings.tenant_quotas)  # queries a second of the whole fleet
-        self.usual_rate = self.quota_rate / settings.gateway_count  # our part of told, a mean
-        self.arrivals = self.rebuilds = self.cost_sum = self.cost_count = self.planned_cores = 0.0  # counts
-        # threads, MB of one in flight; MB times s, fading
+        self.quota_rate = sum(
+            account.rate for account in settings.tenant_quotas
+        )  # queries per second over all gateways
+        self.usual_rate = self.quota_rate / settings.gateway_count  # this gateway's part, a mean
+        self.arrivals = self.rebuilds = self.cost_sum = self.cost_count = self.planned_cores = (
+            0.0  # decayed or plain counts
+        )
+        # threads and MB of a mean query in flight; decayed MB times s
         self.threads_per_query = 1.0
         self.memory_per_query = 0.0
         self.memory_time = 0.0
-        # m in threads a core; of one second
+        # learned capacity; counts since the last rebuild
         self.threads_per_core = INITIAL_THREADS_PER_CORE
         self.answers = 0
         self.timeouts = 0
         self._update_mix()
 
     def _update_mix(self) -> None:
-        """Priorities, and the mix of classes among the queries in flight."""
+        """Update priorities and the mix of classes among the queries in flight."""
         self.lock_wait = LOCK_WAIT_SHARE * max(
             (traffic.mean_latency for traffic in self.class_traffic if traffic.cls.locks_tables), default=0.0
         )
@@ -128,13 +135,13 @@
             )
         in_flight_time = [
             f.estimated_time or f.arrival_rate * f.mean_latency for f in self.class_traffic
-        ]  # in a jam those that ended mislead
+        ]  # by estimates where known: under overload, ended queries mislead
         total = sum(in_flight_time) or 1.0
         self.threads_per_query = (
             sum(n * traffic.cls.threads for n, traffic in zip(in_flight_time, self.class_traffic, strict=True)) / total
         )
         self.memory_per_query = self.memory_time / total
-        for traffic in self.class_traffic:  # threads of a lower priority take less from a query
+        for traffic in self.class_traffic:  # threads of a lower priority slow a query down less
             traffic.thread_weights = [
                 min(1.0, api.PRIORITY_SHARES[other.priority] / api.PRIORITY_SHARES[traffic.priority])
                 for other in self.class_traffic
@@ -144,7 +151,7 @@
             traffic.weighted_share = traffic.weighted_threads / (self.threads_per_query or 1.0)
 
     def _adapt_capacity(self, fleet_overloaded: bool) -> None:
-        """m falls when latency nears the aim, on time-outs or a busy fleet, and rises while aims are met."""
+        """Reduce capacity near the latency objective, on timeouts or overload; raise it while objectives are met."""
         near_objective = any(
             traffic.recent_latency > OBJECTIVE_SHARE_LIMIT * traffic.latency_objective()
             for traffic in self.class_traffic
--- a/tealwing/policy/tables.py
+++ b/tealwing/policy/tables.py
@@ -1,4 +1,9 @@
-"""The tables of the index, by class, rates and m; equation numbers are the paper's."""
+"""The marginal productivity index; letters and equation numbers are the paper's (Niño-Mora); pure.
+
+lam: arrival rate (1/s), mu: service rate of one server (1/s), theta: abandonment rate (1/s), m: servers (capacity in
+queries), n: buffer size (table length), h: holding cost a second, c: cost of an abandonment, j: queries present,
+nu*(j): the index at j.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +11,7 @@
 
 
 def mpi_table(lam: float, mu: float, theta: float, m: float, n: int, h: float, c: float) -> list[float]:
-    """The indices nu*(0) to nu*(n-1) by (8)-(10) at alpha = 0, with the rates and costs of (11) and r = 0."""
+    """Return the indices nu*(0) to nu*(n-1) by (8)-(10) at alpha = 0, with the rates and costs of (11) and r = 0."""
     theta = min(theta, mu)  # Assumption 1: d(j) stays concave
 
     past, below = max(1 - m, 0.0), min(1, m)
@@ -27,7 +32,7 @@
 
 
 def interpolate(table: list[float], count: float) -> float:
-    """nu*(j), linear between whole j; infinite from n on."""
+    """Return the index at a fractional count, linear between whole ones; infinite from n on."""
     if count >= len(table):
         return inf
     low, high = int(count), min(int(count) + 1, len(table) - 1)
--- a/tealwing/routing/diff.py
+++ b/tealwing/routing/diff.py
@@ -5,6 +5,7 @@
 from bisect import bisect_right
 from dataclasses import dataclass
 from functools import cached_property
+from itertools import pairwise
 
 from tealwing.routing.table import Table
 
@@ -33,7 +34,7 @@
     old, new = old or Table(), new or Table()
     edges = sorted({edge for table in (old, new) for r in table.routes for edge in (r.first, r.last + 1)})
     found: list[tuple[int, int]] = []
-    for first, after in zip(edges, edges[1:], strict=False):  # within a pair both tables say one thing
+    for first, after in pairwise(edges):  # within a pair both tables say one thing
         if old.sites_of(first) == new.sites_of(first):
             continue
         if found and found[-1][1] + 1 == first:
