--- a/tealwing/commands/levels.py
+++ b/tealwing/commands/levels.py
@@ -68,11 +68,7 @@
 @CONF
 @click.option("--seed", type=click.IntRange(0, 10**9), required=True, help="Same seed, same output.")
 @click.option(
-    "--minutes",
-    type=click.FloatRange(0.5, 60),
-    default=5.0,
-    show_default=True,
-    help="Virtual minutes of each play.",
+    "--minutes", type=click.FloatRange(0.5, 60), default=5.0, show_default=True, help="Virtual minutes of each play."
 )
 @click.option("--jobs", type=click.IntRange(1, 256), help="Processes; as many as there are processors.")
 @click.option("--json", "as_json", is_flag=True, help="JSON lines in place of a table.")
@@ -88,14 +84,14 @@
     """
     plan = plan_of(conf)
     try:
-        from tealwing.lab import swing as module
+        from tealwing.lab import load_swing as module
     except ImportError as error:
         raise Finding(f"levels swing needs the extra lab: pip install 'tealwing[lab]' ({error})") from None
     last: dict[str, Any] = {}
     if not as_json:
         click.echo(
-            f"{'threshold':20} {'form':9} {'period':>7} {'load':>6} {'changes':>8} {'a minute':>9}"
-            f" {'worth on':>9} {'off':>7} {'lookups on':>11} {'off':>7}"
+            f"{'threshold':20} {'form':9} {'period':>7} {'load':>6} {'changes':>8} {'a minute':>9} {'worth on':>9}"
+            f" {'off':>7} {'lookups on':>11} {'off':>7}"
         )
     for last in module.swing(plan, seed, minutes * 60, jobs or os.cpu_count() or 1):
         if as_json:
@@ -103,16 +99,16 @@
         elif "summary" not in last:
             click.echo(
                 f"{last['threshold']:20} {last['form']:9} {last['period_s']:>6g}s {last['load']:>6.2f}"
-                f" {last['changes']:>8} {last['changes_per_minute_max']:>9}"
-                f" {last['worth']['on']:>9.4f} {last['worth']['off']:>7.4f}"
-                f" {last['lookup_in_time']['on']:>11.4f} {last['lookup_in_time']['off']:>7.4f}"
+                f" {last['changes']:>8} {last['changes_per_minute_max']:>9} {last['worth']['on']:>9.4f}"
+                f" {last['worth']['off']:>7.4f} {last['lookup_in_time']['on']:>11.4f}"
+                f" {last['lookup_in_time']['off']:>7.4f}"
             )
     if not as_json:
         for name in last["not_entered_by_load"]:
             click.echo(f"{name}: load alone does not enter it")
         click.echo(
-            f"most changes in a minute: {last['changes_per_minute_max']}; worth on"
-            f" {last['worth']['on']:.4f}, off {last['worth']['off']:.4f}"
+            f"most changes in a minute: {last['changes_per_minute_max']}; worth on {last['worth']['on']:.4f}, off"
+            f" {last['worth']['off']:.4f}"
         )
     if last["changes_per_minute_max"] > MOST_CHANGES or last["rules_broken"]:
         raise SystemExit(1)
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -29,8 +29,8 @@
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
     from tealwing.federation.plan import Plan as FederationPlan
     from tealwing.fleet.peering import Peering
-    from tealwing.gossip.plan import Plan as GossipPlan
-    from tealwing.gossip.transport import Link
+    from tealwing.gossip.config import GossipConfig
+    from tealwing.gossip.service import GossipService
     from tealwing.levels.plan import Plan
     from tealwing.peers.plan import Plan as PeersPlan
     from tealwing.replica.plan import Plan as ReplicaPlan
@@ -55,7 +55,7 @@
         self._settings, self._cores = config.settings, config.cores
         self._from_file = config.settings  # what the configuration said last
         self.on_settings: Callable[[api.Settings], None] = lambda settings: None  # the server's side of a change
-        self._link: Link | None = None  # where gossip is on
+        self._link: GossipService | None = None  # where gossip is on
         self._peering: Peering | None = None  # where the section `peers` is
         self.gate: Gate | None = None  # where the section `rules` is: what requests pass first
         self.sections: frozenset[str] = frozenset()  # of the operators' file, that are on
@@ -117,8 +117,8 @@
         }
         if self._peering is not None:
             is_ready, reason, phase = self._peering.readiness()
-            word = re.sub(r"[^a-z0-9]+", "_", reason.partition(";")[0].lower()).strip("_")
-            found |= {"recovery_phase": phase, f"ready_{'yes' if is_ready else 'no'}.{word or 'no_replica'}": 1}
+            name = re.sub(r"[^a-z0-9]+", "_", reason.partition(";")[0].lower()).strip("_")
+            found |= {"recovery_phase": phase, f"ready_{'yes' if is_ready else 'no'}.{name or 'no_replica'}": 1}
         return found
 
     def readiness(self) -> tuple[bool, str]:
@@ -257,7 +257,7 @@
         self, plan: PeersPlan | None, replica: ReplicaPlan | None, rules: RulesPlan | None,
         federation: FederationPlan | None,
     ) -> None:  # fmt: skip
-        """Begin the link to the peers, and the replicated state; a LinkFault leaves it as it is."""
+        """Begin the link to the peers, and the replicated state; a LinkError leaves it as it is."""
         if plan is None and self._peering is None:
             if replica is not None:
                 raise ValueError("replica: needs the section peers, whose members take part")
@@ -267,15 +267,15 @@
         if federation is not None and (replica is None or rules is None):
             raise ValueError("federation: needs the sections replica and rules: what the sites agree on is a version")
         from tealwing.fleet.peering import Peering
-        from tealwing.peers.link import LinkFault  # only where it is on
+        from tealwing.peers.errors import LinkError  # only where it is on
 
         if self._peering is not None:
             if (plan, replica, rules, federation) != self._peering.plans:
-                raise LinkFault("peers, replica, rules, federation: a section changed; allowed: a restart")
+                raise LinkError("peers, replica, rules, federation: a section changed; allowed: a restart")
             return
         assert plan is not None
         if not self._settings.limits.peer_messages:
-            raise LinkFault("peers: the platform's settings forbid talk among gateways (Allowed.Peers)")
+            raise LinkError("peers: the platform's settings forbid talk among gateways (Allowed.Peers)")
         peering = Peering(plan, replica, self._fleet_settings, federation)
         if rules is not None:
             self.gate = peering.follow_rules(rules, self)
@@ -284,19 +284,20 @@
         if self._peering.feed is not None:
             self._peering.feed.engines(self._decisions.engine_list, self._settings.rules)
 
-    def _apply_gossip(self, plan: GossipPlan | None) -> None:
-        """Begin, change or end gossip; a GossipFault leaves it as it is."""
+    def _apply_gossip(self, plan: GossipConfig | None) -> None:
+        """Begin, change or end gossip; a GossipConfigError leaves it as it is."""
         link = self._link
         if plan is None and link is None:
             return
-        from tealwing.gossip.transport import GossipFault, Link  # only where gossip is on, or was
+        from tealwing.gossip.errors import GossipConfigError  # only where gossip is on, or was
+        from tealwing.gossip.service import GossipService
 
         if plan is not None and not self._settings.limits.peer_messages:
-            raise GossipFault("gossip: the platform's settings forbid talk among gateways (Allowed.Peers)")
+            raise GossipConfigError("gossip: the platform's settings forbid talk among gateways (Allowed.Peers)")
         if plan is not None and link is not None:
             link.change(plan)
         elif plan is not None:
-            self._link = Link(
+            self._link = GossipService(
                 plan, partial(service_levels.fleet_evidence, self._decisions.change_module), self._decisions.submit
             )
             self._link.start()
@@ -322,9 +323,9 @@
         return self._decisions.broadcast(Signal.SHUTDOWN)
 
     @property
-    def longest_deadline(self) -> float:
+    def max_deadline(self) -> float:
         """The longest deadline in seconds, of the settings in force and of those that open requests are under."""
-        return self._decisions.longest_deadline
+        return self._decisions.max_deadline
 
     @property
     def open_requests(self) -> int:
--- a/tealwing/gossip/keys.py
+++ b/tealwing/gossip/keys.py
@@ -1,4 +1,4 @@
-"""Ed25519 keys: our own from a file, and the list of those allowed, with a time until which each holds."""
+"""Ed25519 keys: the local key from a file, and the keyring of those allowed, with a time until which each is valid."""
 
 from __future__ import annotations
 
@@ -14,62 +14,67 @@
 from cryptography.hazmat.primitives import serialization
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 
-from tealwing.gossip.messages import KEY_ID
+from tealwing.gossip.errors import InvalidKeyError
+from tealwing.gossip.messages import KEY_ID_BYTES
 
-RAW = 32  # bytes of a public key (RFC 8032)
-MOST_KEYS = 4  # of one name at a time: the old, the new, and room for a mistake
-
-
-class KeyFault(ValueError):
-    """A key that can't be used; the text says which and why."""
+PUBLIC_KEY_BYTES = 32  # RFC 8032
+MAX_KEYS_PER_NAME = 4  # the old, the new, and two spare
 
 
 def key_id(public: bytes) -> bytes:
-    """The first bytes of a public key: enough to choose among those allowed, never a proof."""
-    return public[:KEY_ID]
+    """Return the first bytes of a public key: enough to choose among those allowed, never a proof."""
+    return public[:KEY_ID_BYTES]
 
 
 def read_public(text: str) -> bytes:
-    """A public key as the file has it, in base64."""
+    """Return a public key from base64.
+
+    Raises:
+        InvalidKeyError: the text is no public key.
+    """
     try:
         raw = base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError):
         raw = b""
-    if len(raw) != RAW:
-        raise KeyFault(f"{text[:60]!r} is not a public key of {RAW} bytes in base64")
+    if len(raw) != PUBLIC_KEY_BYTES:
+        raise InvalidKeyError(f"{text[:60]!r} is not a public key of {PUBLIC_KEY_BYTES} bytes in base64")
     return raw
 
 
 def write_public(raw: bytes) -> str:
-    """A public key as the file has it."""
+    """Return a public key in base64."""
     return base64.b64encode(raw).decode()
 
 
-class OwnKey:
+class LocalKey:
     """Signs as this instance."""
 
     def __init__(self, private: Ed25519PrivateKey) -> None:
         self.private = private
         self.public = private.public_key().public_bytes_raw()
-        self.key = key_id(self.public)
+        self.key_id = key_id(self.public)
 
     def sign(self, data: bytes) -> bytes:
-        """A signature."""
+        """Return a signature."""
         return self.private.sign(data)
 
 
 def generate() -> Ed25519PrivateKey:
-    """A new key."""
+    """Return a new key."""
     return Ed25519PrivateKey.generate()
 
 
-def from_seed(seed: bytes) -> OwnKey:
-    """A key from 32 bytes: for tests and trials only."""
-    return OwnKey(Ed25519PrivateKey.from_private_bytes(seed))
+def from_seed(seed: bytes) -> LocalKey:
+    """Return a key from 32 bytes; for tests and trials only."""
+    return LocalKey(Ed25519PrivateKey.from_private_bytes(seed))
 
 
 def write_private(path: Path, private: Ed25519PrivateKey) -> None:
-    """A new file that only its owner reads; one that is there stays, with an error."""
+    """Write a new file that only its owner can read.
+
+    Raises:
+        FileExistsError: the file exists; it stays as it is.
+    """
     pem = private.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
@@ -77,52 +82,56 @@
         file.write(pem)
 
 
-def read_private(path: Path) -> OwnKey:
-    """The key in a file that others can't read."""
+def read_private(path: Path) -> LocalKey:
+    """Return the key in a file.
+
+    Raises:
+        InvalidKeyError: the file can't be read, others may read it, or it holds no Ed25519 key.
+    """
     try:
         mode = path.stat().st_mode & 0o077
         data = path.read_bytes()
     except OSError as error:
-        raise KeyFault(f"{path}: {error.strerror}") from None
+        raise InvalidKeyError(f"{path}: {error.strerror}") from None
     if mode:
-        raise KeyFault(f"{path}: others may read it; allowed: mode 0600")
+        raise InvalidKeyError(f"{path}: others may read it; allowed: mode 0600")
     try:
         private = serialization.load_pem_private_key(data, None)
     except (ValueError, TypeError):
-        raise KeyFault(f"{path}: no private key in PEM without a password") from None
+        raise InvalidKeyError(f"{path}: no private key in PEM without a password") from None
     if not isinstance(private, Ed25519PrivateKey):
-        raise KeyFault(f"{path}: not an Ed25519 key")
-    return OwnKey(private)
+        raise InvalidKeyError(f"{path}: not an Ed25519 key")
+    return LocalKey(private)
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
-    """One name's key, and the Unix time until which it holds."""
+class AllowedKey:
+    """A key allowed to one name, and the Unix time in s until which it is valid."""
 
     name: str
     public: bytes
-    until: float = inf
+    valid_until: float = inf
 
 
 class Keyring:
-    """The keys allowed. `wall`, seconds of the Unix clock, is kept by whoever owns it."""
+    """The keys allowed. Its owner keeps `unix_time`, s of the Unix clock, up to date."""
 
-    def __init__(self, allowed: Iterable[Allowed]) -> None:
-        self.wall = 0.0
+    def __init__(self, allowed: Iterable[AllowedKey]) -> None:
+        self.unix_time = 0.0
         self._keys: dict[tuple[str, bytes], tuple[Ed25519PublicKey, float]] = {}
         self.replace(allowed)
 
-    def replace(self, allowed: Iterable[Allowed]) -> None:
-        """Another list, in whole: a key that it lacks holds no more."""
+    def replace(self, allowed: Iterable[AllowedKey]) -> None:
+        """Replace all keys: one that is not in the new list is revoked."""
         self._keys = {
-            (entry.name, key_id(entry.public)): (Ed25519PublicKey.from_public_bytes(entry.public), entry.until)
+            (entry.name, key_id(entry.public)): (Ed25519PublicKey.from_public_bytes(entry.public), entry.valid_until)
             for entry in allowed
         }
 
     def verify(self, name: str, key: bytes, data: bytes, signature: bytes) -> bool:
-        """Whether that name signed that data, with a key that holds now."""
+        """Return whether that name signed the data with a key that is valid now."""
         found = self._keys.get((name, key))
-        if found is None or self.wall >= found[1]:
+        if found is None or self.unix_time >= found[1]:
             return False
         try:
             found[0].verify(signature, data)
