--- a/tealwing/levels/governor.py
+++ b/tealwing/levels/governor.py
@@ -25,14 +25,18 @@
     """A gateway's decision module under a plan of levels."""
 
     def __init__(self, settings: api.Settings, gateway: Gateway, plan: Plan, log_event: LogEvent | None = None) -> None:
-        self.settings, self.gateway, self.plan = settings, gateway, plan
+        self.settings = settings
+        self.gateway = gateway
+        self.plan = plan
         self._log_event = log_event
         self.signals = Signals(settings, plan.window, plan.interval)
         self.state = controller.initial_state(plan.timings)
         self._limits_by_level = plan.admission_limits(settings)
         self._full_service = admission.full_service_limits(len(settings.classes), len(settings.tenants) or 1)
         self._shares = self._full_service.floor
-        self._is_started, self._evaluated_at, self._is_reduced = False, 0.0, False
+        self._is_started = False
+        self._evaluated_at = 0.0
+        self._is_reduced = False
         self.changes: list[controller.Change] = []  # the last ones, for the admin interface
         self.latest_signals: dict[str, float] = {}  # of the last evaluation
 
--- a/tealwing/levels/signals.py
+++ b/tealwing/levels/signals.py
@@ -68,10 +68,12 @@
 
     def __init__(self, settings: api.Settings, window: float, interval: float) -> None:
         self._settings = settings
-        self._interval, self._length = interval, max(1, round(window / interval))
+        self._interval = interval
+        self._length = max(1, round(window / interval))
         self._ring: deque[Bucket] = deque()
         self._open: dict[int, OpenRequest] = {}  # in order of arrival
-        self._window, self._current = self._bucket(), self._bucket()
+        self._window = self._bucket()
+        self._current = self._bucket()
         self._ready_peaks: deque[tuple[float, int]] = deque()  # (time, count): falling counts, rising times
         self._host_load: api.HostLoad | None = None
 
--- a/tealwing/policy/engines.py
+++ b/tealwing/policy/engines.py
@@ -31,14 +31,13 @@
     """Estimate of latency over the best latency; counts in-flight queries too, as answers alone hide an overload."""
 
     def __init__(self, now: float = 0.0) -> None:
-        # time in flight over the class's best latency; answers
-        self.normalized_time = 0.0
-        self.completed = 0.0
+        self.normalized_time = 0.0  # decayed sum of time in flight over the class's best latency
+        self.completed = 0.0  # answers, decayed
         self.updated_at = now
 
     def advance(self, now: float, in_flight_over_best: float) -> None:
         """Add the time up to now; in_flight_over_best is the sum over queries in flight of 1 / best latency (1/s)."""
-        self.normalized_time = self.normalized_time + in_flight_over_best * (now - self.updated_at)
+        self.normalized_time += in_flight_over_best * (now - self.updated_at)
         self.updated_at = now
 
     def estimate_and_decay(self, prior: float) -> float:
@@ -53,18 +52,17 @@
     """One engine's figures for one class: latency, attempts in flight, and the index."""
 
     def __init__(self, now: float) -> None:
-        self.latency, self.samples = 0.0, 0.0
+        self.latency = 0.0
+        self.samples = 0.0
         self.in_flight = self.unreported = 0  # attempts in flight; those of them sent since the last report
-        self.overload_share, self.index = 0.0, 0.0  # share of queries above capacity; index below capacity
-        self.query_count, self.capacity, self.index_table = (
-            0.0,
-            inf,
-            list[float](),
-        )  # the paper's j and m, valid where capacity is finite
-        # last sampling key during slow start; s since the draw before; time of the draw
-        self.sampling_key = -1.0
-        self.draw_interval = 0.0
-        self.drawn_at = now
+        self.overload_share = 0.0  # share of queries above capacity
+        self.index = 0.0  # index below capacity
+        self.query_count = 0.0  # the paper's j, valid where capacity is finite
+        self.capacity = inf  # the paper's m
+        self.index_table = list[float]()
+        self.sampling_key = -1.0  # of the last draw during slow start
+        self.draw_interval = 0.0  # s between the last two draws
+        self.drawn_at = now  # time of the last draw
 
     def index_at(self, count_factor: float) -> float:
         """Return the index with the query count scaled by count_factor."""
@@ -88,27 +86,36 @@
     """One engine as this gateway knows it."""
 
     def __init__(self, entry: api.EngineListEntry, settings: api.Settings, now: float) -> None:
-        self.id, self.zone, self.kind, self.cell = entry.engine, entry.zone, entry.kind, entry.cell
-        self.ready, self.started = entry.health is api.Health.READY, entry.started
+        self.id = entry.engine
+        self.zone = entry.zone
+        self.kind = entry.kind
+        self.cell = entry.cell
+        self.ready = entry.health is api.Health.READY
+        self.started = entry.started
         kind, self.rules = settings.machine_kinds[min(self.kind, len(settings.machine_kinds) - 1)], settings.rules
-        self.cores, self.ram = kind.cores, max(kind.memory, 1.0)
+        self.cores = kind.cores
+        self.ram = max(kind.memory, 1.0)
         self.slow_start_until = self.started + self.rules.slow_start_time if self.started > 0 else -inf
         self.estimates = [ClassEstimate(now) for _ in settings.classes]
-        self.report, self.report_values = dict[str, float](), tuple[float, ...]()
-        self.report_count, self.reported_at = 0, -inf  # distinct load reports; time of the last
-        # latency over the best; time until which it counts as full
+        self.report = dict[str, float]()
+        self.report_values = tuple[float, ...]()
+        self.report_count = 0  # distinct load reports
+        self.reported_at = -inf  # time of the last
         self.slowdown_estimate = SlowdownEstimate(now)
-        self.slowdown = 1.0
-        self.full_until = -inf
+        self.slowdown = 1.0  # latency over the best
+        self.full_until = -inf  # time until which it counts as full
         self.other_queries = 0.0  # other gateways' queries there, by the last report or the fleet's mean
-        # MB of this gateway's attempts; share of the engine's memory used by all gateways
-        self.memory_reserved = 0.0
-        self.memory_utilization = 0.0
+        self.memory_reserved = 0.0  # MB of this gateway's attempts
+        self.memory_utilization = 0.0  # share of its memory, by all gateways
         self.threads = self.queries = 0  # of this gateway's attempts
-        self.load, self.indices_valid_until = 0.0, -inf  # threads per core; time until which load and indices are valid
+        self.load = 0.0  # threads per core
+        self.indices_valid_until = -inf  # time until which load and indices are valid
         self.slow_start_sends: deque[tuple[float, float]] = deque()  # (time, s of work) sent during slow start
-        self.outcomes, self.failures, self.failed_at = 0.0, 0.0, -inf  # decayed counts; time of the last failure
-        self.latency_factor, self.delisted = 1.0, False  # factor on its latency, by peers; not on the engine list
+        self.outcomes = 0.0  # decayed count
+        self.failures = 0.0  # decayed count
+        self.failed_at = -inf  # time of the last failure
+        self.latency_factor = 1.0  # factor on its latency, by peers
+        self.delisted = False  # not on the engine list
         # by group of tables: our attempts that lock it; time until which another's lock is assumed
         self.lock_holders = Counter[float]()
         self.remote_locks_until = dict[float, float]()
@@ -158,9 +165,8 @@
                 * other.threads
                 * weight
             )
-        utilization = self.report.get(
-            "x0", self.memory_utilization * traffic.weighted_share
-        )  # full memory counts as full capacity
+        # full memory counts as full capacity
+        utilization = self.report.get("x0", self.memory_utilization * traffic.weighted_share)
         if "inflight" not in settings.report_fields:  # a slowdown counts as utilization
             utilization = max(utilization, (self.slowdown - 1.0) / (SLOWDOWN_AT_CAPACITY - 1.0))
         return max(
@@ -182,30 +188,27 @@
     """One attempt of a request."""
 
     def __init__(self, engine: Engine, sent_at: float) -> None:
-        self.engine, self.sent_at, self.report_count, self.progress_due_at = (
-            engine,
-            sent_at,
-            engine.report_count,
-            inf,
-        )  # progress_due_at: when its next note is overdue
-        self.ended, self.may_have_run, self.blamed_failures = False, True, 0.0  # failures counted for its error
+        self.engine = engine
+        self.sent_at = sent_at
+        self.report_count = engine.report_count  # at the send
+        self.progress_due_at = inf  # when its next progress note is overdue
+        self.ended = False
+        self.may_have_run = True
+        self.blamed_failures = 0.0  # failures counted for its error
 
 
 class RequestState:
     """A request from arrival until it has ended and no attempt is in flight."""
 
     def __init__(self, request: api.Request, traffic: ClassTraffic, now: float, sampling_key: float) -> None:
-        self.request, self.traffic, self.cls, self.deadline = (
-            request,
-            traffic,
-            traffic.cls,
-            now + request.time_remaining,
-        )
-        self.key, self.ended = request.key if traffic.cls.ordered else 0, False  # key 0: no ordering
-        self.attempts, self.sampling_key = (
-            list[Attempt](),
-            sampling_key,
-        )  # sampling_key: uniform in [0, 1), for random decisions that stay the same per request
+        self.request = request
+        self.traffic = traffic
+        self.cls = traffic.cls
+        self.deadline = now + request.time_remaining
+        self.key = request.key if traffic.cls.ordered else 0  # 0: no ordering
+        self.ended = False
+        self.attempts = list[Attempt]()
+        self.sampling_key = sampling_key  # uniform in [0, 1), for random decisions that stay the same per request
 
     def in_flight(self) -> int:
         """Return the number of attempts without an outcome."""
--- a/tealwing/policy/fleet.py
+++ b/tealwing/policy/fleet.py
@@ -31,21 +31,22 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.requests, self.engines, self.ready = dict[int, RequestState](), dict[int, Engine](), list[Engine]()
-        self.cores, self.is_overloaded = 0.0, False  # ready cores times their warm-up progress
+        self.requests = dict[int, RequestState]()
+        self.engines = dict[int, Engine]()
+        self.ready = list[Engine]()
+        self.cores = 0.0  # ready cores times their warm-up progress
+        self.is_overloaded = False
         self.eligible_engines: list[list[Engine]] = [[] for _ in settings.classes]  # by class
         self.mean_report: dict[str, float] = {}  # means of report fields; others and load per core
-        self.slowdown_estimate, self.slowdown = SlowdownEstimate(), 1.0  # over all engines
-        # reports in all, and up to the last rebuild; time of the last
+        self.slowdown_estimate = SlowdownEstimate()
+        self.slowdown = 1.0  # over all engines
         self.report_count = 0
-        self.reports_at_rebuild = 0
-        self.reported_at = -inf
-        # best_success: highest success share of a ready engine
-        self.reports_in_flight = "inflight" in settings.report_fields
-        self.best_success = 1.0
-        # unreported_weight: attempts of all gateways that one of ours since a report stands for
+        self.reports_at_rebuild = 0  # report_count at the last rebuild
+        self.reported_at = -inf  # time of the last report
+        self.reports_in_flight = "inflight" in settings.report_fields  # whether reports count queries in flight
+        self.best_success = 1.0  # highest success share of a ready engine
         self.is_started = False
-        self.unreported_weight = 1
+        self.unreported_weight = 1  # attempts of all gateways that one of ours since a report stands for
 
     def _apply_engine_list(self, event: api.EngineList) -> None:
         if event.kind is not api.EngineListKind.DELTA:
@@ -228,9 +229,10 @@
         )
         local_queries = sum(f.in_flight for f in self.class_traffic)
         other_queries = self.mean_report.get("others", 0.0) * self.cores
+        # this gateway's part, by the reports
         expected_queries = (
             self.usual_rate / self.quota_rate * (local_queries + other_queries) if self.quota_rate else local_queries
-        )  # this gateway's part, by the reports
+        )
         factor = (
             (LOCAL_COUNT_WEIGHT + local_queries) / (LOCAL_COUNT_WEIGHT + expected_queries)
             if self.reports_in_flight
--- a/tealwing/policy/placement.py
+++ b/tealwing/policy/placement.py
@@ -33,22 +33,19 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.service_level: api.ServiceLevel | None = None  # None at full service
-        # times (s) of requests and of retries, for the retry budget
-        self.request_times = deque[float]()
-        self.retry_times = deque[float]()
-        # by ordering key: waiting requests; time before which none is sent
-        self.ordering_queues = defaultdict[int, deque[RequestState]](deque)
-        self.ordering_wait_until = dict[int, float]()
+        self.request_times = deque[float]()  # s, for the retry budget
+        self.retry_times = deque[float]()  # s, for the retry budget
+        self.ordering_queues = defaultdict[int, deque[RequestState]](deque)  # by ordering key, in order of arrival
+        self.ordering_wait_until = dict[int, float]()  # by ordering key: time before which none is sent
         self.deadline_margin = min(DEADLINE_TICKS * settings.tick, settings.rules.answer_slack)  # s
 
     def _choose_engine(self, state: RequestState, failed: Engine | None) -> Engine | None:
         """Return the engine of the smallest index below the rejection cost; near-ties go to the least loaded."""
         cls, traffic, zones = state.request.cls, state.traffic, state.request.zones
         candidates: list[tuple[float, Engine]] = []
-        # With recent reports each query scales the count at random, so that not all avoid an engine at once.
-        low, high = (
-            COUNT_SPREAD if self.unreported_weight > 1 else (1.0, 1.0)
-        )  # without recent reports, counts differ enough by themselves
+        # With recent reports each query scales the count at random, so that not all avoid an engine at once; without
+        # them the gateways' counts differ enough by themselves.
+        low, high = COUNT_SPREAD if self.unreported_weight > 1 else (1.0, 1.0)
         count_factor = low + (high - low) * (state.sampling_key / GOLDEN_RATIO % 1.0)
         uses_locks = state.cls.locks_tables or state.cls.waits_for_locks  # waiting for a lock costs delay_cost a second
         fleet_index = self._fleet_index(cls)
@@ -144,9 +141,10 @@
         rules, traffic, gateways, now = self.settings.rules, state.traffic, self.settings.gateway_count, self.now
         while engine.slow_start_sends and engine.slow_start_sends[0][0] <= now - rules.overload_time:
             engine.slow_start_sends.popleft()
+        # s of work per core
         offered_work = (
             self.quota_rate * self.cost_sum / (self.cost_count + OFFERED_WORK[0]) / max(self.planned_cores, 1)
-        )  # s of work per core
+        )
         budget = (
             rules.overload_multiple
             * rules.overload_time
@@ -159,9 +157,8 @@
             return sum(work for _, work in engine.slow_start_sends) + traffic.mean_work <= gateway_share
         # The chance grows with the time since the last draw, so a window's mean is independent of traffic.
         estimate = engine.estimates[state.request.cls]
-        sampling_key = (
-            state.sampling_key * RETRY_KEY_SCALE ** len(state.attempts) + engine.id * GOLDEN_RATIO
-        ) % 1.0  # another key for each attempt
+        # another key for each attempt
+        sampling_key = (state.sampling_key * RETRY_KEY_SCALE ** len(state.attempts) + engine.id * GOLDEN_RATIO) % 1.0
         if sampling_key != estimate.sampling_key:
             estimate.sampling_key = sampling_key
             estimate.draw_interval = min(now - estimate.drawn_at, rules.overload_time)
@@ -181,9 +178,8 @@
         reserved = BUDGET_SAFETY * budget if len(sampled) < len(self.class_traffic) else 0.0  # for fixed shares
         max_work = budget - reserved + BUDGET_SLACK * (sqrt(budget * mean_work) + mean_work)
         mean_sampled_work = sum(f.placements * f.mean_work for f in sampled) / sum(f.placements for f in sampled)
-        decay = (
-            (root := sqrt(2 * BUDGET_RISK * mean_sampled_work / max_work)) * (1 + root / 4) / mean_sampled_work
-        )  # maximizes the admitted number
+        # maximizes the admitted number
+        decay = (root := sqrt(2 * BUDGET_RISK * mean_sampled_work / max_work)) * (1 + root / 4) / mean_sampled_work
         capacity = max(min(max_work - BUDGET_RISK / decay, budget), 0.0)
         class_share = sqrt(traffic.placements) / sum(sqrt(f.placements) for f in sampled)
         return class_share * capacity * decay * exp(-decay * traffic.mean_work) / -expm1(-decay * traffic.mean_work)
--- a/tealwing/policy/rates.py
+++ b/tealwing/policy/rates.py
@@ -36,30 +36,26 @@
         self.cls = cls
         self.delay_cost = cls.priority_weight / cls.latency_objective
         self.rejection_cost = cls.priority_weight * cls.deadline / cls.latency_objective
-        self.arrival_rate, self.arrivals = 1.0, 0.0  # per second (the paper's lambda); count since the last rebuild
-        self.placements = 1 / (
-            cls.latency_objective * cls.threads
-        )  # decayed count of placements; the prior is a second's work
-        # s
-        self.mean_latency = cls.latency_objective
-        self.recent_latency = 0.0
-        self.best_latency = cls.latency_objective
-        self.samples = 0.0
-        # s: mean latency once known; mean work of one query in s of one thread
-        self.usual_latency = 0.0
-        self.mean_work = cls.latency_objective * cls.threads
-        # decayed sum of estimated s; number of cost estimates
-        self.estimated_time = 0.0
-        self.estimates = 0.0
-        self.losses, self.overload_time = (
-            1.0,
-            cls.deadline,
-        )  # abandonments and query-seconds above capacity: theta is their ratio
-        self.priority, self.in_flight = api.DEFAULT_PRIORITY, 0  # in_flight: attempts
-        # weight of a thread of each class beside this one; mean weighted threads a query; their share
-        self.thread_weights = list[float]()
-        self.weighted_threads = 0.0
-        self.weighted_share = 1.0
+        self.arrival_rate = 1.0  # per second (the paper's lambda)
+        self.arrivals = 0.0  # count since the last rebuild
+        # decayed count of placements; the prior is a second's work
+        self.placements = 1 / (cls.latency_objective * cls.threads)
+        self.mean_latency = cls.latency_objective  # s
+        self.recent_latency = 0.0  # s
+        self.best_latency = cls.latency_objective  # s
+        self.samples = 0.0  # answers, bounded
+        self.usual_latency = 0.0  # s: the mean once known
+        self.mean_work = cls.latency_objective * cls.threads  # s of one thread, of one query
+        self.estimated_time = 0.0  # s: decayed sum of the queries' estimates
+        self.estimates = 0.0  # cost estimates received, bounded
+        # abandonments and query-seconds above capacity: theta is their ratio
+        self.losses = 1.0
+        self.overload_time = cls.deadline
+        self.priority = api.DEFAULT_PRIORITY
+        self.in_flight = 0  # attempts
+        self.thread_weights = list[float]()  # by class: how much one of its threads slows this class down
+        self.weighted_threads = 0.0  # mean threads of a query in flight, so weighted
+        self.weighted_share = 1.0  # the same over the unweighted mean
         self.index_tables: dict[tuple[int, int], list[float]] = {}
 
     def record_answer(self, elapsed: float, cost: float) -> None:
@@ -102,23 +98,25 @@
     """All classes, and what is learned for all engines alike."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.settings, self.random, self.now = settings, Random(seed), 0.0
-        self.actions, self.class_traffic = list[api.Action](), [ClassTraffic(cls) for cls in settings.classes]
-        self.quota_rate = sum(
-            account.rate for account in settings.tenant_quotas
-        )  # queries per second over all gateways
+        self.settings = settings
+        self.random = Random(seed)
+        self.now = 0.0
+        self.actions = list[api.Action]()
+        self.class_traffic = [ClassTraffic(cls) for cls in settings.classes]
+        # queries per second over all gateways
+        self.quota_rate = sum(account.rate for account in settings.tenant_quotas)
         self.usual_rate = self.quota_rate / settings.gateway_count  # this gateway's part, a mean
-        self.arrivals = self.rebuilds = self.cost_sum = self.cost_count = self.planned_cores = (
-            0.0  # decayed or plain counts
-        )
-        # threads and MB of a mean query in flight; decayed MB times s
-        self.threads_per_query = 1.0
-        self.memory_per_query = 0.0
-        self.memory_time = 0.0
-        # learned capacity; counts since the last rebuild
-        self.threads_per_core = INITIAL_THREADS_PER_CORE
-        self.answers = 0
-        self.timeouts = 0
+        self.arrivals = 0.0  # since the last rebuild
+        self.rebuilds = 0.0
+        self.cost_sum = 0.0  # s of work, by the queries' estimates
+        self.cost_count = 0.0
+        self.planned_cores = 0.0  # ready cores of the first engine list
+        self.threads_per_query = 1.0  # of a mean query in flight
+        self.memory_per_query = 0.0  # MB, of a mean query in flight
+        self.memory_time = 0.0  # MB times s, decayed
+        self.threads_per_core = INITIAL_THREADS_PER_CORE  # the learned capacity
+        self.answers = 0  # since the last rebuild
+        self.timeouts = 0  # since the last rebuild
         self._update_mix()
 
     def _update_mix(self) -> None:
@@ -133,9 +131,8 @@
                 if traffic.cls.priority_weight / traffic.mean_work >= max_weight_per_work
                 else CLASS_PRIORITIES[1]
             )
-        in_flight_time = [
-            f.estimated_time or f.arrival_rate * f.mean_latency for f in self.class_traffic
-        ]  # by estimates where known: under overload, ended queries mislead
+        # by estimates where known: under overload, ended queries mislead
+        in_flight_time = [f.estimated_time or f.arrival_rate * f.mean_latency for f in self.class_traffic]
         total = sum(in_flight_time) or 1.0
         self.threads_per_query = (
             sum(n * traffic.cls.threads for n, traffic in zip(in_flight_time, self.class_traffic, strict=True)) / total
