--- a/tealwing/levels/conditions.py
+++ b/tealwing/levels/conditions.py
@@ -32,7 +32,11 @@
 """
 
 
-class ConditionError(ValueError):
+class LevelsError(ValueError):
+    """The base of the errors of tealwing.levels."""
+
+
+class ConditionError(LevelsError):
     """A condition that can't be used; the message says what is allowed."""
 
 
--- a/tealwing/levels/plan.py
+++ b/tealwing/levels/plan.py
@@ -8,7 +8,7 @@
 
 from tealwing import interface as api
 from tealwing.levels.admission import AdmissionLimits, RecoveryRamp
-from tealwing.levels.conditions import Condition, Product, format_values
+from tealwing.levels.conditions import Condition, LevelsError, Product, format_values
 from tealwing.levels.controller import Change, ConditionSnapshot, LevelTimings
 
 FULL_SERVICE = "full"  # name of level 0
@@ -16,7 +16,7 @@
 Matches = tuple[Product | None, Product | None, Product | None]  # the product that holds, of each condition
 
 
-class PlanError(ValueError):
+class PlanError(LevelsError):
     """A plan that does not fit the settings; the message names what is unknown."""
 
 
--- a/tealwing/levels/replay.py
+++ b/tealwing/levels/replay.py
@@ -13,14 +13,14 @@
 import msgspec
 
 from tealwing.levels import controller
-from tealwing.levels.conditions import ConditionError, signal_kind
+from tealwing.levels.conditions import ConditionError, LevelsError, signal_kind
 from tealwing.levels.controller import CHANGE_WINDOW
 from tealwing.levels.plan import Plan, snapshots
 
 MAX_EVALUATIONS = 10_000_000  # of one replay: bounds the run time on a trace with a long gap
 
 
-class TraceError(ValueError):
+class TraceError(LevelsError):
     """A line of a trace that can't be used; the message says why."""
 
 
--- a/tealwing/routing/diff.py
+++ b/tealwing/routing/diff.py
@@ -1,4 +1,4 @@
-"""Which groups of tables another routing table serves elsewhere, or by another preference; pure."""
+"""The groups of tables whose sites, or their order, a change of the routing table affects; pure."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Ranges:
-    """Ranges of groups, first and last among them: sorted, apart, and never one right after another."""
+    """Ranges of groups, both ends included: sorted, disjoint and not adjacent."""
 
     pairs: tuple[tuple[int, int], ...] = ()
 
@@ -21,7 +21,7 @@
         return [first for first, _ in self.pairs]
 
     def contains(self, group: int) -> bool:
-        """Whether the group lies in one of them."""
+        """Whether the group lies in one of the ranges."""
         place = bisect_right(self._firsts, group)
         return place > 0 and group <= self.pairs[place - 1][1]
 
@@ -30,11 +30,11 @@
 
 
 def changed_groups(old: Table | None, new: Table | None) -> Ranges:
-    """The groups whose sites, or the order of their sites, differ; no table is one without routes."""
+    """Return the groups whose sites or their order differ; None is a table without routes."""
     old, new = old or Table(), new or Table()
     edges = sorted({edge for table in (old, new) for r in table.routes for edge in (r.first, r.last + 1)})
     found: list[tuple[int, int]] = []
-    for first, after in pairwise(edges):  # within a pair both tables say one thing
+    for first, after in pairwise(edges):  # between two edges both tables are constant
         if old.sites_of(first) == new.sites_of(first):
             continue
         if found and found[-1][1] + 1 == first:
--- a/tealwing/routing/serving.py
+++ b/tealwing/routing/serving.py
@@ -1,4 +1,4 @@
-"""Which zones may serve a request now, by the routing table and what is ready; pure."""
+"""Which zones may serve a request now, by the routing table and the ready engines; pure."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 def serving_zones(
     table: Table | None, group: int, zones: tuple[str, ...], ready: Collection[int]
 ) -> frozenset[int] | None:
-    """The zones, by their places in `zones`, whose engines may serve the group; None: all of them.
+    """Return the indices in `zones` of the zones whose engines may serve the group; None allows all.
 
-    ready has the zones with a ready engine. The first site in order of preference that has one serves alone; where
-    none has, all sites of the route are given, so that whoever decides finds no engine there and says so. A site
-    that `zones` does not name has no engine.
+    ready has the indices of zones with a ready engine. The first site in order of preference that has one serves
+    alone; where none has, all sites of the route are returned, so that placement finds no engine and rejects. A site
+    that `zones` lacks has no engine.
     """
     sites = table.sites_of(group) if table is not None else ()
     if not sites:
--- a/tealwing/routing/table.py
+++ b/tealwing/routing/table.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """The groups from first to last, both among them, and the names of their sites, the preferred one first."""
+    """The groups from first to last, both included, and the names of their sites in order of preference."""
 
     first: int
     last: int
@@ -21,7 +21,7 @@
 class Table:
     """Routes in the order of their groups; a group that none names may be served anywhere.
 
-    complete: the table is to leave out no group up to its last. Nothing is checked here: see `validate.faults`.
+    complete: the table must leave out no group up to its last. Nothing is checked here: see `validate.find_faults`.
     """
 
     routes: tuple[Route, ...] = ()
@@ -29,7 +29,7 @@
 
     @staticmethod
     def of(routes: Iterable[Route], complete: bool = False) -> Table:
-        """A table of routes that come in any order."""
+        """Return a table of routes given in any order."""
         return Table(tuple(sorted(routes, key=lambda route: (route.first, route.last))), complete)
 
     @cached_property
@@ -37,7 +37,7 @@
         return [route.first for route in self.routes]
 
     def sites_of(self, group: int) -> tuple[str, ...]:
-        """The group's sites in order of preference; none where no route names it."""
+        """Return the group's sites in order of preference; empty where no route names it."""
         place = bisect_right(self._firsts, group)
         if not place:
             return ()
--- a/tealwing/routing/validate.py
+++ b/tealwing/routing/validate.py
@@ -1,4 +1,4 @@
-"""What is wrong with a routing table, all of it at once; pure."""
+"""The check of a routing table, which reports all faults at once; pure."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from tealwing.routing.table import Route
 
-NO_GROUP = 0  # the group of a statement that names no numbered schema: the least there is
+NO_GROUP = 0  # the group of a statement that names no numbered schema: the lowest
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: its place in the table as it was written, what is wrong there, and what to do."""
+    """One fault: its place in the table as written, what is wrong, and the remedy."""
 
     place: str
     what: str
@@ -23,7 +23,7 @@
 
 
 def find_faults(routes: Sequence[Route], complete: bool = False) -> list[Fault]:
-    """All faults of a table written so, by route and then between routes; gaps only where it is to be complete."""
+    """Return all faults of a table, by route and then between routes; gaps count only where complete is set."""
     found = [fault for number, route in enumerate(routes) for fault in _alone(f"routes[{number}]", route)]
     usable = [(route, n) for n, route in enumerate(routes) if NO_GROUP <= route.first <= route.last]
     usable.sort(key=lambda pair: (pair[0].first, pair[0].last, pair[1]))
@@ -44,7 +44,7 @@
 
 
 def _between(usable: list[tuple[Route, int]], complete: bool) -> Iterator[Fault]:
-    """Overlaps, and gaps, going up; furthest is the route that reaches furthest so far."""
+    """Yield overlaps and gaps in ascending order; furthest is the route with the highest last group so far."""
     furthest: tuple[Route, int] | None = None
     free = NO_GROUP  # the first group that nothing up to here names
     for route, number in usable:
