--- a/tealwing/policy/fleet.py
+++ b/tealwing/policy/fleet.py
@@ -78,9 +78,8 @@
             self.arrivals / REBUILD_INTERVAL - self.usual_rate
         )
         self.rebuilds, self.arrivals, self.memory_time = self.rebuilds + 1, 0, self.memory_time * MIX_RETENTION
-        self.engines = {
-            n: e for n, e in self.engines.items() if e.queries or not e.delisted
-        }  # drop those that left the list
+        # drop engines that left the list, once no attempt is in flight there
+        self.engines = {n: e for n, e in self.engines.items() if e.queries or not e.delisted}
         for traffic in self.class_traffic:
             traffic.arrival_rate = max(
                 traffic.arrival_rate
@@ -92,9 +91,8 @@
             traffic.estimated_time = traffic.estimated_time * MIX_RETENTION
             traffic.index_tables = {}
             traffic.best_latency += BEST_LATENCY_DRIFT * (traffic.mean_latency - traffic.best_latency)
-        if (
-            self.report_count == self.reports_at_rebuild and not self.requests
-        ):  # no recent reports, as when all requests are rejected
+        # no recent reports, as when all requests are rejected
+        if self.report_count == self.reports_at_rebuild and not self.requests:
             self.mean_report = {name: value * (1 - REPORT_DECAY) for name, value in self.mean_report.items()}
         self._update_mix()
         self._adapt_capacity(
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -152,7 +152,7 @@
     st.lists(st.tuples(st.floats(-5, 90), st.sampled_from(LOOKS), st.sampled_from(LOOKS)), max_size=200),
     st.floats(1, 100),
 )
-def test_any_clock_and_any_conditions(
+def test_any_clock_and_any_conditions_keep_the_bound(
     looks: list[tuple[float, ConditionSnapshot, ConditionSnapshot]], stay: float
 ) -> None:
     terms = tuple(replace(term, min_stay=stay, max_stay=max(stay, 240)) for term in TERMS)
@@ -203,7 +203,7 @@
     assert (jump.from_level, jump.to_level, jump.cause, jump.cause_level) == (0, 2, "strong", 2) and jump.at == 0.5
 
 
-def test_a_level_entered_again_soon_is_kept_for_longer() -> None:
+def test_a_level_entered_again_soon_has_a_longer_minimum_stay() -> None:
     terms = TERMS[:1]
     state, now, stays = controller.initial_state(terms), 0.0, []
     for _ in range(4):
@@ -219,7 +219,7 @@
     assert stays == [60, 120, 240, 240]
 
 
-def test_the_last_change_of_a_minute_goes_as_high_as_the_moment_says() -> None:
+def test_the_last_change_of_a_minute_goes_as_high_as_present_conditions() -> None:
     terms = (*TERMS, LevelTimings("most", 30.0, 40.0, 60.0, 240.0))
     state = ControllerState(1, controller.initial_state(terms).hysteresis, 99.75, 60.0, 0.0)
     state = replace(
@@ -247,7 +247,7 @@
         assert change is None and state.now == 1000.0
 
 
-def test_new_terms_keep_what_they_name_and_drop_the_rest() -> None:
+def test_a_new_plan_keeps_the_state_of_the_levels_that_it_names() -> None:
     state = ControllerState(2, controller.initial_state(TERMS).hysteresis, 50.0, 40.0, 39.0)
     mild = LevelTimings("mild", 9.0, 9.0, 90.0, 240.0)
     kept, change = controller.adopt(TERMS, state, (mild, TERMS[1], LevelTimings("new", 1, 2, 60, 60)))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -60,7 +60,7 @@
     assert max(len(path.read_text().splitlines()) for path in POLICY.glob("*.py")) <= 300
 
 
-def test_no_engines_is_an_immediate_refusal_with_a_retry_after() -> None:
+def test_no_engines_is_an_immediate_rejection_with_a_retry_after() -> None:
     bench = Bench(make_settings(), engines=0)
     (refusal,) = [a for a in bench.ask() if isinstance(a, api.Reject)]
     assert 0 < refusal.retry_after <= 1.0
@@ -71,7 +71,7 @@
         Bench(make_settings()).do("hello")  # type: ignore[arg-type]
 
 
-def test_ties_go_to_the_fewest_own_threads_a_core() -> None:
+def test_ties_go_to_the_fewest_own_threads_per_core() -> None:
     bench = Bench(make_settings(), engines=0)
     bench.do(listing(entry(1, kind=0), entry(2, kind=1)))  # 8 cores and 4
     for _ in range(6):
@@ -80,7 +80,7 @@
     assert threads == {1: 4, 2: 2}
 
 
-def test_a_busy_report_binds_m_and_overload_is_refused() -> None:
+def test_a_busy_report_applies_the_capacity_and_overload_is_rejected() -> None:
     bench = Bench(make_settings(report_fields=("util",)), engines=1)
     bench.serve(30, elapsed=0.3, report=(1.0,))
     bench.gateway.class_traffic[0].arrival_rate = bench.gateway.class_traffic[0].arrivals = (
@@ -93,7 +93,7 @@
     assert all(isinstance(a[0], (api.Send, api.Reject)) for a in actions)
 
 
-def test_without_pressure_nothing_is_refused() -> None:
+def test_without_overload_nothing_is_rejected() -> None:
     bench = Bench(make_settings(report_fields=("util",)), engines=1)
     bench.serve(1, report=(0.1,))
     bench.rebuild()
@@ -120,7 +120,7 @@
     assert {s.engine for _ in range(10) for s in sends(bench.ask())} == {again.engine}
 
 
-def test_an_engine_that_fails_fast_is_left_and_a_common_trouble_leaves_none() -> None:
+def test_an_engine_that_fails_fast_is_avoided_and_a_common_fault_avoids_none() -> None:
     bench = Bench(make_settings(max_attempts=1), engines=3)
     for _ in range(12):
         for send in sends(bench.ask()):
@@ -144,7 +144,7 @@
     assert all(engine.success == 1 for engine in bench.gateway.engines.values())
 
 
-def test_queries_do_not_stand_behind_a_load_that_holds_their_tables() -> None:
+def test_queries_avoid_an_engine_whose_load_locks_their_tables() -> None:
     # seen on calm days too: one lookup in twelve stood still until a load had ended, and came too late
     classes = (request_class(waits_for_locks=True), request_class(name="load", locks_tables=True))
     bench = Bench(make_settings(classes=classes), engines=2)
@@ -160,7 +160,7 @@
     assert not any(engine.remote_locks_until for engine in bench.gateway.engines.values())
 
 
-def test_loads_keep_to_homes_that_readers_avoid_and_all_gateways_find() -> None:
+def test_loads_use_home_engines_that_readers_avoid_the_same_at_all_gateways() -> None:
     # guards lookups where gateways share the loads evenly: each knew only a third of what holds tables
     classes = (request_class(waits_for_locks=True), request_class(name="load", locks_tables=True))
     for group in range(1, 6):
@@ -200,7 +200,7 @@
     assert {s.engine for _ in range(4) for s in sends(bench.ask())} == {first.id, second.id}
 
 
-def test_j_counts_the_threads_of_every_class() -> None:
+def test_the_query_count_includes_the_threads_of_every_class() -> None:
     # seen in the bench: each class kept to its own m, and their sum went past the knee
     wide = request_class(name="wide", threads=4)
     bench = Bench(make_settings(classes=(request_class(), wide), report_fields=("util",)), engines=1)
@@ -210,7 +210,7 @@
     assert [bench.j(engine, cls) for cls in (0, 1)] == [engine.threads, engine.threads / 4]
 
 
-def test_one_long_answer_among_many_leaves_m_and_many_lower_it() -> None:
+def test_one_long_answer_among_many_keeps_the_capacity_and_many_reduce_it() -> None:
     bench = Bench(make_settings(), engines=1)
     bench.serve(20)
     before = bench.gateway.threads_per_core
@@ -223,7 +223,7 @@
     assert bench.gateway.threads_per_core < before
 
 
-def test_a_straggler_is_dropped_once_and_tried_elsewhere() -> None:
+def test_a_straggler_is_cancelled_once_and_retried_elsewhere() -> None:
     # seen in the bench: attempts with a bad plan ran to their end and ate most of the fleet's work
     bench = Bench(make_settings(progress_interval=1.0), engines=2)
     bench.serve(20)
@@ -236,7 +236,7 @@
     assert not any(isinstance(a, api.CancelAttempt) for a in bench.do(second, 1.0))
 
 
-def test_a_straggler_is_not_dropped_where_the_engine_cannot_or_the_effect_forbids() -> None:
+def test_a_straggler_is_not_cancelled_where_the_engine_cannot_or_a_repeat_is_unsafe() -> None:
     for settings in (
         make_settings(progress_interval=1.0, cancellation=False),
         make_settings(progress_interval=1.0, classes=(request_class(idempotency=api.Idempotency.NOT_IDEMPOTENT),)),
@@ -248,7 +248,7 @@
         assert not any(isinstance(a, api.CancelAttempt) for a in actions)
 
 
-def test_the_class_worth_most_per_work_goes_first_where_heeded() -> None:
+def test_the_class_of_the_highest_weight_per_work_has_priority_where_heeded() -> None:
     classes = (request_class(), request_class(name="wide", threads=4, priority_weight=2.0))
     bench = Bench(make_settings(classes=classes, heeds_priorities=True))
     tunes = [a for cls in (0, 1) for a in bench.ask(cls=cls) if isinstance(a, api.SetResources)]
@@ -279,7 +279,7 @@
     assert len(taken) > 4
 
 
-def test_resubmissions_and_refusals_do_not_swell_lam() -> None:
+def test_client_retries_and_rejections_do_not_raise_the_arrival_rate() -> None:
     for marks in (True, False):
         bench = Bench(make_settings(clients_mark_retries=marks), engines=0)
         for n in range(50):
@@ -288,14 +288,14 @@
         assert bench.gateway.class_traffic[0].arrival_rate < 1
 
 
-def test_a_cold_engine_is_held_to_its_budget_for_bursts_too() -> None:
+def test_an_engine_in_slow_start_is_held_to_its_budget_for_bursts_too() -> None:
     bench = Bench(make_settings(overload_multiple=3.0, gateway_count=2), engines=0)
     bench.do(listing(entry(1, started=0.9)))
     sent = sum(len(sends(bench.ask())) for _ in range(200))
     assert 0 < sent * 0.1 <= 3.0 * 0.4 * 0.85 * 8 * 2.0 / 2
 
 
-def test_a_new_start_forgets_what_was_learned() -> None:
+def test_a_restart_resets_what_was_learned() -> None:
     bench = Bench(make_settings(), engines=1)
     bench.serve(30)
     bench.do(delta(entry(0, started=bench.now)))
@@ -303,7 +303,7 @@
     assert engine.estimates[0].samples == 0
 
 
-def test_an_outcome_after_a_hang_up_changes_nothing() -> None:
+def test_an_outcome_after_the_client_has_gone_changes_nothing() -> None:
     bench = Bench(make_settings(cancellation=False))
     (send,) = sends(bench.ask())
     assert bench.do(api.ClientGone(send.id)) == []
@@ -311,7 +311,7 @@
     assert bench.do(api.ClientGone(send.id)) == [] and not bench.gateway.requests
 
 
-def test_while_the_fleet_is_pressed_own_books_bound_what_all_gateways_send() -> None:
+def test_while_the_fleet_is_overloaded_local_counts_bound_what_all_gateways_send() -> None:
     # seen in the bench: each of hundreds of gateways admitted one query an engine, and all jammed
     for load, bound in ((1.0, True), (0.1, False)):
         bench = Bench(make_settings(gateway_count=100, report_fields=("util",)), engines=10)
@@ -332,7 +332,7 @@
     assert {s.engine for _ in range(3) for s in sends(bench.ask())} <= {1}
 
 
-def test_an_old_report_shuts_no_engine_out() -> None:
+def test_an_old_report_excludes_no_engine() -> None:
     # seen in the bench: reports seconds late said full, so nothing was sent, so no newer report ever came
     bench = Bench(make_settings(report_fields=("inflight", "util")), engines=1)
     (send,) = sends(bench.ask())
@@ -343,7 +343,7 @@
     assert sends(bench.ask())
 
 
-def test_silence_while_attempts_are_out_is_not_rest() -> None:
+def test_silence_while_attempts_are_in_flight_is_not_idleness() -> None:
     # seen in the bench: a jammed fleet answered nobody, its old reports faded to idle, and all sent more
     bench = Bench(make_settings(gateway_count=100, report_fields=("util",)), engines=10)
     bench.serve(30, elapsed=0.3, report=(1.0,))
@@ -353,7 +353,7 @@
     assert bench.gateway.is_overloaded
 
 
-def test_slowness_stands_for_occupancy_where_no_count_is_reported() -> None:
+def test_slowdown_counts_as_utilization_where_no_count_is_reported() -> None:
     # seen in the bench: twelve gateways each kept to its least m and together held engines far past the knee
     bench = Bench(make_settings(report_fields=("util",)), engines=1)
     bench.serve(20, report=(1.0,))
@@ -368,7 +368,7 @@
     assert bench.j(engine, 0) > m
 
 
-def test_an_attempt_without_the_notes_that_are_due_is_dropped_and_tried_elsewhere() -> None:
+def test_an_attempt_without_due_progress_notes_is_cancelled_and_retried_elsewhere() -> None:
     # seen in the bench: engines did the work, the answers never came, and the client waited to its deadline
     bench = Bench(make_settings(progress_interval=1.0), engines=3)
     bench.serve(20)
@@ -387,7 +387,7 @@
         bench.do(ok(send.id, again.engine, attempt=1), 0.1)
 
 
-def test_an_attempt_that_cannot_end_in_time_is_given_up_at_once() -> None:
+def test_an_attempt_that_cannot_end_in_time_is_cancelled_at_once() -> None:
     # seen in the bench: a crowded fleet ran queries that timed out all the same, and stayed jammed
     bench = Bench(make_settings(progress_interval=1.0), engines=3)
     bench.serve(20)
@@ -400,7 +400,7 @@
     assert bench.do(bad(send.id, send.engine, api.AttemptResult.CANCELLED)) == [] and not bench.gateway.requests
 
 
-def test_a_hang_up_teaches_theta_only_where_it_frees_the_engine() -> None:
+def test_a_client_that_leaves_counts_as_abandonment_only_where_it_frees_the_engine() -> None:
     for frees in (True, False):
         bench = Bench(make_settings(cancellation=frees), engines=1)
         (send,) = sends(bench.ask())
@@ -409,7 +409,7 @@
         assert (bench.gateway.class_traffic[0].losses > 1.0) == frees
 
 
-def test_among_many_gateways_a_cold_engine_still_gets_its_few_queries() -> None:
+def test_among_many_gateways_an_engine_in_slow_start_still_gets_its_few_queries() -> None:
     # seen in the bench: a share of the budget below one query shut all classes out for the whole cold time
     sent = 0
     for seed in range(200):
@@ -424,7 +424,7 @@
     assert 0.5 * n < sent <= n + 2 * n**0.5 + 2, sent  # of 1000 that wanted it; a fixed share lets none in
 
 
-def test_absurd_report_values_neither_raise_nor_poison() -> None:
+def test_absurd_report_values_neither_raise_nor_distort_the_means() -> None:
     nan, inf = float("nan"), float("inf")
     for value in (nan, inf, -inf, -3.0, 1e30):
         bench = Bench(make_settings(report_fields=("inflight", "x0")), engines=2)
@@ -441,7 +441,7 @@
         assert all(0 < f.mean_work < 100 and 0 < f.mean_latency < 100 for f in bench.gateway.class_traffic)
 
 
-def test_a_report_stays_while_a_query_of_ours_is_out_there() -> None:
+def test_a_report_is_kept_while_an_own_query_is_in_flight_there() -> None:
     # seen in the bench: an engine too slow to answer lost its report, and so was sent more
     bench = Bench(make_settings(report_fields=("x0",)), engines=1)
     bench.serve(1, report=(0.5,))
@@ -451,7 +451,7 @@
     assert bench.gateway.engines[0].report
 
 
-def test_a_held_request_is_answered_however_its_deadline_rounds() -> None:
+def test_a_waiting_request_is_answered_however_its_deadline_rounds() -> None:
     # found by the random sequences: a timer a rounding error early left a held request without an answer
     for now, left in [(1.752, 2.084), (0.932, 1.077), (0.138, 1.122)]:  # sums that round down
         bench = Bench(make_settings(classes=(request_class(ordered=True),)), engines=1, now=now)
@@ -461,7 +461,7 @@
         assert [type(a) for a in bench.do(api.TimerFired(last.token), last.delay)] == [api.Reject]
 
 
-def test_few_reports_tell_of_a_busy_fleet_as_soon_as_many_and_of_its_rest() -> None:
+def test_few_reports_show_a_busy_and_an_idle_fleet_as_soon_as_many() -> None:
     # seen at full size: two or three reports a second were a memory of ten seconds: blind both ways
     bench = Bench(make_settings(report_fields=("util", "x0"), gateway_count=200), engines=30)
     for seconds, util, busy in ((20, 0.4, False), (5, 1.0, True), (5, 0.4, False)):
@@ -474,7 +474,7 @@
         assert bench.gateway.is_overloaded is busy
 
 
-def test_a_jam_that_answers_nobody_is_seen_by_what_is_out() -> None:
+def test_an_overload_without_answers_is_detected_by_requests_in_flight() -> None:
     # seen at full size: half of the attempts were older than three latencies, and none called it slow
     bench = Bench(make_settings(report_fields=("util",), gateway_count=200), engines=30)
     for _ in range(20):
@@ -489,7 +489,7 @@
     assert bench.gateway.slowdown > 4.0 and bench.gateway.is_overloaded
 
 
-def test_the_mean_of_a_fleet_presses_below_the_limit_of_an_engine() -> None:
+def test_the_mean_of_a_fleet_counts_as_overload_below_the_limit_of_an_engine() -> None:
     # seen at full size: engines jammed one by one at a mean util of 0.7, before the mean reached 0.85
     bench = Bench(make_settings(report_fields=("util",), gateway_count=200), engines=30)
     for n in range(20):
@@ -500,7 +500,7 @@
     assert not any(e.is_overloaded(bench.now, e.load) for e in bench.gateway.ready if e.report_count)
 
 
-def test_what_a_jammed_fleet_refuses_still_has_its_lot_at_a_cold_engine() -> None:
+def test_what_an_overloaded_fleet_rejects_is_still_sampled_for_an_engine_in_slow_start() -> None:
     # seen at full size: with 60% refused, cold engines stood all but idle beside jammed ones
     sent = []
     for seed in range(40):
@@ -522,7 +522,7 @@
     assert sent.count(99) > len(sent) / 3 and sent.count(99) > first * 40 / 200 / 3, sent
 
 
-def test_m_falls_while_the_disks_of_the_fleet_are_busy_though_aims_are_met() -> None:
+def test_capacity_falls_while_the_disks_of_the_fleet_are_busy_though_objectives_are_met() -> None:
     # seen on call: disks stood at 0.95 and m at its most until the engines had jammed
     bench = Bench(make_settings(report_fields=("inflight", "x1")))
     for disks, falls in ((0.3, False), (0.97, True)):
@@ -533,7 +533,7 @@
         assert (bench.gateway.threads_per_core == 1.25) is falls and level > 0
 
 
-def test_queries_turn_away_from_a_filling_engine_by_and_by() -> None:
+def test_queries_avoid_a_filling_engine_gradually() -> None:
     # seen in the bench: one report over m and every gateway refused for a second; the refused came back
     bench = Bench(make_settings(report_fields=("x0",)), engines=1)
     shares = []
@@ -561,7 +561,7 @@
     assert bench.gateway.engines[0].slowdown < 10.0
 
 
-def test_a_gateway_with_most_of_the_traffic_does_not_take_the_others_to_have_as_much() -> None:
+def test_a_gateway_with_most_of_the_traffic_does_not_assume_the_same_of_others() -> None:
     # seen on a day of 40 gateways: the one with a tenth of all traffic refused 155 of 1,293 queries, those with
     # less than the mean none, while the engines held three quarters of what they can: its own books, times 40
     bench = Bench(make_settings(report_fields=("inflight",), gateway_count=40), engines=30)
@@ -575,7 +575,7 @@
     assert not sends(bench.ask())
 
 
-def test_our_own_books_tell_of_a_jam_that_the_reports_hide() -> None:
+def test_local_counts_show_an_overload_that_the_reports_hide() -> None:
     # seen on a day of 40 gateways: engines held five times what the reports said, as jammed ones answer seldom
     accounts = (api.TenantQuota("all", 1.0, 400.0),)
     bench = Bench(make_settings(report_fields=("inflight",), gateway_count=40, tenant_quotas=accounts), engines=30)
@@ -597,7 +597,7 @@
     assert not sends(bench.ask())
 
 
-def test_an_engine_met_seldom_is_left_for_more_than_a_moment_after_an_error() -> None:
+def test_an_engine_used_seldom_is_avoided_for_more_than_a_moment_after_an_error() -> None:
     # seen on a day of 40 gateways: each met a failing engine every three seconds, and had forgiven it each time
     bench = Bench(make_settings(gateway_count=40), engines=10)
     (send,) = sends(bench.ask())
@@ -613,7 +613,7 @@
     assert bad_one not in used[:160] and bench.gateway.engines[bad_one].success > 0.95  # and is as good as any by then
 
 
-def test_a_query_that_is_long_by_itself_is_not_dropped_for_a_slow_one() -> None:
+def test_a_query_that_is_long_by_itself_is_not_cancelled_as_a_straggler() -> None:
     # seen on calm days too: fifteen attempts a second were dropped after their first note, and began anew elsewhere
     bench = Bench(make_settings(progress_interval=1.0, classes=(request_class(deadline=100.0),)), engines=3)
     for n in range(20):
@@ -646,7 +646,7 @@
         assert any(isinstance(a, api.CancelAttempt) for a in bench.do(note, 1.0)) is not jammed
 
 
-def test_full_memory_turns_heavy_classes_away_before_those_of_priority() -> None:
+def test_full_memory_rejects_heavy_classes_before_those_of_priority() -> None:
     # seen in a burst on 40 gateways: half of the lookups were refused, though they are worth four times as much a MB
     classes = (request_class(), request_class(name="report", threads=3, priority_weight=2.0))
     bench = Bench(make_settings(report_fields=("inflight",), heeds_priorities=True, classes=classes), engines=1)
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -106,7 +106,7 @@
     return bench.governor.gateway.requests[id_].attempts[-1].engine.id
 
 
-def test_what_was_sent_is_never_refused_by_a_level(tmp_path: Path) -> None:
+def test_what_was_sent_is_never_rejected_by_a_level(tmp_path: Path) -> None:
     # guards loads: one that may have run must be tried again, whatever level holds; lookups lose their retry
     bench = Bench(plan(tmp_path))
     (load,) = sends(bench.ask(cls=2))
@@ -145,7 +145,7 @@
     assert bench.governor.end(bench.now).service_level is None
 
 
-def test_no_traffic_reads_as_calm(tmp_path: Path) -> None:
+def test_no_traffic_reads_as_idle(tmp_path: Path) -> None:
     # guards a level that sheds all of a class: its own signals go silent, and must not hold it for ever
     bench = Bench(plan(tmp_path))
     bench.press()
@@ -200,7 +200,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(1, 30), st.integers(0, 1)), max_size=150))
-def test_books_end_empty(steps: list[tuple[int, int, int]]) -> None:
+def test_counts_end_at_zero(steps: list[tuple[int, int, int]]) -> None:
     # guards memory over days, and sums that drift: whatever came, nothing is left when all has ended
     signals, fleet, now = Signals(SETTINGS, 1.0, 0.25), Gateway(SETTINGS, 1), 0.0
     for what, id_, cls in steps:
@@ -224,7 +224,7 @@
     assert not any(signals._window.offered_weight) and not any(signals._window.served_weight)
 
 
-def test_what_lies_beyond_an_accounts_share() -> None:
+def test_the_share_of_requests_beyond_an_accounts_quota() -> None:
     signals, fleet = Signals(SETTINGS, 1.0, 0.25), Gateway(SETTINGS, 1)
     for id_ in range(80):
         signals.on_request(0.0, api.Request(id_, 0, 5.0, tenant=id_ % 2), 1.0)
@@ -246,13 +246,13 @@
     assert sum(n * c for n, c in zip(asked, chances, strict=True)) <= share * sum(asked) + 1e-6
 
 
-def test_what_is_beyond_a_share_goes_first() -> None:
+def test_requests_beyond_a_quota_are_shed_first() -> None:
     within, flooding = admission.divide_among_accounts(0.5, (50, 50), (0.0, 0.8), (1.0, 1.0))
     assert within == pytest.approx(50 / 60) and flooding == pytest.approx(0.2 * 50 / 60)
     assert admission.divide_among_accounts(0.8, (50, 50), (0.0, 0.8), (1.0, 1.0))[0] == 1.0
 
 
-def test_shares_are_cut_under_pressure_and_rise_at_a_bounded_pace() -> None:
+def test_shares_fall_under_overload_and_rise_at_a_bounded_rate() -> None:
     measure = admission.AdmissionLimits((0.2,), (0.8,), (0,), (1.0,), (0.0, 0.0))
     pace = admission.RecoveryRamp(0.5, 10.0, 0.1)
     assert admission.shares_on_entry((1.0,), measure) == (0.2,)
@@ -285,7 +285,7 @@
 
 
 @given(texts(), texts(), POINTS)
-def test_what_holds_together_is_found(one: str, other: str, signals: dict[str, float]) -> None:
+def test_an_overlap_of_conditions_is_found(one: str, other: str, signals: dict[str, float]) -> None:
     left, right = conditions.parse(one), conditions.parse(other)
     if left.first_match(signals):
         assert conditions.is_satisfiable(left)
@@ -293,7 +293,7 @@
             assert conditions.overlap(left, right) is not None
 
 
-def test_bad_conditions_say_what_is_allowed() -> None:
+def test_errors_of_bad_conditions_say_what_is_allowed() -> None:
     for text in ("", "fleet.load", "fleet.load >", "fleet.load = 2", "fleet.load > 2 and", "x.y > 1"):
         with pytest.raises(ConditionError):
             conditions.parse(text)
@@ -328,14 +328,14 @@
         list(replay.read_trace([b'{"at": 0, "signals": {}}', line]))
 
 
-def test_least_is_what_a_share_needs() -> None:
+def test_a_share_needs_a_minimum_of_requests() -> None:
     signals, fleet = Signals(SETTINGS, 1.0, 0.25), Gateway(SETTINGS, 1)
     for id_ in range(MIN_REQUESTS - 1):
         signals.on_request(0.0, api.Request(id_, 0, 5.0), 0.1)
     assert "class.lookup.late" not in signals.sample(1.0, fleet)
 
 
-def test_the_recording_is_what_it_says() -> None:
+def test_the_recording_is_as_described() -> None:
     events, _ = recorded.load()
     kinds = {type(event) for _, event in events}
     assert kinds >= set(recorded.KINDS.values()) and len(events) > 3000
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -65,7 +65,7 @@
     assert serving_zones(table, 4, ("a", "b"), {0, 1}) is None
 
 
-def test_all_faults_are_told_at_once_each_with_its_place_and_remedy() -> None:
+def test_all_faults_are_reported_at_once_each_with_its_place_and_remedy() -> None:
     routes = [
         Route(10, 20, ("a",)),
         Route(5, 2, ()),
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -72,7 +72,7 @@
     return waiting
 
 
-def test_a_level_refuses_at_once_serves_the_rest_and_returns(site: Site) -> None:
+def test_a_level_rejects_at_once_serves_the_rest_and_ends(site: Site) -> None:
     waiting = press(site)
     begun = time.monotonic()
     code, text = site.load(100).error()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -48,7 +48,7 @@
 
 
 @given(works, st.floats(0.5, 500.0), st.integers(1, 300))
-def test_lots_pass_the_bound_with_less_than_their_risk(
+def test_sampling_exceeds_the_bound_with_less_than_its_risk(
     mix: list[tuple[float, float]], budget: float, gateways: int
 ) -> None:
     # The sum of independent lots: P(S > x) < exp(sum of m (exp(t w) - 1) - t x) for every t (Chernoff).
@@ -74,7 +74,7 @@
 
 
 @given(st.lists(st.floats(0.0, 2.0), min_size=1, max_size=60), st.integers(0, 40))
-def test_lots_of_a_gateway_hold_no_more_chance_than_time_whatever_its_traffic(gaps: list[float], begun: int) -> None:
+def test_a_gateways_sampling_chances_are_bounded_by_time_whatever_its_traffic(gaps: list[float], begun: int) -> None:
     # the sum of what each lot waited, which is its chance, in any window, and over the whole of the cold time
     settings = make_settings(gateway_count=200)
     gateway, now = Gateway(settings, 1), 100.0
@@ -94,7 +94,7 @@
     assert within <= 2 * window + 1e-9 and all(0 <= gap <= window for _, gap in drawn)
 
 
-def test_a_query_that_drew_well_draws_again_for_its_next_attempt() -> None:
+def test_a_query_is_sampled_anew_for_its_next_attempt() -> None:
     # a share of those let in at a failing engine must not come back to it because their first lot was good
     again = 0
     for seed in range(400):
