--- a/tealwing/lab/rollout/sites.py
+++ b/tealwing/lab/rollout/sites.py
@@ -9,10 +9,10 @@
 from tealwing.lab.rollout.copies import StateSnapshot
 from tealwing.lab.rollout.logs import Log
 from tealwing.lab.rollout.tasks import Signal, Step, Task
-from tealwing.rollout.conductor import Conductor
-from tealwing.rollout.leading import HURRY
-from tealwing.rollout.witnesses import Witnesses
-from tealwing.rules.records import Body, Forget, Lapse
+from tealwing.rollout.leader.coordinator import RolloutCoordinator
+from tealwing.rollout.leader.duties import EXPEDITED
+from tealwing.rollout.leader.expiry_observer import ExpiryObserver
+from tealwing.rules.records import Body, ExpirePermit, Forget
 
 
 class Federated:
@@ -26,8 +26,8 @@
         self._clock = site.host.wires.clock
         number = all_.core.start
         self._delegate = SiteDelegate(name, number)
-        self._conductor = Conductor(name, limit, patience, seed=number)
-        self._witnesses = Witnesses(name, seed=number)
+        self._conductor = RolloutCoordinator(name, limit, patience, seed=number)
+        self._witnesses = ExpiryObserver(name, seed=number)
         self._lapses: list[tuple[int, Body]] = []
         self._wake = Signal(self._clock)
         site.applied.append(lambda _: self._wake.set())
@@ -38,9 +38,9 @@
 
     def _applied(self, snapshot: StateSnapshot) -> None:
         if snapshot.command is not None and snapshot.result is not None:
-            if isinstance(snapshot.command.body, Lapse | Forget):
+            if isinstance(snapshot.command.body, ExpirePermit | Forget):
                 self._lapses.append((snapshot.index, snapshot.command.body))
-            if self._all.leads and snapshot.result.ok and isinstance(snapshot.command.body, HURRY):
+            if self._all.leads and snapshot.result.ok and isinstance(snapshot.command.body, EXPEDITED):
                 self._all.flush_commit()
             self._wake.set()
 
@@ -55,10 +55,10 @@
         lapses, self._lapses = self._lapses, []
         for at, body in lapses:
             self._witnesses.applied(now, at, body)
-        self._conductor.lead(now, self._all.leads)
+        self._conductor.set_leading(now, self._all.leads)
         if self._all.leads:
             silent = [name for name in snapshot.tables["rule_members"] if not self._is_reachable(name)]
-            for message in self._conductor.look(now, snapshot.tables, silent):
+            for message in self._conductor.step(now, snapshot.tables, silent):
                 self._all.propose_if_leader(message)
         found = self._witnesses.due(now, snapshot.tables)
         if not self._site.leads:
