--- a/tealwing/federation/service.py
+++ b/tealwing/federation/service.py
@@ -16,7 +16,7 @@
 from tealwing import log, threads
 from tealwing.federation.plan import Plan
 from tealwing.federation.site_delegate import SiteDelegate
-from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
+from tealwing.lease_bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.peers.clock import Clock
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
--- a/tealwing/lab/models/leases.py
+++ b/tealwing/lab/models/leases.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from tealwing.leases.bounds import LeaseBounds
+from tealwing.lease_bounds import LeaseBounds
 from tealwing.leases.expiry import LeaseExpiry
 from tealwing.leases.holder import Action, Holder
 from tealwing.replica import commands as c
--- a/tealwing/lab/models/rollout_parts.py
+++ b/tealwing/lab/models/rollout_parts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tealwing.leases.bounds import LeaseBounds
+from tealwing.lease_bounds import LeaseBounds
 from tealwing.rollout.agent.machine import Machine
 from tealwing.rollout.agent.retry import Retry
 from tealwing.rollout.leader.expiry_observer import ExpiryObserver
--- a/tealwing/leases/expiry.py
+++ b/tealwing/leases/expiry.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, replace
 
-from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
+from tealwing.lease_bounds import DEFAULT_BOUNDS, LeaseBounds
 
 REPROPOSE_INTERVAL = 1.0  # s after which an expiry that was proposed and not applied is proposed again
 
--- a/tealwing/leases/holder.py
+++ b/tealwing/leases/holder.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from tealwing.leases.bounds import DEFAULT_BOUNDS, RENEW_FRACTION, LeaseBounds
+from tealwing.lease_bounds import DEFAULT_BOUNDS, RENEW_FRACTION, LeaseBounds
 
 ACQUIRE_BACKOFF = (0.1, 1.0)  # s between two attempts to acquire: min and max
 
--- a/tealwing/leases/manager.py
+++ b/tealwing/leases/manager.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from tealwing import log, threads
-from tealwing.leases.bounds import MIN_TTL
+from tealwing.lease_bounds import MIN_TTL
 from tealwing.leases.expiry import LeaseExpiry
 from tealwing.leases.holder import Action, Holder
 from tealwing.peers.clock import Clock
--- a/tealwing/replica/recovery.py
+++ b/tealwing/replica/recovery.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import Any
 
-from tealwing.leases.bounds import DEFAULT_BOUNDS
+from tealwing.lease_bounds import DEFAULT_BOUNDS
 from tealwing.replica.state import State
 
 ASK_LIMIT = 2.0  # s for which the peers are asked before the gateway says that it is ready without them
--- a/tealwing/rollout/agent/machine.py
+++ b/tealwing/rollout/agent/machine.py
@@ -10,7 +10,7 @@
 import copy
 from collections.abc import Hashable
 
-from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
+from tealwing.lease_bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.rollout.agent.actions import (
     FOREVER,
     HOLD_MARKER,
--- a/tealwing/rollout/agent/permit.py
+++ b/tealwing/rollout/agent/permit.py
@@ -5,7 +5,7 @@
 import copy
 from collections.abc import Hashable
 
-from tealwing.leases.bounds import RENEW_FRACTION, LeaseBounds
+from tealwing.lease_bounds import RENEW_FRACTION, LeaseBounds
 from tealwing.rollout.agent.actions import FOREVER, ReadToken
 from tealwing.rollout.agent.view import View
 
--- a/tealwing/rollout/leader/coordinator.py
+++ b/tealwing/rollout/leader/coordinator.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection, Hashable, Mapping
 from typing import Any
 
-from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
+from tealwing.lease_bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.rollout.agent.retry import Retry
 from tealwing.rollout.agent.view import CLOSING, view_of
 from tealwing.rules.records import Abort, Activate, Body, Close, ExpirePermit, Member
--- a/tealwing/rollout/leader/expiry_observer.py
+++ b/tealwing/rollout/leader/expiry_observer.py
@@ -10,7 +10,7 @@
 
 import xxhash
 
-from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
+from tealwing.lease_bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.rollout.agent.retry import Retry
 from tealwing.rules.records import Body, ConfirmExpiry, ExpirePermit, Forget, Member
 
--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -8,7 +8,7 @@
 from tealwing.conf import values
 from tealwing.conf.grammar import Place
 from tealwing.conf.schema import Block, Report, Section, Spec
-from tealwing.leases.bounds import DEFAULT_BOUNDS, MIN_TTL
+from tealwing.lease_bounds import DEFAULT_BOUNDS, MIN_TTL
 from tealwing.rollout.plan import SABOTAGES, Plan
 
 SPECS = (
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -15,8 +15,8 @@
 from tealwing.lab.models.explore import explore
 from tealwing.lab.models.leases import Leases
 from tealwing.lab.rig.ports import free_port
+from tealwing.lease_bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.leases import sweep
-from tealwing.leases.bounds import DEFAULT_BOUNDS, LeaseBounds
 from tealwing.leases.expiry import LeaseExpiry
 from tealwing.leases.holder import Action, Holder
 from tealwing.leases.manager import LeaseManager
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -13,7 +13,7 @@
 from tealwing.lab.rig import layouts, runs
 from tealwing.lab.rig.configuration import Layout
 from tealwing.lab.rig.trial import Trial
-from tealwing.leases.bounds import DEFAULT_BOUNDS
+from tealwing.lease_bounds import DEFAULT_BOUNDS
 from tealwing.replica import commands as c
 from tealwing.replica.feed import words
 from tealwing.replica.messages import Snap
--- a/tests/test_rollout_cores.py
+++ b/tests/test_rollout_cores.py
@@ -6,7 +6,7 @@
 
 from tealwing.federation.site_delegate import SiteDelegate, required_proposals
 from tealwing.lab.models.rollout_parts import empty, propose
-from tealwing.leases.bounds import DEFAULT_BOUNDS
+from tealwing.lease_bounds import DEFAULT_BOUNDS
 from tealwing.rollout.agent.actions import (
     HOLD_MARKER,
     CheckBundle,
