--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -8,8 +8,8 @@
 from benchmarks.capacity import control
 from benchmarks.capacity.fitting import fit
 from benchmarks.capacity.records import CapacityError, Measured, Options, Point, Series
-from tealwing.lab.hollow.fleet import HollowFault, HollowFleet
-from tealwing.lab.hollow.requirements import TooLarge
+from tealwing.lab.hollow.fleet import HollowFleet, HollowFleetError
+from tealwing.lab.hollow.requirements import FleetTooLargeError
 from tealwing.lab.rollout import trials
 from tealwing.lab.rollout.measure import share
 from tealwing.rules.records import PartitionMode
@@ -41,13 +41,13 @@
         try:
             version = fleet.propose(TEXT % (AIM + number), "a scale test")
             break
-        except HollowFault:  # nobody leads just now: an operator tries again
+        except HollowFleetError:  # nobody leads just now: an operator tries again
             if time.monotonic() - begun > PATIENCE:
                 raise
             time.sleep(POLL)
     while (phase := fleet.phase(version)) in ("proposed", "checked", "preparing", "agreed"):
         if time.monotonic() - begun > PATIENCE:
-            raise HollowFault(f"version {version} is still {phase} after {PATIENCE:g} s")
+            raise HollowFleetError(f"version {version} is still {phase} after {PATIENCE:g} s")
         time.sleep(POLL)
     return begun, phase
 
@@ -80,7 +80,7 @@
                 for role in control.ROLES
             }
             return everywhere, costs, len(everywhere) / changes
-    except (TooLarge, HollowFault) as error:
+    except (FleetTooLargeError, HollowFleetError) as error:
         raise CapacityError(f"changes at {size} members: {error}") from None
 
 
--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -6,8 +6,8 @@
 
 from benchmarks.capacity.fitting import fit
 from benchmarks.capacity.records import CapacityError, Measured, Options, Point, Series
-from tealwing.lab.hollow.fleet import FleetMetrics, HollowFault, HollowFleet
-from tealwing.lab.hollow.requirements import TooLarge
+from tealwing.lab.hollow.fleet import FleetMetrics, HollowFleet, HollowFleetError
+from tealwing.lab.hollow.requirements import FleetTooLargeError
 
 NAME = "control"
 SUMMARY = "processor time, messages and bytes a second, memory and threads of a learner, a voter and the leader at rest"
@@ -61,7 +61,7 @@
             before = fleet.metrics()
             time.sleep(seconds)
             return roles(fleet, before, fleet.metrics())
-    except (TooLarge, HollowFault) as error:
+    except (FleetTooLargeError, HollowFleetError) as error:
         raise CapacityError(f"control at {size} members: {error}") from None
 
 
--- a/benchmarks/capacity/day.py
+++ b/benchmarks/capacity/day.py
@@ -9,8 +9,8 @@
 
 from benchmarks.capacity import change, control
 from benchmarks.capacity.records import CapacityError, Measured, Options, Point, Series
-from tealwing.lab.hollow.fleet import HollowFault, HollowFleet
-from tealwing.lab.hollow.requirements import TooLarge
+from tealwing.lab.hollow.fleet import HollowFleet, HollowFleetError
+from tealwing.lab.hollow.requirements import FleetTooLargeError
 from tealwing.rules.records import PartitionMode
 
 NAMES: dict[PartitionMode, str] = {"serve": "day-serve", "hold": "day-hold"}
@@ -45,7 +45,7 @@
         host.start()
         try:
             host.ready()
-        except HollowFault as fault:
+        except HollowFleetError as fault:
             found.fault = str(fault)
             return
         found.restarts += 1
@@ -82,7 +82,7 @@
                     found.everywhere.append(max(times[name] for name in staying) - at)
             found.failover = _lose_leader(fleet)
         return found
-    except (TooLarge, HollowFault) as error:
+    except (FleetTooLargeError, HollowFleetError) as error:
         raise CapacityError(f"a day of {size} members, {mode}: {error}") from None
 
 
@@ -94,7 +94,7 @@
         try:
             fleet.propose(change.TEXT % 999, "after the leader was lost")
             return time.monotonic() - begun
-        except HollowFault:
+        except HollowFleetError:
             if time.monotonic() - begun > SERVED_LIMIT:
                 raise
             time.sleep(POLL)
--- a/tealwing/admin/server.py
+++ b/tealwing/admin/server.py
@@ -26,7 +26,7 @@
         self, address: Address, ready: Callable[[], bool], stats: Callable[[], bytes],
         reason: Callable[[], str] = str,
     ) -> None:  # fmt: skip
-        """reason says why in words, where there is more to say than yes or no."""
+        """Listen; `reason` gives the text of readiness where there is more to report than yes or no."""
         self._ready, self._stats, self._reason = ready, stats, reason
         self._listener = socket.create_server(address, backlog=BACKLOG)
         self._stopping = threading.Event()
--- a/tealwing/commands/peers.py
+++ b/tealwing/commands/peers.py
@@ -17,7 +17,7 @@
 
     try:
         address = values.address((control,))
-    except values.Unfit as error:
+    except values.InvalidValueError as error:
         raise click.UsageError(f"--control: found {control!r}; allowed: {error}") from None
     try:
         return call_control(address, call, limit, **fields)
--- a/tealwing/conf/reader.py
+++ b/tealwing/conf/reader.py
@@ -83,7 +83,7 @@
         report.add(asked, "include", f"more than {MOST_FILES} files", f"at most {MOST_FILES}")
         return []
     try:
-        with open(path, "rb") as file:
+        with Path(path).open("rb") as file:
             data = file.read(LARGEST + 1)
         text = data.decode()
     except OSError as error:
--- a/tealwing/conf/schema.py
+++ b/tealwing/conf/schema.py
@@ -95,7 +95,7 @@
             report.add(line.children[0].place, line.name, "indented lines below it", "none there")
         try:
             value = spec.read(line.words)
-        except values.Unfit as error:
+        except values.InvalidValueError as error:
             found = " ".join(map(quoted, line.words)) or "nothing"
             allowed = f"{error}; {spec.name} {spec.usage}".rstrip() if spec.usage else str(error)
             report.add(line.place, line.name, found, allowed)
--- a/tealwing/conf/values.py
+++ b/tealwing/conf/values.py
@@ -17,13 +17,13 @@
 _PLAIN = re.compile(r"\d{1,15}(?:\.\d{1,9})?", re.ASCII)
 
 
-class Unfit(ValueError):
+class InvalidValueError(ValueError):
     """A value that is not allowed; the text says what is."""
 
 
 def _number(text: str, allowed: str) -> float:
     if not _PLAIN.fullmatch(text):
-        raise Unfit(allowed)
+        raise InvalidValueError(allowed)
     return float(text)
 
 
@@ -32,7 +32,7 @@
     allowed = "a duration with its unit, as 250ms, 1.5s, 2m, 1h or 7d"
     unit = next((u for u in sorted(DURATIONS, key=len, reverse=True) if text.endswith(u)), None)
     if unit is None:
-        raise Unfit(allowed)
+        raise InvalidValueError(allowed)
     return _number(text[: -len(unit)], allowed) * DURATIONS[unit]
 
 
@@ -41,14 +41,14 @@
     allowed = "a size with its unit, as 512B, 16KB, 64MB or 1GB"
     unit = next((u for u in sorted(SIZES, key=len, reverse=True) if text.endswith(u)), None)
     if unit is None:
-        raise Unfit(allowed)
+        raise InvalidValueError(allowed)
     return int(_number(text[: -len(unit)], allowed) * SIZES[unit])
 
 
 def share(text: str) -> float:
     """`85%` as 0.85."""
     if not text.endswith("%"):
-        raise Unfit("a share with its sign, as 85%")
+        raise InvalidValueError("a share with its sign, as 85%")
     return _number(text[:-1], "a share with its sign, as 85%") / 100
 
 
@@ -60,7 +60,7 @@
 def whole(text: str) -> int:
     """A whole number."""
     if not (text.isascii() and text.isdigit()) or len(text) > 15:
-        raise Unfit("a whole number, as 3")
+        raise InvalidValueError("a whole number, as 3")
     return int(text)
 
 
@@ -83,12 +83,12 @@
 
     def value(words: Words) -> Any:
         if len(words) != 1:
-            raise Unfit("one value")
+            raise InvalidValueError("one value")
         found = read(words[0])
         try:
             return msgspec.convert(found, bounded)
         except msgspec.ValidationError:
-            raise Unfit(f"from {written(least)} to {written(most)}") from None
+            raise InvalidValueError(f"from {written(least)} to {written(most)}") from None
 
     return value
 
@@ -123,7 +123,7 @@
 
     def value(words: Words) -> str:
         if len(words) != 1 or words[0] not in allowed:
-            raise Unfit(" or ".join(allowed))
+            raise InvalidValueError(" or ".join(allowed))
         return words[0]
 
     return value
@@ -137,27 +137,27 @@
 def name(words: Words) -> str:
     """One name of lower-case letters, digits and hyphens."""
     if len(words) != 1 or not re.fullmatch(r"[a-z][a-z0-9-]{0,39}", words[0]):
-        raise Unfit("one name of at most 40 lower-case letters, digits and hyphens")
+        raise InvalidValueError("one name of at most 40 lower-case letters, digits and hyphens")
     return words[0]
 
 
 def text(words: Words) -> str:
     """One word or quoted string that is not empty."""
     if len(words) != 1 or not words[0]:
-        raise Unfit('one word or one "string"')
+        raise InvalidValueError('one word or one "string"')
     return words[0]
 
 
 def nothing(words: Words) -> None:
     """No argument at all."""
     if words:
-        raise Unfit("no argument")
+        raise InvalidValueError("no argument")
 
 
 def instance(words: Words) -> str:
     """One name of an instance of the program."""
     if len(words) != 1 or not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,31}", words[0], re.ASCII):
-        raise Unfit("one name of at most 32 letters, digits, dots, hyphens and underscores")
+        raise InvalidValueError("one name of at most 32 letters, digits, dots, hyphens and underscores")
     return words[0]
 
 
@@ -166,9 +166,9 @@
     allowed = "one address, as 10.0.0.4:7946 or 127.0.0.1:0"
     host, colon, port = words[0].rpartition(":") if len(words) == 1 else ("", "", "")
     if not colon or not (port.isascii() and port.isdigit()) or len(port) > 5 or int(port) > 65535:
-        raise Unfit(allowed)
+        raise InvalidValueError(allowed)
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
-        raise Unfit(allowed) from None
+        raise InvalidValueError(allowed) from None
     return host, int(port)
--- a/tealwing/config.py
+++ b/tealwing/config.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass
+from pathlib import Path
 from typing import Any
 
 import orjson
@@ -89,7 +90,7 @@
     if inherited is not None and not (inherited.isdecimal() and 3 <= int(inherited) < 65536):
         raise ConfigError(f"LB_ACCEPT_FD: {inherited!r} is not the number of an open descriptor above 2")
     try:
-        with open(path, "rb") as file:
+        with Path(path).open("rb") as file:
             data = _section(orjson.loads(file.read()), "LB_CONFIG")
     except OSError as error:
         raise ConfigError(f"LB_CONFIG: {path}: {error.strerror}") from None
--- a/tealwing/coordinator/watch.py
+++ b/tealwing/coordinator/watch.py
@@ -61,7 +61,7 @@
         on_update: Callable[[updates.Update], None],
         on_watch_end: Callable[[str], None] = lambda end: None,
     ) -> None:
-        """tell takes an update in whole or raises, and hears it again; ended hears the reason of each watch's end."""
+        """Take the callbacks: on_update applies an update completely, or raises and gets it again."""
         self.settings = settings  # those in force: updates are read under them
         self._on_update, self._on_watch_end = on_update, on_watch_end
         self._address = address
--- a/tealwing/federation/section.py
+++ b/tealwing/federation/section.py
@@ -12,7 +12,9 @@
 
 def _site(arguments: values.Words) -> tuple[str, tuple[str, ...]]:
     if len(arguments) < 2:
-        raise values.Unfit("the site's name, as the engine list says it, and its gateways, as bloemfontein n0 n1 n2")
+        raise values.InvalidValueError(
+            "the site's name, as the engine list says it, and its gateways, as bloemfontein n0 n1 n2"
+        )
     name = values.instance(arguments[:1])
     return name, tuple(values.instance((argument,)) for argument in arguments[1:])
 
--- a/tealwing/gateway/request_handler.py
+++ b/tealwing/gateway/request_handler.py
@@ -99,7 +99,7 @@
         metrics: counted.Metrics | None = None,
         zones: frozenset[int] | None = None,
     ) -> None:
-        """zones has those that may serve it, as long as it lives; None is all."""
+        """Register the request; only engines of `zones` may serve it, None allows all."""
         self._query, self._settings, self._decisions, self._engines = query, settings, decisions, engines
         self._host_load, self._metrics, self._zones = host_load, metrics, zones
         self._class = settings.classes[query.cls].name
--- a/tealwing/gossip/section.py
+++ b/tealwing/gossip/section.py
@@ -19,19 +19,19 @@
 def _peer(words: values.Words) -> AllowedKey:
     allowed = "a name, its public key in base64, and if it ends, until and a time as 2027-01-31T12:00Z"
     if len(words) not in (2, 4) or (len(words) == 4 and words[2] != "until"):
-        raise values.Unfit(allowed)
+        raise values.InvalidValueError(allowed)
     name, until = values.instance(words[:1]), inf
     try:
         public = keys.read_public(words[1])
     except InvalidKeyError as error:
-        raise values.Unfit(f"{allowed}; {error}") from None
+        raise values.InvalidValueError(f"{allowed}; {error}") from None
     if len(words) == 4:
         try:
             when = datetime.datetime.fromisoformat(words[3])
         except ValueError:
-            raise values.Unfit(allowed) from None
+            raise values.InvalidValueError(allowed) from None
         if when.tzinfo is None:
-            raise values.Unfit(f"{allowed}, with its zone")
+            raise values.InvalidValueError(f"{allowed}, with its zone")
         until = when.timestamp()
     return AllowedKey(name, public, until)
 
--- a/tealwing/lab/hollow/fleet.py
+++ b/tealwing/lab/hollow/fleet.py
@@ -33,7 +33,7 @@
 Answer = TypeVar("Answer", Ready, HostMetrics)
 
 
-class HollowFault(RuntimeError):
+class HollowFleetError(RuntimeError):
     """The fleet did not start, or a host process ended; the text has the end of what it said."""
 
 
@@ -93,8 +93,8 @@
             raise self._fault("it has ended")
         return msgspec.json.decode(line, type=kind)
 
-    def _fault(self, why: str) -> HollowFault:
-        return HollowFault(f"a host of {len(self.specification.here)} members: {why}: {self.faults()[-600:]}")
+    def _fault(self, why: str) -> HollowFleetError:
+        return HollowFleetError(f"a host of {len(self.specification.here)} members: {why}: {self.faults()[-600:]}")
 
 
 @dataclass(frozen=True)
@@ -129,7 +129,7 @@
         self, count: int, voters: int = 5, lost_touch: str = "serve", members_a_host: int = MEMBERS_A_HOST,
         limit: float = 5.0, heartbeat: float = 0.2, singles: int = 0,
     ) -> None:  # fmt: skip
-        """count members, the first voters of whom vote; singles: learners that have a process of their own.
+        """Start `count` members, of whom the first `voters` vote; `singles` learners have a process of their own.
 
         requirements.TooLarge where the machine can't carry them.
         """
@@ -174,7 +174,7 @@
             if found.leader() and open_gates == len(self.fleet.members):
                 return time.monotonic() - begun
             if time.monotonic() - begun > settle:
-                raise HollowFault(
+                raise HollowFleetError(
                     f"after {settle:g} s {open_gates} of {len(self.fleet.members)} gates are open, and"
                     f" {found.leader() or 'nobody'} leads: {self.faults()[:600]}"
                 )
@@ -211,9 +211,9 @@
         try:
             reply = self.call("rules.propose", text=text, who="operator", why=why, wait_s=CALL_TIMEOUT / 2)
         except (OSError, RemoteCallError) as error:
-            raise HollowFault(f"the proposal was not taken: {error}") from None
+            raise HollowFleetError(f"the proposal was not taken: {error}") from None
         if reply["word"] != "ok":
-            raise HollowFault(f"the proposal was not taken: {reply}")
+            raise HollowFleetError(f"the proposal was not taken: {reply}")
         return int(reply["number"])
 
     def phase(self, version: int) -> str:
--- a/tealwing/lab/hollow/host.py
+++ b/tealwing/lab/hollow/host.py
@@ -50,7 +50,7 @@
         time.process_time(),
         int(status.partition("VmRSS:")[2].split()[0]),
         len(tasks),
-        len(os.listdir("/proc/self/fd")),
+        sum(1 for _ in Path("/proc/self/fd").iterdir()),
         tuple(_member(one) for one in members),
         {one.name: {str(number): at for number, at in one.gateway.in_force.items()} for one in members},
         tuple(held.held_ms),
--- a/tealwing/lab/rollout/__init__.py
+++ b/tealwing/lab/rollout/__init__.py
@@ -1,3 +1,4 @@
-"""Changes of rules in virtual time, on the real cores: costs, tasks, wires, host, copies, logs, door, part, sites,
-fleet, measure.
+"""Changes of rules in virtual time, on the real cores.
+
+Read costs, tasks, host, copies, logs, gate, part, sites, fleet, measure.
 """
--- a/tealwing/lab/rollout/gate.py
+++ b/tealwing/lab/rollout/gate.py
@@ -49,7 +49,7 @@
     """Open under a version until a time, or not; every change touches all requests here."""
 
     def __init__(self, clock: Clock, name: str, checker: ServiceChecker, rate: float, seed: int) -> None:
-        """rate is clients a second, each on its own."""
+        """Draw clients at `rate` a second, each on its own."""
         self._clock, self.name, self._checker, self._rate = clock, name, checker, rate
         self._random = Random(f"{seed}/{name}/clients")
         self._open: tuple[int, float, float] | None = None  # version, since when, until when
--- a/tealwing/lab/rollout/part.py
+++ b/tealwing/lab/rollout/part.py
@@ -29,7 +29,7 @@
     def __init__(
         self, plan: Plan, log: Log, gate: SimulatedGate, seed: int, federation: Log | None = None, site: str = ""
     ) -> None:
-        """outside is the federation's log, where this gateway's site takes part in one."""
+        """Take part in the changes of a log; `federation` is the federation's, where the site is in one."""
         self.log, self.gate, self._federation, self._site = log, gate, federation, site
         self.host, self._clock = log.host, log.host.wires.clock
         number = log.core.start
--- a/tealwing/lab/rollout/sites.py
+++ b/tealwing/lab/rollout/sites.py
@@ -21,7 +21,7 @@
     def __init__(
         self, site: Log, all_: Log, name: str, gateways: Mapping[str, tuple[str, ...]], limit: float, patience: float
     ) -> None:
-        """name is the site's; gateways are those of each site."""
+        """Act for the site of that name; `gateways` has those of each site."""
         self._site, self._all, self._name, self._gateways = site, all_, name, gateways
         self._clock = site.host.wires.clock
         number = all_.core.start
--- a/tealwing/levels/conditions.py
+++ b/tealwing/levels/conditions.py
@@ -191,7 +191,7 @@
         kind = signal_kind(signal)
         try:
             bound = kind.read(value)
-        except values.Unfit as error:
+        except values.InvalidValueError as error:
             raise ConditionError(f"for {signal} {error}") from None
         return [(Comparison(signal, op, bound),)]
     parts = [_products(child) for child in tree.children]
--- a/tealwing/levels/section.py
+++ b/tealwing/levels/section.py
@@ -32,12 +32,12 @@
 
     def read(words: values.Words) -> TimedCondition:
         if len(words) < 5 or words[0] != "when" or words[-2] != "for":
-            raise values.Unfit("when, a condition, for, a duration")
+            raise values.InvalidValueError("when, a condition, for, a duration")
         seconds = values.durations(min_seconds, 3600.0)(words[-1:])
         try:
             return TimedCondition(conditions.parse(" ".join(words[1:-2])), seconds)
         except ConditionError as error:
-            raise values.Unfit(str(error)) from None
+            raise values.InvalidValueError(str(error)) from None
 
     return read
 
@@ -49,7 +49,7 @@
         return bounded(words), bounded(words)
     if len(words) == 4 and words[1:3] == ("growing", "to"):
         return bounded(words[:1]), bounded(words[3:])
-    raise values.Unfit("a duration, or: a duration growing to a duration")
+    raise values.InvalidValueError("a duration, or: a duration growing to a duration")
 
 
 def _range(read: values.Read, text: str) -> tuple[Any, Any]:
@@ -59,31 +59,31 @@
 
 def _admit(words: values.Words) -> tuple[str, tuple[float, float]]:
     if len(words) != 2:
-        raise values.Unfit("a class, and the share of it that is admitted")
+        raise values.InvalidValueError("a class, and the share of it that is admitted")
     low, high = _range(values.shares(), words[1])
     if low > high:
-        raise values.Unfit("a lower share, two dots, a higher share")
+        raise values.InvalidValueError("a lower share, two dots, a higher share")
     return words[0], (low, high)
 
 
 def _account(words: values.Words) -> tuple[str, float]:
     if len(words) != 2:
-        raise values.Unfit("an account, and the share of it that is admitted")
+        raise values.InvalidValueError("an account, and the share of it that is admitted")
     return words[0], values.shares()(words[1:])
 
 
 def _attempts(words: values.Words) -> tuple[str, int]:
     if len(words) != 2:
-        raise values.Unfit("a class, and how many attempts its requests have")
+        raise values.InvalidValueError("a class, and how many attempts its requests have")
     return words[0], values.wholes(1, 100)(words[1:])
 
 
 def _pushback(words: values.Words) -> tuple[float, float]:
     if len(words) != 1:
-        raise values.Unfit("a duration, or two with two dots between")
+        raise values.InvalidValueError("a duration, or two with two dots between")
     low, high = _range(values.durations(0.0, 3600.0), words[0])
     if low > high:
-        raise values.Unfit("a shorter duration, two dots, a longer one")
+        raise values.InvalidValueError("a shorter duration, two dots, a longer one")
     return low, high
 
 
--- a/tealwing/mysql/lingering.py
+++ b/tealwing/mysql/lingering.py
@@ -20,7 +20,7 @@
     """One connection's bounds."""
 
     def __init__(self, until: float) -> None:
-        """until is the monotonic time of its end."""
+        """Set the monotonic time of its end."""
         self.until, self.left = until, MAX_LINGER_BYTES
 
     def drop(self, sock: socket.socket, buffer: memoryview, clock: Callable[[], float]) -> bool:
--- a/tealwing/peers/section.py
+++ b/tealwing/peers/section.py
@@ -16,7 +16,9 @@
 
 def _member(arguments: values.Words) -> tuple[str, Address, bool]:
     if len(arguments) not in (2, 3) or arguments[2:] not in ((), (LEARNER,)):
-        raise values.Unfit("a name and its address, as n0 10.0.0.4:7950, and `learner` where it has no vote")
+        raise values.InvalidValueError(
+            "a name and its address, as n0 10.0.0.4:7950, and `learner` where it has no vote"
+        )
     return values.instance(arguments[:1]), values.address(arguments[1:2]), len(arguments) == 3
 
 
--- a/tealwing/resp/engine.py
+++ b/tealwing/resp/engine.py
@@ -370,7 +370,7 @@
         watch: Watch,
         quota: ConnectionQuota | None = None,
     ) -> None:
-        """quota bounds the connections of all engines together; None: they are not bounded."""
+        """Prepare connections to an address; `quota` bounds those of all engines together, None does not."""
         self.address, self._watch, self._quota = address, watch, quota or ConnectionQuota()
         self._streams, self._connect_limit, self._idle_limit = streams, connect_limit, idle_limit
         self._changed = threading.Condition()
--- a/tealwing/resp/engine_pool.py
+++ b/tealwing/resp/engine_pool.py
@@ -15,7 +15,7 @@
     """The engines at their present addresses; an address or a process that changed gets new connections."""
 
     def __init__(self, limits: interface.Limits, max_connections: int = UNBOUNDED) -> None:
-        """most is the number of connections at once, to all engines together."""
+        """Bound the connections at once, to all engines together."""
         self._limits = limits
         self._quota = ConnectionQuota(max_connections, self._close_least_recently_used)
         self._lock = threading.Lock()
--- a/tealwing/resp/quota.py
+++ b/tealwing/resp/quota.py
@@ -13,7 +13,7 @@
     """Places for connections; each is taken before the connect and given back once the connection is at its end."""
 
     def __init__(self, max_connections: int = UNBOUNDED, reclaim: Callable[[], object] = lambda: None) -> None:
-        """reclaim has a connection closed that nobody uses, if there is one; it is called under no lock."""
+        """Set the bound; `reclaim`, called under no lock, closes a connection that is not in use, if there is one."""
         self._max_connections, self._reclaim = max_connections, reclaim
         self._changed = threading.Condition()
         self._taken = 0
