--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,26 @@
+"""The page of the architecture names modules and functions that exist."""
+
+from __future__ import annotations
+
+import importlib
+import re
+from pathlib import Path
+
+import pytest
+
+PAGE = Path(__file__).parent.parent / "docs" / "architecture.md"
+NAMES = sorted(set(re.findall(r"`(tealwing(?:\.\w+)+)`", PAGE.read_text())))
+
+
+def test_the_page_names_modules_and_functions() -> None:
+    assert len(NAMES) > 30
+
+
+@pytest.mark.parametrize("name", NAMES)
+def test_a_name_on_the_page_exists(name: str) -> None:
+    parts = name.split(".")
+    found = importlib.import_module(parts[0])
+    for place, part in enumerate(parts[1:], 2):
+        if not hasattr(found, part):
+            importlib.import_module(".".join(parts[:place]))
+        found = getattr(found, part)
