--- /dev/null
+++ b/tealwing/commands/base.py
@@ -0,0 +1,29 @@
+"""What the commands share: findings, exit codes, and reading the operators' file."""
+
+from __future__ import annotations
+
+import click
+
+from tealwing.conf import reader
+from tealwing.conf.reader import ConfError
+
+FILE = click.Path(dir_okay=False)
+FINDING = 1  # exit code: what was asked about is not as it should be
+
+
+class Finding(click.ClickException):
+    """What a command found wrong; the message goes to standard error, and the exit code is 1."""
+
+    exit_code = FINDING
+
+    def show(self, file: object = None) -> None:
+        """Write the message."""
+        click.echo(self.message, err=True)
+
+
+def read(path: str) -> reader.Conf:
+    """Return the operators' file; raise a Finding with all its problems."""
+    try:
+        return reader.read(path)
+    except ConfError as error:
+        raise Finding(str(error)) from None
--- a/tealwing/commands/demo.py
+++ b/tealwing/commands/demo.py
@@ -7,7 +7,7 @@
 import click
 import orjson
 
-from tealwing.commands.root import Finding
+from tealwing.commands.base import Finding
 
 
 @click.command()
@@ -41,7 +41,7 @@
             found.add_column(head)
         for name, what, there in state.engines:
             found.add_row(name, what, str(there))
-        found.caption = ", ".join(f"{word} {n}" for word, n in sorted(state.ends.items()))
+        found.caption = ", ".join(f"{outcome} {n}" for outcome, n in sorted(state.ends.items()))
         return found
 
     if plain:
--- a/tealwing/commands/fleet.py
+++ b/tealwing/commands/fleet.py
@@ -8,7 +8,7 @@
 import orjson
 
 from tealwing import log
-from tealwing.commands.root import Finding
+from tealwing.commands.base import Finding
 
 
 @click.group()
@@ -28,8 +28,8 @@
     for name in scenario.names():
         found = scenario.load(name)
         if as_json:
-            told = {"name": name, "load": found.workload, "title": found.title, "about": found.about}
-            click.echo(orjson.dumps(told).decode())
+            summary = {"name": name, "load": found.workload, "title": found.title, "about": found.about}
+            click.echo(orjson.dumps(summary).decode())
         else:
             click.echo(f"{name:22} {found.workload:9} {found.title}")
 
@@ -74,7 +74,7 @@
     except ImportError as error:
         raise Finding(f"fleet try needs the extra lab: pip install 'tealwing[lab]' ({error})") from None
     if sabotage and sabotage not in runs.SABOTAGES:
-        lines = [f"  {word:16} {what}" for word, what in sorted(runs.SABOTAGES.items())]
+        lines = [f"  {key:16} {what}" for key, what in sorted(runs.SABOTAGES.items())]
         raise click.UsageError("--sabotage: allowed:\n" + "\n".join(lines))
     log.logger.disabled = True  # the processes have logs of their own; ours would stand among the figures
     folder = Path(out) if out is not None else None
--- a/tealwing/commands/gossip.py
+++ b/tealwing/commands/gossip.py
@@ -8,7 +8,7 @@
 import click
 import orjson
 
-from tealwing.commands.root import Finding
+from tealwing.commands.base import Finding
 
 
 @click.group()
--- a/tealwing/commands/lease.py
+++ b/tealwing/commands/lease.py
@@ -5,7 +5,7 @@
 import click
 import orjson
 
-from tealwing.commands.peers import CONTROL, JSON, asked
+from tealwing.commands.peers import CONTROL, JSON, call_gateway
 
 
 @click.group()
@@ -21,7 +21,7 @@
 
     Example: tealwing lease list --control 127.0.0.1:7951
     """
-    found = asked(control, "lease.list")
+    found = call_gateway(control, "lease.list")
     if as_json:
         click.echo(orjson.dumps(found).decode())
         return
@@ -29,8 +29,8 @@
         holder = each["holder"] if each["held"] else "nobody"
         click.echo(f"{each['name']:24} held by {holder}, token {each['token']}, for {each['ttl_s']:g} s at a time")
     for each in found["here"]:
-        word = f"held here, {each['left_s']:.1f} s left" if each["valid"] else "wanted here"
-        click.echo(f"{each['name']:24} {word}")
+        held = f"held here, {each['left_s']:.1f} s left" if each["valid"] else "wanted here"
+        click.echo(f"{each['name']:24} {held}")
     click.echo(f"actions refused for an older token, in this copy: {found['refused_stale']}")
 
 
@@ -43,13 +43,15 @@
 
     Example: tealwing lease show --control 127.0.0.1:7951 sweep-drains
     """
-    found = asked(control, "lease.show", name=name)
+    found = call_gateway(control, "lease.show", name=name)
     if as_json:
         click.echo(orjson.dumps(found).decode())
         return
-    granted, here = found["lease"], found["here"]
+    granted, local = found["lease"], found["here"]
     if granted is not None:
         state = "held by" if granted["held"] else "free; last held by"
         click.echo(f"{state} {granted['holder']}, token {granted['token']}, newest {granted['newest']}")
-    if here is not None:
-        click.echo(f"here: {'held' if here['valid'] else 'wanted'}, token {here['token']}, {here['left_s']:.1f} s left")
+    if local is not None:
+        click.echo(
+            f"here: {'held' if local['valid'] else 'wanted'}, token {local['token']}, {local['left_s']:.1f} s left"
+        )
--- a/tealwing/commands/levels.py
+++ b/tealwing/commands/levels.py
@@ -10,12 +10,12 @@
 import click
 import orjson
 
-from tealwing.commands.root import FILE, Finding, read
+from tealwing.commands.base import FILE, Finding, read
 
 if TYPE_CHECKING:
     from tealwing.levels.plan import Plan
 
-MOST_CHANGES = 2  # in any minute at one gateway, as the controller promises
+MAX_CHANGES = 2  # in any minute at one gateway, as the controller promises
 CONF = click.option("--conf", type=FILE, required=True, help="The operators' file with a section `levels`.")
 
 
@@ -110,5 +110,5 @@
             f"most changes in a minute: {last['changes_per_minute_max']}; worth on {last['worth']['on']:.4f}, off"
             f" {last['worth']['off']:.4f}"
         )
-    if last["changes_per_minute_max"] > MOST_CHANGES or last["rules_broken"]:
+    if last["changes_per_minute_max"] > MAX_CHANGES or last["rules_broken"]:
         raise SystemExit(1)
--- a/tealwing/commands/load.py
+++ b/tealwing/commands/load.py
@@ -5,7 +5,7 @@
 import click
 import orjson
 
-from tealwing.commands.root import Finding
+from tealwing.commands.base import Finding
 
 
 @click.command()
@@ -37,7 +37,7 @@
     except ValueError as error:
         raise click.UsageError(f"GATEWAYS: {error}") from None
     shape = arrivals.burst(burst, seconds / 3, seconds / 3) if burst else arrivals.steady
-    figures = module.Load(module.LoadSpecification(places, rate, seconds, sessions, seed, shape)).run()
-    click.echo(orjson.dumps(figures).decode() if as_json else module.text(figures))
-    if figures["spoilt"]:
+    results = module.Load(module.LoadSpecification(places, rate, seconds, sessions, seed, shape)).run()
+    click.echo(orjson.dumps(results).decode() if as_json else module.text(results))
+    if results["spoilt"]:
         raise SystemExit(1)
--- a/tealwing/commands/peers.py
+++ b/tealwing/commands/peers.py
@@ -7,17 +7,17 @@
 import click
 import orjson
 
-from tealwing.commands.root import Finding
+from tealwing.commands.base import Finding
 
 
-def asked(control: str, call: str, limit: float = 5.0, **fields: Any) -> dict[str, Any]:
+def call_gateway(control: str, call: str, limit: float = 5.0, **fields: Any) -> dict[str, Any]:
     """One call of a gateway's control address, given as HOST:PORT; what went wrong is a finding."""
     from tealwing.conf import values
     from tealwing.peers.control import RemoteCallError, call_control
 
     try:
         address = values.address((control,))
-    except values.Unfit as error:
+    except values.InvalidValueError as error:
         raise click.UsageError(f"--control: found {control!r}; allowed: {error}") from None
     try:
         return call_control(address, call, limit, **fields)
@@ -44,7 +44,7 @@
 
     Example: tealwing peers status --control 127.0.0.1:7951
     """
-    found = asked(control, "status")
+    found = call_gateway(control, "status")
     if as_json:
         click.echo(orjson.dumps(found).decode())
         return
@@ -64,7 +64,7 @@
 
     Example: tealwing peers ping --control 127.0.0.1:7951 n2
     """
-    found = asked(control, "ping", to=name, text="ping", wait_s=2.0)
+    found = call_gateway(control, "ping", to=name, text="ping", wait_s=2.0)
     if as_json:
         click.echo(orjson.dumps(found).decode())
     else:
--- a/tealwing/commands/replica.py
+++ b/tealwing/commands/replica.py
@@ -8,8 +8,8 @@
 import click
 import orjson
 
-from tealwing.commands.peers import CONTROL, JSON, asked
-from tealwing.commands.root import Finding
+from tealwing.commands.base import Finding
+from tealwing.commands.peers import CONTROL, JSON, call_gateway
 
 
 @click.group()
@@ -17,7 +17,7 @@
     """The state that gateways share: who leads, members, snapshots, the disk."""
 
 
-def _say(found: dict[str, Any], as_json: bool, text: str) -> None:
+def _print_result(found: dict[str, Any], as_json: bool, text: str) -> None:
     click.echo(orjson.dumps(found).decode() if as_json else text)
 
 
@@ -29,7 +29,7 @@
 
     Example: tealwing replica status --control 127.0.0.1:7951
     """
-    found = asked(control, "replica.status")
+    found = call_gateway(control, "replica.status")
     held = ", ".join(f"{count} {name}" for name, count in found["held"].items() if count) or "nothing"
     text = (
         f"{found['role']} in term {found['term']}, led by {found['leader'] or 'nobody'}"
@@ -41,7 +41,7 @@
         text += "\nunsure: this start has not yet caught up with what it may have forgotten"
     if found["broken"]:
         text += f"\nOUT OF ORDER: {found['broken']}"
-    _say(found, as_json, text)
+    _print_result(found, as_json, text)
 
 
 @replica.command()
@@ -52,19 +52,19 @@
 
     Example: tealwing replica members --control 127.0.0.1:7951
     """
-    found = asked(control, "status")
+    found = call_gateway(control, "status")
     if "members" not in found:
         raise Finding(f"{control}: no replicated state there: the section replica is absent")
-    heard = {peer["name"]: peer["state"] for peer in found["peers"]} | {found["name"]: "this one"}
-    told = {"members": [{"name": name, "state": heard.get(name, "unknown")} for name in found["members"]]}
-    _say(told, as_json, "\n".join(f"{each['name']:32} {each['state']}" for each in told["members"]))
+    states = {peer["name"]: peer["state"] for peer in found["peers"]} | {found["name"]: "this one"}
+    result = {"members": [{"name": name, "state": states.get(name, "unknown")} for name in found["members"]]}
+    _print_result(result, as_json, "\n".join(f"{each['name']:32} {each['state']}" for each in result["members"]))
 
 
 def _change(control: str, change: str, name: str, as_json: bool) -> None:
-    found = asked(control, "replica.members", 15.0, change=change, name=name, wait_s=10.0)
+    found = call_gateway(control, "replica.members", 15.0, change=change, name=name, wait_s=10.0)
     if found["word"] != "ok":
         raise Finding(f"{found['word']}: {found['why']}")
-    _say(found, as_json, f"members from entry {found['index']} on: {', '.join(found['members'])}")
+    _print_result(found, as_json, f"members from entry {found['index']} on: {', '.join(found['members'])}")
 
 
 @replica.command()
@@ -99,8 +99,8 @@
 
     Example: tealwing replica snapshot --control 127.0.0.1:7951
     """
-    found = asked(control, "replica.snapshot")
-    _say(found, as_json, f"a snapshot of entry {found['applied']} or later is being written")
+    found = call_gateway(control, "replica.snapshot")
+    _print_result(found, as_json, f"a snapshot of entry {found['applied']} or later is being written")
 
 
 @replica.command()
@@ -117,9 +117,9 @@
     if folder is not None:
         from tealwing.replica import storage
 
-        told = {"folder": folder, "found": storage.verify(Path(folder))}
+        result = {"folder": folder, "found": storage.verify(Path(folder))}
     else:
-        told = asked(str(control), "replica.verify", 60.0)
-    _say(told, as_json, "\n".join(told["found"]) or f"{told['folder']}: good")
-    if any("damaged" in line for line in told["found"]):
+        result = call_gateway(str(control), "replica.verify", 60.0)
+    _print_result(result, as_json, "\n".join(result["found"]) or f"{result['folder']}: good")
+    if any("damaged" in line for line in result["found"]):
         raise SystemExit(1)
--- a/tealwing/commands/root.py
+++ b/tealwing/commands/root.py
@@ -6,29 +6,8 @@
 
 import click
 
-from tealwing.conf import reader, render
-from tealwing.conf.reader import ConfError
-
-FILE = click.Path(dir_okay=False)
-FINDING = 1  # exit code: what was asked about is not as it should be
-
-
-class Finding(click.ClickException):
-    """What a command found wrong; its text goes to standard error as it is."""
-
-    exit_code = FINDING
-
-    def show(self, file: object = None) -> None:
-        """Write it."""
-        click.echo(self.message, err=True)
-
-
-def read(path: str) -> reader.Conf:
-    """The operators' file, or a finding with all its problems."""
-    try:
-        return reader.read(path)
-    except ConfError as error:
-        raise Finding(str(error)) from None
+from tealwing.commands.base import FILE, FINDING, read
+from tealwing.conf import render
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
--- a/tealwing/commands/rules.py
+++ b/tealwing/commands/rules.py
@@ -10,13 +10,13 @@
 import click
 import orjson
 
-from tealwing.commands.peers import CONTROL, JSON, asked
-from tealwing.commands.root import FILE, Finding
+from tealwing.commands.base import FILE, Finding
+from tealwing.commands.peers import CONTROL, JSON, call_gateway
 
-LARGEST = 256 * 1024  # bytes of a bundle's file
-LONGEST_WAIT = 600.0  # s that a call may wait for the outcome
-POLL = 0.1  # s between two looks at what has become of a version
-OPEN = ("proposed", "checked", "preparing", "agreed")  # phases that are not the last
+MAX_BUNDLE_BYTES = 256 * 1024  # bytes of a bundle's file
+MAX_WAIT = 600.0  # s that a call may wait for the outcome
+POLL_INTERVAL = 0.1  # s between two looks at what has become of a version
+PENDING_PHASES = ("proposed", "checked", "preparing", "agreed")  # phases that are not the last
 WHO = click.option("--who", metavar="NAME", help="Who proposes it; else the name of the user.")
 REMEDIES = {
     "rejected": "put right what they name, and propose again",
@@ -43,23 +43,23 @@
 def _bundle(path: str) -> bytes:
     try:
         with Path(path).open("rb") as file:
-            data = file.read(LARGEST + 1)
+            data = file.read(MAX_BUNDLE_BYTES + 1)
     except OSError as error:
         raise Finding(f"{path}: {error.strerror}; allowed: a bundle of rules that can be read") from None
-    if len(data) > LARGEST:
-        raise Finding(f"{path}: more than {LARGEST} bytes; allowed: at most {LARGEST}")
+    if len(data) > MAX_BUNDLE_BYTES:
+        raise Finding(f"{path}: more than {MAX_BUNDLE_BYTES} bytes; allowed: at most {MAX_BUNDLE_BYTES}")
     return data
 
 
-def _told(version: dict[str, Any]) -> str:
+def _version_lines(version: dict[str, Any]) -> str:
     """A version and what was said of it, a line each."""
     lines = [f"version {version['number']}: {version['phase']}, on {version['parent']}; proposed by {version['who']}"
              + (f": {version['why']}" if version["why"] else "")]  # fmt: skip
     if version["outcome"]:
         lines.append(f"  {version['outcome']}")
-    for name, said in sorted(version["said"].items()):
-        word = "yes" if said["yes"] else "NO"
-        lines.append(f"  {name:32} {word}" + (f": {said['reason']}" if said["reason"] else ""))
+    for name, verdict in sorted(version["said"].items()):
+        answer = "yes" if verdict["yes"] else "NO"
+        lines.append(f"  {name:32} {answer}" + (f": {verdict['reason']}" if verdict["reason"] else ""))
     return "\n".join(lines)
 
 
@@ -69,7 +69,7 @@
 @WHO
 @click.option("--why", required=True, metavar="TEXT", help="For what reason; it stays with the version.")
 @click.option("--parent", type=click.IntRange(0), help="The version that it was made from; else the one in force.")
-@click.option("--wait", default=30.0, show_default=True, type=click.FloatRange(0, LONGEST_WAIT), metavar="S",
+@click.option("--wait", default=30.0, show_default=True, type=click.FloatRange(0, MAX_WAIT), metavar="S",
               help="Seconds to wait for the outcome.")  # fmt: skip
 @click.argument("file", type=FILE)
 def propose(control: str, as_json: bool, who: str | None, why: str, parent: int | None, wait: float, file: str) -> None:
@@ -82,20 +82,20 @@
     """
     text, end = _bundle(file), time.monotonic() + wait
     fields: dict[str, Any] = {} if parent is None else {"parent": parent}
-    found = asked(control, "rules.propose", 15.0, text=text, why=why, who=_user(who), wait_s=10.0, **fields)
+    found = call_gateway(control, "rules.propose", 15.0, text=text, why=why, who=_user(who), wait_s=10.0, **fields)
     if found["word"] != "ok":
         raise Finding(f"{found['word']}: {found['why']}")
     number = found["number"]
     version: dict[str, Any] = {"number": number, "phase": "proposed"}
     while True:
         try:
-            version = asked(control, "rules.show", number=number)
+            version = call_gateway(control, "rules.show", number=number)
         except Finding as error:  # the gateway may be on its way back, and the change goes on without it
             if time.monotonic() >= end:
                 raise Finding(f"version {number}: the outcome is not known here: {error}; see status") from None
-        if version["phase"] not in OPEN or time.monotonic() >= end:
+        if version["phase"] not in PENDING_PHASES or time.monotonic() >= end:
             break
-        time.sleep(POLL)
+        time.sleep(POLL_INTERVAL)
     if as_json:
         click.echo(orjson.dumps(version).decode())
     elif version["phase"] == "active":
@@ -104,9 +104,11 @@
         return
     if as_json:
         raise SystemExit(1)
-    if version["phase"] in OPEN:
-        raise Finding(f"{_told(version)}\nnot decided in {wait:g} s, and it goes on; see status, or withdraw it")
-    raise Finding(f"{_told(version)}\nwhat to do: {REMEDIES[version['phase']]}")
+    if version["phase"] in PENDING_PHASES:
+        raise Finding(
+            f"{_version_lines(version)}\nnot decided in {wait:g} s, and it goes on; see status, or withdraw it"
+        )
+    raise Finding(f"{_version_lines(version)}\nwhat to do: {REMEDIES[version['phase']]}")
 
 
 @rules.command()
@@ -117,7 +119,7 @@
 
     Example: tealwing rules status --control 127.0.0.1:7951
     """
-    found = asked(control, "rules.status")
+    found = call_gateway(control, "rules.status")
     if as_json:
         click.echo(orjson.dumps(found).decode())
         return
@@ -129,7 +131,7 @@
     if found["broken"]:
         click.echo(f"OUT OF ORDER: {found['broken']}")
     if flight is not None:
-        click.echo(f"under way for {flight['for_s']:.1f} s: {_told(flight)}")
+        click.echo(f"under way for {flight['for_s']:.1f} s: {_version_lines(flight)}")
         if flight["waits_for"]:
             click.echo(f"  waits for {', '.join(flight['waits_for'])}")
     for member in found["members"]:
@@ -149,7 +151,7 @@
 
     Example: tealwing rules withdraw --control 127.0.0.1:7951 7
     """
-    found = asked(control, "rules.withdraw", 15.0, number=number, who=_user(who), why=why, wait_s=10.0)
+    found = call_gateway(control, "rules.withdraw", 15.0, number=number, who=_user(who), why=why, wait_s=10.0)
     if found["word"] != "ok":
         raise Finding(f"{found['word']}: {found['why']}")
     click.echo(orjson.dumps(found).decode() if as_json else f"version {number} is withdrawn")
--- a/tealwing/conf/grammar.py
+++ b/tealwing/conf/grammar.py
@@ -9,8 +9,8 @@
 
 from lark import Lark, Token, UnexpectedInput
 
-LONGEST_LINE = 4096  # characters: a line that is longer is no directive
-TAB = 8  # columns to which a tab goes on, as terminals show it
+MAX_LINE_LENGTH = 4096  # characters: a line that is longer is no directive
+TAB_WIDTH = 8  # columns to which a tab goes on, as terminals show it
 
 _LINE = Lark(
     r"""
@@ -58,18 +58,18 @@
     """One line: a name and its arguments, with the lines indented below it."""
 
     name: str
-    words: tuple[str, ...]
+    arguments: tuple[str, ...]
     place: Place
     indent: int = 0
     children: list[Directive] = field(default_factory=list)
 
 
-def line(text: str, place: Place) -> Directive | Problem | None:
+def parse_line(text: str, place: Place) -> Directive | Problem | None:
     """The directive on a line; None where it is empty or a comment."""
-    if len(text) > LONGEST_LINE:
-        return Problem(place, "a line", f"{len(text)} characters", f"at most {LONGEST_LINE}")
+    if len(text) > MAX_LINE_LENGTH:
+        return Problem(place, "a line", f"{len(text)} characters", f"at most {MAX_LINE_LENGTH}")
     bare = text.rstrip()
-    indent = len(bare.expandtabs(TAB)) - len(bare.expandtabs(TAB).lstrip())
+    indent = len(bare.expandtabs(TAB_WIDTH)) - len(bare.expandtabs(TAB_WIDTH).lstrip())
     try:
         tree = _LINE.parse(bare)
     except UnexpectedInput as error:
@@ -83,17 +83,17 @@
     tokens = [token for token in tree.children if isinstance(token, Token)]
     if not tokens:
         return None
-    return Directive(str(tokens[0]), tuple(_plain(token) for token in tokens[1:]), place, indent)
+    return Directive(str(tokens[0]), tuple(_unquoted(token) for token in tokens[1:]), place, indent)
 
 
-def _plain(token: Token) -> str:
+def _unquoted(token: Token) -> str:
     if token.type != "STRING":
         return str(token)
     return token[1:-1].replace('\\"', '"').replace("\\\\", "\\")
 
 
-def quoted(word: str) -> str:
+def quoted(argument: str) -> str:
     """A word as it is written in a file."""
-    if word and not any(mark in word for mark in ' \t#"'):
-        return word
-    return '"' + word.replace("\\", "\\\\").replace('"', '\\"') + '"'
+    if argument and not any(mark in argument for mark in ' \t#"'):
+        return argument
+    return '"' + argument.replace("\\", "\\\\").replace('"', '\\"') + '"'
--- a/tealwing/conf/reader.py
+++ b/tealwing/conf/reader.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from tealwing.conf.grammar import Directive, Place, Problem, line
+from tealwing.conf.grammar import Directive, Place, Problem, parse_line
 from tealwing.conf.schema import Block, Report, Section, check
 
 # A section's module is imported when a file has the section, and not before: memory is short.
@@ -19,8 +19,8 @@
     "rules": "tealwing.rollout.section",
     "federation": "tealwing.federation.section",
 }
-MOST_FILES = 64  # files that one file may include, in all
-LARGEST = 1 << 20  # bytes of one file
+MAX_FILES = 64  # files that one file may include, in all
+MAX_FILE_BYTES = 1 << 20  # bytes of one file
 
 
 class ConfError(ValueError):
@@ -54,8 +54,8 @@
     for top in lines:
         if top.name not in SECTIONS:
             report.add(top.place, top.name, f'"{top.name}"', f"a section: {', '.join(sorted(SECTIONS))}")
-        elif top.words:
-            report.add(top.place, top.name, " ".join(top.words), "the section's name alone")
+        elif top.arguments:
+            report.add(top.place, top.name, " ".join(top.arguments), "the section's name alone")
         elif top.name in conf.blocks:
             report.add(top.place, top.name, f"a second section {top.name}", "one")
         else:
@@ -73,32 +73,32 @@
     return conf
 
 
-def _lines(path: Path, asked: Place, report: Report, seen: list[Path]) -> list[Directive]:
+def _lines(path: Path, included_at: Place, report: Report, seen: list[Path]) -> list[Directive]:
     """The directives at the left margin of a file, those below them as their children."""
     if path.resolve() in seen:
-        report.add(asked, "include", f'"{path}"', "a file that is not included already")
+        report.add(included_at, "include", f'"{path}"', "a file that is not included already")
         return []
     seen.append(path.resolve())
-    if len(seen) > MOST_FILES:
-        report.add(asked, "include", f"more than {MOST_FILES} files", f"at most {MOST_FILES}")
+    if len(seen) > MAX_FILES:
+        report.add(included_at, "include", f"more than {MAX_FILES} files", f"at most {MAX_FILES}")
         return []
     try:
         with open(path, "rb") as file:
-            data = file.read(LARGEST + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
         text = data.decode()
     except OSError as error:
-        report.add(asked, "file", f'"{path}": {error.strerror}', "a file that can be read")
+        report.add(included_at, "file", f'"{path}": {error.strerror}', "a file that can be read")
         return []
     except UnicodeDecodeError as error:
-        report.add(asked, "file", f"a byte that is no UTF-8 at {error.start}", "text in UTF-8")
+        report.add(included_at, "file", f"a byte that is no UTF-8 at {error.start}", "text in UTF-8")
         return []
-    if len(data) > LARGEST:
-        report.add(asked, "file", f"more than {LARGEST} bytes", f"at most {LARGEST} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        report.add(included_at, "file", f"more than {MAX_FILE_BYTES} bytes", f"at most {MAX_FILE_BYTES} bytes")
         return []
     top: list[Directive] = []
     open_blocks: list[Directive] = []  # from the margin inwards
     for number, raw in enumerate(text.splitlines(), 1):
-        found = line(raw, Place(str(path), number))
+        found = parse_line(raw, Place(str(path), number))
         if found is None:
             continue
         if isinstance(found, Problem):
@@ -117,10 +117,10 @@
         elif not open_blocks and found.indent:
             report.add(found.place, found.name, f"an indentation of {found.indent}", "a section first")
         if found.name == "include":
-            if len(found.words) != 1:
-                report.add(found.place, "include", " ".join(found.words) or "nothing", "one path")
+            if len(found.arguments) != 1:
+                report.add(found.place, "include", " ".join(found.arguments) or "nothing", "one path")
             else:
-                inner = _lines(path.parent / found.words[0], found.place, report, seen)
+                inner = _lines(path.parent / found.arguments[0], found.place, report, seen)
                 for item in inner:
                     item.indent = found.indent  # they stand where the include stands
                 siblings += inner
--- a/tealwing/conf/render.py
+++ b/tealwing/conf/render.py
@@ -21,7 +21,7 @@
 def _block(specs: tuple[Spec, ...], block: Block, depth: int) -> Iterator[str]:
     for spec in specs:
         for entry in block.all(spec.name):
-            text = " ".join(("    " * depth + spec.name, *map(quoted, entry.words)))
+            text = " ".join(("    " * depth + spec.name, *map(quoted, entry.arguments)))
             yield text if entry.given else f"{text}  # by default"
             if entry.block is not None:
                 yield from _block(spec.children, entry.block, depth + 1)
--- a/tealwing/conf/schema.py
+++ b/tealwing/conf/schema.py
@@ -17,7 +17,7 @@
     name: str
     usage: str  # of its arguments, as the manual prints it
     help: str
-    read: values.Read
+    read: values.ArgumentReader
     default: str = ""  # as a file would write it; empty: there is none
     many: bool = False  # whether it may stand more than once
     needed: bool = False
@@ -41,7 +41,7 @@
     """One directive that holds: its value, its words as written or by default, and where it stands."""
 
     value: Any
-    words: tuple[str, ...]
+    arguments: tuple[str, ...]
     place: Place
     block: Block | None = None
     given: bool = True
@@ -79,13 +79,13 @@
         self.problems.append(Problem(place, directive, found, allowed))
 
 
-def check(specs: tuple[Spec, ...], lines: list[Directive], place: Place, of: str, report: Report) -> Block:
+def check(specs: tuple[Spec, ...], lines: list[Directive], place: Place, parent: str, report: Report) -> Block:
     """The block that some lines make. Absent directives get their defaults; what is wrong is reported."""
     block, known = Block(), {spec.name: spec for spec in specs}
     for line in lines:
         spec = known.get(line.name)
         if spec is None:
-            report.add(line.place, f"{of} {line.name}".strip(), f'"{line.name}"', _names(known))
+            report.add(line.place, f"{parent} {line.name}".strip(), f'"{line.name}"', _names(known))
             continue
         if spec.name in block.entries and not spec.many:
             first = block.entries[spec.name][0].place
@@ -94,13 +94,13 @@
         if line.children and not spec.children:
             report.add(line.children[0].place, line.name, "indented lines below it", "none there")
         try:
-            value = spec.read(line.words)
-        except values.Unfit as error:
-            found = " ".join(map(quoted, line.words)) or "nothing"
+            value = spec.read(line.arguments)
+        except values.InvalidValueError as error:
+            found = " ".join(map(quoted, line.arguments)) or "nothing"
             allowed = f"{error}; {spec.name} {spec.usage}".rstrip() if spec.usage else str(error)
             report.add(line.place, line.name, found, allowed)
             value = None
-        entry = Entry(value, line.words, line.place)
+        entry = Entry(value, line.arguments, line.place)
         if spec.children:
             entry.block = check(spec.children, line.children, line.place, line.name, report)
         block.entries.setdefault(spec.name, []).append(entry)
@@ -108,10 +108,10 @@
         if spec.name in block.entries:
             continue
         if spec.needed:
-            report.add(place, of, f"no {spec.name}", f"{spec.name} {spec.usage}")
+            report.add(place, parent, f"no {spec.name}", f"{spec.name} {spec.usage}")
         elif spec.default:
-            words = tuple(spec.default.split())
-            block.entries[spec.name] = [Entry(spec.read(words), words, place, given=False)]
+            arguments = tuple(spec.default.split())
+            block.entries[spec.name] = [Entry(spec.read(arguments), arguments, place, given=False)]
     return block
 
 
--- a/tealwing/conf/values.py
+++ b/tealwing/conf/values.py
@@ -9,21 +9,21 @@
 
 import msgspec
 
-Words = tuple[str, ...]
-Read = Callable[[Words], Any]
+Arguments = tuple[str, ...]
+ArgumentReader = Callable[[Arguments], Any]
 
 DURATIONS = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}  # s
 SIZES = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}  # bytes
 _PLAIN = re.compile(r"\d{1,15}(?:\.\d{1,9})?", re.ASCII)
 
 
-class Unfit(ValueError):
+class InvalidValueError(ValueError):
     """A value that is not allowed; the text says what is."""
 
 
 def _number(text: str, allowed: str) -> float:
     if not _PLAIN.fullmatch(text):
-        raise Unfit(allowed)
+        raise InvalidValueError(allowed)
     return float(text)
 
 
@@ -32,7 +32,7 @@
     allowed = "a duration with its unit, as 250ms, 1.5s, 2m, 1h or 7d"
     unit = next((u for u in sorted(DURATIONS, key=len, reverse=True) if text.endswith(u)), None)
     if unit is None:
-        raise Unfit(allowed)
+        raise InvalidValueError(allowed)
     return _number(text[: -len(unit)], allowed) * DURATIONS[unit]
 
 
@@ -41,14 +41,14 @@
     allowed = "a size with its unit, as 512B, 16KB, 64MB or 1GB"
     unit = next((u for u in sorted(SIZES, key=len, reverse=True) if text.endswith(u)), None)
     if unit is None:
-        raise Unfit(allowed)
+        raise InvalidValueError(allowed)
     return int(_number(text[: -len(unit)], allowed) * SIZES[unit])
 
 
 def share(text: str) -> float:
     """`85%` as 0.85."""
     if not text.endswith("%"):
-        raise Unfit("a share with its sign, as 85%")
+        raise InvalidValueError("a share with its sign, as 85%")
     return _number(text[:-1], "a share with its sign, as 85%") / 100
 
 
@@ -57,14 +57,14 @@
     return _number(text, "a number, as 2 or 1.5")
 
 
-def whole(text: str) -> int:
+def integer(text: str) -> int:
     """A whole number."""
     if not (text.isascii() and text.isdigit()) or len(text) > 15:
-        raise Unfit("a whole number, as 3")
+        raise InvalidValueError("a whole number, as 3")
     return int(text)
 
 
-def written_duration(seconds: float) -> str:
+def format_duration(seconds: float) -> str:
     """Seconds as a file would say them."""
     for unit, length in (("h", 3600.0), ("m", 60.0), ("s", 1.0)):
         if seconds >= length and abs(seconds / length - round(seconds / length)) < 1e-9:
@@ -72,103 +72,103 @@
     return f"{seconds * 1e3:g}ms" if seconds < 1 else f"{seconds:g}s"
 
 
-def written_share(value: float) -> str:
+def format_share(value: float) -> str:
     """A share as a file would say it."""
     return f"{value * 100:g}%"
 
 
-def _ranged(read: Callable[[str], Any], kind: type, least: float, most: float, written: Any) -> Read:
+def _ranged(read: Callable[[str], Any], kind: type, minimum: float, maximum: float, formatted: Any) -> ArgumentReader:
     """A single word, read and held within a range."""
-    bounded = Annotated[kind, msgspec.Meta(ge=least, le=most)]  # type: ignore[valid-type]
+    bounded = Annotated[kind, msgspec.Meta(ge=minimum, le=maximum)]  # type: ignore[valid-type]
 
-    def value(words: Words) -> Any:
-        if len(words) != 1:
-            raise Unfit("one value")
-        found = read(words[0])
+    def value(arguments: Arguments) -> Any:
+        if len(arguments) != 1:
+            raise InvalidValueError("one value")
+        found = read(arguments[0])
         try:
             return msgspec.convert(found, bounded)
         except msgspec.ValidationError:
-            raise Unfit(f"from {written(least)} to {written(most)}") from None
+            raise InvalidValueError(f"from {formatted(minimum)} to {formatted(maximum)}") from None
 
     return value
 
 
-def durations(least: float, most: float) -> Read:
+def durations(minimum: float, maximum: float) -> ArgumentReader:
     """One duration within a range of seconds."""
-    return _ranged(duration, float, least, most, written_duration)
+    return _ranged(duration, float, minimum, maximum, format_duration)
 
 
-def shares(least: float = 0.0, most: float = 1.0) -> Read:
+def shares(minimum: float = 0.0, maximum: float = 1.0) -> ArgumentReader:
     """One share within a range."""
-    return _ranged(share, float, least, most, written_share)
+    return _ranged(share, float, minimum, maximum, format_share)
 
 
-def numbers(least: float, most: float) -> Read:
+def numbers(minimum: float, maximum: float) -> ArgumentReader:
     """One number within a range."""
-    return _ranged(number, float, least, most, lambda value: f"{value:g}")
+    return _ranged(number, float, minimum, maximum, lambda value: f"{value:g}")
 
 
-def wholes(least: int, most: int) -> Read:
+def integers(minimum: int, maximum: int) -> ArgumentReader:
     """One whole number within a range."""
-    return _ranged(whole, int, least, most, str)
+    return _ranged(integer, int, minimum, maximum, str)
 
 
-def sizes(least: int, most: int) -> Read:
+def sizes(minimum: int, maximum: int) -> ArgumentReader:
     """One size within a range of bytes."""
-    return _ranged(size, int, least, most, lambda value: f"{int(value)}B")
+    return _ranged(size, int, minimum, maximum, lambda value: f"{int(value)}B")
 
 
-def choice(*allowed: str) -> Read:
+def choice(*allowed: str) -> ArgumentReader:
     """One of some words."""
 
-    def value(words: Words) -> str:
-        if len(words) != 1 or words[0] not in allowed:
-            raise Unfit(" or ".join(allowed))
-        return words[0]
+    def value(arguments: Arguments) -> str:
+        if len(arguments) != 1 or arguments[0] not in allowed:
+            raise InvalidValueError(" or ".join(allowed))
+        return arguments[0]
 
     return value
 
 
-def switch(words: Words) -> bool:
+def switch(arguments: Arguments) -> bool:
     """`on` or `off`."""
-    return bool(choice("on", "off")(words) == "on")
+    return bool(choice("on", "off")(arguments) == "on")
 
 
-def name(words: Words) -> str:
+def name(arguments: Arguments) -> str:
     """One name of lower-case letters, digits and hyphens."""
-    if len(words) != 1 or not re.fullmatch(r"[a-z][a-z0-9-]{0,39}", words[0]):
-        raise Unfit("one name of at most 40 lower-case letters, digits and hyphens")
-    return words[0]
+    if len(arguments) != 1 or not re.fullmatch(r"[a-z][a-z0-9-]{0,39}", arguments[0]):
+        raise InvalidValueError("one name of at most 40 lower-case letters, digits and hyphens")
+    return arguments[0]
 
 
-def text(words: Words) -> str:
+def text(arguments: Arguments) -> str:
     """One word or quoted string that is not empty."""
-    if len(words) != 1 or not words[0]:
-        raise Unfit('one word or one "string"')
-    return words[0]
+    if len(arguments) != 1 or not arguments[0]:
+        raise InvalidValueError('one word or one "string"')
+    return arguments[0]
 
 
-def nothing(words: Words) -> None:
+def nothing(arguments: Arguments) -> None:
     """No argument at all."""
-    if words:
-        raise Unfit("no argument")
+    if arguments:
+        raise InvalidValueError("no argument")
 
 
-def instance(words: Words) -> str:
+def instance(arguments: Arguments) -> str:
     """One name of an instance of the program."""
-    if len(words) != 1 or not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,31}", words[0], re.ASCII):
-        raise Unfit("one name of at most 32 letters, digits, dots, hyphens and underscores")
-    return words[0]
+    if len(arguments) != 1 or not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,31}", arguments[0], re.ASCII):
+        raise InvalidValueError("one name of at most 32 letters, digits, dots, hyphens and underscores")
+    return arguments[0]
 
 
-def address(words: Words) -> tuple[str, int]:
+def address(arguments: Arguments) -> tuple[str, int]:
     """One IPv4 address with its port."""
     allowed = "one address, as 10.0.0.4:7946 or 127.0.0.1:0"
-    host, colon, port = words[0].rpartition(":") if len(words) == 1 else ("", "", "")
+    host, colon, port = arguments[0].rpartition(":") if len(arguments) == 1 else ("", "", "")
     if not colon or not (port.isascii() and port.isdigit()) or len(port) > 5 or int(port) > 65535:
-        raise Unfit(allowed)
+        raise InvalidValueError(allowed)
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
-        raise Unfit(allowed) from None
+        raise InvalidValueError(allowed) from None
     return host, int(port)
--- a/tealwing/federation/section.py
+++ b/tealwing/federation/section.py
@@ -10,9 +10,11 @@
 MAX_SITES = 32  # each has voters in one log, whose leader writes to all
 
 
-def _site(arguments: values.Words) -> tuple[str, tuple[str, ...]]:
+def _site(arguments: values.Arguments) -> tuple[str, tuple[str, ...]]:
     if len(arguments) < 2:
-        raise values.Unfit("the site's name, as the engine list says it, and its gateways, as bloemfontein n0 n1 n2")
+        raise values.InvalidValueError(
+            "the site's name, as the engine list says it, and its gateways, as bloemfontein n0 n1 n2"
+        )
     name = values.instance(arguments[:1])
     return name, tuple(values.instance((argument,)) for argument in arguments[1:])
 
@@ -25,7 +27,7 @@
     Spec("limit", "DURATION", "Time in which all sites must have agreed on a change; then it is aborted.",
          values.durations(0.5, 600.0), "8s"),
     Spec("voters", "COUNT", "Gateways of one site that vote in the federation's log, at most; its others follow it.",
-         values.wholes(1, 7), "3"),
+         values.integers(1, 7), "3"),
     Spec("beat", "DURATION", "Between two words of the federation's leader that has nothing else to say.",
          values.durations(0.02, 5.0), "100ms"),
     Spec("election", "DURATION", "Silence of that leader after which another is elected; a few round trips between"
@@ -54,8 +56,8 @@
         report.add(first, "site", f"{len(seen)} sites", f"at most {MAX_SITES}")
     heartbeat, election_timeout = block.one("beat"), block.one("election")
     if heartbeat is not None and election_timeout is not None and election_timeout < 3 * heartbeat:
-        report.add(block.place("election", first), "election", values.written_duration(election_timeout),
-                   f"three beats or more, {values.written_duration(3 * heartbeat)}")  # fmt: skip
+        report.add(block.place("election", first), "election", values.format_duration(election_timeout),
+                   f"three beats or more, {values.format_duration(3 * heartbeat)}")  # fmt: skip
     return Plan(
         block.one("folder"), tuple(entry.value for entry in sites), block.one("limit"), block.one("voters"),
         heartbeat, election_timeout,
--- a/tealwing/gossip/section.py
+++ b/tealwing/gossip/section.py
@@ -16,22 +16,22 @@
 MIN_BYTES_PER_S = 4 * MAX_DATAGRAM_BYTES  # below that a probe and its answers do not fit the probe interval
 
 
-def _peer(words: values.Words) -> AllowedKey:
+def _peer(words: values.Arguments) -> AllowedKey:
     allowed = "a name, its public key in base64, and if it ends, until and a time as 2027-01-31T12:00Z"
     if len(words) not in (2, 4) or (len(words) == 4 and words[2] != "until"):
-        raise values.Unfit(allowed)
+        raise values.InvalidValueError(allowed)
     name, until = values.instance(words[:1]), inf
     try:
         public = keys.read_public(words[1])
     except InvalidKeyError as error:
-        raise values.Unfit(f"{allowed}; {error}") from None
+        raise values.InvalidValueError(f"{allowed}; {error}") from None
     if len(words) == 4:
         try:
             when = datetime.datetime.fromisoformat(words[3])
         except ValueError:
-            raise values.Unfit(allowed) from None
+            raise values.InvalidValueError(allowed) from None
         if when.tzinfo is None:
-            raise values.Unfit(f"{allowed}, with its zone")
+            raise values.InvalidValueError(f"{allowed}, with its zone")
         until = when.timestamp()
     return AllowedKey(name, public, until)
 
@@ -82,8 +82,8 @@
     )  # fmt: skip
     if times.probe_timeout >= times.probe_interval / 2:
         report.add(
-            block.place("answer", peers[0].place), "answer", values.written_duration(times.probe_timeout),
-            f"less than half of the period, {values.written_duration(times.probe_interval)}: others are asked after it",
+            block.place("answer", peers[0].place), "answer", values.format_duration(times.probe_timeout),
+            f"less than half of the period, {values.format_duration(times.probe_interval)}: others are asked after it",
         )  # fmt: skip
     seeds = tuple(entry.value for entry in block.all("seed"))
     return GossipConfig(
--- a/tealwing/levels/conditions.py
+++ b/tealwing/levels/conditions.py
@@ -56,7 +56,7 @@
         """A value as the file would write it."""
         if self.unit == "share":
             return f"{value * 100:.3g}%"
-        return values.written_duration(value) if self.unit == "duration" else f"{value:.3g}"
+        return values.format_duration(value) if self.unit == "duration" else f"{value:.3g}"
 
 
 def _share(worse: str, help_: str, maximum: float = 1.0) -> SignalKind:
@@ -187,7 +187,7 @@
         kind = signal_kind(signal)
         try:
             bound = kind.read(value)
-        except values.Unfit as error:
+        except values.InvalidValueError as error:
             raise ConditionError(f"for {signal} {error}") from None
         return [(Comparison(signal, op, bound),)]
     parts = [_products(child) for child in tree.children]
--- a/tealwing/levels/section.py
+++ b/tealwing/levels/section.py
@@ -27,63 +27,63 @@
     seconds: float
 
 
-def _timed_condition(min_seconds: float) -> values.Read:
+def _timed_condition(min_seconds: float) -> values.ArgumentReader:
     """`when CONDITION for DURATION`."""
 
-    def read(words: values.Words) -> TimedCondition:
+    def read(words: values.Arguments) -> TimedCondition:
         if len(words) < 5 or words[0] != "when" or words[-2] != "for":
-            raise values.Unfit("when, a condition, for, a duration")
+            raise values.InvalidValueError("when, a condition, for, a duration")
         seconds = values.durations(min_seconds, 3600.0)(words[-1:])
         try:
             return TimedCondition(conditions.parse(" ".join(words[1:-2])), seconds)
         except ConditionError as error:
-            raise values.Unfit(str(error)) from None
+            raise values.InvalidValueError(str(error)) from None
 
     return read
 
 
-def _stay(words: values.Words) -> tuple[float, float]:
+def _stay(words: values.Arguments) -> tuple[float, float]:
     """`DURATION` or `DURATION growing to DURATION`."""
     bounded = values.durations(1.0, 86400.0)
     if len(words) == 1:
         return bounded(words), bounded(words)
     if len(words) == 4 and words[1:3] == ("growing", "to"):
         return bounded(words[:1]), bounded(words[3:])
-    raise values.Unfit("a duration, or: a duration growing to a duration")
+    raise values.InvalidValueError("a duration, or: a duration growing to a duration")
 
 
-def _range(read: values.Read, text: str) -> tuple[Any, Any]:
+def _range(read: values.ArgumentReader, text: str) -> tuple[Any, Any]:
     low, dots, high = text.partition("..")
     return read((low,)), read((high,)) if dots else read((low,))
 
 
-def _admit(words: values.Words) -> tuple[str, tuple[float, float]]:
+def _admit(words: values.Arguments) -> tuple[str, tuple[float, float]]:
     if len(words) != 2:
-        raise values.Unfit("a class, and the share of it that is admitted")
+        raise values.InvalidValueError("a class, and the share of it that is admitted")
     low, high = _range(values.shares(), words[1])
     if low > high:
-        raise values.Unfit("a lower share, two dots, a higher share")
+        raise values.InvalidValueError("a lower share, two dots, a higher share")
     return words[0], (low, high)
 
 
-def _account(words: values.Words) -> tuple[str, float]:
+def _account(words: values.Arguments) -> tuple[str, float]:
     if len(words) != 2:
-        raise values.Unfit("an account, and the share of it that is admitted")
+        raise values.InvalidValueError("an account, and the share of it that is admitted")
     return words[0], values.shares()(words[1:])
 
 
-def _attempts(words: values.Words) -> tuple[str, int]:
+def _attempts(words: values.Arguments) -> tuple[str, int]:
     if len(words) != 2:
-        raise values.Unfit("a class, and how many attempts its requests have")
-    return words[0], values.wholes(1, 100)(words[1:])
+        raise values.InvalidValueError("a class, and how many attempts its requests have")
+    return words[0], values.integers(1, 100)(words[1:])
 
 
-def _pushback(words: values.Words) -> tuple[float, float]:
+def _pushback(words: values.Arguments) -> tuple[float, float]:
     if len(words) != 1:
-        raise values.Unfit("a duration, or two with two dots between")
+        raise values.InvalidValueError("a duration, or two with two dots between")
     low, high = _range(values.durations(0.0, 3600.0), words[0])
     if low > high:
-        raise values.Unfit("a shorter duration, two dots, a longer one")
+        raise values.InvalidValueError("a shorter duration, two dots, a longer one")
     return low, high
 
 
@@ -206,8 +206,8 @@
         report.add(
             block.place("every", entries[0].place),
             "every",
-            values.written_duration(interval),
-            f"at most the window, {values.written_duration(window)}",
+            values.format_duration(interval),
+            f"at most the window, {values.format_duration(window)}",
         )
     ramp = RecoveryRamp(block.one("cut"), block.one("ramp"), block.one("cold"))
     return Plan(tuple(found), window, interval, ramp)
@@ -222,8 +222,8 @@
         report.add(
             block.place("stay", place),
             "stay",
-            f"growing to {values.written_duration(max_stay)}",
-            f"growing to {values.written_duration(min_stay)} or more",
+            f"growing to {values.format_duration(max_stay)}",
+            f"growing to {values.format_duration(min_stay)} or more",
         )
     terms = LevelTimings(
         entry.value, enter.seconds, exit_.seconds, min_stay, max_stay, strong.seconds if strong else inf
@@ -279,8 +279,8 @@
         report.add(
             block.place("exit", place),
             "exit",
-            f"for {values.written_duration(exit_.seconds)}",
-            f"for {values.written_duration(enter.seconds)} or more, as enter has",
+            f"for {values.format_duration(exit_.seconds)}",
+            f"for {values.format_duration(enter.seconds)} or more, as enter has",
         )
 
 
--- a/tealwing/peers/section.py
+++ b/tealwing/peers/section.py
@@ -14,9 +14,11 @@
 LEARNER = "learner"
 
 
-def _member(arguments: values.Words) -> tuple[str, Address, bool]:
+def _member(arguments: values.Arguments) -> tuple[str, Address, bool]:
     if len(arguments) not in (2, 3) or arguments[2:] not in ((), (LEARNER,)):
-        raise values.Unfit("a name and its address, as n0 10.0.0.4:7950, and `learner` where it has no vote")
+        raise values.InvalidValueError(
+            "a name and its address, as n0 10.0.0.4:7950, and `learner` where it has no vote"
+        )
     return values.instance(arguments[:1]), values.address(arguments[1:2]), len(arguments) == 3
 
 
@@ -37,7 +39,7 @@
     Spec("silent", "DURATION", "Silence after which an inbound connection is closed; longer than lost.",
          values.durations(1.0, 600.0), "10s"),
     Spec("queue", "COUNT", "Frames that wait for one peer; past that the oldest is dropped and counted.",
-         values.wholes(16, 65536), "1024"),
+         values.integers(16, 65536), "1024"),
     Spec("queue-bytes", "SIZE", "The same in bytes.", values.sizes(1 << 20, 1 << 30), "8MB"),
     Spec("faults", "on|off", "Whether the control address takes the laboratory's faults. Never in service.",
          values.switch, "off"),
@@ -77,8 +79,8 @@
     )
     for what, value, than, minimum in ordered:
         if value < minimum or (value == minimum and than != "three beats"):
-            allowed = f"more than {than}, {values.written_duration(minimum)}"
-            report.add(block.place(what, first), what, values.written_duration(value), allowed)
+            allowed = f"more than {than}, {values.format_duration(minimum)}"
+            report.add(block.place(what, first), what, values.format_duration(value), allowed)
     return Plan(
         block.one("fleet"),
         name,
--- a/tealwing/replica/section.py
+++ b/tealwing/replica/section.py
@@ -15,9 +15,9 @@
          values.durations(0.1, 60.0), "600ms"),
     Spec("stale", "COUNT", "Members that may at once come back with an older disk than they had. Each costs a member"
          " more for a quorum while starts are unsure: after a power loss, more than half and so many must return.",
-         values.wholes(0, 31), "0"),
+         values.integers(0, 31), "0"),
     Spec("snapshot-entries", "COUNT", "Entries after which a snapshot is written and the log before it goes.",
-         values.wholes(100, 10_000_000), "10000"),
+         values.integers(100, 10_000_000), "10000"),
     Spec("leases", "on|off", "Whether this gateway may do the fleet-wide tasks, each under a lease: see"
          " docs/operating/leases.md.", values.switch, "off"),
     Spec("replace-after", "DURATION", "Silence after which a voter is lost for good and a learner votes in its place;"
@@ -43,13 +43,13 @@
     if election < 3 * beat:
         report.add(
             block.place("election", block.place("folder", block.entries["folder"][0].place)), "election",
-            values.written_duration(election), f"three beats or more, {values.written_duration(3 * beat)}",
+            values.format_duration(election), f"three beats or more, {values.format_duration(3 * beat)}",
         )  # fmt: skip
     if plan.replace_after and plan.replace_after < 5 * election:
         report.add(
             block.place("replace-after", block.entries["folder"][0].place), "replace-after",
-            values.written_duration(plan.replace_after),
-            f"five times election or more, {values.written_duration(5 * election)}: before that another may yet lead",
+            values.format_duration(plan.replace_after),
+            f"five times election or more, {values.format_duration(5 * election)}: before that another may yet lead",
         )  # fmt: skip
     return plan
 
--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -22,7 +22,7 @@
     Spec("patience", "DURATION", "Silence of a gateway that holds after which a change goes on without it.",
          values.durations(0.1, 30.0), "500ms"),
     Spec("queue", "COUNT", "Requests that may wait while a change is closed; more are refused and may come again.",
-         values.wholes(1, 4096), "64"),
+         values.integers(1, 4096), "64"),
     Spec("sabotage", "WORD", "Broken on purpose, so that a trial's judges can be seen to find it; needs `faults on` in"
          " the section peers. Never in service.", values.choice(*SABOTAGES)),
 )  # fmt: skip
@@ -36,12 +36,12 @@
     )  # fmt: skip
     place = block.entries["lost-touch"][0].place
     if plan.limit <= plan.patience:
-        least = f"more than patience, {values.written_duration(plan.patience)}"
-        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), least)
+        least = f"more than patience, {values.format_duration(plan.patience)}"
+        report.add(block.place("limit", place), "limit", values.format_duration(plan.limit), least)
     over = DEFAULT_BOUNDS.expiry_delay(plan.permit) + plan.patience
     if plan.lost_touch == "hold" and plan.limit <= over:
-        least = f"more than patience and a permit's end, {values.written_duration(round(over, 3))}"
-        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), least)
+        least = f"more than patience and a permit's end, {values.format_duration(round(over, 3))}"
+        report.add(block.place("limit", place), "limit", values.format_duration(plan.limit), least)
     return plan
 
 
--- a/tealwing/rules/leveltext.py
+++ b/tealwing/rules/leveltext.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from tealwing.conf.grammar import Directive, Place, Problem, line
+from tealwing.conf.grammar import Directive, Place, Problem, parse_line
 from tealwing.conf.schema import Report, check
 from tealwing.levels.plan import Plan
 from tealwing.levels.section import SECTION
@@ -19,7 +19,7 @@
     report = Report()
     tops = _nested(text, report)
     _tell(report)
-    if len(tops) != 1 or tops[0].name != SECTION.name or tops[0].words:
+    if len(tops) != 1 or tops[0].name != SECTION.name or tops[0].arguments:
         raise BadLevels(f"{FILE}:1", f"{len(tops)} lines at the margin; allowed: the line `levels`, the rest below it")
     block = check(SECTION.specs, tops[0].children, tops[0].place, SECTION.name, report)
     _tell(report)
@@ -33,7 +33,7 @@
     top: list[Directive] = []
     outer: list[Directive] = []  # from the margin inwards
     for number, raw in enumerate(text.splitlines(), 1):
-        found = line(raw, Place(FILE, number))
+        found = parse_line(raw, Place(FILE, number))
         if found is None:
             continue
         if isinstance(found, Problem):
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from tealwing.conf import reader, render, values
-from tealwing.conf.grammar import Directive, Place, Problem, line, quoted
+from tealwing.conf.grammar import Directive, Place, Problem, parse_line, quoted
 from tealwing.conf.reader import ConfError
 
 ROOT = Path(__file__).parent.parent
@@ -140,19 +140,19 @@
 
 @given(st.lists(st.text(min_size=1, max_size=20).filter(lambda t: t.isprintable()), max_size=4))
 def test_any_words_survive_quoting(words: list[str]) -> None:
-    found = line(" ".join(["name", *map(quoted, words)]), Place("f", 1))
-    assert isinstance(found, Directive) and found.words == tuple(words)
+    found = parse_line(" ".join(["name", *map(quoted, words)]), Place("f", 1))
+    assert isinstance(found, Directive) and found.arguments == tuple(words)
 
 
 @given(st.text(max_size=60))
 def test_any_line_is_a_directive_a_problem_or_nothing(text: str) -> None:
-    assert isinstance(line(text, Place("f", 1)), Directive | Problem | None)
+    assert isinstance(parse_line(text, Place("f", 1)), Directive | Problem | None)
 
 
 def test_units() -> None:
     assert [values.duration(t) for t in ("250ms", "1.5s", "2m", "1h", "7d")] == [0.25, 1.5, 120, 3600, 604800]
     assert values.size("64MB") == 64 << 20 and values.share("85%") == 0.85
     for bad in ("", "5", "ms", "-1s", "1e3s", "٣s", "1..2s", "infs"):
-        with pytest.raises(values.Unfit):
+        with pytest.raises(values.InvalidValueError):
             values.duration(bad)
-    assert values.written_duration(0.25) == "250ms" and values.written_duration(240) == "4m"
+    assert values.format_duration(0.25) == "250ms" and values.format_duration(240) == "4m"
