--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -8,15 +8,15 @@
 from benchmarks.capacity import control
 from benchmarks.capacity.fitting import fit
 from benchmarks.capacity.records import CapacityError, Measured, Options, Point, Series
-from tealwing.lab.hollow.fleet import HollowFault, HollowFleet
-from tealwing.lab.hollow.requirements import TooLarge
+from tealwing.lab.hollow.fleet import HollowFleet, HollowFleetError
+from tealwing.lab.hollow.requirements import FleetTooLargeError
 from tealwing.lab.rollout import trials
 from tealwing.lab.rollout.measure import share
-from tealwing.rules.records import LostTouch
+from tealwing.rules.records import PartitionMode
 
 NAME = "change"
 SUMMARY = "a change of the rules on real sockets: time until in force everywhere, messages and bytes by role"
-VIRTUAL_NAMES: dict[LostTouch, str] = {"serve": "virtual-serve", "hold": "virtual-hold"}
+VIRTUAL_NAMES: dict[PartitionMode, str] = {"serve": "virtual-serve", "hold": "virtual-hold"}
 VIRTUAL_SUMMARY = (
     "changes in virtual time up to 1,100 gateways, without loss: gap, time until open, messages; lost-touch {}"
 )
@@ -31,7 +31,7 @@
 TEXT = b"[classes.lookup]\naim-ms = %d\n"
 AIM = 600  # ms, of the first version; each further one has one more
 SEED = 20
-MODES: tuple[LostTouch, ...] = ("serve", "hold")
+MODES: tuple[PartitionMode, ...] = ("serve", "hold")
 
 
 def make(fleet: HollowFleet, number: int) -> tuple[float, str]:
@@ -41,13 +41,13 @@
         try:
             version = fleet.propose(TEXT % (AIM + number), "a scale test")
             break
-        except HollowFault:  # nobody leads just now: an operator tries again
+        except HollowFleetError:  # nobody leads just now: an operator tries again
             if time.monotonic() - begun > PATIENCE:
                 raise
             time.sleep(POLL)
     while (phase := fleet.phase(version)) in ("proposed", "checked", "preparing", "agreed"):
         if time.monotonic() - begun > PATIENCE:
-            raise HollowFault(f"version {version} is still {phase} after {PATIENCE:g} s")
+            raise HollowFleetError(f"version {version} is still {phase} after {PATIENCE:g} s")
         time.sleep(POLL)
     return begun, phase
 
@@ -80,7 +80,7 @@
                 for role in control.ROLES
             }
             return everywhere, costs, len(everywhere) / changes
-    except (TooLarge, HollowFault) as error:
+    except (FleetTooLargeError, HollowFleetError) as error:
         raise CapacityError(f"changes at {size} members: {error}") from None
 
 
@@ -105,7 +105,7 @@
     return Measured(NAME, "members", sizes, tuple(series), (note, "costs are over those at rest"))
 
 
-def measure_virtual(mode: LostTouch, options: Options) -> Measured:
+def measure_virtual(mode: PartitionMode, options: Options) -> Measured:
     """Measure one mode at each size, in virtual time."""
     sizes = VIRTUAL_SMALL if options.small else VIRTUAL_SIZES
     series = []
--- a/tealwing/conf/reader.py
+++ b/tealwing/conf/reader.py
@@ -83,7 +83,7 @@
         report.add(included_at, "include", f"more than {MAX_FILES} files", f"at most {MAX_FILES}")
         return []
     try:
-        with open(path, "rb") as file:
+        with Path(path).open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
         text = data.decode()
     except OSError as error:
--- a/tealwing/federation/site_delegate.py
+++ b/tealwing/federation/site_delegate.py
@@ -9,8 +9,8 @@
 from collections.abc import Hashable, Mapping
 from typing import Any
 
-from tealwing.rollout.retry import Retry
-from tealwing.rollout.view import CLOSING, View, view
+from tealwing.rollout.agent.retry import Retry
+from tealwing.rollout.agent.view import CLOSING, View, view_of
 from tealwing.rules.records import (
     Abort,
     Activate,
@@ -18,8 +18,8 @@
     Body,
     Close,
     Closed,
-    LostTouch,
     Member,
+    PartitionMode,
     Propose,
     Verdict,
     Version,
@@ -35,23 +35,23 @@
 
     The federation's state is that at fed_index. Each proposal is idempotent.
     """
-    site_view, federation_view = view(site_tables, 0, site), view(fed_tables, fed_index, site)
+    site_view, federation_view = view_of(site_tables, 0, site), view_of(fed_tables, fed_index, site)
     gateways: Mapping[str, Member] = site_tables["rule_members"]
     if not gateways:
         return [], []
     versions: Mapping[str, Version] = fed_tables["rules"]
     site_proposals = _site_proposals(site_view, federation_view, versions, fed_index)
     federation_proposals = _membership_proposals(site, site_view, federation_view, gateways)
-    me, flight = federation_view.me, federation_view.flight
-    if me is not None and not me.lapsed and flight is not None and not federation_proposals:
+    me, flight = federation_view.local_member, federation_view.in_flight
+    if me is not None and not me.expiry_index and flight is not None and not federation_proposals:
         number = flight.number
         if flight.phase in ("proposed", "checked"):
-            verdict = flight.said.get(site)
+            verdict = flight.verdicts.get(site)
             if (verdict is None or verdict.start != me.start) and (
                 new_verdict := _site_verdict(site_view, site_tables, number)
             ) is not None:
                 federation_proposals.append(Verdict(number, site, me.start, *new_verdict))
-        elif site_view.closing == number and me.closed != number and site_view.known(number) == "agreed":
+        elif site_view.closing_for == number and me.closed_for != number and site_view.phase_of(number) == "agreed":
             federation_proposals.append(Closed(number, site, me.start))
     return site_proposals, federation_proposals
 
@@ -59,33 +59,44 @@
 def _site_proposals(
     site_view: View, federation_view: View, versions: Mapping[str, Version], fed_index: int
 ) -> list[Body]:
-    flight = site_view.flight
+    flight = site_view.in_flight
     if flight is not None:
         if not flight.federated:
             return []  # from before the site joined: its own log ends it
         number, federation_version = flight.number, versions.get(str(flight.number))
         if federation_version is None:  # not applied here yet, or over so long ago that its record is gone
-            expired = federation_view.known(number) is not None
+            expired = federation_view.phase_of(number) is not None
             return [Abort(number, "it is long over in the federation", fed_index)] if expired else []
         if federation_version.phase in ("rejected", "aborted", "withdrawn"):
-            return [Abort(number, federation_version.outcome, federation_version.changed)]
+            return [Abort(number, federation_version.outcome, federation_version.phase_index)]
         in_force = federation_version.phase in ("active", "superseded")
         if flight.phase == "checked" and (in_force or federation_version.phase in CLOSING):
             return [Close(number)]
         if flight.phase == "agreed" and in_force:
-            return [Activate(number, federation_version.changed)]
+            return [Activate(number, federation_version.phase_index)]
         return []
     target = (
-        versions.get(str(federation_view.active)) if not site_view.is_up_to(federation_view) else federation_view.flight
+        versions.get(str(federation_view.active))
+        if not site_view.is_up_to(federation_view)
+        else federation_view.in_flight
     )
     if target is None:
         return []
-    phase = site_view.known(target.number)
+    phase = site_view.phase_of(target.number)
     if phase is None or (phase == "rejected" and target.phase == "active"):
-        return [Propose(
-            site_view.active, target.digest, target.text, target.who, target.when, target.why, target.number, True,
-            target.needs,
-        )]  # fmt: skip
+        return [
+            Propose(
+                site_view.active,
+                target.digest,
+                target.text,
+                target.author,
+                target.created_ms,
+                target.reason,
+                target.number,
+                True,
+                target.min_build,
+            )
+        ]
     return []
 
 
@@ -97,29 +108,29 @@
     The start number of a site, unlike that of a gateway, is of no process: its gateways may still hold permits of an
     earlier one.
     """
-    me = federation_view.me
-    serves = any(member.lost_touch == "serve" for member in gateways.values())
-    mode: LostTouch = "serve" if serves or (me is not None and me.lost_touch == "serve") else "hold"
+    me = federation_view.local_member
+    serves = any(member.partition_mode == "serve" for member in gateways.values())
+    mode: PartitionMode = "serve" if serves or (me is not None and me.partition_mode == "serve") else "hold"
     build = min(member.build for member in gateways.values())
     permit = max(member.permit for member in gateways.values())
     if me is None:
         return [Begin(site, 1, mode, build, permit)] if site_view.is_up_to(federation_view) else []
-    if me.lapsed and not (me.over and site_view.is_up_to(federation_view)):
+    if me.expiry_index and not (me.expiry_confirmed and site_view.is_up_to(federation_view)):
         return []
-    if me.lapsed or me.lost_touch != mode:
+    if me.expiry_index or me.partition_mode != mode:
         return [Begin(site, me.start + 1, mode, build, permit, me.start)]
     return []
 
 
 def _site_verdict(site_view: View, site_tables: Tables, number: int) -> tuple[bool, str] | None:
     """Return whether the site accepts a proposed version, and the reason if not; None while undecided."""
-    phase = site_view.known(number)
+    phase = site_view.phase_of(number)
     if phase in ("checked", "preparing", "agreed", "active"):
         return True, ""
     if phase in ("rejected", "aborted", "withdrawn"):
         recorded: Version | None = site_tables["rules"].get(str(number))
         return False, recorded.outcome if recorded is not None else f"number {number} was given at this site already"
-    if (phase is None and 0 < number <= site_view.last) or phase == "superseded":
+    if (phase is None and 0 < number <= site_view.last_number) or phase == "superseded":
         return False, f"number {number} was given at this site already"
     return None
 
@@ -134,7 +145,7 @@
         """Return what to propose now in the site's log and in the federation's, as the leader of the site's."""
         site_proposals, federation_proposals = required_proposals(self.site, site_tables, fed_tables, fed_index)
         keyed: list[tuple[Hashable, Body]] = [(_key(body), body) for body in (*site_proposals, *federation_proposals)]
-        self._retry.keep([key for key, body in keyed if not isinstance(body, Propose)])
+        self._retry.retain([key for key, body in keyed if not isinstance(body, Propose)])
         ready = [body for key, body in keyed if self._is_due(now, key, body)]
         return [body for body in site_proposals if body in ready], [
             body for body in federation_proposals if body in ready
@@ -143,7 +154,7 @@
     def _is_due(self, now: float, key: Hashable, body: Body) -> bool:
         if not isinstance(body, Propose):
             return self._retry.ready(now, key)
-        self._proposals.keep([key])  # kept while it is in flight: a rejected one is repeated seldom
+        self._proposals.retain([key])  # kept while it is in flight: a rejected one is repeated seldom
         return self._proposals.ready(now, key)
 
 
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -34,7 +34,7 @@
     from tealwing.levels.plan import Plan
     from tealwing.peers.plan import Plan as PeersPlan
     from tealwing.replica.plan import Plan as ReplicaPlan
-    from tealwing.rollout.gate import Gate
+    from tealwing.rollout.admission.gate import Gate
     from tealwing.rollout.plan import Plan as RulesPlan
     from tealwing.routing.table import Table
 
@@ -216,7 +216,7 @@
     def _fleet_settings(self, version: int, text: bytes) -> None:
         """A version of the replicated settings that is good, from the disk or as the fleet has agreed on it."""
         try:
-            settings = wire.settings(text)
+            settings = wire.parse_settings(text)
         except (ValueError, wire.WireError) as error:  # checked by whoever proposed it, by another version of us
             log.event("fleet_settings_unusable", version=version, error=str(error))
             return
--- a/tealwing/lab/rollout/logs.py
+++ b/tealwing/lab/rollout/logs.py
@@ -20,7 +20,7 @@
 from tealwing.replica.raft import Busy, NotLeader, Options, Raft, Ready, Role
 from tealwing.replica.reading import Reading
 from tealwing.replica.waiting import Waiting
-from tealwing.rules.records import Words
+from tealwing.rules.records import Reports
 
 
 def message_count(entry: Entry) -> int:
@@ -28,7 +28,7 @@
     if entry.kind is not Kind.DATA:
         return 0
     body = c.decode(entry.data).body
-    return len(body.words) if isinstance(body, Words) else 1
+    return len(body.reports) if isinstance(body, Reports) else 1
 
 
 class _Reached(Pending):
@@ -50,7 +50,7 @@
         self, host: Host, name: str, voters: tuple[str, ...], learners: tuple[str, ...], copies: StateHistory,
         options: Options, seed: int,
     ) -> None:  # fmt: skip
-        """name is the log's; voters and learners are hosts' names, and seed that of the whole laboratory."""
+        """Join the log of that name; voters and learners are hosts' names, `seed` is that of the simulation."""
         self.host, self.name, self._clock = host, name, host.wires.clock
         number = Random(f"{seed}/{name}/{host.name}").randrange(1, 2**53)
         self.core = Raft(host.name, voters, self._clock.now, number, number, options, learners=learners)
--- /dev/null
+++ b/tealwing/rollout/agent/machine.py
@@ -0,0 +1,322 @@
+"""State machine of one gateway in a rollout: when it may decide, and under which version; pure.
+
+It closes as it applies `Close`, reports that once the marker is on disk, and opens only on a known outcome. In mode
+`serve` its disk suffices at a start; in mode `hold` it decides nothing until its Begin is applied here and a permit
+shows that the fleet has not gone on without it. The proof is in docs/rules.md.
+"""
+
+from __future__ import annotations
+
+import copy
+from collections.abc import Hashable
+
+from tealwing.lease_bounds import DEFAULT_BOUNDS, LeaseBounds
+from tealwing.rollout.agent.actions import (
+    FOREVER,
+    HOLD_MARKER,
+    Action,
+    CheckBundle,
+    GateState,
+    PersistMarker,
+    ReadIndex,
+    ReadToken,
+    Restart,
+    SubmitCommand,
+)
+from tealwing.rollout.agent.permit import Permit
+from tealwing.rollout.agent.retry import MAX_BACKOFF, Retry
+from tealwing.rollout.agent.view import FederatedView, View
+from tealwing.rules.records import Begin, Closed, PartitionMode, Verdict, Version
+
+SABOTAGED_OPEN_AFTER = 1.0  # s; sabotage only
+
+
+class Machine:
+    """Called by the runtime after every applied entry and on a tick; it never blocks."""
+
+    def __init__(  # noqa: PLR0913 -- facts known before the start; callers name them
+        self,
+        name: str,
+        partition_mode: PartitionMode,
+        start: int,
+        permit: float = 2.0,
+        bounds: LeaseBounds = DEFAULT_BOUNDS,
+        marker: int = 0,
+        build: int = 1,
+        seed: int = 0,
+        sabotage: frozenset[str] = frozenset(),
+        disk: View | None = None,
+        federated: bool = False,
+        disk_federated: FederatedView | None = None,
+        peers: int = 0,
+    ) -> None:
+        """Set the state from disk; permit is in s, marker the number on disk (0: none).
+
+        disk is the view of the local state at the start, before any entry came from others; None, or one without this
+        member, proves nothing. peers is the number of members in the section `peers`, as the log is not known yet.
+        federated: this site is part of a federation, and disk_federated the view of its log on this disk.
+        """
+        self.name, self.partition_mode, self.start, self.marker = name, partition_mode, start, marker
+        self._permit, self._build, self._sabotage, self._federated = permit, build, sabotage, federated
+        holds = partition_mode == "hold"
+        self._site_permit = Permit(permit, bounds, holds)
+        self._federation_permit = Permit(permit, bounds, holds)
+        self._view: View | None = disk
+        self._federated_view: FederatedView | None = disk_federated
+        self._from_disk = disk is not None and disk.local_member is not None
+        if (
+            not holds
+            and disk is not None
+            and disk.local_member is not None
+            and disk.local_member.partition_mode == "serve"
+            and marker != HOLD_MARKER
+        ):
+            # no change can have completed without a report of this member, which the marker would show
+            self._site_permit.grant_forever()
+        if not holds and disk_federated is not None and disk_federated.local_member is not None:
+            self._federation_permit.grant_forever()
+        self._retry, self._serial = Retry(seed), 0
+        self._peers = peers
+        self._checked: dict[int, tuple[bool, str]] = {}  # of the version in flight only
+        self._closed_at: tuple[int, float] | None = None  # sabotage only
+
+    # Results of actions
+
+    def marker_written(self, number: int) -> None:
+        """Record that the number is on disk."""
+        self.marker = number
+
+    def checked(self, number: int, accepted: bool, reason: str = "") -> None:
+        """Record the result of the check of a version's bundle."""
+        self._checked = {number: (accepted, reason)}
+
+    def submitted(self, now: float, action: Action, ok: bool) -> None:
+        """Do nothing: an action is retried until the state shows its effect, whatever the answer was."""
+
+    def read_sent(self, now: float, federation: bool = False) -> ReadToken:
+        """Return the token of a read that is sent now."""
+        self._serial += 1
+        return ReadToken(self._serial, now, self.start, federation)
+
+    def read_completed(self, now: float, token: ReadToken, index: int) -> None:
+        """Record a read's index: all that was committed when it was sent lies at or before it."""
+        (self._federation_permit if token.federation else self._site_permit).read_completed(token, index)
+        self._apply_reads()
+
+    def read_would_extend(self, federation: bool = False) -> bool:
+        """Return whether a read of that log could extend its permit, for the model check."""
+        return (self._federation_permit if federation else self._site_permit).until < FOREVER
+
+    def read_failed(self, now: float, token: ReadToken) -> None:
+        """Record that a read got no answer."""
+        (self._federation_permit if token.federation else self._site_permit).read_failed(
+            now, min(MAX_BACKOFF, 0.1 * self._permit)
+        )
+
+    def clone(self) -> Machine:
+        """Return an independent copy that shares the retries, for the model check."""
+        twin = copy.copy(self)
+        twin._site_permit = self._site_permit.clone()  # noqa: SLF001 -- a copy of its own class
+        twin._federation_permit = self._federation_permit.clone()  # noqa: SLF001
+        return twin
+
+    def key(self) -> tuple[Hashable, ...]:
+        """Return the state that determines later behaviour, except views and retries, for the model check."""
+        closed = self._closed_at if self._sabotage else None
+        return (
+            self.partition_mode,
+            self.start,
+            self.marker,
+            self._from_disk,
+            self._site_permit.key(),
+            self._federation_permit.key(),
+            closed,
+            *self._checked,
+        )
+
+    # Actions
+
+    def step(self, now: float, view: View, federated: FederatedView | None = None) -> list[Action]:
+        """Return the actions that are due at that state."""
+        self._view, self._federated_view = view, federated or self._federated_view
+        found: list[Action] = []
+        me, renewed = view.local_member, False
+        if me is not None and (me.start > self.start or (me.start == self.start and me.expiry_index)):
+            renewed = "no-permit" not in self._sabotage or me.start > self.start
+        if me is not None and renewed:
+            self.start = me.start + 1
+            found.append(Restart(self.start))
+            if self.partition_mode == "hold":
+                self._site_permit.revoke()
+                self._federation_permit.revoke()
+        self._apply_reads()
+        pending = self._pending_actions(view)
+        members = max(view.member_count, self._peers)
+        self._retry.retain([key for key, _ in pending])
+        found += [action for key, action in pending if self._retry.ready(now, key, members)]
+        return found + self._reads(now, view)
+
+    def _pending_actions(self, view: View) -> list[tuple[Hashable, Action]]:
+        me, holds = view.local_member, self.partition_mode == "hold"
+        if holds and self.marker != HOLD_MARKER:
+            # before the log may have this member as `hold`: started as `serve` later, it must not trust its disk
+            return [("mark", PersistMarker(HOLD_MARKER))]
+        if me is None or me.start != self.start or me.partition_mode != self.partition_mode:
+            replaces = me.start if me is not None else 0
+            permit = round(self._permit * 1e3) if holds else 0
+            begin = Begin(self.name, self.start, self.partition_mode, self._build, permit, replaces)
+            return [(("begin", self.start, replaces), SubmitCommand(begin))]
+        if view.in_flight is None:
+            self._checked = {}
+        if view.closing_for:
+            return self._closing_actions(view.closing_for, me.closed_for)
+        if self.marker == HOLD_MARKER and not holds and self._site_permit.until == FOREVER:
+            return [("mark", PersistMarker(view.active))]
+        return self._verdict_actions(view.in_flight)
+
+    def _verdict_actions(self, flight: Version | None) -> list[tuple[Hashable, Action]]:
+        if flight is None or flight.phase not in ("proposed", "checked"):
+            return []
+        number, recorded = flight.number, flight.verdicts.get(self.name)
+        if recorded is not None and recorded.start == self.start:
+            return []
+        if number not in self._checked:
+            return [(("check", number, self.start), CheckBundle(number))]
+        verdict = Verdict(number, self.name, self.start, *self._checked[number])
+        return [(("verdict", number, self.start), SubmitCommand(verdict))]
+
+    def _closing_actions(self, number: int, closed_for: int) -> list[tuple[Hashable, Action]]:
+        if closed_for == number:
+            return []
+        if self.partition_mode != "hold" and self.marker != number:
+            is_stale = self.marker > number and not (self.marker == HOLD_MARKER and self._site_permit.until == FOREVER)
+            return [] if is_stale else [(("mark", number), PersistMarker(number))]
+        return [(("closed", number, self.start), SubmitCommand(Closed(number, self.name, self.start)))]
+
+    def _reads(self, now: float, view: View) -> list[Action]:
+        found: list[Action] = []
+        me = view.local_member
+        if (
+            me is not None
+            and me.start == self.start
+            and me.partition_mode == self.partition_mode
+            and self._site_permit.should_read(now)
+        ):
+            found.append(ReadIndex())
+        fed = self._federated_view
+        if (
+            self._federated
+            and fed is not None
+            and fed.local_member is not None
+            and self._federation_permit.should_read(now)
+        ):
+            found.append(ReadIndex(True))
+        return found
+
+    def _apply_reads(self) -> None:
+        view, fed = self._view, self._federated_view
+        if (
+            view is not None
+            and view.local_member is not None
+            and view.local_member.partition_mode == self.partition_mode
+        ):
+            self._site_permit.apply_reads(view, self.start, self._permit, self.start)
+        if (
+            fed is not None
+            and fed.local_member is not None
+            and (self.partition_mode == "hold" or fed.local_member.partition_mode == "serve")
+        ):
+            duration = fed.local_member.permit / 1e3 if fed.local_member.partition_mode == "hold" else self._permit
+            self._federation_permit.apply_reads(fed, self.start, duration, fed.local_member.start)
+
+    # Admission
+
+    def gate_state(self, now: float) -> GateState:
+        """Return what may be decided now; call it again after every step, and once `until` has passed."""
+        view = self._view
+        if view is None:
+            return GateState("shut", 0, 0, "nothing is known yet of the versions of the rules")
+        closing = view.closing_for
+        if not closing and self.marker not in (0, HOLD_MARKER) and not view.has_outcome(self.marker):
+            closing = self.marker
+        if not (closing and self._closed_at and self._closed_at[0] == closing):
+            self._closed_at = (closing, now) if closing else None
+        reason, until = self._denial(now, view)
+        if reason:
+            return GateState("shut", view.active, closing, reason)
+        if (sabotaged := self._sabotaged_version(now, view, closing)) is not None:
+            return GateState("open", sabotaged, 0, "", until)
+        if not closing:
+            return GateState("open", view.active, 0, "", until)
+        if view.phase_of(closing) is None or (0 < self.marker < HOLD_MARKER and view.phase_of(self.marker) is None):
+            return GateState(
+                "shut", view.active, closing, f"closed for version {closing}, which is not known here", until
+            )
+        return GateState(
+            "closed", view.active, closing, f"closed for version {closing} until its outcome is known", until
+        )
+
+    def _denial(self, now: float, view: View) -> tuple[str, float]:
+        """Return why nothing may be decided (empty: it may), and until when that is valid."""
+        if "start-from-disk" in self._sabotage and self._from_disk and self.partition_mode == "hold":
+            return "", FOREVER
+        me, until = view.local_member, self._site_permit.until
+        if "no-permit" in self._sabotage and until:
+            return "", FOREVER
+        if me is None:
+            return "not in the fleet's table yet", until
+        if self.partition_mode == "hold":
+            if me.start != self.start or me.partition_mode != "hold":
+                return "its start is not in the fleet's table yet", until
+            if me.expiry_index:
+                return "the fleet has gone on without it: it begins anew", until
+            if not self._site_permit.valid(now):
+                return "lost touch: its permit is over, and a majority has not answered since", until
+        elif not self._site_permit.valid(now):
+            return "it does not know yet whether what its disk has is the newest", until
+        if not self._federated:
+            return "", until
+        reason = self._federation_denial(now, view)
+        return reason, min(until, self._federation_permit.until)
+
+    def _federation_denial(self, now: float, view: View) -> str:
+        """Return why the federation allows no decisions at this site; empty: it does."""
+        fed = self._federated_view
+        if fed is None or fed.local_member is None:
+            return "its site is not in the federation's table yet"
+        if self.partition_mode == "serve" and fed.local_member.partition_mode == "hold":
+            return "the federation may go on without this site until it knows that a gateway here serves on"
+        if fed.local_member.expiry_index:
+            return "the federation has gone on without this site: it begins anew"
+        if not self._federation_permit.valid(now):
+            return "lost touch with the federation: its permit is over" if self.partition_mode == "hold" else \
+                "it does not know yet whether what its disk has of the federation is the newest"  # fmt: skip
+        if (
+            fed.closing_for
+            and fed.local_member.closed_for == fed.closing_for
+            and fed.closing_for not in (view.closing_for, view.active)
+        ):
+            return (
+                f"the federation counts this site as closed for version {fed.closing_for}, and it has not closed here"
+            )
+        if not view.is_up_to(fed) and (view.closing_for != fed.active or (view.active and not view.federation_index)):
+            return f"version {fed.active} is in force in the federation, and not here yet"
+        return ""
+
+    def _sabotaged_version(self, now: float, view: View, closing: int) -> int | None:
+        """Return the version under which a sabotaged member opens without an outcome."""
+        flight = view.in_flight
+        if not closing or flight is None or flight.number != closing:
+            return None
+        reported = view.local_member is not None and view.local_member.closed_for == closing
+        if "early-open" in self._sabotage and (self.marker == closing or reported):
+            return closing
+        if "site-early" in self._sabotage and flight.federated and flight.phase == "agreed":
+            return closing
+        if (
+            "guess-after-close" in self._sabotage
+            and self._closed_at
+            and now - self._closed_at[1] >= SABOTAGED_OPEN_AFTER
+        ):
+            return view.active
+        return None
--- /dev/null
+++ b/tealwing/rollout/effects/executor.py
@@ -0,0 +1,111 @@
+"""Execute effects for the state machine: marker, check, activation. On one thread, outside the lock."""
+
+from __future__ import annotations
+
+import threading
+import time
+from collections.abc import Callable
+
+from tealwing import log
+from tealwing.coordinator.backoff import Backoff
+from tealwing.rollout.admission.gate_control import ALL_REQUESTS, GateControl, RulesAdapter
+from tealwing.rollout.agent.actions import HOLD_MARKER
+from tealwing.rollout.agent.machine import Machine
+from tealwing.rollout.effects.persisted_marker import MarkerDamagedError, PersistedMarker
+from tealwing.rollout.observed_state import ObservedState
+
+RETRY_BACKOFF = (0.1, 2.0)  # s: minimum and maximum between two attempts to activate
+MAX_REASON_LENGTH = 500  # characters
+
+
+def read_marker(marker: PersistedMarker) -> int:
+    """Return the number on disk, HOLD_MARKER if it is damaged. Raises OSError if it can't be read."""
+    try:
+        return marker.read()
+    except MarkerDamagedError as error:
+        log.event("rules_marker_damaged", error=str(error), remedy=error.remedy)
+        return HOLD_MARKER  # decide nothing from this disk before the log is read
+
+
+class EffectExecutor:
+    """Executor; lock guards the machine and the gate control, and follow, called under it, updates the gate."""
+
+    def __init__(
+        self,
+        machine: Machine,
+        marker: PersistedMarker,
+        rules: RulesAdapter,
+        gate_control: GateControl,
+        lock: threading.Lock,
+        follow: Callable[[], None],
+    ) -> None:
+        self._machine, self._marker, self._rules, self._gate_control = machine, marker, rules, gate_control
+        self._lock, self._follow = lock, follow
+        self._retry_backoff, self._next_try = Backoff(*RETRY_BACKOFF), 0.0  # of failed activations
+        self._marker_failed = False
+
+    def persist_marker(self, number: int) -> None:
+        """Write the marker; after a failure nothing is reported, and the machine requests it again."""
+        try:
+            self._marker.write(number)
+        except OSError as error:
+            if not self._marker_failed:
+                log.event("rules_marker_failed", number=number, error=str(error))
+            self._marker_failed = True
+            return
+        self._marker_failed = False
+        with self._lock:
+            self._machine.marker_written(number)
+
+    def check(self, state: ObservedState, number: int) -> None:
+        """Check a version and record the verdict."""
+        found = state.version(number)
+        if found is None:
+            return
+        try:
+            accepted, reason = self._rules.verdict(state.text(state.facts.active_number), found.text, found.min_build)
+        except Exception as error:  # what can't be parsed can't be activated
+            accepted, reason = False, f"{type(error).__name__}: {error}"[:MAX_REASON_LENGTH]
+        log.event("rules_verdict", number=number, yes=accepted, reason=reason)
+        with self._lock:
+            self._machine.checked(number, accepted, reason)
+
+    def activate(self, observed_state: Callable[[], ObservedState]) -> None:
+        """Activate the version that the machine names; the gate admits nothing until then."""
+        with self._lock:
+            self._follow()
+            control = self._gate_control
+            target = control.followed.number if control.followed is not None else 0
+            log.check_invariant(target == control.in_force or not control.is_open, "nobody is let in meanwhile")
+        if target == control.in_force or time.monotonic() < self._next_try:
+            return
+        try:
+            self._rules.put_in_force(target, observed_state().text(target))
+        except Exception as error:  # the gateway must not open under another version
+            reason = f"version {target} of the rules can't be put in force here: {error}"
+            if reason != control.unusable:
+                log.event("rules_unusable", number=target, error=str(error), remedy="install the build that took it, or"
+                          " propose a version that this gateway can put in force")  # fmt: skip
+            self._next_try = time.monotonic() + self._retry_backoff.next()
+            with self._lock:
+                control.unusable = reason
+                self._follow()
+            return
+        self._retry_backoff.reset()
+        with self._lock:
+            control.in_force, control.unusable = target, ""
+            self._follow()
+
+    def update_affected(self, state: ObservedState) -> None:
+        """Compute the affected requests once a version is proposed, so that only those wait."""
+        active, flight = state.facts.active_number, state.view.in_flight
+        if flight is None or self._gate_control.knows_affected(active, flight.number):
+            return
+        try:
+            affected = self._rules.affected_requests(state.text(active), flight.text)
+        except Exception as error:  # perhaps another build's format: all requests wait
+            log.event("rules_affected_unknown", number=flight.number, error=str(error))
+            affected = ALL_REQUESTS
+        with self._lock:
+            self._gate_control.set_affected(active, flight.number, affected)
+            self._follow()
--- /dev/null
+++ b/tealwing/rollout/setup.py
@@ -0,0 +1,35 @@
+"""Assemble a gateway's part in rollouts."""
+
+from __future__ import annotations
+
+from tealwing.peers.control import ControlServer
+from tealwing.peers.link import Link
+from tealwing.replica.node import Replica
+from tealwing.rollout.admission.gate import Gate
+from tealwing.rollout.control_calls import ControlCalls
+from tealwing.rollout.local_gateway import Gateway, LocalGateway
+from tealwing.rollout.observed_state import FederationLog
+from tealwing.rollout.plan import Plan
+from tealwing.rollout.runtime import Runtime
+
+PUSHBACK = 0.2  # s of Retry-After; a change takes less
+
+
+def join_rollout(
+    plan: Plan,
+    replica: Replica,
+    link: Link,
+    gateway: Gateway,
+    control: ControlServer | None,
+    federation: FederationLog | None = None,
+) -> Runtime:
+    """Create the runtime before the replica starts; the version on disk is active and the gate set on return.
+
+    Raises OSError if the marker can't be read.
+    """
+    gate = Gate(plan.queue, PUSHBACK, replica.clock.now, replica.start_number)
+    shell = Runtime(plan, replica, link, LocalGateway(gateway), gate, federation)
+    shell.begin()
+    if control is not None:
+        ControlCalls(shell, replica, control)
+    return shell
--- a/tealwing/rules/check.py
+++ b/tealwing/rules/check.py
@@ -1,4 +1,4 @@
-"""Whether a gateway could put a version in force as it runs now: each reason against it, with its remedy; pure."""
+"""Check whether a running gateway could activate a version; each reason against it names its remedy; pure."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from tealwing.rules import overlay
 from tealwing.rules.bundle import Bundle
 from tealwing.rules.errors import (
-    BeyondMemory,
-    NeedsNewerBuild,
-    NeedsRestart,
-    NoSite,
+    BuildTooOldError,
+    MemoryLimitError,
+    RestartRequiredError,
     RulesError,
-    UnknownName,
+    UnknownNameError,
+    UnknownSiteError,
 )
 
-BUILD = 1  # what this build can put in force; a version says what it needs
+BUILD = 1  # compared with a version's min_build
 Reason = RulesError
-ROUTE_BYTES = 1100  # of memory that a route takes at most while it is read
-MEMORY_SHARE = 1 / 16  # of a gateway's memory that routes may take
-MOST_TOLD = 5  # routes that are told; what holds for hundreds is one mistake
+ROUTE_BYTES = 1100  # upper bound of the memory per route while parsing
+MEMORY_SHARE = 1 / 16  # of a gateway's memory, for routes
+MAX_REPORTED_ROUTES = 5  # hundreds usually have one cause
 
 
 @dataclass(frozen=True, slots=True)
 class Running:
-    """What a gateway is."""
+    """The running gateway as the check sees it."""
 
     settings: interface.Settings  # the platform's, without any bundle
     active: Bundle | None = None  # in force here
@@ -39,37 +39,39 @@
     build: int = BUILD
 
 
-def judge(text: bytes, running: Running, needs: int = 1) -> list[Reason]:
-    """The same for a text, which may be no bundle at all."""
+def check_text(text: bytes, running: Running, min_build: int = 1) -> list[Reason]:
+    """Return all reasons against a bundle's text, which may fail to parse."""
     try:
-        return check(bundles.parse(text), running, needs)
+        return check(bundles.parse(text), running, min_build)
     except RulesError as error:
         return [error]
 
 
-def check(bundle: Bundle, running: Running, needs: int = 1) -> list[Reason]:
-    """All reasons against a good bundle; none: it can be in force here at once."""
+def check(bundle: Bundle, running: Running, min_build: int = 1) -> list[Reason]:
+    """Return all reasons against a parsed bundle; an empty list: it can be activated here."""
     found: list[Reason] = []
-    if needs > running.build:
-        found.append(NeedsNewerBuild("needs", f"build {needs}; this is {running.build}"))
+    if min_build > running.build:
+        found.append(BuildTooOldError("needs", f"build {min_build}; this is {running.build}"))
     try:
         settings = overlay.apply(bundle, running.settings)
-        found += _restart(bundle, running, settings)
+        found += _restart_errors(bundle, running, settings)
     except RulesError as error:
         found.append(error)
     if bundle.levels:
-        found += _levels(bundle, running)
-    takes, most = len(bundle.routes) * ROUTE_BYTES, running.memory * MEMORY_SHARE
-    if running.memory and takes > most:
-        found.append(BeyondMemory("routes", f"{takes} bytes for {len(bundle.routes)}; allowed: {most:.0f}"))
-    return found + _routes(bundle, running)
+        found += _level_errors(bundle, running)
+    route_bytes, max_bytes = len(bundle.routes) * ROUTE_BYTES, running.memory * MEMORY_SHARE
+    if running.memory and route_bytes > max_bytes:
+        found.append(
+            MemoryLimitError("routes", f"{route_bytes} bytes for {len(bundle.routes)}; allowed: {max_bytes:.0f}")
+        )
+    return found + _route_errors(bundle, running)
 
 
-def _restart(bundle: Bundle, running: Running, settings: interface.Settings) -> list[Reason]:
-    """Levels and gossip are built on the settings that there were at their start."""
+def _restart_errors(bundle: Bundle, running: Running, settings: interface.Settings) -> list[Reason]:
+    """Return reasons that need a restart: levels and gossip use the settings of their start."""
     found: list[Reason] = []
     if bundle.levels and running.levels:
-        found.append(NeedsRestart("levels", "this gateway's operators' file has a section levels of its own"))
+        found.append(RestartRequiredError("levels", "this gateway's operators' file has a section levels of its own"))
     try:
         before = overlay.apply(running.active or bundles.EMPTY, running.settings)
     except RulesError:  # the platform's settings have changed since: what is in force here is theirs
@@ -77,22 +79,22 @@
     if settings != before:
         for name, is_on in (("gossip", running.gossip), ("levels", running.levels)):
             if is_on:
-                found.append(NeedsRestart("the settings", f"they change, and the section {name} is on here"))
+                found.append(RestartRequiredError("the settings", f"they change, and the section {name} is on here"))
     return found
 
 
-def _levels(bundle: Bundle, running: Running) -> list[Reason]:
-    from tealwing.rules import leveltext  # only where there are some
+def _level_errors(bundle: Bundle, running: Running) -> list[Reason]:
+    from tealwing.rules import levels_section  # imported only if needed
 
     try:
-        leveltext.plan(bundle.levels).admission_limits(running.settings)
+        levels_section.parse_levels(bundle.levels).admission_limits(running.settings)
     except PlanError as error:
-        return [UnknownName("levels", str(error)[:400])]
+        return [UnknownNameError("levels", str(error)[:400])]
     return []
 
 
-def _routes(bundle: Bundle, running: Running) -> list[Reason]:
-    """Groups that no engine could serve. Only those that move: another site's trouble must not stop a change."""
+def _route_errors(bundle: Bundle, running: Running) -> list[Reason]:
+    """Return routes that no engine could serve; only changed ones, so that another site's fault blocks no change."""
     found: list[Reason] = []
     known = set(running.settings.zones)
     changed = changed_groups(bundles.table(running.active or bundles.EMPTY), bundles.table(bundle))
@@ -101,10 +103,12 @@
             continue
         where, sites = f"routes[{place}].sites", ", ".join(route.sites[:8])
         if not known & set(route.sites):
-            found.append(NoSite(where, f"{sites}: none is known here; allowed: {', '.join(sorted(known)[:20])}"))
+            found.append(
+                UnknownSiteError(where, f"{sites}: none is known here; allowed: {', '.join(sorted(known)[:20])}")
+            )
         elif running.sites is not None and not running.sites & set(route.sites):
             listed = ", ".join(sorted(running.sites)[:20]) or "none"
-            found.append(NoSite(where, f"{sites}: without engines; sites with engines: {listed}"))
-        if len(found) == MOST_TOLD:
+            found.append(UnknownSiteError(where, f"{sites}: without engines; sites with engines: {listed}"))
+        if len(found) == MAX_REPORTED_ROUTES:
             break
     return found
--- a/tealwing/rules/registry.py
+++ b/tealwing/rules/registry.py
@@ -1,46 +1,46 @@
-"""The machine of versions in the replicated log: what each command does to its three tables; pure.
+"""The state machine of versions in the replicated log: applies each command to the three tables; pure.
 
 proposed -> checked -> preparing -> agreed -> active -> superseded; or rejected, aborted, withdrawn. A member that
-begins anew may bring checked back to proposed, and agreed back to preparing. Safety rests on nobody who leads: what is
-not covered is refused here, the same at every member.
+restarts may take checked back to proposed, and agreed back to preparing. Safety does not depend on the leader: every
+member rejects the activation of a version that is not covered (see coverage).
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from typing import Any
+
 from tealwing.record import CommandResult
-from tealwing.rules import closing, deciding, members, proposing, records
-from tealwing.rules.cover import covered, uncovered
-from tealwing.rules.kept import Tables, active, facts, in_flight, yes
+from tealwing.rules import records
+from tealwing.rules.coverage import is_covered, uncovered
+from tealwing.rules.registry_state import Tables, accept, active, facts, in_flight
+from tealwing.rules.transitions import closing, concluding, membership, proposing
 
-__all__ = ["active", "apply", "covered", "facts", "in_flight", "uncovered"]
+__all__ = ["active", "apply", "facts", "in_flight", "is_covered", "uncovered"]
 
 
 def apply(tables: Tables, index: int, body: records.Body) -> CommandResult:
-    """Apply a command at its index of the log; the result says what was done, or why not."""
-    match body:
-        case records.Propose():
-            return proposing.propose(tables, index, body)
-        case records.Verdict():
-            return proposing.verdict(tables, index, body)
-        case records.Close():
-            return closing.close(tables, index, body)
-        case records.Closed():
-            return closing.closed(tables, index, body)
-        case records.Words():
-            for word in body.words:
-                apply(tables, index, word)
-            return yes(index, index)
-        case records.Activate():
-            return deciding.activate(tables, index, body)
-        case records.Abort():
-            return deciding.abort(tables, index, body)
-        case records.Withdraw():
-            return deciding.withdraw(tables, index, body)
-        case records.Begin():
-            return members.begin(tables, index, body)
-        case records.Lapse():
-            return closing.lapse(tables, index, body)
-        case records.Witness():
-            return closing.witness(tables, index, body)
-        case records.Forget():
-            return members.forget(tables, index, body)
+    """Apply a command at its index of the log; the result says what was done, or why it was rejected."""
+    return _HANDLERS[type(body)](tables, index, body)
+
+
+def _apply_reports(tables: Tables, index: int, body: records.Reports) -> CommandResult:
+    for report in body.reports:
+        apply(tables, index, report)
+    return accept(index, index)
+
+
+_HANDLERS: dict[type[records.Body], Callable[[Tables, int, Any], CommandResult]] = {
+    records.Propose: proposing.propose,
+    records.Verdict: proposing.verdict,
+    records.Close: closing.close,
+    records.Closed: closing.closed,
+    records.Reports: _apply_reports,
+    records.Activate: concluding.activate,
+    records.Abort: concluding.abort,
+    records.Withdraw: concluding.withdraw,
+    records.Begin: membership.begin,
+    records.ExpirePermit: closing.expire_permit,
+    records.ConfirmExpiry: closing.confirm_expiry,
+    records.Forget: membership.forget,
+}
