--- a/tealwing/gossip/section.py
+++ b/tealwing/gossip/section.py
@@ -16,7 +16,7 @@
 MIN_BYTES_PER_S = 4 * MAX_DATAGRAM_BYTES  # below that a probe and its answers do not fit the probe interval
 
 
-def _peer(words: values.Words) -> AllowedKey:
+def _peer(words: values.Arguments) -> AllowedKey:
     allowed = "a name, its public key in base64, and if it ends, until and a time as 2027-01-31T12:00Z"
     if len(words) not in (2, 4) or (len(words) == 4 and words[2] != "until"):
         raise values.InvalidValueError(allowed)
@@ -82,8 +82,8 @@
     )  # fmt: skip
     if times.probe_timeout >= times.probe_interval / 2:
         report.add(
-            block.place("answer", peers[0].place), "answer", values.written_duration(times.probe_timeout),
-            f"less than half of the period, {values.written_duration(times.probe_interval)}: others are asked after it",
+            block.place("answer", peers[0].place), "answer", values.format_duration(times.probe_timeout),
+            f"less than half of the period, {values.format_duration(times.probe_interval)}: others are asked after it",
         )  # fmt: skip
     seeds = tuple(entry.value for entry in block.all("seed"))
     return GossipConfig(
