--- a/tealwing/gateway/request_handler.py
+++ b/tealwing/gateway/request_handler.py
@@ -12,22 +12,19 @@
 from tealwing import log
 from tealwing.admin import metrics as counted
 from tealwing.exchange import Cancelled, Failed, Query, Rejected, Reply, Served
+from tealwing.gateway.attempt import MAX_PAGES, Attempt, checked_page
 from tealwing.gateway.decisions import TIMER_GRANULARITY, Decisions, Mailbox
 from tealwing.gateway.host_load import HostLoadMonitor
 from tealwing.resp import messages
-from tealwing.resp.engine import Answer, AttemptWithdrawnError, ConnectError, ConnectionBrokenError, Stream, StreamLost
+from tealwing.resp.connection import Answer, StreamLost
 from tealwing.resp.engine_pool import EnginePool
+from tealwing.resp.errors import AttemptWithdrawnError, ConnectError, ConnectionBrokenError
 
 WAKE_UP_TIME = 0.01  # s from a timer's firing to the answer's bytes
 RESERVED_TIME = TIMER_GRANULARITY + WAKE_UP_TIME  # s of a ttl: what is decided when it is over is still heard in time
 CANCEL_GAP = 0.005  # s from giving an attempt up to the next: of two connections the later may be faster
 DECISION_OVERDUE = 0.1  # s past the deadline at which the module's answer is missed
 DEFAULT_PRIORITY = 1
-MAX_RESULT_BYTES = 64 * 1024  # bytes: all clients at once must fit the memory
-COLUMNS = 3
-MAX_PAGES = MAX_RESULT_BYTES // COLUMNS  # a page has a row or more, and a row as many bytes as columns or more
-PAGES_PER_FETCH = 64  # asked for in one write: what an engine's connection takes without a wait
-PAGES_TIMEOUT = 0.5  # s for the pages asked for at once: an engine has them ready, so what is later is lost
 PROGRESS_KINDS = {
     "frac": api.ProgressKind.PROGRESS,
     "missing": api.ProgressKind.SPILLING,
@@ -42,50 +39,6 @@
     SHUTDOWN = "the gateway ends"
 
 
-class Attempt:
-    """One send to an engine, and the pages of its result so far."""
-
-    def __init__(self, number: int, engine: int, timeout: float) -> None:
-        self.number, self.engine = number, engine
-        self.sent_at = time.monotonic()
-        self.wait_until = self.deadline = self.sent_at + timeout  # of what is waited for next; of the attempt
-        self.stream: Stream | None = None
-        self.pages: list[bytes | None] = []  # None: not come; empty before page 0
-        self.requested_pages = self.received_pages = self.received_bytes = (
-            0  # pages asked for and come, with page 0; bytes of those that came
-        )
-        self.report: tuple[float, ...] = ()
-
-    def store_page(self, number: int, page: bytes) -> None:
-        """Take in a page that had not come; RespError where the result is too large."""
-        self.pages[number] = page
-        self.received_pages, self.received_bytes = self.received_pages + 1, self.received_bytes + len(page)
-        if self.received_bytes > MAX_RESULT_BYTES:
-            raise messages.RespError(f"a result of more than {MAX_RESULT_BYTES} bytes")
-
-    @property
-    def is_complete(self) -> bool:
-        """Whether all pages have come."""
-        return self.received_pages == len(self.pages)
-
-    def fetch_pages(self, stream: Stream) -> None:
-        """Ask for the next pages, if all that were asked for have come and more are wanted."""
-        if self.received_pages < self.requested_pages or self.requested_pages == len(self.pages):
-            return
-        begin, self.requested_pages = self.requested_pages, min(self.requested_pages + PAGES_PER_FETCH, len(self.pages))
-        stream.fetch_pages(range(begin, self.requested_pages))
-        self.wait_until = min(self.deadline, time.monotonic() + PAGES_TIMEOUT)
-
-    def cancel(self) -> None:
-        """Tell the engine that nothing more is wanted."""
-        if self.stream is None:
-            return
-        if self.pages:
-            self.stream.close_result()
-        else:
-            self.stream.cancel()
-
-
 class RequestHandler:
     """One request under way."""
 
@@ -316,12 +269,12 @@
             if answer.status == b"200":
                 sheets = messages.count(answer.fields.get("sheets", "1"), MAX_PAGES)
                 attempt.pages, attempt.requested_pages = [None] * max(sheets, 1), 1
-                attempt.store_page(0, _checked_page(answer.body))
+                attempt.store_page(0, checked_page(answer.body))
                 attempt.fetch_pages(answer.stream)
             elif answer.status == b"chunk" and attempt.pages:
                 sheet = messages.count(answer.fields.get("sheet"), len(attempt.pages) - 1)
                 if attempt.pages[sheet] is None:  # else a second copy
-                    attempt.store_page(sheet, _checked_page(answer.body))
+                    attempt.store_page(sheet, checked_page(answer.body))
                     attempt.fetch_pages(answer.stream)
             else:
                 raise messages.RespError(f"an answer out of place: {answer.status[:20]!r}")
@@ -359,11 +312,3 @@
                 self._id, attempt.number, attempt.engine, result, elapsed, request_ended, report=attempt.report
             )
         )
-
-
-def _checked_page(body: bytes) -> bytes:
-    """A page that holds whole rows; anything else can't be passed on."""
-    rows = body.split(b"\n")
-    if rows[-1] or any(row.count(b"\t") != COLUMNS - 1 for row in rows[:-1]):
-        raise messages.RespError("a page without whole rows")
-    return body
--- a/tealwing/resp/engine_pool.py
+++ b/tealwing/resp/engine_pool.py
@@ -7,7 +7,9 @@
 from tealwing import interface, log
 from tealwing.connection_reader import ConnectionReader
 from tealwing.coordinator.updates import Member
-from tealwing.resp.engine import ConnectError, Engine, SendFields, Sink, Stream
+from tealwing.resp.connection import SendFields, Sink, Stream
+from tealwing.resp.engine import Engine
+from tealwing.resp.errors import ConnectError
 from tealwing.resp.quota import UNBOUNDED, ConnectionQuota
 
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -28,6 +28,7 @@
 from tealwing.mysql import departures, packets, server, session
 from tealwing.policy import Gateway
 from tealwing.resp import engine
+from tealwing.resp.connection import Connection
 from tealwing.resp.engine_pool import EnginePool
 from tealwing.rollout.admission.gate import Gate
 from tests.build import entry, listing, make_settings, request_class
@@ -153,7 +154,7 @@
     return f"{call:016x}"
 
 
-def free(connection: engine.Connection) -> bool:
+def free(connection: Connection) -> bool:
     return not connection.reserved_count and not connection.stream_count
 
 
@@ -354,7 +355,7 @@
 def test_it_leaves_during_our_own_connect(rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     held, connect = Held(), engine.Engine._connect
 
-    def connect_held(self: engine.Engine, limit: float) -> engine.Connection:
+    def connect_held(self: engine.Engine, limit: float) -> Connection:
         held()
         return connect(self, limit)
 
@@ -371,11 +372,11 @@
     held, connect, reserve = Held(), engine.Engine._connect, engine.Engine._reserve
     waiting: queue.SimpleQueue[bytes] = queue.SimpleQueue()
 
-    def connect_held(self: engine.Engine, limit: float) -> engine.Connection:
+    def connect_held(self: engine.Engine, limit: float) -> Connection:
         held()
         return connect(self, limit)
 
-    def reserve_noting(self: engine.Engine, call: bytes, until: float) -> tuple[engine.Connection, bool]:
+    def reserve_noting(self: engine.Engine, call: bytes, until: float) -> tuple[Connection, bool]:
         waiting.put(call)
         return reserve(self, call, until)
 
@@ -395,13 +396,13 @@
 
 def test_it_leaves_while_others_write(rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     rig.serve(rig.client(), 1)
-    come, want = threading.Event(), engine.Connection.submit
+    come, want = threading.Event(), Connection.submit
 
-    def want_noting(self: engine.Connection, *arguments: Any) -> None:
+    def want_noting(self: Connection, *arguments: Any) -> None:
         come.set()
         want(self, *arguments)
 
-    monkeypatch.setattr(engine.Connection, "submit", want_noting)
+    monkeypatch.setattr(Connection, "submit", want_noting)
     (connection,) = rig.engines._engines[0][1]._open
     client = rig.client()
     with connection._writing:
@@ -963,7 +964,7 @@
         patch.setattr(Peer, "_read", read_later)
         connect = engine.Engine._connect
 
-        def narrow(self: engine.Engine, limit: float) -> engine.Connection:
+        def narrow(self: engine.Engine, limit: float) -> Connection:
             made = connect(self, limit)
             made._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return made
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -30,10 +30,13 @@
 from tealwing import interface as api
 from tealwing.connection_reader import ConnectionReader, Watch
 from tealwing.coordinator.updates import Member
+from tealwing.resp import connection as connections
 from tealwing.resp import engine as engines
 from tealwing.resp import messages
-from tealwing.resp.engine import Answer, AttemptWithdrawnError, ConnectError, Connection, Engine, Stream, StreamLost
+from tealwing.resp.connection import Answer, Connection, Stream, StreamLost
+from tealwing.resp.engine import Engine
 from tealwing.resp.engine_pool import EnginePool
+from tealwing.resp.errors import AttemptWithdrawnError, ConnectError, ConnectionBrokenError
 from tests.build import entry, make_settings
 from tests.peers import LIMIT, say
 
@@ -601,7 +604,7 @@
 def test_an_answer_that_never_ends_is_a_loss(
     machine: Machine, reader: ConnectionReader, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(engines, "MESSAGE_TIMEOUT", 0.05)
+    monkeypatch.setattr(connections, "MESSAGE_TIMEOUT", 0.05)
     engine = engine_at(machine, reader.watch)
     heard: Sink = SimpleQueue()
     stream = engine.send(b"1", head, b"SELECT 1", heard.put, LIMIT)
@@ -668,7 +671,7 @@
     machine: Machine, reader: ConnectionReader, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # was: a request of a class unsafe to repeat was failed, though no engine can have had it whole
-    monkeypatch.setattr(engines, "WRITE_TIMEOUT", 0.05)
+    monkeypatch.setattr(connections, "WRITE_TIMEOUT", 0.05)
     engine = engine_at(machine, reader.watch)
     heard: Sink = SimpleQueue()
     out = engine.send(b"1", head, b"SELECT 1", heard.put, LIMIT)
@@ -698,7 +701,7 @@
         return real.send(data[:most])
 
     vars(connection)["_sock"] = Hooked(real, send=send)
-    with pytest.raises(engines.ConnectionBrokenError):
+    with pytest.raises(ConnectionBrokenError):
         engine.send(b"2", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     connection.ended(EOFError())
 
@@ -707,7 +710,7 @@
     machine: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # was: each byte that was taken gave the write its whole time again
-    monkeypatch.setattr(engines, "WRITE_TIMEOUT", 0.05)
+    monkeypatch.setattr(connections, "WRITE_TIMEOUT", 0.05)
     engine = engine_at(machine, unread)
     connection, sock = used(engine, machine)
     real = socket_of(connection)
@@ -1060,7 +1063,7 @@
 
 
 def test_any_order_of_ends_gives_each_attempt_one_end_and_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engines, "MESSAGE_TIMEOUT", LIMIT)
+    monkeypatch.setattr(connections, "MESSAGE_TIMEOUT", LIMIT)
     run_state_machine_as_test(
         Connections,
         settings=settings(
--- a/tests/test_engine_quota.py
+++ b/tests/test_engine_quota.py
@@ -10,8 +10,8 @@
 import pytest
 
 from tealwing.coordinator.updates import Member
-from tealwing.resp.engine import ConnectError
 from tealwing.resp.engine_pool import EnginePool
+from tealwing.resp.errors import ConnectError
 from tests.build import entry, make_settings
 from tests.peers import LIMIT
 from tests.test_engine_connections import Machine, head, take, wait_for_end
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -22,7 +22,7 @@
 from tealwing.admin.server import THREADS, AdminServer
 from tealwing.lab.standins import coordinator as standins
 from tealwing.mysql import packets
-from tealwing.resp.engine import ConnectError
+from tealwing.resp.errors import ConnectError
 from tests.peers import LIMIT, Client, member, request, say
 from tests.test_departures import PAGE, Rig, name_of, wait
 from tests.test_watch import make
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -17,7 +17,8 @@
 from tealwing.gateway import request_handler
 from tealwing.gateway.decisions import Decisions
 from tealwing.policy import Gateway
-from tealwing.resp import engine, messages
+from tealwing.resp import connection as connections
+from tealwing.resp import messages
 from tealwing.resp.engine_pool import EnginePool
 from tests.build import entry, listing, make_settings
 from tests.peers import LIMIT
@@ -83,21 +84,21 @@
 
 def test_a_busy_connection_is_not_taken_for_a_stalled_one(monkeypatch: pytest.MonkeyPatch) -> None:
     # seen under load: where each read ends within a message, all of them were taken for one that is late
-    monkeypatch.setattr(engine, "MESSAGE_TIMEOUT", 1.0)
+    monkeypatch.setattr(connections, "MESSAGE_TIMEOUT", 1.0)
     ours, theirs = socket.socketpair()
     heard: queue.SimpleQueue[object] = queue.SimpleQueue()
-    connection = engine.Connection(ours, lambda _: None)
+    connection = connections.Connection(ours, lambda _: None)
     ConnectionReader().watch(connection)
-    connection.submit(engine.Stream(connection, b"1", heard.put), lambda: b"-", b"SELECT 1")
+    connection.submit(connections.Stream(connection, b"1", heard.put), lambda: b"-", b"SELECT 1")
     note = messages.encode(b"1", b"status", b"-", b"")
     theirs.sendall(note + note[:9])
     for _ in range(5):
-        assert isinstance(heard.get(timeout=LIMIT), engine.Answer)
+        assert isinstance(heard.get(timeout=LIMIT), connections.Answer)
         time.sleep(0.3)  # longer than the limit in all, each message well within it
         theirs.sendall(note[9:] + note[:9])
     theirs.close()
-    assert isinstance(heard.get(timeout=LIMIT), engine.Answer)
-    assert isinstance(heard.get(timeout=LIMIT), engine.StreamLost)
+    assert isinstance(heard.get(timeout=LIMIT), connections.Answer)
+    assert isinstance(heard.get(timeout=LIMIT), connections.StreamLost)
 
 
 def test_one_unusable_member_does_not_hide_the_others() -> None:
--- a/tests/test_overdue.py
+++ b/tests/test_overdue.py
@@ -15,7 +15,8 @@
 from tealwing import interface as api
 from tealwing.exchange import Admitted
 from tealwing.mysql import overdue, packets, server
-from tealwing.resp.engine import Connection, Engine
+from tealwing.resp.connection import Connection
+from tealwing.resp.engine import Engine
 from tests.peers import LIMIT, Client, request, say
 from tests.test_departures import PAGE, Rig, name_of, wait
 
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -19,7 +19,9 @@
 from tealwing.mysql import packets
 from tealwing.mysql import server as server_module
 from tealwing.mysql.server import Server
-from tealwing.resp.engine import Answer, ConnectError, Engine
+from tealwing.resp.connection import Answer
+from tealwing.resp.engine import Engine
+from tealwing.resp.errors import ConnectError
 from tests.build import make_settings
 from tests.peers import LIMIT, SETTINGS, Client, Peer, event, member, request, say
 
