--- /dev/null
+++ b/tests/gossip.py
@@ -0,0 +1,22 @@
+"""What the tests of gossip share: a payload, and a signed statement that a member is alive."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from tealwing.gossip import messages
+from tealwing.gossip.messages import Alive, Payload, Ping
+from tealwing.lab.network import EPOCH, Toy
+
+
+def payload(name: str = "n0", sequence: int = 1, at: float = EPOCH, boot: int = 5, **changes: Any) -> Payload:
+    plain: dict[str, Any] = dict(
+        name=name, boot=boot, sequence=sequence, sent_at_ms=round(at * 1e3), body=Ping(1, ""), rumours=[]
+    )
+    return Payload(**(plain | changes))
+
+
+def alive(name: str = "n1", incarnation: int = 0, boot: int = 5) -> Alive:
+    signed = messages.sign_rumour(Alive(name, "10.0.0.9", 7946, boot, incarnation, bytes(8), bytes(64)), Toy(name))
+    assert isinstance(signed, Alive)
+    return signed
--- /dev/null
+++ b/tests/test_gossip_clusters.py
@@ -0,0 +1,209 @@
+"""Gossip in whole clusters in virtual time, with network faults and hostile members."""
+
+from __future__ import annotations
+
+import random
+import time
+from typing import Any
+
+import pytest
+from hypothesis import settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
+
+from tealwing.gossip import messages
+from tealwing.gossip.members import State
+from tealwing.gossip.messages import Dead, Gossip, Left, Suspect
+from tealwing.gossip.send_queue import Priority
+from tealwing.lab.network import Network, Toy, cluster
+from tests.gossip import alive
+
+
+# Its text seeds the draws of hypothesis (derandomize): any change of a line plays other examples.
+class Cluster(RuleBasedStateMachine):
+    """Instances that start, die, restart, stand still and are cut off; after it all they agree."""
+
+    @initialize(seed=st.integers(0, 99))
+    def begin(self, seed: int) -> None:
+        self.network = Network(seed)
+        self.names = [instance.node.name for instance in cluster(self.network, 6, skew=2.5)]
+        self.network.clock.run(5.0)
+
+    def running(self) -> list[str]:
+        return [i.node.name for i in self.network.instances.values() if i.running and i.paused is None]
+
+    @rule(seconds=st.floats(0.2, 6.0))
+    def wait(self, seconds: float) -> None:
+        self.network.clock.run(self.network.clock.now + seconds)
+
+    @precondition(lambda self: len(self.running()) > 3)
+    @rule(which=st.integers(0, 9))
+    def kill(self, which: int) -> None:
+        names = self.running()
+        self.network.kill(names[which % len(names)])
+
+    @rule(which=st.integers(0, 9))
+    def restart(self, which: int) -> None:
+        name = self.names[which % len(self.names)]
+        instance = self.network.instances[name]
+        if instance.running:
+            self.network.kill(name)
+            self.network.clock.run(self.network.clock.now + 0.3)
+        self.network.start(name, [(f"10.0.0.{i}", 7946) for i in (1, 2, 3)], instance.skew, instance.address)
+
+    @precondition(lambda self: len(self.running()) > 4)
+    @rule(which=st.integers(0, 9), seconds=st.floats(1.0, 8.0))
+    def stand_still(self, which: int, seconds: float) -> None:
+        names = self.running()
+        self.network.pause(names[which % len(names)], seconds)
+
+    @rule(loss=st.sampled_from([0.0, 0.3]), copies=st.sampled_from([0.0, 0.5]), slow=st.booleans())
+    def weather(self, loss: float, copies: float, slow: bool) -> None:
+        self.network.weather.loss, self.network.weather.copies = loss, copies
+        self.network.weather.delay = (0.0002, 0.25) if slow else (0.0002, 0.003)
+
+    @rule(one_way=st.booleans(), part=st.integers(1, 3))
+    def cut(self, one_way: bool, part: int) -> None:
+        inside = {f"10.0.0.{i + 1}" for i in range(part)}
+        self.network.weather.cut = lambda source, to: (
+            source[0] in inside and to[0] not in inside if one_way else (source[0] in inside) != (to[0] in inside)
+        )
+
+    @invariant()
+    def bounds(self) -> None:
+        assert self.network.most_bytes() <= self.network.times.max_bytes_per_s
+        assert max((i.largest for i in self.network.instances.values()), default=0) <= messages.MAX_DATAGRAM_BYTES
+        for instance in self.network.instances.values():
+            assert not instance.node.silent, "nobody takes another's name here"
+
+    def teardown(self) -> None:
+        if not hasattr(self, "network"):
+            return
+        self.network.weather.loss = self.network.weather.copies = 0.0
+        self.network.weather.delay, self.network.weather.cut = (0.0002, 0.003), lambda source, to: False
+        assert self.network.until(self.network.agreed, 75.0) is not None, "agreement after the faults have stopped"
+        deaths = len([1 for _, _, what, _ in self.network.events if what == "gossip_dead"])
+        self.network.clock.run(self.network.clock.now + 20.0)
+        assert self.network.agreed() and deaths == len(
+            [1 for _, _, what, _ in self.network.events if what == "gossip_dead"]
+        ), "and it lasts: no live and reachable member is held dead"
+
+
+Cluster.TestCase.settings = settings(max_examples=80, stateful_step_count=12, deadline=None, derandomize=True)
+TestCluster = Cluster.TestCase
+
+
+def test_a_death_is_detected_and_a_graceful_leave_at_once() -> None:
+    network = Network(1)
+    cluster(network, 10)
+    assert network.until(network.agreed, 30) is not None
+    network.kill("n4")
+    took = network.until(network.agreed, 40)
+    assert took is not None and took < 15
+    leaver = network.instances["n5"]
+    leaver.node.leave(network.clock.now, network.wall(0))
+    network._flush(leaver)
+    network.kill("n5")
+    assert (took := network.until(network.agreed, 10)) is not None and took < 2
+
+
+def test_name_conflict_and_number_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+    network = Network(2)
+    cluster(network, 5)
+    network.until(network.agreed, 30)
+    first = network.instances["n4"]
+    second = network.start("n4", [("10.0.0.1", 7946)])
+    network.clock.run(network.clock.now + 20)
+    assert first.node.silent and not second.node.silent, "the later start keeps the name"
+    assert any(what == "gossip_name_conflict" for _, _, what, _ in network.events)
+    network.kill("n4")
+    first.running = False
+    monkeypatch.setattr(messages, "MAX_INCARNATION", 3)
+    monkeypatch.setattr(messages, "MAX_SEQUENCE", network.instances["n0"].node.identity.sequence + 20)
+    for _ in range(4):
+        network.instances["n1"].node.membership.refute()
+    network.clock.run(network.clock.now + 20)
+    assert network.until(network.agreed, 60) is not None, "numbers at their limits begin a later boot"
+    assert (
+        network.instances["n0"].node.identity.sequence < 2000 and network.instances["n1"].node.identity.incarnation <= 3
+    )
+
+
+def test_false_rumours_about_the_receiver_about_others_and_about_the_dead() -> None:
+    network = Network(3)
+    cluster(network, 8)
+    network.until(network.agreed, 30)
+    liar, victim = network.instances["n7"].node, network.instances["n2"].node
+    before = victim.identity.incarnation
+    for other in network.live()[:7]:
+        words: list[Any] = [
+            Dead("n2", victim.identity.boot, before),
+            Suspect("n2", victim.identity.boot, 2**31),  # of an incarnation that it never had
+            Left("n3", network.instances["n3"].node.identity.boot, 0, bytes(8), bytes(64)),  # in another's name
+            alive("n3", 2**31, network.instances["n3"].node.identity.boot + 5),
+        ]
+        words[3] = messages.sign_rumour(words[3], Toy("n7"))
+        liar.send(Priority.ANSWER, other.address, Gossip(), words)
+    network._flush(network.instances["n7"])
+    network.clock.run(network.clock.now + 3)
+    assert victim.identity.incarnation == before + 1 and network.instances["n3"].node.identity.incarnation == 0
+    assert network.agreed() and not any(what == "gossip_dead" for _, _, what, _ in network.events)
+    network.kill("n5")
+    network.until(network.agreed, 40)
+    liar.send(Priority.ANSWER, network.instances["n0"].address, Gossip(), [alive("n5", 0, 5)])
+    network._flush(network.instances["n7"])
+    network.clock.run(network.clock.now + 5)
+    assert network.agreed(), "a false statement for a dead member restores it nowhere"
+
+
+def test_a_replay_after_an_hour_and_garbage_change_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    network = Network(4)
+    cluster(network, 5)
+    recorded: list[tuple[Any, Any, bytes]] = []
+    carry = network._carry
+
+    def record(source: Any, to: Any, data: bytes) -> None:
+        recorded.append((source, to, data))
+        carry(source, to, data)
+
+    monkeypatch.setattr(network, "_carry", record)
+    network.until(network.agreed, 30)
+    monkeypatch.setattr(network, "_carry", carry)
+    network.clock.run(network.clock.now + 3600)
+    node = network.instances["n0"].node
+    before = dict(node.counters.rejected)
+    for source, to, data in recorded:
+        if to == node.address:
+            network.inject(source, to, data)
+    network.clock.run(network.clock.now + 5)
+    rejected = {cause: n - before.get(cause, 0) for cause, n in node.counters.rejected.items()}
+    assert rejected.get("time", 0) + rejected.get("flood", 0) == sum(to == node.address for _, to, _ in recorded)
+    rng = random.Random(1)
+    began = time.process_time()
+    for i in range(5000):
+        data = rng.randbytes(rng.randrange(1, 1500))
+        node.receive(network.clock.now + i / 5000, network.wall(0), ("10.9.9.9", 9), data)
+    assert time.process_time() - began < 1.0, "5,000 a second of garbage cost less than the second"
+    assert network.agreed()
+
+
+def test_a_partition_heals_and_a_revoked_key_ejects_its_member() -> None:
+    network = Network(5)
+    cluster(network, 10)
+    network.until(network.agreed, 30)
+    half = {f"10.0.0.{i}" for i in range(1, 6)}
+    network.weather.cut = lambda source, to: (source[0] in half) != (to[0] in half)
+    network.clock.run(network.clock.now + 60)
+    assert all(i.node.members.live == 4 for i in network.live())
+    network.kill("n8")
+    network.start("new", [("10.0.0.1", 7946)])
+    network.weather.cut = lambda source, to: False
+    assert network.until(network.agreed, 60) is not None
+    for instance in network.live():
+        if instance.node.name != "n2":
+            allowed = instance.node.verifier.verify
+            instance.node.verifier.verify = lambda name, *rest, allowed=allowed: name != "n2" and allowed(name, *rest)
+            instance.node.verifier.valid.clear()
+    network.clock.run(network.clock.now + 40)
+    held = {m.alive.name: m.state for m in network.instances["n0"].node.members}
+    assert held["n2"] is State.DEAD and network.instances["n0"].node.counters.rejected["signature"] > 0
--- /dev/null
+++ b/tests/test_gossip_health.py
@@ -0,0 +1,98 @@
+"""Health reports on engines, the estimate made of them, and what it does to the decisions."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from tealwing import interface as api
+from tealwing.gossip import health_estimator, local_evidence
+from tealwing.gossip.health_estimator import EngineHealth, HealthEstimator
+from tealwing.lab import rumours
+from tealwing.policy import Gateway
+from tests.build import entry, listing, make_settings, sends
+
+
+def reports(slow: float, samples: float = 3.0, engine: int = 1) -> list[EngineHealth]:
+    return [EngineHealth(engine, 0, slow, 0.0, samples)]
+
+
+def test_a_minority_changes_no_estimate_and_a_majority_a_bounded_one() -> None:
+    estimator = HealthEstimator()
+    for peer in range(3):
+        estimator.add_report(f"liar{peer}", 0.0, reports(1000.0, 1e6))
+    assert not estimator.estimate(0.0, {}, 20, 8), "three of twenty have no quorum"
+    for peer in range(12):
+        estimator.add_report(f"n{peer}", 0.0, reports(1.0))
+    assert not estimator.estimate(0.0, {}, 20, 8), "and are trimmed away"
+    for peer in range(12):
+        estimator.add_report(f"n{peer}", 1.0, reports(4.0))
+    assert not estimator.estimate(1.0, {}, 20, 8), "one look may be chance"
+    assert estimator.estimate(1.25, {}, 20, 8) == {(1, 0): health_estimator.MAX_LATENCY_FACTOR}
+    own = {(1, 0): EngineHealth(1, 0, 1.0, 0.0, health_estimator.OWN_EVIDENCE_SAMPLES)}
+    assert not estimator.estimate(1.0, own, 20, 8), "our own fresh evidence goes before it"
+    assert not estimator.estimate(1.0 + health_estimator.REPORT_LIFETIME + 0.1, {}, 20, 8), "and it ages out"
+
+
+def test_estimates_suspect_a_share_of_the_fleet_only() -> None:
+    estimator = HealthEstimator()
+    for peer in range(16):
+        estimator.add_report(f"n{peer}", 0.0, [EngineHealth(engine, 0, 5.0, 0.0, 3.0) for engine in range(8)])
+    estimator.estimate(0.0, {}, 20, 8)
+    assert len(estimator.estimate(0.25, {}, 20, 8)) == 2
+
+
+def test_trust_falls_fast_to_a_floor_and_recovers_slowly() -> None:
+    estimator, own = HealthEstimator(), {(1, 0): EngineHealth(1, 0, 1.0, 0.0, 5.0)}
+    for second in range(12):
+        estimator.add_report("liar", second, reports(9.0))
+        estimator.estimate(second, own, 20, 8)
+    assert estimator.trust["liar"] == health_estimator.MIN_TRUST
+    for second in range(12, 22):
+        estimator.add_report("liar", second, reports(1.0))
+        estimator.estimate(second, own, 20, 8)
+    assert health_estimator.MIN_TRUST < estimator.trust["liar"] < 0.35
+
+
+@given(st.lists(st.tuples(st.floats(0, 1000), st.floats(0, 1)), min_size=1, max_size=30), st.floats(0.0, 0.34))
+def test_the_trimmed_mean_lies_within_the_honest_values(honest: list[tuple[float, float]], false_share: float) -> None:
+    total = sum(weight for _, weight in honest)
+    if total < 0.01:
+        return
+    false_values = [(1e6, false_share * total / (1 - false_share))]
+    mean = health_estimator.trimmed_mean(honest + false_values)
+    assert min(v for v, _ in honest) - 1e-6 <= mean <= max(v for v, _ in honest) + 1e-6
+
+
+def test_a_restart_under_the_same_number_is_another_engine() -> None:
+    estimator = HealthEstimator()
+    for peer in range(16):
+        estimator.add_report(f"n{peer}", 0.0, [EngineHealth(1, 1000, 5.0, 0.0, 3.0)])
+    estimator.estimate(0.0, {}, 20, 8)
+    factors = estimator.estimate(0.25, {}, 20, 8)
+    assert set(factors) == {(1, 1000)}
+    gateway = Gateway(make_settings(gateway_count=20), 1)
+    gateway.handle(0.0, listing(entry(1, started=2.0), entry(2)))
+    gateway.handle(0.0, api.EngineHealthEstimates(factors))
+    assert gateway.engines[1].doubt == 1.0
+
+
+def test_a_suspected_engine_gets_less_and_is_not_barred() -> None:
+    def share(factors: dict[tuple[int, int], float], engines: int = 2) -> float:
+        gateway, to = Gateway(make_settings(gateway_count=20), 1), list[int]()
+        gateway.handle(0.0, listing(*(entry(n + 1) for n in range(engines))))
+        gateway.handle(0.0, api.EngineHealthEstimates(factors))
+        for id_ in range(12):
+            to += [send.engine for send in sends(gateway.handle(0.001 * id_, api.Request(id_, 0, 5.0)))]
+        return to.count(1) / len(to)
+
+    assert share({}) > 0.4 and share({(1, 0): 2.0}) < 0.1 and share({(1, 0): 2.0}, 1) == 1.0
+    assert local_evidence.observe_engines(Gateway(make_settings(), 1)) == {}
+
+
+def test_a_trial_with_false_reporters_avoids_no_healthy_engine() -> None:
+    found = rumours.attempt(20, 3, 2, 12.0, 3)
+    assert found["healthy_shunned"] == 0 and found["false_deaths"] == 0
+    assert found["bytes_per_s_max"] <= found["ceiling_bytes_per_s"]
+    assert found["slow_engine_known_mean_s"] < found["slow_engine_known_alone_mean_s"]
+    assert found == rumours.attempt(20, 3, 2, 12.0, 3), "the same seed gives the same trial"
