--- a/tealwing/levels/conditions.py
+++ b/tealwing/levels/conditions.py
@@ -60,7 +60,7 @@
         """Format a value as the file writes it."""
         if self.unit == "share":
             return f"{value * 100:.3g}%"
-        return values.written_duration(value) if self.unit == "duration" else f"{value:.3g}"
+        return values.format_duration(value) if self.unit == "duration" else f"{value:.3g}"
 
 
 def _share(worse: str, help_: str, maximum: float = 1.0) -> SignalKind:
