--- a/tealwing/lab/hollow/member.py
+++ b/tealwing/lab/hollow/member.py
@@ -19,7 +19,7 @@
 
 
 class RecordingGateway:
-    """Stands for the gateway's decisions: see `rollout.local_gateway.Gateway`. It notes when each version came in force."""
+    """Stands for the gateway's decisions (`rollout.local_gateway.Gateway`); notes when each version came in force."""
 
     def __init__(self, members: int) -> None:
         settings = site.settings(members)
--- a/tealwing/rollout/agent/machine.py
+++ b/tealwing/rollout/agent/machine.py
@@ -25,7 +25,7 @@
 )
 from tealwing.rollout.agent.permit import Permit
 from tealwing.rollout.agent.retry import MAX_BACKOFF, Retry
-from tealwing.rollout.agent.view import FederatedView, View
+from tealwing.rollout.agent.view import FederatedView, View, federation_denial
 from tealwing.rules.records import Begin, Closed, PartitionMode, Verdict, Version
 
 SABOTAGED_OPEN_AFTER = 1.0  # s; sabotage only
@@ -35,21 +35,11 @@
     """Called by the runtime after every applied entry and on a tick; it never blocks."""
 
     def __init__(  # noqa: PLR0913 -- facts known before the start; callers name them
-        self,
-        name: str,
-        partition_mode: PartitionMode,
-        start: int,
-        permit: float = 2.0,
-        bounds: LeaseBounds = DEFAULT_BOUNDS,
-        marker: int = 0,
-        build: int = 1,
-        seed: int = 0,
-        sabotage: frozenset[str] = frozenset(),
-        disk: View | None = None,
-        federated: bool = False,
-        disk_federated: FederatedView | None = None,
-        peers: int = 0,
-    ) -> None:
+        self, name: str, partition_mode: PartitionMode, start: int, permit: float = 2.0,
+        bounds: LeaseBounds = DEFAULT_BOUNDS, marker: int = 0, build: int = 1, seed: int = 0,
+        sabotage: frozenset[str] = frozenset(), disk: View | None = None, federated: bool = False,
+        disk_federated: FederatedView | None = None, peers: int = 0,
+    ) -> None:  # fmt: skip
         """Set the state from disk; permit is in s, marker the number on disk (0: none).
 
         disk is the view of the local state at the start, before any entry came from others; None, or one without this
@@ -276,33 +266,9 @@
             return "it does not know yet whether what its disk has is the newest", until
         if not self._federated:
             return "", until
-        reason = self._federation_denial(now, view)
+        reason = federation_denial(self.partition_mode, view, self._federated_view, self._federation_permit.valid(now))
         return reason, min(until, self._federation_permit.until)
 
-    def _federation_denial(self, now: float, view: View) -> str:
-        """Return why the federation allows no decisions at this site; empty: it does."""
-        fed = self._federated_view
-        if fed is None or fed.local_member is None:
-            return "its site is not in the federation's table yet"
-        if self.partition_mode == "serve" and fed.local_member.partition_mode == "hold":
-            return "the federation may go on without this site until it knows that a gateway here serves on"
-        if fed.local_member.expiry_index:
-            return "the federation has gone on without this site: it begins anew"
-        if not self._federation_permit.valid(now):
-            return "lost touch with the federation: its permit is over" if self.partition_mode == "hold" else \
-                "it does not know yet whether what its disk has of the federation is the newest"  # fmt: skip
-        if (
-            fed.closing_for
-            and fed.local_member.closed_for == fed.closing_for
-            and fed.closing_for not in (view.closing_for, view.active)
-        ):
-            return (
-                f"the federation counts this site as closed for version {fed.closing_for}, and it has not closed here"
-            )
-        if not view.is_up_to(fed) and (view.closing_for != fed.active or (view.active and not view.federation_index)):
-            return f"version {fed.active} is in force in the federation, and not here yet"
-        return ""
-
     def _sabotaged_version(self, now: float, view: View, closing: int) -> int | None:
         """Return the version under which a sabotaged member opens without an outcome."""
         flight = view.in_flight
--- a/tealwing/rollout/agent/view.py
+++ b/tealwing/rollout/agent/view.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tealwing.rules.records import FACTS_KEY, IN_FLIGHT, Facts, Member, Phase, Version
+from tealwing.rules.records import FACTS_KEY, IN_FLIGHT, Facts, Member, PartitionMode, Phase, Version
 
 CLOSING: tuple[Phase, ...] = ("preparing", "agreed")  # in these, affected requests wait
 
@@ -66,3 +66,23 @@
     return View(
         index, facts.active_number, flight, members.get(name), facts.last_number, phases, federation_index, len(members)
     )
+
+
+def federation_denial(mode: PartitionMode, site: View, fed: FederatedView | None, has_permit: bool) -> str:
+    """Return why the federation allows no decisions at this site; empty: it does. has_permit: for its log, now."""
+    if fed is None or fed.local_member is None:
+        return "its site is not in the federation's table yet"
+    if mode == "serve" and fed.local_member.partition_mode == "hold":
+        return "the federation may go on without this site until it knows that a gateway here serves on"
+    if fed.local_member.expiry_index:
+        return "the federation has gone on without this site: it begins anew"
+    if not has_permit:
+        if mode == "hold":
+            return "lost touch with the federation: its permit is over"
+        return "it does not know yet whether what its disk has of the federation is the newest"
+    closing = fed.closing_for
+    if closing and fed.local_member.closed_for == closing and closing not in (site.closing_for, site.active):
+        return f"the federation counts this site as closed for version {closing}, and it has not closed here"
+    if not site.is_up_to(fed) and (site.closing_for != fed.active or (site.active and not site.federation_index)):
+        return f"version {fed.active} is in force in the federation, and not here yet"
+    return ""
--- a/tealwing/rollout/setup.py
+++ b/tealwing/rollout/setup.py
@@ -28,8 +28,8 @@
     Raises OSError if the marker can't be read.
     """
     gate = Gate(plan.queue, PUSHBACK, replica.clock.now, replica.start_number)
-    shell = Runtime(plan, replica, link, LocalGateway(gateway), gate, federation)
-    shell.begin()
+    runtime = Runtime(plan, replica, link, LocalGateway(gateway), gate, federation)
+    runtime.begin()
     if control is not None:
-        ControlCalls(shell, replica, control)
-    return shell
+        ControlCalls(runtime, replica, control)
+    return runtime
