--- a/tealwing/federation/section.py
+++ b/tealwing/federation/section.py
@@ -12,7 +12,9 @@
 
 def _site(arguments: values.Words) -> tuple[str, tuple[str, ...]]:
     if len(arguments) < 2:
-        raise values.Unfit("the site's name, as the engine list says it, and its gateways, as bloemfontein n0 n1 n2")
+        raise values.InvalidValueError(
+            "the site's name, as the engine list says it, and its gateways, as bloemfontein n0 n1 n2"
+        )
     name = values.instance(arguments[:1])
     return name, tuple(values.instance((argument,)) for argument in arguments[1:])
 
@@ -34,7 +36,7 @@
 
 
 def build(block: Block, report: Report) -> Plan:
-    """The plan that a checked section makes."""
+    """Return the plan of a checked section; problems go to the report."""
     sites: list[Entry] = [entry for entry in block.all("site") if entry.value is not None]
     seen: dict[str, Entry] = {}
     home: dict[str, str] = {}
--- a/tealwing/levels/section.py
+++ b/tealwing/levels/section.py
@@ -32,12 +32,12 @@
 
     def read(words: values.Words) -> TimedCondition:
         if len(words) < 5 or words[0] != "when" or words[-2] != "for":
-            raise values.Unfit("when, a condition, for, a duration")
+            raise values.InvalidValueError("when, a condition, for, a duration")
         seconds = values.durations(min_seconds, 3600.0)(words[-1:])
         try:
             return TimedCondition(conditions.parse(" ".join(words[1:-2])), seconds)
         except ConditionError as error:
-            raise values.Unfit(str(error)) from None
+            raise values.InvalidValueError(str(error)) from None
 
     return read
 
@@ -49,7 +49,7 @@
         return bounded(words), bounded(words)
     if len(words) == 4 and words[1:3] == ("growing", "to"):
         return bounded(words[:1]), bounded(words[3:])
-    raise values.Unfit("a duration, or: a duration growing to a duration")
+    raise values.InvalidValueError("a duration, or: a duration growing to a duration")
 
 
 def _range(read: values.Read, text: str) -> tuple[Any, Any]:
@@ -59,31 +59,31 @@
 
 def _admit(words: values.Words) -> tuple[str, tuple[float, float]]:
     if len(words) != 2:
-        raise values.Unfit("a class, and the share of it that is admitted")
+        raise values.InvalidValueError("a class, and the share of it that is admitted")
     low, high = _range(values.shares(), words[1])
     if low > high:
-        raise values.Unfit("a lower share, two dots, a higher share")
+        raise values.InvalidValueError("a lower share, two dots, a higher share")
     return words[0], (low, high)
 
 
 def _account(words: values.Words) -> tuple[str, float]:
     if len(words) != 2:
-        raise values.Unfit("an account, and the share of it that is admitted")
+        raise values.InvalidValueError("an account, and the share of it that is admitted")
     return words[0], values.shares()(words[1:])
 
 
 def _attempts(words: values.Words) -> tuple[str, int]:
     if len(words) != 2:
-        raise values.Unfit("a class, and how many attempts its requests have")
+        raise values.InvalidValueError("a class, and how many attempts its requests have")
     return words[0], values.wholes(1, 100)(words[1:])
 
 
 def _pushback(words: values.Words) -> tuple[float, float]:
     if len(words) != 1:
-        raise values.Unfit("a duration, or two with two dots between")
+        raise values.InvalidValueError("a duration, or two with two dots between")
     low, high = _range(values.durations(0.0, 3600.0), words[0])
     if low > high:
-        raise values.Unfit("a shorter duration, two dots, a longer one")
+        raise values.InvalidValueError("a shorter duration, two dots, a longer one")
     return low, high
 
 
@@ -193,7 +193,7 @@
 
 
 def build(block: Block, report: Report) -> Plan | None:
-    """The plan that a checked section makes; what does not hold together is reported."""
+    """Return the plan of a checked section, and report contradictions."""
     entries, found = block.all("level"), list[Level]()
     for entry in entries[MAX_LEVELS:]:
         report.add(entry.place, "level", f"more than {MAX_LEVELS} levels", f"at most {MAX_LEVELS}")
@@ -225,14 +225,14 @@
             f"growing to {values.written_duration(max_stay)}",
             f"growing to {values.written_duration(min_stay)} or more",
         )
-    terms = LevelTimings(
+    timings = LevelTimings(
         entry.value, enter.seconds, exit_.seconds, min_stay, max_stay, strong.seconds if strong else inf
     )
     admit, accounts, attempts = (_repeated(block, name, report) for name in ("admit", "account", "attempts"))
     if not (admit or accounts or attempts):
         report.add(place, "level", f"a level {entry.value} that does nothing", "admit, account or attempts")
     return Level(
-        terms,
+        timings,
         enter.condition,
         exit_.condition,
         strong.condition if strong else None,
@@ -244,7 +244,7 @@
 
 
 def _repeated(block: Block, name: str, report: Report) -> dict[str, Any]:
-    """A directive that may stand several times, by its first word."""
+    """Return a repeatable directive's values by its first word, and report duplicates."""
     found: dict[str, Any] = {}
     for entry in block.all(name):
         key, value = entry.value
@@ -255,7 +255,7 @@
 
 
 def _check_conditions(block: Block, place: Place, report: Report) -> None:
-    """Conditions that can't hold, and an exit that holds with an entry or without a gap to it."""
+    """Report conditions that can't hold, and an exit that overlaps an entry or has no gap to it."""
     exit_ = block.one("exit")
     for name in ("enter", "strong", "exit"):
         times = block.one(name)
@@ -267,11 +267,11 @@
             continue
         witness = conditions.overlap(times.condition, exit_.condition)
         if witness is not None:
-            figures = ", ".join(f"{signal} {value}" for signal, value in witness.items())
+            written = ", ".join(f"{signal} {value}" for signal, value in witness.items())
             report.add(
                 block.place("exit", place),
                 "exit",
-                f"a condition that meets {name} at {figures}",
+                f"a condition that meets {name} at {written}",
                 f"one that lies apart from {name}, with a gap between the two",
             )
     enter = block.one("enter")
--- a/tealwing/peers/section.py
+++ b/tealwing/peers/section.py
@@ -6,7 +6,7 @@
 from tealwing.conf.schema import Block, Entry, Report, Section, Spec
 from tealwing.peers.plan import Address, LinkTimes, Plan
 
-# Members that link to all: each pair of them has two connections, and each sends a sign of life to everyone each beat.
+# Members that link to all: each pair of them has two connections, and each sends a heartbeat to everyone.
 MAX_VOTERS = 64
 # Members in all (docs/CAPACITY.md). One that votes has a thread (of a small stack) and two descriptors for each, so
 # that many want a higher limit of open files there: the link says so at its start. A learner has them for voters only.
@@ -16,7 +16,9 @@
 
 def _member(arguments: values.Words) -> tuple[str, Address, bool]:
     if len(arguments) not in (2, 3) or arguments[2:] not in ((), (LEARNER,)):
-        raise values.Unfit("a name and its address, as n0 10.0.0.4:7950, and `learner` where it has no vote")
+        raise values.InvalidValueError(
+            "a name and its address, as n0 10.0.0.4:7950, and `learner` where it has no vote"
+        )
     return values.instance(arguments[:1]), values.address(arguments[1:2]), len(arguments) == 3
 
 
@@ -45,7 +47,7 @@
 
 
 def build(block: Block, report: Report) -> Plan:
-    """The plan that a checked section makes."""
+    """Return the plan of a checked section; problems go to the report."""
     members: list[Entry] = block.all("member")
     first = members[0].place
     seen: dict[str, Entry] = {}
