--- a/tealwing/conf/grammar.py
+++ b/tealwing/conf/grammar.py
@@ -1,6 +1,6 @@
 """The grammar of one line of the operators' file; pure. Blocks follow from indentation, as the reader sees it.
 
-Lines are parsed one by one, so that every bad line of a file is told and not the first one only.
+Lines are parsed one by one, so that every bad line of a file is reported.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from lark import Lark, Token, UnexpectedInput
 
 MAX_LINE_LENGTH = 4096  # characters: a line that is longer is no directive
-TAB_WIDTH = 8  # columns to which a tab goes on, as terminals show it
+TAB_WIDTH = 8  # columns of a tab stop, as terminals show it
 
 _LINE = Lark(
     r"""
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where something stands; line counts from 1."""
+    """A line of a file; lines count from 1."""
 
     file: str
     line: int
@@ -65,7 +65,7 @@
 
 
 def parse_line(text: str, place: Place) -> Directive | Problem | None:
-    """The directive on a line; None where it is empty or a comment."""
+    """Return the directive on a line, or the problem; None for an empty line or a comment."""
     if len(text) > MAX_LINE_LENGTH:
         return Problem(place, "a line", f"{len(text)} characters", f"at most {MAX_LINE_LENGTH}")
     bare = text.rstrip()
@@ -93,7 +93,7 @@
 
 
 def quoted(argument: str) -> str:
-    """A word as it is written in a file."""
+    """Return an argument as it is written in a file."""
     if argument and not any(mark in argument for mark in ' \t#"'):
         return argument
     return '"' + argument.replace("\\", "\\\\").replace('"', '\\"') + '"'
--- a/tealwing/conf/reader.py
+++ b/tealwing/conf/reader.py
@@ -24,7 +24,7 @@
 
 
 class ConfError(ValueError):
-    """A file that can't be used; its text has a line for each problem."""
+    """A file that can't be used; the message has a line for each problem."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(map(str, problems)))
@@ -41,13 +41,13 @@
 
 
 def section(name: str) -> Section:
-    """The section of that name."""
+    """Import and return the section of that name."""
     found: Section = importlib.import_module(SECTIONS[name]).SECTION
     return found
 
 
 def read(path: str) -> Conf:
-    """The file at path. ConfError with every problem that it has; nothing of a bad file holds."""
+    """Read the file at path with its includes; raise ConfError with all its problems."""
     report = Report()
     lines = _lines(Path(path), Place(path, 1), report, [])
     conf = Conf(path)
@@ -74,7 +74,7 @@
 
 
 def _lines(path: Path, included_at: Place, report: Report, seen: list[Path]) -> list[Directive]:
-    """The directives at the left margin of a file, those below them as their children."""
+    """Return the directives at the left margin of a file, with those below them as children."""
     if path.resolve() in seen:
         report.add(included_at, "include", f'"{path}"', "a file that is not included already")
         return []
--- a/tealwing/conf/schema.py
+++ b/tealwing/conf/schema.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One directive that holds: its value, its words as written or by default, and where it stands."""
+    """One checked directive: its value, its arguments as written or by default, and its place."""
 
     value: Any
     arguments: tuple[str, ...]
@@ -54,16 +54,16 @@
     entries: dict[str, list[Entry]] = field(default_factory=dict)
 
     def one(self, name: str) -> Any:
-        """The value of a directive that stands once at most; None where it is absent."""
+        """Return the value of a directive that may occur once; None where it is absent."""
         found = self.entries.get(name)
         return found[0].value if found else None
 
     def all(self, name: str) -> list[Entry]:
-        """All of a directive that may stand more than once."""
+        """Return all entries of a directive that may occur more than once."""
         return self.entries.get(name, [])
 
     def place(self, name: str, other: Place) -> Place:
-        """Where a directive stands, or the other where it is absent."""
+        """Return the place of a directive, or the other where it is absent."""
         found = self.entries.get(name)
         return found[0].place if found else other
 
@@ -75,12 +75,12 @@
         self.problems: list[Problem] = []
 
     def add(self, place: Place, directive: str, found: str, allowed: str) -> None:
-        """Note one problem."""
+        """Add one problem."""
         self.problems.append(Problem(place, directive, found, allowed))
 
 
 def check(specs: tuple[Spec, ...], lines: list[Directive], place: Place, parent: str, report: Report) -> Block:
-    """The block that some lines make. Absent directives get their defaults; what is wrong is reported."""
+    """Return the block of some lines, with defaults for absent directives; problems go to the report."""
     block, known = Block(), {spec.name: spec for spec in specs}
     for line in lines:
         spec = known.get(line.name)
--- a/tealwing/conf/values.py
+++ b/tealwing/conf/values.py
@@ -18,7 +18,7 @@
 
 
 class InvalidValueError(ValueError):
-    """A value that is not allowed; the text says what is."""
+    """A value that is not allowed; the message says what is."""
 
 
 def _number(text: str, allowed: str) -> float:
@@ -28,7 +28,7 @@
 
 
 def duration(text: str) -> float:
-    """`250ms`, `1.5s`, `2m`, as seconds."""
+    """Return `250ms`, `1.5s`, `2m` in seconds."""
     allowed = "a duration with its unit, as 250ms, 1.5s, 2m, 1h or 7d"
     unit = next((u for u in sorted(DURATIONS, key=len, reverse=True) if text.endswith(u)), None)
     if unit is None:
@@ -37,7 +37,7 @@
 
 
 def size(text: str) -> int:
-    """`64MB` as bytes."""
+    """Return `64MB` in bytes."""
     allowed = "a size with its unit, as 512B, 16KB, 64MB or 1GB"
     unit = next((u for u in sorted(SIZES, key=len, reverse=True) if text.endswith(u)), None)
     if unit is None:
@@ -46,26 +46,26 @@
 
 
 def share(text: str) -> float:
-    """`85%` as 0.85."""
+    """Return `85%` as 0.85."""
     if not text.endswith("%"):
         raise InvalidValueError("a share with its sign, as 85%")
     return _number(text[:-1], "a share with its sign, as 85%") / 100
 
 
 def number(text: str) -> float:
-    """A plain number."""
+    """Return a plain number."""
     return _number(text, "a number, as 2 or 1.5")
 
 
 def integer(text: str) -> int:
-    """A whole number."""
+    """Return an integer."""
     if not (text.isascii() and text.isdigit()) or len(text) > 15:
         raise InvalidValueError("a whole number, as 3")
     return int(text)
 
 
 def format_duration(seconds: float) -> str:
-    """Seconds as a file would say them."""
+    """Return seconds as a file would write them."""
     for unit, length in (("h", 3600.0), ("m", 60.0), ("s", 1.0)):
         if seconds >= length and abs(seconds / length - round(seconds / length)) < 1e-9:
             return f"{round(seconds / length)}{unit}"
@@ -73,12 +73,12 @@
 
 
 def format_share(value: float) -> str:
-    """A share as a file would say it."""
+    """Return a share as a file would write it."""
     return f"{value * 100:g}%"
 
 
 def _ranged(read: Callable[[str], Any], kind: type, minimum: float, maximum: float, formatted: Any) -> ArgumentReader:
-    """A single word, read and held within a range."""
+    """Return a reader of one argument within a range."""
     bounded = Annotated[kind, msgspec.Meta(ge=minimum, le=maximum)]  # type: ignore[valid-type]
 
     def value(arguments: Arguments) -> Any:
@@ -94,32 +94,32 @@
 
 
 def durations(minimum: float, maximum: float) -> ArgumentReader:
-    """One duration within a range of seconds."""
+    """Return a reader of one duration within a range of seconds."""
     return _ranged(duration, float, minimum, maximum, format_duration)
 
 
 def shares(minimum: float = 0.0, maximum: float = 1.0) -> ArgumentReader:
-    """One share within a range."""
+    """Return a reader of one share within a range."""
     return _ranged(share, float, minimum, maximum, format_share)
 
 
 def numbers(minimum: float, maximum: float) -> ArgumentReader:
-    """One number within a range."""
+    """Return a reader of one number within a range."""
     return _ranged(number, float, minimum, maximum, lambda value: f"{value:g}")
 
 
 def integers(minimum: int, maximum: int) -> ArgumentReader:
-    """One whole number within a range."""
+    """Return a reader of one integer within a range."""
     return _ranged(integer, int, minimum, maximum, str)
 
 
 def sizes(minimum: int, maximum: int) -> ArgumentReader:
-    """One size within a range of bytes."""
+    """Return a reader of one size within a range of bytes."""
     return _ranged(size, int, minimum, maximum, lambda value: f"{int(value)}B")
 
 
 def choice(*allowed: str) -> ArgumentReader:
-    """One of some words."""
+    """Return a reader of one of some words."""
 
     def value(arguments: Arguments) -> str:
         if len(arguments) != 1 or arguments[0] not in allowed:
@@ -130,39 +130,39 @@
 
 
 def switch(arguments: Arguments) -> bool:
-    """`on` or `off`."""
+    """Read `on` or `off`."""
     return bool(choice("on", "off")(arguments) == "on")
 
 
 def name(arguments: Arguments) -> str:
-    """One name of lower-case letters, digits and hyphens."""
+    """Read one name of lower-case letters, digits and hyphens."""
     if len(arguments) != 1 or not re.fullmatch(r"[a-z][a-z0-9-]{0,39}", arguments[0]):
         raise InvalidValueError("one name of at most 40 lower-case letters, digits and hyphens")
     return arguments[0]
 
 
 def text(arguments: Arguments) -> str:
-    """One word or quoted string that is not empty."""
+    """Read one word or quoted string that is not empty."""
     if len(arguments) != 1 or not arguments[0]:
         raise InvalidValueError('one word or one "string"')
     return arguments[0]
 
 
 def nothing(arguments: Arguments) -> None:
-    """No argument at all."""
+    """Check that there is no argument."""
     if arguments:
         raise InvalidValueError("no argument")
 
 
 def instance(arguments: Arguments) -> str:
-    """One name of an instance of the program."""
+    """Read the name of one instance of the program."""
     if len(arguments) != 1 or not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,31}", arguments[0], re.ASCII):
         raise InvalidValueError("one name of at most 32 letters, digits, dots, hyphens and underscores")
     return arguments[0]
 
 
 def address(arguments: Arguments) -> tuple[str, int]:
-    """One IPv4 address with its port."""
+    """Read one IPv4 address with its port."""
     allowed = "one address, as 10.0.0.4:7946 or 127.0.0.1:0"
     host, colon, port = arguments[0].rpartition(":") if len(arguments) == 1 else ("", "", "")
     if not colon or not (port.isascii() and port.isdigit()) or len(port) > 5 or int(port) > 65535:
--- a/tealwing/lab/rig/loads/base.py
+++ b/tealwing/lab/rig/loads/base.py
@@ -74,7 +74,7 @@
         self._caller: ControlClient | None = None
 
     def call(self, call: str, limit: float, **fields: Any) -> dict[str, Any]:
-        """One call; Turned or OSError where it did not come to an answer."""
+        """One call; RemoteCallError or OSError where it did not come to an answer."""
         if self._caller is None:
             self._caller = self._trial.caller(self.name, 0.5)
         try:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -104,38 +104,38 @@
     plan = PeersPlan("f", "a", (("a", ("127.0.0.1", free_port())),))
     link = Link(plan)
     replica = Replica(Plan(str(tmp_path / "replica"), beat=0.02, election=0.1), link, Clock())
-    keeper = LeaseManager(replica, replica.clock)
+    manager = LeaseManager(replica, replica.clock)
     replica.start()
-    keeper.start()
-    yield replica, keeper
-    keeper.stop()
+    manager.start()
+    yield replica, manager
+    manager.stop()
     replica.stop()
     link.stop()
 
 
 def test_a_block_holds_its_lease_and_its_commands_count_under_it_alone(alone: tuple[Replica, LeaseManager]) -> None:
-    replica, keeper = alone
-    with keeper.lease("t", 2.0) as held:
+    replica, manager = alone
+    with manager.lease("t", 2.0) as held:
         assert held.valid()
         fenced = replica.write(c.Command("", 0, c.Put("k", b"v"), held.fence()), 5.0)
         assert fenced.ok
         with pytest.raises(ValueError, match="wants t already"):
-            keeper.task("t", 2.0, lambda held: None)
+            manager.task("t", 2.0, lambda held: None)
         assert held.wait(1.2)  # it has been renewed meanwhile: two seconds would be over soon
     assert not held.valid()
     assert not replica.state.tables["leases"]["t"].held  # it was given back
-    with keeper.lease("t", 2.0) as again:
+    with manager.lease("t", 2.0) as again:
         assert again.token > held.token
         late = replica.write(c.Command("", 0, c.Put("k", b"old"), held.fence()), 5.0)
         assert not late.ok and "stale token" in late.reason
     with pytest.raises(ValueError, match="allowed: 1 s or more"):
-        keeper.task("u", 0.5, lambda held: None)
+        manager.task("u", 0.5, lambda held: None)
 
 
 def test_a_lease_that_another_holds_is_not_granted(alone: tuple[Replica, LeaseManager]) -> None:
-    replica, keeper = alone
+    replica, manager = alone
     assert replica.write(c.Command("", 0, c.Acquire("t", "another/1", 60_000)), 5.0).ok
-    with pytest.raises(TimeoutError), keeper.lease("t", 2.0, wait=0.5):
+    with pytest.raises(TimeoutError), manager.lease("t", 2.0, wait=0.5):
         raise AssertionError("it was granted")
 
 
@@ -170,8 +170,8 @@
     drain, written, tasks = c.Drain(7, 0, told=1_000, cutoff=2_000), list[c.Command](), list[Any]()
     state = SimpleNamespace(tables={"drains": {"7/0": drain}})
     replica = SimpleNamespace(lock=threading.Lock(), state=state, write=lambda command, _: written.append(command))
-    keeper = SimpleNamespace(task=lambda name, ttl, gained: tasks.append(gained))
-    sweep.start_sweep(cast(Any, keeper), cast(Any, replica))
+    manager = SimpleNamespace(task=lambda name, ttl, gained: tasks.append(gained))
+    sweep.start_sweep(cast(Any, manager), cast(Any, replica))
     looks = [True] * 8
     held = SimpleNamespace(valid=lambda: bool(looks and looks.pop()), wait=lambda seconds: True, fence=lambda: None)
     monkeypatch.setattr(time, "time", lambda: 2.0 + 3600)  # s: the drain was told a moment ago
