--- a/tealwing/conf/reader.py
+++ b/tealwing/conf/reader.py
@@ -82,18 +82,8 @@
     if len(seen) > MAX_FILES:
         report.add(included_at, "include", f"more than {MAX_FILES} files", f"at most {MAX_FILES}")
         return []
-    try:
-        with Path(path).open("rb") as file:
-            data = file.read(MAX_FILE_BYTES + 1)
-        text = data.decode()
-    except OSError as error:
-        report.add(included_at, "file", f'"{path}": {error.strerror}', "a file that can be read")
-        return []
-    except UnicodeDecodeError as error:
-        report.add(included_at, "file", f"a byte that is no UTF-8 at {error.start}", "text in UTF-8")
-        return []
-    if len(data) > MAX_FILE_BYTES:
-        report.add(included_at, "file", f"more than {MAX_FILE_BYTES} bytes", f"at most {MAX_FILE_BYTES} bytes")
+    text = _read_text(path, included_at, report)
+    if text is None:
         return []
     top: list[Directive] = []
     open_blocks: list[Directive] = []  # from the margin inwards
@@ -107,15 +97,7 @@
         while open_blocks and open_blocks[-1].indent >= found.indent:
             open_blocks.pop()
         siblings = open_blocks[-1].children if open_blocks else top
-        if siblings and siblings[-1].indent != found.indent:
-            report.add(
-                found.place,
-                found.name,
-                f"an indentation of {found.indent}",
-                f"{siblings[-1].indent}, as its neighbours have",
-            )
-        elif not open_blocks and found.indent:
-            report.add(found.place, found.name, f"an indentation of {found.indent}", "a section first")
+        _check_indent(found, siblings, bool(open_blocks), report)
         if found.name == "include":
             if len(found.arguments) != 1:
                 report.add(found.place, "include", " ".join(found.arguments) or "nothing", "one path")
@@ -128,3 +110,34 @@
         siblings.append(found)
         open_blocks.append(found)
     return top
+
+
+def _read_text(path: Path, included_at: Place, report: Report) -> str | None:
+    """Return the text of a file; None, with a problem reported, where it can't be used."""
+    try:
+        with path.open("rb") as file:
+            data = file.read(MAX_FILE_BYTES + 1)
+        text = data.decode()
+    except OSError as error:
+        report.add(included_at, "file", f'"{path}": {error.strerror}', "a file that can be read")
+        return None
+    except UnicodeDecodeError as error:
+        report.add(included_at, "file", f"a byte that is no UTF-8 at {error.start}", "text in UTF-8")
+        return None
+    if len(data) > MAX_FILE_BYTES:
+        report.add(included_at, "file", f"more than {MAX_FILE_BYTES} bytes", f"at most {MAX_FILE_BYTES} bytes")
+        return None
+    return text
+
+
+def _check_indent(found: Directive, siblings: list[Directive], in_block: bool, report: Report) -> None:
+    """Report a directive that is indented otherwise than its siblings, or outside of any section."""
+    if siblings and siblings[-1].indent != found.indent:
+        report.add(
+            found.place,
+            found.name,
+            f"an indentation of {found.indent}",
+            f"{siblings[-1].indent}, as its neighbours have",
+        )
+    elif not in_block and found.indent:
+        report.add(found.place, found.name, f"an indentation of {found.indent}", "a section first")
