--- a/tealwing/conf/schema.py
+++ b/tealwing/conf/schema.py
@@ -104,6 +104,16 @@
         if spec.children:
             entry.block = check(spec.children, line.children, line.place, line.name, report)
         block.entries.setdefault(spec.name, []).append(entry)
+    _add_defaults(specs, block, place, parent, report)
+    return block
+
+
+def _names(known: dict[str, Spec]) -> str:
+    return ", ".join(sorted(known)) or "nothing"
+
+
+def _add_defaults(specs: tuple[Spec, ...], block: Block, place: Place, parent: str, report: Report) -> None:
+    """Add the defaults of absent directives; report those that are needed."""
     for spec in specs:
         if spec.name in block.entries:
             continue
@@ -112,8 +122,3 @@
         elif spec.default:
             arguments = tuple(spec.default.split())
             block.entries[spec.name] = [Entry(spec.read(arguments), arguments, place, given=False)]
-    return block
-
-
-def _names(known: dict[str, Spec]) -> str:
-    return ", ".join(sorted(known)) or "nothing"
