--- a/tealwing/conf/reader.py
+++ b/tealwing/conf/reader.py
@@ -24,7 +24,7 @@
 
 
 class ConfError(ValueError):
-    """A file that can't be used; its text has a line for each problem."""
+    """A file that can't be used; the message has a line for each problem."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(map(str, problems)))
@@ -41,13 +41,13 @@
 
 
 def section(name: str) -> Section:
-    """The section of that name."""
+    """Import and return the section of that name."""
     found: Section = importlib.import_module(SECTIONS[name]).SECTION
     return found
 
 
 def read(path: str) -> Conf:
-    """The file at path. ConfError with every problem that it has; nothing of a bad file holds."""
+    """Read the file at path with its includes; raise ConfError with all its problems."""
     report = Report()
     lines = _lines(Path(path), Place(path, 1), report, [])
     conf = Conf(path)
@@ -74,7 +74,7 @@
 
 
 def _lines(path: Path, included_at: Place, report: Report, seen: list[Path]) -> list[Directive]:
-    """The directives at the left margin of a file, those below them as their children."""
+    """Return the directives at the left margin of a file, with those below them as children."""
     if path.resolve() in seen:
         report.add(included_at, "include", f'"{path}"', "a file that is not included already")
         return []
@@ -82,18 +82,8 @@
     if len(seen) > MAX_FILES:
         report.add(included_at, "include", f"more than {MAX_FILES} files", f"at most {MAX_FILES}")
         return []
-    try:
-        with Path(path).open("rb") as file:
-            data = file.read(MAX_FILE_BYTES + 1)
-        text = data.decode()
-    except OSError as error:
-        report.add(included_at, "file", f'"{path}": {error.strerror}', "a file that can be read")
-        return []
-    except UnicodeDecodeError as error:
-        report.add(included_at, "file", f"a byte that is no UTF-8 at {error.start}", "text in UTF-8")
-        return []
-    if len(data) > MAX_FILE_BYTES:
-        report.add(included_at, "file", f"more than {MAX_FILE_BYTES} bytes", f"at most {MAX_FILE_BYTES} bytes")
+    text = _read_text(path, included_at, report)
+    if text is None:
         return []
     top: list[Directive] = []
     open_blocks: list[Directive] = []  # from the margin inwards
@@ -107,15 +97,7 @@
         while open_blocks and open_blocks[-1].indent >= found.indent:
             open_blocks.pop()
         siblings = open_blocks[-1].children if open_blocks else top
-        if siblings and siblings[-1].indent != found.indent:
-            report.add(
-                found.place,
-                found.name,
-                f"an indentation of {found.indent}",
-                f"{siblings[-1].indent}, as its neighbours have",
-            )
-        elif not open_blocks and found.indent:
-            report.add(found.place, found.name, f"an indentation of {found.indent}", "a section first")
+        _check_indent(found, siblings, bool(open_blocks), report)
         if found.name == "include":
             if len(found.arguments) != 1:
                 report.add(found.place, "include", " ".join(found.arguments) or "nothing", "one path")
@@ -128,3 +110,34 @@
         siblings.append(found)
         open_blocks.append(found)
     return top
+
+
+def _read_text(path: Path, included_at: Place, report: Report) -> str | None:
+    """Return the text of a file; None, with a problem reported, where it can't be used."""
+    try:
+        with path.open("rb") as file:
+            data = file.read(MAX_FILE_BYTES + 1)
+        text = data.decode()
+    except OSError as error:
+        report.add(included_at, "file", f'"{path}": {error.strerror}', "a file that can be read")
+        return None
+    except UnicodeDecodeError as error:
+        report.add(included_at, "file", f"a byte that is no UTF-8 at {error.start}", "text in UTF-8")
+        return None
+    if len(data) > MAX_FILE_BYTES:
+        report.add(included_at, "file", f"more than {MAX_FILE_BYTES} bytes", f"at most {MAX_FILE_BYTES} bytes")
+        return None
+    return text
+
+
+def _check_indent(found: Directive, siblings: list[Directive], in_block: bool, report: Report) -> None:
+    """Report a directive that is indented otherwise than its siblings, or outside of any section."""
+    if siblings and siblings[-1].indent != found.indent:
+        report.add(
+            found.place,
+            found.name,
+            f"an indentation of {found.indent}",
+            f"{siblings[-1].indent}, as its neighbours have",
+        )
+    elif not in_block and found.indent:
+        report.add(found.place, found.name, f"an indentation of {found.indent}", "a section first")
--- a/tealwing/conf/schema.py
+++ b/tealwing/conf/schema.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One directive that holds: its value, its words as written or by default, and where it stands."""
+    """One checked directive: its value, its arguments as written or by default, and its place."""
 
     value: Any
     arguments: tuple[str, ...]
@@ -54,16 +54,16 @@
     entries: dict[str, list[Entry]] = field(default_factory=dict)
 
     def one(self, name: str) -> Any:
-        """The value of a directive that stands once at most; None where it is absent."""
+        """Return the value of a directive that may occur once; None where it is absent."""
         found = self.entries.get(name)
         return found[0].value if found else None
 
     def all(self, name: str) -> list[Entry]:
-        """All of a directive that may stand more than once."""
+        """Return all entries of a directive that may occur more than once."""
         return self.entries.get(name, [])
 
     def place(self, name: str, other: Place) -> Place:
-        """Where a directive stands, or the other where it is absent."""
+        """Return the place of a directive, or the other where it is absent."""
         found = self.entries.get(name)
         return found[0].place if found else other
 
@@ -75,12 +75,12 @@
         self.problems: list[Problem] = []
 
     def add(self, place: Place, directive: str, found: str, allowed: str) -> None:
-        """Note one problem."""
+        """Add one problem."""
         self.problems.append(Problem(place, directive, found, allowed))
 
 
 def check(specs: tuple[Spec, ...], lines: list[Directive], place: Place, parent: str, report: Report) -> Block:
-    """The block that some lines make. Absent directives get their defaults; what is wrong is reported."""
+    """Return the block of some lines, with defaults for absent directives; problems go to the report."""
     block, known = Block(), {spec.name: spec for spec in specs}
     for line in lines:
         spec = known.get(line.name)
@@ -104,6 +104,16 @@
         if spec.children:
             entry.block = check(spec.children, line.children, line.place, line.name, report)
         block.entries.setdefault(spec.name, []).append(entry)
+    _add_defaults(specs, block, place, parent, report)
+    return block
+
+
+def _names(known: dict[str, Spec]) -> str:
+    return ", ".join(sorted(known)) or "nothing"
+
+
+def _add_defaults(specs: tuple[Spec, ...], block: Block, place: Place, parent: str, report: Report) -> None:
+    """Add the defaults of absent directives; report those that are needed."""
     for spec in specs:
         if spec.name in block.entries:
             continue
@@ -112,8 +122,3 @@
         elif spec.default:
             arguments = tuple(spec.default.split())
             block.entries[spec.name] = [Entry(spec.read(arguments), arguments, place, given=False)]
-    return block
-
-
-def _names(known: dict[str, Spec]) -> str:
-    return ", ".join(sorted(known)) or "nothing"
