--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -128,7 +128,7 @@
     rows.append(Row("learner", "processor time at rest", need, CONTROL_PERCENT, "% of a core", basis,
                     "idle ticks (`rollout/shell.py`), links to the voters alone", run=run))  # fmt: skip
     heartbeats = MEMBERS / Times().paced(MEMBERS).beat
-    rounds = MEMBERS / Options().learner_beat
+    rounds = MEMBERS / Options().learner_heartbeat_interval
     for role, messages in (("voter", heartbeats), ("leader", heartbeats + rounds)):
         need, last = _by_message(found, role, messages)
         basis = f"worked out: {messages:,.0f} messages a second at what one cost at {last:,} members"
@@ -169,7 +169,7 @@
         need, basis = value_at(series, GATEWAYS)
         rows.append(Row("change of rules", f"`{mode}`: in force everywhere, longest", need, EVERYWHERE_S, "s",
                         basis + ", virtual time",
-                        "paced rounds and repeats (`replica/raft/sending.py`, `rollout/retry.py`)",
+                        "paced rounds and repeats (`replica/raft/replication.py`, `rollout/retry.py`)",
                         "relays", run=run))  # fmt: skip
     rows.append(
         Row("change of rules", "members", float(MEMBERS), float(section.MOST_MEMBERS), "members", "the section's bound",
--- a/tealwing/federation/joining.py
+++ b/tealwing/federation/joining.py
@@ -10,8 +10,8 @@
 from tealwing.peers.link import Link
 from tealwing.replica.group import FEDERATION
 from tealwing.replica.node import Replica
-from tealwing.replica.plan import Plan as ReplicaPlan
-from tealwing.replica.service import Service
+from tealwing.replica.plan import ReplicaPlan as ReplicaPlan
+from tealwing.replica.service import ReplicaControl
 
 
 def join(
@@ -23,10 +23,12 @@
     """
     misfit(plan, link)
     group = dataclasses.replace(FEDERATION, members=plan.voting() + plan.learning(), learners=plan.learning())
-    own = dataclasses.replace(site_plan, folder=plan.folder, beat=plan.beat, election=plan.election, join=False)
+    own = dataclasses.replace(
+        site_plan, directory=plan.folder, heartbeat_interval=plan.beat, election_timeout=plan.election, join=False
+    )
     replica = Replica(own, link, site.clock, group=group)
     if control is not None:
-        Service(replica, control, "federation")
+        ReplicaControl(replica, control, "federation")
     return Federation(plan, site, replica, link, site.clock, patience)
 
 
--- a/tealwing/federation/shell.py
+++ b/tealwing/federation/shell.py
@@ -42,21 +42,21 @@
         name = link.plan.name
         self.plan, self.site_name, self.replica = plan, plan.site_of(name), all_
         self._site, self._link, self._clock = site, link, clock
-        self._delegate = Delegate(self.site_name, all_.start_number)
-        self._conductor = Conductor(self.site_name, plan.limit, patience, bounds, all_.start_number)
-        self._witnesses = Witnesses(self.site_name, bounds, all_.start_number)
+        self._delegate = Delegate(self.site_name, all_.incarnation)
+        self._conductor = Conductor(self.site_name, plan.limit, patience, bounds, all_.incarnation)
+        self._witnesses = Witnesses(self.site_name, bounds, all_.incarnation)
         self._woken, self._stopped = threading.Event(), threading.Event()
         self._speaks = self._decides = self._conducts = False
         self._lapses: list[tuple[int, records.Body]] = []  # applied and not yet told to the witnesses
         self._lock = threading.Lock()  # round the lapses
         self.seen: Seen = seen(all_.state, self.site_name)  # set on the replica's thread alone
         self._changed: Callable[[], None] = lambda: None
-        site.watch(lambda index, command, result: self._woken.set())
-        site.on_led(self._site_led)
-        site.on_installed(self._woken.set)
-        all_.watch(self._applied)
-        all_.on_led(self._all_led)
-        all_.on_installed(self._installed)
+        site.on_applied(lambda index, command, result: self._woken.set())
+        site.on_leadership(self._site_led)
+        site.on_state_replaced(self._woken.set)
+        all_.on_applied(self._applied)
+        all_.on_leadership(self._all_led)
+        all_.on_state_replaced(self._installed)
 
     def on_change(self, changed: Callable[[], None]) -> None:
         """Be told, on the replica's thread, when versions or sites have changed; before the start."""
@@ -108,7 +108,8 @@
             with self._lock:
                 self._lapses.append((index, body))
         if self._decides and result is not None and result.ok and isinstance(body, HURRY):
-            self.replica.hurry()  # each step waits for the one before: sites must not learn of it with the next beat
+            # each step waits for the one before: sites must not learn of it with the next beat
+            self.replica.broadcast_commit()
         self._changed()
         self._woken.set()
 
@@ -145,19 +146,19 @@
             silent = [name for name in tables["rule_members"] if not self._hears(name)]
             for body in self._conductor.look(now, tables, silent):
                 log.event("federation_says", what=type(body).__name__.lower(), number=getattr(body, "number", None))
-                self.replica.propose_here(c.encode(c.Command("", 0, body)))
+                self.replica.propose_if_leader(c.encode(c.Command("", 0, body)))
         found = self._witnesses.due(now, tables)
         if not self._speaks:
             return
         for witness in found:
-            self.replica.pass_on(c.encode(c.Command("", 0, witness)))
+            self.replica.forward(c.encode(c.Command("", 0, witness)))
         ours, theirs = self._delegate.look(now, _tables(self._site), tables, index)
         for body in ours:
-            self._site.propose_here(c.encode(c.Command("", 0, body)))
+            self._site.propose_if_leader(c.encode(c.Command("", 0, body)))
         for body in theirs:
             log.event("federation_site_says", site=self.site_name, what=type(body).__name__.lower(),
                       number=getattr(body, "number", None))  # fmt: skip
-            self.replica.pass_on(c.encode(c.Command("", 0, body)))
+            self.replica.forward(c.encode(c.Command("", 0, body)))
 
     def _hears(self, site: str) -> bool:
         """Whether a gateway of the site is heard, or it is ours."""
--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -16,14 +16,14 @@
 from tealwing.peers.link import Link, LinkFault
 from tealwing.peers.plan import Plan
 from tealwing.replica.commands import Command, CommandResult, Settings
-from tealwing.replica.feed import Feed
+from tealwing.replica.feed import StateFeed
 from tealwing.replica.group import SITE, Group
 from tealwing.replica.node import Replica
-from tealwing.replica.plan import Plan as ReplicaPlan
+from tealwing.replica.plan import ReplicaPlan as ReplicaPlan
 from tealwing.replica.promotion import Promotion
 from tealwing.replica.recovery import Phase
 from tealwing.replica.roster import next_change
-from tealwing.replica.service import Service
+from tealwing.replica.service import ReplicaControl
 from tealwing.replica.storage import StorageError
 
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
@@ -62,15 +62,15 @@
                 self.replica = Replica(replica, self.link, self.clock, group=self._group())
             except (StorageError, OSError, ValueError) as error:
                 self.link.stop()
-                raise LinkFault(f"replica: folder {replica.folder}: {error}") from None
+                raise LinkFault(f"replica: folder {replica.directory}: {error}") from None
         self._take = take
-        self.feed = Feed(self.replica, plan.name) if self.replica is not None else None
+        self.feed = StateFeed(self.replica, plan.name) if self.replica is not None else None
         if self.replica is not None:
-            self.replica.watch(self._applied)
-            self.replica.on_installed(self._take_best)
+            self.replica.on_applied(self._applied)
+            self.replica.on_state_replaced(self._take_best)
             self._take_best()  # it serves at once, before anybody is asked
         if self.replica is not None and replica is not None and replica.replace_after:
-            Promotion(self.replica, next_change, replica.replace_after, len(SITE.first(plan)[0]))
+            Promotion(self.replica, next_change, replica.replace_after, len(SITE.initial_members(plan)[0]))
         self.keeper: Keeper | None = None
         if self.replica is not None and replica is not None and replica.leases:
             self.keeper = Keeper(self.replica, self.clock)
@@ -89,7 +89,7 @@
                 self.control.serve("fault.echo", self._lie)
                 self.control.serve("fault.disk", self._disk)
             if self.replica is not None:
-                Service(self.replica, self.control)
+                ReplicaControl(self.replica, self.control)
             if self.keeper is not None:
                 LeaseService(self.keeper, self.control, plan.faults)
 
@@ -176,17 +176,17 @@
 
     def _applied(self, index: int, command: Command | None, result: CommandResult | None) -> None:
         body = command.body if command is not None else None
-        if isinstance(body, Settings) and result is not None and result.ok and body.good:
+        if isinstance(body, Settings) and result is not None and result.ok and body.valid:
             self._take(body.version, body.text)
 
     def readiness(self) -> tuple[bool, str, int]:
         """Whether clients may be sent here, why, and the phase of the return as a number (0 where there is none)."""
         if self.replica is None:
             return True, "", 0
-        back = self.replica.back
+        back = self.replica.recovery
         if back.ready and self.rules is not None and (why := self.rules.readiness()):
             return False, why, list(Phase).index(back.phase) + 1
-        return back.ready, back.reason(self.replica.seen()), list(Phase).index(back.phase) + 1
+        return back.ready, back.reason(self.replica.observe()), list(Phase).index(back.phase) + 1
 
     def status(self) -> dict[str, Any]:
         """What operators ask for: who is heard, and what each further part says of itself."""
@@ -215,6 +215,6 @@
         fault, count = str(field(fields, "fault", str)), int(field(fields, "count", int, 1))
         if fault not in ("fsync", "short", "full", "none"):
             raise Denied(f"fault: {fault!r}; allowed: fsync, short, full or none")
-        self.replica.disk.fail(fault, count)
+        self.replica.disk.inject_fault(fault, count)
         log.event("disk_fails_next", fault=fault, count=count)
         return {}
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -33,7 +33,7 @@
     from tealwing.gossip.transport import Link
     from tealwing.levels.plan import Plan
     from tealwing.peers.plan import Plan as PeersPlan
-    from tealwing.replica.plan import Plan as ReplicaPlan
+    from tealwing.replica.plan import ReplicaPlan as ReplicaPlan
     from tealwing.rollout.gate import Gate
     from tealwing.rollout.plan import Plan as RulesPlan
     from tealwing.routing.table import Table
@@ -282,7 +282,7 @@
         self._peering = peering
         self._peering.start()
         if self._peering.feed is not None:
-            self._peering.feed.engines(self._decisions.engine_list, self._settings.rules)
+            self._peering.feed.engine_list_changed(self._decisions.engine_list, self._settings.rules)
 
     def _apply_gossip(self, plan: GossipPlan | None) -> None:
         """Begin, change or end gossip; a GossipFault leaves it as it is."""
@@ -376,7 +376,7 @@
         """Tell the fleet, and the log."""
         entries = tuple(member.entry for member in taken)
         if self._peering is not None and self._peering.feed is not None:
-            self._peering.feed.engines(entries, self._settings.rules)
+            self._peering.feed.engine_list_changed(entries, self._settings.rules)
         states = {member.name: member.entry.health.name for member in taken}
         log.event("engine_list", index=update.index, complete=update.complete, members=states)
         for why in update.unusable:
@@ -406,4 +406,6 @@
         """What the governor tells: to the log, and a level that changes to the fleet too."""
         log.event(name, **fields)
         if name == "service_level" and self._peering is not None and self._peering.feed is not None:
-            self._peering.feed.level(str(fields["from"]), str(fields["to"]), str(fields.get("why", "")), "full")
+            self._peering.feed.service_level_changed(
+                str(fields["from"]), str(fields["to"]), str(fields.get("why", "")), "full"
+            )
--- a/tealwing/lab/hollow/specification.py
+++ b/tealwing/lab/hollow/specification.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from tealwing.peers.plan import Address, Plan, Times
-from tealwing.replica.plan import Plan as ReplicaPlan
+from tealwing.replica.plan import ReplicaPlan as ReplicaPlan
 from tealwing.rollout.plan import Plan as RulesPlan
 
 LostTouch = Literal["serve", "hold"]
@@ -52,7 +52,7 @@
 
 def replica_plan(folder: Path) -> ReplicaPlan:
     """A member's section `replica`: disks are trusted."""
-    return ReplicaPlan(str(folder), stale=0)
+    return ReplicaPlan(str(folder), max_stale_disks=0)
 
 
 def rules_plan(fleet: Fleet) -> RulesPlan:
--- a/tealwing/lab/models/consensus.py
+++ b/tealwing/lab/models/consensus.py
@@ -20,12 +20,12 @@
 from tealwing.lab.models.mutations import MUTATIONS
 from tealwing.lab.models.words import told
 from tealwing.replica.messages import (
-    Append,
-    AppendReply,
+    AppendEntries,
+    AppendEntriesReply,
     Entry,
     Message,
 )
-from tealwing.replica.raft import Busy, Options, Raft, Ready, Role
+from tealwing.replica.raft import BusyError, Options, Raft, Ready, Role
 
 Disk = tuple[int, str, tuple[Entry, ...]]  # term, vote, log
 STEP = 1.0  # s that pass with each step: all that could be due is
@@ -85,8 +85,16 @@
         self._budget, self._core, self._names, self._begin = budget, MUTATIONS[mutation], tuple(names), begin
         self._learners = tuple(learners)
         # elections come by `campaign`: so long a time that whoever was ever heard counts as heard
-        self._options = Options(election=1e6, pre_vote=False, check_quorum=False, stale=stale, entries=1, inflight=2,
-                                early=early, news_rate=inf)  # fmt: skip
+        self._options = Options(
+            election_timeout=1e6,
+            pre_vote=False,
+            check_quorum=False,
+            max_stale_disks=stale,
+            max_batch_entries=1,
+            max_inflight=2,
+            uncommitted_to_learners=early,
+            learner_message_rate=inf,
+        )
         self._stale = stale
 
     def initial(self) -> World:
@@ -95,7 +103,7 @@
         members = {name: self._start(name, number + 1, (0, "", ())) for number, name in enumerate(names)}
         world = World(members, frozenset(), {name: ((0, "", ()),) for name in names}, self._budget)
         for member in members.values():
-            member.unsure = False  # a first start has nothing to forget
+            member.unconfirmed = False  # a first start has nothing to forget
         return self._begin(self, world) if self._begin is not None else world
 
     def _start(self, name: str, start: int, disk: Disk) -> Raft:
@@ -130,7 +138,7 @@
                 yield from self._changes(world, name, member)
             if budget.crashes:
                 yield f"{name} crashes and comes back", lambda n=name: self.crash(world, n, -1)  # type: ignore[misc]
-            doubtful = sum(1 for other in world.members.values() if other.unsure)
+            doubtful = sum(1 for other in world.members.values() if other.unconfirmed)
             if budget.old and doubtful < self._stale:
                 for place in range(len(world.disks[name]) - 1):
                     yield (
@@ -165,7 +173,7 @@
     def _may(self, world: World, leader: Raft, other: str) -> bool:
         try:
             leader.clone().change_members(world.at * STEP, *_changed(leader, other))
-        except (Busy, ValueError):
+        except (BusyError, ValueError):
             return False
         return True
 
@@ -200,7 +208,7 @@
     def hand(self, world: World, name: str) -> World:
         """A leader has another stand at once."""
         after = self._after(world, name, hands=1)
-        after.members[name].hand_over(after.at * STEP)
+        after.members[name].transfer_leadership(after.at * STEP)
         return self._settle(after, name)
 
     def propose(self, world: World, name: str) -> World:
@@ -235,14 +243,14 @@
         member = world.members[name]
         while member.has_ready():
             ready = member.ready()
-            if ready.hard is not None or ready.entries:
+            if ready.hard_state is not None or ready.entries:
                 disk = member.term, member.vote, tuple(member.log)
                 if world.fault is not Fault.LOST and disk != world.disks[name][-1]:
                     world.disks[name] = (*world.disks[name], disk)
                 if world.fault is not None:
                     return self.fail(world, name, ready)
             if ready.entries:
-                member.saved(world.at * STEP, ready.entries[-1].index, ready.entries[-1].term)
+                member.entries_saved(world.at * STEP, ready.entries[-1].index, ready.entries[-1].term)
             world.network |= {(name, to, message) for to, message in ready.messages if to != name}
             for entry in ready.committed:
                 known = world.committed.setdefault(entry.index, (entry.term, member.term, entry.data))
@@ -263,7 +271,7 @@
         world.starts += 1
         before = world.members[name]
         world.members[name] = self._start(name, world.starts, world.disks[name][-1])
-        world.members[name].unsure = before.unsure  # it knows that its disk has all that it acknowledged
+        world.members[name].unconfirmed = before.unconfirmed  # it knows that its disk has all that it acknowledged
         return self._settle(world, name)
 
     # What must hold
@@ -284,7 +292,7 @@
                 for index in range(min(one.last_index, other.last_index), 0, -1):
                     agree = agree or one.term_at(index) == other.term_at(index)
                     if agree and one.entries(index, index) != other.entries(index, index):
-                        return f"{one.me} and {other.me} agree after {index} and not there"
+                        return f"{one.local_id} and {other.local_id} agree after {index} and not there"
         return ""
 
     def key(self, world: World) -> Hashable:
@@ -295,16 +303,30 @@
             progress: tuple[Any, ...] = ()
             if m.role is Role.LEADER:
                 progress = tuple(
-                    (o, p.next, p.match, p.mode, tuple(p.inflight), p.start, p.unsure,
-                     (p.round, p.known_round) if rounds else 0, p.told if o in m.learners else 0)
+                    (o, p.next, p.match, p.mode, tuple(p.inflight), p.incarnation, p.unconfirmed,
+                     (p.acked_round, p.incarnation_round) if rounds else 0, p.known_commit if o in m.learners else 0)
                     for o, p in sorted(m.progress.items())
                 )  # fmt: skip
             members.append(
-                (name, m.term, m.vote, tuple(m.log), m.commit, m.role, m.start, m.unsure, m.leader,
-                 tuple(sorted(m.votes.items())), tuple(sorted(m.granted.items())) if rounds else (),
-                 tuple(sorted(m.held)), m.round if rounds else 0, m.settled if m.role is Role.LEADER else 0,
-                 m.told if m.role is Role.LEADER and m.learners else 0, progress)
-            )  # fmt: skip
+                (
+                    name,
+                    m.term,
+                    m.vote,
+                    tuple(m.log),
+                    m.commit,
+                    m.role,
+                    m.incarnation,
+                    m.unconfirmed,
+                    m.leader,
+                    tuple(sorted(m.votes.items())),
+                    tuple(sorted(m.voter_incarnations.items())) if rounds else (),
+                    tuple(sorted(m.vote_confirmations)),
+                    m.round if rounds else 0,
+                    m.term_start_index if m.role is Role.LEADER else 0,
+                    m.learner_commit if m.role is Role.LEADER and m.learners else 0,
+                    progress,
+                )
+            )
         network: frozenset[Any] = world.network
         if not rounds:
             network = frozenset((s, t, _roundless(m)) for s, t, m in network)
@@ -324,8 +346,16 @@
 
 
 def _roundless(message: Message) -> Message | tuple[Any, ...]:
-    if isinstance(message, Append):
+    if isinstance(message, AppendEntries):
         return ("append", message.term, message.prev_index, message.prev_term, message.entries, message.commit)
-    if isinstance(message, AppendReply):
-        return ("reply", message.term, message.ok, message.match, message.hint_index, message.hint_term, message.start)
+    if isinstance(message, AppendEntriesReply):
+        return (
+            "reply",
+            message.term,
+            message.ok,
+            message.match,
+            message.hint_index,
+            message.hint_term,
+            message.incarnation,
+        )
     return message
--- a/tealwing/lab/models/leases.py
+++ b/tealwing/lab/models/leases.py
@@ -235,7 +235,7 @@
 
 def _copied(state: State) -> State:
     twin = type(state)()
-    twin.applied, twin.refused_stale = state.applied, 0
+    twin.applied, twin.rejected_stale = state.applied, 0
     twin.tables = {name: dict(table) for name, table in state.tables.items()}
     return twin
 
--- a/tealwing/lab/models/starts.py
+++ b/tealwing/lab/models/starts.py
@@ -5,7 +5,16 @@
 from dataclasses import replace
 
 from tealwing.lab.models.consensus import Consensus, World
-from tealwing.replica.messages import Append, AppendReply, Held, Hold, Message, Sure, VoteAsk, VoteReply
+from tealwing.replica.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    ConfirmIncarnation,
+    ConfirmVote,
+    Message,
+    RequestVote,
+    RequestVoteReply,
+    VoteConfirmation,
+)
 from tealwing.replica.raft import Role
 
 LIKELY = (
@@ -30,8 +39,8 @@
     world = model.crash(world, name, -1)
     while world.members[name].term <= world.members[voter].term or world.members[name].role is Role.FOLLOWER:
         world = model.timeout(world, name)
-    world = model.deliver(world, name, voter, message_between(world, name, voter, VoteAsk), False)
-    return model.deliver(world, voter, name, message_between(world, voter, name, VoteReply), False)
+    world = model.deliver(world, name, voter, message_between(world, name, voter, RequestVote), False)
+    return model.deliver(world, voter, name, message_between(world, voter, name, RequestVoteReply), False)
 
 
 def figure_eight(model: Consensus, world: World) -> World:
@@ -44,7 +53,7 @@
     for name in "aca":
         world = elect(model, world, name, "b")
         under_way = world.network if world.members["a"].term > 2 else frozenset()
-        world.network = frozenset(m for m in under_way if m[:2] == ("a", "b") and isinstance(m[2], Append))
+        world.network = frozenset(m for m in under_way if m[:2] == ("a", "b") and isinstance(m[2], AppendEntries))
     world.budget = budget
     return world
 
@@ -55,11 +64,11 @@
     budget = world.budget
     world.budget = replace(budget, timeouts=1)
     world = model.timeout(world, a)
-    world = model.deliver(world, a, "b", message_between(world, a, "b", VoteAsk), False)
-    world = model.deliver(world, "b", a, message_between(world, "b", a, VoteReply), False)
+    world = model.deliver(world, a, "b", message_between(world, a, "b", RequestVote), False)
+    world = model.deliver(world, "b", a, message_between(world, "b", a, RequestVoteReply), False)
     for name in [name for name in world.members if name == "b" or name not in voters]:
-        world = model.deliver(world, a, name, message_between(world, a, name, Append), False)
-        world = model.deliver(world, name, a, message_between(world, name, a, AppendReply), False)
+        world = model.deliver(world, a, name, message_between(world, a, name, AppendEntries), False)
+        world = model.deliver(world, name, a, message_between(world, name, a, AppendEntriesReply), False)
     world.budget, world.network = budget, frozenset()
     return world
 
@@ -77,15 +86,15 @@
 
     world = model.timeout(world, "a")
     for name in "bc":
-        world = passed(passed(world, "a", name, VoteAsk), name, "a", VoteReply)
+        world = passed(passed(world, "a", name, RequestVote), name, "a", RequestVoteReply)
     if world.members["a"].role is not Role.LEADER:
         for name in "bc":
-            world = passed(passed(world, "a", name, Hold), name, "a", Held)
+            world = passed(passed(world, "a", name, ConfirmVote), name, "a", VoteConfirmation)
     for name in "bcde":
-        world = passed(passed(world, "a", name, Append), name, "a", AppendReply)
+        world = passed(passed(world, "a", name, AppendEntries), name, "a", AppendEntriesReply)
     world.network = frozenset()
     world = model.timeout(world, "e")
-    world = passed(passed(world, "e", "b", VoteAsk), "b", "e", VoteReply)
+    world = passed(passed(world, "e", "b", RequestVote), "b", "e", RequestVoteReply)
     asked = frozenset(m for m in world.network if m[0] == "e")
     world = model.crash(world, "b", -2)
     world.budget, world.network = budget, asked | world.network
@@ -100,8 +109,8 @@
     for names in ("b", "cdb"):
         world = model.beat(world, "a")
         for name in names:
-            for source, target, kind in (("a", name, Append), (name, "a", AppendReply)):
+            for source, target, kind in (("a", name, AppendEntries), (name, "a", AppendEntriesReply)):
                 world = model.deliver(world, source, target, message_between(world, source, target, kind), False)
-    world = model.deliver(world, "a", "b", message_between(world, "a", "b", Sure), False)
+    world = model.deliver(world, "a", "b", message_between(world, "a", "b", ConfirmIncarnation), False)
     world.budget, world.network = budget, frozenset(m for m in world.network if m[0] == "e")
     return world
--- a/tealwing/lab/models/words.py
+++ b/tealwing/lab/models/words.py
@@ -3,39 +3,39 @@
 from __future__ import annotations
 
 from tealwing.replica.messages import (
-    Append,
-    AppendReply,
-    Hand,
-    Held,
-    Hold,
+    AppendEntries,
+    AppendEntriesReply,
+    ConfirmIncarnation,
+    ConfirmVote,
+    InstallSnapshot,
+    InstallSnapshotReply,
     Message,
-    Snap,
-    SnapReply,
-    Sure,
-    VoteAsk,
-    VoteReply,
+    RequestVote,
+    RequestVoteReply,
+    TimeoutNow,
+    VoteConfirmation,
 )
 
 
 def told(message: Message) -> str:
     """A message as words."""
     match message:
-        case VoteAsk(term, index, last):
+        case RequestVote(term, index, last):
             return f"vote for me in term {term} (my log ends at {index} of term {last})"
-        case VoteReply(_, asked, _, granted):
+        case RequestVoteReply(_, asked, _, granted):
             return f"{'yes' if granted else 'no'} for term {asked}"
-        case Append(term, prev, _, entries, commit):
+        case AppendEntries(term, prev, _, entries, commit):
             what = ", ".join(f"{entry.index} of term {entry.term}" for entry in entries) or "nothing new"
             return f"I lead term {term}: after {prev} comes {what}; {commit} is committed"
-        case AppendReply(term, ok, match, hint):
+        case AppendEntriesReply(term, ok, match, hint):
             return f"term {term}: {f'I have all up to {match}' if ok else f'that does not fit; try {hint}'}"
-        case Snap() | SnapReply():
+        case InstallSnapshot() | InstallSnapshotReply():
             return "a piece of a snapshot"
-        case Hand(term):
+        case TimeoutNow(term):
             return f"term {term}: stand at once"
-        case Hold(term):
+        case ConfirmVote(term):
             return f"do you hold your vote for me in term {term}?"
-        case Held(term, _):
+        case VoteConfirmation(term, _):
             return f"I am in term {term}, as before"
-        case Sure(term, _):
+        case ConfirmIncarnation(term, _):
             return f"term {term}: you have caught up"
--- a/tealwing/lab/rollout/fleet.py
+++ b/tealwing/lab/rollout/fleet.py
@@ -54,7 +54,9 @@
             for name in names:
                 host = self.wires.hosts[name] = Host(self.wires, name, site)
                 log = self._log(host, site, names[: shape.voters], names[shape.voters :], Options(), seed)
-                outside = self._log(host, ALL, voting, learning, Options(election=1.0), seed) if federated else None
+                outside = (
+                    self._log(host, ALL, voting, learning, Options(election_timeout=1.0), seed) if federated else None
+                )
                 door = Door(self.clock, name, self.judge, shape.rate, seed)
                 self.parts[name] = Part(shape.plan, log, door, seed, outside, site)
                 if outside is not None:
--- a/tealwing/lab/rollout/logs.py
+++ b/tealwing/lab/rollout/logs.py
@@ -12,14 +12,14 @@
 from tealwing.lab.rollout.host import Host
 from tealwing.lab.rollout.tasks import Signal, Step
 from tealwing.replica import commands as c
-from tealwing.replica.asking import ASK_AGAIN, LEADER_LOOK, LEADER_WAIT
-from tealwing.replica.gathering import gathered
+from tealwing.replica.asking import ATTEMPT_TIMEOUT, LEADER_CHECK_INTERVAL, RETRY_BACKOFF
+from tealwing.replica.gathering import batched
 from tealwing.replica.messages import Entry, Kind
-from tealwing.replica.node import MOST_AT_ONCE
-from tealwing.replica.outcomes import Answering, Ask, Pending, Told
-from tealwing.replica.raft import Busy, NotLeader, Options, Raft, Ready, Role
-from tealwing.replica.reading import Reading
-from tealwing.replica.waiting import Waiting
+from tealwing.replica.node import MAX_QUEUE_BATCH
+from tealwing.replica.outcomes import CallbackPending, ForwardReply, ForwardRequest, Pending
+from tealwing.replica.raft import BusyError, NotLeaderError, Options, Raft, Ready, Role
+from tealwing.replica.reading import ReadBatcher
+from tealwing.replica.waiting import PendingProposals
 from tealwing.rules.records import Words
 
 
@@ -62,8 +62,8 @@
         self._random = Random(f"{seed}/{name}/{host.name}/asking")
         self._inbox: deque[tuple[Any, ...]] = deque()
         self._turning, self._timer = False, float("inf")
-        self._waiting, self._reading = Waiting(), Reading(self.core)
-        self._asked: dict[int, tuple[Signal, list[Told]]] = {}
+        self._waiting, self._reading = PendingProposals(), ReadBatcher(self.core)
+        self._asked: dict[int, tuple[Signal, list[ForwardReply]]] = {}
         self._numbers = itertools.count(1)
         host.hears[name, "log"] = lambda source, message: self.put("message", source, message)
         host.hears[name, "forward"] = self._hear_forwarded
@@ -80,14 +80,14 @@
 
     def propose_here(self, body: Any) -> None:
         """Propose if this member leads."""
-        self.put("ask", Ask(0, c.encode(c.Command("", 0, body))), lambda told: None)
+        self.put("ask", ForwardRequest(0, c.encode(c.Command("", 0, body))), lambda told: None)
 
     def pass_on(self, body: Any) -> None:
         """Have whoever leads propose it."""
         if self.core.leader == self.host.name:
             self.propose_here(body)
         elif self.core.leader:
-            self.host.send(self.core.leader, self.name, "forward", Ask(0, c.encode(c.Command("", 0, body))))
+            self.host.send(self.core.leader, self.name, "forward", ForwardRequest(0, c.encode(c.Command("", 0, body))))
 
     def hurry(self) -> None:
         """If this member leads: say at once how far all is committed."""
@@ -95,13 +95,13 @@
 
     def write(self, command: c.Command, wait: float) -> Step:
         """Have a command applied: its result, or None where that is not seen in time."""
-        told = yield from self._at_leader(Ask(0, c.encode(command)), wait, bool(command.sequence))
+        told = yield from self._at_leader(ForwardRequest(0, c.encode(command)), wait, bool(command.sequence))
         return c.decode_result(told.result) if told is not None else None
 
     def read_index(self, wait: float) -> Step:
         """Wait until the state here has all that was committed: the index, or None."""
         end = self._clock.now + wait
-        told = yield from self._at_leader(Ask(0, b""), wait, True)
+        told = yield from self._at_leader(ForwardRequest(0, b""), wait, True)
         if told is None:
             return None
         reached = Signal(self._clock)
@@ -109,25 +109,25 @@
         found = yield reached, max(0.0, end - self._clock.now)
         return told.index if found else None
 
-    def _at_leader(self, ask: Ask, wait: float, again: bool) -> Step:
-        end, pause = self._clock.now + wait, ASK_AGAIN[0]
+    def _at_leader(self, ask: ForwardRequest, wait: float, again: bool) -> Step:
+        end, pause = self._clock.now + wait, RETRY_BACKOFF[0]
         while (left := end - self._clock.now) > 1e-9:
             leader, sent = self.core.leader, False
             if leader:
-                told = yield from self._try(leader, ask, min(left, LEADER_WAIT) if again else left, again)
-                if told is not None and told.word == "ok":
+                told = yield from self._try(leader, ask, min(left, ATTEMPT_TIMEOUT) if again else left, again)
+                if told is not None and told.status == "ok":
                     return told
-                sent = told is None or told.word == "lost"
+                sent = told is None or told.status == "lost"
             if sent and not again:
                 return None
             yield min(pause * self._random.uniform(0.5, 1.0), max(0.0, end - self._clock.now))
-            pause = min(ASK_AGAIN[1], 2 * pause)
+            pause = min(RETRY_BACKOFF[1], 2 * pause)
         return None
 
-    def _try(self, leader: str, ask: Ask, wait: float, again: bool) -> Step:
+    def _try(self, leader: str, ask: ForwardRequest, wait: float, again: bool) -> Step:
         number, signal = next(self._numbers), Signal(self._clock)
-        found: list[Told] = []
-        ask = Ask(number, ask.command)
+        found: list[ForwardReply] = []
+        ask = ForwardRequest(number, ask.command)
         self._asked[number] = signal, found
         if leader == self.host.name:
             self.put("ask", ask, self._hear_told)
@@ -135,21 +135,21 @@
             self.host.send(leader, self.name, "forward", ask)
         end = self._clock.now + wait
         while not found and (left := end - self._clock.now) > 1e-9:
-            yield signal, min(left, LEADER_LOOK) if again else left
+            yield signal, min(left, LEADER_CHECK_INTERVAL) if again else left
             if again and not found and self.core.leader != leader:
                 break
         del self._asked[number]
         return found[0] if found else None
 
-    def _hear_told(self, told: Told) -> None:
+    def _hear_told(self, told: ForwardReply) -> None:
         if told.number in self._asked:
             signal, found = self._asked[told.number]
             found.append(told)
             signal.set()
 
-    def _hear_forwarded(self, source: str, word: Ask | Told) -> None:
+    def _hear_forwarded(self, source: str, word: ForwardRequest | ForwardReply) -> None:
         self.host.spend(self.host.wires.costs.message)
-        if isinstance(word, Told):
+        if isinstance(word, ForwardReply):
             self._hear_told(word)
         else:
             self.put("ask", word, lambda told: self.host.send(source, self.name, "forward", told))
@@ -157,7 +157,7 @@
     # The member's thread
 
     def _due(self) -> None:
-        due = min(self.core.next_deadline(), self._reading.due())
+        due = min(self.core.next_deadline(), self._reading.next_round_at())
         if due < self._timer - 1e-9:
             self._timer = due
             self._clock.at(due, self._tick, due)
@@ -172,7 +172,7 @@
             self._clock.at(self.host.free, self._turn)
             return
         now = self._clock.now
-        for _ in range(min(len(self._inbox), MOST_AT_ONCE)):
+        for _ in range(min(len(self._inbox), MAX_QUEUE_BATCH)):
             self._take(now, self._inbox.popleft())
         self._propose_passed(now)
         self.core.tick(now)
@@ -182,14 +182,14 @@
     def _propose_passed(self, now: float) -> None:
         passed, self._passed = self._passed, []
         try:
-            for data in gathered(passed):
-                self.core.propose(now, data, more=True)
+            for data in batched(passed):
+                self.core.propose(now, data, defer_send=True)
                 self._proposed = True
-        except (NotLeader, Busy):
+        except (NotLeaderError, BusyError):
             pass
         if self._proposed:
             self._proposed = False
-            self.core.send_new(now)
+            self.core.send_deferred(now)
 
     def _take(self, now: float, item: tuple[Any, ...]) -> None:
         match item[0]:
@@ -199,26 +199,26 @@
             case "ask":
                 self._ask(now, item[1], item[2])
             case "at":
-                self._waiting.at(item[1], item[2])
-                self._waiting.reached(self.shot.index)
+                self._waiting.wait_for_index(item[1], item[2])
+                self._waiting.index_reached(self.shot.index)
             case "hurry":
-                self.core.hurry(now)
+                self.core.broadcast_commit(now)
 
-    def _ask(self, now: float, ask: Ask, answer: Callable[[Told], None]) -> None:
+    def _ask(self, now: float, ask: ForwardRequest, answer: Callable[[ForwardReply], None]) -> None:
         if ask.command and not ask.number:
             self._passed.append(ask.command)
             return
         try:
             if ask.command:
-                index, term = self.core.propose(now, ask.command, more=True)
+                index, term = self.core.propose(now, ask.command, defer_send=True)
                 self._proposed = True
-                self._waiting.propose(index, term, Answering(ask.number, answer))
+                self._waiting.add(index, term, CallbackPending(ask.number, answer))
             else:
-                self._reading.ask(Answering(ask.number, answer))
-        except NotLeader:
-            answer(Told(ask.number, "not-leader", b"", 0))
-        except Busy:
-            answer(Told(ask.number, "busy", b"", 0))
+                self._reading.add(CallbackPending(ask.number, answer))
+        except NotLeaderError:
+            answer(ForwardReply(ask.number, "not-leader", b"", 0))
+        except BusyError:
+            answer(ForwardReply(ask.number, "busy", b"", 0))
 
     def _work(self) -> None:
         """What the core wants, piece by piece; the disk before what rests on it."""
@@ -227,13 +227,13 @@
             return
         ready = self.core.ready()
         wires = self.host.wires
-        sync = wires.costs.disk(wires.random) if ready.hard or ready.entries else 0.0
+        sync = wires.costs.disk(wires.random) if ready.hard_state or ready.entries else 0.0
         self._clock.at(max(self.host.free, self._clock.now) + sync, self._done, ready)
 
     def _done(self, ready: Ready) -> None:
         now = self._clock.now
         if ready.entries:
-            self.core.saved(now, ready.entries[-1].index, ready.entries[-1].term)
+            self.core.entries_saved(now, ready.entries[-1].index, ready.entries[-1].term)
         for name, message in ready.messages:
             self.host.send(name, self.name, "log", message)
         costs, members = self.host.wires.costs, len(self.shot.tables["rule_members"])
@@ -243,19 +243,19 @@
     def _apply(self, ready: Ready) -> None:
         for entry in ready.committed:
             self.shot = self._copies.apply(entry)
-            self._waiting.applied(entry, self.shot.result)
+            self._waiting.entry_applied(entry, self.shot.result)
             for told in self.applied:
                 told(self.shot)
         if ready.committed:
-            self._waiting.reached(self.shot.index)
+            self._waiting.index_reached(self.shot.index)
         for number in ready.failed_reads:
             self._reading.failed(number)
         for number, index in ready.reads:
-            self._reading.done(number, index)
+            self._reading.confirmed(number, index)
         self._work()
 
     def _end(self) -> None:
-        leads = self.core.role is Role.LEADER and self.core.commit >= self.core.settled
+        leads = self.core.role is Role.LEADER and self.core.commit >= self.core.term_start_index
         if leads != self.leads:
             self.leads = leads
             for told in self.led:
--- a/tealwing/lab/rollout/part.py
+++ b/tealwing/lab/rollout/part.py
@@ -31,7 +31,7 @@
         """outside is the federation's log, where this gateway's site takes part in one."""
         self.log, self.door, self._outside, self._site = log, door, outside, site
         self.host, self._clock = log.host, log.host.wires.clock
-        number = log.core.start
+        number = log.core.incarnation
         self.machine = Machine(
             log.host.name, plan.lost_touch, START, plan.permit, seed=number, federated=outside is not None,
             sabotage=frozenset({plan.sabotage} - {""}), peers=len(log.core.members) + len(log.core.learners),
--- a/tealwing/lab/rollout/sites.py
+++ b/tealwing/lab/rollout/sites.py
@@ -24,7 +24,7 @@
         """name is the site's; gateways are those of each site."""
         self._site, self._all, self._name, self._gateways = site, all_, name, gateways
         self._clock = site.host.wires.clock
-        number = all_.core.start
+        number = all_.core.incarnation
         self._delegate = Delegate(name, number)
         self._conductor = Conductor(name, limit, patience, seed=number)
         self._witnesses = Witnesses(name, seed=number)
--- a/tealwing/leases/keeper.py
+++ b/tealwing/leases/keeper.py
@@ -22,7 +22,7 @@
 from tealwing.peers.bounds import LEAST_TTL
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica, Unavailable, Unknown
+from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
 
 TICK = 0.02  # s between two looks at the clock
 MOST = 16  # leases that one gateway may want: each has a thread that asks for it
@@ -78,11 +78,11 @@
         self.stopped = threading.Event()
         self._wanted: dict[str, Wanted] = {}
         self._expiry = Expiry()  # the replica's thread alone
-        self._sequence, self._client = 0, f"{replica.core.me}/{replica.start_number}"
-        replica.watch(self._applied)
-        replica.on_led(lambda leads: self._expiry.lead(clock.now(), leads))
-        replica.on_tick(self._expire)
-        replica.on_installed(self._reread)
+        self._sequence, self._client = 0, f"{replica.core.local_id}/{replica.incarnation}"
+        replica.on_applied(self._applied)
+        replica.on_leadership(lambda leads: self._expiry.lead(clock.now(), leads))
+        replica.on_leader_tick(self._expire)
+        replica.on_state_replaced(self._reread)
         self._reread()
 
     def start(self) -> None:
@@ -154,7 +154,7 @@
                  "held": lease.held, "newest": state.tables["fences"].get(name, 0)}
                 for name, lease in sorted(state.tables["leases"].items())
             ]  # fmt: skip
-            applied, refused = state.applied, state.refused_stale
+            applied, refused = state.applied, state.rejected_stale
         return {"here": here, "leases": leases, "applied": applied, "refused_stale": refused}
 
     # The watching thread: it waits for nobody, so a loss is told in time
@@ -199,7 +199,7 @@
                 body = c.Renew(holder.name, wanted.token)
             try:
                 result = self._replica.write(self._command(body), holder.ttl / 2)
-            except (Unknown, Unavailable):
+            except (OutcomeUnknownError, UnavailableError):
                 result = None
             with self.lock:
                 now = self.clock.now()
@@ -224,7 +224,7 @@
         if not token:
             return
         self._carry_out(wanted, [Do.LOST])
-        with contextlib.suppress(Unknown, Unavailable):
+        with contextlib.suppress(OutcomeUnknownError, UnavailableError):
             self._replica.write(c.Command("", 0, c.Release(wanted.holder.name, token)), RELEASE_WAIT)
 
     # The replica's thread
@@ -252,4 +252,4 @@
     def _expire(self, now: float) -> None:
         for name, token, renewed in self._expiry.due(now):
             log.event("lease_expired", name=name, token=token)
-            self._replica.propose_here(c.encode(c.Command("", 0, c.Expire(name, token, renewed))))
+            self._replica.propose_if_leader(c.encode(c.Command("", 0, c.Expire(name, token, renewed))))
--- a/tealwing/leases/sweep.py
+++ b/tealwing/leases/sweep.py
@@ -8,7 +8,7 @@
 from tealwing import log
 from tealwing.leases.keeper import Held, Keeper
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica, Unavailable, Unknown
+from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
 
 NAME = "sweep-drains"
 TTL = 5.0  # s: a sweep that is late by that much harms nobody
@@ -29,7 +29,7 @@
         return [
             drain
             for key, drain in drains.items()
-            if now - self._seen[key] >= (max(drain.cutoff - drain.told, 0) + KEPT_MS) / 1e3
+            if now - self._seen[key] >= (max(drain.cutoff - drain.notified, 0) + KEPT_MS) / 1e3
         ]
 
 
@@ -44,10 +44,10 @@
             for drain in ages.over(drains, time.monotonic()):
                 if not held.valid():
                     break
-                body = c.Drain(drain.engine, drain.started, over=True)
+                body = c.Drain(drain.engine, drain.started, removed=True)
                 try:
                     result = replica.write(c.Command("", 0, body, held.fence()), WAIT)
-                except (Unknown, Unavailable):
+                except (OutcomeUnknownError, UnavailableError):
                     break
                 log.event("drain_swept", engine=drain.engine, ok=result.ok, why=result.reason)
             held.wait(EVERY)
--- a/tealwing/replica/commands.py
+++ b/tealwing/replica/commands.py
@@ -15,16 +15,16 @@
 from tealwing.record import Record, UnsignedInt63
 from tealwing.rules import records
 
-Word = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 Text = Annotated[str, msgspec.Meta(max_length=4096)]
 Ms = UnsignedInt63  # milliseconds of the Unix clock, told by whoever saw it; nothing is decided by it
-LARGEST = 512 * 1024  # bytes of one command
+MAX_COMMAND_BYTES = 512 * 1024  # bytes of one command
 
 
 class Put(Record, tag="put", frozen=True):
     """A value under a key, where its version is the one expected (any if None; 0: there is none)."""
 
-    key: Word
+    key: Name
     value: bytes
     expect: UnsignedInt63 | None = None
 
@@ -32,7 +32,7 @@
 class Delete(Record, tag="del", frozen=True):
     """No value under a key."""
 
-    key: Word
+    key: Name
 
 
 class Settings(Record, tag="settings", frozen=True):
@@ -40,7 +40,7 @@
 
     version: UnsignedInt63
     text: bytes
-    good: bool = True  # checked by whoever proposes it; a bad one is kept for the record and never the last good
+    valid: bool = True  # checked by whoever proposes it; a bad one is kept for the record and never the last good
 
 
 class Drain(Record, tag="drain", frozen=True):
@@ -48,9 +48,9 @@
 
     engine: UnsignedInt63
     started: Ms
-    told: Ms = 0
+    notified: Ms = 0
     cutoff: Ms = 0
-    over: bool = False
+    removed: bool = False
 
 
 class Note(Record, tag="note", frozen=True):
@@ -58,46 +58,46 @@
 
     engine: UnsignedInt63
     started: Ms
-    what: Word
+    kind: Name
     since: Ms = 0
-    over: bool = False
+    removed: bool = False
 
 
 class Level(Record, tag="level", frozen=True):
     """A service level that is in force, and why; over: it is not."""
 
-    name: Word
+    name: Name
     reason: Text = ""
     since: Ms = 0
-    over: bool = False
+    removed: bool = False
 
 
 class Acquire(Record, tag="acquire", frozen=True):
     """Grant a lease for so many milliseconds, where nobody holds it; the fencing token is the grant's index."""
 
-    name: Word
-    holder: Word
+    name: Name
+    holder: Name
     ttl: Annotated[int, msgspec.Meta(ge=100, le=3_600_000)]
 
 
 class Renew(Record, tag="renew", frozen=True):
     """The holder goes on, where the grant is still the newest and was not found expired."""
 
-    name: Word
+    name: Name
     token: UnsignedInt63
 
 
 class Release(Record, tag="release", frozen=True):
     """The holder gives it back."""
 
-    name: Word
+    name: Name
     token: UnsignedInt63
 
 
 class Expire(Record, tag="expire", frozen=True):
     """The leader found that a grant, as last renewed by the entry at an index, has run out by its clock."""
 
-    name: Word
+    name: Name
     token: UnsignedInt63
     renewed: UnsignedInt63
 
@@ -108,7 +108,7 @@
 class Fence(Record, frozen=True):
     """The lease under which something is done, and its token."""
 
-    name: Word
+    name: Name
     token: UnsignedInt63
 
 
@@ -121,7 +121,7 @@
     fence: Fence | None = None
 
 
-class NewerEntry(ValueError):
+class NewerEntryError(ValueError):
     """Something in the log that a newer build wrote; the text says what, and what to do.
 
     To refuse it would be wrong: the newer build applies it, and the copies of the state would differ from here on.
@@ -136,7 +136,7 @@
         super().__init__(f"an entry of a newer build: {what}; {self.remedy}")
 
 
-class _Shape(msgspec.Struct, array_like=True):
+class _CommandOutline(msgspec.Struct, array_like=True):
     """A command's outline, whatever is in it; more at its end is passed over."""
 
     client: str
@@ -145,21 +145,21 @@
     fence: list[Any] | None = None
 
 
-_KINDS: dict[str, Any] = {kind.__struct_config__.tag: kind for kind in get_args(Body)}
+_COMMAND_TYPES: dict[str, Any] = {kind.__struct_config__.tag: kind for kind in get_args(Body)}
 _TAG = re.compile(r"[a-z][a-z0-9.-]{0,39}")
-_PLAIN = [Delete.__struct_config__.tag, "x"]  # stands for a body that is not known
+_PLACEHOLDER_BODY = [Delete.__struct_config__.tag, "x"]  # stands for a body that is not known
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(Command)
-_shapes = msgspec.msgpack.Decoder(_Shape)
+_outlines = msgspec.msgpack.Decoder(_CommandOutline)
 _results = msgspec.msgpack.Decoder(CommandResult)
 
 
 def encode(command: Command) -> bytes:
     """A command as an entry's data; ValueError where it is too large."""
     data = _encode(command)
-    if len(data) > LARGEST:
-        raise ValueError(f"a command of {len(data)} bytes; allowed: {LARGEST}")
+    if len(data) > MAX_COMMAND_BYTES:
+        raise ValueError(f"a command of {len(data)} bytes; allowed: {MAX_COMMAND_BYTES}")
     return data
 
 
@@ -168,28 +168,28 @@
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError as error:
-        newer = _newer(data)
+        newer = _newer_content(data)
         if newer:
-            raise NewerEntry(newer) from None
+            raise NewerEntryError(newer) from None
         raise ValueError(f"no command: {error}") from None
 
 
-def _newer(data: bytes) -> str:
+def _newer_content(data: bytes) -> str:
     """What a newer build says in some bytes: a command of a kind that is not known, or with more to it than is known.
 
     Empty where even what is known of it does not hold: such bytes are nobody's command.
     """
     try:
-        found = _shapes.decode(data)
+        found = _outlines.decode(data)
         more = len(msgspec.msgpack.decode(data)) > len(Command.__struct_fields__)
     except (msgspec.DecodeError, RecursionError):
         return ""
     tag = found.body[0] if found.body else None
     if not isinstance(tag, str) or not _TAG.fullmatch(tag):
         return ""
-    kind, body, fence, what = _KINDS.get(tag), found.body, found.fence, ""
+    kind, body, fence, what = _COMMAND_TYPES.get(tag), found.body, found.fence, ""
     if kind is None:
-        body, what = _PLAIN, f"a command {tag}"
+        body, what = _PLACEHOLDER_BODY, f"a command {tag}"
     elif len(body) > 1 + len(kind.__struct_fields__):
         body, what = body[: 1 + len(kind.__struct_fields__)], f"more in {tag} than is known here"
     if fence is not None and len(fence) > len(Fence.__struct_fields__):
--- a/tealwing/replica/disk.py
+++ b/tealwing/replica/disk.py
@@ -19,12 +19,12 @@
         self._fault, self._left = "", 0
         self.failed = 0
 
-    def fail(self, fault: str, count: int) -> None:
+    def inject_fault(self, fault: str, count: int) -> None:
         """The next so many operations fail: `fsync`, `short` (a write that is cut) or `full`; `none` ends it."""
         with self._lock:
             self._fault, self._left = ("", 0) if fault == "none" else (fault, count)
 
-    def _due(self, *faults: str) -> str:
+    def _take_fault(self, *faults: str) -> str:
         with self._lock:
             if not self._left or self._fault not in faults:
                 return ""
@@ -34,7 +34,7 @@
 
     def write(self, file: BinaryIO, data: bytes) -> None:
         """Write all of it, or raise OSError with any part of it written."""
-        fault = self._due("short", "full")
+        fault = self._take_fault("short", "full")
         if fault == "short":
             file.write(data[: len(data) // 2])
             file.flush()
@@ -46,7 +46,7 @@
 
     def sync(self, file: BinaryIO) -> None:
         """Have what was written on the disk."""
-        if self._due("fsync"):
+        if self._take_fault("fsync"):
             raise OSError(5, "Input/output error (an fsync that failed by the laboratory)")
         os.fdatasync(file.fileno())
 
@@ -54,9 +54,9 @@
         """Give a file another name, whose former file goes; on the disk after `sync_folder`."""
         os.rename(source, target)
 
-    def sync_folder(self, folder: Path) -> None:
+    def sync_directory(self, directory: Path) -> None:
         """Have the names in a folder on the disk."""
-        number = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+        number = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(number)
         finally:
--- a/tealwing/replica/durability.py
+++ b/tealwing/replica/durability.py
@@ -13,10 +13,10 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from tealwing.replica.storage import Found
+    from tealwing.replica.storage import StoredState
 
-FIRST_PAUSE = 0.05  # s before a folder is tried again for the first time
-LONGEST_PAUSE = 5.0  # s between two tries at most: a fault of minutes costs a read of the folder so often
+MIN_PAUSE = 0.05  # s before a folder is tried again for the first time
+MAX_PAUSE = 5.0  # s between two tries at most: a fault of minutes costs a read of the folder so often
 JITTER = (0.5, 1.0)  # times the pause, at random: members that share a disk do not try together
 
 
@@ -29,30 +29,30 @@
     last_index: int = 0
     last_term: int = 0
 
-    def is_held_by(self, found: Found) -> bool:
+    def is_covered_by(self, found: StoredState) -> bool:
         """Whether a folder as it was read has all of it."""
-        return self._vote_is_held_by(found) and self._log_is_held_by(found)
+        return self._vote_is_covered_by(found) and self._log_is_covered_by(found)
 
-    def _vote_is_held_by(self, found: Found) -> bool:
+    def _vote_is_covered_by(self, found: StoredState) -> bool:
         if found.term != self.term:
             return found.term > self.term
         return self.vote in ("", found.vote)
 
-    def _log_is_held_by(self, found: Found) -> bool:
+    def _log_is_covered_by(self, found: StoredState) -> bool:
         if self.last_index <= found.snapshot.index:
             return True
         place = self.last_index - found.snapshot.index - 1
         return place < len(found.log) and found.log[place].term == self.last_term
 
 
-class Backoff:
+class ReopenBackoff:
     """The pauses between tries: doubled up to a bound, and jittered."""
 
     def __init__(self, source: random.Random) -> None:
-        self._random, self._pause = source, FIRST_PAUSE
+        self._random, self._pause = source, MIN_PAUSE
 
     def next_pause(self) -> float:
         """Seconds until the next try."""
         pause = self._pause * self._random.uniform(*JITTER)
-        self._pause = min(LONGEST_PAUSE, 2 * self._pause)
+        self._pause = min(MAX_PAUSE, 2 * self._pause)
         return pause
--- a/tealwing/replica/feed.py
+++ b/tealwing/replica/feed.py
@@ -16,48 +16,48 @@
 from tealwing import log, threads
 from tealwing.coordinator.backoff import Backoff
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica, Unavailable, Unknown
+from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
 from tealwing.replica.state import State
 
-MOST = 512  # words that wait: twice the engines of the largest fleet that was tried, and more
-WAIT = 2.0  # s for one command
-RETRY = (0.2, 5.0)  # s between two tries where nobody leads, jittered, lest all gateways try at once
-COLD = "cold"
+MAX_QUEUED = 512  # words that wait: twice the engines of the largest fleet that was tried, and more
+WRITE_TIMEOUT = 2.0  # s for one command
+RETRY_BACKOFF = (0.2, 5.0)  # s between two tries where nobody leads, jittered, lest all gateways try at once
+SLOW_START = "cold"
 
 
-def words(
-    entries: Iterable[api.EngineListEntry], state: State, now_ms: int, grace_ms: int, cold_ms: int
+def missing_commands(
+    entries: Iterable[api.EngineListEntry], state: State, now_ms: int, grace_ms: int, slow_start_ms: int
 ) -> list[c.Body]:
     """What of the engine list the state does not have yet."""
     found: list[c.Body] = []
     drains, notes = state.tables["drains"], state.tables["notes"]
     for entry in entries:
         started = round(entry.started * 1e3)
-        drain, cold = f"{entry.engine}/{started}", f"{entry.engine}/{started}/{COLD}"
-        if entry.health is api.Health.DRAINING and drain not in drains:
+        drain_key, slow_start_key = f"{entry.engine}/{started}", f"{entry.engine}/{started}/{SLOW_START}"
+        if entry.health is api.Health.DRAINING and drain_key not in drains:
             found.append(c.Drain(entry.engine, started, now_ms, now_ms + grace_ms))
         elif entry.health is api.Health.READY:
-            if drain in drains:
-                found.append(c.Drain(entry.engine, started, over=True))
-            if started and now_ms - started < cold_ms and cold not in notes:
-                found.append(c.Note(entry.engine, started, COLD, started))
+            if drain_key in drains:
+                found.append(c.Drain(entry.engine, started, removed=True))
+            if started and now_ms - started < slow_start_ms and slow_start_key not in notes:
+                found.append(c.Note(entry.engine, started, SLOW_START, started))
         elif entry.health is api.Health.GONE:  # its drain is swept in time: news of it may still be late somewhere
-            of_it = f"{entry.engine}/"
+            prefix = f"{entry.engine}/"
             for key, note in notes.items():
-                if key.startswith(of_it):
-                    found.append(c.Note(entry.engine, note.started, note.what, over=True))
+                if key.startswith(prefix):
+                    found.append(c.Note(entry.engine, note.started, note.kind, removed=True))
     return found
 
 
-class Feed:
+class StateFeed:
     """Sends words to the shared state."""
 
     def __init__(self, replica: Replica, gateway: str) -> None:
         self._replica, self._gateway = replica, gateway
         self._changed = threading.Condition(threading.Lock())
-        self._waiting: deque[c.Body] = deque()
+        self._queued: deque[c.Body] = deque()
         self._stopped = threading.Event()
-        self._backoff = Backoff(*RETRY)
+        self._backoff = Backoff(*RETRY_BACKOFF)
         self.dropped = 0
 
     def start(self) -> None:
@@ -70,20 +70,20 @@
         with self._changed:
             self._changed.notify_all()
 
-    def engines(self, entries: tuple[api.EngineListEntry, ...], rules: api.Rules) -> None:
+    def engine_list_changed(self, entries: tuple[api.EngineListEntry, ...], rules: api.Rules) -> None:
         """News of the engine list."""
         with self._replica.lock:
             now = int(time.time() * 1e3)
-            grace, cold = round(rules.drain_grace * 1e3), round(rules.slow_start_time * 1e3)
-            found = words(entries, self._replica.state, now, grace, cold)
+            grace, slow_start = round(rules.drain_grace * 1e3), round(rules.slow_start_time * 1e3)
+            found = missing_commands(entries, self._replica.state, now, grace, slow_start)
         self._put(found)
 
-    def level(self, before: str, now: str, why: str, full: str) -> None:
+    def service_level_changed(self, before: str, now: str, why: str, full: str) -> None:
         """This gateway's service level has changed; full is the name of none."""
         at = int(time.time() * 1e3)
         found: list[c.Body] = []
         if before != full:
-            found.append(c.Level(f"{self._gateway}:{before}", over=True))
+            found.append(c.Level(f"{self._gateway}:{before}", removed=True))
         if now != full:
             found.append(c.Level(f"{self._gateway}:{now}", why[:1000], at))
         self._put(found)
@@ -92,25 +92,25 @@
         if not found:
             return
         with self._changed:
-            self._waiting.extend(found)
-            while len(self._waiting) > MOST:
-                self._waiting.popleft()
+            self._queued.extend(found)
+            while len(self._queued) > MAX_QUEUED:
+                self._queued.popleft()
                 self.dropped += 1
             self._changed.notify()
 
     def _run(self) -> None:
         while not self._stopped.is_set():
             with self._changed:
-                while not self._waiting and not self._stopped.is_set():
+                while not self._queued and not self._stopped.is_set():
                     self._changed.wait()
                 if self._stopped.is_set():
                     return
-                body = self._waiting.popleft()
+                body = self._queued.popleft()
             try:
-                result = self._replica.write(c.Command("", 0, body), WAIT)
-            except (Unknown, Unavailable):  # words may be said twice: the first stays
+                result = self._replica.write(c.Command("", 0, body), WRITE_TIMEOUT)
+            except (OutcomeUnknownError, UnavailableError):  # words may be said twice: the first stays
                 with self._changed:
-                    self._waiting.appendleft(body)
+                    self._queued.appendleft(body)
                 self._stopped.wait(self._backoff.next())
                 continue
             self._backoff.reset()
--- a/tealwing/replica/gathering.py
+++ b/tealwing/replica/gathering.py
@@ -9,33 +9,33 @@
 from tealwing.replica import commands as c
 from tealwing.rules.records import Closed, Verdict, Words
 
-MOST = 256  # words in one entry
-MOST_BYTES = 48 * 1024  # of commands in one entry: several fit into one message
+MAX_BATCH_REPORTS = 256  # words in one entry
+MAX_BATCH_BYTES = 48 * 1024  # of commands in one entry: several fit into one message
 
 
-def gathered(commands: list[bytes]) -> list[bytes]:
+def batched(commands: list[bytes]) -> list[bytes]:
     """The same in as few entries as may be, for commands of which nobody waits for what comes of them.
 
     A word may go before a command that came before it, as on the network: nothing rests on their order.
     """
     found: list[bytes] = []
-    words: list[Verdict | Closed] = []
+    reports: list[Verdict | Closed] = []
     size = 0
     for data in commands:
-        word = _word(data) if len(commands) > 1 else None
-        if word is None:
+        report = _report_of(data) if len(commands) > 1 else None
+        if report is None:
             found.append(data)
             continue
-        if len(words) >= MOST or size + len(data) > MOST_BYTES:
-            found.append(_entry(words))
-            words, size = [], 0
-        if word not in words[-8:]:
-            words.append(word)
+        if len(reports) >= MAX_BATCH_REPORTS or size + len(data) > MAX_BATCH_BYTES:
+            found.append(_encoded_batch(reports))
+            reports, size = [], 0
+        if report not in reports[-8:]:
+            reports.append(report)
             size += len(data)
-    return [*found, _entry(words)] if words else found
+    return [*found, _encoded_batch(reports)] if reports else found
 
 
-def _word(data: bytes) -> Verdict | Closed | None:
+def _report_of(data: bytes) -> Verdict | Closed | None:
     """The word that a command is; None: it is another, or says more than that."""
     try:
         command = c.decode(data)
@@ -45,5 +45,5 @@
     return command.body if plain and isinstance(command.body, Verdict | Closed) else None
 
 
-def _entry(words: list[Verdict | Closed]) -> bytes:
-    return c.encode(c.Command("", 0, Words(tuple(words)) if len(words) > 1 else words[0]))
+def _encoded_batch(reports: list[Verdict | Closed]) -> bytes:
+    return c.encode(c.Command("", 0, Words(tuple(reports)) if len(reports) > 1 else reports[0]))
--- a/tealwing/replica/member.py
+++ b/tealwing/replica/member.py
@@ -16,43 +16,47 @@
 from tealwing.replica.disk import Disk
 from tealwing.replica.group import SITE, Group
 from tealwing.replica.listeners import Listeners
-from tealwing.replica.messages import Kind, Message, Snap, SnapReply
-from tealwing.replica.plan import Plan
+from tealwing.replica.messages import InstallSnapshot, InstallSnapshotReply, Kind, Message
+from tealwing.replica.plan import ReplicaPlan
 from tealwing.replica.raft import Ready
-from tealwing.replica.reading import Reading
-from tealwing.replica.recovery import Return, beliefs
-from tealwing.replica.snapshots import Snapshots
+from tealwing.replica.reading import ReadBatcher
+from tealwing.replica.recovery import Recovery, assess_trust
+from tealwing.replica.snapshots import SnapshotManager
 from tealwing.replica.state import State
 from tealwing.replica.storage import Storage
-from tealwing.replica.waiting import Waiting
+from tealwing.replica.waiting import PendingProposals
 
-COMMIT_EVERY = 0.25  # s between two words to the disk of how far the log is committed, where nothing else is written
+COMMIT_SAVE_INTERVAL = (
+    0.25  # s between two words to the disk of how far the log is committed, where nothing else is written
+)
 
 
 class Member(Listeners):
     """The core, its disk and its state. Its thread's own, but for what is read under the lock."""
 
-    def __init__(self, plan: Plan, link: Link, clock: Clock, disk: Disk | None = None, group: Group = SITE) -> None:
+    def __init__(
+        self, plan: ReplicaPlan, link: Link, clock: Clock, disk: Disk | None = None, group: Group = SITE
+    ) -> None:
         """Read the disk. storage.StorageError where it can't be trusted."""
         super().__init__()
         self.plan, self._link, self.clock, self.group = plan, link, clock, group
         self.disk = disk or Disk()
-        self.storage = Storage(Path(plan.folder), self.disk)
-        self.back = Return(time.monotonic())
+        self.storage = Storage(Path(plan.directory), self.disk)
+        self.recovery = Recovery(time.monotonic())
         self.lock = threading.Lock()  # round the state, and what status reads
-        self.found = self.storage.open()
-        self.state = opening.read_state(self.storage, self.found)  # the thread's own; others read under the lock
-        self.start_number = random.SystemRandom().randrange(1, 2**53)
-        self.core = opening.make_core(plan, link.plan, group, self.found, clock.now(), self.start_number)
+        self.stored = self.storage.open()
+        self.state = opening.read_state(self.storage, self.stored)  # the thread's own; others read under the lock
+        self.incarnation = random.SystemRandom().randrange(1, 2**53)
+        self.core = opening.make_core(plan, link.plan, group, self.stored, clock.now(), self.incarnation)
         self._queue: SimpleQueue[tuple[Any, ...]] = SimpleQueue()
-        self.snapshots = Snapshots(plan, self.storage, self.core, self._queue, self._replace, group)
+        self.snapshots = SnapshotManager(plan, self.storage, self.core, self._queue, self._replace_state, group)
         opening.catch_up(self.core, self.state)
-        self.beliefs = beliefs(self.state, self.core.last_index, int(time.time() * 1e3))
-        self.back.disk_read(time.monotonic())
-        self._waiting, self._reading = Waiting(), Reading(self.core)
+        self.trust_report = assess_trust(self.state, self.core.last_index, int(time.time() * 1e3))
+        self.recovery.disk_read(time.monotonic())
+        self._pending, self._reads = PendingProposals(), ReadBatcher(self.core)
         self.broken = ""
-        self.terms: dict[int, str] = {}  # leader by term, as far as seen here
-        self._committed_at = 0.0  # monotonic, when the disk last heard how far all is committed
+        self.leaders_by_term: dict[int, str] = {}  # leader by term, as far as seen here
+        self._commit_saved_at = 0.0  # monotonic, when the disk last heard how far all is committed
         self.slowest_save = 0.0  # s that the disk took for one write and its sync, at most
 
     def _reopen(self) -> None:
@@ -60,50 +64,50 @@
 
         The state stays: all that it applied was committed, and the log says it again from where the disk knows of it.
         """
-        self.found = self.storage.reopen(may_forget=self.plan.stale > 0)
-        start = random.SystemRandom().randrange(1, 2**53)
-        core = opening.make_core(self.plan, self._link.plan, self.group, self.found, self.clock.now(), start)
-        if not self.found.forgot:  # unlike a process that starts, this one knows what it has acknowledged
-            core.unsure = self.core.unsure
+        self.stored = self.storage.reopen(allow_loss=self.plan.max_stale_disks > 0)
+        incarnation = random.SystemRandom().randrange(1, 2**53)
+        core = opening.make_core(self.plan, self._link.plan, self.group, self.stored, self.clock.now(), incarnation)
+        if not self.stored.lost_acknowledged:  # unlike a process that starts, this one knows what it has acknowledged
+            core.unconfirmed = self.core.unconfirmed
         self.core = core
         self.snapshots.restart(self.core)
-        self._reading = Reading(self.core)
+        self._reads = ReadBatcher(self.core)
         self.broken = ""
 
-    def _do(self, ready: Ready) -> None:
+    def _process_ready(self, ready: Ready) -> None:
         """What the core wants, in its order: the disk, then words that rest on it, then the state."""
         begun = time.monotonic()
         try:
             commit = min(self.core.commit, self.core.stable)
-            due = ready.hard is not None or ready.entries or begun - self._committed_at >= COMMIT_EVERY
+            due = ready.hard_state is not None or ready.entries or begun - self._commit_saved_at >= COMMIT_SAVE_INTERVAL
             if due:
-                self.storage.save(ready.hard, ready.entries, commit)
-                self._committed_at = begun
-            if ready.chunk is not None and not self.snapshots.take(ready.chunk):
-                ready.messages = [m for m in ready.messages if not isinstance(m[1], SnapReply)]
+                self.storage.save(ready.hard_state, ready.entries, commit)
+                self._commit_saved_at = begun
+            if ready.chunk is not None and not self.snapshots.receive_chunk(ready.chunk):
+                ready.messages = [m for m in ready.messages if not isinstance(m[1], InstallSnapshotReply)]
         except OSError as error:
             self.broken = str(error)
             return
         took = time.monotonic() - begun
         self.slowest_save = max(self.slowest_save, took)
-        if took >= self.plan.election / 2:  # while it lasts we answer nobody: a leader may be missed for it
-            log.event("replica_disk_slow", took=round(took, 3), entries=len(ready.entries), **self.group.mark)
+        if took >= self.plan.election_timeout / 2:  # while it lasts we answer nobody: a leader may be missed for it
+            log.event("replica_disk_slow", took=round(took, 3), entries=len(ready.entries), **self.group.log_fields)
         if ready.entries:
-            self.core.saved(self.clock.now(), ready.entries[-1].index, ready.entries[-1].term)
+            self.core.entries_saved(self.clock.now(), ready.entries[-1].index, ready.entries[-1].term)
         for name, message in ready.messages:
             self._send(name, message)
         for entry in ready.committed:
             self._apply(entry)
         if ready.committed:
-            self._waiting.reached(self.state.applied)
+            self._pending.index_reached(self.state.applied)
         for number in ready.failed_reads:
-            self._reading.failed(number)
+            self._reads.failed(number)
         for number, index in ready.reads:
-            self._reading.done(number, index)
+            self._reads.confirmed(number, index)
 
     def _send(self, name: str, message: Message) -> None:
-        if isinstance(message, Snap):  # the core says which piece
-            filled = self.snapshots.fill(message)
+        if isinstance(message, InstallSnapshot):  # the core says which piece
+            filled = self.snapshots.fill_chunk(message)
             if filled is None:
                 return  # it is no more: the newer one goes out with the next beat
             message = filled
@@ -119,32 +123,32 @@
                 result = self.state.apply(entry.index, entry.data)
             else:
                 self.state.applied = entry.index
-        if self._watchers and entry.kind is Kind.DATA:
+        if self._on_applied and entry.kind is Kind.DATA:
             try:
                 command = commands.decode(entry.data)
             except ValueError:
                 command = None
-        for watch in self._watchers:
+        for watch in self._on_applied:
             watch(entry.index, command, result)
-        self._waiting.applied(entry, result)
+        self._pending.entry_applied(entry, result)
 
-    def _replace(self, fresh: State) -> None:
+    def _replace_state(self, fresh: State) -> None:
         """Another's snapshot takes the place of the state, unless the state is ahead of it."""
         if fresh.applied < self.state.applied:
             return
         with self.lock:
-            fresh.refused_stale = self.state.refused_stale
+            fresh.rejected_stale = self.state.rejected_stale
             self.state = fresh
-        for told in self._installed:
-            told()
-        self._waiting.reached(fresh.applied)
+        for notify in self._on_state_replaced:
+            notify()
+        self._pending.index_reached(fresh.applied)
 
-    def _keep_commit(self) -> None:
+    def _save_commit(self) -> None:
         """Tell the disk how far the log is committed, now and then: a start then knows its state without a leader."""
         commit, now = min(self.core.commit, self.core.stable), time.monotonic()
-        if self.storage.commit >= commit or now - self._committed_at < COMMIT_EVERY:
+        if self.storage.commit >= commit or now - self._commit_saved_at < COMMIT_SAVE_INTERVAL:
             return
-        self._committed_at = now
+        self._commit_saved_at = now
         try:
             self.storage.save(None, (), commit)
         except OSError as error:
--- a/tealwing/replica/messages.py
+++ b/tealwing/replica/messages.py
@@ -11,7 +11,7 @@
 from tealwing.record import UnsignedInt63 as UnsignedInt63
 
 CHANNEL = 2  # of the peer link
-CHUNK = 256 * 1024  # bytes of a snapshot in one message
+SNAPSHOT_CHUNK_BYTES = 256 * 1024  # bytes of a snapshot in one message
 
 
 class Kind(IntEnum):
@@ -31,28 +31,28 @@
     data: bytes
 
 
-class VoteAsk(Record, tag=1, frozen=True):
+class RequestVote(Record, tag=1, frozen=True):
     """Vote for me in this term; `pre`: would you, without a word that binds either of us."""
 
     term: UnsignedInt63
     last_index: UnsignedInt63
     last_term: UnsignedInt63
-    pre: bool
-    handed: bool = False  # the leader asked for it: it does not matter that it was heard just now
+    pre_vote: bool
+    leadership_transfer: bool = False  # the leader asked for it: it does not matter that it was heard just now
 
 
-class VoteReply(Record, tag=2, frozen=True):
+class RequestVoteReply(Record, tag=2, frozen=True):
     """The answer; `asked` is the term that was asked for."""
 
     term: UnsignedInt63
-    asked: UnsignedInt63
-    pre: bool
+    requested_term: UnsignedInt63
+    pre_vote: bool
     granted: bool
-    start: UnsignedInt63  # of the sender: see Raft
-    unsure: bool
+    incarnation: UnsignedInt63  # of the sender: see Raft
+    unconfirmed: bool
 
 
-class Append(Record, tag=3, frozen=True):
+class AppendEntries(Record, tag=3, frozen=True):
     """The leader's word: it leads, what comes after `prev`, and how far all is committed."""
 
     term: UnsignedInt63
@@ -63,7 +63,7 @@
     round: UnsignedInt63
 
 
-class AppendReply(Record, tag=4, frozen=True):
+class AppendEntriesReply(Record, tag=4, frozen=True):
     """Whether what was sent fits; up to where the logs agree, or where to look for that."""
 
     term: UnsignedInt63
@@ -72,11 +72,11 @@
     hint_index: UnsignedInt63  # else: the logs can't agree beyond this
     hint_term: UnsignedInt63  # of the entry there, 0 if there is none
     round: UnsignedInt63
-    start: UnsignedInt63
-    unsure: bool
+    incarnation: UnsignedInt63
+    unconfirmed: bool
 
 
-class Snap(Record, tag=5, frozen=True):
+class InstallSnapshot(Record, tag=5, frozen=True):
     """A piece of a snapshot of the state up to an index."""
 
     term: UnsignedInt63
@@ -84,11 +84,11 @@
     index_term: UnsignedInt63
     offset: UnsignedInt63
     total: UnsignedInt63
-    data: Annotated[bytes, msgspec.Meta(max_length=CHUNK)]
+    data: Annotated[bytes, msgspec.Meta(max_length=SNAPSHOT_CHUNK_BYTES)]
     round: UnsignedInt63
 
 
-class SnapReply(Record, tag=6, frozen=True):
+class InstallSnapshotReply(Record, tag=6, frozen=True):
     """How much of that snapshot is on disk; `done`: it is the state now."""
 
     term: UnsignedInt63
@@ -96,48 +96,59 @@
     offset: UnsignedInt63
     done: bool
     round: UnsignedInt63
-    start: UnsignedInt63
-    unsure: bool
+    incarnation: UnsignedInt63
+    unconfirmed: bool
 
 
-class Sure(Record, tag=7, frozen=True):
+class ConfirmIncarnation(Record, tag=7, frozen=True):
     """The leader's word that the member of that start has caught up with all that it may have forgotten."""
 
     term: UnsignedInt63
-    start: UnsignedInt63
+    incarnation: UnsignedInt63
 
 
-class Hand(Record, tag=8, frozen=True):
+class TimeoutNow(Record, tag=8, frozen=True):
     """The leader goes: stand for election at once."""
 
     term: UnsignedInt63
 
 
-class Hold(Record, tag=9, frozen=True):
+class ConfirmVote(Record, tag=9, frozen=True):
     """A candidate that has its votes, where disks may come back older: are you still who gave me yours?"""
 
     term: UnsignedInt63
 
 
-class Held(Record, tag=10, frozen=True):
+class VoteConfirmation(Record, tag=10, frozen=True):
     """The answer: the term that the sender is in, and its start."""
 
     term: UnsignedInt63
-    start: UnsignedInt63
+    incarnation: UnsignedInt63
 
 
-class Names(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MemberNames(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Voters and learners in the data of an entry, where there are learners."""
 
     voters: list[str]
     learners: list[str]
 
 
-Message = VoteAsk | VoteReply | Append | AppendReply | Snap | SnapReply | Sure | Hand | Hold | Held
+Message = (
+    RequestVote
+    | RequestVoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshot
+    | InstallSnapshotReply
+    | ConfirmIncarnation
+    | TimeoutNow
+    | ConfirmVote
+    | VoteConfirmation
+)
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
-_members: msgspec.msgpack.Decoder[list[str] | Names] = msgspec.msgpack.Decoder(list[str] | Names)
+_members: msgspec.msgpack.Decoder[list[str] | MemberNames] = msgspec.msgpack.Decoder(list[str] | MemberNames)
 
 
 def encode(message: Message) -> bytes:
@@ -155,16 +166,16 @@
 
 def members_data(voters: tuple[str, ...], learners: tuple[str, ...] = ()) -> bytes:
     """The data of an entry that says who the members are: without learners a plain list of names, as it always was."""
-    return _encode(Names(list(voters), list(learners)) if learners else list(voters))
+    return _encode(MemberNames(list(voters), list(learners)) if learners else list(voters))
 
 
-def members_of(entry: Entry) -> tuple[str, ...]:
+def voters_of(entry: Entry) -> tuple[str, ...]:
     """The voters that an entry says."""
     names = _members.decode(entry.data)
-    return tuple(names.voters if isinstance(names, Names) else names)
+    return tuple(names.voters if isinstance(names, MemberNames) else names)
 
 
 def learners_of(entry: Entry) -> tuple[str, ...]:
     """The learners that an entry says."""
     names = _members.decode(entry.data)
-    return tuple(names.learners) if isinstance(names, Names) else ()
+    return tuple(names.learners) if isinstance(names, MemberNames) else ()
--- a/tealwing/replica/node.py
+++ b/tealwing/replica/node.py
@@ -19,107 +19,122 @@
 from tealwing.peers.clock import Clock
 from tealwing.peers.link import Link
 from tealwing.replica import commands, gathering, messages, outcomes, roles, views
-from tealwing.replica.asking import Asking
+from tealwing.replica.asking import LeaderClient
 from tealwing.replica.commands import Command, CommandResult
 from tealwing.replica.disk import Disk
-from tealwing.replica.durability import Backoff
+from tealwing.replica.durability import ReopenBackoff
 from tealwing.replica.group import SITE, Group
 from tealwing.replica.member import Member
-from tealwing.replica.outcomes import Answering, Ask, Told, Unavailable, Unknown
-from tealwing.replica.plan import Plan
-from tealwing.replica.raft import Busy, NotLeader, Role
-from tealwing.replica.recovery import Seen
+from tealwing.replica.outcomes import (
+    CallbackPending,
+    ForwardReply,
+    ForwardRequest,
+    OutcomeUnknownError,
+    UnavailableError,
+)
+from tealwing.replica.plan import ReplicaPlan
+from tealwing.replica.raft import BusyError, NotLeaderError, Role
+from tealwing.replica.recovery import FleetView
 from tealwing.replica.storage import StorageError
 
-__all__ = ["Replica", "Unavailable", "Unknown"]
+__all__ = ["OutcomeUnknownError", "Replica", "UnavailableError"]
 
-LONGEST_TICK = 0.05  # s between two looks at the clock, whatever the deadlines: it may have been stepped
-MOST_AT_ONCE = 256  # items of the queue before the disk is written
-HAND_OVER, HAND_OVER_LOOK = 0.5, 0.01  # s that a leader's end may wait for another to lead, and between two looks
+MAX_TICK = 0.05  # s between two looks at the clock, whatever the deadlines: it may have been stepped
+MAX_QUEUE_BATCH = 256  # items of the queue before the disk is written
+LEADERSHIP_TRANSFER_TIMEOUT, LEADERSHIP_TRANSFER_POLL = (
+    0.5,
+    0.01,
+)  # s that a leader's end may wait for another to lead, and between two looks
 
 
 class Replica(Member):
     """One member of a replicated log, on its thread."""
 
-    def __init__(self, plan: Plan, link: Link, clock: Clock, disk: Disk | None = None, group: Group = SITE) -> None:
+    def __init__(
+        self, plan: ReplicaPlan, link: Link, clock: Clock, disk: Disk | None = None, group: Group = SITE
+    ) -> None:
         """Read the disk. storage.StorageError where it can't be trusted."""
         super().__init__(plan, link, clock, disk, group)
         self._stopped = threading.Event()
         self._leading = self._proposed = False  # whether we lead; whether proposals of this turn are still to be sent
-        self._passed: list[bytes] = []  # commands of this turn of which nobody waits for what comes of them
-        self._reached: set[str] = set()  # whom the link speaks to for us
-        self._asking = Asking(
-            link.plan.name, self._queue, lambda name, body: self._link.send(name, group.forward, body),
+        self._forwarded: list[bytes] = []  # commands of this turn of which nobody waits for what comes of them
+        self._connected: set[str] = set()  # whom the link speaks to for us
+        self._leader_client = LeaderClient(
+            link.plan.name, self._queue, lambda name, body: self._link.send(name, group.forward_channel, body),
             lambda: self.core.leader, lambda: self.broken,
         )  # fmt: skip
-        link.on(group.channel, self._hear)
-        link.on(group.forward, self._hear_forwarded)
-        self._reach()
+        link.on(group.channel, self._on_message)
+        link.on(group.forward_channel, self._on_forwarded)
+        self._connect_members()
 
     # Start and end
 
     def start(self) -> None:
         """Take part from now on."""
-        threads.start(self._run, self.group.thread("replica"))
-        views.tell_start(self)
+        threads.start(self._run, self.group.thread_name("replica"))
+        views.log_start(self)
 
     def stop(self) -> None:
         """Take part no more; what waits for an outcome has none. A leader hands over first, as far as that is quick."""
         if self.core.role is Role.LEADER and not self.broken:
             self._queue.put(("leave",))
-            end = time.monotonic() + HAND_OVER
+            end = time.monotonic() + LEADERSHIP_TRANSFER_TIMEOUT
             while self.core.role is Role.LEADER and not self.broken and time.monotonic() < end:
-                time.sleep(HAND_OVER_LOOK)
+                time.sleep(LEADERSHIP_TRANSFER_POLL)
         self._stopped.set()
-        self._asking.stop()
+        self._leader_client.stop()
         self._queue.put(("wake",))
 
     # For other threads
 
-    def write(self, command: Command, wait: float) -> CommandResult:
+    def write(self, command: Command, timeout: float) -> CommandResult:
         """Have a command applied, wherever the leader is. Unknown or Unavailable where that is not seen in time.
 
         One with a sequence is tried again until the time is over: the state applies it once.
         """
         data = commands.encode(command)
-        told = self._asking.at_leader(Ask(0, data), wait, again=bool(command.sequence))
-        return commands.decode_result(told.result)
+        reply = self._leader_client.call_leader(ForwardRequest(0, data), timeout, idempotent=bool(command.sequence))
+        return commands.decode_result(reply.result)
 
-    def change_members(self, voters: list[str], wait: float, learners: list[str] | None = None) -> int:
+    def change_members(self, voters: list[str], timeout: float, learners: list[str] | None = None) -> int:
         """Other members, learners None: as they are; the index of the entry that says so. Unknown or Unavailable."""
-        return self._asking.at_leader(Ask(0, b"", voters, learners), wait, again=False).index
+        return self._leader_client.call_leader(
+            ForwardRequest(0, b"", voters, learners), timeout, idempotent=False
+        ).index
 
-    def read_index(self, wait: float) -> int:
+    def read_index(self, timeout: float) -> int:
         """Wait until the state here has all that was committed when this was called. Unavailable where it can't."""
-        return self._asking.read_index(wait)
+        return self._leader_client.read_index(timeout)
 
-    def propose_here(self, data: bytes) -> None:
+    def propose_if_leader(self, data: bytes) -> None:
         """Propose a command if this member leads; nobody hears what comes of it."""
-        self._queue.put(("ask", Ask(0, data), lambda told: None))
+        self._queue.put(("ask", ForwardRequest(0, data), lambda told: None))
 
-    def change_here(self, voters: list[str], learners: list[str], told: Callable[[Told], None]) -> None:
+    def change_members_if_leader(
+        self, voters: list[str], learners: list[str], reply: Callable[[ForwardReply], None]
+    ) -> None:
         """Propose other members if this member leads; told hears what comes of it, on the member's thread."""
-        self._queue.put(("ask", Ask(0, b"", voters, learners), told))
+        self._queue.put(("ask", ForwardRequest(0, b"", voters, learners), reply))
 
-    def hurry(self) -> None:
+    def broadcast_commit(self) -> None:
         """If this member leads: say at once how far all is committed, not with the next beat."""
         self._queue.put(("hurry",))
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
         """Have whoever leads propose a command, if anybody does; nobody hears what comes of it."""
-        self._asking.pass_on(data)
+        self._leader_client.forward(data)
 
     def snapshot(self) -> None:
         """Write a snapshot soon, whatever has come since the last."""
-        self.snapshots.want()
+        self.snapshots.request()
 
     def status(self) -> dict[str, Any]:
         """What operators ask for."""
         return views.status(self)
 
-    def seen(self) -> Seen:
+    def observe(self) -> FleetView:
         """What this member sees of the fleet, for the order of return."""
-        return views.seen(self, self._link.live())
+        return views.observe(self, self._link.live())
 
     def plan_address(self, name: str) -> tuple[str, int] | None:
         """Where a gateway's link listens, by the section `peers`."""
@@ -133,28 +148,28 @@
 
     # The link's reader thread
 
-    def _hear(self, name: str, body: bytes) -> None:
+    def _on_message(self, name: str, body: bytes) -> None:
         if self.broken or self._stopped.is_set():  # out, or at the end: nobody takes from the queue
             return
         self._queue.put(("message", name, messages.decode(body)))
 
-    def _hear_forwarded(self, name: str, body: bytes) -> None:
-        word = outcomes.decode(body)
-        if isinstance(word, Told):
-            self._asking.hear(word)
+    def _on_forwarded(self, name: str, body: bytes) -> None:
+        forwarded = outcomes.decode(body)
+        if isinstance(forwarded, ForwardReply):
+            self._leader_client.handle_reply(forwarded)
         elif not self.broken and not self._stopped.is_set():
-            channel = self.group.forward
-            self._queue.put(("ask", word, lambda told: self._link.send(name, channel, outcomes.encode(told))))
+            channel = self.group.forward_channel
+            self._queue.put(("ask", forwarded, lambda told: self._link.send(name, channel, outcomes.encode(told))))
 
     # Our thread
 
     def _run(self) -> None:
         try:
             while not self._stopped.is_set():
-                self._turn()
+                self._run_once()
                 if self.broken:
                     self._return_from_disk_fault()
-        except commands.NewerEntry as error:
+        except commands.NewerEntryError as error:
             self.broken = str(error)
         except Exception:
             self.broken = f"a fault of ours: {traceback.format_exc(limit=-3)}"
@@ -163,37 +178,39 @@
             self._withdraw()
             self.storage.close()
             if self.broken:
-                log.event("replica_broken", why=self.broken, **self.group.mark)
+                log.event("replica_broken", why=self.broken, **self.group.log_fields)
 
     def _withdraw(self) -> None:
         """Take part in nothing: lead nobody, and have no one wait."""
-        self._waiting.fail_all()
-        self._reading.fail_all()
-        self._passed, self._proposed = [], False
+        self._pending.fail_all()
+        self._reads.fail_all()
+        self._forwarded, self._proposed = [], False
         if self._leading:
-            self._lead(False)
+            self._set_leading(False)
 
     def _return_from_disk_fault(self) -> None:
         """Stay out until the folder can be read and written again, then begin anew from it, as a start does."""
         begun, why = time.monotonic(), ""
-        backoff = Backoff(random.Random())
+        backoff = ReopenBackoff(random.Random())
         self._withdraw()
-        log.event("replica_out", why=self.broken, **self.group.mark)
+        log.event("replica_out", why=self.broken, **self.group.log_fields)
         while not self._stopped.wait(backoff.next_pause()):
             written = self._drop_queue()
-            self._look()
+            self._update_recovery()
             try:
                 self._reopen()
             except (OSError, StorageError) as error:
                 if str(error) != why:
                     why = str(error)
-                    log.event("replica_still_out", why=why, **self.group.mark)
+                    log.event("replica_still_out", why=why, **self.group.log_fields)
                 self.broken = f"{why}; it comes back by itself once its folder can be read and written"
-                self._queue_again(written)
+                self._requeue(written)
                 continue
-            self._queue_again(written)
+            self._requeue(written)
             took = round(time.monotonic() - begun, 3)
-            log.event("replica_back", after_s=took, term=self.core.term, last=self.core.last_index, **self.group.mark)
+            log.event(
+                "replica_back", after_s=took, term=self.core.term, last=self.core.last_index, **self.group.log_fields
+            )
             return
 
     def _drop_queue(self) -> list[tuple[Any, ...]]:
@@ -205,116 +222,118 @@
                 if item[0] == "written":
                     written.append(item)
                 elif item[0] == "ask":
-                    item[2](Told(item[1].number, "not-leader", b"", 0))
+                    item[2](ForwardReply(item[1].number, "not-leader", b"", 0))
                 elif item[0] == "at":
-                    self._waiting.at(item[1], item[2])
+                    self._pending.wait_for_index(item[1], item[2])
         return written
 
-    def _queue_again(self, items: list[tuple[Any, ...]]) -> None:
+    def _requeue(self, items: list[tuple[Any, ...]]) -> None:
         for item in items:
             self._queue.put(item)
 
-    def _turn(self) -> None:
-        due = min(self.core.next_deadline(), self._reading.due())
-        wait = min(LONGEST_TICK, max(0.0, due - self.clock.now()))
+    def _run_once(self) -> None:
+        due = min(self.core.next_deadline(), self._reads.next_round_at())
+        wait = min(MAX_TICK, max(0.0, due - self.clock.now()))
         try:
             item = self._queue.get(timeout=self.clock.real(wait)) if wait > 0 else self._queue.get_nowait()
-            for _ in range(MOST_AT_ONCE):
-                self._take(item)
+            for _ in range(MAX_QUEUE_BATCH):
+                self._handle_item(item)
                 item = self._queue.get_nowait()
         except Empty:
             pass
-        self._propose_passed()
+        self._propose_forwarded()
         self.core.tick(self.clock.now())
-        self._reading.begin(self.clock.now())
+        self._reads.begin(self.clock.now())
         while self.core.has_ready() and not self.broken:
-            self._do(self.core.ready())
-        leads = self.core.role is Role.LEADER and self.core.commit >= self.core.settled
+            self._process_ready(self.core.ready())
+        leads = self.core.role is Role.LEADER and self.core.commit >= self.core.term_start_index
         if leads != self._leading:
-            self._lead(leads)
+            self._set_leading(leads)
         if leads:
-            for ticked in self._ticked:
+            for ticked in self._on_leader_tick:
                 ticked(self.clock.now())
-        self._look()
-        self._reach()
+        self._update_recovery()
+        self._connect_members()
         views.note_leader(self)
         if not self.broken:
             self.snapshots.maybe_write(self.state)
-            self._keep_commit()
+            self._save_commit()
 
-    def _propose_passed(self) -> None:
+    def _propose_forwarded(self) -> None:
         """Propose what was passed on, and send all proposals of this turn together."""
         now = self.clock.now()
-        passed, self._passed = self._passed, []
+        forwarded, self._forwarded = self._forwarded, []
         try:
-            for data in gathering.gathered(passed):
-                self.core.propose(now, data, more=True)
+            for data in gathering.batched(forwarded):
+                self.core.propose(now, data, defer_send=True)
                 self._proposed = True
-        except (NotLeader, Busy):  # who said it says it again, until the state shows it
+        except (NotLeaderError, BusyError):  # who said it says it again, until the state shows it
             pass
         if self._proposed:
             self._proposed = False
-            self.core.send_new(now)
+            self.core.send_deferred(now)
 
-    def _look(self) -> None:
-        before = self.back.phase
-        seen = self.seen()
-        if self.back.look(time.monotonic(), seen) is not before:
-            log.event("recovery", phase=self.back.phase.value, why=self.back.reason(seen), **self.group.mark)
+    def _update_recovery(self) -> None:
+        before = self.recovery.phase
+        seen = self.observe()
+        if self.recovery.update(time.monotonic(), seen) is not before:
+            log.event(
+                "recovery", phase=self.recovery.phase.value, why=self.recovery.reason(seen), **self.group.log_fields
+            )
 
-    def _reach(self) -> None:
+    def _connect_members(self) -> None:
         """Have the link speak to those that the log needs: what the file says of them may be old."""
         core = self.core
-        names = {*core.members, *core.learners} if core.me in core.members else {*core.members, core.leader}
-        if names != self._reached:
-            self._reached = names
+        names = {*core.members, *core.learners} if core.local_id in core.members else {*core.members, core.leader}
+        if names != self._connected:
+            self._connected = names
             self._link.reach(self.group.name, names)
 
-    def _lead(self, leads: bool) -> None:
+    def _set_leading(self, leads: bool) -> None:
         self._leading = leads
-        for led in self._led:
+        for led in self._on_leadership:
             led(leads)
 
-    def _take(self, item: tuple[Any, ...]) -> None:
+    def _handle_item(self, item: tuple[Any, ...]) -> None:
         now = self.clock.now()
         match item[0]:
             case "message":
                 self.core.step(now, item[1], item[2])
             case "ask":
-                self._asked_here(now, item[1], item[2])
+                self._handle_request(now, item[1], item[2])
             case "at":
-                self._waiting.at(item[1], item[2])
-                self._waiting.reached(self.state.applied)
+                self._pending.wait_for_index(item[1], item[2])
+                self._pending.index_reached(self.state.applied)
             case "leave":
-                to = self.core.hand_over(now) or None
-                log.event("replica_handed_over", to=to, term=self.core.term, **self.group.mark)
+                to = self.core.transfer_leadership(now) or None
+                log.event("replica_handed_over", to=to, term=self.core.term, **self.group.log_fields)
             case "hurry":
-                self.core.hurry(now)
+                self.core.broadcast_commit(now)
             case "written":
-                self.snapshots.written(item[1])
+                self.snapshots.finish_write(item[1])
 
-    def _asked_here(self, now: float, ask: Ask, answer: Callable[[Told], None]) -> None:
+    def _handle_request(self, now: float, request: ForwardRequest, reply: Callable[[ForwardReply], None]) -> None:
         """Somebody wants something of the leader."""
-        if ask.command and not ask.number:
-            self._passed.append(ask.command)
+        if request.command and not request.number:
+            self._forwarded.append(request.command)
             return
-        if len(self._waiting) + len(self._reading) >= outcomes.MOST_PENDING:
-            answer(Told(ask.number, "busy", b"", 0))
+        if len(self._pending) + len(self._reads) >= outcomes.MAX_PENDING:
+            reply(ForwardReply(request.number, "busy", b"", 0))
             return
         try:
-            if ask.members is not None:
-                index, term = roles.change(self.core, now, ask.members, ask.learners)
-            elif ask.command:
-                index, term = self.core.propose(now, ask.command, more=True)
+            if request.voters is not None:
+                index, term = roles.change(self.core, now, request.voters, request.learners)
+            elif request.command:
+                index, term = self.core.propose(now, request.command, defer_send=True)
                 self._proposed = True
             else:
-                self._reading.ask(Answering(ask.number, answer))
+                self._reads.add(CallbackPending(request.number, reply))
                 return
-        except NotLeader:
-            answer(Told(ask.number, "not-leader", b"", 0))
-        except Busy:
-            answer(Told(ask.number, "busy", b"", 0))
+        except NotLeaderError:
+            reply(ForwardReply(request.number, "not-leader", b"", 0))
+        except BusyError:
+            reply(ForwardReply(request.number, "busy", b"", 0))
         except ValueError as error:
-            answer(Told(ask.number, "refused", str(error).encode(), 0))
+            reply(ForwardReply(request.number, "refused", str(error).encode(), 0))
         else:
-            self._waiting.propose(index, term, Answering(ask.number, answer))
+            self._pending.add(index, term, CallbackPending(request.number, reply))
--- a/tealwing/replica/outcomes.py
+++ b/tealwing/replica/outcomes.py
@@ -11,14 +11,14 @@
 from tealwing.replica import commands
 from tealwing.replica.commands import CommandResult
 
-MOST_PENDING = 1024  # proposals and reads that wait for their outcome
+MAX_PENDING = 1024  # proposals and reads that wait for their outcome
 
 
-class Unknown(RuntimeError):
+class OutcomeUnknownError(RuntimeError):
     """No outcome in time: it may have been applied, or may yet be; sent again under its number it is applied once."""
 
 
-class Unavailable(RuntimeError):
+class UnavailableError(RuntimeError):
     """It was surely not applied: no leader was reached, or this member is out of order."""
 
 
@@ -38,29 +38,31 @@
         self.done.set()
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=1):
+class ForwardRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
     """A follower asks the leader: to propose this command, or, without one, at which index a read sees all."""
 
     number: int
     command: bytes
-    members: list[str] | None = None  # voters
+    voters: list[str] | None = None  # voters
     learners: list[str] | None = None  # None: as they are
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class ForwardReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """The answer: how it went, and a result or an index."""
 
     number: int
-    word: str  # ok, not-leader, busy, lost, refused
+    status: str  # ok, not-leader, busy, lost, refused
     result: bytes
     index: int
 
 
 encode = msgspec.msgpack.Encoder().encode
-_decoder: msgspec.msgpack.Decoder[Ask | Told] = msgspec.msgpack.Decoder(Ask | Told)
+_decoder: msgspec.msgpack.Decoder[ForwardRequest | ForwardReply] = msgspec.msgpack.Decoder(
+    ForwardRequest | ForwardReply
+)
 
 
-def decode(body: bytes) -> Ask | Told:
+def decode(body: bytes) -> ForwardRequest | ForwardReply:
     """What was forwarded; ValueError for anything else."""
     try:
         return _decoder.decode(body)
@@ -68,18 +70,18 @@
         raise ValueError(str(error)) from None
 
 
-class Answering(Pending):
+class CallbackPending(Pending):
     """A pending outcome whose caller hears it through a function."""
 
-    __slots__ = ("answer", "number")
+    __slots__ = ("reply", "number")
 
-    def __init__(self, number: int, answer: Callable[[Told], None]) -> None:
+    def __init__(self, number: int, reply: Callable[[ForwardReply], None]) -> None:
         super().__init__()
-        self.number, self.answer = number, answer
+        self.number, self.reply = number, reply
 
     def set(self, outcome: tuple[CommandResult, int] | None) -> None:
         """It has come; None: its place in the log is another's."""
         if outcome is None:
-            self.answer(Told(self.number, "lost", b"", 0))
+            self.reply(ForwardReply(self.number, "lost", b"", 0))
         else:
-            self.answer(Told(self.number, "ok", commands.encode_result(outcome[0]), outcome[1]))
+            self.reply(ForwardReply(self.number, "ok", commands.encode_result(outcome[0]), outcome[1]))
--- a/tealwing/replica/plan.py
+++ b/tealwing/replica/plan.py
@@ -6,13 +6,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class ReplicaPlan:
     """One member's part of the replicated state; the members themselves are those of the section `peers`."""
 
-    folder: str
-    beat: float = 0.1
-    election: float = 0.6
-    stale: int = 0
+    directory: str
+    heartbeat_interval: float = 0.1
+    election_timeout: float = 0.6
+    max_stale_disks: int = 0
     snapshot_entries: int = 10_000
     leases: bool = False  # whether the fleet-wide tasks run here
     join: bool = False  # empty and waiting to be added, instead of one of the first members
--- a/tealwing/replica/promotion.py
+++ b/tealwing/replica/promotion.py
@@ -8,12 +8,12 @@
 from tealwing import log
 from tealwing.replica import roles
 from tealwing.replica.node import Replica
-from tealwing.replica.outcomes import Told
+from tealwing.replica.outcomes import ForwardReply
 
-LOOK = 0.5  # s between two looks: what is looked for is silence of seconds or minutes
+CHECK_INTERVAL = 0.5  # s between two looks: what is looked for is silence of seconds or minutes
 
 
-class Change(Protocol):
+class ProposedChange(Protocol):
     """The members after the next change, and why: roster.Change."""
 
     @property
@@ -25,7 +25,7 @@
         """Who only follows then."""
 
     @property
-    def why(self) -> str:
+    def reason(self) -> str:
         """For the log."""
 
 
@@ -33,48 +33,67 @@
     """The decision, pure: roster.next_change."""
 
     def __call__(
-        self, voters: Collection[str], learners: Collection[str], heard: Mapping[str, float], ready: Collection[str],
-        now: float, after: float, wanted: int,
-    ) -> Change | None:  # fmt: skip
+        self,
+        voters: Collection[str],
+        learners: Collection[str],
+        last_contact: Mapping[str, float],
+        ready: Collection[str],
+        now: float,
+        silence_limit: float,
+        desired_voters: int,
+    ) -> ProposedChange | None:
         """The one next change, or None."""
 
 
 class Promotion:
     """Asks the roster while this member leads, and proposes what it says. On the member's thread."""
 
-    def __init__(self, replica: Replica, next_change: NextChange, after: float, wanted: int) -> None:
+    def __init__(self, replica: Replica, next_change: NextChange, silence_limit: float, desired_voters: int) -> None:
         """after: s of silence that make a voter lost for good. wanted: voters that there should be."""
-        self._replica, self._next_change, self._after, self._wanted = replica, next_change, after, wanted
-        self._looked = float("-inf")
+        self._replica, self._next_change, self._silence_limit, self._desired_voters = (
+            replica,
+            next_change,
+            silence_limit,
+            desired_voters,
+        )
+        self._checked_at = float("-inf")
         self._under_way = False
-        self._said: Change | None = None  # logged already: what can't be done yet is asked for again and again
-        replica.on_tick(self.look)
+        self._logged: ProposedChange | None = (
+            None  # logged already: what can't be done yet is asked for again and again
+        )
+        replica.on_leader_tick(self.check)
 
-    def look(self, now: float) -> None:
+    def check(self, now: float) -> None:
         """Propose the next change, if there is one and none is under way."""
-        if self._under_way or self._looked <= now < self._looked + LOOK:
+        if self._under_way or self._checked_at <= now < self._checked_at + CHECK_INTERVAL:
             return
-        self._looked = now
+        self._checked_at = now
         core = self._replica.core
-        heard = {name: progress.heard for name, progress in core.progress.items()} | {core.me: now}
+        last_contact = {name: progress.last_contact for name, progress in core.progress.items()} | {core.local_id: now}
         change = self._next_change(
-            core.members, core.learners, heard, roles.ready(core, now), now, self._after, self._wanted
+            core.members,
+            core.learners,
+            last_contact,
+            roles.ready(core, now),
+            now,
+            self._silence_limit,
+            self._desired_voters,
         )
         if change is None:
-            self._said = None
+            self._logged = None
             return
-        if change != self._said:
-            self._said = change
+        if change != self._logged:
+            self._logged = change
             log.event(
-                "replica_replaces", voters=change.voters, learners=change.learners, why=change.why,
-                **self._replica.group.mark,
+                "replica_replaces", voters=change.voters, learners=change.learners, why=change.reason,
+                **self._replica.group.log_fields,
             )  # fmt: skip
         self._under_way = True
-        self._replica.change_here(list(change.voters), list(change.learners), self._told)
+        self._replica.change_members_if_leader(list(change.voters), list(change.learners), self._on_reply)
 
-    def _told(self, told: Told) -> None:
+    def _on_reply(self, reply: ForwardReply) -> None:
         self._under_way = False
-        if told.word == "ok":
-            self._said = None
-        if told.word != "busy":  # busy: it comes again by itself
-            log.event("replica_replaced", word=told.word, index=told.index, **self._replica.group.mark)
+        if reply.status == "ok":
+            self._logged = None
+        if reply.status != "busy":  # busy: it comes again by itself
+            log.event("replica_replaced", word=reply.status, index=reply.index, **self._replica.group.log_fields)
--- a/tealwing/replica/raft/__init__.py
+++ b/tealwing/replica/raft/__init__.py
@@ -23,6 +23,8 @@
 from __future__ import annotations
 
 from tealwing.replica.raft.core import Raft
-from tealwing.replica.raft.records import Busy, Meta, Mode, NotLeader, Options, Progress, Ready, Role
+from tealwing.replica.raft.records import BusyError, Mode, NotLeaderError, Options, Progress, Ready, Role, SnapshotMeta
 
-__all__ = ["Busy", "Meta", "Mode", "NotLeader", "Options", "Progress", "Raft", "Ready", "Role"]
+__all__ = [
+    "BusyError", "Mode", "NotLeaderError", "Options", "Progress", "Raft", "Ready", "Role", "SnapshotMeta",
+]  # fmt: skip
--- a/tealwing/replica/raft/commit.py
+++ b/tealwing/replica/raft/commit.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-from tealwing.replica.messages import Sure
-from tealwing.replica.raft.records import NotLeader, Progress, Role
-from tealwing.replica.raft.sending import Sending
+from tealwing.replica.messages import ConfirmIncarnation
+from tealwing.replica.raft.records import NotLeaderError, Progress, Role
+from tealwing.replica.raft.replication import Replication
 
 
-class Committing(Sending):
+class Commitment(Replication):
     """What a leader makes of what its followers have."""
 
     def read(self, now: float, number: int) -> None:
         """A read that must see all that was committed before it: read-index. NotLeader."""
         if self.role is not Role.LEADER:
-            raise NotLeader(self.leader)
-        if self.commit < self.settled:  # what is committed is not known before our first entry is
+            raise NotLeaderError(self.leader)
+        if self.commit < self.term_start_index:  # what is committed is not known before our first entry is
             self._reads.append((number, 0))
             return
         self._begin_round(now)
@@ -26,14 +26,14 @@
             return
         left = []
         for number, round_ in self._reads:
-            answered = [name for name, progress in self._voting() if progress.round >= round_]
-            if round_ and self.enough([self.me, *answered]):
+            answered = [name for name, progress in self._voting() if progress.acked_round >= round_]
+            if round_ and self.is_quorum([self.local_id, *answered]):
                 self._done_reads.append((number, self.commit))
             else:
                 left.append((number, round_))
         self._reads = left
 
-    def saved(self, now: float, index: int, term: int) -> None:
+    def entries_saved(self, now: float, index: int, term: int) -> None:
         """The log is on disk up to an index, whose entry then had that term."""
         if self.term_at(index) == term and index > self.stable:  # else it was cut meanwhile
             self.stable = index
@@ -46,43 +46,45 @@
         for mark in marks:
             if mark <= self.commit or not self._may_commit(mark):
                 continue
-            if self._is_held(mark):
+            if self._is_replicated(mark):
                 self.commit = mark
-                self._committed(now)
+                self._commit_advanced(now)
                 return
 
     def _may_commit(self, index: int) -> bool:
         return self.term_at(index) == self.term
 
-    def _is_held(self, index: int) -> bool:
+    def _is_replicated(self, index: int) -> bool:
         """Whether a quorum has an entry on disk."""
-        there = [name for name, progress in self._voting() if progress.match >= index]
-        return self.enough([self.me, *there] if self.stable >= index else there)
+        holders = [name for name, progress in self._voting() if progress.match >= index]
+        return self.is_quorum([self.local_id, *holders] if self.stable >= index else holders)
 
-    def _committed(self, now: float) -> None:
-        if self.commit >= self.settled:
+    def _commit_advanced(self, now: float) -> None:
+        if self.commit >= self.term_start_index:
             # a quorum of this start's votes made us leader, so nothing that we forgot can have been committed
-            self.unsure = False
-        if self.me not in self.members and self.commit >= self._members_index():
-            self._follow(now, self.term, "")  # our removal is committed: the others go on
+            self.unconfirmed = False
+        if self.local_id not in self.members and self.commit >= self._members_index():
+            self._become_follower(now, self.term, "")  # our removal is committed: the others go on
             return
         waiting = [number for number, round_ in self._reads if not round_]
-        if waiting and self.commit >= self.settled:
+        if waiting and self.commit >= self.term_start_index:
             self._reads = [read for read in self._reads if read[1]]
             for number in waiting:
                 self.read(now, number)
         for name, progress in self.progress.items():
-            self._settle(name, progress)
+            self._confirm_incarnation(name, progress)
         self._replicate(now)
 
-    def _settle(self, name: str, progress: Progress) -> None:
+    def _confirm_incarnation(self, name: str, progress: Progress) -> None:
         """Say `Sure` to a member that has caught up with all that it may have forgotten."""
-        if self.role is not Role.LEADER or not progress.unsure or self.commit < self.settled:
+        if self.role is not Role.LEADER or not progress.unconfirmed or self.commit < self.term_start_index:
             return
         if progress.match < self.commit:
             return
-        if self.granted.get(name) != progress.start:
-            since = [other for other, p in self._voting() if other != name and p.round > progress.known_round]
-            if not self.enough([self.me, *since]):
+        if self.voter_incarnations.get(name) != progress.incarnation:
+            since = [
+                other for other, p in self._voting() if other != name and p.acked_round > progress.incarnation_round
+            ]
+            if not self.is_quorum([self.local_id, *since]):
                 return
-        self._send(name, Sure(self.term, progress.start))
+        self._send(name, ConfirmIncarnation(self.term, progress.incarnation))
--- a/tealwing/replica/raft/election.py
+++ b/tealwing/replica/raft/election.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from tealwing.replica.messages import Hand, Held, Hold, Kind, VoteAsk, VoteReply
-from tealwing.replica.raft.leading import Leading
+from tealwing.replica.messages import ConfirmVote, Kind, RequestVote, RequestVoteReply, TimeoutNow, VoteConfirmation
+from tealwing.replica.raft.leader import Leader
 from tealwing.replica.raft.records import Role
 
 
-class Electing(Leading):
+class Election(Leader):
     """How a member comes to lead; a learner does not (see Changing).
 
     Where disks may come back older, votes are asked for and then held: once a candidate has a quorum of votes it asks
@@ -18,17 +18,17 @@
 
     def campaign(self, now: float) -> None:
         """Ask for votes: first whether they would be given, where pre-votes are on."""
-        self._reset_deadline(now)
-        if self.me not in self.members:
+        self._reset_election_deadline(now)
+        if self.local_id not in self.members:
             return
-        self.leader, self.held = "", set()
+        self.leader, self.vote_confirmations = "", set()
         if self.options.pre_vote:
-            self.role, self.votes = Role.PRECANDIDATE, {self.me: (True, self.start, self.unsure)}
-            self._ask_votes(now, self.term + 1, True)
+            self.role, self.votes = Role.PRECANDIDATE, {self.local_id: (True, self.incarnation, self.unconfirmed)}
+            self._request_votes(now, self.term + 1, True)
         else:
-            self._stand(now)
+            self._start_election(now)
 
-    def hand_over(self, now: float) -> str:
+    def transfer_leadership(self, now: float) -> str:
         """Have the follower that is furthest stand at once, as we are about to go; who that is, empty if nobody can.
 
         Nothing is given away by it: it is elected by votes like anyone, or not, and then an election time passes.
@@ -36,99 +36,109 @@
         if self.role is not Role.LEADER:
             return ""
         ready = [
-            (progress.match, name) for name, progress in self.progress.items()
-            if name in self.members and not progress.unsure and now - progress.heard < self.options.election
-        ]  # fmt: skip
+            (progress.match, name)
+            for name, progress in self.progress.items()
+            if name in self.members
+            and not progress.unconfirmed
+            and now - progress.last_contact < self.options.election_timeout
+        ]
         if not ready or max(ready)[0] < self.commit:
             return ""
         name = max(ready)[1]
-        self._send(name, Hand(self.term))
+        self._send(name, TimeoutNow(self.term))
         return name
 
-    def _stand(self, now: float, handed: bool = False) -> None:
-        self.term, self.vote, self._hard, self.leader = self.term + 1, self.me, True, ""
-        self.role, self.votes = Role.CANDIDATE, {self.me: (True, self.start, self.unsure)}
-        self.held = set()
-        self._reset_deadline(now)
-        self._ask_votes(now, self.term, False, handed)
+    def _start_election(self, now: float, leadership_transfer: bool = False) -> None:
+        self.term, self.vote, self._hard_state_changed, self.leader = self.term + 1, self.local_id, True, ""
+        self.role, self.votes = Role.CANDIDATE, {self.local_id: (True, self.incarnation, self.unconfirmed)}
+        self.vote_confirmations = set()
+        self._reset_election_deadline(now)
+        self._request_votes(now, self.term, False, leadership_transfer)
 
-    def _ask_votes(self, now: float, term: int, pre: bool, handed: bool = False) -> None:
+    def _request_votes(self, now: float, term: int, pre_vote: bool, leadership_transfer: bool = False) -> None:
         for name in self.members:
-            if name != self.me:
-                self._send(name, VoteAsk(term, self.last_index, self.last_term, pre, handed))
+            if name != self.local_id:
+                self._send(name, RequestVote(term, self.last_index, self.last_term, pre_vote, leadership_transfer))
         self._count_votes(now)  # alone, we have them all
 
     def _count_votes(self, now: float) -> None:
-        if not self.enough(name for name, (granted, _, _) in self.votes.items() if granted):
+        if not self.is_quorum(name for name, (granted, _, _) in self.votes.items() if granted):
             return
         if self.role is Role.PRECANDIDATE:
-            self._stand(now)
+            self._start_election(now)
         elif self.role is Role.CANDIDATE:
-            self._won(now)
+            self._votes_won(now)
 
-    def _won(self, now: float) -> None:
+    def _votes_won(self, now: float) -> None:
         """A quorum has voted for us: without older disks that is all."""
-        if not self.options.stale:
+        if not self.options.max_stale_disks:
             self._become_leader(now)
             return
-        self.held = {self.me}
+        self.vote_confirmations = {self.local_id}
         for name, (granted, _, _) in self.votes.items():
-            if granted and name != self.me:
-                self._send(name, Hold(self.term))
-        self._count_held(now)  # alone, we have all that we need
+            if granted and name != self.local_id:
+                self._send(name, ConfirmVote(self.term))
+        self._count_vote_confirmations(now)  # alone, we have all that we need
 
-    def _hear_held(self, now: float, source: str, reply: Held) -> None:
-        if self.role is not Role.CANDIDATE or not self.held or reply.term != self.term:
+    def _handle_vote_confirmation(self, now: float, source: str, reply: VoteConfirmation) -> None:
+        if self.role is not Role.CANDIDATE or not self.vote_confirmations or reply.term != self.term:
             return
-        granted, start, _ = self.votes.get(source, (False, 0, False))
-        if granted and start == reply.start:
-            self.held.add(source)
-            self._count_held(now)
+        granted, incarnation, _ = self.votes.get(source, (False, 0, False))
+        if granted and incarnation == reply.incarnation:
+            self.vote_confirmations.add(source)
+            self._count_vote_confirmations(now)
 
-    def _count_held(self, now: float) -> None:
-        if self.enough(self.held):
+    def _count_vote_confirmations(self, now: float) -> None:
+        if self.is_quorum(self.vote_confirmations):
             self._become_leader(now)
 
     def _become_leader(self, now: float) -> None:
-        self.granted = {name: start for name, (granted, start, _) in self.votes.items() if granted}
+        self.voter_incarnations = {
+            name: incarnation for name, (granted, incarnation, _) in self.votes.items() if granted
+        }
         votes = self.votes
-        self.role, self.leader = Role.LEADER, self.me
-        self.progress, self.held = {}, set()
+        self.role, self.leader = Role.LEADER, self.local_id
+        self.progress, self.vote_confirmations = {}, set()
         self._append(Kind.NOOP, b"")
-        self._keep_progress(now)
-        for name, (_, start, unsure) in votes.items():
+        self._update_progress(now)
+        for name, (_, incarnation, unconfirmed) in votes.items():
             if name in self.progress:
-                self.progress[name].start, self.progress[name].unsure = start, unsure
-        self.settled = self.last_index
+                self.progress[name].incarnation, self.progress[name].unconfirmed = incarnation, unconfirmed
+        self.term_start_index = self.last_index
         self._begin_round(now)
 
-    def _vote(self, now: float, source: str, ask: VoteAsk) -> None:
-        led = self.role is Role.LEADER or (self.leader and now - self.heard < self.options.election)
-        if self.options.check_quorum and led and self.leader != source and not ask.handed:
+    def _handle_request_vote(self, now: float, source: str, request: RequestVote) -> None:
+        led = self.role is Role.LEADER or (
+            self.leader and now - self.last_leader_contact < self.options.election_timeout
+        )
+        if self.options.check_quorum and led and self.leader != source and not request.leadership_transfer:
             return  # our leader is well: who was cut off and comes back must not unseat it
-        newer = (ask.last_term, ask.last_index) >= (self.last_term, self.last_index)
-        if ask.pre:
-            granted = ask.term > self.term and newer
+        newer = (request.last_term, request.last_index) >= (self.last_term, self.last_index)
+        if request.pre_vote:
+            granted = request.term > self.term and newer
         else:
-            if ask.term > self.term:
-                self._follow(now, ask.term, "")
-            granted = ask.term == self.term and newer and self.vote in ("", source) and self.role is Role.FOLLOWER
+            if request.term > self.term:
+                self._become_follower(now, request.term, "")
+            granted = request.term == self.term and newer and self.vote in ("", source) and self.role is Role.FOLLOWER
             if granted:
-                self.vote, self._hard = source, True
-                self._reset_deadline(now)
-        self._send(source, VoteReply(self.term, ask.term, ask.pre, granted, self.start, self.unsure))
-
-    def _hear_vote(self, now: float, source: str, reply: VoteReply) -> None:
-        wanted = Role.PRECANDIDATE if reply.pre else Role.CANDIDATE
-        asked = self.term + 1 if reply.pre else self.term
-        if self.role is not wanted or reply.asked != asked:
+                self.vote, self._hard_state_changed = source, True
+                self._reset_election_deadline(now)
+        self._send(
+            source,
+            RequestVoteReply(self.term, request.term, request.pre_vote, granted, self.incarnation, self.unconfirmed),
+        )
+
+    def _handle_vote_reply(self, now: float, source: str, reply: RequestVoteReply) -> None:
+        expected_role = Role.PRECANDIDATE if reply.pre_vote else Role.CANDIDATE
+        expected_term = self.term + 1 if reply.pre_vote else self.term
+        if self.role is not expected_role or reply.requested_term != expected_term:
             if reply.term > self.term:
-                self._follow(now, reply.term, "")
+                self._become_follower(now, reply.term, "")
             return
         if not reply.granted and reply.term > self.term:
-            self._follow(now, reply.term, "")
+            self._become_follower(now, reply.term, "")
             return
-        if self.held:
+        if self.vote_confirmations:
             return  # it may have voted after the others were asked whether they hold theirs
-        self.votes[source] = reply.granted, reply.start, reply.unsure
+        self.votes[source] = reply.granted, reply.incarnation, reply.unconfirmed
         self._count_votes(now)
--- a/tealwing/replica/raft/membership.py
+++ b/tealwing/replica/raft/membership.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from tealwing.replica.messages import Kind, members_data
-from tealwing.replica.raft.commit import Committing
-from tealwing.replica.raft.records import Busy, NotLeader, Progress, Role
+from tealwing.replica.raft.commit import Commitment
+from tealwing.replica.raft.records import BusyError, NotLeaderError, Progress, Role
 
 
-class Changing(Committing):
+class Membership(Commitment):
     """What a leader does about members.
 
     Each change makes voters by one more or one fewer, or leaves them. Of two such sets, one after the other, any two
@@ -41,34 +41,36 @@
         with the cause, also where a learner can't vote yet: the same call later may do.
         """
         if self.role is not Role.LEADER:
-            raise NotLeader(self.leader)
-        learners = self._checked(members, learners)
+            raise NotLeaderError(self.leader)
+        learners = self._checked_learners(members, learners)
         pending = any(entry.kind is Kind.MEMBERS for entry in self.entries(self.commit + 1, self.last_index))
-        if pending or self.commit < self.settled:  # else two changes may each find a majority of their own
-            raise Busy("another change of members, or the leader's first entry, is not committed yet")
+        if pending or self.commit < self.term_start_index:  # else two changes may each find a majority of their own
+            raise BusyError("another change of members, or the leader's first entry, is not committed yet")
         for name in set(self.learners) & set(members):
-            if why := self.promotion_waits(now, name):
-                self._send_to(now, name, self.progress[name], beat=True)  # its answer may be all that is missing
-                raise Busy(why)
+            if why := self.promotion_blocked_by(now, name):
+                self._send_to(now, name, self.progress[name], heartbeat=True)  # its answer may be all that is missing
+                raise BusyError(why)
         entry = self._append(Kind.MEMBERS, members_data(members, learners))
-        self._keep_progress(now)
+        self._update_progress(now)
         self._begin_round(now)
         return entry.index, entry.term
 
-    def promotion_waits(self, now: float, name: str) -> str:
+    def promotion_blocked_by(self, now: float, name: str) -> str:
         """Why a learner can't vote yet, as its leader knows; empty: it can."""
         progress = self.progress.get(name)
         if name not in self.learners or progress is None:
             return f"{name} is no learner of ours"
-        if progress.match < self.told:  # what it had to be sent: news since the last round goes out with the next
-            return f"{name} is behind: it has {progress.match} of the {self.told} entries that were committed"
-        if now - progress.heard >= self.options.election:
-            return f"{name} was not heard for {now - progress.heard:.1f} s"
-        if progress.unsure:
+        if (
+            progress.match < self.learner_commit
+        ):  # what it had to be sent: news since the last round goes out with the next
+            return f"{name} is behind: it has {progress.match} of the {self.learner_commit} entries that were committed"
+        if now - progress.last_contact >= self.options.election_timeout:
+            return f"{name} was not heard for {now - progress.last_contact:.1f} s"
+        if progress.unconfirmed:
             return f"{name} has started anew, and it is not shown yet that it has all that it may have forgotten"
         return ""
 
-    def _checked(self, voters: tuple[str, ...], learners: tuple[str, ...] | None) -> tuple[str, ...]:
+    def _checked_learners(self, voters: tuple[str, ...], learners: tuple[str, ...] | None) -> tuple[str, ...]:
         """The learners of a change, if it is one that can be made at once; else ValueError."""
         other = set(voters) ^ set(self.members)
         if learners is None:
@@ -82,21 +84,23 @@
                     "one change at a time: one learner more or fewer, one learner that votes from now on, or one voter "
                     "that only learns from now on; and one voter at least"
                 )
-            least = 2 * self.options.stale + 1  # of fewer, s that have forgotten are too many for any quorum
-            if set(voters) < set(self.members) and len(voters) < least:
-                raise ValueError(f"with stale {self.options.stale} there must be {least} voters left")
+            min_voters = (
+                2 * self.options.max_stale_disks + 1
+            )  # of fewer, s that have forgotten are too many for any quorum
+            if set(voters) < set(self.members) and len(voters) < min_voters:
+                raise ValueError(f"with stale {self.options.max_stale_disks} there must be {min_voters} voters left")
         if len({*voters, *learners}) != len(voters) + len(learners):
             raise ValueError("each member is named once, as a voter or as a learner")
         return learners
 
-    def _keep_progress(self, now: float) -> None:
+    def _update_progress(self, now: float) -> None:
         """Of the members as they are now; the beats of learners are spread over theirs."""
         for name in self.members:
-            if name != self.me and name not in self.progress:
-                self.progress[name] = Progress(self.last_index, heard=now)
+            if name != self.local_id and name not in self.progress:
+                self.progress[name] = Progress(self.last_index, last_contact=now)
         for place, name in enumerate(self.learners):
-            if name != self.me and name not in self.progress:
-                due = now + self.options.learner_beat * place / len(self.learners)
-                self.progress[name] = Progress(self.last_index, heard=now, due=due)
+            if name != self.local_id and name not in self.progress:
+                due = now + self.options.learner_heartbeat_interval * place / len(self.learners)
+                self.progress[name] = Progress(self.last_index, last_contact=now, next_heartbeat=due)
         for name in [name for name in self.progress if name not in self.members and name not in self.learners]:
             del self.progress[name]
--- a/tealwing/replica/raft/records.py
+++ b/tealwing/replica/raft/records.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from tealwing.replica.messages import Entry, Message, Snap
+from tealwing.replica.messages import Entry, InstallSnapshot, Message
 
 
 class Role(Enum):
@@ -30,23 +30,29 @@
 class Options:
     """Seconds, bytes and counts; the same at all members but for mutations of the model check."""
 
-    beat: float = 0.1  # s between two rounds of a leader that has nothing else to say
-    learner_beat: float = 0.5  # s between two words to a learner that has nothing new to hear: see Sending
-    news_rate: float = 4000.0  # messages a second with news for learners, but for those of `hurry`: see Sending
-    election: float = 0.6  # s without a leader after which a member asks for votes, at least; up to twice that
-    resend: float = 0.5  # s without an answer after which what is under way to a follower counts as lost
-    batch: int = 64 * 1024  # bytes of entries in one message, but one entry at least
-    entries: int = 256  # of one message
-    inflight: int = 8  # messages under way to one follower
-    uncommitted: int = 4096  # entries beyond which a leader takes no more for now
-    sending: int = 2  # snapshots under way at once, lest a fleet that returns takes them all together
-    early: bool = False  # learners get entries before those are committed: for the model check, which then sees more
-    stale: int = 0  # members that may at once have come back with an older disk
+    heartbeat_interval: float = 0.1  # s between two rounds of a leader that has nothing else to say
+    learner_heartbeat_interval: float = (
+        0.5  # s between two words to a learner that has nothing new to hear: see Sending
+    )
+    learner_message_rate: float = (
+        4000.0  # messages a second with news for learners, but for those of `hurry`: see Sending
+    )
+    election_timeout: float = 0.6  # s without a leader after which a member asks for votes, at least; up to twice that
+    resend_timeout: float = 0.5  # s without an answer after which what is under way to a follower counts as lost
+    max_batch_bytes: int = 64 * 1024  # bytes of entries in one message, but one entry at least
+    max_batch_entries: int = 256  # of one message
+    max_inflight: int = 8  # messages under way to one follower
+    max_uncommitted: int = 4096  # entries beyond which a leader takes no more for now
+    max_snapshot_transfers: int = 2  # snapshots under way at once, lest a fleet that returns takes them all together
+    uncommitted_to_learners: bool = (
+        False  # learners get entries before those are committed: for the model check, which then sees more
+    )
+    max_stale_disks: int = 0  # members that may at once have come back with an older disk
     pre_vote: bool = True
     check_quorum: bool = True
 
 
-class NotLeader(RuntimeError):
+class NotLeaderError(RuntimeError):
     """Only the leader can do that; `leader` is who that may be, empty if unknown."""
 
     def __init__(self, leader: str) -> None:
@@ -54,12 +60,12 @@
         self.leader = leader
 
 
-class Busy(RuntimeError):
+class BusyError(RuntimeError):
     """Not now: too much is under way, or another change of members is, or a learner can't vote yet."""
 
 
 @dataclass(frozen=True, slots=True)
-class Meta:
+class SnapshotMeta:
     """A snapshot: the state up to an index, its term, the voters then, its size in bytes, the learners then."""
 
     index: int = 0
@@ -77,31 +83,42 @@
     match: int = 0
     mode: Mode = Mode.PROBE
     inflight: deque[int] = field(default_factory=deque)  # last index of each message under way
-    sent: float = 0.0  # when the oldest that is unanswered was sent; 0: none is
-    heard: float = 0.0
-    round: int = 0  # highest that it answered
-    start: int = 0  # of its process, as it said last
-    unsure: bool = False
-    known_round: int = 0  # our round when we heard of that start first
-    offset: int = 0  # of the snapshot that it has
-    due: float = 0.0  # when the next beat to a learner is
-    told: int = 0  # the commit that it was told, if nothing was lost
+    unanswered_since: float = 0.0  # when the oldest that is unanswered was sent; 0: none is
+    last_contact: float = 0.0
+    acked_round: int = 0  # highest that it answered
+    incarnation: int = 0  # of its process, as it said last
+    unconfirmed: bool = False
+    incarnation_round: int = 0  # our round when we heard of that start first
+    snapshot_offset: int = 0  # of the snapshot that it has
+    next_heartbeat: float = 0.0  # when the next beat to a learner is
+    known_commit: int = 0  # the commit that it was told, if nothing was lost
 
     def clone(self) -> Progress:
         """One like this."""
         return Progress(
-            self.next, self.match, self.mode, deque(self.inflight), self.sent, self.heard, self.round, self.start,
-            self.unsure, self.known_round, self.offset, self.due, self.told,
-        )  # fmt: skip
+            self.next,
+            self.match,
+            self.mode,
+            deque(self.inflight),
+            self.unanswered_since,
+            self.last_contact,
+            self.acked_round,
+            self.incarnation,
+            self.unconfirmed,
+            self.incarnation_round,
+            self.snapshot_offset,
+            self.next_heartbeat,
+            self.known_commit,
+        )
 
 
 @dataclass(slots=True)
 class Ready:
     """What the shell has to do, in this order: write, say `saved`, send, apply, answer reads."""
 
-    hard: tuple[int, str] | None  # term and vote, to be on disk before anything is sent
+    hard_state: tuple[int, str] | None  # term and vote, to be on disk before anything is sent
     entries: list[Entry]  # to be on disk; the first takes the place of all from its index on
-    chunk: Snap | None  # a piece of a snapshot, to be on disk; the last one of it then is to be installed
+    chunk: InstallSnapshot | None  # a piece of a snapshot, to be on disk; the last one of it then is to be installed
     messages: list[tuple[str, Message]]
     committed: list[Entry]
     reads: list[tuple[int, int]]  # number and index: once the state is at the index, the read may be answered
--- a/tealwing/replica/reading.py
+++ b/tealwing/replica/reading.py
@@ -10,55 +10,57 @@
 import itertools
 
 from tealwing.replica.commands import CommandResult
-from tealwing.replica.outcomes import Answering, Told
-from tealwing.replica.raft import NotLeader, Raft, Role
+from tealwing.replica.outcomes import CallbackPending, ForwardReply
+from tealwing.replica.raft import NotLeaderError, Raft, Role
 
-PACE = 0.01  # s between two rounds that are begun for reads: a read waits so much longer at most, and only under load
+MIN_ROUND_INTERVAL = (
+    0.01  # s between two rounds that are begun for reads: a read waits so much longer at most, and only under load
+)
 
 
-class Reading:
+class ReadBatcher:
     """The reads at one member."""
 
     def __init__(self, core: Raft) -> None:
         self._core = core
         self._numbers = itertools.count(1)
-        self._gathered: list[Answering] = []  # no round is begun for them yet
-        self._begun: dict[int, list[Answering]] = {}  # by the number of the read at the core
+        self._waiting: list[CallbackPending] = []  # no round is begun for them yet
+        self._begun: dict[int, list[CallbackPending]] = {}  # by the number of the read at the core
         self._last = float("-inf")  # when the last round was begun
-        self.asked = self.rounds = 0
+        self.requested = self.rounds = 0
 
     def __len__(self) -> int:
-        return len(self._gathered) + sum(map(len, self._begun.values()))
+        return len(self._waiting) + sum(map(len, self._begun.values()))
 
-    def ask(self, pending: Answering) -> None:
+    def add(self, pending: CallbackPending) -> None:
         """It is to be answered with an index at which a read sees all. raft.NotLeader."""
         if self._core.role is not Role.LEADER:
-            raise NotLeader(self._core.leader)
-        self.asked += 1
-        self._gathered.append(pending)
+            raise NotLeaderError(self._core.leader)
+        self.requested += 1
+        self._waiting.append(pending)
 
-    def due(self) -> float:
+    def next_round_at(self) -> float:
         """When the next round is to begin; infinity: nothing waits for one."""
-        return self._last + PACE if self._gathered else float("inf")
+        return self._last + MIN_ROUND_INTERVAL if self._waiting else float("inf")
 
     def begin(self, now: float) -> None:
         """Begin one round for all that wait, if it is time."""
         # a clock that was stepped back must not hold them
-        if not self._gathered or self._last <= now < self._last + PACE:
+        if not self._waiting or self._last <= now < self._last + MIN_ROUND_INTERVAL:
             return
-        number, batch = next(self._numbers), self._gathered
-        self._gathered = []
+        number, batch = next(self._numbers), self._waiting
+        self._waiting = []
         self._begun[number] = batch
         try:
             self._core.read(now, number)
-        except NotLeader:
+        except NotLeaderError:
             for pending in self._begun.pop(number):
-                pending.answer(Told(pending.number, "not-leader", b"", 0))
+                pending.reply(ForwardReply(pending.number, "not-leader", b"", 0))
             return
         self._last = now
         self.rounds += 1
 
-    def done(self, number: int, index: int) -> None:
+    def confirmed(self, number: int, index: int) -> None:
         """A quorum has confirmed the index."""
         for pending in self._begun.pop(number):
             pending.set((CommandResult(True, index), index))
@@ -70,7 +72,7 @@
 
     def fail_all(self) -> None:
         """We take part no more."""
-        for pending in [*self._gathered, *itertools.chain(*self._begun.values())]:
+        for pending in [*self._waiting, *itertools.chain(*self._begun.values())]:
             pending.set(None)
-        self._gathered.clear()
+        self._waiting.clear()
         self._begun.clear()
--- a/tealwing/replica/recovery.py
+++ b/tealwing/replica/recovery.py
@@ -18,32 +18,32 @@
 from tealwing.peers.bounds import USUAL
 from tealwing.replica.state import State
 
-ASK_LIMIT = 2.0  # s for which the peers are asked before the gateway says that it is ready without them
-OLDEST_MS = 600_000  # ms of age beyond which a note or a level is not taken as the present
-FUTURE_MS = 5_000  # ms by which a time may lie ahead of our clock, as clocks differ
+PEER_QUERY_TIMEOUT = 2.0  # s for which the peers are asked before the gateway says that it is ready without them
+MAX_AGE_MS = 600_000  # ms of age beyond which a note or a level is not taken as the present
+MAX_CLOCK_AHEAD_MS = 5_000  # ms by which a time may lie ahead of our clock, as clocks differ
 
 
 class Trust(Enum):
     """How far something from the disk is believed."""
 
-    HELD = "held"  # as it is
+    TRUSTED = "held"  # as it is
     MARKED = "marked"  # in force, and marked: its age is not known, or nobody has confirmed it
     WAITS = "waits"  # not before a time has passed
     NEVER = "never"
 
 
 @dataclass(frozen=True, slots=True)
-class Belief:
+class TrustedItem:
     """One thing from the disk: what it is, how far it is believed, and why."""
 
-    what: str
+    kind: str
     key: str
     trust: Trust
-    why: str
+    reason: str
     until_ms: int = 0  # ms of the Unix clock, where a time is part of it
 
 
-def beliefs(state: State, last_index: int, now_ms: int) -> list[Belief]:
+def assess_trust(state: State, last_index: int, now_ms: int) -> list[TrustedItem]:
     """What may be believed of a state as the disk has it, with a log that goes to an index."""
     found = [*_settings(state), *_leases(state, now_ms), *_drains(state, now_ms)]
     for table in ("notes", "levels"):
@@ -51,137 +51,144 @@
             found.append(_aged(table, key, entry.since, now_ms))
     if last_index > state.applied:
         why = f"entries {state.applied + 1} to {last_index} may never have been committed: a leader decides"
-        found.append(Belief("log", f"{state.applied + 1}..{last_index}", Trust.MARKED, why))
+        found.append(TrustedItem("log", f"{state.applied + 1}..{last_index}", Trust.MARKED, why))
     return found
 
 
-def _settings(state: State) -> Iterable[Belief]:
+def _settings(state: State) -> Iterable[TrustedItem]:
     best = state.last_good()
     for key in sorted(state.tables["settings"], key=int):
         version = int(key)
         if version == best:
-            yield Belief("settings", key, Trust.HELD, "the last good version: it serves at once")
+            yield TrustedItem("settings", key, Trust.TRUSTED, "the last good version: it serves at once")
         elif version > best:
-            yield Belief("settings", key, Trust.NEVER, "it was turned down")
+            yield TrustedItem("settings", key, Trust.NEVER, "it was turned down")
 
 
-def _leases(state: State, now_ms: int) -> Iterable[Belief]:
+def _leases(state: State, now_ms: int) -> Iterable[TrustedItem]:
     for name, lease in state.tables["leases"].items():
         if lease.held:
             wait = USUAL.leader_waits(lease.ttl / 1e3)
             why = f"granted to {lease.holder} before: never ours, and nobody's for {wait:.2f} s once somebody leads"
-            yield Belief("lease", name, Trust.WAITS, why, now_ms + round(wait * 1e3))
+            yield TrustedItem("lease", name, Trust.WAITS, why, now_ms + round(wait * 1e3))
 
 
-def _drains(state: State, now_ms: int) -> Iterable[Belief]:
+def _drains(state: State, now_ms: int) -> Iterable[TrustedItem]:
     for key, drain in state.tables["drains"].items():
-        if drain.told > now_ms + FUTURE_MS:
+        if drain.notified > now_ms + MAX_CLOCK_AHEAD_MS:
             why = "told at a time that our clock has not reached: the cut-off counts as past"
-            yield Belief("drain", key, Trust.MARKED, why, now_ms)
+            yield TrustedItem("drain", key, Trust.MARKED, why, now_ms)
         else:
-            yield Belief("drain", key, Trust.HELD, "it goes on under the cut-off that it was first told", drain.cutoff)
+            yield TrustedItem(
+                "drain", key, Trust.TRUSTED, "it goes on under the cut-off that it was first told", drain.cutoff
+            )
 
 
-def _aged(table: str, key: str, since: int, now_ms: int) -> Belief:
+def _aged(table: str, key: str, since: int, now_ms: int) -> TrustedItem:
     age = now_ms - since
-    if not since or age < -FUTURE_MS:
-        return Belief(table, key, Trust.MARKED, "of unknown age", since)
-    if age > OLDEST_MS:
-        return Belief(table, key, Trust.MARKED, f"{age // 1000} s old: it may be over", since)
-    return Belief(table, key, Trust.HELD, f"{age // 1000} s old", since)
+    if not since or age < -MAX_CLOCK_AHEAD_MS:
+        return TrustedItem(table, key, Trust.MARKED, "of unknown age", since)
+    if age > MAX_AGE_MS:
+        return TrustedItem(table, key, Trust.MARKED, f"{age // 1000} s old: it may be over", since)
+    return TrustedItem(table, key, Trust.TRUSTED, f"{age // 1000} s old", since)
 
 
 class Phase(Enum):
     """Where the return is."""
 
     DISK = "disk"  # read and checked; nothing is said to anyone yet
-    ASKING = "asking"  # the peers are asked, for ASK_LIMIT at most
-    ALONE = "alone"  # ready; no quorum is back, or we have not caught up: what is known is marked
+    QUERYING_PEERS = "asking"  # the peers are asked, for ASK_LIMIT at most
+    STANDALONE = "alone"  # ready; no quorum is back, or we have not caught up: what is known is marked
     MEMBER = "member"  # caught up with a leader
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class FleetView:
     """What a member sees of the fleet at a moment."""
 
     leader: str
     term: int
-    unsure: bool
+    unconfirmed: bool
     commit: int
     applied: int
-    heard: int  # members that are heard, this one too
+    reachable: int  # members that are heard, this one too
     members: int
 
 
-class Return:
+class Recovery:
     """The order of return of one gateway."""
 
     def __init__(self, now: float) -> None:
-        self.phase, self.begun = Phase.DISK, now
-        self._asked = now
-        self._target: tuple[int, int] | None = None  # term, and what was committed when its leader was first heard
+        self.phase, self.started_at = Phase.DISK, now
+        self._querying_since = now
+        self._catch_up_target: tuple[int, int] | None = (
+            None  # term, and what was committed when its leader was first heard
+        )
         self.ready_after: float | None = None  # s from the start
         self.member_after: float | None = None
 
     def disk_read(self, now: float) -> None:
         """The disk is checked."""
-        self.phase, self._asked = Phase.ASKING, now
+        self.phase, self._querying_since = Phase.QUERYING_PEERS, now
 
-    def look(self, now: float, seen: Seen) -> Phase:
+    def update(self, now: float, view: FleetView) -> Phase:
         """The phase, as of what is seen now."""
         if self.phase is Phase.DISK:
             return self.phase
-        if seen.leader and (self._target is None or self._target[0] != seen.term):
-            self._target = seen.term, seen.commit
+        if view.leader and (self._catch_up_target is None or self._catch_up_target[0] != view.term):
+            self._catch_up_target = view.term, view.commit
         caught_up = (
-            bool(seen.leader) and not seen.unsure and self._target is not None and seen.applied >= self._target[1]
+            bool(view.leader)
+            and not view.unconfirmed
+            and self._catch_up_target is not None
+            and view.applied >= self._catch_up_target[1]
         )
         if caught_up:
             self._enter(now, Phase.MEMBER)
-        elif self.phase is Phase.MEMBER and not seen.leader:
-            self.phase = Phase.ALONE  # the majority is gone: serve on, marked
-        elif self.phase is Phase.ASKING and now - self._asked >= ASK_LIMIT:
-            self._enter(now, Phase.ALONE)
+        elif self.phase is Phase.MEMBER and not view.leader:
+            self.phase = Phase.STANDALONE  # the majority is gone: serve on, marked
+        elif self.phase is Phase.QUERYING_PEERS and now - self._querying_since >= PEER_QUERY_TIMEOUT:
+            self._enter(now, Phase.STANDALONE)
         return self.phase
 
     def _enter(self, now: float, phase: Phase) -> None:
         if self.ready_after is None:
-            self.ready_after = now - self.begun
+            self.ready_after = now - self.started_at
         if phase is Phase.MEMBER and self.member_after is None:
-            self.member_after = now - self.begun
+            self.member_after = now - self.started_at
         self.phase = phase
 
     @property
     def ready(self) -> bool:
         """Whether clients may be sent here. Those that come earlier are served too: nobody waits for a quorum."""
-        return self.phase in (Phase.ALONE, Phase.MEMBER)
+        return self.phase in (Phase.STANDALONE, Phase.MEMBER)
 
     @property
     def may_change(self) -> bool:
         """Whether new settings are taken, and fleet-wide tasks done."""
         return self.phase is Phase.MEMBER
 
-    def reason(self, seen: Seen) -> str:
+    def reason(self, view: FleetView) -> str:
         """The phase in words."""
-        heard = f"{seen.heard} of {seen.members} members are heard"
+        reachable = f"{view.reachable} of {view.members} members are heard"
         if self.phase is Phase.DISK:
             return "the disk is being read"
-        if self.phase is Phase.ASKING:
-            return f"the peers are being asked; {heard}"
+        if self.phase is Phase.QUERYING_PEERS:
+            return f"the peers are being asked; {reachable}"
         if self.phase is Phase.MEMBER:
-            return f"caught up; {seen.leader} leads term {seen.term}"
-        if not seen.leader:
-            return f"no leader is known; {heard}; serving from what this gateway knows"
-        return f"catching up with {seen.leader}; serving from what this gateway knows"
+            return f"caught up; {view.leader} leads term {view.term}"
+        if not view.leader:
+            return f"no leader is known; {reachable}; serving from what this gateway knows"
+        return f"catching up with {view.leader}; serving from what this gateway knows"
 
-    def told(self, seen: Seen, found: list[Belief]) -> dict[str, Any]:
+    def report(self, view: FleetView, items: list[TrustedItem]) -> dict[str, Any]:
         """For operators."""
         return {
-            "phase": self.phase.value, "ready": self.ready, "reason": self.reason(seen),
+            "phase": self.phase.value, "ready": self.ready, "reason": self.reason(view),
             "ready_after_s": None if self.ready_after is None else round(self.ready_after, 3),
             "member_after_s": None if self.member_after is None else round(self.member_after, 3),
             "beliefs": [
-                {"what": b.what, "key": b.key, "trust": b.trust.value, "why": b.why, "until_ms": b.until_ms}
-                for b in found
+                {"what": b.kind, "key": b.key, "trust": b.trust.value, "why": b.reason, "until_ms": b.until_ms}
+                for b in items
             ],
         }  # fmt: skip
--- a/tealwing/replica/roles.py
+++ b/tealwing/replica/roles.py
@@ -12,4 +12,4 @@
 
 def ready(core: Raft, now: float) -> list[str]:
     """The learners that could vote now, as their leader knows."""
-    return [name for name in core.learners if not core.promotion_waits(now, name)]
+    return [name for name in core.learners if not core.promotion_blocked_by(now, name)]
--- a/tealwing/replica/roster.py
+++ b/tealwing/replica/roster.py
@@ -22,23 +22,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class MembershipChange:
     """The members after the next change, and why: what `Raft.change_members` is given."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...]
-    why: str
+    reason: str
 
 
 def next_change(
     voters: Collection[str],
     learners: Collection[str],
-    heard: Mapping[str, float],
+    last_contact: Mapping[str, float],
     ready: Collection[str],
     now: float,
-    after: float,
-    wanted: int,
-) -> Change | None:
+    silence_limit: float,
+    desired_voters: int,
+) -> MembershipChange | None:
     """The one next change, or None; the same for the same arguments, whatever order they are in.
 
     heard: seconds at which each member was heard last, the asking leader included; who is not in it was never heard.
@@ -46,19 +46,23 @@
     lost for good. wanted: as many voters as there should be. A lost voter is demoted only while there are more voters
     than that, which the promotion of a learner has made: so none goes without one that has taken its place.
     """
-    live = {name for name in {*voters, *learners} if name in heard and now - heard[name] < after}
+    live = {name for name in {*voters, *learners} if name in last_contact and now - last_contact[name] < silence_limit}
     lost = sorted(set(voters) - live)
     if len(set(voters) & live) < len(set(voters)) // 2 + 1:
         return None  # nothing can be committed: it is not for the members that are left to say that the rest is gone
-    if lost and len(set(voters)) > wanted:
-        gone = lost[0]
-        rest = tuple(sorted(set(voters) - {gone}))
-        why = f"{gone} was not heard for {after:g} s, and another votes in its place"
-        return Change(rest, tuple(sorted({*learners, gone})), why)
-    if lost or len(set(voters)) < wanted:
-        able = sorted(name for name in set(learners) & live if name in ready)
-        if able:
-            taken = able[0]
-            why = f"{taken} votes in the place of {lost[0]}" if lost else f"{taken} votes: {wanted} voters are wanted"
-            return Change(tuple(sorted({*voters, taken})), tuple(sorted(set(learners) - {taken})), why)
+    if lost and len(set(voters)) > desired_voters:
+        lost_voter = lost[0]
+        rest = tuple(sorted(set(voters) - {lost_voter}))
+        why = f"{lost_voter} was not heard for {silence_limit:g} s, and another votes in its place"
+        return MembershipChange(rest, tuple(sorted({*learners, lost_voter})), why)
+    if lost or len(set(voters)) < desired_voters:
+        candidates = sorted(name for name in set(learners) & live if name in ready)
+        if candidates:
+            promoted = candidates[0]
+            why = (
+                f"{promoted} votes in the place of {lost[0]}"
+                if lost
+                else f"{promoted} votes: {desired_voters} voters are wanted"
+            )
+            return MembershipChange(tuple(sorted({*voters, promoted})), tuple(sorted(set(learners) - {promoted})), why)
     return None
--- a/tealwing/replica/section.py
+++ b/tealwing/replica/section.py
@@ -4,7 +4,7 @@
 
 from tealwing.conf import values
 from tealwing.conf.schema import Block, Report, Section, Spec
-from tealwing.replica.plan import Plan
+from tealwing.replica.plan import ReplicaPlan
 
 SPECS = (
     Spec("folder", "PATH", "Where log and snapshots are kept; on a disk that outlives the process.", values.text,
@@ -27,30 +27,34 @@
 )  # fmt: skip
 
 
-def build(block: Block, report: Report) -> Plan:
+def build(block: Block, report: Report) -> ReplicaPlan:
     """The plan that a checked section makes."""
-    beat, election = block.one("beat"), block.one("election")
-    plan = Plan(
+    heartbeat_interval, election_timeout = block.one("beat"), block.one("election")
+    plan = ReplicaPlan(
         block.one("folder"),
-        beat,
-        election,
+        heartbeat_interval,
+        election_timeout,
         block.one("stale"),
         block.one("snapshot-entries"),
         block.one("leases"),
         block.one("join"),
         block.one("replace-after") or 0.0,
     )
-    if election < 3 * beat:
+    if election_timeout < 3 * heartbeat_interval:
         report.add(
-            block.place("election", block.place("folder", block.entries["folder"][0].place)), "election",
-            values.written_duration(election), f"three beats or more, {values.written_duration(3 * beat)}",
-        )  # fmt: skip
-    if plan.replace_after and plan.replace_after < 5 * election:
+            block.place("election", block.place("folder", block.entries["folder"][0].place)),
+            "election",
+            values.written_duration(election_timeout),
+            f"three beats or more, {values.written_duration(3 * heartbeat_interval)}",
+        )
+    if plan.replace_after and plan.replace_after < 5 * election_timeout:
         report.add(
-            block.place("replace-after", block.entries["folder"][0].place), "replace-after",
+            block.place("replace-after", block.entries["folder"][0].place),
+            "replace-after",
             values.written_duration(plan.replace_after),
-            f"five times election or more, {values.written_duration(5 * election)}: before that another may yet lead",
-        )  # fmt: skip
+            f"five times election or more, {values.written_duration(5 * election_timeout)}:"
+            " before that another may yet lead",
+        )
     return plan
 
 
--- a/tealwing/replica/service.py
+++ b/tealwing/replica/service.py
@@ -10,14 +10,14 @@
 from tealwing import wire
 from tealwing.peers.control import Control, Denied, Fields, field, wait_of
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica, Unavailable, Unknown
+from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
 from tealwing.replica.storage import verify
 from tealwing.rules import records
 
-WAIT = 5.0  # s that a call waits where it does not say
+DEFAULT_TIMEOUT = 5.0  # s that a call waits where it does not say
 
 
-class Service:
+class ReplicaControl:
     """Answers for one member."""
 
     def __init__(self, replica: Replica, control: Control, prefix: str = "replica") -> None:
@@ -29,9 +29,9 @@
             "verify": self._verify,
             "snapshot": self._snapshot,
             "members": self._members,
-            "recovery": lambda _: replica.back.told(replica.seen(), replica.beliefs),
+            "recovery": lambda _: replica.recovery.report(replica.observe(), replica.trust_report),
             "settings": self._settings,
-            "do": self._do,
+            "do": self._apply_command,
             "get": self._get,
         }
         for name, call in calls.items():
@@ -43,7 +43,7 @@
 
     def _verify(self, _: Fields) -> Fields:
         """Look at the disk, and compare the state with the hash that a read of the disk gives."""
-        return {"folder": self._replica.plan.folder, "found": verify(self._replica.storage.folder)}
+        return {"folder": self._replica.plan.directory, "found": verify(self._replica.storage.directory)}
 
     def _snapshot(self, _: Fields) -> Fields:
         self._replica.snapshot()
@@ -62,17 +62,17 @@
             raise Denied(f"name: {name} has no member line in the section peers here")
         voting, following = voters - {name}, learners - {name}
         {"add": voting, "learn": following}.get(change, set()).add(name)
-        told_learners = sorted(following) if following or learners else None  # none ever: the plain change of old
-        told = self._outcome(
-            lambda wait: {"index": self._replica.change_members(sorted(voting), wait, told_learners)}, fields
+        changed_learners = sorted(following) if following or learners else None  # none ever: the plain change of old
+        outcome = self._outcome(
+            lambda wait: {"index": self._replica.change_members(sorted(voting), wait, changed_learners)}, fields
         )
-        return told | {"members": sorted(voting), "learners": sorted(following)}
+        return outcome | {"members": sorted(voting), "learners": sorted(following)}
 
     def _settings(self, fields: Fields) -> Fields:
         """Propose the next version of the settings: checked here first, and only where this gateway has caught up."""
         text = field(fields, "text", bytes)
-        if not self._replica.back.may_change:
-            return {"word": "unavailable", "why": self._replica.back.reason(self._replica.seen())}
+        if not self._replica.recovery.may_change:
+            return {"word": "unavailable", "why": self._replica.recovery.reason(self._replica.observe())}
         try:
             wire.settings(text)
         except (ValueError, wire.WireError) as error:
@@ -81,11 +81,11 @@
         def propose(wait: float) -> Fields:
             with self._replica.lock:
                 last = max(map(int, self._replica.state.tables["settings"]), default=0)
-            return _told(self._replica.write(c.Command("", 0, c.Settings(last + 1, text)), wait))
+            return _result_fields(self._replica.write(c.Command("", 0, c.Settings(last + 1, text)), wait))
 
         return self._outcome(propose, fields)
 
-    def _do(self, fields: Fields) -> Fields:
+    def _apply_command(self, fields: Fields) -> Fields:
         """Have a command applied: `body` is one of tealwing.replica.commands, as msgpack."""
         try:
             body = msgspec.msgpack.decode(field(fields, "body", bytes), type=c.Body)
@@ -99,7 +99,7 @@
         command = c.Command(field(fields, "client", str, ""), field(fields, "sequence", int, 0), body, fence)
         if command.sequence and not command.client:
             raise Denied("client: missing, where there is a sequence")
-        return self._outcome(lambda wait: _told(self._replica.write(command, wait)), fields)
+        return self._outcome(lambda wait: _result_fields(self._replica.write(command, wait)), fields)
 
     def _get(self, fields: Fields) -> Fields:
         """A value by its table and key: seen by a quorum, or with `stale` as it is here, and marked so."""
@@ -122,15 +122,15 @@
     def _outcome(self, run: Callable[[float], Fields], fields: Fields) -> Fields:
         """What came of it, in a word: ok, refused (by the state), unavailable (surely not done), unknown."""
         try:
-            return {"word": "ok"} | run(wait_of(fields, WAIT))
-        except Unavailable as error:
+            return {"word": "ok"} | run(wait_of(fields, DEFAULT_TIMEOUT))
+        except UnavailableError as error:
             return {"word": "unavailable", "why": str(error)}
-        except Unknown as error:
+        except OutcomeUnknownError as error:
             return {"word": "unknown", "why": str(error)}
         except ValueError as error:
             raise Denied(str(error)) from None
 
 
-def _told(result: c.CommandResult) -> dict[str, Any]:
-    word = "ok" if result.ok else "refused"
-    return {"word": word, "index": result.index, "version": result.version, "why": result.reason}
+def _result_fields(result: c.CommandResult) -> dict[str, Any]:
+    status = "ok" if result.ok else "refused"
+    return {"word": status, "index": result.index, "version": result.version, "why": result.reason}
--- a/tealwing/replica/state.py
+++ b/tealwing/replica/state.py
@@ -16,9 +16,9 @@
 from tealwing.replica.messages import Record
 from tealwing.rules import records, registry
 
-MOST_SESSIONS = 1024  # clients remembered: the one that has been quiet longest by index goes first
-KEPT_SETTINGS = 16  # versions of settings kept, and the last good one
-PIECE = 64 * 1024  # bytes after which a snapshot's body is cut
+MAX_SESSIONS = 1024  # clients remembered: the one that has been quiet longest by index goes first
+RETAINED_SETTINGS = 16  # versions of settings kept, and the last good one
+DUMP_PIECE_BYTES = 64 * 1024  # bytes after which a snapshot's body is cut
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
@@ -47,17 +47,17 @@
     held: bool = True
 
 
-class Version(Record, frozen=True):
+class SettingsVersion(Record, frozen=True):
     """One version of the settings."""
 
     text: bytes
-    good: bool
+    valid: bool
     index: int
 
 
 TABLES: dict[str, type] = {
     "values": Value,
-    "settings": Version,
+    "settings": SettingsVersion,
     "drains": c.Drain,
     "notes": c.Note,
     "levels": c.Level,
@@ -90,7 +90,7 @@
     def __init__(self) -> None:
         self.applied = 0
         self.tables: dict[str, dict[str, Any]] = {name: {} for name in TABLES}
-        self.refused_stale = 0  # fenced commands under an older token: told in the figures, not part of the state
+        self.rejected_stale = 0  # fenced commands under an older token: told in the figures, not part of the state
 
     # Commands
 
@@ -98,7 +98,7 @@
         """Apply the entry at an index, once, in order. c.NewerEntry, with nothing changed, where it can't be known."""
         try:
             command = c.decode(data)
-        except c.NewerEntry:
+        except c.NewerEntryError:
             raise
         except ValueError as error:  # the same at every member
             self.applied = index
@@ -111,20 +111,20 @@
                 if command.sequence == known.sequence:
                     return known.result
                 return c.CommandResult(False, index, reason=f"sequence {command.sequence} came after {known.sequence}")
-        result = self._fenced(index, command)
+        result = self._apply_fenced(index, command)
         if command.sequence:
             sessions.pop(command.client, None)  # to the end: the order is that of the last commands
             sessions[command.client] = Session(command.sequence, result)
-            if len(sessions) > MOST_SESSIONS:
+            if len(sessions) > MAX_SESSIONS:
                 del sessions[next(iter(sessions))]
         return result
 
-    def _fenced(self, index: int, command: c.Command) -> c.CommandResult:
+    def _apply_fenced(self, index: int, command: c.Command) -> c.CommandResult:
         fence = command.fence
         if fence is not None:
             newest = self.tables["fences"].get(fence.name, 0)
             if fence.token != newest or not newest:  # an older grant's, or one that there never was
-                self.refused_stale += 1
+                self.rejected_stale += 1
                 why = f"stale token {fence.token} of {fence.name}: {newest} is the newest"
                 return c.CommandResult(False, index, newest, why)
         return self._apply(index, command.body)
@@ -139,22 +139,24 @@
             case c.Settings(version, text, good):
                 return self._settings(index, version, text, good)
             case c.Drain(engine, started):
-                return self._keep(index, "drains", f"{engine}/{started}", body, body.over, first=True)
+                return self._put_or_remove(index, "drains", f"{engine}/{started}", body, body.removed, keep_first=True)
             case c.Note(engine, started, what):
-                return self._keep(index, "notes", f"{engine}/{started}/{what}", body, body.over, first=True)
+                return self._put_or_remove(
+                    index, "notes", f"{engine}/{started}/{what}", body, body.removed, keep_first=True
+                )
             case c.Level(name):
-                return self._keep(index, "levels", name, body, body.over)
+                return self._put_or_remove(index, "levels", name, body, body.removed)
             case c.Acquire(name, holder, ttl):
                 return self._acquire(index, name, holder, ttl)
             case c.Renew(name, token):
                 return self._renew(index, name, token)
             case c.Release(name, token):
-                return self._end(index, name, token)
+                return self._end_lease(index, name, token)
             case c.Expire(name, token, renewed):
                 lease: Lease | None = self.tables["leases"].get(name)
                 if lease is None or lease.renewed != renewed:  # renewed meanwhile: it has not run out
                     return c.CommandResult(False, index, reason=f"{name} is renewed or another's")
-                return self._end(index, name, token)
+                return self._end_lease(index, name, token)
             case _:
                 return registry.apply(self.tables, index, body)
 
@@ -171,23 +173,25 @@
         last = max(map(int, table), default=0)
         if version != last + 1:
             return c.CommandResult(False, index, last, f"version {version} after {last}")
-        table[str(version)] = Version(text, good, index)
+        table[str(version)] = SettingsVersion(text, good, index)
         best = self.last_good()
-        for number in sorted(map(int, table))[:-KEPT_SETTINGS]:
+        for number in sorted(map(int, table))[:-RETAINED_SETTINGS]:
             if number != best:
                 del table[str(number)]
         return c.CommandResult(True, index, version)
 
     def last_good(self) -> int:
         """The newest version of the settings that is good; 0 where there is none."""
-        return max((int(key) for key, version in self.tables["settings"].items() if version.good), default=0)
+        return max((int(key) for key, version in self.tables["settings"].items() if version.valid), default=0)
 
-    def _keep(self, index: int, table: str, key: str, value: Any, over: bool, first: bool = False) -> c.CommandResult:
+    def _put_or_remove(
+        self, index: int, table: str, key: str, value: Any, removed: bool, keep_first: bool = False
+    ) -> c.CommandResult:
         """Put or forget; with first the earliest word stays: a drain's cut-off counts from when it was first told."""
-        if over:
+        if removed:
             gone = self.tables[table].pop(key, None)
             return c.CommandResult(gone is not None, index, reason="" if gone else f"no {key} in {table}")
-        if first and key in self.tables[table]:
+        if keep_first and key in self.tables[table]:
             return c.CommandResult(True, index, reason="known already")
         self.tables[table][key] = value
         return c.CommandResult(True, index, index)
@@ -212,7 +216,7 @@
         self.tables["leases"][name] = msgspec.structs.replace(lease, renewed=index)
         return c.CommandResult(True, index, token)
 
-    def _end(self, index: int, name: str, token: int) -> c.CommandResult:
+    def _end_lease(self, index: int, name: str, token: int) -> c.CommandResult:
         lease: Lease | None = self.tables["leases"].get(name)
         if lease is None or lease.token != token or not lease.held:
             return c.CommandResult(False, index, lease.token if lease else 0, f"the grant {token} of {name} is over")
@@ -235,7 +239,7 @@
             for key, value in table.items():
                 item = _encode(Item(name, key, _encode(value)))
                 piece += len(item).to_bytes(4, "big") + item
-                if len(piece) >= PIECE:
+                if len(piece) >= DUMP_PIECE_BYTES:
                     yield bytes(piece)
                     piece.clear()
         if piece:
@@ -255,7 +259,7 @@
                 try:
                     item = _items.decode(bytes(data[at + 4 : end]))
                     if item.table not in fresh:
-                        raise c.NewerEntry(f"a snapshot with a table {item.table[:40]}")
+                        raise c.NewerEntryError(f"a snapshot with a table {item.table[:40]}")
                     fresh[item.table][item.key] = _decoders[item.table].decode(item.value)
                 except msgspec.DecodeError as error:
                     raise ValueError(f"an item that can't be read: {error}") from None
--- a/tealwing/replica/waiting.py
+++ b/tealwing/replica/waiting.py
@@ -7,7 +7,7 @@
 from tealwing.replica.outcomes import Pending
 
 
-class Waiting:
+class PendingProposals:
     """The pending outcomes of one member."""
 
     def __init__(self) -> None:
@@ -17,14 +17,14 @@
     def __len__(self) -> int:
         return len(self._proposed)
 
-    def propose(self, index: int, term: int, pending: Pending) -> None:
+    def add(self, index: int, term: int, pending: Pending) -> None:
         """It waits for the entry at an index, and only if that is of this term."""
         pending.term = term
         if (older := self._proposed.pop(index, None)) is not None:
             older.set(None)
         self._proposed[index] = pending
 
-    def applied(self, entry: Entry, result: CommandResult | None) -> None:
+    def entry_applied(self, entry: Entry, result: CommandResult | None) -> None:
         """An entry is applied."""
         pending = self._proposed.pop(entry.index, None)
         if pending is not None:
@@ -33,11 +33,11 @@
                 (result or CommandResult(True, entry.index), entry.index) if pending.term == entry.term else None
             )
 
-    def at(self, index: int, pending: Pending) -> None:
+    def wait_for_index(self, index: int, pending: Pending) -> None:
         """It waits for the state to be at an index."""
         self._at_index.append((index, pending))
 
-    def reached(self, applied: int) -> None:
+    def index_reached(self, applied: int) -> None:
         """The state is at an index."""
         waiting, self._at_index = self._at_index, []
         for index, pending in waiting:
--- a/tealwing/rollout/joining.py
+++ b/tealwing/rollout/joining.py
@@ -22,7 +22,7 @@
 
     OSError where the mark can't be read.
     """
-    gate = Gate(plan.queue, PUSHBACK, replica.clock.now, replica.start_number)
+    gate = Gate(plan.queue, PUSHBACK, replica.clock.now, replica.incarnation)
     shell = Shell(plan, replica, link, Here(gateway), gate, outside)
     shell.begin()
     if control is not None:
--- a/tealwing/rollout/leading.py
+++ b/tealwing/rollout/leading.py
@@ -19,14 +19,14 @@
 
     def __init__(self, plan: Plan, replica: Replica, link: Link) -> None:
         self._replica, self._link, self._name = replica, link, link.plan.name
-        self._conductor = Conductor(self._name, plan.limit, plan.patience, seed=replica.start_number)
-        self._witnesses = Witnesses(self._name, seed=replica.start_number)
+        self._conductor = Conductor(self._name, plan.limit, plan.patience, seed=replica.incarnation)
+        self._witnesses = Witnesses(self._name, seed=replica.incarnation)
         self.leads = False
 
     def applied(self, now: float, index: int, body: records.Body, ok: bool) -> None:
         """An entry was applied; on the replica's thread, and with `due` never at once."""
         if self.leads and ok and isinstance(body, HURRY):
-            self._replica.hurry()  # followers learn it at once, not with the next beat
+            self._replica.broadcast_commit()  # followers learn it at once, not with the next beat
         self._witnesses.applied(now, index, body)
 
     @property
@@ -45,7 +45,7 @@
             return
         silent = self._silent(now, seen) if seen.me.flight is not None else []
         for body in self._conductor.look(now, seen.tables, silent):
-            self._replica.propose_here(c.encode(c.Command("", 0, body)))
+            self._replica.propose_if_leader(c.encode(c.Command("", 0, body)))
 
     def _silent(self, now: float, seen: Seen) -> list[str]:
         """Names of the members that are not heard on the link, or whose copy of the log takes nothing more."""
@@ -53,6 +53,6 @@
         heard = {peer["name"] for peer in self._link.status()
                  if peer["silence_s"] is not None and peer["silence_s"] <= limit}  # fmt: skip
         for name, progress in list(core.progress.items()):
-            if name in core.members and now - progress.heard >= self._replica.plan.election:
+            if name in core.members and now - progress.last_contact >= self._replica.plan.election_timeout:
                 heard.discard(name)
         return [name for name in seen.members if name not in heard and name != self._name]
--- a/tealwing/rollout/mark.py
+++ b/tealwing/rollout/mark.py
@@ -56,7 +56,7 @@
                 self._disk.write(file, head + b" " + _digest(head) + b"\n")
                 self._disk.sync(file)
             self._disk.rename(part, self._path)
-            self._disk.sync_folder(self._folder)
+            self._disk.sync_directory(self._folder)
         except OSError:
             with contextlib.suppress(OSError):
                 part.unlink()
--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -55,11 +55,13 @@
     peers, replica = records.get("peers"), records.get("replica")
     if plan is None or peers is None or replica is None:
         return
-    if plan.lost_touch == "serve" and replica.stale > 0:
+    if plan.lost_touch == "serve" and replica.max_stale_disks > 0:
         report.add(
-            block.place("lost-touch", place), "lost-touch", f"serve, with stale {replica.stale} in the section replica",
+            block.place("lost-touch", place),
+            "lost-touch",
+            f"serve, with stale {replica.max_stale_disks} in the section replica",
             "hold; or stale 0: a gateway that serves on what its disk says can't come back with an older disk",
-        )  # fmt: skip
+        )
     if plan.sabotage and not peers.faults:
         report.add(block.place("sabotage", place), "sabotage", plan.sabotage,
                    "none; or `faults on` in the section peers, in a laboratory")  # fmt: skip
--- a/tealwing/rollout/service.py
+++ b/tealwing/rollout/service.py
@@ -10,7 +10,7 @@
 from tealwing.peers.control import MOST_CALLERS, Control, Denied, Fields, field, wait_of
 from tealwing.replica import commands as c
 from tealwing.replica.messages import UnsignedInt63
-from tealwing.replica.node import Replica, Unavailable, Unknown
+from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
 from tealwing.rollout.outcomes import version
 from tealwing.rollout.seen import Seen
 from tealwing.rollout.shell import Shell
@@ -112,7 +112,7 @@
             self._sequence += 1
             number = self._sequence
         turn = number % MOST_CALLERS  # calls come at once, and a client has one under way
-        client = f"{where.core.me}/{where.start_number}/rules/{turn}"
+        client = f"{where.core.local_id}/{where.incarnation}/rules/{turn}"
         result = where.write(c.Command(client, number, body), wait)
         word = "ok" if result.ok else "refused"
         return {"word": word, "index": result.index, "version": result.version, "why": result.reason}
@@ -121,9 +121,9 @@
         """What came of it, in a word: ok, refused (by the state), unavailable (surely not done), unknown."""
         try:
             return {"word": "ok"} | run(wait_of(fields, WAIT))
-        except Unavailable as error:
+        except UnavailableError as error:
             return {"word": "unavailable", "why": f"{error}; nothing was changed: try again, or at another gateway"}
-        except Unknown as error:
+        except OutcomeUnknownError as error:
             return {"word": "unknown", "why": f"{error}; see rules.status for whether it was taken"}
         except ValueError as error:
             raise Denied(str(error)) from None
--- a/tealwing/rollout/shell.py
+++ b/tealwing/rollout/shell.py
@@ -51,11 +51,11 @@
         self.plan, self._replica, self._here, self.outside = plan, replica, here, outside
         self.name, self._clock = link.plan.name, replica.clock
         self._seen = seen(replica.state, self.name)  # set on the replica's thread alone
-        mark = Mark(Path(replica.plan.folder), replica.disk)
+        mark = Mark(Path(replica.plan.directory), replica.disk)
         me = self._seen.members.get(self.name)
         self._machine = Machine(
             self.name, plan.lost_touch, max(int(time.time() * 1e3), me.start + 1 if me else 0), plan.permit,
-            mark=deeds.read(mark), build=BUILD, seed=replica.start_number, disk=self._seen.me,
+            mark=deeds.read(mark), build=BUILD, seed=replica.incarnation, disk=self._seen.me,
             sabotage=frozenset({plan.sabotage} - {""}), federated=outside is not None,
             disk_federated=outside.seen.me if outside is not None else None, peers=len(link.plan.members),
         )  # fmt: skip
@@ -69,9 +69,9 @@
         self._fault = ""  # of the last turn
         self._due: list[Action] = []  # what the machine wants and nobody does yet
         self.outcomes = outcomes.Outcomes(self._seen)
-        replica.watch(self._applied)
-        replica.on_installed(self._installed)
-        replica.on_led(self._led)
+        replica.on_applied(self._applied)
+        replica.on_state_replaced(self._installed)
+        replica.on_leadership(self._led)
         if outside is not None:
             outside.on_change(self.notice)
 
--- a/tealwing/rollout/talk.py
+++ b/tealwing/rollout/talk.py
@@ -13,7 +13,7 @@
 from tealwing import log
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
-from tealwing.replica.outcomes import Unavailable, Unknown
+from tealwing.replica.outcomes import OutcomeUnknownError, UnavailableError
 from tealwing.rollout.actions import Read, Say, Token
 from tealwing.rollout.errands import Errands
 from tealwing.rollout.member import Machine
@@ -30,7 +30,7 @@
     def write(self, command: c.Command, wait: float) -> c.CommandResult:
         """Have a command applied."""
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
         """Have whoever leads propose a command, if anybody does; nobody hears what comes of it."""
 
     def read_index(self, wait: float) -> int:
@@ -74,7 +74,7 @@
         for while the word could be said again, and the leader has more to do than to answer each.
         """
         if isinstance(action.body, PASSED):
-            self._site.pass_on(c.encode(c.Command("", 0, action.body)))
+            self._site.forward(c.encode(c.Command("", 0, action.body)))
             return
         if action.body not in self._saying and self._words.do(lambda: self._send(action)):
             self._saying.add(action.body)
@@ -92,7 +92,7 @@
         self._saying.discard(action.body)  # if it is wanted again while it is said, it is said again
         try:
             result = self._site.write(c.Command("", 0, action.body), SAY_WAIT)
-        except (Unknown, Unavailable):
+        except (OutcomeUnknownError, UnavailableError):
             pass
         else:
             ok = result.ok
@@ -108,7 +108,7 @@
             token: Token = self._machine.read_sent(self._clock.now(), action.federation)
         try:
             index = log_.read_index(self._read_wait)
-        except Unavailable:
+        except UnavailableError:
             with self._lock:
                 self._machine.read_failed(self._clock.now(), token)
             return
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -34,24 +34,24 @@
 
 ENTRY = replica.Entry(7, 3, replica.Kind.DATA, b"\x00data\xff")
 REPLICA: tuple[Any, ...] = (
-    replica.VoteAsk(9, 8, 7, True, True),
-    replica.VoteAsk(9, 8, 7, False),
-    replica.VoteReply(9, 8, True, False, 2**62, True),
-    replica.Append(9, 8, 7, (ENTRY, replica.Entry(8, 3, replica.Kind.NOOP, b"")), 6, 5),
-    replica.AppendReply(9, False, 8, 7, 6, 5, 4, True),
-    replica.Snap(9, 8, 7, 6, 5, b"piece", 4),
-    replica.SnapReply(9, 8, 7, True, 6, 5, False),
-    replica.Sure(9, 8),
-    replica.Hand(9),
-    replica.Hold(9),
-    replica.Held(9, 8),
+    replica.RequestVote(9, 8, 7, True, True),
+    replica.RequestVote(9, 8, 7, False),
+    replica.RequestVoteReply(9, 8, True, False, 2**62, True),
+    replica.AppendEntries(9, 8, 7, (ENTRY, replica.Entry(8, 3, replica.Kind.NOOP, b"")), 6, 5),
+    replica.AppendEntriesReply(9, False, 8, 7, 6, 5, 4, True),
+    replica.InstallSnapshot(9, 8, 7, 6, 5, b"piece", 4),
+    replica.InstallSnapshotReply(9, 8, 7, True, 6, 5, False),
+    replica.ConfirmIncarnation(9, 8),
+    replica.TimeoutNow(9),
+    replica.ConfirmVote(9),
+    replica.VoteConfirmation(9, 8),
 )
 PEERS: tuple[Any, ...] = (peers.Hello("fleet", "n1", "n2", 1234567890123), peers.Beat(70000), peers.Data(3, 9, b"x"))
 ECHO: tuple[Any, ...] = (echo.Ask(5, "hello"), echo.Answer(5, "n2", "hello"))
 FORWARDED: tuple[Any, ...] = (
-    outcomes.Ask(5, b"command"),
-    outcomes.Ask(5, b"", ["n1", "n2"], ["n3"]),
-    outcomes.Told(5, "not-leader", b"result", 9),
+    outcomes.ForwardRequest(5, b"command"),
+    outcomes.ForwardRequest(5, b"", ["n1", "n2"], ["n3"]),
+    outcomes.ForwardReply(5, "not-leader", b"result", 9),
 )
 SIGNED: tuple[gossip.Alive | gossip.Left | gossip.Claims, ...] = tuple(
     gossip.signed(rumour, KEY)
@@ -162,7 +162,7 @@
     storage.save((3, "n2"), entries[8:], 12)
     storage.save(None, [replica.Entry(16, 3, replica.Kind.MEMBERS, replica.members_data(("n1", "n2"), ("n3",)))], 15)
     meta = storage.write_snapshot(15, 2, ("n1", "n2"), state().dump(), ("n3",))
-    storage.adopt(meta)
+    storage.adopt_snapshot(meta)
     storage.close()
 
 
--- a/tests/lossy_disk.py
+++ b/tests/lossy_disk.py
@@ -62,7 +62,7 @@
             raise OSError(30, "Read-only file system")
         super().rename(source, target)
 
-    def sync_folder(self, folder: Path) -> None:
+    def sync_directory(self, folder: Path) -> None:
         if self.is_failing():
             raise OSError(5, "Input/output error")
         self._names = {path.name: path.stat().st_ino for path in folder.iterdir()}
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -13,8 +13,8 @@
 from tealwing.peers.link import Link
 from tealwing.peers.plan import Plan as PeersPlan
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica, Unavailable, Unknown
-from tealwing.replica.plan import Plan
+from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
+from tealwing.replica.plan import ReplicaPlan
 
 WAIT = 2.0  # s for one command
 BACK = 5.0  # s within which a member whose disk is well again takes commands
@@ -23,7 +23,7 @@
 def begin(folder: Path) -> tuple[Replica, Link]:
     """A fleet of one, which leads itself."""
     link = Link(PeersPlan("f", "a", (("a", ("127.0.0.1", free_port())),)))
-    replica = Replica(Plan(str(folder), beat=0.02, election=0.1), link, Clock())
+    replica = Replica(ReplicaPlan(str(folder), heartbeat_interval=0.02, election_timeout=0.1), link, Clock())
     replica.start()
     return replica, link
 
@@ -40,7 +40,7 @@
     """Whether a write was acknowledged."""
     try:
         return replica.write(c.Command("", 0, c.Put(key, b"v")), WAIT).ok
-    except (Unavailable, Unknown):
+    except (UnavailableError, OutcomeUnknownError):
         return False
 
 
@@ -48,7 +48,7 @@
 def test_what_was_acknowledged_before_a_fault_is_there_after_a_start(fault: str, tmp_path: Path) -> None:
     replica, link = begin(tmp_path / "replica")
     assert put(replica, "before")
-    replica.disk.fail(fault, 1)
+    replica.disk.inject_fault(fault, 1)
     put(replica, "amid")  # may be there or not: nobody was told that it is
     replica.stop()
     link.stop()
@@ -63,7 +63,7 @@
 
 def test_a_member_whose_disk_is_well_again_takes_commands(member: Replica) -> None:
     assert put(member, "before")
-    member.disk.fail("full", 3)
+    member.disk.inject_fault("full", 3)
     put(member, "amid")
     until = time.monotonic() + BACK
     while not put(member, "after"):
