--- a/tests/test_disk_returns.py
+++ b/tests/test_disk_returns.py
@@ -32,12 +32,12 @@
 from tealwing.replica import commands as c
 from tealwing.replica import storage as stored
 from tealwing.replica.disk import Disk
-from tealwing.replica.durability import LONGEST_PAUSE, Acknowledged, Backoff
+from tealwing.replica.durability import MAX_PAUSE, Acknowledged, ReopenBackoff
 from tealwing.replica.messages import Entry, Kind
-from tealwing.replica.node import Replica, Unavailable, Unknown
-from tealwing.replica.plan import Plan
-from tealwing.replica.raft import Meta, Ready, Role
-from tealwing.replica.storage import FolderForgot, Found, Storage, StorageError
+from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
+from tealwing.replica.plan import ReplicaPlan
+from tealwing.replica.raft import Ready, Role, SnapshotMeta
+from tealwing.replica.storage import AcknowledgedDataLostError, Storage, StorageError, StoredState
 from tealwing.rollout.mark import Mark
 from tests.lossy_disk import LossyDisk
 from tests.test_peers import until
@@ -101,7 +101,7 @@
     def come_back(self, becomes: Acknowledged) -> None:
         for _ in range(20):
             try:
-                self.storage.reopen(may_forget=False)
+                self.storage.reopen(allow_loss=False)
             except OSError:
                 self.check(becomes)
             else:
@@ -116,7 +116,7 @@
                 meta = self.storage.write_snapshot(index, 1, ("a", "b"), [b"body"])
             except OSError:
                 self.check(self.acknowledged)
-        self.storage.adopt(meta)
+        self.storage.adopt_snapshot(meta)
 
     def receive(self, index: int, term: int) -> None:
         """Another's snapshot, in two pieces."""
@@ -130,7 +130,7 @@
         def take() -> None:
             self.storage.write_chunk(index, term, 0, data[:half])
             self.storage.write_chunk(index, term, half, data[half:])
-            assert self.storage.install(index, term) is not None
+            assert self.storage.install_snapshot(index, term) is not None
 
         self.until_done(take, Acknowledged(2, "b", index, term))
 
@@ -138,7 +138,11 @@
         """What a start after a power loss finds now: what was acknowledged, or what is under way."""
         self.losses += 1
         found = Storage(self.disk.after_power_loss(self.folder / f"loss-{self.losses}")).open()
-        assert self.acknowledged.is_held_by(found) or becomes.is_held_by(found), (self.acknowledged, becomes, found)
+        assert self.acknowledged.is_covered_by(found) or becomes.is_covered_by(found), (
+            self.acknowledged,
+            becomes,
+            found,
+        )
         for one in found.log:
             if one.index <= self.acknowledged.last_index and self.acknowledged == becomes:
                 assert one == self.entries[one.index]
@@ -146,8 +150,8 @@
 
 @pytest.fixture
 def small_files(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(stored, "SEGMENT", 300)
-    monkeypatch.setattr(stored, "PIECE", 100)
+    monkeypatch.setattr(stored, "SEGMENT_BYTES", 300)
+    monkeypatch.setattr(stored, "WRITE_BATCH_BYTES", 100)
 
 
 def play(tmp_path: Path, first: int, count: int, written: float) -> LossyDisk:
@@ -190,7 +194,7 @@
         with pytest.raises(OSError, match="Input/output"):
             disk.sync(file)
         disk.sync(file)
-    disk.sync_folder(tmp_path)
+    disk.sync_directory(tmp_path)
     assert (disk.after_power_loss(tmp_path / "loss") / "file").read_bytes() == bytes(10)
     disk.close()
 
@@ -209,9 +213,9 @@
     for name, data in older.items() if what != "all" else ():
         (tmp_path / "replica" / name).write_bytes(data)
     for _ in range(2):  # what was acknowledged is remembered from try to try
-        with pytest.raises(FolderForgot, match="give it back its folder"):
-            storage.reopen(may_forget=False)
-    found = storage.reopen(may_forget=True)
+        with pytest.raises(AcknowledgedDataLostError, match="give it back its folder"):
+            storage.reopen(allow_loss=False)
+    found = storage.reopen(allow_loss=True)
     assert [one.index for one in found.log] == ([] if what == "all" else [1])
 
 
@@ -221,9 +225,9 @@
     storage.save((1, "a"), [entry(1)])
     (tmp_path / "replica").rename(tmp_path / "elsewhere")
     with pytest.raises(OSError, match="replica"):
-        storage.reopen(may_forget=True)
+        storage.reopen(allow_loss=True)
     (tmp_path / "elsewhere").rename(tmp_path / "replica")
-    assert storage.reopen(may_forget=False).log == [entry(1)]
+    assert storage.reopen(allow_loss=False).log == [entry(1)]
 
 
 def test_a_damaged_log_is_not_cut_where_it_was_whole(tmp_path: Path) -> None:
@@ -234,22 +238,22 @@
     data = path.read_bytes()
     path.write_bytes(data[:-1] + b"?")
     with pytest.raises(StorageError, match="damaged"):
-        storage.reopen(may_forget=True)
+        storage.reopen(allow_loss=True)
     assert path.read_bytes() == data[:-1] + b"?"
 
 
 def test_acknowledged_is_held_by_later_terms_and_snapshots() -> None:
     promise = Acknowledged(2, "b", 5, 2)
-    assert promise.is_held_by(Found(term=3, snapshot=Meta(6, 2)))
-    assert not promise.is_held_by(Found(term=2, vote="c", snapshot=Meta(6, 2)))
-    assert not promise.is_held_by(Found(term=2, vote="b", snapshot=Meta(4, 2), log=[entry(5, 1)]))
-    assert promise.is_held_by(Found(term=2, vote="b", snapshot=Meta(4, 2), log=[entry(5, 2)]))
+    assert promise.is_covered_by(StoredState(term=3, snapshot=SnapshotMeta(6, 2)))
+    assert not promise.is_covered_by(StoredState(term=2, vote="c", snapshot=SnapshotMeta(6, 2)))
+    assert not promise.is_covered_by(StoredState(term=2, vote="b", snapshot=SnapshotMeta(4, 2), log=[entry(5, 1)]))
+    assert promise.is_covered_by(StoredState(term=2, vote="b", snapshot=SnapshotMeta(4, 2), log=[entry(5, 2)]))
 
 
 def test_pauses_grow_to_their_bound() -> None:
-    backoff = Backoff(random.Random(1))
+    backoff = ReopenBackoff(random.Random(1))
     pauses = [backoff.next_pause() for _ in range(20)]
-    assert pauses[0] < pauses[3] < pauses[6] and max(pauses) <= LONGEST_PAUSE and min(pauses[10:]) >= LONGEST_PAUSE / 2
+    assert pauses[0] < pauses[3] < pauses[6] and max(pauses) <= MAX_PAUSE and min(pauses[10:]) >= MAX_PAUSE / 2
 
 
 class Fleet:
@@ -263,10 +267,10 @@
         for name in names + learners:
             peers = PeersPlan("f", name, addresses, learners=tuple(learners))
             link = self.links[name] = Link(peers)
-            plan = Plan(str(folder / name), beat=0.05, election=0.3, stale=stale)
+            plan = ReplicaPlan(str(folder / name), heartbeat_interval=0.05, election_timeout=0.3, max_stale_disks=stale)
             self.replicas[name] = Replica(plan, link, Clock(), Disk())
         for name, replica in self.replicas.items():
-            replica.watch(lambda index, _, __, heard=self.applied[name]: heard.append(index))  # type: ignore[misc]
+            replica.on_applied(lambda index, _, __, heard=self.applied[name]: heard.append(index))  # type: ignore[misc]
             replica.start()
             self.links[name].start()
 
@@ -282,7 +286,7 @@
     def put(self, key: str, at: str) -> bool:
         try:
             return self.replicas[at].write(c.Command("client", len(key) and int(key), c.Put(key, b"v")), WAIT).ok
-        except (Unavailable, Unknown):
+        except (UnavailableError, OutcomeUnknownError):
             return False
 
     def until_put(self, key: str, at: str) -> None:
@@ -322,7 +326,7 @@
         members.until_put("1", leader)
         hit = {"leader": [leader], "follower": others[:1], "majority": others, "all": [leader, *others]}[who]
         for name in hit:
-            members.replicas[name].disk.fail(fault, 2)
+            members.replicas[name].disk.inject_fault(fault, 2)
         for number in range(2, 6):
             members.until_put(str(number), others[-1])
         for name in hit:
@@ -339,7 +343,7 @@
     with fleet(tmp_path, learners="d") as members:
         members.until_put("1", members.leader())
         members.until_same()
-        members.replicas["d"].disk.fail("fsync", 3)
+        members.replicas["d"].disk.inject_fault("fsync", 3)
         for number in range(2, 6):
             members.until_put(str(number), members.leader())
         members.until_same()
@@ -352,14 +356,14 @@
         members.until_put("1", leader)
         led: list[bool] = []
         broken = members.replicas[leader]
-        broken.on_led(led.append)
-        broken.disk.fail("full", 1_000_000)
+        broken.on_leadership(led.append)
+        broken.disk.inject_fault("full", 1_000_000)
         members.put("2", leader)
         until = time.monotonic() + BACK
         while not broken.broken:
             assert time.monotonic() < until
             time.sleep(0.02)
-        with pytest.raises(Unavailable, match="out of order"):
+        with pytest.raises(UnavailableError, match="out of order"):
             broken.read_index(WAIT)
         assert broken.status()["role"] == "out" and led == [False]
         another = next(name for name in members.replicas if name != leader)
@@ -368,7 +372,7 @@
         while "comes back by itself" not in broken.broken:
             assert time.monotonic() < until, broken.broken
             time.sleep(0.02)
-        broken.disk.fail("none", 0)
+        broken.disk.inject_fault("none", 0)
         members.until_put("4", leader)
         members.until_same()
 
@@ -444,7 +448,7 @@
 def test_a_start_whose_folder_can_not_be_made_names_it(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("no folder")
     addresses = (("a", ("127.0.0.1", free_port())),)
-    plan = Plan(str(tmp_path / "file" / "replica"))
+    plan = ReplicaPlan(str(tmp_path / "file" / "replica"))
     with pytest.raises(LinkFault, match="file/replica: .*Not a directory"):
         Peering(PeersPlan("f", "a", addresses), plan, lambda version, settings: None)
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -45,7 +45,7 @@
     "gossip": lambda data: gossip.decode(data, _of_key),
     "command": commands.decode,
     "result": commands.decode_result,
-    "members": lambda data: replica.members_of(_entry(data)),
+    "members": lambda data: replica.voters_of(_entry(data)),
     "learners": lambda data: replica.learners_of(_entry(data)),
     "frame": lambda data: frames.Parser().feed(data)[0],
 }
@@ -88,13 +88,13 @@
     assert verify(tmp_path) == []
     storage = Storage(tmp_path)
     found = storage.open()
-    assert (found.term, found.vote, found.commit, found.cut, found.fresh) == (3, "n2", 15, 0, False)
+    assert (found.term, found.vote, found.commit, found.truncated_bytes, found.fresh) == (3, "n2", 15, 0, False)
     assert (found.snapshot.index, found.snapshot.term) == (15, 2)
     assert (found.snapshot.members, found.snapshot.learners) == (("n1", "n2"), ("n3",))
     assert [entry.index for entry in found.log] == [16]
     assert replica.learners_of(found.log[0]) == ("n3",)
     state = State()
-    state.load(15, storage.body(found.snapshot))
+    state.load(15, storage.snapshot_body(found.snapshot))
     storage.close()
     assert state.digest() == samples.state().digest() and all(state.counts().values())
 
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -18,12 +18,12 @@
 from tealwing.peers.plan import Plan as PeersPlan
 from tealwing.replica import commands as c
 from tealwing.replica.group import FEDERATION, SITE, Group
-from tealwing.replica.node import Replica, Unavailable
-from tealwing.replica.outcomes import Answering, Told
-from tealwing.replica.plan import Plan
-from tealwing.replica.promotion import Change, NextChange, Promotion
-from tealwing.replica.raft import NotLeader, Raft, Role
-from tealwing.replica.reading import PACE, Reading
+from tealwing.replica.node import Replica, UnavailableError
+from tealwing.replica.outcomes import CallbackPending, ForwardReply
+from tealwing.replica.plan import ReplicaPlan
+from tealwing.replica.promotion import NextChange, Promotion, ProposedChange
+from tealwing.replica.raft import NotLeaderError, Raft, Role
+from tealwing.replica.reading import MIN_ROUND_INTERVAL, ReadBatcher
 from tealwing.replica.roster import next_change
 from tests.peers import LIMIT
 from tests.test_peers import until
@@ -46,7 +46,7 @@
         self.link = Link(PeersPlan("f", name, members, QUICK, learners=learners))
         self.of = {}
         for group in groups:
-            plan = Plan(str(folder / name / group.name), beat=0.05, election=0.4)
+            plan = ReplicaPlan(str(folder / name / group.name), heartbeat_interval=0.05, election_timeout=0.4)
             self.of[group.name] = Replica(plan, self.link, Clock(), group=group)
         for replica in self.of.values():
             if replace_after:
@@ -89,7 +89,7 @@
     a.stop()
     assert other.of["federation"].write(put("l", b"on"), LIMIT).ok
     until(lambda: not b.of["site"].core.leader)
-    with pytest.raises(Unavailable):
+    with pytest.raises(UnavailableError):
         b.of["site"].read_index(0.3)
 
 
@@ -99,12 +99,12 @@
     follower = next(m for m in fleet.members.values() if m is not leader)
     fleet.propose(leader, b"decisive")
     assert leader.commit > follower.commit  # no time has passed: it would learn it with the next beat
-    follower.hurry(fleet.now)  # who does not lead has nothing to say
+    follower.broadcast_commit(fleet.now)  # who does not lead has nothing to say
     assert not follower.has_ready()
-    leader.hurry(fleet.now)
-    fleet.settle(leader.me)
+    leader.broadcast_commit(fleet.now)
+    fleet.settle(leader.local_id)
     fleet.pass_on()
-    assert follower.commit == leader.commit and fleet.applied[follower.me][-1][1] == b"decisive"
+    assert follower.commit == leader.commit and fleet.applied[follower.local_id][-1][1] == b"decisive"
 
 
 class Core:
@@ -117,33 +117,33 @@
 
     def read(self, now: float, number: int) -> None:
         if not self.leads:
-            raise NotLeader("b")
+            raise NotLeaderError("b")
         self.numbers.append(number)
 
 
 def test_reads_that_come_together_share_a_round_and_each_is_answered_by_a_later_one() -> None:
     core: Any = Core()
-    reads = Reading(core)
-    told: list[Told] = []
-    with pytest.raises(NotLeader):
-        reads.ask(Answering(1, told.append))
+    reads = ReadBatcher(core)
+    told: list[ForwardReply] = []
+    with pytest.raises(NotLeaderError):
+        reads.add(CallbackPending(1, told.append))
     core.role = Role.LEADER
     for number in range(100):
-        reads.ask(Answering(number, told.append))
+        reads.add(CallbackPending(number, told.append))
     reads.begin(1.0)
-    assert core.numbers == [1] and reads.rounds == 1 and reads.asked == 100
-    reads.ask(Answering(100, told.append))  # asked after the round was begun: that one must not serve it
-    reads.done(1, 7)
+    assert core.numbers == [1] and reads.rounds == 1 and reads.requested == 100
+    reads.add(CallbackPending(100, told.append))  # asked after the round was begun: that one must not serve it
+    reads.confirmed(1, 7)
     assert [t.number for t in told] == list(range(100)) and {t.index for t in told} == {7}
-    reads.begin(1.0 + PACE / 2)
-    assert core.numbers == [1] and reads.due() == pytest.approx(1.0 + PACE)
-    reads.begin(1.0 + PACE)
+    reads.begin(1.0 + MIN_ROUND_INTERVAL / 2)
+    assert core.numbers == [1] and reads.next_round_at() == pytest.approx(1.0 + MIN_ROUND_INTERVAL)
+    reads.begin(1.0 + MIN_ROUND_INTERVAL)
     assert core.numbers == [1, 2]
     reads.failed(2)
-    reads.ask(Answering(101, told.append))
+    reads.add(CallbackPending(101, told.append))
     core.leads = False
     reads.begin(0.5)  # the clock was stepped back: that holds nobody
-    assert [(t.number, t.word) for t in told[100:]] == [(100, "lost"), (101, "not-leader")] and len(reads) == 0
+    assert [(t.number, t.status) for t in told[100:]] == [(100, "lost"), (101, "not-leader")] and len(reads) == 0
 
 
 def test_two_hundred_readers_at_once_cost_few_rounds(tmp_path: Path) -> None:
@@ -157,7 +157,7 @@
             thread.start()
         for thread in threads:
             thread.join(LIMIT)
-        assert replica._reading.asked >= 200 and replica._reading.rounds < 100
+        assert replica._reads.requested >= 200 and replica._reads.rounds < 100
     finally:
         process.stop()
 
@@ -208,25 +208,25 @@
 
 
 class Said:
-    voters, learners, why = ("a", "n"), ("b",), "b was not heard"
+    voters, learners, reason = ("a", "n"), ("b",), "b was not heard"
 
 
 def test_one_change_at_a_time_is_proposed_and_asked_for_again_once_it_is_done() -> None:
     class Stand:
-        group, me = FEDERATION, "a"
+        group, local_id = FEDERATION, "a"
         core = Raft("a", ("a", "b"), 0.0)
         asked: list[tuple[list[str], list[str], Any]] = []  # noqa: RUF012
 
-        def on_tick(self, ticked: Any) -> None:
+        def on_leader_tick(self, ticked: Any) -> None:
             self.tick = ticked
 
-        def change_here(self, *asked: Any) -> None:
+        def change_members_if_leader(self, *asked: Any) -> None:
             self.asked.append(asked)
 
     stand: Any = Stand()
     seen: list[tuple[Any, ...]] = []
 
-    def roster(*asked: Any, **more: Any) -> Change | None:
+    def roster(*asked: Any, **more: Any) -> ProposedChange | None:
         seen.append(asked)
         return Said()
 
@@ -235,7 +235,7 @@
     stand.tick(20.0)
     assert [(v, ln) for v, ln, _ in stand.asked] == [(["a", "n"], ["b"])]
     assert seen[0] == (("a", "b"), (), {"a": 10.0}, [], 10.0, 30.0, 3)
-    stand.asked[0][2](Told(0, "busy", b"", 0))
+    stand.asked[0][2](ForwardReply(0, "busy", b"", 0))
     stand.tick(20.1)
     stand.tick(20.2)  # too early to look again
     assert len(stand.asked) == 2
--- a/tests/test_learners.py
+++ b/tests/test_learners.py
@@ -12,8 +12,8 @@
 from tealwing.lab.models.consensus import Budget, Consensus
 from tealwing.lab.models.explore import explore, wander
 from tealwing.lab.models.starts import led, likely
-from tealwing.replica.messages import Append, Entry, Kind, learners_of, members_data, members_of
-from tealwing.replica.raft import Busy, Meta, Raft, Role
+from tealwing.replica.messages import AppendEntries, Entry, Kind, learners_of, members_data, voters_of
+from tealwing.replica.raft import BusyError, Raft, Role, SnapshotMeta
 from tealwing.replica.roster import next_change
 from tealwing.replica.storage import Storage
 from tests.test_replica import Fleet
@@ -32,7 +32,7 @@
 
     def change(self, leader: Raft, voters: tuple[str, ...], learners: tuple[str, ...] | None) -> None:
         leader.change_members(self.now, voters, learners)
-        self.settle(leader.me)
+        self.settle(leader.local_id)
         self.pass_on()
 
 
@@ -40,7 +40,7 @@
     assert members_data(ABC) == b"\x93\xa1a\xa1b\xa1c"
     both = Entry(1, 1, Kind.MEMBERS, members_data(ABC, ("d",)))
     old = Entry(1, 1, Kind.MEMBERS, b"\x93\xa1a\xa1b\xa1c")
-    assert [(members_of(e), learners_of(e)) for e in (both, old)] == [(ABC, ("d",)), (ABC, ())]
+    assert [(voters_of(e), learners_of(e)) for e in (both, old)] == [(ABC, ("d",)), (ABC, ())]
     storage = Storage(tmp_path)
     storage.open()
     plain = storage.write_snapshot(4, 2, ABC, [b"x"])
@@ -53,24 +53,26 @@
 
 
 def test_a_learner_has_all_and_counts_for_nothing() -> None:
-    fleet = Learning("abc", ("d", "e"), check_quorum=False, early=True)
+    fleet = Learning("abc", ("d", "e"), check_quorum=False, uncommitted_to_learners=True)
     leader = fleet.leader()
     fleet.propose(leader, b"before")
     fleet.run(0.2)
     assert fleet.applied["d"] == fleet.applied["e"] == [(2, b"before")]
-    others = [name for name in "abc" if name != leader.me]
+    others = [name for name in "abc" if name != leader.local_id]
     fleet.cut = {(a, b) for n in others for m in fleet.members for a, b in ((n, m), (m, n))}
     before = leader.commit
     fleet.propose(leader, b"held by three disks of five, and one voter")
     leader.read(fleet.now, 7)
     fleet.run(3.0)
-    assert leader.progress["d"].match == leader.last_index and leader.commit == before and not fleet.reads[leader.me]
-    fleet.isolate(leader.me)
+    assert (
+        leader.progress["d"].match == leader.last_index and leader.commit == before and not fleet.reads[leader.local_id]
+    )
+    fleet.isolate(leader.local_id)
     fleet.members["d"].campaign(fleet.now)
     assert fleet.members["d"].role is Role.FOLLOWER and not fleet.members["d"].has_ready()
     fleet.cut = set()
     again = fleet.leader()
-    assert again.hand_over(fleet.now) in ABC
+    assert again.transfer_leadership(fleet.now) in ABC
 
 
 def test_changes_of_members_are_one_at_a_time_and_a_learner_that_is_behind_waits() -> None:
@@ -84,59 +86,61 @@
             leader.change_members(fleet.now, voters, learners)
     fleet.isolate("d")
     fleet.propose(leader, b"missed")
-    leader.hurry(fleet.now)
-    with pytest.raises(Busy, match=r"d is behind"):
+    leader.broadcast_commit(fleet.now)
+    with pytest.raises(BusyError, match=r"d is behind"):
         leader.change_members(fleet.now, (*ABC, "d"), ("e",))
     fleet.cut = set()
     fleet.run(1.5)
     fleet.isolate("d")
     fleet.run(0.7)
-    with pytest.raises(Busy, match=r"d was not heard for 0\.\d s"):
+    with pytest.raises(BusyError, match=r"d was not heard for 0\.\d s"):
         leader.change_members(fleet.now, (*ABC, "d"), ("e",))
     fleet.cut = set()
     fleet.run(1.0)
     fleet.change(leader, (*ABC, "d"), ("e",))
     fleet.run(0.2)
     assert {m.members for m in fleet.members.values()} == {(*ABC, "d")}
-    fleet.change(leader, tuple(n for n in (*ABC, "d") if n != leader.me), tuple(sorted((leader.me, "e"))))
+    fleet.change(leader, tuple(n for n in (*ABC, "d") if n != leader.local_id), tuple(sorted((leader.local_id, "e"))))
     new = fleet.leader()  # it demoted itself, and the others go on
-    assert leader.role is Role.FOLLOWER and new.me != leader.me and leader.me in new.learners
+    assert leader.role is Role.FOLLOWER and new.local_id != leader.local_id and leader.local_id in new.learners
     fleet.propose(new, b"after")
     fleet.run(0.3)
-    assert fleet.applied[leader.me][-1][1] == b"after"
+    assert fleet.applied[leader.local_id][-1][1] == b"after"
     fleet.change(new, new.members, tuple(n for n in new.learners if n != "e"))
     assert "e" not in new.progress
 
 
 def test_a_learner_is_unsure_until_the_leader_says_so_and_does_not_vote_before() -> None:
     # guards acknowledged entries: it may have voted once, and its disk may be older since
-    fleet = Learning("abc", ("d",), stale=1)
+    fleet = Learning("abc", ("d",), max_stale_disks=1)
     for member in fleet.members.values():
-        member.unsure = False
+        member.unconfirmed = False
     leader = fleet.leader()
     fleet.propose(leader, b"x")
     fleet.members["d"] = Raft("d", (), fleet.now, 9, 2, fleet.options)  # with no disk at all, that knows no members
-    assert fleet.members["d"].unsure
+    assert fleet.members["d"].unconfirmed
     fleet.run(0.06)
     fleet.cut = {(a, b) for a in fleet.members for b in fleet.members if a in ABC and b in ABC}
     leader._begin_round(fleet.now)
-    leader.progress["d"].due = 0.0
+    leader.progress["d"].next_heartbeat = 0.0
     leader._begin_round(fleet.now)
-    fleet.settle(leader.me)
+    fleet.settle(leader.local_id)
     fleet.pass_on()  # it has all now, and no voter has confirmed since that we lead
-    assert leader.progress["d"].match == leader.commit and fleet.members["d"].unsure
-    with pytest.raises(Busy, match=r"d has started anew"):
+    assert leader.progress["d"].match == leader.commit and fleet.members["d"].unconfirmed
+    with pytest.raises(BusyError, match=r"d has started anew"):
         leader.change_members(fleet.now, (*ABC, "d"), ())
     fleet.cut = set()
     fleet.run(1.5)
-    assert not fleet.members["d"].unsure
+    assert not fleet.members["d"].unconfirmed
     with pytest.raises(ValueError, match="3 voters left"):  # of two none could have forgotten
         leader.change_members(fleet.now, ("a", "b"), ("c", "d"))
     fleet.change(leader, (*ABC, "d"), ())
     fleet.members["d"] = Raft("d", ABC, fleet.now, 9, 3, fleet.options, leader.term)  # it forgot that it votes
-    leader.step(fleet.now, "d", fleet.members["d"]._reply(False, 0, 0))
-    assert not leader.enough([leader.me, "d", *[n for n in ABC if n != leader.me][:1]])  # three of four, one unsure
-    assert leader.enough(["a", "b", "c"])
+    leader.step(fleet.now, "d", fleet.members["d"]._append_reply(False, 0, 0))
+    assert not leader.is_quorum(
+        [leader.local_id, "d", *[n for n in ABC if n != leader.local_id][:1]]
+    )  # three of four, one unsure
+    assert leader.is_quorum(["a", "b", "c"])
 
 
 def test_many_learners_cost_a_leader_little_and_hear_what_is_new_at_once() -> None:
@@ -150,21 +154,23 @@
         leader.tick(fleet.now)
         out = leader.ready().messages
         counts.append(sum(1 for name, _ in out if name in learners))
-        fleet.sent += [(leader.me, name, message) for name, message in out]
+        fleet.sent += [(leader.local_id, name, message) for name, message in out]
         fleet.pass_on()
     assert max(counts) <= 60 and min(counts) >= 20 and 780 <= sum(counts) <= 820  # 40 a round, and not 200
     fleet.propose(leader, b"new")
     fleet.propose(leader, b"newer")
     assert leader.commit == leader.last_index
     assert {fleet.members[name].last_index for name in learners} == {leader.last_index - 2}
-    assert leader.hurry(fleet.now)
+    assert leader.broadcast_commit(fleet.now)
     out = leader.ready().messages  # to each one message, with what is new and the word that it is committed
     assert sorted(name for name, _ in out if name in learners) == list(learners)
-    fleet.sent += [(leader.me, name, message) for name, message in out]
+    fleet.sent += [(leader.local_id, name, message) for name, message in out]
     fleet.pass_on()
     assert {fleet.members[name].commit for name in (*ABC, *learners)} == {leader.commit}
-    assert not leader.hurry(fleet.now) and not leader.has_ready()  # nothing was committed since: no second round
-    assert not fleet.members["l000"].hurry(fleet.now)
+    assert (
+        not leader.broadcast_commit(fleet.now) and not leader.has_ready()
+    )  # nothing was committed since: no second round
+    assert not fleet.members["l000"].broadcast_commit(fleet.now)
 
 
 def test_learners_that_are_gone_do_not_take_the_places_of_those_that_wait_for_a_snapshot() -> None:
@@ -173,15 +179,15 @@
     fleet.cut = {(a, b) for a in fleet.members for b in fleet.members if a not in ABC or b not in ABC}
     fleet.propose(leader, b"x")
     fleet.run(2.0)
-    fleet.snapshots[leader.me] = bytes(range(100))
-    leader.compacted(Meta(leader.commit, leader.term, ABC, 100, leader.learners))
+    fleet.snapshots[leader.local_id] = bytes(range(100))
+    leader.compact(SnapshotMeta(leader.commit, leader.term, ABC, 100, leader.learners))
     fleet.cut = {(a, b) for a in fleet.members for b in fleet.members if a in ("d", "e") or b in ("d", "e")}
     fleet.run(3.0)
     assert leader.progress["g"].match == leader.commit and leader.progress["d"].match < leader.commit
-    leader.progress["d"].due = fleet.now
+    leader.progress["d"].next_heartbeat = fleet.now
     leader._begin_round(fleet.now)
     sent = [message for name, message in leader.ready().messages if name == "d"]
-    assert len(sent) == 1 and isinstance(sent[0], Append) and not sent[0].entries
+    assert len(sent) == 1 and isinstance(sent[0], AppendEntries) and not sent[0].entries
 
 
 # Who votes
@@ -192,7 +198,7 @@
     first = next_change(ABC, ("e", "d"), heard, ("d", "e"), 100.0, 60.0, 3)
     assert first is not None and (first.voters, first.learners) == (("a", "b", "c", "d"), ("e",))
     second = next_change(first.voters, first.learners, heard, ("e",), 101.0, 60.0, 3)
-    assert second is not None and "c" in second.why
+    assert second is not None and "c" in second.reason
     assert (second.voters, second.learners) == (("a", "b", "d"), ("c", "e"))
     assert next_change(second.voters, second.learners, heard, ("e",), 102.0, 60.0, 3) is None
     assert next_change(ABC, ("d", "e"), heard, (), 100.0, 60.0, 3) is None  # nobody has caught up
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -25,7 +25,7 @@
 from tealwing.peers.plan import Plan as PeersPlan
 from tealwing.replica import commands as c
 from tealwing.replica.node import Replica
-from tealwing.replica.plan import Plan
+from tealwing.replica.plan import ReplicaPlan
 
 TTL = 5.0
 MAY = USUAL.holder_may(TTL) - USUAL.told
@@ -103,7 +103,9 @@
     """A fleet of one, which leads itself."""
     plan = PeersPlan("f", "a", (("a", ("127.0.0.1", free_port())),))
     link = Link(plan)
-    replica = Replica(Plan(str(tmp_path / "replica"), beat=0.02, election=0.1), link, Clock())
+    replica = Replica(
+        ReplicaPlan(str(tmp_path / "replica"), heartbeat_interval=0.02, election_timeout=0.1), link, Clock()
+    )
     keeper = Keeper(replica, replica.clock)
     replica.start()
     keeper.start()
@@ -167,7 +169,7 @@
 
 def test_a_clock_set_forward_sweeps_no_drain_that_still_runs(monkeypatch: pytest.MonkeyPatch) -> None:
     # a drain is kept for a span of real time after its cut-off, whatever the machine's wall clock says
-    drain, written, tasks = c.Drain(7, 0, told=1_000, cutoff=2_000), list[c.Command](), list[Any]()
+    drain, written, tasks = c.Drain(7, 0, notified=1_000, cutoff=2_000), list[c.Command](), list[Any]()
     state = SimpleNamespace(tables={"drains": {"7/0": drain}})
     replica = SimpleNamespace(lock=threading.Lock(), state=state, write=lambda command, _: written.append(command))
     keeper = SimpleNamespace(task=lambda name, ttl, gained: tasks.append(gained))
@@ -180,7 +182,7 @@
 
 
 def test_a_drain_is_swept_once_its_time_has_passed_since_it_was_seen() -> None:
-    drain, ages = c.Drain(7, 0, told=1_000, cutoff=2_000), sweep.Ages()
+    drain, ages = c.Drain(7, 0, notified=1_000, cutoff=2_000), sweep.Ages()
     kept = 1.0 + sweep.KEPT_MS / 1e3
     assert not ages.over({"7/0": drain}, 100.0)
     assert not ages.over({"7/0": drain}, 100.0 + kept - 0.01)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -14,7 +14,7 @@
 from tealwing.lab.rollout.measure import share
 from tealwing.peers import link, section
 from tealwing.peers.plan import BEAT_RATE, Plan, Times
-from tealwing.replica.messages import Append
+from tealwing.replica.messages import AppendEntries
 from tealwing.replica.raft import Options, Raft, Role
 from tealwing.rollout import retry
 from tealwing.rollout.actions import Say
@@ -74,7 +74,7 @@
 
     def __init__(self, learners: int, news_rate: float) -> None:
         names = tuple(f"l{number}" for number in range(learners))
-        options = Options(news_rate=news_rate)
+        options = Options(learner_message_rate=news_rate)
         self.cores = {
             name: Raft(name, ("a",), 0.0, 1, number, options, learners=names)
             for number, name in enumerate(("a", *names), 1)
@@ -102,10 +102,10 @@
             for core in busy:
                 ready = core.ready()
                 if ready.entries:
-                    core.saved(self.now, ready.entries[-1].index, ready.entries[-1].term)
+                    core.entries_saved(self.now, ready.entries[-1].index, ready.entries[-1].term)
                 for name, message in ready.messages:
-                    self.sent += core is self.leader and isinstance(message, Append) and bool(message.entries)
-                    self.cores[name].step(self.now, core.me, message)
+                    self.sent += core is self.leader and isinstance(message, AppendEntries) and bool(message.entries)
+                    self.cores[name].step(self.now, core.local_id, message)
 
 
 @pytest.mark.parametrize(("rate", "least", "most"), [(100.0, 300, 500), (1e9, 2000, 2100)])
@@ -131,7 +131,7 @@
     cluster.leader.propose(cluster.now, b"y")
     cluster.deliver()
     assert cluster.sent == before
-    assert cluster.leader.hurry(cluster.now)
+    assert cluster.leader.broadcast_commit(cluster.now)
     cluster.deliver()
     assert cluster.sent == before + 50
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -15,10 +15,19 @@
 from tealwing.lab.rig.trial import Trial
 from tealwing.peers.bounds import USUAL
 from tealwing.replica import commands as c
-from tealwing.replica.feed import words
-from tealwing.replica.messages import Snap
-from tealwing.replica.raft import Meta, Mode
-from tealwing.replica.recovery import ASK_LIMIT, OLDEST_MS, Belief, Phase, Return, Seen, Trust, beliefs
+from tealwing.replica.feed import missing_commands
+from tealwing.replica.messages import InstallSnapshot
+from tealwing.replica.raft import Mode, SnapshotMeta
+from tealwing.replica.recovery import (
+    MAX_AGE_MS,
+    PEER_QUERY_TIMEOUT,
+    FleetView,
+    Phase,
+    Recovery,
+    Trust,
+    TrustedItem,
+    assess_trust,
+)
 from tealwing.replica.state import State
 from tests.test_replica import Fleet, do
 from tests.test_trials import run
@@ -26,17 +35,17 @@
 NOW = 1_800_000_000_000  # ms
 
 
-def believed(state: State, last: int = 0) -> dict[tuple[str, str], Belief]:
-    return {(belief.what, belief.key): belief for belief in beliefs(state, last or state.applied, NOW)}
+def believed(state: State, last: int = 0) -> dict[tuple[str, str], TrustedItem]:
+    return {(belief.kind, belief.key): belief for belief in assess_trust(state, last or state.applied, NOW)}
 
 
 def test_the_last_good_settings_serve_at_once_and_a_bad_one_never() -> None:
     state = State()
     do(state, 1, c.Settings(1, b"old"))
     do(state, 2, c.Settings(2, b"good"))
-    do(state, 3, c.Settings(3, b"bad", good=False))
+    do(state, 3, c.Settings(3, b"bad", valid=False))
     found = believed(state)
-    assert found["settings", "2"].trust is Trust.HELD and found["settings", "3"].trust is Trust.NEVER
+    assert found["settings", "2"].trust is Trust.TRUSTED and found["settings", "3"].trust is Trust.NEVER
     assert ("settings", "1") not in found
 
 
@@ -57,11 +66,11 @@
     do(state, 3, c.Drain(8, 0, NOW + 60_000, NOW + 61_000))  # by a clock that was ahead, or ours is behind
     do(state, 4, c.Note(7, 0, "cold", NOW - 1000))
     do(state, 5, c.Note(7, 0, "aside"))
-    do(state, 6, c.Level("few", "load", NOW - OLDEST_MS - 1))
+    do(state, 6, c.Level("few", "load", NOW - MAX_AGE_MS - 1))
     found = believed(state, last=9)
-    assert found["drain", "7/0"].until_ms == NOW - 2000 and found["drain", "7/0"].trust is Trust.HELD
+    assert found["drain", "7/0"].until_ms == NOW - 2000 and found["drain", "7/0"].trust is Trust.TRUSTED
     assert found["drain", "8/0"].trust is Trust.MARKED and found["drain", "8/0"].until_ms == NOW
-    assert found["notes", "7/0/cold"].trust is Trust.HELD and found["notes", "7/0/aside"].trust is Trust.MARKED
+    assert found["notes", "7/0/cold"].trust is Trust.TRUSTED and found["notes", "7/0/aside"].trust is Trust.MARKED
     assert found["levels", "few"].trust is Trust.MARKED and found["log", "7..9"].trust is Trust.MARKED
 
 
@@ -72,62 +81,64 @@
         api.EngineListEntry(7, 0, 0, 0, draining, 1.0, 0.0),
         api.EngineListEntry(8, 0, 0, 0, ready, 1.0, NOW / 1e3 - 2),
     ]
-    first = words(told, state, NOW, 1000, 13_000)
+    first = missing_commands(told, state, NOW, 1000, 13_000)
     assert first == [c.Drain(7, 0, NOW, NOW + 1000), c.Note(8, NOW - 2000, "cold", NOW - 2000)]
     for index, body in enumerate(first, 1):
         do(state, index, body)
-    assert words(told, state, NOW + 500, 1000, 13_000) == []
+    assert missing_commands(told, state, NOW + 500, 1000, 13_000) == []
     again = [
         api.EngineListEntry(7, 0, 0, 0, ready, 1.0, 0.0),
         api.EngineListEntry(8, 0, 0, 0, api.Health.GONE, 1.0, 0.0),
     ]
-    over = words(again, state, NOW + 900, 1000, 13_000)
-    assert over == [c.Drain(7, 0, over=True), c.Note(8, NOW - 2000, "cold", over=True)]
+    over = missing_commands(again, state, NOW + 900, 1000, 13_000)
+    assert over == [c.Drain(7, 0, removed=True), c.Note(8, NOW - 2000, "cold", removed=True)]
     for index, body in enumerate(over, 3):
         assert do(state, index, body).ok
     assert state.counts()["drains"] == state.counts()["notes"] == 0
 
 
-def seen(leader: str = "", commit: int = 10, applied: int = 10, unsure: bool = False, term: int = 3) -> Seen:
-    return Seen(leader, term, unsure, commit, applied, 2, 3)
+def seen(leader: str = "", commit: int = 10, applied: int = 10, unsure: bool = False, term: int = 3) -> FleetView:
+    return FleetView(leader, term, unsure, commit, applied, 2, 3)
 
 
 def test_service_returns_in_its_order_and_never_waits_for_a_quorum() -> None:
-    back = Return(0.0)
-    assert back.look(0.1, seen("b")) is Phase.DISK and not back.ready
+    back = Recovery(0.0)
+    assert back.update(0.1, seen("b")) is Phase.DISK and not back.ready
     back.disk_read(0.2)
-    assert back.look(0.3, seen()) is Phase.ASKING and not back.ready and not back.may_change
-    assert back.look(0.2 + ASK_LIMIT, seen()) is Phase.ALONE and back.ready and not back.may_change
+    assert back.update(0.3, seen()) is Phase.QUERYING_PEERS and not back.ready and not back.may_change
+    assert back.update(0.2 + PEER_QUERY_TIMEOUT, seen()) is Phase.STANDALONE and back.ready and not back.may_change
     assert "2 of 3 members are heard" in back.reason(seen())
-    assert back.look(3.0, seen("b", commit=20)) is Phase.ALONE  # what was committed when it was first heard
-    assert back.look(3.1, seen("b", commit=30, applied=19)) is Phase.ALONE
-    assert back.look(3.2, seen("b", commit=30, applied=20, unsure=True)) is Phase.ALONE
-    assert back.look(3.3, seen("b", commit=30, applied=20)) is Phase.MEMBER and back.may_change
-    assert back.look(4.0, seen()) is Phase.ALONE and back.ready and not back.may_change  # the majority is gone again
-    assert back.told(seen(), [])["member_after_s"] == 3.3
+    assert back.update(3.0, seen("b", commit=20)) is Phase.STANDALONE  # what was committed when it was first heard
+    assert back.update(3.1, seen("b", commit=30, applied=19)) is Phase.STANDALONE
+    assert back.update(3.2, seen("b", commit=30, applied=20, unsure=True)) is Phase.STANDALONE
+    assert back.update(3.3, seen("b", commit=30, applied=20)) is Phase.MEMBER and back.may_change
+    assert (
+        back.update(4.0, seen()) is Phase.STANDALONE and back.ready and not back.may_change
+    )  # the majority is gone again
+    assert back.report(seen(), [])["member_after_s"] == 3.3
 
 
 def test_a_gateway_that_finds_its_fleet_at_once_is_a_member_at_once() -> None:
-    back = Return(0.0)
+    back = Recovery(0.0)
     back.disk_read(0.1)
-    assert back.look(0.2, seen("a")) is Phase.MEMBER and back.ready
+    assert back.update(0.2, seen("a")) is Phase.MEMBER and back.ready
 
 
 def test_snapshots_go_to_two_members_at_a_time_when_all_come_back() -> None:
     # guards the leader's disk and link against a whole fleet that wants all of the state at one moment
     fleet = Fleet("abcdefg")
     leader = fleet.leader()
-    fleet.cut = {(leader.me, name) for name in "abcdefg"} | {(name, leader.me) for name in "abcdefg"}
-    others = [name for name in "abcdefg" if name != leader.me]
+    fleet.cut = {(leader.local_id, name) for name in "abcdefg"} | {(name, leader.local_id) for name in "abcdefg"}
+    others = [name for name in "abcdefg" if name != leader.local_id]
     for name in others:
         leader.progress[name].match, leader.progress[name].next, leader.progress[name].mode = 0, 1, Mode.PROBE
-        leader.progress[name].heard = fleet.now
+        leader.progress[name].last_contact = fleet.now
         leader.progress[name].inflight.clear()
-    fleet.snapshots[leader.me] = bytes(100)
-    leader.compacted(Meta(leader.commit, leader.term, tuple("abcdefg"), 100))
+    fleet.snapshots[leader.local_id] = bytes(100)
+    leader.compact(SnapshotMeta(leader.commit, leader.term, tuple("abcdefg"), 100))
     fleet.sent.clear()
     leader._begin_round(fleet.now)
-    assert len([message for _, message in leader.ready().messages if isinstance(message, Snap)]) == 2
+    assert len([message for _, message in leader.ready().messages if isinstance(message, InstallSnapshot)]) == 2
     fleet.cut = set()
     fleet.run(8.0)
     assert {m.commit for m in fleet.members.values()} == {leader.commit} and leader.commit > 0
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -17,9 +17,20 @@
 from tealwing.lab.models.starts import figure_eight, forgotten, likely, message_between, sure
 from tealwing.replica import commands as c
 from tealwing.replica.disk import Disk
-from tealwing.replica.messages import Append, AppendReply, Entry, Held, Hold, Kind, Message, Snap, VoteAsk, VoteReply
-from tealwing.replica.raft import Busy, Meta, NotLeader, Options, Raft, Role
-from tealwing.replica.state import MOST_SESSIONS, State
+from tealwing.replica.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    ConfirmVote,
+    Entry,
+    InstallSnapshot,
+    Kind,
+    Message,
+    RequestVote,
+    RequestVoteReply,
+    VoteConfirmation,
+)
+from tealwing.replica.raft import BusyError, NotLeaderError, Options, Raft, Role, SnapshotMeta
+from tealwing.replica.state import MAX_SESSIONS, State
 from tealwing.replica.storage import Storage, StorageError, verify
 
 
@@ -96,7 +107,7 @@
         storage = Storage(folder, disk)
         storage.open()
         storage.save((1, ""), [entry(1)])
-        disk.fail(fault, 1)
+        disk.inject_fault(fault, 1)
         for _ in range(2):
             with pytest.raises(OSError, match=r"laboratory|not known"):
                 storage.save(None, [entry(2)])
@@ -110,14 +121,14 @@
     storage.save((2, ""), [entry(index, 2) for index in range(1, 6)])
     (tmp_path / "snapshot-0000000000000009-000000000002.tmp").write_bytes(b"was being written")
     meta = storage.write_snapshot(4, 2, ("a", "b"), [b"body" * 10, b"more"])
-    storage.adopt(meta)
-    assert b"".join(storage.body(meta)) == b"body" * 10 + b"more"
+    storage.adopt_snapshot(meta)
+    assert b"".join(storage.snapshot_body(meta)) == b"body" * 10 + b"more"
     found = Storage(tmp_path).open()
     assert found.snapshot == meta and [e.index for e in found.log] == [5] and not list(tmp_path.glob("*.tmp"))
     disk = Disk()
     failing = Storage(tmp_path, disk)
     failing.open()
-    disk.fail("full", 1)
+    disk.inject_fault("full", 1)
     with pytest.raises(OSError, match="laboratory"):
         failing.write_snapshot(5, 2, ("a",), [b"x"])
     assert Storage(tmp_path).open().snapshot == meta
@@ -142,9 +153,9 @@
     again = Storage(tmp_path / "to")
     assert again.open().incoming == (7, 3, 20)
     again.write_chunk(7, 3, 20, whole[20:-1] + b"?")
-    assert again.install(7, 3) is None  # its checksum is wrong
+    assert again.install_snapshot(7, 3) is None  # its checksum is wrong
     again.write_chunk(7, 3, 0, whole)
-    assert again.install(7, 3) == meta
+    assert again.install_snapshot(7, 3) == meta
     found = Storage(tmp_path / "to").open()
     assert found.snapshot == meta and found.log == []
 
@@ -160,9 +171,9 @@
     assert state.apply(4, put("k", b"3", "me", 2)).ok
     assert not state.apply(5, put("k", b"1", "me", 1)).ok and state.tables["values"]["k"].value == b"3"
     assert not state.apply(6, b"garbage").ok
-    for number in range(MOST_SESSIONS + 5):
+    for number in range(MAX_SESSIONS + 5):
         state.apply(7 + number, put("k", b"x", f"client-{number}", 1))
-    assert len(state.tables["sessions"]) == MOST_SESSIONS and "me" not in state.tables["sessions"]
+    assert len(state.tables["sessions"]) == MAX_SESSIONS and "me" not in state.tables["sessions"]
 
 
 def do(state: State, index: int, body: c.Body, fence: c.Fence | None = None) -> c.CommandResult:
@@ -172,21 +183,21 @@
 def test_settings_drains_and_leases_keep_their_rules() -> None:
     state = State()
     assert not do(state, 1, c.Settings(2, b"late")).ok and do(state, 2, c.Settings(1, b"good")).ok
-    assert do(state, 3, c.Settings(2, b"bad", good=False)).ok and state.last_good() == 1
+    assert do(state, 3, c.Settings(2, b"bad", valid=False)).ok and state.last_good() == 1
     for version in range(3, 30):
-        do(state, version + 1, c.Settings(version, b"bad", good=False))
+        do(state, version + 1, c.Settings(version, b"bad", valid=False))
     assert "1" in state.tables["settings"] and len(state.tables["settings"]) == 17  # the last good one stays
     do(state, 40, c.Drain(7, 0, 1000, 2000))
     do(state, 41, c.Drain(7, 0, 1500, 2500))
     assert state.tables["drains"]["7/0"].cutoff == 2000  # it counts from when it was first told
-    assert do(state, 42, c.Drain(7, 0, over=True)).ok and not do(state, 43, c.Drain(7, 0, over=True)).ok
+    assert do(state, 42, c.Drain(7, 0, removed=True)).ok and not do(state, 43, c.Drain(7, 0, removed=True)).ok
     granted = do(state, 50, c.Acquire("sweep", "a", 1000))
     assert granted.version == 50 and not do(state, 51, c.Acquire("sweep", "b", 1000)).ok
     assert do(state, 52, c.Renew("sweep", 50)).ok
     assert not do(state, 53, c.Expire("sweep", 50, 50)).ok  # it was renewed meanwhile
     assert do(state, 54, c.Expire("sweep", 50, 52)).ok and not do(state, 55, c.Renew("sweep", 50)).ok
     assert do(state, 56, c.Acquire("sweep", "b", 1000)).version == 56
-    assert not do(state, 57, c.Put("k", b"old"), c.Fence("sweep", 50)).ok and state.refused_stale == 1
+    assert not do(state, 57, c.Put("k", b"old"), c.Fence("sweep", 50)).ok and state.rejected_stale == 1
     assert not do(state, 58, c.Put("k", b"made up"), c.Fence("sweep", 99)).ok
     assert do(state, 59, c.Put("k", b"new"), c.Fence("sweep", 56)).ok
 
@@ -249,11 +260,13 @@
             ready = member.ready()
             if ready.chunk is not None and ready.chunk.offset + len(ready.chunk.data) >= ready.chunk.total:
                 self.applied[name] = [(ready.chunk.index, b"snapshot")]
-                member.installed(Meta(ready.chunk.index, ready.chunk.index_term, tuple("abc"), ready.chunk.total))
+                member.snapshot_installed(
+                    SnapshotMeta(ready.chunk.index, ready.chunk.index_term, tuple("abc"), ready.chunk.total)
+                )
             if ready.entries:
-                member.saved(self.now, ready.entries[-1].index, ready.entries[-1].term)
+                member.entries_saved(self.now, ready.entries[-1].index, ready.entries[-1].term)
             for to, message in ready.messages:
-                if isinstance(message, Snap):
+                if isinstance(message, InstallSnapshot):
                     data = self.snapshots[name][message.offset : message.offset + 10]
                     message = msgspec.structs.replace(message, data=data)
                 self.sent.append((name, to, message))
@@ -267,7 +280,7 @@
 
     def propose(self, leader: Raft, data: bytes) -> None:
         leader.propose(self.now, data)
-        self.settle(leader.me)
+        self.settle(leader.local_id)
         self.pass_on()
 
     def isolate(self, name: str) -> None:
@@ -278,7 +291,7 @@
     fleet = Fleet()
     old = fleet.leader()
     fleet.propose(old, b"kept")
-    fleet.isolate(old.me)
+    fleet.isolate(old.local_id)
     fleet.propose(old, b"never committed")
     fleet.run(2.0)
     assert old.role is not Role.LEADER  # it can't reach a quorum, and says so
@@ -297,32 +310,32 @@
     old = fleet.leader()
     fleet.propose(old, b"before")
     fleet.run(0.2)
-    begun, to = fleet.now, old.hand_over(fleet.now)
-    fleet.settle(old.me)
+    begun, to = fleet.now, old.transfer_leadership(fleet.now)
+    fleet.settle(old.local_id)
     fleet.pass_on()
     new = fleet.members[to]
     assert new.role is Role.LEADER and old.role is Role.FOLLOWER and fleet.now == begun
     fleet.propose(new, b"after")
     fleet.run(0.2)
     assert {tuple(data for _, data in found) for found in fleet.applied.values()} == {(b"before", b"after")}
-    assert old.hand_over(fleet.now) == ""  # only a leader has something to hand over
-    fleet.isolate(new.me)
+    assert old.transfer_leadership(fleet.now) == ""  # only a leader has something to hand over
+    fleet.isolate(new.local_id)
     fleet.run(0.7)
-    assert new.hand_over(fleet.now) == ""  # to nobody that it does not hear
+    assert new.transfer_leadership(fleet.now) == ""  # to nobody that it does not hear
 
 
 def test_a_read_is_not_answered_by_a_leader_that_was_deposed() -> None:
     fleet = Fleet(check_quorum=False)  # it still thinks that it leads
     old = fleet.leader()
-    fleet.isolate(old.me)
+    fleet.isolate(old.local_id)
     old.read(fleet.now, 7)
     fleet.run(2.0)
-    assert old.role is Role.LEADER and not fleet.reads[old.me]
+    assert old.role is Role.LEADER and not fleet.reads[old.local_id]
     new = next(m for m in fleet.members.values() if m.role is Role.LEADER and m is not old)
     new.read(fleet.now, 8)
     fleet.run(0.2)
-    assert fleet.reads[new.me] == [(8, new.commit)]
-    with pytest.raises(NotLeader):
+    assert fleet.reads[new.local_id] == [(8, new.commit)]
+    with pytest.raises(NotLeaderError):
         next(m for m in fleet.members.values() if m.role is Role.FOLLOWER).read(fleet.now, 9)
 
 
@@ -334,13 +347,13 @@
     with pytest.raises(ValueError, match="one member more or one fewer"):
         leader.change_members(fleet.now, ("a", "b"[:0] or "d"))
     leader.change_members(fleet.now, ("a", "b", "c", "d"))
-    with pytest.raises(Busy):
+    with pytest.raises(BusyError):
         leader.change_members(fleet.now, ("a", "b", "c"))
     fleet.run(1.0)
     assert fleet.applied["d"] == [(2, b"before")] and fleet.members["d"].members == ("a", "b", "c", "d")
-    rest = tuple(name for name in "abcd" if name != leader.me)
+    rest = tuple(name for name in "abcd" if name != leader.local_id)
     leader.change_members(fleet.now, rest)
-    fleet.settle(leader.me)
+    fleet.settle(leader.local_id)
     fleet.run(3.0)
     assert leader.role is not Role.LEADER  # it committed its own removal, and the others go on
     new = next(m for m in fleet.members.values() if m.role is Role.LEADER)
@@ -352,36 +365,36 @@
 def test_who_needs_more_than_the_log_has_gets_a_snapshot_in_pieces_over_a_cut() -> None:
     fleet = Fleet()
     leader = fleet.leader()
-    behind = next(name for name in "abc" if name != leader.me)
+    behind = next(name for name in "abc" if name != leader.local_id)
     fleet.isolate(behind)
     for number in range(20):
         fleet.propose(leader, b"%d" % number)
-    fleet.snapshots[leader.me] = bytes(range(100))
-    leader.compacted(Meta(leader.commit, leader.term, tuple("abc"), 100), trail=0)
+    fleet.snapshots[leader.local_id] = bytes(range(100))
+    leader.compact(SnapshotMeta(leader.commit, leader.term, tuple("abc"), 100), retained_entries=0)
     fleet.cut = set()
     for _ in range(200):  # some pieces get through, then the link is cut in their midst
         fleet.now += 0.02
         leader.tick(fleet.now)
-        fleet.settle(leader.me)
-        while fleet.sent and fleet.members[behind]._incoming[2] < 40:
+        fleet.settle(leader.local_id)
+        while fleet.sent and fleet.members[behind]._incoming_snapshot[2] < 40:
             source, target, message = fleet.sent.pop(0)
             fleet.members[target].step(fleet.now, source, message)
             fleet.settle(target)
-        if fleet.members[behind]._incoming[2] >= 40:
+        if fleet.members[behind]._incoming_snapshot[2] >= 40:
             break
     fleet.isolate(behind)
     fleet.run(0.5)
-    at = fleet.members[behind]._incoming[2]
+    at = fleet.members[behind]._incoming_snapshot[2]
     assert at >= 40
     fleet.cut = set()
     offsets = []
-    original = fleet.members[behind]._hear_snap
+    original = fleet.members[behind]._handle_install_snapshot
 
-    def watch(now: float, source: str, snap: Snap) -> None:
+    def watch(now: float, source: str, snap: InstallSnapshot) -> None:
         offsets.append(snap.offset)
         original(now, source, snap)
 
-    fleet.members[behind]._hear_snap = watch  # type: ignore[method-assign]
+    fleet.members[behind]._handle_install_snapshot = watch  # type: ignore[method-assign]
     fleet.run(2.0)
     fleet.propose(leader if leader.role is Role.LEADER else fleet.leader(), b"last")
     fleet.run(0.3)
@@ -392,45 +405,45 @@
 def test_a_refused_append_is_not_sent_again_and_again() -> None:
     fleet = Fleet()
     leader = fleet.leader()
-    other = next(name for name in "abc" if name != leader.me)
+    other = next(name for name in "abc" if name != leader.local_id)
     progress = leader.progress[other]
-    refusal = AppendReply(leader.term, False, 0, progress.match, 0, leader.round, progress.start, False)
+    refusal = AppendEntriesReply(leader.term, False, 0, progress.match, 0, leader.round, progress.incarnation, False)
     leader.step(fleet.now, other, refusal)
     leader.ready()
     leader.step(fleet.now, other, refusal)  # the same again: nothing new to try
-    assert not any(isinstance(message, Append) for _, message in leader.ready().messages)
+    assert not any(isinstance(message, AppendEntries) for _, message in leader.ready().messages)
 
 
 @pytest.mark.parametrize("stale", [0, 1])
 def test_a_member_that_came_back_with_an_older_disk_decides_nothing_until_it_is_sure(stale: int) -> None:
     # guards acknowledged entries: a disk that lost its last writes makes a member vote as though it remembered less
-    fleet = Fleet(stale=stale, pre_vote=False, check_quorum=False)
+    fleet = Fleet(max_stale_disks=stale, pre_vote=False, check_quorum=False)
     for member in fleet.members.values():
-        member.unsure = False
+        member.unconfirmed = False
     leader = fleet.leader()
-    third, forgetful = (name for name in "abc" if name != leader.me)
+    third, forgetful = (name for name in "abc" if name != leader.local_id)
     fleet.isolate(third)
     fleet.propose(leader, b"acknowledged")
     assert leader.commit == 2
     fleet.members[forgetful] = Raft(forgetful, tuple("abc"), fleet.now, 5, 2, fleet.options)  # an empty disk
-    fleet.isolate(leader.me)  # the one that has the entry is away
+    fleet.isolate(leader.local_id)  # the one that has the entry is away
     fleet.run(5.0)
-    led = [m.me for m in fleet.members.values() if m.role is Role.LEADER and m is not leader]
+    led = [m.local_id for m in fleet.members.values() if m.role is Role.LEADER and m is not leader]
     assert bool(led) is (stale == 0)  # plain Raft elects one without the entry
     if stale:
         fleet.cut = set()
         fleet.run(20.0)
         assert fleet.applied[third] == [(2, b"acknowledged")]
-        assert not fleet.members[forgetful].unsure and fleet.members[forgetful].commit >= 2
+        assert not fleet.members[forgetful].unconfirmed and fleet.members[forgetful].commit >= 2
 
 
 @pytest.mark.parametrize("careful", [False, True])
 def test_a_vote_that_was_forgotten_makes_no_second_leader_of_a_term(careful: bool) -> None:
     # guards one leader a term: l votes for x, comes back without that, is told that it is sure, and votes for q
-    fleet = Fleet("lpqxy", stale=1, pre_vote=careful, check_quorum=careful)
+    fleet = Fleet("lpqxy", max_stale_disks=1, pre_vote=careful, check_quorum=careful)
     m = fleet.members
     for member in m.values():
-        member.unsure, member.deadline = False, 1e9  # who stands, and when, is told below
+        member.unconfirmed, member.election_deadline = False, 1e9  # who stands, and when, is told below
 
     def give(route: str) -> None:
         """Each pair of names: all that is under way from one to the other arrives."""
@@ -450,7 +463,9 @@
         fleet.settle(name)
         if careful:  # the votes before the vote
             give(" ".join(f"{name}{other} {other}{name}" for other in asked))
-            fleet.sent = [w for w in fleet.sent if not (isinstance(w[2], VoteAsk) and w[0] == name and w[2].pre)]
+            fleet.sent = [
+                w for w in fleet.sent if not (isinstance(w[2], RequestVote) and w[0] == name and w[2].pre_vote)
+            ]
 
     m["y"].campaign(fleet.now)
     fleet.settle("y")
@@ -463,16 +478,16 @@
     assert (m["x"].term, m["l"].vote) == (m["y"].term + 1, "x")
     lost = m["l"]
     m["l"] = Raft("l", tuple("lpqxy"), fleet.now, 9, 2, fleet.options, *before[:2], log=before[2])
-    m["l"].deadline = 1e9
+    m["l"].election_deadline = 1e9
     for route in ("yl ly", "yp py yq qy yl ly"):
         m["y"]._begin_round(fleet.now)
         fleet.settle("y")
         give(route)
     give("py qy ly yl")
-    assert m["l"].term == m["y"].term < lost.term and not m["l"].unsure
+    assert m["l"].term == m["y"].term < lost.term and not m["l"].unconfirmed
     lose("y")
     fleet.now += 0.61  # y is heard by nobody
-    assert fleet.now < m["x"].deadline or not careful
+    assert fleet.now < m["x"].election_deadline or not careful
     m["y"].tick(fleet.now)
     fleet.settle("y")
     lose("y")
@@ -513,10 +528,16 @@
     model = Consensus(Budget(proposals=1), mutation, "abcde", 1, begin=sure)
     world = model.propose(model.initial(), "a")
     for source, target, kind in (
-        *((*pair, kind) for name in "bc" for pair, kind in ((("a", name), Append), ((name, "a"), AppendReply))),
-        ("e", "d", VoteAsk), ("d", "e", VoteReply), *(() if mutation else (("e", "b", Hold), ("e", "d", Hold))),
-        *(() if mutation else (("b", "e", Held), ("d", "e", Held))),
-    ):  # fmt: skip
+        *(
+            (*pair, kind)
+            for name in "bc"
+            for pair, kind in ((("a", name), AppendEntries), ((name, "a"), AppendEntriesReply))
+        ),
+        ("e", "d", RequestVote),
+        ("d", "e", RequestVoteReply),
+        *(() if mutation else (("e", "b", ConfirmVote), ("e", "d", ConfirmVote))),
+        *(() if mutation else (("b", "e", VoteConfirmation), ("d", "e", VoteConfirmation))),
+    ):
         world = model.deliver(world, source, target, message_between(world, source, target, kind), False)
     assert world.members["a"].commit == 2
     assert model.broken(world) == ("e leads term 2 without the entry 2 that is committed" if mutation else "")
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -54,7 +54,7 @@
     assert mark.read() == 0
     mark.write(7)
     for fault in ("fsync", "short", "full"):
-        disk.fail(fault, 1)
+        disk.inject_fault(fault, 1)
         with pytest.raises(OSError):
             mark.write(8)
         assert Mark(tmp_path, disk).read() == 7
--- a/tests/test_rollout_scale.py
+++ b/tests/test_rollout_scale.py
@@ -7,7 +7,7 @@
 from tealwing.lab.rollout import trials
 from tealwing.lab.rollout.measure import share
 from tealwing.replica import commands as c
-from tealwing.replica.gathering import gathered
+from tealwing.replica.gathering import batched
 from tealwing.replica.state import State
 from tealwing.rules.digests import digest
 from tealwing.rules.records import Begin, Body, Close, Closed, LostTouch, Propose, Verdict
@@ -54,7 +54,7 @@
     words: list[Body] = [Verdict(1, name, 1, True) for name in names]
     closed: list[Body] = [Closed(1, name, 1) for name in names]
     one, other = State(), State()
-    for state, gather in ((one, list), (other, gathered)):
+    for state, gather in ((one, list), (other, batched)):
         for part in (before, words, [Close(1)], closed):
             for data in gather([c.encode(c.Command("", 0, body)) for body in part]):
                 state.apply(state.applied + 1, data)
@@ -63,4 +63,4 @@
     phases = [(s.tables["rules"]["1"].phase, sorted(s.tables["rules"]["1"].said)) for s in (one, other)]
     assert phases == [("agreed", names)] * 2
     kept = c.encode(c.Command("client", 3, words[0]))
-    assert gathered([kept, kept]) == [kept, kept]  # somebody counts on its number
+    assert batched([kept, kept]) == [kept, kept]  # somebody counts on its number
--- a/tests/test_rollout_shell.py
+++ b/tests/test_rollout_shell.py
@@ -32,13 +32,13 @@
 
     def __init__(self, folder: Path, state: State | None = None) -> None:
         self.state, self.clock, self.disk = state or State(), Clock(), Disk()
-        self.plan, self.start_number, self.broken = SimpleNamespace(folder=str(folder), election=0.6), 7, ""
+        self.plan, self.incarnation, self.broken = SimpleNamespace(directory=str(folder), election_timeout=0.6), 7, ""
         self.core = SimpleNamespace(progress={}, members=("n0",))
         self.hurried, self._lock, self.answers = 0, threading.RLock(), threading.Event()
         self._watchers: list[Callable[..., None]] = []
-        self.watch = self._watchers.append
+        self.on_applied = self._watchers.append
         self.led: list[Callable[[bool], None]] = []
-        self.on_led, self.on_installed = self.led.append, list[Any]().append
+        self.on_leadership, self.on_state_replaced = self.led.append, list[Any]().append
 
     def write(self, command: c.Command, wait: float = 1.0) -> c.CommandResult:
         with self._lock:
@@ -51,17 +51,17 @@
     def do(self, body: records.Body) -> c.CommandResult:
         return self.write(c.Command("", 0, body))
 
-    def propose_here(self, data: bytes) -> None:
+    def propose_if_leader(self, data: bytes) -> None:
         self.write(c.decode(data))
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
         self.write(c.decode(data))
 
     def read_index(self, wait: float) -> int:
         self.answers.wait(wait)
         return self.state.applied
 
-    def hurry(self) -> None:
+    def broadcast_commit(self) -> None:
         self.hurried += 1
 
 
@@ -141,12 +141,12 @@
 def test_a_disk_that_does_not_take_the_mark_keeps_the_gate_closed_and_all_quiet(made: Any, tmp_path: Path) -> None:
     one = made()
     until(one.passes)
-    one.log.disk.fail("fsync", 10**6)
+    one.log.disk.inject_fault("fsync", 10**6)
     number = one.propose(b"x")
     until(lambda: one.log.disk.failed >= 2)
     assert one.phase(number) == "preparing" and not one.passes() and one.passes("loads")
     assert one.shell.seen.members["n0"].closed == 0
-    one.log.disk.fail("none", 0)
+    one.log.disk.inject_fault("none", 0)
     until(lambda: one.phase(number) == "active" and one.passes())
     assert f"closed-for {number} ".encode() in (tmp_path / NAME).read_bytes()
 
--- a/tests/test_rules_bundle.py
+++ b/tests/test_rules_bundle.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from tealwing import interface as api
-from tealwing.replica.commands import NewerEntry
+from tealwing.replica.commands import NewerEntryError
 from tealwing.rules import check, errors, overlay
 from tealwing.rules.bundle import EMPTY, MOST_ROUTES, Bundle, parse
 from tealwing.rules.touch import EVERYTHING, touched
@@ -139,7 +139,7 @@
     assert met == ours - bases
     pages = [Path(__file__).parent.parent / "docs" / "operating" / f"{name}.md" for name in ("rules", "federation")]
     manual = "\n".join(page.read_text() for page in pages if page.exists())
-    for remedy in [kind.remedy for kind in kinds() - bases] + [NewerEntry.remedy]:
+    for remedy in [kind.remedy for kind in kinds() - bases] + [NewerEntryError.remedy]:
         assert remedy in manual
 
 
--- a/tests/test_rules_registry.py
+++ b/tests/test_rules_registry.py
@@ -13,7 +13,7 @@
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
 from tealwing.replica.node import Replica
-from tealwing.replica.plan import Plan
+from tealwing.replica.plan import ReplicaPlan
 from tealwing.replica.state import State
 from tealwing.rules import records as r
 from tealwing.rules import registry
@@ -267,7 +267,7 @@
     state = State()
     state.apply(1, c.encode(c.Command("x", 0, c.Put("k", b"v"))))
     before = state.digest()
-    with pytest.raises(c.NewerEntry, match="of a newer build: .*; install the build"):
+    with pytest.raises(c.NewerEntryError, match="of a newer build: .*; install the build"):
         state.apply(2, data)
     assert (state.applied, state.digest()) == (1, before)
 
@@ -287,7 +287,7 @@
 
 def test_a_snapshot_of_a_newer_build_is_not_loaded_in_part() -> None:
     item = msgspec.msgpack.encode(("rule_books", "k", b"\x01"))
-    with pytest.raises(c.NewerEntry, match="a table rule_books"):
+    with pytest.raises(c.NewerEntryError, match="a table rule_books"):
         State().load(3, [len(item).to_bytes(4, "big") + item])
 
 
@@ -295,17 +295,17 @@
     alone = SimpleNamespace(name="a", members=(("a", ("127.0.0.1", 1)),), learners=())
     silent = dict.fromkeys(("on", "send", "reach"), lambda *_: None)
     link: Any = SimpleNamespace(plan=alone, live=lambda: [], **silent)
-    replica = Replica(Plan(str(tmp_path), beat=0.02, election=0.1), link, Clock())
+    replica = Replica(ReplicaPlan(str(tmp_path), heartbeat_interval=0.02, election_timeout=0.1), link, Clock())
     replica.start()
     try:
         replica.write(c.Command("x", 1, c.Put("k", b"v")), 10.0)
-        replica.propose_here(raw("x", 2, ["rules.merge", 4]))
+        replica.propose_if_leader(raw("x", 2, ["rules.merge", 4]))
         end = time.monotonic() + 10.0
         while not replica.broken and time.monotonic() < end:
             time.sleep(0.01)
     finally:
         replica.stop()
-    assert replica.broken == f"an entry of a newer build: a command rules.merge; {c.NewerEntry.remedy}"
+    assert replica.broken == f"an entry of a newer build: a command rules.merge; {c.NewerEntryError.remedy}"
 
 
 def test_the_history_is_bounded_and_keeps_what_is_in_force_and_the_way_back() -> None:
