--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -145,7 +145,7 @@
     own, _ = value_at(_series(found, "change", "learner: bytes sent")[1], MEMBERS)
     changing = sent + received + (to_all / MEMBERS + own) * CHANGES_A_DAY / DAY
     rows.append(Row("learner", "bytes with a change in 16 s", changing, CONTROL_BYTES, "B/s", change_basis,
-                    "each member hears what each has said (`replica/gathering.py`)",
+                    "each member hears what each has said (`replica/forwarding/batching.py`)",
                     "acknowledgements that are summed on their way to the voters: relays", run=run_change))  # fmt: skip
     run, series = _series(found, "control", "leader: memory")
     memory, basis = value_at(series, MEMBERS)
--- a/tealwing/commands/replica.py
+++ b/tealwing/commands/replica.py
@@ -115,9 +115,9 @@
     if (control is None) == (folder is None):
         raise click.UsageError("one of --control and --folder")
     if folder is not None:
-        from tealwing.replica import storage
+        from tealwing.replica.storage import store
 
-        told = {"folder": folder, "found": storage.verify(Path(folder))}
+        told = {"folder": folder, "found": store.verify(Path(folder))}
     else:
         told = asked(str(control), "replica.verify", 60.0)
     _say(told, as_json, "\n".join(told["found"]) or f"{told['folder']}: good")
--- a/tealwing/federation/joining.py
+++ b/tealwing/federation/joining.py
@@ -9,9 +9,9 @@
 from tealwing.peers.control import Control
 from tealwing.peers.link import Link
 from tealwing.replica.group import FEDERATION
-from tealwing.replica.node import Replica
 from tealwing.replica.plan import ReplicaPlan as ReplicaPlan
-from tealwing.replica.service import ReplicaControl
+from tealwing.replica.service.control import ReplicaControl
+from tealwing.replica.service.node import Replica
 
 
 def join(
--- a/tealwing/federation/shell.py
+++ b/tealwing/federation/shell.py
@@ -19,7 +19,7 @@
 from tealwing.peers.clock import Clock
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica
+from tealwing.replica.service.node import Replica
 from tealwing.rollout.conductor import Conductor
 from tealwing.rollout.leading import HURRY
 from tealwing.rollout.seen import TABLES, Seen, seen
--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -16,15 +16,15 @@
 from tealwing.peers.link import Link, LinkFault
 from tealwing.peers.plan import Plan
 from tealwing.replica.commands import Command, CommandResult, Settings
-from tealwing.replica.feed import StateFeed
 from tealwing.replica.group import SITE, Group
-from tealwing.replica.node import Replica
+from tealwing.replica.membership.promotion import Promotion
+from tealwing.replica.membership.voter_plan import next_change
 from tealwing.replica.plan import ReplicaPlan as ReplicaPlan
-from tealwing.replica.promotion import Promotion
-from tealwing.replica.recovery import Phase
-from tealwing.replica.roster import next_change
-from tealwing.replica.service import ReplicaControl
-from tealwing.replica.storage import StorageError
+from tealwing.replica.service.control import ReplicaControl
+from tealwing.replica.service.node import Replica
+from tealwing.replica.service.recovery import Phase
+from tealwing.replica.service.state_feed import StateFeed
+from tealwing.replica.storage.store import StorageError
 
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
     from tealwing.federation.plan import Plan as FederationPlan
--- a/tealwing/lab/rollout/logs.py
+++ b/tealwing/lab/rollout/logs.py
@@ -1,4 +1,4 @@
-"""One member of a replicated log in virtual time: what replica/node.py, member.py and asking.py do on threads."""
+"""One member of a replicated log in virtual time: what the node, the member and the leader's client do on threads."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from tealwing.lab.rollout.host import Host
 from tealwing.lab.rollout.tasks import Signal, Step
 from tealwing.replica import commands as c
-from tealwing.replica.asking import ATTEMPT_TIMEOUT, LEADER_CHECK_INTERVAL, RETRY_BACKOFF
-from tealwing.replica.gathering import batched
+from tealwing.replica.forwarding.batching import batched
+from tealwing.replica.forwarding.client import ATTEMPT_TIMEOUT, LEADER_CHECK_INTERVAL, RETRY_BACKOFF
+from tealwing.replica.forwarding.pending import PendingProposals
+from tealwing.replica.forwarding.protocol import CallbackPending, ForwardReply, ForwardRequest, Pending
+from tealwing.replica.forwarding.reads import ReadBatcher
 from tealwing.replica.messages import Entry, Kind
-from tealwing.replica.node import MAX_QUEUE_BATCH
-from tealwing.replica.outcomes import CallbackPending, ForwardReply, ForwardRequest, Pending
 from tealwing.replica.raft import BusyError, NotLeaderError, Options, Raft, Ready, Role
-from tealwing.replica.reading import ReadBatcher
-from tealwing.replica.waiting import PendingProposals
+from tealwing.replica.service.node import MAX_QUEUE_BATCH
 from tealwing.rules.records import Words
 
 
--- a/tealwing/leases/keeper.py
+++ b/tealwing/leases/keeper.py
@@ -22,7 +22,7 @@
 from tealwing.peers.bounds import LEAST_TTL
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
-from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
+from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 
 TICK = 0.02  # s between two looks at the clock
 MOST = 16  # leases that one gateway may want: each has a thread that asks for it
--- a/tealwing/leases/sweep.py
+++ b/tealwing/leases/sweep.py
@@ -8,7 +8,7 @@
 from tealwing import log
 from tealwing.leases.keeper import Held, Keeper
 from tealwing.replica import commands as c
-from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
+from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 
 NAME = "sweep-drains"
 TTL = 5.0  # s: a sweep that is late by that much harms nobody
--- a/tealwing/replica/asking.py
+++ b/tealwing/replica/forwarding/client.py
@@ -10,7 +10,7 @@
 from queue import SimpleQueue
 from typing import Any
 
-from tealwing.replica.outcomes import (
+from tealwing.replica.forwarding.protocol import (
     MAX_PENDING,
     ForwardReply,
     ForwardRequest,
--- a/tealwing/replica/waiting.py
+++ b/tealwing/replica/forwarding/pending.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from tealwing.replica.commands import CommandResult
+from tealwing.replica.forwarding.protocol import Pending
 from tealwing.replica.messages import Entry
-from tealwing.replica.outcomes import Pending
 
 
 class PendingProposals:
--- a/tealwing/replica/reading.py
+++ b/tealwing/replica/forwarding/reads.py
@@ -10,7 +10,7 @@
 import itertools
 
 from tealwing.replica.commands import CommandResult
-from tealwing.replica.outcomes import CallbackPending, ForwardReply
+from tealwing.replica.forwarding.protocol import CallbackPending, ForwardReply
 from tealwing.replica.raft import NotLeaderError, Raft, Role
 
 MIN_ROUND_INTERVAL = (
--- a/tealwing/replica/promotion.py
+++ b/tealwing/replica/membership/promotion.py
@@ -6,9 +6,9 @@
 from typing import Protocol
 
 from tealwing import log
-from tealwing.replica import roles
-from tealwing.replica.node import Replica
-from tealwing.replica.outcomes import ForwardReply
+from tealwing.replica.forwarding.protocol import ForwardReply
+from tealwing.replica.membership import changes
+from tealwing.replica.service.node import Replica
 
 CHECK_INTERVAL = 0.5  # s between two looks: what is looked for is silence of seconds or minutes
 
@@ -74,7 +74,7 @@
             core.members,
             core.learners,
             last_contact,
-            roles.ready(core, now),
+            changes.ready(core, now),
             now,
             self._silence_limit,
             self._desired_voters,
--- a/tealwing/replica/opening.py
+++ b/tealwing/replica/service/bootstrap.py
@@ -8,7 +8,7 @@
 from tealwing.replica.plan import ReplicaPlan
 from tealwing.replica.raft import Options, Raft
 from tealwing.replica.state import State
-from tealwing.replica.storage import Storage, StoredState
+from tealwing.replica.storage.store import Storage, StoredState
 
 
 def read_state(storage: Storage, found: StoredState) -> State:
--- a/tealwing/replica/service.py
+++ b/tealwing/replica/service/control.py
@@ -10,8 +10,8 @@
 from tealwing import wire
 from tealwing.peers.control import Control, Denied, Fields, field, wait_of
 from tealwing.replica import commands as c
-from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
-from tealwing.replica.storage import verify
+from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
+from tealwing.replica.storage.store import verify
 from tealwing.rules import records
 
 DEFAULT_TIMEOUT = 5.0  # s that a call waits where it does not say
--- a/tealwing/replica/member.py
+++ b/tealwing/replica/service/member.py
@@ -12,19 +12,20 @@
 from tealwing import log
 from tealwing.peers.clock import Clock
 from tealwing.peers.link import Link
-from tealwing.replica import commands, messages, opening
-from tealwing.replica.disk import Disk
+from tealwing.replica import commands, messages
+from tealwing.replica.forwarding.pending import PendingProposals
+from tealwing.replica.forwarding.reads import ReadBatcher
 from tealwing.replica.group import SITE, Group
-from tealwing.replica.listeners import Listeners
 from tealwing.replica.messages import InstallSnapshot, InstallSnapshotReply, Kind, Message
 from tealwing.replica.plan import ReplicaPlan
 from tealwing.replica.raft import Ready
-from tealwing.replica.reading import ReadBatcher
-from tealwing.replica.recovery import Recovery, assess_trust
-from tealwing.replica.snapshots import SnapshotManager
+from tealwing.replica.service import bootstrap
+from tealwing.replica.service.listeners import Listeners
+from tealwing.replica.service.recovery import Recovery, assess_trust
+from tealwing.replica.service.snapshots import SnapshotManager
 from tealwing.replica.state import State
-from tealwing.replica.storage import Storage
-from tealwing.replica.waiting import PendingProposals
+from tealwing.replica.storage.disk import Disk
+from tealwing.replica.storage.store import Storage
 
 COMMIT_SAVE_INTERVAL = (
     0.25  # s between two words to the disk of how far the log is committed, where nothing else is written
@@ -45,12 +46,12 @@
         self.recovery = Recovery(time.monotonic())
         self.lock = threading.Lock()  # round the state, and what status reads
         self.stored = self.storage.open()
-        self.state = opening.read_state(self.storage, self.stored)  # the thread's own; others read under the lock
+        self.state = bootstrap.read_state(self.storage, self.stored)  # the thread's own; others read under the lock
         self.incarnation = random.SystemRandom().randrange(1, 2**53)
-        self.core = opening.make_core(plan, link.plan, group, self.stored, clock.now(), self.incarnation)
+        self.core = bootstrap.make_core(plan, link.plan, group, self.stored, clock.now(), self.incarnation)
         self._queue: SimpleQueue[tuple[Any, ...]] = SimpleQueue()
         self.snapshots = SnapshotManager(plan, self.storage, self.core, self._queue, self._replace_state, group)
-        opening.catch_up(self.core, self.state)
+        bootstrap.catch_up(self.core, self.state)
         self.trust_report = assess_trust(self.state, self.core.last_index, int(time.time() * 1e3))
         self.recovery.disk_read(time.monotonic())
         self._pending, self._reads = PendingProposals(), ReadBatcher(self.core)
@@ -66,7 +67,7 @@
         """
         self.stored = self.storage.reopen(allow_loss=self.plan.max_stale_disks > 0)
         incarnation = random.SystemRandom().randrange(1, 2**53)
-        core = opening.make_core(self.plan, self._link.plan, self.group, self.stored, self.clock.now(), incarnation)
+        core = bootstrap.make_core(self.plan, self._link.plan, self.group, self.stored, self.clock.now(), incarnation)
         if not self.stored.lost_acknowledged:  # unlike a process that starts, this one knows what it has acknowledged
             core.unconfirmed = self.core.unconfirmed
         self.core = core
--- a/tealwing/replica/node.py
+++ b/tealwing/replica/service/node.py
@@ -18,24 +18,27 @@
 from tealwing import log, threads
 from tealwing.peers.clock import Clock
 from tealwing.peers.link import Link
-from tealwing.replica import commands, gathering, messages, outcomes, roles, views
-from tealwing.replica.asking import LeaderClient
+from tealwing.replica import commands, messages
 from tealwing.replica.commands import Command, CommandResult
-from tealwing.replica.disk import Disk
-from tealwing.replica.durability import ReopenBackoff
-from tealwing.replica.group import SITE, Group
-from tealwing.replica.member import Member
-from tealwing.replica.outcomes import (
+from tealwing.replica.forwarding import batching, protocol
+from tealwing.replica.forwarding.client import LeaderClient
+from tealwing.replica.forwarding.protocol import (
     CallbackPending,
     ForwardReply,
     ForwardRequest,
     OutcomeUnknownError,
     UnavailableError,
 )
+from tealwing.replica.group import SITE, Group
+from tealwing.replica.membership import changes
 from tealwing.replica.plan import ReplicaPlan
 from tealwing.replica.raft import BusyError, NotLeaderError, Role
-from tealwing.replica.recovery import FleetView
-from tealwing.replica.storage import StorageError
+from tealwing.replica.service import status
+from tealwing.replica.service.member import Member
+from tealwing.replica.service.recovery import FleetView
+from tealwing.replica.storage.disk import Disk
+from tealwing.replica.storage.durability import ReopenBackoff
+from tealwing.replica.storage.store import StorageError
 
 __all__ = ["OutcomeUnknownError", "Replica", "UnavailableError"]
 
@@ -72,7 +75,7 @@
     def start(self) -> None:
         """Take part from now on."""
         threads.start(self._run, self.group.thread_name("replica"))
-        views.log_start(self)
+        status.log_start(self)
 
     def stop(self) -> None:
         """Take part no more; what waits for an outcome has none. A leader hands over first, as far as that is quick."""
@@ -130,11 +133,11 @@
 
     def status(self) -> dict[str, Any]:
         """What operators ask for."""
-        return views.status(self)
+        return status.status(self)
 
     def observe(self) -> FleetView:
         """What this member sees of the fleet, for the order of return."""
-        return views.observe(self, self._link.live())
+        return status.observe(self, self._link.live())
 
     def plan_address(self, name: str) -> tuple[str, int] | None:
         """Where a gateway's link listens, by the section `peers`."""
@@ -154,12 +157,12 @@
         self._queue.put(("message", name, messages.decode(body)))
 
     def _on_forwarded(self, name: str, body: bytes) -> None:
-        forwarded = outcomes.decode(body)
+        forwarded = protocol.decode(body)
         if isinstance(forwarded, ForwardReply):
             self._leader_client.handle_reply(forwarded)
         elif not self.broken and not self._stopped.is_set():
             channel = self.group.forward_channel
-            self._queue.put(("ask", forwarded, lambda told: self._link.send(name, channel, outcomes.encode(told))))
+            self._queue.put(("ask", forwarded, lambda told: self._link.send(name, channel, protocol.encode(told))))
 
     # Our thread
 
@@ -254,7 +257,7 @@
                 ticked(self.clock.now())
         self._update_recovery()
         self._connect_members()
-        views.note_leader(self)
+        status.note_leader(self)
         if not self.broken:
             self.snapshots.maybe_write(self.state)
             self._save_commit()
@@ -264,7 +267,7 @@
         now = self.clock.now()
         forwarded, self._forwarded = self._forwarded, []
         try:
-            for data in gathering.batched(forwarded):
+            for data in batching.batched(forwarded):
                 self.core.propose(now, data, defer_send=True)
                 self._proposed = True
         except (NotLeaderError, BusyError):  # who said it says it again, until the state shows it
@@ -317,12 +320,12 @@
         if request.command and not request.number:
             self._forwarded.append(request.command)
             return
-        if len(self._pending) + len(self._reads) >= outcomes.MAX_PENDING:
+        if len(self._pending) + len(self._reads) >= protocol.MAX_PENDING:
             reply(ForwardReply(request.number, "busy", b"", 0))
             return
         try:
             if request.voters is not None:
-                index, term = roles.change(self.core, now, request.voters, request.learners)
+                index, term = changes.change(self.core, now, request.voters, request.learners)
             elif request.command:
                 index, term = self.core.propose(now, request.command, defer_send=True)
                 self._proposed = True
--- a/tealwing/replica/snapshots.py
+++ b/tealwing/replica/service/snapshots.py
@@ -15,7 +15,7 @@
 from tealwing.replica.plan import ReplicaPlan
 from tealwing.replica.raft import Raft, SnapshotMeta
 from tealwing.replica.state import State
-from tealwing.replica.storage import Storage
+from tealwing.replica.storage.store import Storage
 
 RETAINED_ENTRIES, RETAINED_BYTES = 2000, 8 << 20  # entries kept behind a snapshot, for who is a little behind
 INTERVAL_JITTER = (
--- a/tealwing/replica/feed.py
+++ b/tealwing/replica/service/state_feed.py
@@ -16,7 +16,7 @@
 from tealwing import log, threads
 from tealwing.coordinator.backoff import Backoff
 from tealwing.replica import commands as c
-from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
+from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 from tealwing.replica.state import State
 
 MAX_QUEUED = 512  # words that wait: twice the engines of the largest fleet that was tried, and more
--- a/tealwing/replica/views.py
+++ b/tealwing/replica/service/status.py
@@ -2,18 +2,16 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from tealwing import log
-from tealwing.replica.recovery import FleetView
-
-if TYPE_CHECKING:
-    from tealwing.replica.node import Replica
+from tealwing.replica.service.member import Member
+from tealwing.replica.service.recovery import FleetView
 
 RECENT_TERMS = 64  # leaders by term that are remembered for the status
 
 
-def status(replica: Replica) -> dict[str, Any]:
+def status(replica: Member) -> dict[str, Any]:
     """What operators ask for."""
     core = replica.core
     role = "out" if replica.broken else core.role.value
@@ -42,7 +40,7 @@
     }
 
 
-def observe(replica: Replica, live: list[str]) -> FleetView:
+def observe(replica: Member, live: list[str]) -> FleetView:
     """What it sees of the fleet, for the order of return; live are the peers that are heard."""
     core = replica.core
     heard = 1 + sum(1 for name in live if name in core.members)
@@ -50,7 +48,7 @@
     return FleetView(leader, core.term, core.unconfirmed, core.commit, replica.state.applied, heard, len(core.members))
 
 
-def note_leader(replica: Replica) -> None:
+def note_leader(replica: Member) -> None:
     """Remember and log who leads which term, once."""
     core, terms = replica.core, replica.leaders_by_term
     if not core.leader or terms.get(core.term) == core.leader:
@@ -62,7 +60,7 @@
     log.event("replica_led", term=core.term, leader=core.leader, **replica.group.log_fields)
 
 
-def log_start(replica: Replica) -> None:
+def log_start(replica: Member) -> None:
     """Log what the disk had, and what is believed of it."""
     found, core = replica.stored, replica.core
     log.event(
--- a/tealwing/replica/durability.py
+++ b/tealwing/replica/storage/durability.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from tealwing.replica.storage import StoredState
+    from tealwing.replica.storage.store import StoredState
 
 MIN_PAUSE = 0.05  # s before a folder is tried again for the first time
 MAX_PAUSE = 5.0  # s between two tries at most: a fault of minutes costs a read of the folder so often
--- a/tealwing/replica/storage.py
+++ b/tealwing/replica/storage/store.py
@@ -25,10 +25,10 @@
 import msgspec
 import xxhash
 
-from tealwing.replica.disk import Disk
-from tealwing.replica.durability import Acknowledged
 from tealwing.replica.messages import SNAPSHOT_CHUNK_BYTES, Entry, Record
 from tealwing.replica.raft import SnapshotMeta
+from tealwing.replica.storage.disk import Disk
+from tealwing.replica.storage.durability import Acknowledged
 
 RECORD_MAGIC = b"\xa7TW1"
 RECORD_HEADER = struct.Struct(">4sIQ")  # mark, length, xxh3_64 of the payload
--- a/tealwing/rollout/joining.py
+++ b/tealwing/rollout/joining.py
@@ -4,7 +4,7 @@
 
 from tealwing.peers.control import Control
 from tealwing.peers.link import Link
-from tealwing.replica.node import Replica
+from tealwing.replica.service.node import Replica
 from tealwing.rollout.gate import Gate
 from tealwing.rollout.here import Gateway, Here
 from tealwing.rollout.outside import Outside
--- a/tealwing/rollout/leading.py
+++ b/tealwing/rollout/leading.py
@@ -4,7 +4,7 @@
 
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica
+from tealwing.replica.service.node import Replica
 from tealwing.rollout.conductor import Conductor, Witnesses
 from tealwing.rollout.plan import Plan
 from tealwing.rollout.seen import Seen
--- a/tealwing/rollout/mark.py
+++ b/tealwing/rollout/mark.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from tealwing.replica.disk import Disk
+from tealwing.replica.storage.disk import Disk
 
 NAME = "rules-mark"  # in the folder of the replicated log: who loses one loses both
 LARGEST = 200  # bytes of the file
--- a/tealwing/rollout/outside.py
+++ b/tealwing/rollout/outside.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from tealwing.replica.node import Replica
+from tealwing.replica.service.node import Replica
 from tealwing.rollout.seen import Seen
 
 
--- a/tealwing/rollout/service.py
+++ b/tealwing/rollout/service.py
@@ -10,7 +10,7 @@
 from tealwing.peers.control import MOST_CALLERS, Control, Denied, Fields, field, wait_of
 from tealwing.replica import commands as c
 from tealwing.replica.messages import UnsignedInt63
-from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
+from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 from tealwing.rollout.outcomes import version
 from tealwing.rollout.seen import Seen
 from tealwing.rollout.shell import Shell
--- a/tealwing/rollout/shell.py
+++ b/tealwing/rollout/shell.py
@@ -16,7 +16,7 @@
 from tealwing import log, threads
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica
+from tealwing.replica.service.node import Replica
 from tealwing.rollout import deeds, gate, outcomes
 from tealwing.rollout.actions import HELD, Action, Check, Read, Restart, Say, WriteMark
 from tealwing.rollout.leading import Leading
--- a/tealwing/rollout/talk.py
+++ b/tealwing/rollout/talk.py
@@ -13,7 +13,7 @@
 from tealwing import log
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
-from tealwing.replica.outcomes import OutcomeUnknownError, UnavailableError
+from tealwing.replica.forwarding.protocol import OutcomeUnknownError, UnavailableError
 from tealwing.rollout.actions import Read, Say, Token
 from tealwing.rollout.errands import Errands
 from tealwing.rollout.member import Machine
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -18,11 +18,12 @@
 from tealwing.peers import echo, frames
 from tealwing.peers import messages as peers
 from tealwing.record import CommandResult
-from tealwing.replica import commands, outcomes
+from tealwing.replica import commands
 from tealwing.replica import messages as replica
-from tealwing.replica.disk import Disk
+from tealwing.replica.forwarding import protocol
 from tealwing.replica.state import State
-from tealwing.replica.storage import Storage
+from tealwing.replica.storage.disk import Disk
+from tealwing.replica.storage.store import Storage
 from tealwing.rollout.mark import Mark
 from tealwing.rules import records
 from tealwing.rules.digests import digest
@@ -49,9 +50,9 @@
 PEERS: tuple[Any, ...] = (peers.Hello("fleet", "n1", "n2", 1234567890123), peers.Beat(70000), peers.Data(3, 9, b"x"))
 ECHO: tuple[Any, ...] = (echo.Ask(5, "hello"), echo.Answer(5, "n2", "hello"))
 FORWARDED: tuple[Any, ...] = (
-    outcomes.ForwardRequest(5, b"command"),
-    outcomes.ForwardRequest(5, b"", ["n1", "n2"], ["n3"]),
-    outcomes.ForwardReply(5, "not-leader", b"result", 9),
+    protocol.ForwardRequest(5, b"command"),
+    protocol.ForwardRequest(5, b"", ["n1", "n2"], ["n3"]),
+    protocol.ForwardReply(5, "not-leader", b"result", 9),
 )
 SIGNED: tuple[gossip.Alive | gossip.Left | gossip.Claims, ...] = tuple(
     gossip.signed(rumour, KEY)
@@ -129,7 +130,7 @@
         ("replica", REPLICA, replica.encode),
         ("peers", PEERS, peers.encode),
         ("echo", ECHO, msgspec.msgpack.encode),
-        ("forwarded", FORWARDED, outcomes.encode),
+        ("forwarded", FORWARDED, protocol.encode),
         ("gossip", PAYLOADS, lambda payload: gossip.encode(payload, KEY)),
         ("command", COMMANDS, commands.encode),
         ("result", (RESULT,), commands.encode_result),
--- a/tests/lossy_disk.py
+++ b/tests/lossy_disk.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import BinaryIO
 
-from tealwing.replica.disk import Disk
+from tealwing.replica.storage.disk import Disk
 
 
 class LossyDisk(Disk):
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -13,8 +13,8 @@
 from tealwing.peers.link import Link
 from tealwing.peers.plan import Plan as PeersPlan
 from tealwing.replica import commands as c
-from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
 from tealwing.replica.plan import ReplicaPlan
+from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 
 WAIT = 2.0  # s for one command
 BACK = 5.0  # s within which a member whose disk is well again takes commands
--- a/tests/test_disk_returns.py
+++ b/tests/test_disk_returns.py
@@ -30,14 +30,14 @@
 from tealwing.peers.link import Link, LinkFault
 from tealwing.peers.plan import Plan as PeersPlan
 from tealwing.replica import commands as c
-from tealwing.replica import storage as stored
-from tealwing.replica.disk import Disk
-from tealwing.replica.durability import MAX_PAUSE, Acknowledged, ReopenBackoff
 from tealwing.replica.messages import Entry, Kind
-from tealwing.replica.node import OutcomeUnknownError, Replica, UnavailableError
 from tealwing.replica.plan import ReplicaPlan
 from tealwing.replica.raft import Ready, Role, SnapshotMeta
-from tealwing.replica.storage import AcknowledgedDataLostError, Storage, StorageError, StoredState
+from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
+from tealwing.replica.storage import store as stored
+from tealwing.replica.storage.disk import Disk
+from tealwing.replica.storage.durability import MAX_PAUSE, Acknowledged, ReopenBackoff
+from tealwing.replica.storage.store import AcknowledgedDataLostError, Storage, StorageError, StoredState
 from tealwing.rollout.mark import Mark
 from tests.lossy_disk import LossyDisk
 from tests.test_peers import until
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -15,11 +15,12 @@
 from tealwing.gossip import written
 from tealwing.peers import echo, frames
 from tealwing.peers import messages as peers
-from tealwing.replica import commands, outcomes
+from tealwing.replica import commands
 from tealwing.replica import messages as replica
-from tealwing.replica.disk import Disk
+from tealwing.replica.forwarding import protocol
 from tealwing.replica.state import State
-from tealwing.replica.storage import Storage, verify
+from tealwing.replica.storage.disk import Disk
+from tealwing.replica.storage.store import Storage, verify
 from tealwing.rollout.mark import Mark
 from tealwing.rules import bundle
 from tests.golden import samples
@@ -41,7 +42,7 @@
     "replica": replica.decode,
     "peers": peers.decode,
     "echo": msgspec.msgpack.Decoder(echo.Ask | echo.Answer).decode,
-    "forwarded": outcomes.decode,
+    "forwarded": protocol.decode,
     "gossip": lambda data: gossip.decode(data, _of_key),
     "command": commands.decode,
     "result": commands.decode_result,
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -17,14 +17,14 @@
 from tealwing.peers.plan import MANY, Address, Times
 from tealwing.peers.plan import Plan as PeersPlan
 from tealwing.replica import commands as c
+from tealwing.replica.forwarding.protocol import CallbackPending, ForwardReply
+from tealwing.replica.forwarding.reads import MIN_ROUND_INTERVAL, ReadBatcher
 from tealwing.replica.group import FEDERATION, SITE, Group
-from tealwing.replica.node import Replica, UnavailableError
-from tealwing.replica.outcomes import CallbackPending, ForwardReply
+from tealwing.replica.membership.promotion import NextChange, Promotion, ProposedChange
+from tealwing.replica.membership.voter_plan import next_change
 from tealwing.replica.plan import ReplicaPlan
-from tealwing.replica.promotion import NextChange, Promotion, ProposedChange
 from tealwing.replica.raft import NotLeaderError, Raft, Role
-from tealwing.replica.reading import MIN_ROUND_INTERVAL, ReadBatcher
-from tealwing.replica.roster import next_change
+from tealwing.replica.service.node import Replica, UnavailableError
 from tests.peers import LIMIT
 from tests.test_peers import until
 from tests.test_replica import Fleet
--- a/tests/test_learners.py
+++ b/tests/test_learners.py
@@ -12,10 +12,10 @@
 from tealwing.lab.models.consensus import Budget, Consensus
 from tealwing.lab.models.explore import explore, wander
 from tealwing.lab.models.starts import led, likely
+from tealwing.replica.membership.voter_plan import next_change
 from tealwing.replica.messages import AppendEntries, Entry, Kind, learners_of, members_data, voters_of
 from tealwing.replica.raft import BusyError, Raft, Role, SnapshotMeta
-from tealwing.replica.roster import next_change
-from tealwing.replica.storage import Storage
+from tealwing.replica.storage.store import Storage
 from tests.test_replica import Fleet
 
 ABC = ("a", "b", "c")
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -24,8 +24,8 @@
 from tealwing.peers.link import Link
 from tealwing.peers.plan import Plan as PeersPlan
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica
 from tealwing.replica.plan import ReplicaPlan
+from tealwing.replica.service.node import Replica
 
 TTL = 5.0
 MAY = USUAL.holder_may(TTL) - USUAL.told
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -15,10 +15,9 @@
 from tealwing.lab.rig.trial import Trial
 from tealwing.peers.bounds import USUAL
 from tealwing.replica import commands as c
-from tealwing.replica.feed import missing_commands
 from tealwing.replica.messages import InstallSnapshot
 from tealwing.replica.raft import Mode, SnapshotMeta
-from tealwing.replica.recovery import (
+from tealwing.replica.service.recovery import (
     MAX_AGE_MS,
     PEER_QUERY_TIMEOUT,
     FleetView,
@@ -28,6 +27,7 @@
     TrustedItem,
     assess_trust,
 )
+from tealwing.replica.service.state_feed import missing_commands
 from tealwing.replica.state import State
 from tests.test_replica import Fleet, do
 from tests.test_trials import run
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -16,7 +16,6 @@
 from tealwing.lab.models.explore import explore, wander
 from tealwing.lab.models.starts import figure_eight, forgotten, likely, message_between, sure
 from tealwing.replica import commands as c
-from tealwing.replica.disk import Disk
 from tealwing.replica.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -31,7 +30,8 @@
 )
 from tealwing.replica.raft import BusyError, NotLeaderError, Options, Raft, Role, SnapshotMeta
 from tealwing.replica.state import MAX_SESSIONS, State
-from tealwing.replica.storage import Storage, StorageError, verify
+from tealwing.replica.storage.disk import Disk
+from tealwing.replica.storage.store import Storage, StorageError, verify
 
 
 def entry(index: int, term: int = 1, data: bytes = b"x") -> Entry:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -8,7 +8,7 @@
 
 from tealwing.conf import reader
 from tealwing.conf.reader import ConfError
-from tealwing.replica.disk import Disk
+from tealwing.replica.storage.disk import Disk
 from tealwing.rollout.mark import NAME, Mark, MarkDamaged
 from tealwing.rollout.plan import Plan
 
--- a/tests/test_rollout_scale.py
+++ b/tests/test_rollout_scale.py
@@ -7,7 +7,7 @@
 from tealwing.lab.rollout import trials
 from tealwing.lab.rollout.measure import share
 from tealwing.replica import commands as c
-from tealwing.replica.gathering import batched
+from tealwing.replica.forwarding.batching import batched
 from tealwing.replica.state import State
 from tealwing.rules.digests import digest
 from tealwing.rules.records import Begin, Body, Close, Closed, LostTouch, Propose, Verdict
--- a/tests/test_rollout_shell.py
+++ b/tests/test_rollout_shell.py
@@ -15,8 +15,8 @@
 from tealwing.exchange import Deferred
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
-from tealwing.replica.disk import Disk
 from tealwing.replica.state import State
+from tealwing.replica.storage.disk import Disk
 from tealwing.rollout.gate import Gate
 from tealwing.rollout.mark import NAME
 from tealwing.rollout.plan import Plan
--- a/tests/test_rules_registry.py
+++ b/tests/test_rules_registry.py
@@ -12,8 +12,8 @@
 
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica
 from tealwing.replica.plan import ReplicaPlan
+from tealwing.replica.service.node import Replica
 from tealwing.replica.state import State
 from tealwing.rules import records as r
 from tealwing.rules import registry
