--- a/benchmarks/capacity/calibration.py
+++ b/benchmarks/capacity/calibration.py
@@ -14,9 +14,9 @@
 from tealwing.lab.rig.configuration import Layout
 from tealwing.lab.rig.layouts import REPLICA, RULES
 from tealwing.lab.rig.ports import free_port
-from tealwing.lab.rig.process import NotStarted, Process
+from tealwing.lab.rig.process import Process, ProcessStartError
 from tealwing.lab.standins.coordinator import Coordinator
-from tealwing.peers.control import Turned, ask
+from tealwing.peers.control import RemoteCallError, call_control
 from tealwing.peers.plan import Address
 
 NAME = "calibration"
@@ -49,8 +49,8 @@
             folder = Path(self._folder.name) / name
             own: Address = ("127.0.0.1", free_port())
             known = self._coordinator.known
-            told = configuration.platform(self.names, number, 1, self._coordinator.address, known, layout)
-            conf = configuration.operators(name, dial, own, BEAT_MS, layout, str(folder / "data"))
+            told = configuration.platform_file(self.names, number, 1, self._coordinator.address, known, layout)
+            conf = configuration.operators_file(name, dial, own, BEAT_MS, layout, str(folder / "data"))
             self.processes[name] = Process(name, folder, told, conf, own)
 
     def __enter__(self) -> RealFleet:
@@ -59,7 +59,7 @@
                 process.start()
             for process in self.processes.values():
                 process.ready()
-        except NotStarted as error:
+        except ProcessStartError as error:
             self.close()
             raise CapacityError(f"a real gateway did not start: {error}") from None
         return self
@@ -76,7 +76,7 @@
 
     def ask(self, name: str, call: str) -> dict[str, Any]:
         """One call of a gateway's control address."""
-        return ask(self.processes[name].control, call, ASK_LIMIT)
+        return call_control(self.processes[name].control, call, ASK_LIMIT)
 
     def settle(self) -> None:
         """Wait until all gates are open."""
@@ -85,7 +85,7 @@
             try:
                 if all(self.ask(name, "rules.status")["gate"]["mode"] == "open" for name in self.names):
                     return
-            except (OSError, Turned):
+            except (OSError, RemoteCallError):
                 pass
             time.sleep(POLL)
         raise CapacityError(f"real gateways: not all gates are open after {OPEN_LIMIT:g} s")
--- a/tealwing/lab/hollow/member.py
+++ b/tealwing/lab/hollow/member.py
@@ -19,7 +19,8 @@
 
 
 class RecordingGateway:
-    """Stands for the gateway's decisions: see `rollout.here.Gateway`. It notes when each version came in force."""
+    """Stands for the gateway's decisions: see `rollout.local_gateway.Gateway`. It notes when each version came in"
+    " force."""
 
     def __init__(self, members: int) -> None:
         settings = site.settings(members)
@@ -52,13 +53,13 @@
     """One member of the fleet."""
 
     def __init__(self, host: Host, name: str) -> None:
-        """peers.link.LinkFault where its address can't be had or its disk can't be trusted."""
+        """peers.errors.LinkError where its address can't be had or its disk can't be trusted."""
         self.name = name
-        folder = Path(host.folder) / name
-        folder.mkdir(parents=True, exist_ok=True)
+        directory = Path(host.folder) / name
+        directory.mkdir(parents=True, exist_ok=True)
         plan = specification.peers_plan(host.fleet, name, host.control_ports.get(name))
         self.gateway = RecordingGateway(len(host.fleet.members))
-        self.peering = Peering(plan, specification.replica_plan(folder))
+        self.peering = Peering(plan, specification.replica_plan(directory))
         self.peering.follow_rules(specification.rules_plan(host.fleet), self.gateway)
 
     def start(self) -> None:
--- a/tealwing/lab/hollow/specification.py
+++ b/tealwing/lab/hollow/specification.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from tealwing.peers.plan import Address, Plan, Times
+from tealwing.peers.plan import Address, LinkTimes, Plan
 from tealwing.replica.plan import ReplicaPlan as ReplicaPlan
 from tealwing.rollout.plan import Plan as RulesPlan
 
@@ -46,15 +46,15 @@
         (member, ("127.0.0.1", port)) for member, port in zip(fleet.members, fleet.ports, strict=True)
     ]
     control = ("127.0.0.1", control_port) if control_port else None
-    times = Times(beat=fleet.beat).paced(len(fleet.members))
+    times = LinkTimes(heartbeat=fleet.beat).scaled_for(len(fleet.members))
     return Plan(FLEET, name, tuple(addresses), times, control, learners=fleet.learners)
 
 
-def replica_plan(folder: Path) -> ReplicaPlan:
+def replica_plan(directory: Path) -> ReplicaPlan:
     """A member's section `replica`: disks are trusted."""
-    return ReplicaPlan(str(folder), max_stale_disks=0)
+    return ReplicaPlan(str(directory), max_stale_disks=0)
 
 
 def rules_plan(fleet: Fleet) -> RulesPlan:
     """A member's section `rules`."""
-    return RulesPlan(lost_touch=fleet.lost_touch, limit=fleet.limit)
+    return RulesPlan(partition_mode=fleet.lost_touch, limit=fleet.limit)
--- a/tealwing/lab/rollout/measure.py
+++ b/tealwing/lab/rollout/measure.py
@@ -44,22 +44,22 @@
         clock.run(clock.now + PAUSE)
         _one(fleet, found, turn, names[(7 * turn) % len(names)])
     for part in fleet.parts.values():
-        found.gaps += part.door.gaps
-        found.waits += part.door.waits
-        found.clients += part.door.passed
-        part.door.end()
-    found.wrong += fleet.judge.verdict()
+        found.gaps += part.gate.gaps
+        found.waits += part.gate.waits
+        found.clients += part.gate.passed
+        part.gate.end()
+    found.wrong += fleet.checker.verdict()
     return found
 
 
 def _one(fleet: Fleet, found: Found, turn: int, at: str) -> None:
     clock, wires = fleet.clock, fleet.wires
-    number = fleet.state.plain.last + 1
+    number = fleet.state.plain.last_number + 1
     sent = {name: host.sent for name, host in wires.hosts.items()}
     entries = sum(copies.last.index for copies in fleet.copies.values())
     begun = clock.now
     fleet.propose(b"version %d" % turn, at)
-    fleet.until(lambda: fleet.state.plain.settled(number), PATIENCE, 0.001)
+    fleet.until(lambda: fleet.state.plain.has_outcome(number), PATIENCE, 0.001)
     decided = clock.now - begun
     found.changes += 1
     if fleet.state.plain.active != number:
--- /dev/null
+++ b/tealwing/levels/admission.py
@@ -0,0 +1,109 @@
+"""What a level admits: shares by class and account, attempts, and Retry-After; pure.
+
+A level has a floor and a ceiling for each class's admitted share. On entry the floor applies. While the level's entry
+condition holds the share is reduced; while it does not, and few engines are in slow start, it rises at a bounded rate
+up to the ceiling. After the last level it rises to 1. So rejected clients do not all return at once, and a level's
+minimum stay costs little once the overload has passed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from tealwing import interface as api
+
+ALL_ADMITTED = 1.0
+
+
+@dataclass(frozen=True, slots=True)
+class AdmissionLimits:
+    """One level's limits, by class; max_attempts 0 leaves the deployment's limit."""
+
+    floor: tuple[float, ...]
+    ceiling: tuple[float, ...]
+    max_attempts: tuple[int, ...]
+    account_caps: tuple[float, ...]  # upper bound on each account's admitted share
+    retry_after_range: tuple[float, float]  # s
+
+
+@dataclass(frozen=True, slots=True)
+class RecoveryRamp:
+    """How fast admitted shares fall and rise, and when a rise waits."""
+
+    decrease_factor: float  # per second of overload
+    ramp_time: float  # s from 0 to 1
+    max_warming_up_share: float  # share of capacity missing by slow starts at which a rise waits
+
+
+def full_service_limits(classes: int, accounts: int) -> AdmissionLimits:
+    """Return the limits of full service."""
+    shares = (ALL_ADMITTED,) * classes
+    return AdmissionLimits(shares, shares, (0,) * classes, (ALL_ADMITTED,) * accounts, (0.0, 0.0))
+
+
+def adjust_shares(
+    shares: Sequence[float],
+    limits: AdmissionLimits,
+    ramp: RecoveryRamp,
+    seconds: float,
+    overloaded: bool,
+    warming_up_share: float,
+) -> tuple[float, ...]:
+    """Return the shares by class after some seconds under the limits."""
+    adjusted = []
+    for share, floor, ceiling in zip(shares, limits.floor, limits.ceiling, strict=True):
+        if overloaded:
+            share = max(floor, min(share, ceiling) * ramp.decrease_factor**seconds)
+        elif warming_up_share < ramp.max_warming_up_share and share < ceiling:
+            share = min(ceiling, share + seconds / ramp.ramp_time)
+        # a lower ceiling applies at once; a higher one is approached by the ramp
+        adjusted.append(min(share, ceiling))
+    return tuple(adjusted)
+
+
+def shares_on_entry(shares: Sequence[float], limits: AdmissionLimits) -> tuple[float, ...]:
+    """Return the shares on entry of a level from below: its floors, or the present shares where lower."""
+    return tuple(min(share, floor) for share, floor in zip(shares, limits.floor, strict=True))
+
+
+def divide_among_accounts(
+    share: float, requested: Sequence[float], beyond: Sequence[float], caps: Sequence[float]
+) -> tuple[float, ...]:
+    """Divide one class's share among the accounts, so that requests beyond an account's quota are shed first.
+
+    requested is each account's requests of the class, beyond the share of them beyond its quota, caps the upper bound
+    on an account's share. A request does not show whether it is beyond, so an account's chance is the mean of both.
+    """
+    within = [n * (1 - part) for n, part in zip(requested, beyond, strict=True)]
+    excess = [n * part for n, part in zip(requested, beyond, strict=True)]
+    capacity = share * sum(requested)
+    within_chance = min(1.0, capacity / sum(within)) if sum(within) > 0 else share
+    remaining = max(0.0, capacity - sum(within))
+    excess_chance = min(1.0, remaining / sum(excess)) if sum(excess) > 0 else share
+    chances = []
+    for n, part, cap in zip(requested, beyond, caps, strict=True):
+        chance = (1 - part) * within_chance + part * excess_chance if n > 0 else share
+        chances.append(min(max(chance, 0.0), cap))
+    return tuple(chances)
+
+
+def service_level_event(
+    number: int,
+    name: str,
+    shares: Sequence[float],
+    limits: AdmissionLimits,
+    arrivals: Sequence[Sequence[int]],
+    beyond: Sequence[float],
+) -> api.ServiceLevel:
+    """Return the event for the decision module."""
+    admitted = tuple(
+        divide_among_accounts(share, [counts[cls] for counts in arrivals], beyond, limits.account_caps)
+        for cls, share in enumerate(shares)
+    )
+    return api.ServiceLevel(number, name, admitted, limits.max_attempts, limits.retry_after_range)
+
+
+def is_recovering(shares: Sequence[float]) -> bool:
+    """Whether some class is admitted in part only."""
+    return any(share < ALL_ADMITTED for share in shares)
--- a/tealwing/peers/frames.py
+++ b/tealwing/peers/frames.py
@@ -11,53 +11,54 @@
 
 import xxhash
 
+from tealwing.peers.errors import PeersError
+
 MAGIC, VERSION = b"TWP", 1
-HEAD = struct.Struct(">3sBIQ")
-LARGEST = 1 << 20  # bytes of a payload: a snapshot goes in chunks well below
-KEPT = 64 * 1024  # bytes of a parser's buffer that stay for the next frames
+HEADER = struct.Struct(">3sBIQ")
+MAX_PAYLOAD = 1 << 20  # bytes of a payload: a snapshot goes in chunks well below
 
 
-class FrameError(ValueError):
-    """Bytes that are no frame; the text says why."""
+class FrameError(PeersError, ValueError):
+    """Bytes that are not a valid frame; the message says why."""
 
 
 def encode(payload: bytes) -> bytes:
-    """A payload as a frame."""
-    if len(payload) > LARGEST:
-        raise FrameError(f"a payload of {len(payload)} bytes, and {LARGEST} is the most")
-    return HEAD.pack(MAGIC, VERSION, len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
+    """Return a payload as a frame; FrameError if it is too large."""
+    if len(payload) > MAX_PAYLOAD:
+        raise FrameError(f"a payload of {len(payload)} bytes, and {MAX_PAYLOAD} is the most")
+    return HEADER.pack(MAGIC, VERSION, len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
 
 
 class Parser:
-    """Cuts a stream into payloads. What it holds is bounded by one frame and one read."""
+    """Splits a stream into payloads. Its buffer is bounded by one frame and one read."""
 
     def __init__(self) -> None:
         self._data = bytearray()
 
     @property
-    def begun(self) -> bool:
-        """Whether a part of a frame has come."""
+    def has_partial_frame(self) -> bool:
+        """Whether a part of a frame is buffered."""
         return bool(self._data)
 
     def feed(self, data: bytes | memoryview) -> list[bytes]:
-        """Take in what has come; the payloads of the frames that are whole now."""
+        """Buffer received bytes; return the payloads of the frames that are complete now. FrameError for others."""
         self._data += data
-        found, at = [], 0
-        while len(self._data) - at >= HEAD.size:
-            magic, version, length, digest = HEAD.unpack_from(self._data, at)
+        payloads, at = [], 0
+        while len(self._data) - at >= HEADER.size:
+            magic, version, length, digest = HEADER.unpack_from(self._data, at)
             if magic != MAGIC:
                 raise FrameError(f"{bytes(magic)!r} where a frame was due")
             if version != VERSION:
                 raise FrameError(f"version {version}, and this is version {VERSION}")
-            if length > LARGEST:  # known before its bytes are kept
-                raise FrameError(f"a frame of {length} bytes, and {LARGEST} is the most")
-            end = at + HEAD.size + length
+            if length > MAX_PAYLOAD:  # known before its bytes are buffered
+                raise FrameError(f"a frame of {length} bytes, and {MAX_PAYLOAD} is the most")
+            end = at + HEADER.size + length
             if len(self._data) < end:
                 break
-            payload = bytes(self._data[at + HEAD.size : end])
+            payload = bytes(self._data[at + HEADER.size : end])
             if xxhash.xxh3_64_intdigest(payload) != digest:
                 raise FrameError("a frame whose checksum does not match")
-            found.append(payload)
+            payloads.append(payload)
             at = end
         del self._data[:at]
-        return found
+        return payloads
--- a/tealwing/replica/commands.py
+++ b/tealwing/replica/commands.py
@@ -13,6 +13,7 @@
 
 from tealwing.record import CommandResult as CommandResult
 from tealwing.record import Record, UnsignedInt63
+from tealwing.replica.errors import ReplicaError
 from tealwing.rules import records
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
@@ -121,7 +122,7 @@
     fence: Fence | None = None
 
 
-class NewerEntryError(ValueError):
+class NewerEntryError(ReplicaError, ValueError):
     """Something in the log that a newer build wrote; the text says what, and what to do.
 
     To refuse it would be wrong: the newer build applies it, and the copies of the state would differ from here on.
--- a/tealwing/replica/forwarding/client.py
+++ b/tealwing/replica/forwarding/client.py
@@ -32,7 +32,7 @@
         self, local_id: str, queue: SimpleQueue[tuple[Any, ...]], send: Callable[[str, bytes], object],
         leader: Callable[[], str], broken: Callable[[], str],
     ) -> None:  # fmt: skip
-        """send takes a member's name and what is forwarded to it; leader says who leads as seen here, if anybody."""
+        """Send takes a member's name and what is forwarded to it; leader says who leads as seen here, if anybody."""
         self._local_id, self._queue, self._send = local_id, queue, send
         self._leader, self._broken = leader, broken
         self._lock = threading.Lock()
@@ -72,7 +72,9 @@
         elif leader:
             self._send(leader, encode(ForwardRequest(0, command)))
 
-    def call_leader(self, request: ForwardRequest, timeout: float, idempotent: bool) -> ForwardReply:
+    def call_leader(  # noqa: C901 - the outcomes of an attempt, side by side
+        self, request: ForwardRequest, timeout: float, idempotent: bool
+    ) -> ForwardReply:
         """What the leader says to it. Tried again where that does no harm, with growing, jittered waits."""
         end = time.monotonic() + timeout
         pause, sent = RETRY_BACKOFF[0], False
--- a/tealwing/replica/forwarding/protocol.py
+++ b/tealwing/replica/forwarding/protocol.py
@@ -10,15 +10,16 @@
 
 from tealwing.replica import commands
 from tealwing.replica.commands import CommandResult
+from tealwing.replica.errors import ReplicaError
 
 MAX_PENDING = 1024  # proposals and reads that wait for their outcome
 
 
-class OutcomeUnknownError(RuntimeError):
+class OutcomeUnknownError(ReplicaError):
     """No outcome in time: it may have been applied, or may yet be; sent again under its number it is applied once."""
 
 
-class UnavailableError(RuntimeError):
+class UnavailableError(ReplicaError):
     """It was surely not applied: no leader was reached, or this member is out of order."""
 
 
@@ -73,7 +74,7 @@
 class CallbackPending(Pending):
     """A pending outcome whose caller hears it through a function."""
 
-    __slots__ = ("reply", "number")
+    __slots__ = ("number", "reply")
 
     def __init__(self, number: int, reply: Callable[[ForwardReply], None]) -> None:
         super().__init__()
--- a/tealwing/replica/membership/voter_plan.py
+++ b/tealwing/replica/membership/voter_plan.py
@@ -42,9 +42,9 @@
     """The one next change, or None; the same for the same arguments, whatever order they are in.
 
     heard: seconds at which each member was heard last, the asking leader included; who is not in it was never heard.
-    ready: learners that could vote now (`Raft.promotion_waits` is empty). after: seconds of silence that make a voter
-    lost for good. wanted: as many voters as there should be. A lost voter is demoted only while there are more voters
-    than that, which the promotion of a learner has made: so none goes without one that has taken its place.
+    ready: learners that could vote now (`Raft.promotion_blocked_by` is empty). after: seconds of silence that make a
+    voter lost for good. wanted: as many voters as there should be. A lost voter is demoted only while there are more
+    voters than that, which the promotion of a learner has made: so none goes without one that has taken its place.
     """
     live = {name for name in {*voters, *learners} if name in last_contact and now - last_contact[name] < silence_limit}
     lost = sorted(set(voters) - live)
--- a/tealwing/replica/raft/commit.py
+++ b/tealwing/replica/raft/commit.py
@@ -76,7 +76,7 @@
         self._replicate(now)
 
     def _confirm_incarnation(self, name: str, progress: Progress) -> None:
-        """Say `Sure` to a member that has caught up with all that it may have forgotten."""
+        """Say `ConfirmIncarnation` to a member that has caught up with all that it may have forgotten."""
         if self.role is not Role.LEADER or not progress.unconfirmed or self.commit < self.term_start_index:
             return
         if progress.match < self.commit:
--- a/tealwing/replica/raft/core.py
+++ b/tealwing/replica/raft/core.py
@@ -10,6 +10,7 @@
     ConfirmIncarnation,
     ConfirmVote,
     InstallSnapshot,
+    InstallSnapshotReply,
     Message,
     RequestVote,
     RequestVoteReply,
@@ -19,43 +20,59 @@
 from tealwing.replica.raft.election import Election
 from tealwing.replica.raft.records import Ready, Role
 
+_TermMessage = (
+    VoteConfirmation | AppendEntries | InstallSnapshot | TimeoutNow | ConfirmIncarnation | AppendEntriesReply
+    | InstallSnapshotReply
+)  # fmt: skip
+
 
 class Raft(Election):
     """One member."""
 
     def step(self, now: float, source: str, message: Message) -> None:
         """A message has come."""
-        if isinstance(message, RequestVote):
-            self._handle_request_vote(now, source, message)
-            return
-        if isinstance(message, ConfirmVote):  # no vote is asked for: its term moves nobody
-            self._send(source, VoteConfirmation(self.term, self.incarnation))
+        match message:
+            case RequestVote():
+                self._handle_request_vote(now, source, message)
+            case ConfirmVote():  # no vote is asked for: its term moves nobody
+                self._send(source, VoteConfirmation(self.term, self.incarnation))
+            case RequestVoteReply():
+                if message.term > self.term and not message.pre_vote:
+                    self._become_follower(now, message.term, "")
+                self._handle_vote_reply(now, source, message)
+            case _:
+                if message.term > self.term:
+                    self._become_follower(now, message.term, "")
+                self._step_in_term(now, source, message)
+
+    def _step_in_term(self, now: float, source: str, message: _TermMessage) -> None:
+        """Handle a message whose term is not above ours any more."""
+        match message:
+            case VoteConfirmation():
+                self._handle_vote_confirmation(now, source, message)
+            case AppendEntries():
+                self._handle_append_entries(now, source, message)
+            case InstallSnapshot():
+                self._handle_install_snapshot(now, source, message)
+            case TimeoutNow():
+                if message.term == self.term and source == self.leader and self.local_id in self.members:
+                    self._start_election(now, leadership_transfer=True)
+            case ConfirmIncarnation():
+                if message.term == self.term and message.incarnation == self.incarnation:
+                    self.unconfirmed = False
+            case _:
+                self._handle_follower_reply(now, source, message)
+
+    def _handle_follower_reply(self, now: float, source: str, reply: AppendEntriesReply | InstallSnapshotReply) -> None:
+        progress = self.progress.get(source)
+        if self.role is not Role.LEADER or reply.term != self.term or progress is None:
             return
-        if message.term > self.term and not (isinstance(message, RequestVoteReply) and message.pre_vote):
-            self._become_follower(now, message.term, "")
-        if isinstance(message, RequestVoteReply):
-            self._handle_vote_reply(now, source, message)
-        elif isinstance(message, VoteConfirmation):
-            self._handle_vote_confirmation(now, source, message)
-        elif isinstance(message, AppendEntries):
-            self._handle_append_entries(now, source, message)
-        elif isinstance(message, InstallSnapshot):
-            self._handle_install_snapshot(now, source, message)
-        elif isinstance(message, TimeoutNow):
-            if message.term == self.term and source == self.leader and self.local_id in self.members:
-                self._start_election(now, leadership_transfer=True)
-        elif isinstance(message, ConfirmIncarnation):
-            if message.term == self.term and message.incarnation == self.incarnation:
-                self.unconfirmed = False
-        elif self.role is Role.LEADER and message.term == self.term:
-            progress = self.progress.get(source)
-            if progress is not None:
-                self._observe_incarnation(progress, now, message.incarnation, message.unconfirmed)
-                if isinstance(message, AppendEntriesReply):
-                    self._handle_append_reply(now, source, progress, message)
-                else:
-                    self._handle_snapshot_reply(now, source, progress, message)
-                self._confirm_incarnation(source, progress)
+        self._observe_incarnation(progress, now, reply.incarnation, reply.unconfirmed)
+        if isinstance(reply, AppendEntriesReply):
+            self._handle_append_reply(now, source, progress, reply)
+        else:
+            self._handle_snapshot_reply(now, source, progress, reply)
+        self._confirm_incarnation(source, progress)
 
     def tick(self, now: float) -> None:
         """Time has passed."""
--- a/tealwing/replica/raft/election.py
+++ b/tealwing/replica/raft/election.py
@@ -8,7 +8,7 @@
 
 
 class Election(Leader):
-    """How a member comes to lead; a learner does not (see Changing).
+    """How a member comes to lead; a learner does not (see Membership).
 
     Where disks may come back older, votes are asked for and then held: once a candidate has a quorum of votes it asks
     those that gave them once more, and leads when they have answered in the term and the start in which they voted. So
--- a/tealwing/replica/raft/leader.py
+++ b/tealwing/replica/raft/leader.py
@@ -13,7 +13,7 @@
     def propose(self, now: float, data: bytes, defer_send: bool = False) -> tuple[int, int]:
         """A command for the state; its index and term, where it will be if it is committed. NotLeader or Busy.
 
-        more: others may follow at once, and `send_new` sends them together, one message to each follower.
+        more: others may follow at once, and `send_deferred` sends them together, one message to each follower.
         """
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
--- a/tealwing/replica/raft/membership.py
+++ b/tealwing/replica/raft/membership.py
@@ -18,12 +18,13 @@
     **A promoted learner and older disks** (`stale` s above 0). What a learner has acknowledged counted in no quorum.
     But it may have voted before it became a learner, and its disk may have come back older since, so it has no more
     right to be trusted than any start. So each start of a learner is unsure as any is (also one with no disk at all,
-    that knows no members), and the leader says `Sure` to it under the same condition: it has all that was committed
-    when a quorum of voters, of which it is none, confirmed the leader in a round begun after the leader heard of that
-    start. It is not promoted before (`promotion_waits`): of all learners, those that have forgotten thus never count
-    against s as long as they are learners. If it starts anew between the leader's last word of it and the entry that
-    promotes it, that start is unsure, says so with its first acknowledgement and its first vote, and counts as an
-    unsure voter, as the start of any voter would: the members that have forgotten then are at most s by what s means.
+    that knows no members), and the leader says `ConfirmIncarnation` to it under the same condition: it has all that was
+    committed when a quorum of voters, of which it is none, confirmed the leader in a round begun after the leader heard
+    of that start. It is not promoted before (`promotion_blocked_by`): of all learners, those that have forgotten thus
+    never count against s as long as they are learners. If it starts anew between the leader's last word of it and the
+    entry that promotes it, that start is unsure, says so with its first acknowledgement and its first vote, and counts
+    as an unsure voter, as the start of any voter would: the members that have forgotten then are at most s by what s
+    means.
 
     **A learner is not asked for its vote**, its acknowledgements and answers count in no quorum, and it neither stands
     for election nor is handed the lead. Who asks it all the same holds it for a voter by a later entry than it has, or
--- a/tealwing/replica/raft/records.py
+++ b/tealwing/replica/raft/records.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from tealwing.replica.errors import ReplicaError
 from tealwing.replica.messages import Entry, InstallSnapshot, Message
 
 
@@ -32,10 +33,10 @@
 
     heartbeat_interval: float = 0.1  # s between two rounds of a leader that has nothing else to say
     learner_heartbeat_interval: float = (
-        0.5  # s between two words to a learner that has nothing new to hear: see Sending
+        0.5  # s between two words to a learner that has nothing new to hear: see Replication
     )
     learner_message_rate: float = (
-        4000.0  # messages a second with news for learners, but for those of `hurry`: see Sending
+        4000.0  # messages a second with news for learners, but for those of `broadcast_commit`: see Replication
     )
     election_timeout: float = 0.6  # s without a leader after which a member asks for votes, at least; up to twice that
     resend_timeout: float = 0.5  # s without an answer after which what is under way to a follower counts as lost
@@ -52,7 +53,7 @@
     check_quorum: bool = True
 
 
-class NotLeaderError(RuntimeError):
+class NotLeaderError(ReplicaError):
     """Only the leader can do that; `leader` is who that may be, empty if unknown."""
 
     def __init__(self, leader: str) -> None:
@@ -60,7 +61,7 @@
         self.leader = leader
 
 
-class BusyError(RuntimeError):
+class BusyError(ReplicaError):
     """Not now: too much is under way, or another change of members is, or a learner can't vote yet."""
 
 
@@ -114,7 +115,7 @@
 
 @dataclass(slots=True)
 class Ready:
-    """What the shell has to do, in this order: write, say `saved`, send, apply, answer reads."""
+    """What the shell has to do, in this order: write, say `entries_saved`, send, apply, answer reads."""
 
     hard_state: tuple[int, str] | None  # term and vote, to be on disk before anything is sent
     entries: list[Entry]  # to be on disk; the first takes the place of all from its index on
--- a/tealwing/replica/raft/replication.py
+++ b/tealwing/replica/raft/replication.py
@@ -12,14 +12,15 @@
     """What a leader says.
 
     Learners may be many, so a leader that has nothing new to say costs little for them: each has a beat of its own,
-    `learner_beat` apart and spread evenly, so that of n learners n * beat / learner_beat hear something in a round (40
-    of 200). What is new does not wait for that: entries go out with the next round (that of `hurry`, where it must be
-    now) once they are committed, as before that a learner has no use for them, and with the word that they are: one
-    message, and one answer, for all that a round has of news. Rounds with news for learners are so far apart that
-    these messages stay within `news_rate`: acknowledgements of 1,100 members come in over many rounds, and a leader
-    that told all of each round had no time left to take them in. Who votes gets entries at once, as ever. A learner
-    that was not heard for two of its beats gets no entries and no pieces of a snapshot, only its beat, until it is
-    heard again: else those that are gone would take the places of those that wait for a snapshot.
+    `learner_heartbeat_interval` apart and spread evenly, so that of n learners n * heartbeat_interval /
+    learner_heartbeat_interval hear something in a round (40 of 200). What is new does not wait for that: entries go out
+    with the next round (that of `broadcast_commit`, where it must be now) once they are committed, as before that a
+    learner has no use for them, and with the word that they are: one message, and one answer, for all that a round has
+    of news. Rounds with news for learners are so far apart that these messages stay within `learner_message_rate`:
+    acknowledgements of 1,100 members come in over many rounds, and a leader that told all of each round had no time
+    left to take them in. Who votes gets entries at once, as ever. A learner that was not heard for two of its beats
+    gets no entries and no pieces of a snapshot, only its beat, until it is heard again: else those that are gone would
+    take the places of those that wait for a snapshot.
     """
 
     def _begin_round(self, now: float) -> None:
--- a/tealwing/replica/raft/state.py
+++ b/tealwing/replica/raft/state.py
@@ -13,7 +13,7 @@
 class RaftState:
     """The state of a member, and what it does with its log."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - all that a disk may have, each by its name
         self,
         local_id: str,
         members: tuple[str, ...],
--- a/tealwing/replica/service/bootstrap.py
+++ b/tealwing/replica/service/bootstrap.py
@@ -8,14 +8,15 @@
 from tealwing.replica.plan import ReplicaPlan
 from tealwing.replica.raft import Options, Raft
 from tealwing.replica.state import State
-from tealwing.replica.storage.store import Storage, StoredState
+from tealwing.replica.storage.records import StoredState
+from tealwing.replica.storage.store import Storage
 
 
 def read_state(storage: Storage, found: StoredState) -> State:
     """The state of the newest snapshot; an empty one where there is none. storage.StorageError."""
     state = State()
     if found.snapshot.index:
-        state.load(found.snapshot.index, storage.snapshot_body(found.snapshot))
+        state.load(found.snapshot.index, storage.snapshot_files.body(found.snapshot))
     return state
 
 
--- a/tealwing/replica/service/member.py
+++ b/tealwing/replica/service/member.py
@@ -5,6 +5,7 @@
 import random
 import threading
 import time
+from collections.abc import Callable
 from pathlib import Path
 from queue import SimpleQueue
 from typing import Any
@@ -14,6 +15,7 @@
 from tealwing.peers.link import Link
 from tealwing.replica import commands, messages
 from tealwing.replica.forwarding.pending import PendingProposals
+from tealwing.replica.forwarding.protocol import ForwardReply, ForwardRequest
 from tealwing.replica.forwarding.reads import ReadBatcher
 from tealwing.replica.group import SITE, Group
 from tealwing.replica.messages import InstallSnapshot, InstallSnapshotReply, Kind, Message
@@ -56,6 +58,8 @@
         self.recovery.disk_read(time.monotonic())
         self._pending, self._reads = PendingProposals(), ReadBatcher(self.core)
         self.broken = ""
+        self._leading = False
+        self._connected: set[str] = set()  # members that the link connects to for this log
         self.leaders_by_term: dict[int, str] = {}  # leader by term, as far as seen here
         self._commit_saved_at = 0.0  # monotonic, when the disk last heard how far all is committed
         self.slowest_save = 0.0  # s that the disk took for one write and its sync, at most
@@ -77,6 +81,23 @@
 
     def _process_ready(self, ready: Ready) -> None:
         """What the core wants, in its order: the disk, then words that rest on it, then the state."""
+        if not self._save(ready):
+            return
+        if ready.entries:
+            self.core.entries_saved(self.clock.now(), ready.entries[-1].index, ready.entries[-1].term)
+        for name, message in ready.messages:
+            self._send(name, message)
+        for entry in ready.committed:
+            self._apply(entry)
+        if ready.committed:
+            self._pending.index_reached(self.state.applied)
+        for number in ready.failed_reads:
+            self._reads.failed(number)
+        for number, index in ready.reads:
+            self._reads.confirmed(number, index)
+
+    def _save(self, ready: Ready) -> bool:
+        """Write what is to be on the disk before anything else; False where the disk failed."""
         begun = time.monotonic()
         try:
             commit = min(self.core.commit, self.core.stable)
@@ -88,23 +109,12 @@
                 ready.messages = [m for m in ready.messages if not isinstance(m[1], InstallSnapshotReply)]
         except OSError as error:
             self.broken = str(error)
-            return
+            return False
         took = time.monotonic() - begun
         self.slowest_save = max(self.slowest_save, took)
         if took >= self.plan.election_timeout / 2:  # while it lasts we answer nobody: a leader may be missed for it
             log.event("replica_disk_slow", took=round(took, 3), entries=len(ready.entries), **self.group.log_fields)
-        if ready.entries:
-            self.core.entries_saved(self.clock.now(), ready.entries[-1].index, ready.entries[-1].term)
-        for name, message in ready.messages:
-            self._send(name, message)
-        for entry in ready.committed:
-            self._apply(entry)
-        if ready.committed:
-            self._pending.index_reached(self.state.applied)
-        for number in ready.failed_reads:
-            self._reads.failed(number)
-        for number, index in ready.reads:
-            self._reads.confirmed(number, index)
+        return True
 
     def _send(self, name: str, message: Message) -> None:
         if isinstance(message, InstallSnapshot):  # the core says which piece
@@ -154,3 +164,44 @@
             self.storage.save(None, (), commit)
         except OSError as error:
             self.broken = str(error)
+
+    def plan_address(self, name: str) -> tuple[str, int] | None:
+        """Where a gateway's link listens, by the section `peers`."""
+        return self._link.plan.address(name)
+
+    def digest(self) -> tuple[int, str]:
+        """Index and hash of the state."""
+        with self.lock:
+            twin = self.state.copy()
+        return twin.applied, twin.digest()
+
+    def _connect_members(self) -> None:
+        """Have the link speak to those that the log needs: what the file says of them may be old."""
+        core = self.core
+        names = {*core.members, *core.learners} if core.local_id in core.members else {*core.members, core.leader}
+        if names != self._connected:
+            self._connected = names
+            self._link.reach(self.group.name, names)
+
+    def _set_leading(self, leads: bool) -> None:
+        self._leading = leads
+        for led in self._on_leadership:
+            led(leads)
+
+    def propose_if_leader(self, data: bytes) -> None:
+        """Propose a command if this member leads; nobody hears what comes of it."""
+        self._queue.put(("ask", ForwardRequest(0, data), lambda told: None))
+
+    def change_members_if_leader(
+        self, voters: list[str], learners: list[str], reply: Callable[[ForwardReply], None]
+    ) -> None:
+        """Propose other members if this member leads; told hears what comes of it, on the member's thread."""
+        self._queue.put(("ask", ForwardRequest(0, b"", voters, learners), reply))
+
+    def broadcast_commit(self) -> None:
+        """If this member leads: say at once how far all is committed, not with the next beat."""
+        self._queue.put(("hurry",))
+
+    def snapshot(self) -> None:
+        """Write a snapshot soon, whatever has come since the last."""
+        self.snapshots.request()
--- a/tealwing/replica/service/node.py
+++ b/tealwing/replica/service/node.py
@@ -38,7 +38,7 @@
 from tealwing.replica.service.recovery import FleetView
 from tealwing.replica.storage.disk import Disk
 from tealwing.replica.storage.durability import ReopenBackoff
-from tealwing.replica.storage.store import StorageError
+from tealwing.replica.storage.records import StorageError
 
 __all__ = ["OutcomeUnknownError", "Replica", "UnavailableError"]
 
@@ -59,9 +59,8 @@
         """Read the disk. storage.StorageError where it can't be trusted."""
         super().__init__(plan, link, clock, disk, group)
         self._stopped = threading.Event()
-        self._leading = self._proposed = False  # whether we lead; whether proposals of this turn are still to be sent
+        self._proposed = False  # whether proposals of this turn are still to be sent
         self._forwarded: list[bytes] = []  # commands of this turn of which nobody waits for what comes of them
-        self._connected: set[str] = set()  # whom the link speaks to for us
         self._leader_client = LeaderClient(
             link.plan.name, self._queue, lambda name, body: self._link.send(name, group.forward_channel, body),
             lambda: self.core.leader, lambda: self.broken,
@@ -70,8 +69,6 @@
         link.on(group.forward_channel, self._on_forwarded)
         self._connect_members()
 
-    # Start and end
-
     def start(self) -> None:
         """Take part from now on."""
         threads.start(self._run, self.group.thread_name("replica"))
@@ -109,28 +106,10 @@
         """Wait until the state here has all that was committed when this was called. Unavailable where it can't."""
         return self._leader_client.read_index(timeout)
 
-    def propose_if_leader(self, data: bytes) -> None:
-        """Propose a command if this member leads; nobody hears what comes of it."""
-        self._queue.put(("ask", ForwardRequest(0, data), lambda told: None))
-
-    def change_members_if_leader(
-        self, voters: list[str], learners: list[str], reply: Callable[[ForwardReply], None]
-    ) -> None:
-        """Propose other members if this member leads; told hears what comes of it, on the member's thread."""
-        self._queue.put(("ask", ForwardRequest(0, b"", voters, learners), reply))
-
-    def broadcast_commit(self) -> None:
-        """If this member leads: say at once how far all is committed, not with the next beat."""
-        self._queue.put(("hurry",))
-
     def forward(self, data: bytes) -> None:
         """Have whoever leads propose a command, if anybody does; nobody hears what comes of it."""
         self._leader_client.forward(data)
 
-    def snapshot(self) -> None:
-        """Write a snapshot soon, whatever has come since the last."""
-        self.snapshots.request()
-
     def status(self) -> dict[str, Any]:
         """What operators ask for."""
         return status.status(self)
@@ -139,16 +118,6 @@
         """What this member sees of the fleet, for the order of return."""
         return status.observe(self, self._link.live())
 
-    def plan_address(self, name: str) -> tuple[str, int] | None:
-        """Where a gateway's link listens, by the section `peers`."""
-        return self._link.plan.address(name)
-
-    def digest(self) -> tuple[int, str]:
-        """Index and hash of the state."""
-        with self.lock:
-            twin = self.state.copy()
-        return twin.applied, twin.digest()
-
     # The link's reader thread
 
     def _on_message(self, name: str, body: bytes) -> None:
@@ -284,19 +253,6 @@
                 "recovery", phase=self.recovery.phase.value, why=self.recovery.reason(seen), **self.group.log_fields
             )
 
-    def _connect_members(self) -> None:
-        """Have the link speak to those that the log needs: what the file says of them may be old."""
-        core = self.core
-        names = {*core.members, *core.learners} if core.local_id in core.members else {*core.members, core.leader}
-        if names != self._connected:
-            self._connected = names
-            self._link.reach(self.group.name, names)
-
-    def _set_leading(self, leads: bool) -> None:
-        self._leading = leads
-        for led in self._on_leadership:
-            led(leads)
-
     def _handle_item(self, item: tuple[Any, ...]) -> None:
         now = self.clock.now()
         match item[0]:
--- a/tealwing/replica/service/snapshots.py
+++ b/tealwing/replica/service/snapshots.py
@@ -32,7 +32,7 @@
         self, plan: ReplicaPlan, storage: Storage, core: Raft, queue: SimpleQueue[tuple[Any, ...]],
         replace: Callable[[State], None], group: Group,
     ) -> None:  # fmt: skip
-        """replace takes the state that another's snapshot makes."""
+        """Replace takes the state that another's snapshot makes."""
         self._group = group
         self._plan, self._storage, self._core, self._queue, self._replace = plan, storage, core, queue, replace
         self._writing = self._requested = False  # one, on a thread of its own; asked for
@@ -52,12 +52,12 @@
 
     def fill_chunk(self, snap: InstallSnapshot) -> InstallSnapshot | None:
         """The piece that the core wants to send, with its bytes, which are the disk's. None: it is no more."""
-        data = self._storage.read_chunk(SnapshotMeta(snap.index, snap.index_term), snap.offset)
+        data = self._storage.snapshot_files.read_chunk(SnapshotMeta(snap.index, snap.index_term), snap.offset)
         return None if data is None else msgspec.structs.replace(snap, data=data)
 
     def receive_chunk(self, chunk: InstallSnapshot) -> bool:
         """A piece of another's snapshot; with the last one it becomes ours. False where it was no good. OSError."""
-        self._storage.write_chunk(chunk.index, chunk.index_term, chunk.offset, chunk.data)
+        self._storage.snapshot_files.write_chunk(chunk.index, chunk.index_term, chunk.offset, chunk.data)
         if chunk.offset + len(chunk.data) < chunk.total:
             return True
         meta = self._storage.install_snapshot(chunk.index, chunk.index_term)
@@ -66,7 +66,7 @@
             log.event("replica_snapshot_refused", index=chunk.index, **self._group.log_fields)
             return False
         fresh = State()
-        fresh.load(meta.index, self._storage.snapshot_body(meta))
+        fresh.load(meta.index, self._storage.snapshot_files.body(meta))
         self._core.snapshot_installed(meta)
         log.event("replica_snapshot_installed", index=meta.index, size=meta.size, **self._group.log_fields)
         self._replace(fresh)
@@ -87,7 +87,9 @@
 
         def write() -> None:
             try:
-                meta: SnapshotMeta | None = self._storage.write_snapshot(index, term, voters, twin.dump(), learners)
+                meta: SnapshotMeta | None = self._storage.snapshot_files.write(
+                    index, term, voters, twin.dump(), learners
+                )
             except OSError as error:
                 log.event("replica_snapshot_not_written", index=index, error=str(error), **self._group.log_fields)
                 meta = None
--- a/tealwing/replica/state.py
+++ b/tealwing/replica/state.py
@@ -129,7 +129,7 @@
                 return c.CommandResult(False, index, newest, why)
         return self._apply(index, command.body)
 
-    def _apply(self, index: int, body: c.Body) -> c.CommandResult:
+    def _apply(self, index: int, body: c.Body) -> c.CommandResult:  # noqa: C901 - one case for each command
         match body:
             case c.Put(key, value, expect):
                 return self._put(index, key, value, expect)
--- a/tealwing/replica/storage/disk.py
+++ b/tealwing/replica/storage/disk.py
@@ -52,7 +52,7 @@
 
     def rename(self, source: Path, target: Path) -> None:
         """Give a file another name, whose former file goes; on the disk after `sync_folder`."""
-        os.rename(source, target)
+        source.rename(target)
 
     def sync_directory(self, directory: Path) -> None:
         """Have the names in a folder on the disk."""
--- a/tealwing/replica/storage/store.py
+++ b/tealwing/replica/storage/store.py
@@ -15,92 +15,35 @@
 from __future__ import annotations
 
 import contextlib
-import os
-import struct
 from collections.abc import Iterable, Iterator
-from dataclasses import dataclass, field
 from pathlib import Path
 from typing import BinaryIO
 
 import msgspec
-import xxhash
 
-from tealwing.replica.messages import SNAPSHOT_CHUNK_BYTES, Entry, Record
+from tealwing.replica.messages import Entry
 from tealwing.replica.raft import SnapshotMeta
 from tealwing.replica.storage.disk import Disk
 from tealwing.replica.storage.durability import Acknowledged
+from tealwing.replica.storage.records import (
+    RECORD_HEADER,
+    AcknowledgedDataLostError,
+    EntryRecord,
+    HardState,
+    LogRecord,
+    SnapshotInstalled,
+    StorageError,
+    StoredState,
+    batches,
+    decode,
+    encode,
+    frame,
+    has_later_record,
+    payload_at,
+)  # fmt: skip
+from tealwing.replica.storage.snapshot_files import SnapshotFiles, check_snapshot
 
-RECORD_MAGIC = b"\xa7TW1"
-RECORD_HEADER = struct.Struct(">4sIQ")  # mark, length, xxh3_64 of the payload
-MAX_RECORD_BYTES = 16 << 20  # bytes of a record: an entry holds one command
 SEGMENT_BYTES = 8 << 20  # bytes after which the log goes on in a new file
-SNAPSHOT_HEADER = struct.Struct(">4sIQQ")  # mark, length of the description, size of the body, xxh3_64 of both
-SNAPSHOT_MAGIC = b"\xa7TWS"
-WRITE_BATCH_BYTES = 1 << 20  # bytes of records that are encoded at once where the whole log is written
-
-
-class StorageError(RuntimeError):
-    """A disk whose content can't be trusted; the text says what and where."""
-
-
-class AcknowledgedDataLostError(StorageError):
-    """A folder that no longer has what this member has acknowledged; the text says what an operator can do."""
-
-    def __init__(self, folder: Path) -> None:
-        super().__init__(
-            f"{folder}: it lacks what this member has acknowledged, and `stale` is 0; give it back its folder as it"
-            " was, or remove the member and add it under another name"
-        )
-
-
-class HardState(Record, tag="h", frozen=True):
-    """Term and vote, and how far the log is known to be committed: that may lag, and is never too much."""
-
-    term: int
-    vote: str
-    commit: int = 0
-
-
-class EntryRecord(Record, tag="e", frozen=True):
-    """One entry."""
-
-    entry: Entry
-
-
-class SnapshotInstalled(Record, tag="s", frozen=True):
-    """A snapshot of another comes next: if it is there, entries after it that came before this are no more."""
-
-    index: int
-    term: int
-
-
-class SnapshotDescription(Record, frozen=True):
-    """What a snapshot is of."""
-
-    index: int
-    term: int
-    members: list[str]
-    learners: list[str] = []  # noqa: RUF012 - msgspec copies it; files without it have none
-
-
-_encode = msgspec.msgpack.Encoder().encode
-LogRecord = HardState | EntryRecord | SnapshotInstalled
-_decoder: msgspec.msgpack.Decoder[LogRecord] = msgspec.msgpack.Decoder(LogRecord)
-
-
-@dataclass(slots=True)
-class StoredState:
-    """What a start finds."""
-
-    term: int = 0
-    vote: str = ""
-    commit: int = 0
-    snapshot: SnapshotMeta = field(default_factory=SnapshotMeta)
-    log: list[Entry] = field(default_factory=list)
-    truncated_bytes: int = 0  # bytes of a torn tail that were cut
-    fresh: bool = True  # nothing was there
-    incoming: tuple[int, int, int] = (0, 0, 0)
-    lost_acknowledged: bool = False  # a folder that was read anew lacks what was acknowledged
 
 
 class Storage:
@@ -108,6 +51,7 @@
 
     def __init__(self, directory: Path, disk: Disk | None = None) -> None:
         self.directory, self.disk = directory, disk or Disk()
+        self.snapshot_files = SnapshotFiles(self.directory, self.disk)
         self._file: BinaryIO | None = None
         self._segments: dict[Path, int] = {}  # each file with the highest index that it may hold
         self._path_written: Path | None = None  # the file that is written, or was to be begun
@@ -137,7 +81,7 @@
         """
         self.close()
         acknowledged = self.acknowledged
-        self._delete_incoming()
+        self.snapshot_files.delete_incoming()
         found = self._load(self._path_written)
         found.lost_acknowledged = not acknowledged.is_covered_by(found)
         if found.lost_acknowledged and not allow_loss:
@@ -157,18 +101,13 @@
         self._hard_state = HardState(acknowledged.term, acknowledged.vote, self._hard_state.commit)
         self._last, self._last_term = acknowledged.last_index, acknowledged.last_term
 
-    def _delete_incoming(self) -> None:
-        """A snapshot that was being received is taken anew: its last piece may not be on the disk."""
-        for path in self.directory.glob("incoming-*.part"):
-            path.unlink()
-
     def _replace_log(self, found: StoredState) -> None:
         """Have term, vote and all entries in one new file, which takes the place of the one that was written last."""
         path = self._path_written or self._next_path()
         part = path.with_suffix(".tmp")
         size = 0
         with part.open("wb") as file:
-            for data in _batches([self._hard_state, *map(EntryRecord, found.log)]):
+            for data in batches([self._hard_state, *map(EntryRecord, found.log)]):
                 self.disk.write(file, data)
                 size += len(data)
             self.disk.sync(file)
@@ -183,7 +122,7 @@
         for part in self.directory.glob("*.tmp"):
             part.unlink()
         self._segments = {}
-        self.snapshot = found.snapshot = self._newest_snapshot()
+        self.snapshot = found.snapshot = self.snapshot_files.newest()
         entries: dict[int, Entry] = {}
         last = 0
         paths = sorted(self.directory.glob("log-*.wal"))
@@ -217,7 +156,7 @@
             raise StorageError(f"{self.directory}: the log has entry {min(beyond)} and not entry {index}")
         self._last = index - 1
         self._last_term = found.log[-1].term if found.log else found.snapshot.term
-        found.incoming = self._incoming_state()
+        found.incoming = self.snapshot_files.incoming(self.snapshot)
         return found
 
     def _records(self, path: Path, last: bool, found: StoredState, limit: int | None = None) -> Iterator[LogRecord]:
@@ -225,9 +164,9 @@
         data = path.read_bytes()[:limit]
         at = 0
         while at < len(data):
-            payload = _payload_at(data, at)
+            payload = payload_at(data, at)
             if payload is None:
-                if not last or limit is not None or _has_later_record(data, at + 1):
+                if not last or limit is not None or has_later_record(data, at + 1):
                     raise StorageError(f"{path}: a damaged record at byte {at}, with good ones after it")
                 found.truncated_bytes = len(data) - at
                 with path.open("r+b") as file:
@@ -235,33 +174,11 @@
                     self.disk.sync(file)
                 return
             try:
-                yield _decoder.decode(payload)
+                yield decode(payload)
             except msgspec.DecodeError as error:
                 raise StorageError(f"{path}: a record at byte {at} that is none: {error}") from None
             at += RECORD_HEADER.size + len(payload)
 
-    def _newest_snapshot(self) -> SnapshotMeta:
-        """The newest that is whole; those before it go."""
-        newest = SnapshotMeta()
-        for path in sorted(self.directory.glob("snapshot-*.snap"), reverse=True):
-            meta = None if newest.index else check_snapshot(path)
-            if meta is not None:
-                newest = meta
-            elif newest.index:
-                path.unlink()
-            else:
-                raise StorageError(f"{path}: a snapshot whose checksum does not match")
-        return newest
-
-    def _incoming_state(self) -> tuple[int, int, int]:
-        """Index, term and size of a snapshot that was being received."""
-        for path in self.directory.glob("incoming-*.part"):
-            index, term = (int(word) for word in path.stem.removeprefix("incoming-").split("-"))
-            if index > self.snapshot.index:
-                return index, term, path.stat().st_size
-            path.unlink()
-        return 0, 0, 0
-
     # The log
 
     @property
@@ -296,7 +213,7 @@
 
     def _append(self, records: Iterable[LogRecord]) -> None:
         """Have records on the disk when this returns. OSError: nobody knows."""
-        data = b"".join(_frame(_encode(record)) for record in records)
+        data = b"".join(frame(encode(record)) for record in records)
         assert self._file is not None
         try:
             self.disk.write(self._file, data)
@@ -326,71 +243,16 @@
 
     # Snapshots
 
-    def write_snapshot(
-        self, index: int, term: int, members: tuple[str, ...], body: Iterable[bytes], learners: tuple[str, ...] = ()
-    ) -> SnapshotMeta:
-        """Write a snapshot of our own; the body in pieces, so that it is never whole in memory. OSError if it fails.
-
-        May run on another thread than the rest; `adopt` then makes it the newest.
-        """
-        path = self._snapshot_path(index, term)
-        part = path.with_suffix(".tmp")
-        names = (list(members), list(learners)) if learners else (list(members),)  # none: as it always was
-        described = _encode((index, term, *names))
-        digest, size = xxhash.xxh3_64(described), 0
-        try:
-            with part.open("wb") as file:
-                file.write(SNAPSHOT_HEADER.pack(SNAPSHOT_MAGIC, len(described), 0, 0) + described)
-                for piece in body:
-                    self.disk.write(file, piece)
-                    digest.update(piece)
-                    size += len(piece)
-                file.seek(0)
-                self.disk.write(file, SNAPSHOT_HEADER.pack(SNAPSHOT_MAGIC, len(described), size, digest.intdigest()))
-                self.disk.sync(file)
-            self.disk.rename(part, path)
-            self.disk.sync_directory(self.directory)
-        except OSError:
-            with contextlib.suppress(OSError):
-                part.unlink()
-            raise
-        return SnapshotMeta(index, term, members, path.stat().st_size, learners)
-
     def adopt_snapshot(self, meta: SnapshotMeta) -> None:
         """A snapshot is the newest: drop older ones, and log files that hold nothing after it, as far as they go."""
         self.snapshot = meta
-        keep = self._snapshot_path(meta.index, meta.term)
-        for path in self.directory.glob("snapshot-*.snap"):
-            if path != keep:
-                with contextlib.suppress(OSError):  # the next start drops it
-                    path.unlink()
+        self.snapshot_files.delete_others(meta)
         for path, highest in list(self._segments.items()):
             if path != self._path_written and highest <= meta.index:
                 with contextlib.suppress(OSError):
                     path.unlink()
                 del self._segments[path]
 
-    def read_chunk(self, meta: SnapshotMeta, offset: int) -> bytes | None:
-        """A piece of a snapshot as it is on the disk, header and all; None where it is no more."""
-        try:
-            with self._snapshot_path(meta.index, meta.term).open("rb") as file:
-                file.seek(offset)
-                return file.read(SNAPSHOT_CHUNK_BYTES)
-        except FileNotFoundError:
-            return None
-
-    def write_chunk(self, index: int, term: int, offset: int, data: bytes) -> None:
-        """A piece of a snapshot that is being received. OSError if it fails."""
-        path = self.directory / f"incoming-{index}-{term}.part"
-        for other in self.directory.glob("incoming-*.part"):
-            if other != path:
-                other.unlink()
-        with path.open("r+b" if offset and path.exists() else "wb") as file:
-            file.truncate(offset)
-            file.seek(offset)
-            self.disk.write(file, data)
-            self.disk.sync(file)
-
     def install_snapshot(self, index: int, term: int) -> SnapshotMeta | None:
         """The received snapshot is whole: take it, and forget the log before it. None where its checksum is wrong."""
         part = self.directory / f"incoming-{index}-{term}.part"
@@ -399,24 +261,13 @@
             part.unlink()
             return None
         self._append([SnapshotInstalled(index, term)])
-        self.disk.rename(part, self._snapshot_path(index, term))
+        self.disk.rename(part, self.snapshot_files.path(index, term))
         self.disk.sync_directory(self.directory)
         if index >= self._last:
             self._last, self._last_term = index, term
         self.adopt_snapshot(meta)
         return meta
 
-    def snapshot_body(self, meta: SnapshotMeta) -> Iterator[bytes]:
-        """The body of a snapshot, in pieces."""
-        with self._snapshot_path(meta.index, meta.term).open("rb") as file:
-            _, length, _, _ = SNAPSHOT_HEADER.unpack(file.read(SNAPSHOT_HEADER.size))
-            file.seek(length, os.SEEK_CUR)
-            while piece := file.read(SNAPSHOT_CHUNK_BYTES):
-                yield piece
-
-    def _snapshot_path(self, index: int, term: int) -> Path:
-        return self.directory / f"snapshot-{index:016d}-{term:012d}.snap"
-
     def close(self) -> None:
         """Use it no more."""
         if self._file is not None:
@@ -424,32 +275,6 @@
             self._file = None
 
 
-def check_snapshot(path: Path) -> SnapshotMeta | None:
-    """What a snapshot is of; None where it is not whole."""
-    try:
-        with path.open("rb") as file:
-            head = file.read(SNAPSHOT_HEADER.size)
-            if len(head) < SNAPSHOT_HEADER.size:
-                return None
-            mark, length, size, digest = SNAPSHOT_HEADER.unpack(head)
-            if mark != SNAPSHOT_MAGIC or length > MAX_RECORD_BYTES:
-                return None
-            described = file.read(length)
-            found, got = xxhash.xxh3_64(described), 0
-            while piece := file.read(SNAPSHOT_CHUNK_BYTES):
-                found.update(piece)
-                got += len(piece)
-    except FileNotFoundError:
-        return None
-    if got != size or found.intdigest() != digest:
-        return None
-    try:
-        what = msgspec.msgpack.decode(described, type=SnapshotDescription)
-    except msgspec.DecodeError:
-        return None
-    return SnapshotMeta(what.index, what.term, tuple(what.members), path.stat().st_size, tuple(what.learners))
-
-
 def verify(directory: Path) -> list[str]:
     """What is wrong with a folder, without changing it; a torn tail is told and is no fault."""
     problems = []
@@ -460,46 +285,10 @@
     for place, path in enumerate(paths):
         data, at = path.read_bytes(), 0
         while at < len(data):
-            payload = _payload_at(data, at)
+            payload = payload_at(data, at)
             if payload is None:
-                torn = place == len(paths) - 1 and not _has_later_record(data, at + 1)
+                torn = place == len(paths) - 1 and not has_later_record(data, at + 1)
                 problems.append(f"{path.name}: {'a torn tail' if torn else 'damaged'} at byte {at} of {len(data)}")
                 break
             at += RECORD_HEADER.size + len(payload)
     return problems
-
-
-def _batches(records: Iterable[LogRecord]) -> Iterator[bytes]:
-    """Framed records, in pieces of about PIECE bytes."""
-    piece = bytearray()
-    for record in records:
-        piece += _frame(_encode(record))
-        if len(piece) >= WRITE_BATCH_BYTES:
-            yield bytes(piece)
-            piece.clear()
-    if piece:
-        yield bytes(piece)
-
-
-def _frame(payload: bytes) -> bytes:
-    return RECORD_HEADER.pack(RECORD_MAGIC, len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
-
-
-def _payload_at(data: bytes, at: int) -> bytes | None:
-    """The payload of the record at a place; None where none is whole there."""
-    if len(data) - at < RECORD_HEADER.size:
-        return None
-    mark, length, digest = RECORD_HEADER.unpack_from(data, at)
-    if mark != RECORD_MAGIC or length > MAX_RECORD_BYTES or len(data) - at - RECORD_HEADER.size < length:
-        return None
-    payload = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + length]
-    return payload if xxhash.xxh3_64_intdigest(payload) == digest else None
-
-
-def _has_later_record(data: bytes, at: int) -> bool:
-    """Whether a whole record begins anywhere from a place on."""
-    while (at := data.find(RECORD_MAGIC, at)) >= 0:
-        if _payload_at(data, at) is not None:
-            return True
-        at += 1
-    return False
--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -1,4 +1,4 @@
-"""The section `rules` of the operators' file."""
+"""Schema of the section `rules` of the operators' file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tealwing.conf import values
 from tealwing.conf.grammar import Place
 from tealwing.conf.schema import Block, Report, Section, Spec
-from tealwing.peers.bounds import LEAST_TTL, USUAL
+from tealwing.lease_bounds import DEFAULT_BOUNDS, MIN_TTL
 from tealwing.rollout.plan import SABOTAGES, Plan
 
 SPECS = (
@@ -16,7 +16,7 @@
          " has not closed for waits or is aborted; or hold once its permit is over, and a change goes on without it.",
          values.choice("serve", "hold"), "serve"),
     Spec("permit", "DURATION", "hold: how long a permit lasts, and with it how long a change may wait for a gateway"
-         " that was lost.", values.durations(LEAST_TTL, 60.0), "2s"),
+         " that was lost.", values.durations(MIN_TTL, 60.0), "2s"),
     Spec("limit", "DURATION", "A change that not every gateway has closed for by then is aborted; longer than"
          " patience.", values.durations(0.5, 120.0), "5s"),
     Spec("patience", "DURATION", "Silence of a gateway that holds after which a change goes on without it.",
@@ -29,24 +29,24 @@
 
 
 def build(block: Block, report: Report) -> Plan:
-    """The plan that a checked section makes."""
+    """Build the plan of a checked section."""
     plan = Plan(
         block.one("lost-touch"), block.one("permit"), block.one("limit"), block.one("patience"), block.one("queue"),
         block.one("sabotage") or "",
     )  # fmt: skip
     place = block.entries["lost-touch"][0].place
     if plan.limit <= plan.patience:
-        least = f"more than patience, {values.written_duration(plan.patience)}"
-        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), least)
-    over = USUAL.leader_waits(plan.permit) + plan.patience
-    if plan.lost_touch == "hold" and plan.limit <= over:
-        least = f"more than patience and a permit's end, {values.written_duration(round(over, 3))}"
-        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), least)
+        allowed = f"more than patience, {values.written_duration(plan.patience)}"
+        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), allowed)
+    over = DEFAULT_BOUNDS.expiry_delay(plan.permit) + plan.patience
+    if plan.partition_mode == "hold" and plan.limit <= over:
+        allowed = f"more than patience and a permit's end, {values.written_duration(round(over, 3))}"
+        report.add(block.place("limit", place), "limit", values.written_duration(plan.limit), allowed)
     return plan
 
 
 def across(records: Mapping[str, Any], blocks: Mapping[str, Block], report: Report) -> None:
-    """What the section contradicts in others; the others stand by themselves already."""
+    """Report contradictions with other sections, which are valid by themselves."""
     block, plan = blocks["rules"], records.get("rules")
     place = next((entries[0].place for entries in block.entries.values()), Place("", 0))
     for other in ("peers", "replica"):
@@ -55,7 +55,7 @@
     peers, replica = records.get("peers"), records.get("replica")
     if plan is None or peers is None or replica is None:
         return
-    if plan.lost_touch == "serve" and replica.max_stale_disks > 0:
+    if plan.partition_mode == "serve" and replica.max_stale_disks > 0:
         report.add(
             block.place("lost-touch", place),
             "lost-touch",
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from tealwing.gossip import keys, written
+from tealwing.gossip import keys, persisted_state
 from tealwing.gossip import messages as gossip
-from tealwing.peers import echo, frames
+from tealwing.peers import frames, ping
 from tealwing.peers import messages as peers
 from tealwing.record import CommandResult
 from tealwing.replica import commands
@@ -24,9 +24,9 @@
 from tealwing.replica.state import State
 from tealwing.replica.storage.disk import Disk
 from tealwing.replica.storage.store import Storage
-from tealwing.rollout.mark import Mark
+from tealwing.rollout.effects.persisted_marker import PersistedMarker
 from tealwing.rules import records
-from tealwing.rules.digests import digest
+from tealwing.rules.records import digest
 
 HERE = Path(__file__).parent
 KEY = keys.from_seed(bytes(range(32)))
@@ -47,26 +47,32 @@
     replica.ConfirmVote(9),
     replica.VoteConfirmation(9, 8),
 )
-PEERS: tuple[Any, ...] = (peers.Hello("fleet", "n1", "n2", 1234567890123), peers.Beat(70000), peers.Data(3, 9, b"x"))
-ECHO: tuple[Any, ...] = (echo.Ask(5, "hello"), echo.Answer(5, "n2", "hello"))
+PEERS: tuple[Any, ...] = (
+    peers.Hello("fleet", "n1", "n2", 1234567890123),
+    peers.Heartbeat(70000),
+    peers.Data(3, 9, b"x"),
+)
+ECHO: tuple[Any, ...] = (ping.PingRequest(5, "hello"), ping.PingReply(5, "n2", "hello"))
 FORWARDED: tuple[Any, ...] = (
     protocol.ForwardRequest(5, b"command"),
     protocol.ForwardRequest(5, b"", ["n1", "n2"], ["n3"]),
     protocol.ForwardReply(5, "not-leader", b"result", 9),
 )
-SIGNED: tuple[gossip.Alive | gossip.Left | gossip.Claims, ...] = tuple(
-    gossip.signed(rumour, KEY)
+SIGNED: tuple[gossip.Alive | gossip.Left | gossip.HealthReport, ...] = tuple(
+    gossip.sign_rumour(rumour, KEY)
     for rumour in (
         gossip.Alive("n1", "127.0.0.1", 7001, 1234567890123, 4, bytes(8), bytes(64)),
         gossip.Left("n1", 1234567890123, 5, bytes(8), bytes(64)),
-        gossip.Claims("n1", 1234567890123, 1234567890999, [gossip.Seen(70, 0, 1.5, 0.25, 12.0)], bytes(8), bytes(64)),
+        gossip.HealthReport(
+            "n1", 1234567890123, 1234567890999, [gossip.EngineObservation(70, 0, 1.5, 0.25, 12.0)], bytes(8), bytes(64)
+        ),
     )
 )
 BODIES: tuple[Any, ...] = (
     gossip.Ping(5, "n2"),
     gossip.Ack(5),
     gossip.Nack(5),
-    gossip.PingFor(5, "n3"),
+    gossip.PingRequest(5, "n3"),
     gossip.Gossip(),
     gossip.Digest([1, 2**40], True),
     gossip.Fetch([0, 63]),
@@ -91,13 +97,13 @@
     VERDICT,
     records.Close(2),
     CLOSED,
-    records.Words((VERDICT, CLOSED)),
+    records.Reports((VERDICT, CLOSED)),
     records.Activate(2, 8),
     records.Abort(2, "too late", 8),
     records.Withdraw(2, "operator", "why"),
     records.Begin("n1", 11, "hold", 3, 2000, 10),
-    records.Lapse("n1", 11),
-    records.Witness("n1", 9, "n2"),
+    records.ExpirePermit("n1", 11),
+    records.ConfirmExpiry("n1", 9, "n2"),
     records.Forget("n1", True),
 )
 COMMANDS = (
@@ -118,8 +124,8 @@
     commands.Command("n2/1", 3, records.Verdict(1, "n2", 12, True)),
     commands.Command("n1/1", 9, records.Close(1)),
     commands.Command("n2/1", 4, records.Closed(1, "n2", 12)),
-    commands.Command("n1/1", 10, records.Lapse("n2", 12)),
-    commands.Command("n1/1", 11, records.Witness("n2", 14, "n1")),
+    commands.Command("n1/1", 10, records.ExpirePermit("n2", 12)),
+    commands.Command("n1/1", 11, records.ConfirmExpiry("n2", 14, "n1")),
 )
 RESULT = CommandResult(False, 9, 8, "why")
 
@@ -162,7 +168,7 @@
     storage.save((2, "n1"), entries[:8], 3)
     storage.save((3, "n2"), entries[8:], 12)
     storage.save(None, [replica.Entry(16, 3, replica.Kind.MEMBERS, replica.members_data(("n1", "n2"), ("n3",)))], 15)
-    meta = storage.write_snapshot(15, 2, ("n1", "n2"), state().dump(), ("n3",))
+    meta = storage.snapshot_files.write(15, 2, ("n1", "n2"), state().dump(), ("n3",))
     storage.adopt_snapshot(meta)
     storage.close()
 
@@ -170,14 +176,14 @@
 def write_marker(folder: Path) -> None:
     """The marker of the version that a gateway has closed for."""
     folder.mkdir()
-    Mark(folder, Disk()).write(MARKED_VERSION)
+    PersistedMarker(folder, Disk()).write(MARKED_VERSION)
 
 
 def write_gossip(folder: Path) -> None:
     """The file of the members that an instance knew."""
     folder.mkdir()
     alive = [rumour for rumour in SIGNED if isinstance(rumour, gossip.Alive)]
-    written.save(folder / "members", "n1", 1234567890123, alive, {"n2": 0.75})
+    persisted_state.save(folder / "members", "n1", 1234567890123, alive, {"n2": 0.75})
 
 
 WRITERS = {"replica": write_replica, "marker": write_marker, "gossip": write_gossip}
--- a/tests/test_learners.py
+++ b/tests/test_learners.py
@@ -43,9 +43,11 @@
     assert [(voters_of(e), learners_of(e)) for e in (both, old)] == [(ABC, ("d",)), (ABC, ())]
     storage = Storage(tmp_path)
     storage.open()
-    plain = storage.write_snapshot(4, 2, ABC, [b"x"])
-    assert b"\x93\x04\x02\x93\xa1a\xa1b\xa1c" in (storage.read_chunk(plain, 0) or b"")  # the header as it always was
-    meta = storage.write_snapshot(5, 2, ABC, [b"x"], ("d",))
+    plain = storage.snapshot_files.write(4, 2, ABC, [b"x"])
+    assert b"\x93\x04\x02\x93\xa1a\xa1b\xa1c" in (
+        storage.snapshot_files.read_chunk(plain, 0) or b""
+    )  # the header as it always was
+    meta = storage.snapshot_files.write(5, 2, ABC, [b"x"], ("d",))
     found = Storage(tmp_path).open().snapshot
     assert found == meta and found.learners == ("d",)
     core = Raft("d", (), 0.0, snapshot=meta)
@@ -238,11 +240,11 @@
 
 def test_learners_and_their_promotion_hold_in_all_interleavings_of_a_few_steps() -> None:
     found = explore(Consensus(Budget(2, 1, 1, 1, 0, 0), learners="d"), 5)
-    assert found.whole and found.broken == ""
+    assert found.is_exhaustive and found.broken == ""
     promoted = Budget(1, 0, 0, 1, 0, 0, promotions=1)
     for early in (True, False):
         found = explore(Consensus(promoted, begin=led, learners="d", early=early), 6)
-        assert found.whole and found.broken == "" and found.states > 1_000
+        assert found.is_exhaustive and found.broken == "" and found.states > 1_000
 
 
 def test_an_acknowledgement_of_a_learner_that_counts_is_found() -> None:
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -31,7 +31,8 @@
 from tealwing.replica.raft import BusyError, NotLeaderError, Options, Raft, Role, SnapshotMeta
 from tealwing.replica.state import MAX_SESSIONS, State
 from tealwing.replica.storage.disk import Disk
-from tealwing.replica.storage.store import Storage, StorageError, verify
+from tealwing.replica.storage.records import StorageError
+from tealwing.replica.storage.store import Storage, verify
 
 
 def entry(index: int, term: int = 1, data: bytes = b"x") -> Entry:
@@ -120,9 +121,9 @@
     storage.open()
     storage.save((2, ""), [entry(index, 2) for index in range(1, 6)])
     (tmp_path / "snapshot-0000000000000009-000000000002.tmp").write_bytes(b"was being written")
-    meta = storage.write_snapshot(4, 2, ("a", "b"), [b"body" * 10, b"more"])
+    meta = storage.snapshot_files.write(4, 2, ("a", "b"), [b"body" * 10, b"more"])
     storage.adopt_snapshot(meta)
-    assert b"".join(storage.snapshot_body(meta)) == b"body" * 10 + b"more"
+    assert b"".join(storage.snapshot_files.body(meta)) == b"body" * 10 + b"more"
     found = Storage(tmp_path).open()
     assert found.snapshot == meta and [e.index for e in found.log] == [5] and not list(tmp_path.glob("*.tmp"))
     disk = Disk()
@@ -130,7 +131,7 @@
     failing.open()
     disk.inject_fault("full", 1)
     with pytest.raises(OSError, match="laboratory"):
-        failing.write_snapshot(5, 2, ("a",), [b"x"])
+        failing.snapshot_files.write(5, 2, ("a",), [b"x"])
     assert Storage(tmp_path).open().snapshot == meta
     (path,) = tmp_path.glob("*.snap")
     path.write_bytes(path.read_bytes()[:-1] + b"?")
@@ -142,19 +143,19 @@
     source = Storage(tmp_path / "from")
     source.open()
     source.save((3, ""), [entry(index, 3) for index in range(1, 8)])
-    meta = source.write_snapshot(7, 3, ("a", "b", "c"), [b"state"])
-    whole = source.read_chunk(meta, 0)
+    meta = source.snapshot_files.write(7, 3, ("a", "b", "c"), [b"state"])
+    whole = source.snapshot_files.read_chunk(meta, 0)
     assert whole is not None and len(whole) == meta.size
     target = Storage(tmp_path / "to")
     target.open()
     target.save((2, ""), [entry(index, 2) for index in range(1, 10)])  # 8 and 9 are of a leader that is no more
-    target.write_chunk(7, 3, 0, whole[:20])
+    target.snapshot_files.write_chunk(7, 3, 0, whole[:20])
     target.close()
     again = Storage(tmp_path / "to")
     assert again.open().incoming == (7, 3, 20)
-    again.write_chunk(7, 3, 20, whole[20:-1] + b"?")
+    again.snapshot_files.write_chunk(7, 3, 20, whole[20:-1] + b"?")
     assert again.install_snapshot(7, 3) is None  # its checksum is wrong
-    again.write_chunk(7, 3, 0, whole)
+    again.snapshot_files.write_chunk(7, 3, 0, whole)
     assert again.install_snapshot(7, 3) == meta
     found = Storage(tmp_path / "to").open()
     assert found.snapshot == meta and found.log == []
@@ -507,11 +508,11 @@
 
 def test_the_core_holds_in_all_interleavings_of_a_few_steps() -> None:
     found = explore(Consensus(Budget(timeouts=2, beats=1, proposals=1, crashes=1, twice=1)), 6)
-    assert found.whole and found.broken == "" and found.states > 20_000
+    assert found.is_exhaustive and found.broken == "" and found.states > 20_000
     found = explore(Consensus(Budget(2, 0, 0, 1, 0, 1), begin=figure_eight), 8)
-    assert found.whole and found.broken == ""
+    assert found.is_exhaustive and found.broken == ""
     found = explore(Consensus(Budget(timeouts=2, beats=0, proposals=0, crashes=0, old=1, twice=0), stale=1), 8)
-    assert found.whole and found.broken == ""
+    assert found.is_exhaustive and found.broken == ""
 
 
 def test_known_faults_are_found_with_their_shortest_stories() -> None:
@@ -549,7 +550,7 @@
     found = explore(Consensus(once, "forgotten-votes", "abcde", 1, begin=sure), 7)
     assert found.broken == "e and b both lead term 2" and len(found.trace) == 7
     holds = explore(Consensus(once, "", "abcde", 1, begin=sure), 7)
-    assert holds.whole and holds.broken == "" and holds.states > 10_000
+    assert holds.is_exhaustive and holds.broken == "" and holds.states > 10_000
     few = Budget(timeouts=3, beats=3, proposals=2, crashes=1, old=1, twice=1)
     assert "both lead" in wander(Consensus(few, "forgotten-votes", "abcde", 1, begin=sure), 200, 40, 1, likely).broken
     assert wander(Consensus(few, "", "abcde", 1, begin=sure), 200, 40, 1, likely).broken == ""
@@ -602,15 +603,15 @@
     ],
 )
 def test_the_judge_of_registers_can_fail(more: list[Any], rules: list[str]) -> None:
-    assert [v.rule for v in register.judge(history(*PUTS, *more), 10.0)] == rules
+    assert [v.rule for v in register.check(history(*PUTS, *more), 10.0)] == rules
 
 
 def test_the_judge_of_copies_can_fail() -> None:
     same = [{"t": 1.0, "kind": "digest", "process": n, "applied": 5, "digest": "d"} for n in "ab"]
     led = {"t": 1.0, "kind": "sample", "boot": 1, "term": 3, "role": "leader", "applied": 5}
-    assert copies.judge([*same, led | {"process": "a"}], 2.0) == []
-    assert [v.rule for v in copies.judge([same[0], same[1] | {"digest": "e"}], 2.0)] == ["divergent"]
+    assert copies.check([*same, led | {"process": "a"}], 2.0) == []
+    assert [v.rule for v in copies.check([same[0], same[1] | {"digest": "e"}], 2.0)] == ["divergent"]
     two = [led | {"process": "a"}, led | {"process": "b", "t": 2.0}]
-    assert [v.rule for v in copies.judge([*same, *two], 3.0)] == ["two-leaders"]
+    assert [v.rule for v in copies.check([*same, *two], 3.0)] == ["two-leaders"]
     back = [led | {"process": "a"}, led | {"process": "a", "applied": 4}]
-    assert [v.rule for v in copies.judge([*same, *back], 3.0)] == ["applied-back"]
+    assert [v.rule for v in copies.check([*same, *back], 3.0)] == ["applied-back"]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -267,7 +267,7 @@
     if step == "connections":
         monkeypatch.setattr(daemon._engines, "update", failing(daemon._engines.update))
     elif step == "module":
-        monkeypatch.setattr(Gateway, "_list", failing(Gateway._list))
+        monkeypatch.setattr(Gateway, "_apply_engine_list", failing(Gateway._apply_engine_list))
     else:
         whole = daemon._decisions.update_engine_list
         monkeypatch.setattr(daemon._decisions, "update_engine_list", lambda *a: whole(*a) and failing(lambda: True)())
@@ -288,14 +288,14 @@
 def test_an_update_that_fails_each_time_hides_neither_its_others_nor_what_comes_after(
     tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    daemon, take = make(tmp_path, coordinator.address), Gateway._list
+    daemon, take = make(tmp_path, coordinator.address), Gateway._apply_engine_list
 
     def failing(self: Gateway, told: api.EngineList) -> None:
         if any(entry.engine == TWO for entry in told.entries):
             raise ZeroDivisionError
         take(self, told)
 
-    monkeypatch.setattr(Gateway, "_list", failing)
+    monkeypatch.setattr(Gateway, "_apply_engine_list", failing)
     daemon.start()
     events = [
         event(2, member("s-2", "127.0.0.1:1"), member("s-3", "127.0.0.1:1")),
@@ -320,13 +320,13 @@
     tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # proved to be no fault: a drain right after a return, and a removal with a start at the same address
-    daemon, heard, take = make(tmp_path, coordinator.address), [], Gateway._list
+    daemon, heard, take = make(tmp_path, coordinator.address), [], Gateway._apply_engine_list
 
     def hear(self: Gateway, told: api.EngineList) -> None:
         take(self, told)
         heard.append([(entry.engine, entry.health) for entry in told.entries])
 
-    monkeypatch.setattr(Gateway, "_list", hear)
+    monkeypatch.setattr(Gateway, "_apply_engine_list", hear)
     before = daemon._engines._engines[ONE][1]
     daemon.start()
     sock, _ = coordinator.watch()
@@ -376,10 +376,7 @@
     sock, _ = coordinator.watch()  # SIGHUP renews the watch
     places = {entry.engine: (entry.zone, entry.kind) for entry in daemon.engine_list}
     assert places == {ONE: (1, 1), TWO: (0, 0)} and daemon._decisions.ready_zones == {0, 1}
-    tell(
-        sock,
-        event(3, member("s-1", "127.0.0.1:1", phase="draining"), member("s-3", "127.0.0.1:1", **other)),
-    )
+    tell(sock, event(3, member("s-1", "127.0.0.1:1", phase="draining"), member("s-3", "127.0.0.1:1", **other)))
     lines.taken(3)
     modules = [daemon._decisions.module, daemon._decisions._versions.module_at(0)]
     new, older = [module for module in modules if isinstance(module, Gateway)]
@@ -418,13 +415,13 @@
     # seen in the code: a drain took that of the configuration of the start
     daemon = make(tmp_path, ("127.0.0.1", 1))
     grades = [grade | {"DeadlineNs": 1_000_000_000} for grade in SETTINGS["Grades"]]
-    assert daemon.longest_deadline == 20.0
+    assert daemon.max_deadline == 20.0
     held = daemon._decisions.register(b"1" * 16, SimpleQueue(), daemon._decisions.settings)
     changed(daemon, tmp_path, Grades=grades)
-    assert daemon.longest_deadline == 20.0
+    assert daemon.max_deadline == 20.0
     daemon._decisions.unregister(held, b"1" * 16)
     daemon._decisions.forget(held)
-    assert daemon.longest_deadline == 1.0
+    assert daemon.max_deadline == 1.0
 
 
 def test_the_admin_address_tells_the_age_of_the_list_and_its_last_index(
