--- a/tealwing/lab/models/consensus.py
+++ b/tealwing/lab/models/consensus.py
@@ -78,7 +78,9 @@
         begin: Callable[[Consensus, World], World] | None = None, learners: str = "",
         early: bool = True,
     ) -> None:  # fmt: skip
-        """names vote at first, learners do not; begin leads from the empty fleet to where the exploration starts.
+        """Set up the model: `names` vote at first, learners do not.
+
+        `begin` leads from the empty fleet to where the exploration starts.
 
         early: learners get entries before those are committed, as the core allows; False: as it is run.
         """
