--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -128,7 +128,7 @@
     rows.append(Row("learner", "processor time at rest", need, CONTROL_PERCENT, "% of a core", basis,
                     "idle ticks (`rollout/runtime.py`), links to the voters alone", run=run))  # fmt: skip
     heartbeats = MEMBERS / LinkTimes().scaled_for(MEMBERS).heartbeat
-    rounds = MEMBERS / Options().learner_beat
+    rounds = MEMBERS / Options().learner_heartbeat_interval
     for role, messages in (("voter", heartbeats), ("leader", heartbeats + rounds)):
         need, last = _by_message(found, role, messages)
         basis = f"worked out: {messages:,.0f} messages a second at what one cost at {last:,} members"
@@ -145,7 +145,7 @@
     own, _ = value_at(_series(found, "change", "learner: bytes sent")[1], MEMBERS)
     changing = sent + received + (to_all / MEMBERS + own) * CHANGES_A_DAY / DAY
     rows.append(Row("learner", "bytes with a change in 16 s", changing, CONTROL_BYTES, "B/s", change_basis,
-                    "each member hears what each has said (`replica/gathering.py`)",
+                    "each member hears what each has said (`replica/forwarding/batching.py`)",
                     "acknowledgements that are summed on their way to the voters: relays", run=run_change))  # fmt: skip
     run, series = _series(found, "control", "leader: memory")
     memory, basis = value_at(series, MEMBERS)
@@ -169,7 +169,7 @@
         need, basis = value_at(series, GATEWAYS)
         rows.append(Row("change of rules", f"`{mode}`: in force everywhere, longest", need, EVERYWHERE_S, "s",
                         basis + ", virtual time",
-                        "paced rounds and repeats (`replica/raft/sending.py`, `rollout/agent/retry.py`)",
+                        "paced rounds and repeats (`replica/raft/replication.py`, `rollout/agent/retry.py`)",
                         "relays", run=run))  # fmt: skip
     rows.append(
         Row(
--- a/tealwing/commands/replica.py
+++ b/tealwing/commands/replica.py
@@ -115,9 +115,9 @@
     if (control is None) == (folder is None):
         raise click.UsageError("one of --control and --folder")
     if folder is not None:
-        from tealwing.replica import storage
+        from tealwing.replica.storage import store
 
-        result = {"folder": folder, "found": storage.verify(Path(folder))}
+        result = {"folder": folder, "found": store.verify(Path(folder))}
     else:
         result = call_gateway(str(control), "replica.verify", 60.0)
     _print_result(result, as_json, "\n".join(result["found"]) or f"{result['folder']}: good")
--- a/tealwing/federation/joining.py
+++ b/tealwing/federation/joining.py
@@ -9,9 +9,9 @@
 from tealwing.peers.control import ControlServer
 from tealwing.peers.link import Link
 from tealwing.replica.group import FEDERATION
-from tealwing.replica.node import Replica
-from tealwing.replica.plan import Plan as ReplicaPlan
-from tealwing.replica.service import Service
+from tealwing.replica.plan import ReplicaPlan as ReplicaPlan
+from tealwing.replica.service.control import ReplicaControl
+from tealwing.replica.service.node import Replica
 
 
 def join(
@@ -27,11 +27,15 @@
         FEDERATION, members=plan.initial_voters() + plan.initial_learners(), learners=plan.initial_learners()
     )
     own = dataclasses.replace(
-        site_plan, folder=plan.directory, beat=plan.heartbeat, election=plan.election_timeout, join=False
+        site_plan,
+        directory=plan.directory,
+        heartbeat_interval=plan.heartbeat,
+        election_timeout=plan.election_timeout,
+        join=False,
     )
     replica = Replica(own, link, site.clock, group=group)
     if control is not None:
-        Service(replica, control, "federation")
+        ReplicaControl(replica, control, "federation")
     return Federation(plan, site, replica, link, site.clock, silence_timeout)
 
 
--- a/tealwing/federation/service.py
+++ b/tealwing/federation/service.py
@@ -20,7 +20,7 @@
 from tealwing.peers.clock import Clock
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica
+from tealwing.replica.service.node import Replica
 from tealwing.rollout.leader.coordinator import RolloutCoordinator
 from tealwing.rollout.leader.duties import EXPEDITED
 from tealwing.rollout.leader.expiry_observer import ExpiryObserver
@@ -43,23 +43,23 @@
         name = link.plan.name
         self.plan, self.site_name, self.replica = plan, plan.site_of(name), federation
         self._site, self._link, self._clock = site, link, clock
-        self._delegate = SiteDelegate(self.site_name, federation.start_number)
+        self._delegate = SiteDelegate(self.site_name, federation.incarnation)
         self._conductor = RolloutCoordinator(
-            self.site_name, plan.agreement_timeout, silence_timeout, bounds, federation.start_number
+            self.site_name, plan.agreement_timeout, silence_timeout, bounds, federation.incarnation
         )
-        self._witnesses = ExpiryObserver(self.site_name, bounds, federation.start_number)
+        self._witnesses = ExpiryObserver(self.site_name, bounds, federation.incarnation)
         self._wake, self._stopped = threading.Event(), threading.Event()
         self._leads_site = self._leads_federation = self._coordinates = False
         self._lapses: list[tuple[int, records.Body]] = []  # applied and not yet passed to the witnesses
         self._lock = threading.Lock()  # round the lapses
         self.state: ObservedState = observe(federation.state, self.site_name)  # set on the replica's thread alone
         self._changed: Callable[[], None] = lambda: None
-        site.watch(lambda index, command, result: self._wake.set())
-        site.on_led(self._site_leadership_changed)
-        site.on_installed(self._wake.set)
-        federation.watch(self._applied)
-        federation.on_led(self._federation_leadership_changed)
-        federation.on_installed(self._installed)
+        site.on_applied(lambda index, command, result: self._wake.set())
+        site.on_leadership(self._site_leadership_changed)
+        site.on_state_replaced(self._wake.set)
+        federation.on_applied(self._applied)
+        federation.on_leadership(self._federation_leadership_changed)
+        federation.on_state_replaced(self._installed)
 
     def on_change(self, changed: Callable[[], None]) -> None:
         """Register a callback for changed versions or sites, called on the replica's thread; before the start."""
@@ -115,7 +115,8 @@
             with self._lock:
                 self._lapses.append((index, body))
         if self._leads_federation and result is not None and result.ok and isinstance(body, EXPEDITED):
-            self.replica.hurry()  # each step waits for the one before: do not wait for the next heartbeat to send it
+            # each step waits for the one before: do not wait for the next heartbeat to send it
+            self.replica.broadcast_commit()
         self._changed()
         self._wake.set()
 
@@ -156,19 +157,19 @@
                     what=records.COMMAND_NAMES[type(body)],
                     number=getattr(body, "number", None),
                 )
-                self.replica.propose_here(c.encode(c.Command("", 0, body)))
+                self.replica.propose_if_leader(c.encode(c.Command("", 0, body)))
         observations = self._witnesses.due(now, tables)
         if not self._leads_site:
             return
         for witness in observations:
-            self.replica.pass_on(c.encode(c.Command("", 0, witness)))
+            self.replica.forward(c.encode(c.Command("", 0, witness)))
         site_proposals, federation_proposals = self._delegate.due_proposals(now, _tables(self._site), tables, index)
         for body in site_proposals:
-            self._site.propose_here(c.encode(c.Command("", 0, body)))
+            self._site.propose_if_leader(c.encode(c.Command("", 0, body)))
         for body in federation_proposals:
             log.event("federation_site_command_proposed", site=self.site_name, what=records.COMMAND_NAMES[type(body)],
                       number=getattr(body, "number", None))  # fmt: skip
-            self.replica.pass_on(c.encode(c.Command("", 0, body)))
+            self.replica.forward(c.encode(c.Command("", 0, body)))
 
     def _is_reachable(self, site: str) -> bool:
         """Return whether the site is ours, or one of its gateways has been heard of lately."""
--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -17,15 +17,15 @@
 from tealwing.peers.ping import PingService
 from tealwing.peers.plan import Address, Plan
 from tealwing.replica.commands import Command, CommandResult, Settings
-from tealwing.replica.feed import Feed
 from tealwing.replica.group import SITE, Group
-from tealwing.replica.node import Replica
-from tealwing.replica.plan import Plan as ReplicaPlan
-from tealwing.replica.promotion import Promotion
-from tealwing.replica.recovery import Phase
-from tealwing.replica.roster import next_change
-from tealwing.replica.service import Service
-from tealwing.replica.storage import StorageError
+from tealwing.replica.membership.promotion import Promotion
+from tealwing.replica.membership.voter_plan import next_change
+from tealwing.replica.plan import ReplicaPlan as ReplicaPlan
+from tealwing.replica.service.control import ReplicaControl
+from tealwing.replica.service.node import Replica
+from tealwing.replica.service.recovery import Phase
+from tealwing.replica.service.state_feed import StateFeed
+from tealwing.replica.storage.records import StorageError
 
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
     from tealwing.federation.plan import Plan as FederationPlan
@@ -67,15 +67,15 @@
                 self.replica = Replica(replica, self.link, self.clock, group=self._group())
             except (StorageError, OSError, ValueError) as error:
                 self.link.stop()
-                raise LinkError(f"replica: folder {replica.folder}: {error}") from None
+                raise LinkError(f"replica: folder {replica.directory}: {error}") from None
         self._on_settings = on_settings
-        self.feed = Feed(self.replica, plan.name) if self.replica is not None else None
+        self.feed = StateFeed(self.replica, plan.name) if self.replica is not None else None
         if self.replica is not None:
-            self.replica.watch(self._applied)
-            self.replica.on_installed(self._apply_last_good)
+            self.replica.on_applied(self._applied)
+            self.replica.on_state_replaced(self._apply_last_good)
             self._apply_last_good()  # it serves at once, before the fleet answers
         if self.replica is not None and replica is not None and replica.replace_after:
-            Promotion(self.replica, next_change, replica.replace_after, len(SITE.first(plan)[0]))
+            Promotion(self.replica, next_change, replica.replace_after, len(SITE.initial_members(plan)[0]))
         self.lease_manager: LeaseManager | None = None
         if self.replica is not None and replica is not None and replica.leases:
             self.lease_manager = LeaseManager(self.replica, self.clock)
@@ -96,7 +96,7 @@
             control.serve("fault.echo", self._corrupt_replies)
             control.serve("fault.disk", self._fail_disk)
         if self.replica is not None:
-            Service(self.replica, control)
+            ReplicaControl(self.replica, control)
         if self.lease_manager is not None:
             LeaseService(self.lease_manager, control, self.plan.faults)
         return control
@@ -187,17 +187,17 @@
 
     def _applied(self, index: int, command: Command | None, result: CommandResult | None) -> None:
         body = command.body if command is not None else None
-        if isinstance(body, Settings) and result is not None and result.ok and body.good:
+        if isinstance(body, Settings) and result is not None and result.ok and body.valid:
             self._on_settings(body.version, body.text)
 
     def readiness(self) -> tuple[bool, str, int]:
         """Return whether clients may be sent here, why not, and the recovery phase as a number (0: no replica)."""
         if self.replica is None:
             return True, "", 0
-        back = self.replica.back
+        back = self.replica.recovery
         if back.ready and self.rules is not None and (why := self.rules.readiness()):
             return False, why, list(Phase).index(back.phase) + 1
-        return back.ready, back.reason(self.replica.seen()), list(Phase).index(back.phase) + 1
+        return back.ready, back.reason(self.replica.observe()), list(Phase).index(back.phase) + 1
 
     def status(self) -> dict[str, Any]:
         """Return the answer of the call `status`: the peers, and the replica's own status."""
@@ -231,6 +231,6 @@
         fault, count = str(field(fields, "fault", str)), int(field(fields, "count", int, 1))
         if fault not in ("fsync", "short", "full", "none"):
             raise CallRejectedError(f"fault: {fault!r}; allowed: fsync, short, full or none")
-        self.replica.disk.fail(fault, count)
+        self.replica.disk.inject_fault(fault, count)
         log.event("disk_fault_injected", fault=fault, count=count)
         return {}
--- a/tealwing/lab/rollout/fleet.py
+++ b/tealwing/lab/rollout/fleet.py
@@ -54,7 +54,9 @@
             for name in names:
                 host = self.wires.hosts[name] = Host(self.wires, name, site)
                 log = self._log(host, site, names[: shape.voters], names[shape.voters :], Options(), seed)
-                federation = self._log(host, ALL, voting, learning, Options(election=1.0), seed) if federated else None
+                federation = (
+                    self._log(host, ALL, voting, learning, Options(election_timeout=1.0), seed) if federated else None
+                )
                 gate = SimulatedGate(self.clock, name, self.checker, shape.rate, seed)
                 self.parts[name] = SimulatedMember(shape.plan, log, gate, seed, federation, site)
                 if federation is not None:
--- a/tealwing/lab/rollout/part.py
+++ b/tealwing/lab/rollout/part.py
@@ -32,7 +32,7 @@
         """Take part in the changes of a log; `federation` is the federation's, where the site is in one."""
         self.log, self.gate, self._federation, self._site = log, gate, federation, site
         self.host, self._clock = log.host, log.host.wires.clock
-        number = log.core.start
+        number = log.core.incarnation
         self.machine = Machine(
             log.host.name, plan.partition_mode, START, plan.permit, seed=number, federated=federation is not None,
             sabotage=frozenset({plan.sabotage} - {""}), peers=len(log.core.members) + len(log.core.learners),
--- a/tealwing/lab/rollout/sites.py
+++ b/tealwing/lab/rollout/sites.py
@@ -24,7 +24,7 @@
         """Act for the site of that name; `gateways` has those of each site."""
         self._site, self._all, self._name, self._gateways = site, all_, name, gateways
         self._clock = site.host.wires.clock
-        number = all_.core.start
+        number = all_.core.incarnation
         self._delegate = SiteDelegate(name, number)
         self._conductor = RolloutCoordinator(name, limit, patience, seed=number)
         self._witnesses = ExpiryObserver(name, seed=number)
--- a/tealwing/leases/manager.py
+++ b/tealwing/leases/manager.py
@@ -22,7 +22,7 @@
 from tealwing.leases.holder import Action, Holder
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica, Unavailable, Unknown
+from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 
 TICK = 0.02  # s between two looks at the clock
 MAX_LEASES = 16  # per gateway: each has a thread for its requests
@@ -78,11 +78,11 @@
         self.stopped = threading.Event()
         self._leases: dict[str, ManagedLease] = {}
         self._expiry = LeaseExpiry()  # the replica's thread alone
-        self._sequence, self._client = 0, f"{replica.core.me}/{replica.start_number}"
-        replica.watch(self._applied)
-        replica.on_led(lambda leads: self._expiry.set_leading(clock.now(), leads))
-        replica.on_tick(self._expire)
-        replica.on_installed(self._reload)
+        self._sequence, self._client = 0, f"{replica.core.local_id}/{replica.incarnation}"
+        replica.on_applied(self._applied)
+        replica.on_leadership(lambda leads: self._expiry.set_leading(clock.now(), leads))
+        replica.on_leader_tick(self._expire)
+        replica.on_state_replaced(self._reload)
         self._reload()
 
     def start(self) -> None:
@@ -160,7 +160,7 @@
                  "held": lease.held, "newest": state.tables["fences"].get(name, 0)}
                 for name, lease in sorted(state.tables["leases"].items())
             ]  # fmt: skip
-            applied, refused = state.applied, state.refused_stale
+            applied, refused = state.applied, state.rejected_stale
         return {"here": local, "leases": leases, "applied": applied, "refused_stale": refused}
 
     # The tick thread: it never blocks, so that a task is notified of a loss in time
@@ -205,7 +205,7 @@
                 body = c.Renew(holder.name, lease.token)
             try:
                 result = self._replica.write(self._command(body), holder.ttl / 2)
-            except (Unknown, Unavailable):
+            except (OutcomeUnknownError, UnavailableError):
                 result = None
             with self.lock:
                 now = self.clock.now()
@@ -230,7 +230,7 @@
         if not token:
             return
         self._execute(lease, [Action.LOST])
-        with contextlib.suppress(Unknown, Unavailable):
+        with contextlib.suppress(OutcomeUnknownError, UnavailableError):
             self._replica.write(c.Command("", 0, c.Release(lease.holder.name, token)), RELEASE_TIMEOUT)
 
     # The replica's thread
@@ -258,4 +258,4 @@
     def _expire(self, now: float) -> None:
         for name, token, renewed in self._expiry.expired(now):
             log.event("lease_expired", name=name, token=token)
-            self._replica.propose_here(c.encode(c.Command("", 0, c.Expire(name, token, renewed))))
+            self._replica.propose_if_leader(c.encode(c.Command("", 0, c.Expire(name, token, renewed))))
--- a/tealwing/leases/sweep.py
+++ b/tealwing/leases/sweep.py
@@ -8,7 +8,7 @@
 from tealwing import log
 from tealwing.leases.manager import HeldLease, LeaseManager
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica, Unavailable, Unknown
+from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 
 LEASE_NAME = "sweep-drains"
 LEASE_TTL = 5.0  # s: a sweep may be late by that much
@@ -29,7 +29,7 @@
         return [
             drain
             for key, drain in drains.items()
-            if now - self._first_seen[key] >= (max(drain.cutoff - drain.told, 0) + RETENTION_MS) / 1e3
+            if now - self._first_seen[key] >= (max(drain.cutoff - drain.notified, 0) + RETENTION_MS) / 1e3
         ]
 
 
@@ -44,10 +44,10 @@
             for drain in ages.expired(drains, time.monotonic()):
                 if not held.valid():
                     break
-                body = c.Drain(drain.engine, drain.started, over=True)
+                body = c.Drain(drain.engine, drain.started, removed=True)
                 try:
                     result = replica.write(c.Command("", 0, body, held.fence()), COMMAND_TIMEOUT)
-                except (Unknown, Unavailable):
+                except (OutcomeUnknownError, UnavailableError):
                     break
                 log.event("drain_record_removed", engine=drain.engine, ok=result.ok, why=result.reason)
             held.wait(SWEEP_INTERVAL)
--- a/tealwing/replica/__init__.py
+++ b/tealwing/replica/__init__.py
@@ -1,4 +1,6 @@
-"""State that gateways share, in a replicated log.
+"""State that gateways share, in a replicated log (Raft).
 
-In this order: messages, raft/, commands, state, storage, then member and node.
+Read in this order: messages (between members), raft (the core, pure), commands and state (the state machine, pure),
+storage (the directory on disk), forwarding (requests to the leader), membership (who votes), then service (one member
+at work, its status and its calls). plan and section are its configuration; group says which log, on which channels.
 """
--- /dev/null
+++ b/tealwing/replica/service/member.py
@@ -0,0 +1,207 @@
+"""One member without its thread: its core, its disk and its state, and what the core wants, done in its order."""
+
+from __future__ import annotations
+
+import random
+import threading
+import time
+from collections.abc import Callable
+from pathlib import Path
+from queue import SimpleQueue
+from typing import Any
+
+from tealwing import log
+from tealwing.peers.clock import Clock
+from tealwing.peers.link import Link
+from tealwing.replica import commands, messages
+from tealwing.replica.forwarding.pending import PendingProposals
+from tealwing.replica.forwarding.protocol import ForwardReply, ForwardRequest
+from tealwing.replica.forwarding.reads import ReadBatcher
+from tealwing.replica.group import SITE, Group
+from tealwing.replica.messages import InstallSnapshot, InstallSnapshotReply, Kind, Message
+from tealwing.replica.plan import ReplicaPlan
+from tealwing.replica.raft import Ready
+from tealwing.replica.service import bootstrap
+from tealwing.replica.service.listeners import Listeners
+from tealwing.replica.service.recovery import Recovery, assess_trust
+from tealwing.replica.service.snapshots import SnapshotManager
+from tealwing.replica.state import State
+from tealwing.replica.storage.disk import Disk
+from tealwing.replica.storage.store import Storage
+
+COMMIT_SAVE_INTERVAL = (
+    0.25  # s between two words to the disk of how far the log is committed, where nothing else is written
+)
+
+
+class Member(Listeners):
+    """The core, its disk and its state. Its thread's own, but for what is read under the lock."""
+
+    def __init__(
+        self, plan: ReplicaPlan, link: Link, clock: Clock, disk: Disk | None = None, group: Group = SITE
+    ) -> None:
+        """Read the disk. storage.StorageError where it can't be trusted."""
+        super().__init__()
+        self.plan, self._link, self.clock, self.group = plan, link, clock, group
+        self.disk = disk or Disk()
+        self.storage = Storage(Path(plan.directory), self.disk)
+        self.recovery = Recovery(time.monotonic())
+        self.lock = threading.Lock()  # round the state, and what status reads
+        self.stored = self.storage.open()
+        self.state = bootstrap.read_state(self.storage, self.stored)  # the thread's own; others read under the lock
+        self.incarnation = random.SystemRandom().randrange(1, 2**53)
+        self.core = bootstrap.make_core(plan, link.plan, group, self.stored, clock.now(), self.incarnation)
+        self._queue: SimpleQueue[tuple[Any, ...]] = SimpleQueue()
+        self.snapshots = SnapshotManager(plan, self.storage, self.core, self._queue, self._replace_state, group)
+        bootstrap.catch_up(self.core, self.state)
+        self.trust_report = assess_trust(self.state, self.core.last_index, int(time.time() * 1e3))
+        self.recovery.disk_read(time.monotonic())
+        self._pending, self._reads = PendingProposals(), ReadBatcher(self.core)
+        self.broken = ""
+        self._leading = False
+        self._connected: set[str] = set()  # members that the link connects to for this log
+        self.leaders_by_term: dict[int, str] = {}  # leader by term, as far as seen here
+        self._commit_saved_at = 0.0  # monotonic, when the disk last heard how far all is committed
+        self.slowest_save = 0.0  # s that the disk took for one write and its sync, at most
+
+    def _reopen(self) -> None:
+        """Begin anew from the disk after it failed, as a start does. OSError or storage.StorageError: not yet.
+
+        The state stays: all that it applied was committed, and the log says it again from where the disk knows of it.
+        """
+        self.stored = self.storage.reopen(allow_loss=self.plan.max_stale_disks > 0)
+        incarnation = random.SystemRandom().randrange(1, 2**53)
+        core = bootstrap.make_core(self.plan, self._link.plan, self.group, self.stored, self.clock.now(), incarnation)
+        if not self.stored.lost_acknowledged:  # unlike a process that starts, this one knows what it has acknowledged
+            core.unconfirmed = self.core.unconfirmed
+        self.core = core
+        self.snapshots.restart(self.core)
+        self._reads = ReadBatcher(self.core)
+        self.broken = ""
+
+    def _process_ready(self, ready: Ready) -> None:
+        """What the core wants, in its order: the disk, then words that rest on it, then the state."""
+        if not self._save(ready):
+            return
+        if ready.entries:
+            self.core.entries_saved(self.clock.now(), ready.entries[-1].index, ready.entries[-1].term)
+        for name, message in ready.messages:
+            self._send(name, message)
+        for entry in ready.committed:
+            self._apply(entry)
+        if ready.committed:
+            self._pending.index_reached(self.state.applied)
+        for number in ready.failed_reads:
+            self._reads.failed(number)
+        for number, index in ready.reads:
+            self._reads.confirmed(number, index)
+
+    def _save(self, ready: Ready) -> bool:
+        """Write what is to be on the disk before anything else; False where the disk failed."""
+        begun = time.monotonic()
+        try:
+            commit = min(self.core.commit, self.core.stable)
+            due = ready.hard_state is not None or ready.entries or begun - self._commit_saved_at >= COMMIT_SAVE_INTERVAL
+            if due:
+                self.storage.save(ready.hard_state, ready.entries, commit)
+                self._commit_saved_at = begun
+            if ready.chunk is not None and not self.snapshots.receive_chunk(ready.chunk):
+                ready.messages = [m for m in ready.messages if not isinstance(m[1], InstallSnapshotReply)]
+        except OSError as error:
+            self.broken = str(error)
+            return False
+        took = time.monotonic() - begun
+        self.slowest_save = max(self.slowest_save, took)
+        if took >= self.plan.election_timeout / 2:  # while it lasts we answer nobody: a leader may be missed for it
+            log.event("replica_disk_slow", took=round(took, 3), entries=len(ready.entries), **self.group.log_fields)
+        return True
+
+    def _send(self, name: str, message: Message) -> None:
+        if isinstance(message, InstallSnapshot):  # the core says which piece
+            filled = self.snapshots.fill_chunk(message)
+            if filled is None:
+                return  # it is no more: the newer one goes out with the next beat
+            message = filled
+        self._link.send(name, self.group.channel, messages.encode(message))
+
+    def _apply(self, entry: messages.Entry) -> None:
+        if entry.index <= self.state.applied:  # the disk was read anew, and the state is ahead of it
+            return
+        command = result = None
+        self.snapshots.bytes += len(entry.data)
+        with self.lock:
+            if entry.kind is Kind.DATA:
+                result = self.state.apply(entry.index, entry.data)
+            else:
+                self.state.applied = entry.index
+        if self._on_applied and entry.kind is Kind.DATA:
+            try:
+                command = commands.decode(entry.data)
+            except ValueError:
+                command = None
+        for watch in self._on_applied:
+            watch(entry.index, command, result)
+        self._pending.entry_applied(entry, result)
+
+    def _replace_state(self, fresh: State) -> None:
+        """Another's snapshot takes the place of the state, unless the state is ahead of it."""
+        if fresh.applied < self.state.applied:
+            return
+        with self.lock:
+            fresh.rejected_stale = self.state.rejected_stale
+            self.state = fresh
+        for notify in self._on_state_replaced:
+            notify()
+        self._pending.index_reached(fresh.applied)
+
+    def _save_commit(self) -> None:
+        """Tell the disk how far the log is committed, now and then: a start then knows its state without a leader."""
+        commit, now = min(self.core.commit, self.core.stable), time.monotonic()
+        if self.storage.commit >= commit or now - self._commit_saved_at < COMMIT_SAVE_INTERVAL:
+            return
+        self._commit_saved_at = now
+        try:
+            self.storage.save(None, (), commit)
+        except OSError as error:
+            self.broken = str(error)
+
+    def plan_address(self, name: str) -> tuple[str, int] | None:
+        """Where a gateway's link listens, by the section `peers`."""
+        return self._link.plan.address(name)
+
+    def digest(self) -> tuple[int, str]:
+        """Index and hash of the state."""
+        with self.lock:
+            twin = self.state.copy()
+        return twin.applied, twin.digest()
+
+    def _connect_members(self) -> None:
+        """Have the link speak to those that the log needs: what the file says of them may be old."""
+        core = self.core
+        names = {*core.members, *core.learners} if core.local_id in core.members else {*core.members, core.leader}
+        if names != self._connected:
+            self._connected = names
+            self._link.reach(self.group.name, names)
+
+    def _set_leading(self, leads: bool) -> None:
+        self._leading = leads
+        for led in self._on_leadership:
+            led(leads)
+
+    def propose_if_leader(self, data: bytes) -> None:
+        """Propose a command if this member leads; nobody hears what comes of it."""
+        self._queue.put(("ask", ForwardRequest(0, data), lambda told: None))
+
+    def change_members_if_leader(
+        self, voters: list[str], learners: list[str], reply: Callable[[ForwardReply], None]
+    ) -> None:
+        """Propose other members if this member leads; told hears what comes of it, on the member's thread."""
+        self._queue.put(("ask", ForwardRequest(0, b"", voters, learners), reply))
+
+    def broadcast_commit(self) -> None:
+        """If this member leads: say at once how far all is committed, not with the next beat."""
+        self._queue.put(("hurry",))
+
+    def snapshot(self) -> None:
+        """Write a snapshot soon, whatever has come since the last."""
+        self.snapshots.request()
--- a/tealwing/rollout/control_calls.py
+++ b/tealwing/rollout/control_calls.py
@@ -10,7 +10,7 @@
 from tealwing.peers.control import MAX_CONNECTIONS, CallRejectedError, ControlServer, Fields, field, wait_seconds
 from tealwing.replica import commands as c
 from tealwing.replica.messages import UnsignedInt63
-from tealwing.replica.node import Replica, Unavailable, Unknown
+from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 from tealwing.rollout.observed_state import ObservedState
 from tealwing.rollout.runtime import Runtime
 from tealwing.rollout.status import version_status
@@ -121,7 +121,7 @@
             self._sequence += 1
             number = self._sequence
         turn = number % MAX_CONNECTIONS  # calls are concurrent, and a client id allows one at a time
-        client = f"{where.core.me}/{where.start_number}/rules/{turn}"
+        client = f"{where.core.local_id}/{where.incarnation}/rules/{turn}"
         result = where.write(c.Command(client, number, body), wait)
         outcome = "ok" if result.ok else "refused"
         return {"word": outcome, "index": result.index, "version": result.version, "why": result.reason}
@@ -130,9 +130,9 @@
         """Run a call; the key `word` is ok, refused (by the state), unavailable (surely not done) or unknown."""
         try:
             return {"word": "ok"} | run(wait_seconds(fields, WAIT))
-        except Unavailable as error:
+        except UnavailableError as error:
             return {"word": "unavailable", "why": f"{error}; nothing was changed: try again, or at another gateway"}
-        except Unknown as error:
+        except OutcomeUnknownError as error:
             return {"word": "unknown", "why": f"{error}; see rules.status for whether it was taken"}
         except ValueError as error:
             raise CallRejectedError(str(error)) from None
--- a/tealwing/rollout/effects/log_client.py
+++ b/tealwing/rollout/effects/log_client.py
@@ -15,7 +15,7 @@
 from tealwing import log, threads
 from tealwing.peers.clock import Clock
 from tealwing.replica import commands as c
-from tealwing.replica.outcomes import Unavailable, Unknown
+from tealwing.replica.forwarding.protocol import OutcomeUnknownError, UnavailableError
 from tealwing.rollout.agent.actions import ReadIndex, ReadToken, SubmitCommand
 from tealwing.rollout.agent.machine import Machine
 from tealwing.rules import records
@@ -35,7 +35,7 @@
     def write(self, command: c.Command, wait: float) -> c.CommandResult:
         """Propose a command and wait until it is applied."""
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
         """Forward a command to the leader, if there is one, without an answer."""
 
     def read_index(self, wait: float) -> int:
@@ -109,7 +109,7 @@
         retry need not wait for a lost answer.
         """
         if isinstance(action.body, FORWARDED):
-            self._site.pass_on(c.encode(c.Command("", 0, action.body)))
+            self._site.forward(c.encode(c.Command("", 0, action.body)))
             return
         if action.body not in self._queued and self._submissions.submit(lambda: self._send(action)):
             self._queued.add(action.body)
@@ -127,7 +127,7 @@
         self._queued.discard(action.body)  # a request during the call queues it again
         try:
             result = self._site.write(c.Command("", 0, action.body), SUBMIT_TIMEOUT)
-        except (Unknown, Unavailable):
+        except (OutcomeUnknownError, UnavailableError):
             pass
         else:
             ok = result.ok
@@ -143,7 +143,7 @@
             token: ReadToken = self._machine.read_sent(self._clock.now(), action.federation)
         try:
             index = log_.read_index(self._read_timeout)
-        except Unavailable:
+        except UnavailableError:
             with self._lock:
                 self._machine.read_failed(self._clock.now(), token)
             return
--- a/tealwing/rollout/effects/persisted_marker.py
+++ b/tealwing/rollout/effects/persisted_marker.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from tealwing.replica.disk import Disk
+from tealwing.replica.storage.disk import Disk
 
 FILE_NAME = "rules-mark"  # beside the replicated log: both get lost together
 MAX_FILE_BYTES = 200  # bytes of the file
@@ -60,7 +60,7 @@
                 self._disk.write(file, head + b" " + _digest(head) + b"\n")
                 self._disk.sync(file)
             self._disk.rename(part, self._path)
-            self._disk.sync_folder(self._directory)
+            self._disk.sync_directory(self._directory)
         except OSError:
             with contextlib.suppress(OSError):
                 part.unlink()
--- a/tealwing/rollout/leader/duties.py
+++ b/tealwing/rollout/leader/duties.py
@@ -4,7 +4,7 @@
 
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica
+from tealwing.replica.service.node import Replica
 from tealwing.rollout.leader.coordinator import RolloutCoordinator
 from tealwing.rollout.leader.expiry_observer import ExpiryObserver
 from tealwing.rollout.observed_state import ObservedState
@@ -26,14 +26,14 @@
 
     def __init__(self, plan: Plan, replica: Replica, link: Link) -> None:
         self._replica, self._link, self._name = replica, link, link.plan.name
-        self._coordinator = RolloutCoordinator(self._name, plan.limit, plan.patience, seed=replica.start_number)
-        self._expiry_observer = ExpiryObserver(self._name, seed=replica.start_number)
+        self._coordinator = RolloutCoordinator(self._name, plan.limit, plan.patience, seed=replica.incarnation)
+        self._expiry_observer = ExpiryObserver(self._name, seed=replica.incarnation)
         self.is_leader = False
 
     def applied(self, now: float, index: int, body: records.Body, ok: bool) -> None:
         """Handle an applied entry; on the replica's thread, never concurrently with due_confirmations."""
         if self.is_leader and ok and isinstance(body, EXPEDITED):
-            self._replica.hurry()  # followers learn the commit index before the next heartbeat
+            self._replica.broadcast_commit()  # followers learn the commit index before the next heartbeat
         self._expiry_observer.applied(now, index, body)
 
     @property
@@ -52,7 +52,7 @@
             return
         silent = self._silent(now, state) if state.view.in_flight is not None else []
         for body in self._coordinator.step(now, state.tables, silent):
-            self._replica.propose_here(c.encode(c.Command("", 0, body)))
+            self._replica.propose_if_leader(c.encode(c.Command("", 0, body)))
 
     def _silent(self, now: float, state: ObservedState) -> list[str]:
         """Return the members that are silent on the link, or whose replica acknowledges nothing."""
@@ -60,6 +60,6 @@
         reachable = {peer["name"] for peer in self._link.status()
                  if peer["silence_s"] is not None and peer["silence_s"] <= limit}  # fmt: skip
         for name, progress in list(core.progress.items()):
-            if name in core.members and now - progress.heard >= self._replica.plan.election:
+            if name in core.members and now - progress.last_contact >= self._replica.plan.election_timeout:
                 reachable.discard(name)
         return [name for name in state.members if name not in reachable and name != self._name]
--- a/tealwing/rollout/observed_state.py
+++ b/tealwing/rollout/observed_state.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from tealwing.replica.node import Replica
+from tealwing.replica.service.node import Replica
 from tealwing.replica.state import State
 from tealwing.rollout.agent.view import View, view_of
 from tealwing.rules import registry_state
--- a/tealwing/rollout/runtime.py
+++ b/tealwing/rollout/runtime.py
@@ -16,7 +16,7 @@
 from tealwing import log, threads
 from tealwing.peers.link import Link
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica
+from tealwing.replica.service.node import Replica
 from tealwing.rollout import status
 from tealwing.rollout.admission import gate
 from tealwing.rollout.admission.gate_control import GateControl, RulesAdapter
@@ -66,11 +66,11 @@
         self.plan, self._replica, self._rules, self.federation = plan, replica, rules, federation
         self.name, self._clock = link.plan.name, replica.clock
         self._observed = observe(replica.state, self.name)  # set only on the replica's thread
-        marker = PersistedMarker(Path(replica.plan.folder), replica.disk)
+        marker = PersistedMarker(Path(replica.plan.directory), replica.disk)
         me = self._observed.members.get(self.name)
         self._machine = Machine(
             self.name, plan.partition_mode, max(int(time.time() * 1e3), me.start + 1 if me else 0), plan.permit,
-            marker=executor.read_marker(marker), build=BUILD, seed=replica.start_number, disk=self._observed.view,
+            marker=executor.read_marker(marker), build=BUILD, seed=replica.incarnation, disk=self._observed.view,
             sabotage=frozenset({plan.sabotage} - {""}), federated=federation is not None,
             disk_federated=federation.state.view if federation is not None else None, peers=len(link.plan.members),
         )  # fmt: skip
@@ -88,9 +88,9 @@
         self._fault = ""  # trace of the last run
         self._due: list[Action] = []  # requested and not yet executed
         self.outcomes = status.RolloutStatus(self._observed)
-        replica.watch(self._applied)
-        replica.on_installed(self._installed)
-        replica.on_led(self._leadership_changed)
+        replica.on_applied(self._applied)
+        replica.on_state_replaced(self._installed)
+        replica.on_leadership(self._leadership_changed)
         if federation is not None:
             federation.on_change(self.notice)
 
--- a/tealwing/rollout/setup.py
+++ b/tealwing/rollout/setup.py
@@ -4,7 +4,7 @@
 
 from tealwing.peers.control import ControlServer
 from tealwing.peers.link import Link
-from tealwing.replica.node import Replica
+from tealwing.replica.service.node import Replica
 from tealwing.rollout.admission.gate import Gate
 from tealwing.rollout.control_calls import ControlCalls
 from tealwing.rollout.local_gateway import Gateway, LocalGateway
@@ -27,7 +27,7 @@
 
     Raises OSError if the marker can't be read.
     """
-    gate = Gate(plan.queue, PUSHBACK, replica.clock.now, replica.start_number)
+    gate = Gate(plan.queue, PUSHBACK, replica.clock.now, replica.incarnation)
     runtime = Runtime(plan, replica, link, LocalGateway(gateway), gate, federation)
     runtime.begin()
     if control is not None:
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -18,11 +18,12 @@
 from tealwing.peers import frames, ping
 from tealwing.peers import messages as peers
 from tealwing.record import CommandResult
-from tealwing.replica import commands, outcomes
+from tealwing.replica import commands
 from tealwing.replica import messages as replica
-from tealwing.replica.disk import Disk
+from tealwing.replica.forwarding import protocol
 from tealwing.replica.state import State
-from tealwing.replica.storage import Storage
+from tealwing.replica.storage.disk import Disk
+from tealwing.replica.storage.store import Storage
 from tealwing.rollout.effects.persisted_marker import PersistedMarker
 from tealwing.rules import records
 from tealwing.rules.records import digest
@@ -34,17 +35,17 @@
 
 ENTRY = replica.Entry(7, 3, replica.Kind.DATA, b"\x00data\xff")
 REPLICA: tuple[Any, ...] = (
-    replica.VoteAsk(9, 8, 7, True, True),
-    replica.VoteAsk(9, 8, 7, False),
-    replica.VoteReply(9, 8, True, False, 2**62, True),
-    replica.Append(9, 8, 7, (ENTRY, replica.Entry(8, 3, replica.Kind.NOOP, b"")), 6, 5),
-    replica.AppendReply(9, False, 8, 7, 6, 5, 4, True),
-    replica.Snap(9, 8, 7, 6, 5, b"piece", 4),
-    replica.SnapReply(9, 8, 7, True, 6, 5, False),
-    replica.Sure(9, 8),
-    replica.Hand(9),
-    replica.Hold(9),
-    replica.Held(9, 8),
+    replica.RequestVote(9, 8, 7, True, True),
+    replica.RequestVote(9, 8, 7, False),
+    replica.RequestVoteReply(9, 8, True, False, 2**62, True),
+    replica.AppendEntries(9, 8, 7, (ENTRY, replica.Entry(8, 3, replica.Kind.NOOP, b"")), 6, 5),
+    replica.AppendEntriesReply(9, False, 8, 7, 6, 5, 4, True),
+    replica.InstallSnapshot(9, 8, 7, 6, 5, b"piece", 4),
+    replica.InstallSnapshotReply(9, 8, 7, True, 6, 5, False),
+    replica.ConfirmIncarnation(9, 8),
+    replica.TimeoutNow(9),
+    replica.ConfirmVote(9),
+    replica.VoteConfirmation(9, 8),
 )
 PEERS: tuple[Any, ...] = (
     peers.Hello("fleet", "n1", "n2", 1234567890123),
@@ -53,9 +54,9 @@
 )
 ECHO: tuple[Any, ...] = (ping.PingRequest(5, "hello"), ping.PingReply(5, "n2", "hello"))
 FORWARDED: tuple[Any, ...] = (
-    outcomes.Ask(5, b"command"),
-    outcomes.Ask(5, b"", ["n1", "n2"], ["n3"]),
-    outcomes.Told(5, "not-leader", b"result", 9),
+    protocol.ForwardRequest(5, b"command"),
+    protocol.ForwardRequest(5, b"", ["n1", "n2"], ["n3"]),
+    protocol.ForwardReply(5, "not-leader", b"result", 9),
 )
 SIGNED: tuple[gossip.Alive | gossip.Left | gossip.HealthReport, ...] = tuple(
     gossip.sign_rumour(rumour, KEY)
@@ -135,7 +136,7 @@
         ("replica", REPLICA, replica.encode),
         ("peers", PEERS, peers.encode),
         ("echo", ECHO, msgspec.msgpack.encode),
-        ("forwarded", FORWARDED, outcomes.encode),
+        ("forwarded", FORWARDED, protocol.encode),
         ("gossip", PAYLOADS, lambda payload: gossip.encode(payload, KEY)),
         ("command", COMMANDS, commands.encode),
         ("result", (RESULT,), commands.encode_result),
@@ -167,8 +168,8 @@
     storage.save((2, "n1"), entries[:8], 3)
     storage.save((3, "n2"), entries[8:], 12)
     storage.save(None, [replica.Entry(16, 3, replica.Kind.MEMBERS, replica.members_data(("n1", "n2"), ("n3",)))], 15)
-    meta = storage.write_snapshot(15, 2, ("n1", "n2"), state().dump(), ("n3",))
-    storage.adopt(meta)
+    meta = storage.snapshot_files.write(15, 2, ("n1", "n2"), state().dump(), ("n3",))
+    storage.adopt_snapshot(meta)
     storage.close()
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -24,8 +24,8 @@
 from tealwing.peers.link import Link
 from tealwing.peers.plan import Plan as PeersPlan
 from tealwing.replica import commands as c
-from tealwing.replica.node import Replica
-from tealwing.replica.plan import Plan
+from tealwing.replica.plan import ReplicaPlan
+from tealwing.replica.service.node import Replica
 
 TTL = 5.0
 MAY = DEFAULT_BOUNDS.holder_duration(TTL) - DEFAULT_BOUNDS.loss_notice
@@ -103,7 +103,9 @@
     """A fleet of one, which leads itself."""
     plan = PeersPlan("f", "a", (("a", ("127.0.0.1", free_port())),))
     link = Link(plan)
-    replica = Replica(Plan(str(tmp_path / "replica"), beat=0.02, election=0.1), link, Clock())
+    replica = Replica(
+        ReplicaPlan(str(tmp_path / "replica"), heartbeat_interval=0.02, election_timeout=0.1), link, Clock()
+    )
     manager = LeaseManager(replica, replica.clock)
     replica.start()
     manager.start()
@@ -167,7 +169,7 @@
 
 def test_a_clock_set_forward_sweeps_no_drain_that_still_runs(monkeypatch: pytest.MonkeyPatch) -> None:
     # a drain is kept for a span of real time after its cut-off, whatever the machine's wall clock says
-    drain, written, tasks = c.Drain(7, 0, told=1_000, cutoff=2_000), list[c.Command](), list[Any]()
+    drain, written, tasks = c.Drain(7, 0, notified=1_000, cutoff=2_000), list[c.Command](), list[Any]()
     state = SimpleNamespace(tables={"drains": {"7/0": drain}})
     replica = SimpleNamespace(lock=threading.Lock(), state=state, write=lambda command, _: written.append(command))
     manager = SimpleNamespace(task=lambda name, ttl, gained: tasks.append(gained))
@@ -180,7 +182,7 @@
 
 
 def test_a_drain_is_swept_once_its_time_has_passed_since_it_was_seen() -> None:
-    drain, ages = c.Drain(7, 0, told=1_000, cutoff=2_000), sweep.DrainAges()
+    drain, ages = c.Drain(7, 0, notified=1_000, cutoff=2_000), sweep.DrainAges()
     kept = 1.0 + sweep.RETENTION_MS / 1e3
     assert not ages.expired({"7/0": drain}, 100.0)
     assert not ages.expired({"7/0": drain}, 100.0 + kept - 0.01)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -8,7 +8,7 @@
 
 from tealwing.conf import reader
 from tealwing.conf.reader import ConfError
-from tealwing.replica.disk import Disk
+from tealwing.replica.storage.disk import Disk
 from tealwing.rollout.effects.persisted_marker import FILE_NAME, MarkerDamagedError, PersistedMarker
 from tealwing.rollout.plan import Plan
 
@@ -54,7 +54,7 @@
     assert mark.read() == 0
     mark.write(7)
     for fault in ("fsync", "short", "full"):
-        disk.fail(fault, 1)
+        disk.inject_fault(fault, 1)
         with pytest.raises(OSError):
             mark.write(8)
         assert PersistedMarker(tmp_path, disk).read() == 7
