--- a/tealwing/admin/http.py
+++ b/tealwing/admin/http.py
@@ -1,28 +1,28 @@
-"""The little of HTTP/1.1 that the second address speaks: one request head in, one whole response out. Pure."""
+"""The subset of HTTP/1.1 of the admin address: one request head, one response. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_HEAD_BYTES = 8 * 1024  # bytes of a request line and its headers: the calls have no body worth more
+MAX_HEAD_BYTES = 8 * 1024  # request line and headers
 METHODS = frozenset({b"GET", b"HEAD", b"POST", b"PUT", b"DELETE", b"PATCH", b"OPTIONS", b"TRACE", b"CONNECT"})
 REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 503: "Service Unavailable"}
 
 
 class BadRequestError(ValueError):
-    """A request head that can't be read; the text says why."""
+    """An invalid request head; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """What a caller asks: the method and the path, without its query."""
+    """A request: its method, and its path without the query."""
 
     method: str
     path: str
 
 
 def end_of_head(data: bytes | bytearray) -> int:
-    """The length of a whole request head at the start of data, or 0 while it is not whole.
+    """Return the length of the request head at the start of data, 0 while it is incomplete.
 
     Raises BadRequest once more than MOST_HEAD bytes have come without an end.
     """
@@ -35,7 +35,7 @@
 
 
 def parse_request(head: bytes) -> HttpRequest:
-    """The call of a whole request head (as end_of_head found it). Raises BadRequest."""
+    """Return the request of a complete head, as end_of_head found it. Raises BadRequestError."""
     line, _, headers = head.partition(b"\r\n")
     parts = line.split(b" ")
     if len(parts) != 3 or parts[0] not in METHODS or parts[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
@@ -50,7 +50,7 @@
 
 
 def response(status: int, body: bytes, allow: str = "") -> bytes:
-    """A whole response that closes the connection."""
+    """Return a complete response that closes the connection."""
     extra = f"Allow: {allow}\r\n" if allow else ""
     head = (
         f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
--- a/tealwing/admin/metrics.py
+++ b/tealwing/admin/metrics.py
@@ -1,4 +1,4 @@
-"""The gateway's figures: counts kept where things happen, and their StatsD lines for the second address."""
+"""The gateway's metrics: counters and gauges, and their StatsD lines for the admin address."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from collections.abc import Callable, Iterable
 
 PREFIX = "app"
-BY_CLASS = ("ok", "shed", "errors", "tries")  # requests served, refused, failed; attempts written whole
-CONFIG = ("config_applied", "config_rejected")  # files taken and files turned down at SIGHUP
+BY_CLASS = ("ok", "shed", "errors", "tries")  # requests served, rejected, failed; attempts written completely
+CONFIG = ("config_applied", "config_rejected")  # files applied and rejected at SIGHUP
 
 
 class Metrics:
-    """Counts by class name, from 0 at the start of the process; a class that is dropped leaves with its counts.
+    """Counters by class name, from 0 at the start of the process; a dropped class takes its counters along.
 
     An addition takes a lock that nothing holds for longer than a few dictionary steps.
     """
@@ -20,12 +20,12 @@
         self._lock = threading.Lock()
         self._counts: dict[str, list[int]] = {name: [0] * len(BY_CLASS) for name in classes}
         self._config = [0, 0]
-        self._watches: dict[str, int] = dict.fromkeys(watch_ends, 0)  # ends of a watch of the engine list, by reason
-        self._totals = [0] * len(BY_CLASS)  # of all classes, also those that were dropped
-        self.gauges: Callable[[], dict[str, int]] = dict  # active, pool_size, pool_ejected: read when asked
+        self._watches: dict[str, int] = dict.fromkeys(watch_ends, 0)  # ended watches of the engine list, by reason
+        self._totals = [0] * len(BY_CLASS)  # of all classes, dropped ones included
+        self.gauges: Callable[[], dict[str, int]] = dict  # active, pool_size, pool_ejected: evaluated on demand
 
     def count(self, figure: int, name: str, by: int = 1) -> None:
-        """Add to figure (an index of BY_CLASS) of a class; a class no longer known counts nowhere."""
+        """Add to a counter (an index of BY_CLASS) of a class; unknown classes are ignored."""
         with self._lock:
             self._totals[figure] += by
             counts = self._counts.get(name)
@@ -34,28 +34,28 @@
 
     @property
     def totals(self) -> tuple[int, ...]:
-        """The figures of BY_CLASS over all classes that there were."""
+        """Return the counters of BY_CLASS over all classes, dropped ones included."""
         with self._lock:
             return tuple(self._totals)
 
     def count_watch_end(self, reason: str) -> None:
-        """A watch of the engine list ended; the next begins after a pause."""
+        """Count an ended watch of the engine list."""
         with self._lock:
             self._watches[reason] = self._watches.get(reason, 0) + 1
 
     def count_configuration(self, applied: bool) -> None:
-        """A file was taken at SIGHUP, or turned down."""
+        """Count a file that was applied or rejected at SIGHUP."""
         with self._lock:
             self._config[0 if applied else 1] += 1
 
     def set_classes(self, classes: Iterable[str]) -> None:
-        """The classes from now on: new ones start at 0, and those dropped are forgotten."""
+        """Set the classes: new ones start at 0, dropped ones are forgotten."""
         names = list(classes)
         with self._lock:
             self._counts = {name: self._counts.get(name) or [0] * len(BY_CLASS) for name in names}
 
     def statsd_lines(self) -> bytes:
-        """All figures as StatsD lines, one a figure: counters as `|c`, levels as `|g`."""
+        """Return all metrics as StatsD lines: counters as `|c`, gauges as `|g`."""
         with self._lock:
             counts = {name: list(values) for name, values in self._counts.items()}
             config, watches = list(self._config), dict(self._watches)
--- a/tealwing/admin/server.py
+++ b/tealwing/admin/server.py
@@ -1,4 +1,4 @@
-"""The second address on its sockets: a fixed few threads, each taking one call a connection."""
+"""The server of the admin address: a fixed number of threads, one call a connection."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from tealwing.descriptors import ADMIN_THREADS
 from tealwing.sockets import Address, set_limit
 
-THREADS = ADMIN_THREADS  # callers served at once: the bench's few silent callers leave the others room
-READ_LIMIT = 0.5  # s for a whole request head: a caller that says nothing frees its thread by then
+THREADS = ADMIN_THREADS  # callers served at once: a few silent ones must not block the others
+READ_LIMIT = 0.5  # s for a complete request head, after which a silent caller frees its thread
 WRITE_LIMIT = 1.0  # s that a caller may take to read the answer
 BACKLOG = 64
 
 
 class AdminServer:
-    """Answers GET /ops/readiness and GET /ops/stats; nothing here reaches the request path."""
+    """Serves GET /ops/readiness and GET /ops/stats, apart from the request path."""
 
     def __init__(
         self, address: Address, ready: Callable[[], bool], stats: Callable[[], bytes],
@@ -30,27 +30,27 @@
         self._ready, self._stats, self._reason = ready, stats, reason
         self._listener = socket.create_server(address, backlog=BACKLOG)
         self._stopping = threading.Event()
-        self._complaints = 0  # of bad requests, logged at powers of two: a flood writes few lines
+        self._complaints = 0  # bad requests; logged at powers of two, so that a flood writes few lines
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address that it listens on."""
         host, port = self._listener.getsockname()
         return host, port
 
     def start(self) -> None:
-        """Take calls from now on."""
+        """Start the threads."""
         for _ in range(THREADS):
             threading.Thread(target=self._work, name="admin", daemon=True).start()
 
     def stop(self) -> None:
-        """Take no more calls."""
+        """Stop serving."""
         self._stopping.set()
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RD)
 
     def answer(self, head: bytes) -> bytes:
-        """The whole response to a whole request head."""
+        """Return the response to a complete request head."""
         try:
             call = http.parse_request(head)
         except http.BadRequestError as error:
@@ -74,7 +74,7 @@
             try:
                 sock, _ = self._listener.accept()
             except OSError:
-                if not self._stopping.wait(0.05):  # descriptors run out for now: try again soon
+                if not self._stopping.wait(0.05):  # out of descriptors: retry soon
                     continue
                 return
             with sock:
@@ -82,7 +82,7 @@
                 try:
                     sock.sendall(self._serve(sock, buffer))
                     sock.shutdown(socket.SHUT_WR)
-                except OSError:  # the caller went, or was too slow
+                except OSError:  # the caller left, or was too slow
                     pass
 
     def _serve(self, sock: socket.socket, buffer: bytearray) -> bytes:
--- a/tealwing/coordinator/backoff.py
+++ b/tealwing/coordinator/backoff.py
@@ -1,4 +1,4 @@
-"""How long to wait before a coordinator is asked again; pure. Many gateways lose it at one moment."""
+"""Jittered exponential backoff of reconnects; pure. Many gateways lose a coordinator at the same time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Backoff:
-    """Waits in seconds, each at random between the least and three times the last, up to the most.
+    """Waits in seconds, each drawn between the minimum and GROWTH times the last, up to the maximum.
 
     Each follows from the one before it, not from a count of calls, so callers that began together drift apart.
     """
@@ -18,10 +18,10 @@
         self._last = min_wait
 
     def next(self) -> float:
-        """The next wait."""
+        """Return the next wait."""
         self._last = min(self._max_wait, self._random.uniform(self._min_wait, GROWTH * self._last))
         return self._last
 
     def reset(self) -> None:
-        """All is well again: the next trouble begins with short waits."""
+        """Start again with short waits."""
         self._last = self._min_wait
--- a/tealwing/coordinator/start_times.py
+++ b/tealwing/coordinator/start_times.py
@@ -1,4 +1,4 @@
-"""When engines started, on a clock that runs on though the machine's wall clock is stepped; pure.
+"""Start times of engines on a clock that steps of the wall clock do not change; pure.
 
 The coordinator gives the Unix millisecond of an engine's start, and a slow start lasts for a span of real time after
 it. Wall clocks may be wrong, here or there, by seconds or by an hour. So a start that has just been listed is believed
@@ -20,19 +20,19 @@
 
 
 class StartTimes:
-    """Dates engines' starts; one for a gateway."""
+    """Converts listed start times; one for a gateway."""
 
     def __init__(self) -> None:
-        self._dated: dict[int, tuple[float, float]] = {}  # by engine: its start as listed, and as dated
+        self._dated: dict[int, tuple[float, float]] = {}  # by engine: its start as listed, and as converted
 
     def with_start_time(self, member: Member, now: float, wall: float, unknown: float) -> Member:
-        """The member with its start on the clock of now, the gateway's Unix time that no step changes.
+        """Return the member with its start on the clock of `now`, Unix time that no step changes.
 
         wall is the machine's Unix time; unknown the seconds for which the list may have lacked something, infinite
         for what the configuration tells: any age fits that. A start that is told again keeps its date.
         """
         listed = member.entry.started
-        if not listed:  # it has run for long, as far as anybody knows
+        if not listed:  # has run for long
             return member
         before = self._dated.get(member.entry.engine)
         if before is not None and before[0] == listed:
@@ -40,14 +40,14 @@
         else:
             started = now - self._age(listed, now, wall, unknown + DISCOVERY)
             if started + EARLY > listed > started - EARLY:
-                started = listed  # as all gateways have it
+                started = listed  # the same at all gateways
             self._dated[member.entry.engine] = listed, started
             if len(self._dated) > MAX_START_TIMES:
                 del self._dated[next(iter(self._dated))]
         return replace(member, entry=replace(member.entry, started=started))
 
     def _age(self, listed: float, now: float, wall: float, max_age: float) -> float:
-        """Seconds since the start by the reading that fits the list, the younger one of two; 0 where none does."""
+        """Return the seconds since the start by the plausible clock, the smaller of two; 0 if neither is."""
         readings = [now] if abs(wall - now) < STEPPED else [now, wall]
         ages = [reading - listed for reading in readings]
         return max(0.0, min((age for age in ages if -EARLY <= age <= max_age), default=0.0))
--- a/tealwing/coordinator/updates.py
+++ b/tealwing/coordinator/updates.py
@@ -20,17 +20,17 @@
 
 
 class UpdateError(ValueError):
-    """A line that can't be read."""
+    """An invalid line; the coordinator has to be mended."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One engine as told: its name and address, and its entry in the module's list."""
+    """One listed engine: its name and address, and its entry in the module's list."""
 
     name: str
     host: str
     port: int
-    entry: interface.EngineListEntry  # numbered by the settings that it was read or placed under; else -1
+    entry: interface.EngineListEntry  # numbered by the settings that it was parsed under; else -1
     zone: str = ""
     kind: str = ""
 
@@ -43,17 +43,17 @@
     revision: int
     complete: bool
     members: tuple[Member, ...]
-    unusable: tuple[str, ...] = ()  # why members were left out: one of them must not hide the others
-    unplaced: tuple[Member, ...] = ()  # those of them that other settings may know the zone and kind of
+    unusable: tuple[str, ...] = ()  # reasons of skipped members: one must not hide the others
+    unplaced: tuple[Member, ...] = ()  # skipped members whose zone and kind other settings may name
 
 
 def engine_number(name: str) -> int:
-    """The engine's number for the module: from its id alone, so that all gateways use the same."""
+    """Return the engine's number for the module, from its id alone, so that all gateways use the same."""
     return zlib.crc32(name.encode())
 
 
 def address(text: Any, min_port: int = 1) -> tuple[str, int]:
-    """HOST:PORT as a pair, the port at least so much."""
+    """Return HOST:PORT as a pair; the port is min_port or more. Raises UpdateError."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not host or not (port.isascii() and port.isdigit()) or not min_port <= int(port[:6]) < 65536:
         raise UpdateError(f"not HOST:PORT: {text!r}")
@@ -74,7 +74,7 @@
 
 
 def renumbered(member: Member, settings: interface.Settings) -> Member:
-    """The member as the settings number its zone and kind, which others number otherwise; UpdateError without them."""
+    """Return the member numbered by these settings. Raises UpdateError if they do not name its zone and kind."""
     kinds = [kind.name for kind in settings.machine_kinds]
     if member.zone not in settings.zones:
         raise UpdateError(f"locality is not in the settings: {member.zone!r}")
@@ -108,7 +108,7 @@
 
 
 def parse_update(data: Any, settings: interface.Settings) -> Update:
-    """One event from its JSON object."""
+    """Return one event from its JSON object."""
     if not isinstance(data, dict) or not isinstance(data.get("endpoints"), dict):
         raise UpdateError("an event holds no endpoints")
     points = data["endpoints"]
@@ -136,7 +136,7 @@
 
 
 def parse_line(text: bytes, settings: interface.Settings) -> Update | int:
-    """One line: an event, or the last number alone."""
+    """Return one line: an event, or the last number alone."""
     try:
         data = orjson.loads(text)
     except orjson.JSONDecodeError as error:
@@ -147,20 +147,20 @@
 
 
 def cached_updates(data: Any, settings: interface.Settings) -> tuple[int, tuple[Update, ...]]:
-    """The last number and the events of the configuration's known."""
+    """Return the last number and the cached events of the configuration's key `known`."""
     if not isinstance(data, dict) or not isinstance(data.get("updates"), list):
         raise UpdateError("missing, or without updates")
     return _integer(data.get("index"), "index"), tuple(parse_update(item, settings) for item in data["updates"])
 
 
 class LineParser:
-    """Cuts a stream into lines, of bounded length."""
+    """Splits a stream into lines of bounded length."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The whole lines, now that data has come."""
+        """Return the complete lines after more data."""
         *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > MAX_LINE_BYTES:
             raise UpdateError(f"a line is longer than {MAX_LINE_BYTES} bytes")
--- a/tealwing/coordinator/watch.py
+++ b/tealwing/coordinator/watch.py
@@ -1,4 +1,4 @@
-"""The coordinator's thread: follows the events from the last one known, over reconnects."""
+"""The watch of the coordinator: a thread that follows its events over reconnects."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 SILENCE_TIMEOUT = (
     1.4,
     1.8,
-)  # s without a whole line, at random: one comes each second, and all gateways lose it at once
-RETRY_INTERVAL = (0.1, 1.5)  # s between connects, least and most: what it has to tell counts as told 2 s after a break
+)  # s without a complete line, drawn at random: all gateways lose a coordinator at once
+RETRY_INTERVAL = (0.1, 1.5)  # s between connects, min and max: its events count as known 2 s after a break
 
 
 class WatchEnd(Enum):
-    """Why a watch ended: in its log line, and in the figures."""
+    """Why a watch ended, for the log and the metrics."""
 
-    UNREACHED = "unreached"  # no connection came up
-    BROKEN = "broken"  # the connection was reset, or took nothing
+    UNREACHED = "unreached"  # no connection was established
+    BROKEN = "broken"  # the connection was reset, or a write failed
     CLOSED = "closed"  # the coordinator ended the stream
-    SILENT = "silent"  # no whole line came in time
-    MALFORMED = "malformed"  # a line that can't be read
-    GAP = "gap"  # events are missing: the next watch asks for them
-    FAULT = "fault"  # of ours, in taking an update
-    MOVED = "moved"  # another coordinator is followed from now on
+    SILENT = "silent"  # no complete line arrived in time
+    MALFORMED = "malformed"  # an invalid line
+    GAP = "gap"  # events are missing: the next watch requests them
+    FAULT = "fault"  # an error of ours in applying an update
+    MOVED = "moved"  # another coordinator is watched from now on
 
 
 class _WatchEndedError(Exception):
@@ -47,11 +47,11 @@
 
 
 class MissingEventsError(updates.UpdateError):
-    """Events between the last one known and this one have not come."""
+    """Events between the last applied one and this one are missing."""
 
 
 class WatchClient:
-    """Hands each event on once and in turn; what is known stays while the coordinator is away."""
+    """Passes each event on once and in order; the list stays while the coordinator is unreachable."""
 
     def __init__(
         self,
@@ -62,32 +62,32 @@
         on_watch_end: Callable[[str], None] = lambda end: None,
     ) -> None:
         """Take the callbacks: on_update applies an update completely, or raises and gets it again."""
-        self.settings = settings  # those in force: updates are read under them
+        self.settings = settings  # in force: updates are parsed under them
         self._on_update, self._on_watch_end = on_update, on_watch_end
         self._address = address
-        self._lock = threading.Lock()  # round the address and the socket, which move changes
-        self._sock: socket.socket | None = None  # from before its connect: a move must not wait for that
+        self._lock = threading.Lock()  # guards the address and the socket
+        self._sock: socket.socket | None = None  # set before its connect: a move must not wait for that
         self._moves, self._moved = 0, threading.Event()
         self._backoff = Backoff(*RETRY_INTERVAL)
-        self._complete_at = time.monotonic()  # when the list was last known to lack nothing
-        self.index = index  # of the last event handed on
+        self._complete_at = time.monotonic()  # monotonic; when the list was last known to be complete
+        self.index = index  # of the last applied event
 
     @property
     def age(self) -> float:
-        """Seconds since the coordinator last said something by which the list lacks nothing."""
+        """Seconds since the list was last known to be complete."""
         return time.monotonic() - self._complete_at
 
     def start(self) -> None:
-        """Follow, in a thread of its own."""
+        """Start the thread."""
         threading.Thread(target=self._run, name="coordinator", daemon=True).start()
 
     def move_to(self, address: Address) -> None:
-        """Follow another coordinator from the last event on; at once, as the old one tells no more."""
+        """Watch another coordinator from the last event on, at once: the old one sends no more."""
         with self._lock:
             self._address = address
             self._moves += 1
             if self._sock is not None:
-                with contextlib.suppress(OSError):  # it may have ended by itself
+                with contextlib.suppress(OSError):  # it may have ended already
                     self._sock.shutdown(socket.SHUT_RDWR)
         self._moved.set()
 
@@ -98,7 +98,7 @@
             self._moved.wait(self._backoff.next())
 
     def _watch(self) -> None:
-        """Follow one connection to its end, and say why it ended."""
+        """Watch one connection to its end, and report why it ended."""
         with self._lock:
             address, moves = self._address, self._moves
         end, why, trace = WatchEnd.CLOSED, "the coordinator closed the connection", None
@@ -107,7 +107,7 @@
                 try:
                     self._follow(sock)
                 finally:
-                    with self._lock:  # before its descriptor is closed: a move must not shut down another's
+                    with self._lock:  # before its descriptor is closed and reused
                         self._sock = None
         except _WatchEndedError as error:
             end, why = error.end, str(error)
@@ -118,7 +118,7 @@
             end, why = WatchEnd.MALFORMED, str(error)
         except OSError as error:
             end, why = WatchEnd.BROKEN, str(error)
-        except Exception as error:  # a fault of ours must not end the watch for good: what it met is asked for again
+        except Exception as error:  # an error of ours must not end the watch forever: the event is requested again
             end, why, trace = WatchEnd.FAULT, repr(error), traceback.format_exc(limit=-3)
         with self._lock:
             if moves != self._moves:
@@ -131,10 +131,10 @@
         self._on_watch_end(end.value)
 
     def _connect(self, address: Address, moves: int) -> socket.socket:
-        """A connection to the address. It begins under the lock, so that a move finds it and shuts it down."""
+        """Return a connection to the address, set under the lock so that a move can shut it down."""
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as error:  # descriptors have run out, though the budget has some for this
+        except OSError as error:  # out of descriptors, though the budget reserves some
             raise _WatchEndedError(WatchEnd.UNREACHED, str(error)) from None
         try:
             sock.setblocking(False)
@@ -152,7 +152,7 @@
             if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 raise OSError(code, os.strerror(code))
         except OSError as error:
-            with self._lock:  # a move must not shut down a descriptor that is another's by then
+            with self._lock:  # a move must not shut down a reused descriptor
                 self._sock = None
             sock.close()
             raise _WatchEndedError(WatchEnd.UNREACHED, f"{address[0]}:{address[1]}: {error}") from None
@@ -164,7 +164,7 @@
         sock.settimeout(limit)
         sock.sendall(b"follow %d\n" % self.index)
         while True:
-            left = until - time.monotonic()  # a peer that drips bytes without an end of a line is silent too
+            left = until - time.monotonic()  # dripping bytes without a line end counts as silence
             if left <= 0:
                 raise _WatchEndedError(WatchEnd.SILENT, f"no whole line in {limit:.1f} s")
             sock.settimeout(left)
@@ -176,13 +176,13 @@
                 return
             for text in lines.feed(data):
                 self.apply(updates.parse_line(text, self.settings))
-                self._backoff.reset()  # a connection that tells nothing, or nothing that can be read, is none
+                self._backoff.reset()  # only a valid line counts as a connection
                 until = time.monotonic() + limit
 
     def apply(self, item: updates.Update | int) -> None:
-        """One line. A repeat is dropped; a gap ends the connection, and the next asks for what is missing."""
+        """Apply one line. A repeat is dropped; a gap ends the connection, and the next requests what is missing."""
         if isinstance(item, int):
-            if item > self.index:  # what came before on this connection is not all that there was
+            if item > self.index:  # events before it are missing
                 raise MissingEventsError(f"the last event is {item}, and {self.index} is the last that came")
             self._complete_at = time.monotonic()
             return
@@ -192,6 +192,6 @@
             raise MissingEventsError(f"event {item.index} came after {self.index}")
         try:
             self._on_update(item)
-        except Exception as error:  # whatever it is: it must not pass for the connection's
+        except Exception as error:  # whatever it is: it must not count as the connection's
             raise _WatchEndedError(WatchEnd.FAULT, f"event {item.index}: {error!r}") from error
         self.index = item.index
--- a/tealwing/exchange.py
+++ b/tealwing/exchange.py
@@ -1,4 +1,4 @@
-"""What passes between a client protocol and the life of a request; neither knows more of the other."""
+"""The interface between a client protocol and the request handler; neither knows more of the other."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class InvalidRequestError(ValueError):
-    """A request that can't be taken; the text says why."""
+    """An invalid request; the text says why."""
 
 
 class SettingsChangedError(InvalidRequestError):
-    """The settings changed while the request was read; it may be read anew under `settings`."""
+    """The settings changed while the request was read; parse it again under `settings`."""
 
     def __init__(self, settings: Any) -> None:
         super().__init__("the settings changed while the request was read; send it again")
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """A client's request; times are seconds, need is megabytes, cls and tenant are places in the settings."""
+    """A client's request; times are seconds, memory is megabytes, cls and tenant are places in the settings."""
 
     request_id: bytes
     cls: int
@@ -36,11 +36,13 @@
     cost: float | None = None
     memory_estimate: float = 0.0
     tables: int = 0
-    received_at: float = 0.0  # monotonic, when its last byte had been read
-    has_left: Callable[[], bool] = field(default=_never_left, compare=False)  # whether its client has left; never waits
+    received_at: float = 0.0  # monotonic; when its last byte had been read
+    has_left: Callable[[], bool] = field(
+        default=_never_left, compare=False
+    )  # whether its client has left; never blocks
 
     def set_client_check(self, has_left: Callable[[], bool]) -> None:
-        """Have this asked whether the client has left, before anybody else has the request.
+        """Set the check of whether the client has left, before the request is shared.
 
         It is set in place: a copy takes 8 microseconds, longer than all else that a client's leaving costs a request.
         """
@@ -49,61 +51,63 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """All pages of the result, as the engine wrote them."""
+    """The pages of the result, as the engine wrote them."""
 
     pages: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A refusal: trying again does no harm, after retry_after seconds if that is not 0."""
+    """A rejection without effect: the client may retry, after retry_after seconds if that is not 0."""
 
     retry_after: float
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """A failure, which promises nothing."""
+    """A failure; the request may have had an effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cancelled:
-    """The client gave the request up; nothing is owed."""
+    """The client cancelled the request; no answer is owed."""
 
 
 Reply = Served | Rejected | Failed | Cancelled
 
 
 class Exchange(Protocol):
-    """One request under way."""
+    """One request in progress."""
 
     def run(self) -> Reply:
-        """See the request through to its one reply; blocks until then."""
+        """Run the request to its reply; blocks until then."""
 
     def cancel(self) -> None:
-        """Give the request up, from any thread."""
+        """Cancel the request, from any thread."""
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request may be decided; held: the rules may have changed since it was read, and it must be read anew."""
+    """The request may be decided. If it waited, the rules may have changed, and it must be parsed again."""
 
     waited: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Deferred:
-    """A request may not be decided now: it is refused harmlessly, to be tried again after pushback seconds."""
+    """The request may not be decided now: it is rejected without effect, with a Retry-After in seconds."""
 
     retry_after: float
     reason: str
 
 
 class AdmissionGate(Protocol):
-    """What requests pass before they are opened; see `tealwing.rollout.admission.gate`."""
+    """The gate that requests pass before they are opened; see `tealwing.rollout.admission.gate`."""
 
     def admit(self, cls: str | None, tenant: str, group: int, until: float) -> Admitted | Deferred:
-        """Let a request in, at once or when it may be, by the monotonic time `until` at the latest."""
+        """Admit a request, waiting until the monotonic time `until` at most, or defer it."""
 
 
-OpenExchange = Callable[[Query, Any], Exchange]  # a query and the settings it was read under; may raise Unusable
+OpenExchange = Callable[
+    [Query, Any], Exchange
+]  # takes a query and the settings it was read under; may raise InvalidRequestError
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway as a whole: what it consists of, and its start."""
+"""The gateway's parts, assembled: start, changes of configuration, and engine list."""
 
 from __future__ import annotations
 
@@ -45,30 +45,30 @@
 
 
 class EngineListError(RuntimeError):
-    """A module could not take an update of the engine list in whole; it is told again."""
+    """A decision module could not apply an engine list update completely; the watch repeats it."""
 
 
 class Daemon:
-    """Owns the decisions, the engines' connections and the coordinator's thread."""
+    """Owns the decisions, the engine pool and the watch of the coordinator."""
 
     def __init__(self, config: Config) -> None:
         self._settings, self._cores = config.settings, config.cores
-        self._from_file = config.settings  # what the configuration said last
+        self._from_file = config.settings  # the configuration's last settings
         self.on_settings: Callable[[api.Settings], None] = lambda settings: None  # the server's side of a change
-        self._link: GossipService | None = None  # where gossip is on
-        self._peering: Peering | None = None  # where the section `peers` is
-        self.gate: Gate | None = None  # where the section `rules` is: what requests pass first
+        self._link: GossipService | None = None  # if gossip is on
+        self._peering: Peering | None = None  # if the section `peers` is on
+        self.gate: Gate | None = None  # if the section `rules` is on
         self.sections: frozenset[str] = frozenset()  # of the operators' file, that are on
-        self._host_load: HostLoadMonitor | None = None  # measured where service levels are on
-        self._levels_file: Plan | None = None  # of the operators' file, and of the rules: the second goes before
+        self._host_load: HostLoadMonitor | None = None  # if service levels are on
+        self._levels_file: Plan | None = None  # of the operators' file; those of the rules take precedence
         self._levels_rules: Plan | None = None
-        self._allowed: Callable[..., frozenset[int] | None] = lambda *_: None  # routing's, once there is a table
-        self._changing = threading.RLock()  # one change of settings or levels at a time, whoever brings it
+        self._allowed: Callable[..., frozenset[int] | None] = lambda *_: None  # of the routing table, once there is one
+        self._changing = threading.RLock()  # serializes changes of settings and levels
         self._engines = EnginePool(config.settings.limits, config.descriptors.engines)
         self._decisions = Decisions(config.settings, config.seed, self._engines)
         self.metrics = Metrics((cls.name for cls in config.settings.classes), (end.value for end in WatchEnd))
         self.metrics.gauges = self._gauges
-        self._starts, self._reads_cached_list = StartTimes(), True  # known: the events of the configuration
+        self._starts, self._reads_cached_list = StartTimes(), True  # the configuration's cached events are being read
         self._list_failures = (
             0,
             0,
@@ -81,13 +81,13 @@
         self._reads_cached_list = False
 
     def start(self) -> None:
-        """Follow the coordinator and let timers fire."""
+        """Start the watch and the timers."""
         self._engines.start()
         self._decisions.start()
         self._follower.start()
 
     def open(self, query: Query, settings: api.Settings | None = None) -> RequestHandler:
-        """The life of a request that has come, read under the settings (the ones in force if None).
+        """Return the handler of a request that was read under the settings (None: those in force).
 
         Raises Unusable, and Outdated where settings and a routing table of different versions would bind it.
         """
@@ -100,7 +100,7 @@
         return RequestHandler(query, settings, self._decisions, self._engines, self._host_load, self.metrics, zones)
 
     def _gauges(self) -> dict[str, int]:
-        """Requests open, engines listed, those of them that the module does not send to now, and threads.
+        """Return the gauges: open requests, listed engines, ejected engines, threads.
 
         Read without the module's lock: lengths of its tables are whole at any moment.
         """
@@ -122,36 +122,36 @@
         return found
 
     def readiness(self) -> tuple[bool, str]:
-        """Whether clients may be sent here as far as the peers go, and why."""
+        """Return whether clients may be sent here as far as the peers are concerned, and why."""
         if self._peering is None:
             return True, ""
         is_ready, reason, _ = self._peering.readiness()
         return is_ready, reason
 
     def record_unread_age(self, seconds: float) -> None:
-        """What a client sent was read so long after it had come."""
+        """Record the age of a client's bytes when they were read, in s."""
         if self._host_load is not None:
             self._host_load.record_unread_age(seconds)
 
     @property
     def agreed_version(self) -> int:
-        """Number of the version of the rules that the fleet agreed on and that is in force here; 0: none."""
+        """Number of the version of the rules in force here; 0: none."""
         return self._decisions.in_force.number
 
     @property
     def platform_settings(self) -> api.Settings:
-        """What the configuration says, before any version of the rules."""
+        """The configured settings, without any version of the rules."""
         return self._from_file
 
     @property
     def engine_list(self) -> tuple[api.EngineListEntry, ...]:
-        """The engine list as it was last heard."""
+        """The last engine list."""
         return self._decisions.engine_list
 
     def put_in_force(
         self, settings: api.Settings | None, table: Table | None, levels: Plan | None, version: int
     ) -> None:
-        """Put a version of the rules in force for new requests; what it leaves as it is, is not touched.
+        """Put a version of the rules in force for new requests; None leaves a part unchanged.
 
         settings None are those in force; a table None lets any engine serve; levels None are the operators' file's.
         Raises ValueError, with nothing changed, where the levels do not fit the settings.
@@ -162,7 +162,7 @@
             if plan is not None:
                 plan.admission_limits(settings)
             if table is not None:
-                from tealwing.routing.serving import serving_zones  # only where a table is
+                from tealwing.routing.serving import serving_zones  # imported only with a table
 
                 self._allowed = serving_zones
             self._levels_rules = levels
@@ -175,7 +175,7 @@
         log.event("rules_in_force", version=version, settings=renewed, routes=len(table.routes) if table else 0)
 
     def reconfigure(self, config: Config) -> api.Settings:
-        """Take what may change under load: the coordinator, and the settings. Its events' numbers go on.
+        """Apply a changed configuration: the coordinator, whose event numbers continue, and the settings.
 
         New settings bind new requests; open ones keep theirs. Gives the settings in force. Raises ConfigError,
         with nothing changed, where the settings change and service levels or gossip are on, or forbid the link to the
@@ -195,7 +195,7 @@
             if changed and self._peering is not None and not config.settings.limits.peer_messages:
                 raise ConfigError("settings: Allowed.Peers forbids the link to the peers, which is on: restart")
             self._follower.move_to(config.coordinator)
-            if changed:  # else the file says what it said, and the fleet's version may be in force
+            if changed:  # else the fleet's version may be in force
                 self._apply_settings(config.settings)
                 self._from_file = config.settings
         log.event("reconfigured", coordinator=config.coordinator)
@@ -214,10 +214,13 @@
         log.event("settings_changed", version=version, classes=classes)
 
     def _fleet_settings(self, version: int, text: bytes) -> None:
-        """A version of the replicated settings that is good, from the disk or as the fleet has agreed on it."""
+        """Apply a valid version of the replicated settings, from disk or newly committed."""
         try:
             settings = wire.parse_settings(text)
-        except (ValueError, wire.WireError) as error:  # checked by whoever proposed it, by another version of us
+        except (
+            ValueError,
+            wire.WireError,
+        ) as error:  # its proposer checked it, perhaps in another version of the program
             log.event("fleet_settings_unusable", version=version, error=str(error))
             return
         with self._changing:
@@ -234,20 +237,20 @@
                 self._apply_settings(settings)
 
     def apply_operators_file(self, records: dict[str, Any]) -> None:
-        """Take the operators' file in whole: its records by section. A ValueError leaves all as it is."""
+        """Apply the operators' file, given as records by section. Raises ValueError, with nothing changed."""
         levels: Plan | None = records.get("levels")
         if levels is not None:
-            levels.admission_limits(self._settings)  # may not fit; what comes after it can't fail on the levels
+            levels.admission_limits(self._settings)  # may raise; nothing after it fails because of the levels
         self._apply_gossip(records.get("gossip"))
         self.sections = frozenset(records)
         self._apply_peers(*(records.get(name) for name in ("peers", "replica", "rules", "federation")))
         with self._changing:
             self._levels_file = levels
-            if self._levels_rules is None:  # else those of the rules go before it
+            if self._levels_rules is None:  # else those of the rules take precedence
                 self._apply_levels(levels)
 
     def stop(self) -> None:
-        """The gateway ends: the other instances need not find out."""
+        """Announce the end of the gateway to the other instances."""
         if self._link is not None:
             self._link.stop()
         if self._peering is not None:
@@ -257,7 +260,7 @@
         self, plan: PeersPlan | None, replica: ReplicaPlan | None, rules: RulesPlan | None,
         federation: FederationPlan | None,
     ) -> None:  # fmt: skip
-        """Begin the link to the peers, and the replicated state; a LinkError leaves it as it is."""
+        """Start the peer link and the replicated state. Raises LinkError, with nothing changed."""
         if plan is None and self._peering is None:
             if replica is not None:
                 raise ValueError("replica: needs the section peers, whose members take part")
@@ -267,7 +270,7 @@
         if federation is not None and (replica is None or rules is None):
             raise ValueError("federation: needs the sections replica and rules: what the sites agree on is a version")
         from tealwing.fleet.peering import Peering
-        from tealwing.peers.errors import LinkError  # only where it is on
+        from tealwing.peers.errors import LinkError  # imported only if it is on
 
         if self._peering is not None:
             if (plan, replica, rules, federation) != self._peering.plans:
@@ -285,11 +288,11 @@
             self._peering.feed.engine_list_changed(self._decisions.engine_list, self._settings.rules)
 
     def _apply_gossip(self, plan: GossipConfig | None) -> None:
-        """Begin, change or end gossip; a GossipConfigError leaves it as it is."""
+        """Start, change or stop gossip. Raises GossipConfigError, with nothing changed."""
         link = self._link
         if plan is None and link is None:
             return
-        from tealwing.gossip.errors import GossipConfigError  # only where gossip is on, or was
+        from tealwing.gossip.errors import GossipConfigError  # imported only if gossip is or was on
         from tealwing.gossip.service import GossipService
 
         if plan is not None and not self._settings.limits.peer_messages:
@@ -307,7 +310,7 @@
             self._decisions.submit(api.EngineHealthEstimates({}))
 
     def _apply_levels(self, plan: Plan | None) -> None:
-        """Begin, change or end service levels."""
+        """Start, change or stop service levels."""
         if plan is None and self._host_load is None:
             return
         self._decisions.change_module(service_levels.level_changer(self._settings, plan, self._on_level_change))
@@ -319,28 +322,28 @@
             self._host_load.start()
 
     def fail_open_requests(self) -> int:
-        """Fail all that is still open, as the gateway ends; how many there were."""
+        """Fail all open requests as the gateway ends; return their number."""
         return self._decisions.broadcast(Signal.SHUTDOWN)
 
     @property
     def max_deadline(self) -> float:
-        """The longest deadline in seconds, of the settings in force and of those that open requests are under."""
+        """The longest deadline in seconds of the settings in force and of those of open requests."""
         return self._decisions.max_deadline
 
     @property
     def open_requests(self) -> int:
-        """Requests taken and not yet ended."""
+        """Number of open requests."""
         return self._decisions.open_requests
 
     def _apply_cached_update(self, update: Update, cached: bool) -> None:
-        """An event of the configuration, which is not asked for again."""
+        """Apply a cached event of the configuration, which is not requested again."""
         try:
             self._apply_update(update, cached)
         except Exception:
             self._apply_member_by_member(update)
 
     def _on_watch_update(self, update: Update) -> None:
-        """An event of the watch: a fault ends the watch, and the next one tells it again, whole.
+        """Apply a watch event; an error ends the watch, and the next one repeats the event completely.
 
         One that can't be taken at the third time is taken member by member: it must not hide what comes after it.
         """
@@ -354,11 +357,11 @@
             self._apply_member_by_member(update)
 
     def _apply_update(self, update: Update, cached: bool = False) -> None:
-        """The connections first: the module may choose a new engine as soon as it knows of it.
+        """Update the engine pool, then the module, which may choose a new engine at once.
 
         A second time it changes nothing that the first did.
         """
-        members = update.members + update.unplaced  # the second for settings that are still to come
+        members = update.members + update.unplaced  # the unplaced for settings to come
         self._engines.update(members, update.complete)
         kind = api.EngineListKind.FULL if update.complete else api.EngineListKind.DELTA
         if cached:
@@ -368,13 +371,13 @@
         self._publish_update(update, update.members)
 
     def _with_start_times(self, members: tuple[Member, ...]) -> tuple[Member, ...]:
-        """The members with their starts on the clock of the decisions, for them alone: see `StartTimes`."""
+        """Return the members with start times on the clock of the decisions; see `StartTimes`."""
         now, wall = self._decisions.now, time.time()
         unknown = inf if self._reads_cached_list else self._follower.age
         return tuple(self._starts.with_start_time(member, now, wall, unknown) for member in members)
 
     def _publish_update(self, update: Update, taken: Sequence[Member]) -> None:
-        """Tell the fleet, and the log."""
+        """Publish an update to the fleet and the log."""
         entries = tuple(member.entry for member in taken)
         if self._peering is not None and self._peering.feed is not None:
             self._peering.feed.engine_list_changed(entries, self._settings.rules)
@@ -384,7 +387,7 @@
             log.event("engine_unusable", why=why)
 
     def _apply_member_by_member(self, update: Update) -> None:
-        """Take the members that can be taken, one by one."""
+        """Apply the members one by one, skipping those that fail."""
         log.event("watch_update_in_parts", index=update.index, trace=traceback.format_exc(limit=-3))
         taken = []
         for member in update.members + update.unplaced:
@@ -400,11 +403,11 @@
                 taken.append(member)
         try:
             self._publish_update(update, taken)
-        except Exception:  # nothing here may end the watch once more
+        except Exception:  # must not end the watch again
             log.check_invariant(False, f"a watch update is passed on: {traceback.format_exc(limit=-3)}")
 
     def _on_level_change(self, name: str, fields: dict[str, Any]) -> None:
-        """What the governor tells: to the log, and a level that changes to the fleet too."""
+        """Log an event of the governor, and publish a change of level to the fleet."""
         log.event(name, **fields)
         if name == "service_level" and self._peering is not None and self._peering.feed is not None:
             self._peering.feed.service_level_changed(
--- a/tealwing/gateway/decisions.py
+++ b/tealwing/gateway/decisions.py
@@ -1,4 +1,4 @@
-"""The one lock round the decision module: events go in, its actions go to the mailboxes of the requests."""
+"""The lock round the decision module: passes events in, and its actions to the requests' mailboxes."""
 
 from __future__ import annotations
 
@@ -18,46 +18,48 @@
 from tealwing.gateway.timers import Timers
 from tealwing.resp.engine_pool import EnginePool
 
-TIMER_GRANULARITY = 0.02  # s: timers fire at its multiples, some together; none is due more exactly
-Mailbox = SimpleQueue[Any]  # of the module's actions and the engines' answers for one request
+TIMER_GRANULARITY = 0.02  # s: timers fire at its multiples, so that several fire together
+Mailbox = SimpleQueue[Any]  # the module's actions and the engines' answers for one request
 
 
 class Decisions:
-    """Nothing here waits for a socket while it holds the lock; mailboxes and the timers' heap never block."""
+    """Serializes the decision module. The lock is never held while a socket is waited for; mailboxes never block."""
 
     def __init__(self, settings: api.Settings, seed: int, engines: EnginePool) -> None:
         self._versions = ModuleVersions(settings, seed)
         self._engines = engines
         self._lock = threading.Lock()
-        self.clock_offset = time.time() - time.monotonic()  # Unix time that a step of the clock can't turn back
+        self.clock_offset = (
+            time.time() - time.monotonic()
+        )  # s; makes Unix time of the monotonic clock, which no step turns back
         self._mailboxes: dict[int, Mailbox] = {}
         self._request_ids: set[bytes] = set()  # the clients' ids of the open requests
         self._ids = itertools.count(1)
-        self._list_faults = 0  # engine lists that a module did not take in whole
+        self._list_faults = 0  # engine lists that a module could not apply completely
         self._timers = Timers(max(settings.tick, TIMER_GRANULARITY), self._on_timers)
 
     def start(self) -> None:
-        """Let timers fire from now on."""
+        """Start the timers."""
         self._timers.start()
 
     @property
     def module(self) -> Module:
-        """The module as it stands, for figures read without the lock."""
+        """The decision module, for metrics that are read without the lock."""
         return self._versions.module
 
     @property
     def now(self) -> float:
-        """The modules' time: Unix seconds by the clock of the start, which no step changes."""
+        """The modules' time: Unix seconds that steps of the wall clock do not change."""
         return time.monotonic() + self.clock_offset
 
     @property
     def open_requests(self) -> int:
-        """Requests taken and not yet ended."""
+        """Number of open requests."""
         return len(self._mailboxes)
 
     @property
     def engine_list(self) -> tuple[api.EngineListEntry, ...]:
-        """The engine list as it was last heard."""
+        """The last engine list."""
         with self._lock:
             return self._versions.engine_list
 
@@ -68,25 +70,25 @@
 
     @property
     def in_force(self) -> InForce:
-        """The settings and the routing table that bind a new request, of one version."""
+        """The settings and the routing table of new requests, of one version."""
         return self._versions.in_force
 
     @property
     def max_deadline(self) -> float:
-        """The longest deadline in seconds, of the settings in force and of those that open requests are under."""
+        """The longest deadline in seconds of the settings in force and of those of open requests."""
         with self._lock:
             return self._versions.max_deadline
 
     @property
     def ready_zones(self) -> frozenset[int]:
-        """The zones in which an engine is ready."""
+        """Zones with a ready engine."""
         return self._versions.ready_zones
 
     def register(self, call: bytes, mailbox: Mailbox, settings: api.Settings | None = None) -> int:
-        """A number for a new request, whose actions go to the mailbox; it was read under those settings.
+        """Return the number of a new request that was read under those settings; its actions go to the mailbox.
 
-        Engines tell requests apart by these ids: a second one of an open id would get the first's rows.
-        Raises Unusable for an open call, and Outdated for settings of which no module is left.
+        Engines tell requests apart by the clients' ids: a second one of an open id would get the first's rows. Raises
+        InvalidRequestError for an open id, SettingsChangedError for settings of which no module is left.
         """
         with self._lock:
             if call in self._request_ids:
@@ -102,26 +104,26 @@
             return number
 
     def unregister(self, number: int, call: bytes) -> list[object]:
-        """The request has its final answer; what is left in its mailbox. Its module still hears of it until forget."""
+        """Close a request's mailbox after its final answer; return what is left in it. Events pass until `forget`."""
         with self._lock:
             self._request_ids.remove(call)
             mailbox = self._mailboxes.pop(number)
             return [mailbox.get_nowait() for _ in range(mailbox.qsize())]
 
     def forget(self, number: int) -> None:
-        """Nothing more comes of the request: a module of earlier settings goes with its last."""
+        """Drop a request; a module of earlier settings is dropped with its last one."""
         with self._lock:
             self._versions.forget(number)
 
     def replace_settings(self, settings: api.Settings) -> int:
-        """New requests go to a new module of these settings, told the engine list; the old keeps what it holds.
+        """Route new requests to a new module of these settings; the old one keeps its open requests.
 
         Gives the new version's number.
         """
         return self.put_in_force(InForce(settings))
 
     def put_in_force(self, force: InForce, wrap: WrapModule | None = None) -> int:
-        """New requests are bound by this; settings that are others than before get a new module, as in `renew`.
+        """Bind new requests to this version; changed settings get a new module, as in `replace_settings`.
 
         wrap puts something before a new module. Gives the number of the module's version.
         """
@@ -132,33 +134,33 @@
                 faults = self._list_faults
                 for event in self._versions.replace_settings(force, wrap):
                     self._handle(event, (self._versions.version,))
-                if self._list_faults != faults:  # one engine that can't be taken must not hide the others
+                if self._list_faults != faults:  # one engine that can't be applied must not hide the others
                     for entry in self._versions.engine_list:
                         alone = api.EngineList(api.EngineListKind.DELTA, 0, (entry,))
                         self._handle(alone, (self._versions.version,))
             return self._versions.version
 
     def _restore_module(self, settings: api.Settings) -> None:
-        """Have a module of settings that were replaced as a request was read under them; under the lock."""
+        """Restore a module for settings that were replaced while a request was read under them. Call under the lock."""
         if (recalled := self._versions.restore(settings)) is not None:
             version, initial_events = recalled
             for event in initial_events:
                 self._handle(event, (version,))
 
     def broadcast(self, item: object) -> int:
-        """Put a word into the mailbox of every open request; how many there are."""
+        """Put an item into the mailbox of every open request, and return their number."""
         with self._lock:
             for mailbox in self._mailboxes.values():
                 mailbox.put(item)
             return len(self._mailboxes)
 
     def change_module(self, how: Callable[[Module, float], Module]) -> None:
-        """Put something before the module, or take it away; no event comes between."""
+        """Wrap or unwrap the module; no event is handled meanwhile."""
         with self._lock:
             self._versions.module = how(self._versions.module, time.monotonic() + self.clock_offset)
 
     def update_engine_list(self, kind: api.EngineListKind, number: int, members: tuple[Member, ...]) -> bool:
-        """Tell the modules of a watch update, each as its settings number it; whether all took it in whole."""
+        """Pass a watch update to the modules, numbered by their settings; return whether all applied it completely."""
         idle: list[int] = []
         with self._lock:
             faults = self._list_faults
@@ -170,7 +172,7 @@
         return is_complete
 
     def submit(self, *events: api.Event) -> None:
-        """Some events in turn; their actions are in the mailboxes when this returns."""
+        """Handle events in order; their actions are in the mailboxes when this returns."""
         idle: list[int] = []
         with self._lock:
             for event in events:
@@ -179,7 +181,7 @@
             self._engines.close_idle(engine)
 
     def _on_timers(self, due: list[tuple[int, int]]) -> None:
-        """Timers, each to the module that set it; those of a module let go are dropped."""
+        """Pass fired timers to the modules that set them; those of dropped modules are ignored."""
         idle: list[int] = []
         with self._lock:
             for token, version in due:
@@ -188,7 +190,7 @@
             self._engines.close_idle(engine)
 
     def _handle(self, event: api.Event, versions: tuple[int, ...]) -> list[int]:
-        """Hand one event to the modules of the versions, where they are left, and their actions on.
+        """Pass one event to the modules of the versions that still exist, and their actions to the mailboxes.
 
         Gives the engines whose idle connections close.
         """
@@ -206,7 +208,7 @@
         now = time.monotonic()
         try:
             actions = module.handle(now + self.clock_offset, event)
-        except Exception:  # a fault in a decision fails its request, not the gateway
+        except Exception:  # an error in a decision fails its request, not the gateway
             log.event("decision_failed", of=type(event).__name__, trace=traceback.format_exc(limit=-3))
             if isinstance(event, api.EngineList):
                 self._list_faults += 1
--- a/tealwing/gateway/module_versions.py
+++ b/tealwing/gateway/module_versions.py
@@ -1,4 +1,4 @@
-"""Which module of decisions holds which request, where settings change under load; under its owner's lock."""
+"""Decision modules by version of the settings, and which request each decides. Guarded by the owner's lock."""
 
 from __future__ import annotations
 
@@ -32,70 +32,70 @@
 
 
 class Module(Protocol):
-    """The decision module, or what stands before it."""
+    """The decision module, or a wrapper of it."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """The actions on one event."""
+        """Return the actions on one event."""
 
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """What binds a new request, one version in whole: who reads this once can't mix two."""
+    """What binds a new request. Immutable: one read of it never mixes two versions."""
 
     settings: api.Settings
     table: Table | None = None
-    number: int = 0  # of the version of the rules; 0: none is in force
+    number: int = 0  # of the version of the rules; 0: none
 
 
-WrapModule = Callable[[Gateway], Module]  # what stands before a new module
-Spent = deque[tuple[float, float]]  # times and work of what was sent to a cold engine
+WrapModule = Callable[[Gateway], Module]  # wraps a new module
+Spent = deque[tuple[float, float]]  # times and work of what was sent to an engine in slow start
 
 
 def innermost_module(module: Module) -> Gateway | None:
-    """The module itself."""
+    """Return the module inside all wrappers."""
     gateway = module if isinstance(module, Gateway) else getattr(module, "gateway", None)
     return gateway if isinstance(gateway, Gateway) else None
 
 
 class ModuleVersions:
-    """The module that takes new requests, and those of earlier settings that still hold some."""
+    """The module of new requests, and those of earlier settings with open requests."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.module: Module = Gateway(settings, seed)  # of the settings below; it takes new requests
+        self.module: Module = Gateway(settings, seed)  # decides new requests
         self.in_force, self.version = InForce(settings), 0
         self.ready_zones: frozenset[int] = frozenset()  # zones with a ready engine
         self._seed = seed
-        # What rules count over the gateway, whichever module made it, and nothing of it by class: the modules share it.
+        # The rules on slow start count over the whole gateway: all modules share this.
         self._taken, self._extra = deque[float](), deque[float]()
         self._spent: dict[tuple[int, float], Spent] = {}  # by engine and its start
         self._numbers = itertools.count(1)  # of versions
-        self._replaced = deque[api.Settings](maxlen=MAX_REPLACED_SETTINGS)  # no longer in force, the last at the end
-        self._older: dict[int, tuple[api.Settings, Module]] = {}  # by version: modules that still hold requests
-        self._owners: dict[int, int] = {}  # request id: the version of the module that decides it
-        self._held: dict[int, int] = {}  # version: its requests still open
-        self._members: dict[int, Member] = {}  # the engine list by names, as settings number zones and kinds anew
+        self._replaced = deque[api.Settings](maxlen=MAX_REPLACED_SETTINGS)  # replaced settings, the latest last
+        self._older: dict[int, tuple[api.Settings, Module]] = {}  # by version: modules with open requests
+        self._owners: dict[int, int] = {}  # request id: version of its module
+        self._held: dict[int, int] = {}  # version: number of its open requests
+        self._members: dict[int, Member] = {}  # the engine list by names: settings number zones and kinds differently
         self._list_version = 0
-        self._health_estimates: api.EngineHealthEstimates | None = None  # the last ones, for a new module
+        self._health_estimates: api.EngineHealthEstimates | None = None  # the latest, for a new module
         self.share_slow_start(0)
 
     @property
     def settings(self) -> api.Settings:
-        """Those of the module that takes new requests."""
+        """The settings of new requests."""
         return self.in_force.settings
 
     @property
     def engine_list(self) -> tuple[api.EngineListEntry, ...]:
-        """The engine list as it was last heard, numbered by the settings in force."""
+        """The last engine list, numbered by the settings in force."""
         return _entries_for(self._members.values(), self.settings)
 
     @property
     def max_deadline(self) -> float:
-        """The longest deadline in seconds, of the settings in force and of those that open requests are under."""
+        """The longest deadline in seconds of the settings in force and of those of open requests."""
         held = [self.settings, *(settings for settings, _ in self._older.values())]
         return max(cls.deadline for settings in held for cls in settings.classes)
 
     def version_of(self, settings: api.Settings) -> int:
-        """The version of those very settings; Outdated where no module of them is left."""
+        """Return the version of these settings, by identity. Raises SettingsChangedError if no module is left."""
         if settings is self.settings:
             return self.version
         for version, (older, _) in self._older.items():
@@ -104,19 +104,19 @@
         raise SettingsChangedError(self.settings)
 
     def module_at(self, version: int) -> Module | None:
-        """The module of a version, while there is one."""
+        """Return the module of a version, if there still is one."""
         if version == self.version:
             return self.module
         older = self._older.get(version)
         return older[1] if older is not None else None
 
     def assign(self, number: int, version: int) -> None:
-        """The request is the version's from now on."""
+        """Assign a request to a version."""
         self._owners[number] = version
         self._held[version] = self._held.get(version, 0) + 1
 
     def forget(self, number: int) -> None:
-        """Nothing more comes of the request: a module of earlier settings goes with its last."""
+        """Drop a request; a module of earlier settings is dropped with its last one."""
         version = self._owners.pop(number)
         self._held[version] -= 1
         if not self._held[version]:
@@ -125,7 +125,7 @@
                 log.event("settings_retired", version=version)
 
     def replace_settings(self, force: InForce, wrap: WrapModule | None = None) -> list[api.Event]:
-        """A new module takes new requests, the old keeps what it holds; gives what the new one is to be told."""
+        """Replace the module of new requests, and return the initial events of the new one."""
         if self._held.get(self.version):
             self._older[self.version] = self.settings, self.module
         self._replaced.append(self.settings)
@@ -136,7 +136,7 @@
         return self._initial_events(force.settings)
 
     def restore(self, settings: api.Settings) -> tuple[int, list[api.Event]] | None:
-        """A module anew for settings of which none is left; its version, and what it is to be told; None: no need.
+        """Restore a module of replaced settings; return its version and initial events, or None if there is one.
 
         They were in force when a request was read, and a change has come between that and its being opened.
         """
@@ -148,7 +148,7 @@
         return version, self._initial_events(settings)
 
     def share_slow_start(self, version: int) -> None:
-        """Have a version's module, which has heard of the engine list, count together with the others."""
+        """Let a version's module, which knows the engine list, share the slow-start accounting."""
         module = self.module_at(version)
         gateway = innermost_module(module) if module is not None else None
         if gateway is None:
@@ -156,21 +156,21 @@
         gateway.request_times, gateway.retry_times = self._taken, self._extra
         for engine in gateway.engines.values():
             engine.slow_start_sends = self._spent.setdefault((engine.id, engine.started), engine.slow_start_sends)
-        if version == self.version:  # what it no longer knows has left the list
+        if version == self.version:  # engines that it does not know have left the list
             known = {(engine.id, engine.started) for engine in gateway.engines.values()}
             self._spent = {key: spent for key, spent in self._spent.items() if key in known}
 
     def _initial_events(self, settings: api.Settings) -> list[api.Event]:
-        """What a new module of the settings is told before anything else, numbered as they do."""
+        """Return the first events of a new module, numbered by its settings."""
         listed = _entries_for(self._members.values(), settings)
         events: list[api.Event] = [api.EngineList(api.EngineListKind.FULL, self._list_version, listed)]
         return events + ([self._health_estimates] if self._health_estimates is not None else [])
 
     def versions_for(self, event: api.Event) -> tuple[int, ...]:
-        """The versions whose modules an event is for: a request's own to its module, else all."""
+        """Return the versions whose modules get an event: that of its request, or all."""
         if isinstance(event, REQUEST_EVENTS):
             return (self._owners.get(event.id, self.version),)
-        if isinstance(event, api.EngineList):  # its entries are numbered by the settings in force
+        if isinstance(event, api.EngineList):  # numbered by the settings in force
             if event.kind is not api.EngineListKind.FAILED:
                 named = (_member_for(entry, self.settings) for entry in event.entries)
                 self._store_list(event.kind, event.version, named)
@@ -181,13 +181,13 @@
     def engine_list_events(
         self, kind: api.EngineListKind, number: int, members: tuple[Member, ...]
     ) -> list[tuple[int, api.EngineList]]:
-        """Keep a watch update; by version, what its module is told of it, numbered by the module's own settings."""
+        """Store a watch update; return its event by version, numbered by the settings of each."""
         self._store_list(kind, number, members)
         held = [(self.version, self.settings), *((version, older[0]) for version, older in self._older.items())]
         return [(version, api.EngineList(kind, number, _entries_for(members, settings))) for version, settings in held]
 
     def _store_list(self, kind: api.EngineListKind, number: int, members: Iterable[Member]) -> None:
-        """Keep the list that a module made now would need."""
+        """Store the list for modules that are made later."""
         if kind is not api.EngineListKind.DELTA:
             self._members.clear()
         for member in members:
@@ -203,7 +203,7 @@
 
 
 def _entries_for(members: Iterable[Member], settings: api.Settings) -> tuple[api.EngineListEntry, ...]:
-    """Their entries as the settings number zones and kinds; those that they do not know are left out."""
+    """Return the members' entries numbered by the settings; without those whose zone or kind they do not name."""
     found = []
     for member in members:
         with contextlib.suppress(updates.UpdateError):
@@ -212,5 +212,5 @@
 
 
 def _member_for(entry: api.EngineListEntry, settings: api.Settings) -> Member:
-    """The member of an entry that the settings number."""
+    """Return the member of an entry that is numbered by the settings."""
     return Member("", "", 0, entry, settings.zones[entry.zone], settings.machine_kinds[entry.kind].name)
--- a/tealwing/gateway/request_handler.py
+++ b/tealwing/gateway/request_handler.py
@@ -1,4 +1,4 @@
-"""The life of one request, from its arrival to its one final answer."""
+"""The handler of one request, from its arrival to its final answer. It decides nothing: the module does."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from tealwing.resp.engine_pool import EnginePool
 from tealwing.resp.errors import AttemptWithdrawnError, ConnectError, ConnectionBrokenError
 
-WAKE_UP_TIME = 0.01  # s from a timer's firing to the answer's bytes
-RESERVED_TIME = TIMER_GRANULARITY + WAKE_UP_TIME  # s of a ttl: what is decided when it is over is still heard in time
-CANCEL_GAP = 0.005  # s from giving an attempt up to the next: of two connections the later may be faster
-DECISION_OVERDUE = 0.1  # s past the deadline at which the module's answer is missed
+WAKE_UP_TIME = 0.01  # s from a timer's firing until the answer is sent
+RESERVED_TIME = TIMER_GRANULARITY + WAKE_UP_TIME  # s of a ttl that are kept for the final answer
+CANCEL_GAP = 0.005  # s between a cancel and the next send: they leave on two connections, and the later may be faster
+DECISION_OVERDUE = 0.1  # s past the deadline after which a missing decision counts as an error
 DEFAULT_PRIORITY = 1
 PROGRESS_KINDS = {
     "frac": api.ProgressKind.PROGRESS,
@@ -33,7 +33,7 @@
 
 
 class Signal(Enum):
-    """What others put into a request's mailbox, beside actions and answers."""
+    """Items of a mailbox beside actions and answers."""
 
     CLIENT_CANCELLED = "the client gave the request up"
     SHUTDOWN = "the gateway ends"
@@ -57,21 +57,19 @@
         self._host_load, self._metrics, self._zones = host_load, metrics, zones
         self._class = settings.classes[query.cls].name
         self._mailbox: Mailbox = SimpleQueue()
-        # A late try of a client may have less than we need ourselves: the module hears that no time is left
+        # a client's late try may have less than the reserved time: the module then sees none remaining
         self._deadline = (query.received_at or time.monotonic()) + query.ttl - RESERVED_TIME
         self._id = decisions.register(query.request_id, self._mailbox, settings)
-        self._retry_until = inf  # monotonic: a keyed request is not sent again after it, whatever a send waits for
-        self._next_send_at = 0.0  # when the engine of an attempt given up knows of it
-        self._read_ahead: list[
-            object
-        ] = []  # taken out of the mailbox before their turn, to see whether an end is there
+        self._retry_until = inf  # monotonic; end of the idempotency window, however long a send waits
+        self._next_send_at = 0.0  # monotonic; when the engine of a cancelled attempt has been notified
+        self._read_ahead: list[object] = []  # taken out of the mailbox early, to see whether the request has ended
 
     def cancel(self) -> None:
-        """The client has given the request up."""
+        """Cancel the request for its client, from any thread."""
         self._mailbox.put(Signal.CLIENT_CANCELLED)
 
     def run(self) -> Reply:
-        """See the request through, and count how it ended."""
+        """Run the request to its reply, and count how it ended."""
         reply = self._handle()
         if self._metrics is not None:
             figure = counted.OK if isinstance(reply, Served) else counted.SHED
@@ -81,8 +79,8 @@
         return reply
 
     def _handle(self) -> Reply:
-        """Submit the request, then do what the module says until its final answer."""
-        attempt: Attempt | None = None  # the one that is out
+        """Submit the request, then execute the module's actions until the final answer."""
+        attempt: Attempt | None = None  # in flight
         attempt_count, priority = 0, DEFAULT_PRIORITY
         self._decisions.submit(self._to_request())
         try:
@@ -100,14 +98,14 @@
                         if self._host_load is not None and not attempt.number:
                             self._host_load.record_dispatch_delay(time.monotonic() - self._query.received_at)
                         if failure is not None:
-                            # of a request given up meanwhile no other attempt may be chosen, and count as sent
+                            # a request cancelled meanwhile must not get another attempt
                             request_ended = any(isinstance(item, Signal) for item in self._read_ahead)
                             self._report_outcome(attempt, failure, request_ended=request_ended)
                             attempt = None
 
                     case Answer() as answer:
                         if attempt is None or answer.stream is not attempt.stream:
-                            continue  # late: that attempt has its outcome
+                            continue  # late: the outcome of that attempt is reported already
                         result = self._on_answer(attempt, answer)
                         if result is None:
                             continue  # not over yet
@@ -128,13 +126,13 @@
                             self._report_outcome(attempt, api.AttemptResult.CANCELLED)
                             attempt = None
 
-                    case None:  # the attempt's time is over
+                    case None:  # the attempt timed out
                         if attempt is None:
                             log.check_invariant(False, "the module answers by the deadline")
                             self._decisions.submit(api.ClientGone(self._id))
                             return Failed()
                         self._cancel_attempt(attempt)
-                        lost = attempt.pages  # it was done in time, and its pages are lost
+                        lost = attempt.pages  # answered in time, but its pages were lost
                         self._report_outcome(attempt, api.AttemptResult.ERROR if lost else api.AttemptResult.TIMEOUT)
                         attempt = None
 
@@ -145,7 +143,7 @@
                         return Failed()
 
                     case Signal() as signal:
-                        self._decisions.submit(api.ClientGone(self._id))  # what is out ends below
+                        self._decisions.submit(api.ClientGone(self._id))  # an attempt in flight is ended below
                         return Cancelled() if signal is Signal.CLIENT_CANCELLED else Failed()
         finally:
             if attempt is not None:
@@ -154,7 +152,7 @@
             self._close(attempt_count)
 
     def _close(self, sends: int) -> None:
-        """Forget the request. A send still in the mailbox, which the end overtook, was never sent."""
+        """Unregister the request; a `Send` that is still in the mailbox is reported as not sent."""
         for left in self._read_ahead + self._decisions.unregister(self._id, self._query.request_id):
             if isinstance(left, api.Send):
                 self._report_outcome(
@@ -176,7 +174,7 @@
         )
 
     def _next_item(self, attempt: Attempt | None) -> object:
-        """The next thing in the mailbox; None when the attempt's time, or the request's, has passed."""
+        """Return the next item of the mailbox; None when the attempt or the request has timed out."""
         if self._read_ahead:
             return self._read_ahead.pop(0)
         due = attempt.wait_until if attempt is not None else self._deadline + DECISION_OVERDUE
@@ -190,7 +188,7 @@
         self._next_send_at = time.monotonic() + CANCEL_GAP
 
     def _is_withdrawn(self, attempt: Attempt) -> bool:
-        """Whether the request, or this attempt of it, has been given up by what is in the mailbox."""
+        """Return whether an item of the mailbox ends the request or cancels this attempt."""
         while not self._mailbox.empty():  # only this thread takes from it
             self._read_ahead.append(self._mailbox.get())
         return bool(self._read_ahead) and any(
@@ -200,12 +198,12 @@
         )
 
     def _send(self, attempt: Attempt, priority: int) -> api.AttemptResult | None:
-        """Hand the request to the engine; how that failed, or None."""
+        """Send the attempt to its engine; return how that failed, or None."""
         if (self._read_ahead or not self._mailbox.empty()) and self._is_withdrawn(
             attempt
         ):  # no connect for it, which may last
             return api.AttemptResult.NOT_SENT
-        if (gap := self._next_send_at - time.monotonic()) > 0:  # a sleep of 0 gives the interpreter away
+        if (gap := self._next_send_at - time.monotonic()) > 0:  # sleep(0) would yield the interpreter
             time.sleep(gap)
         left = min(attempt.wait_until, self._deadline) - time.monotonic()
         if left <= 0:
@@ -230,7 +228,7 @@
         return None
 
     def _send_fields(self, attempt: Attempt, priority: int) -> bytes:
-        """The fields of a send whose bytes go out next; Withdrawn where they must not.
+        """Return the fields of a send that is written next. Raises AttemptWithdrawnError if it must not be.
 
         The wait before it, for a connect or for the bytes of others, may have been long: the last check is here.
         """
@@ -242,7 +240,7 @@
         if (self._read_ahead or not self._mailbox.empty()) and self._is_withdrawn(attempt):
             raise AttemptWithdrawnError("it was given up before it was sent")
         query = self._query
-        if query.has_left():  # its event may not have been taken yet
+        if query.has_left():  # the event may not have been handled yet
             self._read_ahead.insert(0, Signal.CLIENT_CANCELLED)
             raise AttemptWithdrawnError("its client left before it was sent")
         fields = b"lane=%b,ttl=%d" % (self._settings.classes[query.cls].name.encode(), ceil(left * 1e3))
@@ -253,7 +251,7 @@
         return fields
 
     def _on_answer(self, attempt: Attempt, answer: Answer) -> api.AttemptResult | None:
-        """What an answer of the engine makes of the attempt; None while it goes on."""
+        """Apply an engine's answer to the attempt; return its result, or None while it goes on."""
         try:
             attempt.report = messages.report(answer.fields, self._settings.report_fields) or attempt.report
             if answer.status == b"503" and not attempt.pages:
@@ -262,10 +260,10 @@
                 return self._finish_stream(attempt, api.AttemptResult.NOT_SENT)
             if answer.status == b"500":
                 if attempt.pages:
-                    self._cancel_attempt(attempt)  # its other pages must not reach a later attempt
+                    self._cancel_attempt(attempt)  # its further pages must not reach a later attempt
                 return self._finish_stream(attempt, api.AttemptResult.ERROR)
             if answer.status == b"200" and attempt.pages:
-                return None  # a second copy
+                return None  # a duplicate
             if answer.status == b"200":
                 sheets = messages.count(answer.fields.get("sheets", "1"), MAX_PAGES)
                 attempt.pages, attempt.requested_pages = [None] * max(sheets, 1), 1
@@ -273,7 +271,7 @@
                 attempt.fetch_pages(answer.stream)
             elif answer.status == b"chunk" and attempt.pages:
                 sheet = messages.count(answer.fields.get("sheet"), len(attempt.pages) - 1)
-                if attempt.pages[sheet] is None:  # else a second copy
+                if attempt.pages[sheet] is None:  # else a duplicate
                     attempt.store_page(sheet, checked_page(answer.body))
                     attempt.fetch_pages(answer.stream)
             else:
@@ -294,7 +292,7 @@
         return result
 
     def _on_stream_item(self, attempt: Attempt, item: Answer | StreamLost) -> None:
-        """On the connection's reader thread. Notes go straight on: they are many, and wake nobody else."""
+        """Handle an item on the reader thread. Progress, which is frequent, goes to the module directly."""
         if isinstance(item, StreamLost) or item.status != b"status":
             self._mailbox.put(item)
         elif (kind := PROGRESS_KINDS.get(item.fields.get("why", ""))) is not None:
@@ -305,7 +303,7 @@
         cls = self._settings.classes[self._query.cls]
         if cls.idempotency is api.Idempotency.KEYED and result not in api.NEVER_RAN:
             self._retry_until = min(self._retry_until, attempt.sent_at + cls.idempotency_window)
-        attempt.stream = None  # it leads back here: a circle would keep the pages until a collection
+        attempt.stream = None  # a reference cycle would keep the pages until a garbage collection
         elapsed = time.monotonic() - attempt.sent_at
         self._decisions.submit(
             api.AttemptOutcome(
--- a/tealwing/lab/rig/runs.py
+++ b/tealwing/lab/rig/runs.py
@@ -58,16 +58,18 @@
 ) -> TrialResult:
     """Run the trial; out is a folder for history, logs and report (none is kept if None).
 
-    moment: the sabotage whose moment of harm is forced, also on a program that is whole; that of the sabotage itself
-    is forced in any case.
+    injection_point: the sabotage whose injection point is forced, also on an unchanged program; that of `sabotage`
+    itself is forced in any case.
 
     lost_touch: what gateways of the load `rules` do when they are cut off. sites: of a federation; 0: none.
     learners: how many of the processes follow the log without a vote.
     """
     _check(scenario, procs, sites, sabotage)
     if learners and (sites or scenario.workload == "echo" or procs - learners < 3):
-        raise ValueError(f"--learners: {learners}; allowed: as many as leave three that vote, with a load that has a"
-                         " replicated log and without --sites")  # fmt: skip
+        raise ValueError(
+            f"--learners: {learners}; allowed: as many as leave three that vote, with a load that has a"
+            " replicated log and without --sites"
+        )
     begun = time.monotonic()
     load = LOADS[scenario.workload]()
     if isinstance(load, LeaseLoad):
@@ -86,8 +88,11 @@
         violations = [violation for checker in load.checkers for violation in checker(events, end)]
         violations += [Violation("log", end, what) for what in trial.fault_lines()]
         violations += [Violation("rig", end, what) for what in trial.problems]
-        violations += [Violation("settled", e["t"], "the processes were never in touch again after all was healed")
-                       for e in events if e["kind"] == "never-settled"]  # fmt: skip
+        violations += [
+            Violation("settled", e["t"], "the processes were never in touch again after all was healed")
+            for e in events
+            if e["kind"] == "never-settled"
+        ]
         violations.sort(key=lambda violation: violation.at)
         summary: dict[str, Any] = {
             "scenario": scenario.title,
--- a/tealwing/lab/rig/trial.py
+++ b/tealwing/lab/rig/trial.py
@@ -49,7 +49,7 @@
     ) -> None:
         """Without a folder it has one of its own, which goes with it.
 
-        moment: played under load before the scenario and its seconds begin, while only plain changes are made.
+        injection_point: played under load before the scenario and its seconds begin, while only plain changes are made.
         """
         self.injection_point = injection_point
         self._load: Any = None  # under way
--- a/tealwing/log.py
+++ b/tealwing/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event on standard output, and the checks of what must hold.
+"""The log: one JSON line an event on standard output, and checks of invariants.
 
 The standard library's logging carries the events, so whoever embeds the gateway can send them elsewhere: they are
 records of the logger "tealwing", the event's name as the message and its fields as `fields`. structlog was weighed:
@@ -21,11 +21,11 @@
 _violations: Counter[str] = Counter()
 
 
-MAX_LINE_BYTES = select.PIPE_BUF  # bytes of a line: a pipe that takes anything takes so many at once
+MAX_LINE_BYTES = select.PIPE_BUF  # of a line: what a ready pipe takes in one write
 
 
 class JsonLineHandler(logging.Handler):
-    """Writes each record as one line of JSON; the handler's lock keeps lines of two threads apart.
+    """Writes each record as one line of JSON, under the handler's lock.
 
     It never waits: a line that standard output does not take now, or that is longer than a pipe takes at once, is left
     out or cut, and the next one that is taken tells how many were. Requests must not wait for the log's reader.
@@ -56,12 +56,12 @@
             sys.stdout.buffer.write(line + b"\n")
             sys.stdout.buffer.flush()
             self._left_out = 0
-        except (OSError, ValueError):  # a log that can't be written must not end the gateway
+        except (OSError, ValueError):  # a failing log must not end the gateway
             self._left_out += 1
 
 
 def _is_writable() -> bool:
-    """Whether standard output takes a line now; True where that can't be asked."""
+    """Return whether standard output is writable now; True if that is unknown."""
     with contextlib.suppress(OSError, ValueError):
         ready = select.poll()
         ready.register(sys.stdout.fileno(), select.POLLOUT)
@@ -77,14 +77,14 @@
 
 def event(name: str, /, **fields: Any) -> None:
     """Write one event; fields are plain values."""
-    # made by hand: finding the caller, as the logger's own methods do, is half of an event's cost
+    # made directly: finding the caller, as the logger's methods do, is half of an event's cost
     record = logging.LogRecord(logger.name, logging.INFO, "", 0, name, None, None)
     record.fields = fields
     logger.handle(record)
 
 
 def check_invariant(holds: bool, what: str) -> None:
-    """Assert in debug builds; under -O count, and log the count."""
+    """Check an invariant: assert in debug builds; under -O count violations, and log the count."""
     if holds:
         return
     if __debug__:
--- a/tealwing/record.py
+++ b/tealwing/record.py
@@ -1,4 +1,4 @@
-"""The base of all that is sent and stored among gateways, and what comes of a command to the state they share; pure."""
+"""The base of records that gateways send and store, and the result of a command to their replicated state; pure."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """A record by places: short, and an unknown field is a fault."""
+    """A record encoded as an array; unknown fields are errors."""
 
 
 class CommandResult(Record, frozen=True):
-    """What came of a command: the index at which it was applied, or why the state refused it."""
+    """The result of a command: the index at which it was applied, or why the state rejected it."""
 
     ok: bool
     index: UnsignedInt63
--- a/tealwing/resp/connection.py
+++ b/tealwing/resp/connection.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One message of the engine for an attempt."""
+    """One message of an engine for an attempt."""
 
     stream: Stream
     status: bytes
@@ -35,13 +35,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamLost:
-    """The connection ended under an attempt."""
+    """The connection ended while an attempt was in flight on it."""
 
     stream: Stream
 
 
 Sink = Callable[[Answer | StreamLost], None]
-SendFields = Callable[[], bytes]  # an attempt's fields, made when its bytes go out next; Withdrawn where they must not
+SendFields = Callable[
+    [], bytes
+]  # returns an attempt's fields right before it is written; may raise AttemptWithdrawnError
 
 
 @dataclass(eq=False, slots=True)
@@ -53,27 +55,27 @@
     sink: Sink = field(repr=False)
 
     def reprioritize(self, priority: int) -> None:
-        """Tell the new priority."""
+        """Send a new priority."""
         self.connection.send_messages(b"hurry", self.request_id, b"%d" % priority)
 
     def fetch_pages(self, pages: range) -> None:
-        """Ask for pages of the result, all at once."""
+        """Request pages of the result, in one write."""
         self.connection.send_messages(*(part for n in pages for part in (b"turn", self.request_id, b"%d" % n)), size=3)
 
     def close_result(self) -> None:
-        """Want no more pages; those that still come are dropped."""
+        """Request no more pages; those that still arrive are dropped."""
         self.connection.cancel(self, b"shut")
 
     def cancel(self) -> None:
-        """Give the attempt up; what still comes for it is dropped."""
+        """Cancel the attempt; what still arrives for it is dropped."""
         self.connection.cancel(self, b"never_mind")
 
     def finish(self) -> None:
-        """The engine has said its last word."""
+        """Release the stream after the engine's last message."""
         self.connection.detach(self)
 
     def fail_connection(self) -> None:
-        """An answer can't be used: nothing more on its connection is to be trusted."""
+        """End the connection after an invalid answer: nothing more on it can be trusted."""
         self.connection.close(self)
 
 
@@ -86,40 +88,40 @@
 
     def __init__(self, sock: socket.socket, closed: Callable[[Connection], None]) -> None:
         self._sock, self._closed = sock, closed
-        self._writing = threading.Lock()  # one message at a time; taken before the other where both are
-        self._lock = threading.Lock()  # of all that follows; nothing waits for the socket under it
-        self._reserved_ids: set[bytes] = set()  # ids of attempts that are to be written here
+        self._writing = threading.Lock()  # one message at a time; taken before the other lock
+        self._lock = threading.Lock()  # guards all below; never held while the socket is waited for
+        self._reserved_ids: set[bytes] = set()  # ids of attempts that are to be written
         self._streams: dict[bytes, Stream] = {}
-        self._spent_ids: dict[bytes, None] = {}  # in turn; a table, as every send looks here
-        self._alive = True  # until nobody reads it any more
-        self._leaving = False  # no attempt takes a place any more; it closes with the last that has one
+        self._spent_ids: dict[bytes, None] = {}  # in order; a dict, as every send looks an id up
+        self._alive = True  # until it is read no more
+        self._leaving = False  # takes no further attempt, and closes with the last one
         self.idle_since = time.monotonic()
         self._parser = messages.Parser()
-        self._begun = 0.0  # when the message that waits for its rest cannot have begun yet
-        self._look = select.poll()  # of its own: used under the lock of writes only
+        self._begun = 0.0  # monotonic; a time before the incomplete message began
+        self._look = select.poll()  # used under the write lock only
         self._look.register(sock, select.POLLIN | select.POLLRDHUP)
 
     def fileno(self) -> int:
-        """The descriptor."""
+        """The file descriptor."""
         return self._sock.fileno()
 
     @property
     def is_alive(self) -> bool:
-        """Whether it is still read."""
+        """Whether the connection is still read."""
         return self._alive
 
     @property
     def stream_count(self) -> int:
-        """Attempts out here."""
+        """Number of attempts in flight."""
         return len(self._streams)
 
     @property
     def reserved_count(self) -> int:
-        """Attempts that are to be written here."""
+        """Number of attempts that are to be written."""
         return len(self._reserved_ids)
 
     def reserve(self, request_id: bytes, max_streams: int, patience: float) -> bool:
-        """Take a place for an attempt of this id; False where it may not go here.
+        """Reserve a place for an attempt of this id; return False if it may not use this connection.
 
         A connection that was idle for longer than patience closes: the engine is about to, and no send must cross that.
         """
@@ -130,7 +132,7 @@
             if not taken and time.monotonic() > self.idle_since + patience:
                 self._shut_down()
                 return False
-            # an answer to an earlier attempt of the id must not be its own
+            # an answer to an earlier attempt of that id must not be taken for its own
             if (
                 taken >= max_streams
                 or request_id in self._reserved_ids
@@ -142,13 +144,13 @@
             return True
 
     def release(self, request_id: bytes) -> None:
-        """Give back a place of which no byte was written: the engine, and its idle clock, know nothing of it."""
+        """Release a place of which no byte was written, which leaves the idle time as it is."""
         with self._lock:
             self._reserved_ids.discard(request_id)
             self._close_if_leaving()
 
     def submit(self, stream: Stream, head: SendFields, body: bytes) -> None:
-        """Send the attempt; ConnectFailed or Withdrawn where it never came whole to the engine, else Broken.
+        """Send the attempt. Raises ConnectError or AttemptWithdrawnError if nothing ran, else ConnectionBrokenError.
 
         Either it hears one of these and nothing more, or its sink does what comes, to one end.
         """
@@ -164,14 +166,14 @@
                 try:
                     self._write(data, head)
                 except (ConnectError, ConnectionBrokenError, AttemptWithdrawnError):
-                    self.detach(stream)  # before `ended` may look: it hears of its end once
+                    self.detach(stream)  # before `ended` may run: the end is reported once
                     raise
         except BaseException:
             self.release(stream.request_id)
             raise
 
     def send_messages(self, *parts: bytes, size: int = 0) -> None:
-        """Send messages that get no answer, of size parts each; a failure ends the connection, no more."""
+        """Send messages that get no answer, of `size` parts each; a failure only ends the connection."""
         size = size or len(parts)
         data = b"".join(messages.encode(*parts[at : at + size]) for at in range(0, len(parts), size))
         try:
@@ -182,14 +184,14 @@
             log.event("engine_write_failed", word=parts[0].decode())
 
     def detach(self, stream: Stream) -> None:
-        """Hand nothing more to the stream, and give its place back."""
+        """Detach the stream and release its place."""
         with self._lock:
             self._release_stream(stream)
             if self._leaving:
                 self._close_if_leaving()
 
     def cancel(self, stream: Stream, message: bytes) -> None:
-        """Hand nothing more to the stream, and tell the engine; a connection that leaves closes after that."""
+        """Detach the stream and notify the engine; a leaving connection closes after that."""
         with self._lock:
             self._release_stream(stream)
         self.send_messages(message, stream.request_id)
@@ -198,26 +200,26 @@
                 self._close_if_leaving()
 
     def retire(self) -> None:
-        """End the connection once no attempt has a place: its engine has gone, and may never close it."""
+        """Close once no attempt has a place: the engine has gone, and may never close it."""
         with self._lock:
             self._leaving = True
             self._close_if_leaving()
 
     def close_unused(self) -> None:
-        """End the connection if no attempt has a place."""
+        """Close if no attempt has a place."""
         with self._lock:
             if not self._reserved_ids and not self._streams:
                 self._shut_down()
 
     def close(self, spoilt: Stream | None = None) -> None:
-        """End the connection, whatever is out on it; its reader then ends too. The stream spoilt hears nothing more."""
+        """Close, whatever is in flight; the reader ends too. The stream `spoilt` is not notified."""
         with self._lock:
             if spoilt is not None:
                 self._release_stream(spoilt)
             self._shut_down()
 
     def discard(self) -> None:
-        """End a connection that nobody reads: nothing else will close its descriptor."""
+        """Close a connection that is not read: nothing else closes its descriptor."""
         with self._lock:
             self._alive = False
             self._shut_down()
@@ -225,7 +227,7 @@
             self._sock.close()
 
     def _release_stream(self, stream: Stream) -> None:
-        """Under the lock: the stream's attempt, which was sent, is over."""
+        """Release the place of a sent attempt. Call under the lock."""
         if self._streams.get(stream.request_id) is stream:
             del self._streams[stream.request_id]
             self.idle_since = time.monotonic()
@@ -234,18 +236,18 @@
                 del self._spent_ids[next(iter(self._spent_ids))]
 
     def _close_if_leaving(self) -> None:
-        """Under the lock: close what is to leave and is used no more."""
+        """Close a leaving connection without attempts. Call under the lock."""
         if self._leaving and not self._reserved_ids and not self._streams:
             self._shut_down()
 
     def _shut_down(self) -> None:
-        """Under the lock, as a descriptor that is closed meanwhile may be another's; this waits for nothing."""
+        """Shut the socket down; never blocks. Call under the lock: a closed descriptor may be reused."""
         self._leaving = True
         with contextlib.suppress(OSError):  # it may have ended by itself
             self._sock.shutdown(socket.SHUT_RDWR)
 
     def _is_ended_by_engine(self) -> bool:
-        """Whether the engine has ended it, though the reader may not know yet: what is written now would be lost.
+        """Return whether the engine has ended the connection, perhaps unnoticed by the reader: a write would be lost.
 
         Also behind answers that are unread. Where that can't be told, an end that has nothing before it is seen.
         """
@@ -264,23 +266,23 @@
                 over = True
         if over:
             with self._lock:
-                self._leaving = True  # the reader ends it in its turn, after what it still holds
+                self._leaving = True  # the reader ends it after what is still buffered
         return over
 
     def _write(self, data: bytes, head: SendFields | None = None) -> None:
-        """Under the lock of writes. What fails ends it all: half a message may have left.
+        """Write under the write lock. A failure ends the connection: half a message may have left.
 
         head is asked again while the engine takes nothing: it raises Withdrawn where the attempt is wanted no more.
         """
         sent, until = 0, inf
         try:
             while sent < len(data):
-                with contextlib.suppress(BlockingIOError):  # nothing was taken for WRITE_LOOK
+                with contextlib.suppress(BlockingIOError):  # the engine took nothing for WRITE_LOOK
                     sent += self._sock.send(data[sent:])
                 if sent == len(data):
                     return
                 until = min(until, time.monotonic() + WRITE_TIMEOUT)
-                if time.monotonic() > until:  # an engine that takes a little now and then
+                if time.monotonic() > until:  # the engine takes a little now and then
                     raise TimeoutError("the engine takes too little")
                 if head is not None and sent < len(data) - LAST_END:
                     head()
@@ -294,10 +296,10 @@
             raise ConnectionBrokenError(str(error)) from None
 
     def read(self, buffer: memoryview) -> float | None:
-        """Hand on what has come; until when the rest of a message that has begun must come."""
+        """Dispatch what has arrived; return the monotonic time by which the rest of a message must arrive."""
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
-        except BlockingIOError:  # there was nothing after all
+        except BlockingIOError:  # a spurious wake-up
             return self._begun + MESSAGE_TIMEOUT if self._parser.begun else None
         if not size:
             raise EOFError
@@ -314,14 +316,14 @@
         return self._begun + MESSAGE_TIMEOUT
 
     def ended(self, why: Exception | None) -> None:
-        """Nothing more is read: its attempts hear that it is lost."""
+        """Close after the last read, and notify the attempts in flight."""
         if not isinstance(why, EOFError):  # malformed input ends this connection only
             log.event("engine_connection_failed", error=str(why))
         with self._lock:
             self._alive = False
-            self._shut_down()  # a writer that waits for the engine to take something waits no more
+            self._shut_down()  # wakes a writer that waits for the engine
         self._closed(self)
-        with self._writing, self._lock:  # whoever was writing has got through, or has heard that it failed
+        with self._writing, self._lock:  # a writer has finished or failed by now
             left = list(self._streams.values())
             self._streams.clear()
             self._sock.close()
@@ -334,5 +336,5 @@
         call, status, fields, body = parts
         with self._lock:
             stream = self._streams.get(call)
-        if stream is not None:  # else it was given up: a late answer
+        if stream is not None:  # else it was cancelled: a late answer
             stream.sink(Answer(stream, status, messages.fields(fields), body))
--- a/tealwing/resp/engine.py
+++ b/tealwing/resp/engine.py
@@ -19,7 +19,7 @@
 
 
 class Engine:
-    """One process of one engine, at one address. A later process gets an Engine of its own."""
+    """One process of one engine, at one address. A later process gets another Engine."""
 
     def __init__(
         self,
@@ -36,16 +36,16 @@
         self._changed = threading.Condition()
         self._open: list[Connection] = []
         self._opening = False
-        self._failures = 0  # connects that failed so far
+        self._failures = 0  # number of failed connects
         self._retired = self._draining = False
 
     def send(self, request_id: bytes, head: SendFields, body: bytes, sink: Sink, limit: float) -> Stream:
-        """Send one attempt; blocks for a connect's time at most. head is asked right before the bytes go out."""
+        """Send one attempt; blocks for a connect at most. `head` is called right before the bytes are written."""
         until = time.monotonic() + min(limit, self._connect_limit)
 
         def checked() -> bytes:
             fields = head()
-            if self._retired or self._draining:  # again: connects and writes were waited for
+            if self._retired or self._draining:  # checked again after waiting for a connect or write
                 self._check()
             return fields
 
@@ -55,39 +55,39 @@
             try:
                 connection.submit(stream, checked, body)
                 return stream
-            except ConnectionEndedError:  # while it was idle, mostly: no reason to lose an attempt
-                if fresh:  # an engine that takes connections and ends them is not asked again and again
+            except ConnectionEndedError:  # mostly while it was idle: try another
+                if fresh:  # an engine that accepts and closes is not retried forever
                     raise
 
     def set_draining(self, draining: bool) -> None:
-        """Whether the list has it draining: what is out runs on, and nothing more is sent.
+        """Set whether the engine is draining: attempts in flight go on, and no more are sent.
 
         The rules' grace is not used up. It counts from when the coordinator was told, which may be seconds before we
         hear of it, and an engine that drains may turn away what still comes.
         """
         with self._changed:
             self._draining = draining
-            self._changed.notify_all()  # who waits for a connection may go elsewhere
+            self._changed.notify_all()  # waiters may use another engine
 
     def set_limits(self, streams: int, connect_limit: float, idle_limit: float) -> None:
-        """Keep these limits from now on; what is out on a connection already stays there."""
+        """Set the limits; attempts in flight stay where they are."""
         with self._changed:
             self._streams, self._connect_limit, self._idle_limit = streams, connect_limit, idle_limit
 
     def close_idle(self) -> None:
-        """Close what no attempt uses."""
+        """Close unused connections."""
         with self._changed:
             all_open = list(self._open)
         for connection in all_open:
             connection.close_unused()
 
     def idle_connections(self) -> list[Connection]:
-        """The connections that no attempt uses."""
+        """Return the unused connections."""
         with self._changed:
             return [one for one in self._open if not one.stream_count and not one.reserved_count]
 
     def retire(self) -> None:
-        """Send nothing more; attempts that are out run to their end."""
+        """Send nothing more; attempts in flight run to their end."""
         with self._changed:
             self._retired = True
             left = list(self._open)
@@ -96,14 +96,14 @@
             connection.retire()
 
     def _check(self) -> None:
-        """ConnectFailed where the newest list allows no send."""
+        """Raise ConnectError if the newest list allows no send."""
         if self._retired:
             raise ConnectError("the engine is gone")
         if self._draining:
             raise ConnectError("the engine drains")
 
     def _reserve(self, request_id: bytes, until: float) -> tuple[Connection, bool]:
-        """A place on a connection, and whether that was opened for it.
+        """Return a connection with a reserved place, and whether it was opened for that.
 
         One thread opens a new one; the others wait for it and share its fate.
         """
@@ -132,7 +132,10 @@
             opened.reserve(request_id, self._streams, inf)
             try:
                 self._watch(opened)
-            except (threads.ThreadUnavailableError, OSError) as error:  # nothing was sent: the module may try elsewhere
+            except (
+                threads.ThreadUnavailableError,
+                OSError,
+            ) as error:  # nothing was sent: the module may choose another engine
                 opened.discard()
                 opened = None
                 raise ConnectError(f"nobody reads the connection: {error}") from None
@@ -142,7 +145,7 @@
                 self._opening = False
                 if opened is None:
                     self._failures += 1
-                elif opened.is_alive:  # else `_drop` was here before, and would leave it in the table for good
+                elif opened.is_alive:  # else `_drop` has run already, and it would stay in the table forever
                     self._open.append(opened)
                     if self._retired:
                         opened.retire()
@@ -158,7 +161,7 @@
         except OSError as error:
             raise ConnectError(str(error)) from None
         try:
-            prepare(sock, WRITE_LOOK)  # blocking from here on; the kernel keeps the limit on writes
+            prepare(sock, WRITE_LOOK)  # blocking from here on; the kernel enforces the write timeout
             return Connection(sock, self._drop)
         except OSError as error:
             sock.close()
--- a/tealwing/resp/engine_pool.py
+++ b/tealwing/resp/engine_pool.py
@@ -1,4 +1,4 @@
-"""All engines that the coordinator named, by the module's numbers."""
+"""The pool of engines that the coordinator listed, by the module's numbers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EnginePool:
-    """The engines at their present addresses; an address or a process that changed gets new connections."""
+    """The engines at their current addresses; a changed address or process gets new connections."""
 
     def __init__(self, limits: interface.Limits, max_connections: int = UNBOUNDED) -> None:
         """Bound the connections at once, to all engines together."""
@@ -25,11 +25,11 @@
         self._reader = ConnectionReader()
 
     def start(self) -> None:
-        """Have the thread that reads all connections before there is a request that needs it."""
+        """Start the thread that reads all connections, before the first request."""
         self._reader.start()
 
     def set_limits(self, limits: interface.Limits) -> None:
-        """Keep these limits with all engines from now on: those of the settings in force, as they tell of engines."""
+        """Set the limits of all engines, from the settings in force."""
         with self._lock:
             self._limits = limits
             engines = [engine for _, engine in self._engines.values()]
@@ -37,13 +37,13 @@
             engine.set_limits(limits.attempts_per_connection, limits.connect_timeout, limits.idle_timeout)
 
     def update(self, members: tuple[Member, ...], complete: bool) -> None:
-        """Take in a watch update. Once this returns, nothing more is sent to what drains or has gone."""
+        """Apply a watch update. Once this returns, nothing more is sent to draining or removed engines."""
         retired: list[Engine] = []
         with self._lock:
             named = {member.entry.engine for member in members}
             gone = [number for number in self._engines if complete and number not in named]
             retired += [self._engines.pop(number)[1] for number in gone]
-            for member in members:  # in turn: a removal may stand before a start of the same engine
+            for member in members:  # in order: a removal may precede a start of the same engine
                 number, health = member.entry.engine, member.entry.health
                 before = self._engines.get(number)
                 alone = before is None or before[0].name == member.name
@@ -75,7 +75,7 @@
             found[1].close_idle()
 
     def _close_least_recently_used(self) -> None:
-        """Have the connection end that no attempt has used for longest: another engine needs its descriptor."""
+        """Close the least recently used idle connection: another engine needs its descriptor."""
         with self._lock:
             engines = [engine for _, engine in self._engines.values()]
         idle = [connection for engine in engines for connection in engine.idle_connections()]
--- a/tealwing/resp/messages.py
+++ b/tealwing/resp/messages.py
@@ -6,16 +6,16 @@
 from collections.abc import Mapping
 
 MAX_PARTS = 8  # strings in an array
-MAX_PART_BYTES = 16 * 1024  # bytes of one string that comes in: a page holds at most 6,000
+MAX_PART_BYTES = 16 * 1024  # of one received string: a page has at most 6,000
 MAX_LENGTH_DIGITS = 16  # bytes of a length line
 
 
 class RespError(ValueError):
-    """Bytes that are no message."""
+    """Malformed bytes; the connection they came from must end."""
 
 
 def encode(*parts: bytes) -> bytes:
-    """One array of bulk strings."""
+    """Return one array of bulk strings."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
@@ -25,17 +25,17 @@
     def __init__(self) -> None:
         self._data = bytearray()
         self._at = 0
-        self._expected_parts = 0  # strings still missing of the array begun
+        self._expected_parts = 0  # missing strings of the incomplete array
         self._parts: list[bytes] = []
-        self.fault: RespError | None = None  # of what follows the arrays that `feed` gave last
+        self.fault: RespError | None = None  # of the bytes behind the arrays that `feed` returned last
 
     @property
     def begun(self) -> bool:
-        """Whether a part of a message has come."""
+        """Whether a message is incomplete."""
         return bool(self._data or self._expected_parts)
 
     def feed(self, data: bytes | memoryview) -> list[list[bytes]]:
-        """The whole arrays, now that data has come; a fault behind some of them must not hide them."""
+        """Return the complete arrays after more data; an error behind them is kept in `fault`."""
         if self.fault is not None:
             raise self.fault
         self._data += data
@@ -77,7 +77,7 @@
         return self._parts
 
     def _length(self, mark: bytes) -> int | None:
-        """The number on a line that begins with the mark; None while the line is not whole."""
+        """Return the number on a line that begins with the mark; None while the line is incomplete."""
         end = self._data.find(b"\r\n", self._at, self._at + MAX_LENGTH_DIGITS)
         head = self._data[self._at : self._at + 1]
         if head and head != mark:
@@ -94,7 +94,7 @@
 
 
 def fields(data: bytes) -> dict[str, str]:
-    """FIELDS as a table; `-` is none."""
+    """Return FIELDS as a dict; `-` is empty."""
     if data in (b"-", b""):
         return {}
     found = {}
@@ -107,7 +107,7 @@
 
 
 def report(found: Mapping[str, str], names: tuple[str, ...]) -> tuple[float, ...]:
-    """The load report among an answer's fields, in the settings' order; empty without one, NaN if absent."""
+    """Return the load report among an answer's fields, in the settings' order; empty if absent, NaN for a gap."""
     if not found.get("rep"):
         return ()
     values = dict(part.partition(":")[::2] for part in found["rep"].split(";"))
@@ -115,7 +115,7 @@
 
 
 def number(text: str, other: float) -> float:
-    """A number, or the other where the text is none."""
+    """Return the text as a number, or `other` if it is none."""
     try:
         value = float(text)
     except ValueError:
@@ -124,7 +124,7 @@
 
 
 def count(text: str | None, max_value: int) -> int:
-    """A whole number from 0 to most."""
+    """Return the text as an integer from 0 to max_value. Raises RespError."""
     if text is None or not (text.isascii() and text.isdigit()) or len(text) > 9 or int(text) > max_value:
         raise RespError(f"not a number up to {max_value}: {text!r}")
     return int(text)
--- a/tealwing/resp/quota.py
+++ b/tealwing/resp/quota.py
@@ -1,4 +1,4 @@
-"""The descriptors that connections to engines may hold, over all engines: see `tealwing.descriptors`."""
+"""Quota of descriptors for connections to all engines together; see `tealwing.descriptors`."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 import time
 from collections.abc import Callable
 
-UNBOUNDED = 1 << 16  # where no budget is told: more than a process has local ports
+UNBOUNDED = 1 << 16  # without a budget: more than a process has local ports
 
 
 class ConnectionQuota:
-    """Places for connections; each is taken before the connect and given back once the connection is at its end."""
+    """Places for connections; acquired before the connect and released after the close."""
 
     def __init__(self, max_connections: int = UNBOUNDED, reclaim: Callable[[], object] = lambda: None) -> None:
         """Set the bound; `reclaim`, called under no lock, closes a connection that is not in use, if there is one."""
@@ -20,11 +20,11 @@
 
     @property
     def in_use(self) -> int:
-        """Places that are taken."""
+        """Number of acquired places."""
         return self._taken
 
     def acquire(self, until: float) -> bool:
-        """Take a place, waiting for one until that monotonic time at most; whether there was one."""
+        """Acquire a place, waiting until that monotonic time at most; return whether there was one."""
         if self._try_acquire():
             return True
         self._reclaim()
@@ -35,7 +35,7 @@
             return True
 
     def release(self) -> None:
-        """Give a place back."""
+        """Release a place."""
         with self._changed:
             self._taken -= 1
             self._changed.notify()
