--- a/tealwing/replica/messages.py
+++ b/tealwing/replica/messages.py
@@ -1,4 +1,4 @@
-"""What the members of a replicated log say to one another, and its entries; pure."""
+"""Raft messages, log entries and their encoding; no I/O."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from tealwing.record import Record as Record
 from tealwing.record import UnsignedInt63 as UnsignedInt63
 
-CHANNEL = 2  # of the peer link
-SNAPSHOT_CHUNK_BYTES = 256 * 1024  # bytes of a snapshot in one message
+CHANNEL = 2  # channel number on the peer link
+SNAPSHOT_CHUNK_BYTES = 256 * 1024  # maximum snapshot bytes in one message
 
 
 class Kind(IntEnum):
-    """What an entry is for."""
+    """Type of a log entry."""
 
-    NOOP = 0  # a leader's first: with it what came before is committed too
-    DATA = 1  # a command to the state
-    MEMBERS = 2  # the members from here on: see `members_data`
+    NOOP = 0  # first entry of a leader's term: committing it commits all earlier entries
+    DATA = 1  # command for the state machine
+    MEMBERS = 2  # configuration from this entry on: see `members_data`
 
 
 class Entry(Record, frozen=True):
-    """One entry of the log."""
+    """Log entry."""
 
     index: UnsignedInt63
     term: UnsignedInt63
@@ -32,28 +32,28 @@
 
 
 class RequestVote(Record, tag=1, frozen=True):
-    """Vote for me in this term; `pre`: would you, without a word that binds either of us."""
+    """RequestVote RPC; with `pre_vote` it changes neither the term nor the vote of sender or receiver."""
 
     term: UnsignedInt63
     last_index: UnsignedInt63
     last_term: UnsignedInt63
     pre_vote: bool
-    leadership_transfer: bool = False  # the leader asked for it: it does not matter that it was heard just now
+    leadership_transfer: bool = False  # requested by the leader: ignore recent contact with the leader
 
 
 class RequestVoteReply(Record, tag=2, frozen=True):
-    """The answer; `asked` is the term that was asked for."""
+    """Reply to RequestVote; `requested_term` is the term of the request."""
 
     term: UnsignedInt63
     requested_term: UnsignedInt63
     pre_vote: bool
     granted: bool
-    incarnation: UnsignedInt63  # of the sender: see Raft
+    incarnation: UnsignedInt63  # of the sender: see the raft package
     unconfirmed: bool
 
 
 class AppendEntries(Record, tag=3, frozen=True):
-    """The leader's word: it leads, what comes after `prev`, and how far all is committed."""
+    """AppendEntries RPC: entries after `prev_index`, and the commit index; empty as a heartbeat."""
 
     term: UnsignedInt63
     prev_index: UnsignedInt63
@@ -64,20 +64,20 @@
 
 
 class AppendEntriesReply(Record, tag=4, frozen=True):
-    """Whether what was sent fits; up to where the logs agree, or where to look for that."""
+    """Reply to AppendEntries: the match index if accepted, else a hint for the next `prev_index`."""
 
     term: UnsignedInt63
     ok: bool
-    match: UnsignedInt63  # if ok
-    hint_index: UnsignedInt63  # else: the logs can't agree beyond this
-    hint_term: UnsignedInt63  # of the entry there, 0 if there is none
+    match: UnsignedInt63  # highest matching index, if ok
+    hint_index: UnsignedInt63  # otherwise: the logs cannot match after this index
+    hint_term: UnsignedInt63  # term of the entry at hint_index, 0 if there is none
     round: UnsignedInt63
     incarnation: UnsignedInt63
     unconfirmed: bool
 
 
 class InstallSnapshot(Record, tag=5, frozen=True):
-    """A piece of a snapshot of the state up to an index."""
+    """InstallSnapshot RPC: one chunk of the snapshot at `index`."""
 
     term: UnsignedInt63
     index: UnsignedInt63
@@ -89,7 +89,7 @@
 
 
 class InstallSnapshotReply(Record, tag=6, frozen=True):
-    """How much of that snapshot is on disk; `done`: it is the state now."""
+    """Reply to InstallSnapshot: bytes received so far; `done` if no further chunk is needed."""
 
     term: UnsignedInt63
     index: UnsignedInt63
@@ -101,33 +101,33 @@
 
 
 class ConfirmIncarnation(Record, tag=7, frozen=True):
-    """The leader's word that the member of that start has caught up with all that it may have forgotten."""
+    """Leader's confirmation that this incarnation of a member holds everything its disk may have lost."""
 
     term: UnsignedInt63
     incarnation: UnsignedInt63
 
 
 class TimeoutNow(Record, tag=8, frozen=True):
-    """The leader goes: stand for election at once."""
+    """TimeoutNow RPC: start an election at once, as the leader is transferring leadership."""
 
     term: UnsignedInt63
 
 
 class ConfirmVote(Record, tag=9, frozen=True):
-    """A candidate that has its votes, where disks may come back older: are you still who gave me yours?"""
+    """Request of a candidate with a quorum of votes that a voter confirm its vote; sent if `stale` is above 0."""
 
     term: UnsignedInt63
 
 
 class VoteConfirmation(Record, tag=10, frozen=True):
-    """The answer: the term that the sender is in, and its start."""
+    """Reply to ConfirmVote: the current term and the incarnation of the sender."""
 
     term: UnsignedInt63
     incarnation: UnsignedInt63
 
 
 class MemberNames(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Voters and learners in the data of an entry, where there are learners."""
+    """Data of a MEMBERS entry with learners: names of voters and learners."""
 
     voters: list[str]
     learners: list[str]
@@ -152,12 +152,15 @@
 
 
 def encode(message: Message) -> bytes:
-    """A message as bytes."""
+    """Return the encoded message."""
     return _encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """The message of some bytes; ValueError for anything else."""
+    """Return the decoded message.
+
+    Raises ValueError if the data is not a valid message.
+    """
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError as error:
@@ -165,17 +168,20 @@
 
 
 def members_data(voters: tuple[str, ...], learners: tuple[str, ...] = ()) -> bytes:
-    """The data of an entry that says who the members are: without learners a plain list of names, as it always was."""
+    """Return the data of a MEMBERS entry.
+
+    Without learners it is a plain list of names, for compatibility with older logs.
+    """
     return _encode(MemberNames(list(voters), list(learners)) if learners else list(voters))
 
 
 def voters_of(entry: Entry) -> tuple[str, ...]:
-    """The voters that an entry says."""
+    """Return the voters in a MEMBERS entry."""
     names = _members.decode(entry.data)
     return tuple(names.voters if isinstance(names, MemberNames) else names)
 
 
 def learners_of(entry: Entry) -> tuple[str, ...]:
-    """The learners that an entry says."""
+    """Return the learners in a MEMBERS entry."""
     names = _members.decode(entry.data)
     return tuple(names.learners) if isinstance(names, MemberNames) else ()
--- a/tealwing/replica/storage/__init__.py
+++ b/tealwing/replica/storage/__init__.py
@@ -1,4 +1,4 @@
-"""A member's directory on its disk: the log in segments, snapshots, and what a start reads of them.
+"""Persistent storage of one member: log segments, snapshots and recovery at startup.
 
 Read records, snapshot_files, disk and durability, then store.
 """
--- a/tealwing/replica/storage/disk.py
+++ b/tealwing/replica/storage/disk.py
@@ -1,6 +1,6 @@
-"""The few things that storage asks of a disk, in one place: so that the laboratory can have them fail.
+"""Disk operations of the storage layer, in one class to allow fault injection by the laboratory.
 
-A file that was written is on the disk once `sync` of it has returned, and its name once `sync_folder` has.
+The contents of a file are durable once `sync` has returned, its name once `sync_directory` has.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Disk:
-    """Writes and syncs; `fail` has the next of them fail as a disk might."""
+    """Disk writes, syncs and renames, with fault injection by `inject_fault`."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -20,7 +20,7 @@
         self.failed = 0
 
     def inject_fault(self, fault: str, count: int) -> None:
-        """The next so many operations fail: `fsync`, `short` (a write that is cut) or `full`; `none` ends it."""
+        """Make the next `count` operations fail with `fsync`, `short` (a partial write) or `full`; `none` stops it."""
         with self._lock:
             self._fault, self._left = ("", 0) if fault == "none" else (fault, count)
 
@@ -33,7 +33,10 @@
             return self._fault
 
     def write(self, file: BinaryIO, data: bytes) -> None:
-        """Write all of it, or raise OSError with any part of it written."""
+        """Write all data and flush the buffer.
+
+        Raises OSError if the write fails; any part of the data may have been written.
+        """
         fault = self._take_fault("short", "full")
         if fault == "short":
             file.write(data[: len(data) // 2])
@@ -45,17 +48,20 @@
         file.flush()
 
     def sync(self, file: BinaryIO) -> None:
-        """Have what was written on the disk."""
+        """Make the contents of a file durable.
+
+        Raises OSError if the sync fails.
+        """
         if self._take_fault("fsync"):
             raise OSError(5, "Input/output error (an fsync that failed by the laboratory)")
         os.fdatasync(file.fileno())
 
     def rename(self, source: Path, target: Path) -> None:
-        """Give a file another name, whose former file goes; on the disk after `sync_folder`."""
+        """Rename a file, replacing the target; durable after `sync_directory`."""
         source.rename(target)
 
     def sync_directory(self, directory: Path) -> None:
-        """Have the names in a folder on the disk."""
+        """Make the names in a directory durable."""
         number = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(number)
--- a/tealwing/replica/storage/durability.py
+++ b/tealwing/replica/storage/durability.py
@@ -1,9 +1,9 @@
-"""What a member has acknowledged, whether its folder still has it, and when to try the folder again; pure.
+"""Acknowledged state of a member, its check against the directory, and the reopen backoff; no I/O.
 
-After a failed sync nobody knows what the disk holds: the kernel may drop the pages, and report success the next time
-(Rebello et al., "Can Applications Recover from fsync Failures?", ATC 2020). So a failed write is never tried again as
-it was. The folder is read anew, compared with what was acknowledged, and its log written to a new file, before anything
-rests on it.
+After a failed sync the contents of the disk are unknown: the kernel may drop dirty pages and report success for the
+next sync (Rebello et al., "Can Applications Recover from fsync Failures?", ATC 2020). A failed write is therefore never
+retried in place. Instead the directory is read again and compared with the acknowledged state, and its log is rewritten
+to a new file before it is used.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 from tealwing.replica.storage.records import StoredState
 
-MIN_PAUSE = 0.05  # s before a folder is tried again for the first time
-MAX_PAUSE = 5.0  # s between two tries at most: a fault of minutes costs a read of the folder so often
-JITTER = (0.5, 1.0)  # times the pause, at random: members that share a disk do not try together
+MIN_PAUSE = 0.05  # s before the first reopen
+MAX_PAUSE = 5.0  # maximum s between two attempts: each attempt reads the whole directory
+JITTER = (0.5, 1.0)  # range of the random factor: members that share a disk should not retry together
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """What others may have been told that this member has: its vote in a term, and its log up to an entry."""
+    """State that this member may have acknowledged to others: term, vote and last log entry."""
 
     term: int = 0
     vote: str = ""
@@ -28,7 +28,7 @@
     last_term: int = 0
 
     def is_covered_by(self, found: StoredState) -> bool:
-        """Whether a folder as it was read has all of it."""
+        """Return whether the state read from a directory contains all acknowledged state."""
         return self._vote_is_covered_by(found) and self._log_is_covered_by(found)
 
     def _vote_is_covered_by(self, found: StoredState) -> bool:
@@ -44,13 +44,13 @@
 
 
 class ReopenBackoff:
-    """The pauses between tries: doubled up to a bound, and jittered."""
+    """Exponential backoff with jitter between attempts to reopen the storage."""
 
     def __init__(self, source: random.Random) -> None:
         self._random, self._pause = source, MIN_PAUSE
 
     def next_pause(self) -> float:
-        """Seconds until the next try."""
+        """Return the seconds until the next attempt, and double the pause up to MAX_PAUSE."""
         pause = self._pause * self._random.uniform(*JITTER)
         self._pause = min(MAX_PAUSE, 2 * self._pause)
         return pause
--- a/tealwing/replica/storage/records.py
+++ b/tealwing/replica/storage/records.py
@@ -1,4 +1,4 @@
-"""The records of the log files: their frame on the disk, what a start reads of them, and the errors of a directory."""
+"""Records of the log files, their framing on disk, the recovered state, and the storage errors."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from tealwing.replica.raft import SnapshotMeta
 
 RECORD_MAGIC = b"\xa7TW1"
-RECORD_HEADER = struct.Struct(">4sIQ")  # mark, length, xxh3_64 of the payload
-MAX_RECORD_BYTES = 16 << 20  # bytes of a record: an entry holds one command
-WRITE_BATCH_BYTES = 1 << 20  # bytes of records that are encoded at once where the whole log is written
+RECORD_HEADER = struct.Struct(">4sIQ")  # magic, payload length, xxh3_64 of the payload
+MAX_RECORD_BYTES = 16 << 20  # maximum bytes of a record: an entry holds one command
+WRITE_BATCH_BYTES = 1 << 20  # bytes encoded at a time when the whole log is rewritten
 
 
 class StorageError(ReplicaError):
-    """A disk whose content can't be trusted; the text says what and where."""
+    """The files on disk are damaged or inconsistent; the message names file and position."""
 
 
 class AcknowledgedDataLostError(StorageError):
-    """A folder that no longer has what this member has acknowledged; the text says what an operator can do."""
+    """The directory lacks acknowledged state; the message names the options of the operator."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(
@@ -35,7 +35,7 @@
 
 
 class HardState(Record, tag="h", frozen=True):
-    """Term and vote, and how far the log is known to be committed: that may lag, and is never too much."""
+    """Current term, vote and commit index; the commit index may lag, but is never too high."""
 
     term: int
     vote: str
@@ -43,13 +43,16 @@
 
 
 class EntryRecord(Record, tag="e", frozen=True):
-    """One entry."""
+    """Record of a log entry."""
 
     entry: Entry
 
 
 class SnapshotInstalled(Record, tag="s", frozen=True):
-    """A snapshot of another comes next: if it is there, entries after it that came before this are no more."""
+    """Marker written before a received snapshot is installed.
+
+    If that snapshot exists, entries after its index that were recorded before this marker are discarded.
+    """
 
     index: int
     term: int
@@ -62,26 +65,29 @@
 
 @dataclass(slots=True)
 class StoredState:
-    """What a start finds."""
+    """State recovered from the directory at startup."""
 
     term: int = 0
     vote: str = ""
     commit: int = 0
     snapshot: SnapshotMeta = field(default_factory=SnapshotMeta)
     log: list[Entry] = field(default_factory=list)
-    truncated_bytes: int = 0  # bytes of a torn tail that were cut
-    fresh: bool = True  # nothing was there
-    incoming: tuple[int, int, int] = (0, 0, 0)
-    lost_acknowledged: bool = False  # a folder that was read anew lacks what was acknowledged
+    truncated_bytes: int = 0  # bytes of a torn tail that were truncated
+    fresh: bool = True  # the directory had no log and no snapshot
+    incoming: tuple[int, int, int] = (0, 0, 0)  # index, term and bytes so far of a partly received snapshot
+    lost_acknowledged: bool = False  # set by `reopen` if acknowledged state is missing
 
 
 def decode(payload: bytes) -> LogRecord:
-    """Return the record of a payload; raise msgspec.DecodeError where it is none."""
+    """Return the decoded record of a payload.
+
+    Raises msgspec.DecodeError if the payload is not a valid record.
+    """
     return _decoder.decode(payload)
 
 
 def batches(records: Iterable[LogRecord]) -> Iterator[bytes]:
-    """Framed records, in pieces of about PIECE bytes."""
+    """Yield the framed records in batches of at least WRITE_BATCH_BYTES bytes, the last one excepted."""
     piece = bytearray()
     for record in records:
         piece += frame(encode(record))
@@ -93,12 +99,12 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """Return a payload with its mark, length and checksum before it."""
+    """Return the payload with its header of magic, length and checksum."""
     return RECORD_HEADER.pack(RECORD_MAGIC, len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
 
 
 def payload_at(data: bytes, at: int) -> bytes | None:
-    """The payload of the record at a place; None where none is whole there."""
+    """Return the payload of the record at offset `at`, or None if there is no valid record."""
     if len(data) - at < RECORD_HEADER.size:
         return None
     mark, length, digest = RECORD_HEADER.unpack_from(data, at)
@@ -109,7 +115,7 @@
 
 
 def has_later_record(data: bytes, at: int) -> bool:
-    """Whether a whole record begins anywhere from a place on."""
+    """Return whether a valid record begins at offset `at` or later."""
     while (at := data.find(RECORD_MAGIC, at)) >= 0:
         if payload_at(data, at) is not None:
             return True
--- a/tealwing/replica/storage/snapshot_files.py
+++ b/tealwing/replica/storage/snapshot_files.py
@@ -1,4 +1,4 @@
-"""The files of snapshots: written beside, synced and renamed; received in pieces; checked by their header."""
+"""Snapshot files: atomic creation, chunked transfer and checksum verification."""
 
 from __future__ import annotations
 
@@ -16,27 +16,30 @@
 from tealwing.replica.storage.disk import Disk
 from tealwing.replica.storage.records import MAX_RECORD_BYTES, StorageError, encode
 
-SNAPSHOT_HEADER = struct.Struct(">4sIQQ")  # mark, length of the description, size of the body, xxh3_64 of both
+SNAPSHOT_HEADER = struct.Struct(">4sIQQ")  # magic, description length, body size, xxh3_64 of both
 SNAPSHOT_MAGIC = b"\xa7TWS"
 
 
 class SnapshotDescription(Record, frozen=True):
-    """What a snapshot is of."""
+    """Metadata of a snapshot, stored before its body."""
 
     index: int
     term: int
     members: list[str]
-    learners: list[str] = []  # noqa: RUF012 - msgspec copies it; files without it have none
+    learners: list[str] = []  # noqa: RUF012 - msgspec copies it; absent in files without learners
 
 
 class SnapshotFiles:
-    """The snapshots in one member's directory. One thread uses it, but for `write`."""
+    """Snapshot files in the directory of one member; single-threaded, except for `write`."""
 
     def __init__(self, directory: Path, disk: Disk) -> None:
         self.directory, self.disk = directory, disk
 
     def newest(self) -> SnapshotMeta:
-        """The newest that is whole; those before it go."""
+        """Return the newest snapshot and delete older ones.
+
+        Raises StorageError if the checksum of the newest snapshot does not match.
+        """
         newest = SnapshotMeta()
         for path in sorted(self.directory.glob("snapshot-*.snap"), reverse=True):
             meta = None if newest.index else check_snapshot(path)
@@ -49,7 +52,7 @@
         return newest
 
     def incoming(self, newest: SnapshotMeta) -> tuple[int, int, int]:
-        """Index, term and size of a snapshot that was being received."""
+        """Return index, term and bytes so far of a partly received snapshot, or zeros; delete outdated ones."""
         for path in self.directory.glob("incoming-*.part"):
             index, term = (int(word) for word in path.stem.removeprefix("incoming-").split("-"))
             if index > newest.index:
@@ -58,20 +61,21 @@
         return 0, 0, 0
 
     def delete_incoming(self) -> None:
-        """A snapshot that was being received is taken anew: its last piece may not be on the disk."""
+        """Delete partly received snapshots: their last chunk may not be durable."""
         for path in self.directory.glob("incoming-*.part"):
             path.unlink()
 
     def write(
         self, index: int, term: int, members: tuple[str, ...], body: Iterable[bytes], learners: tuple[str, ...] = ()
     ) -> SnapshotMeta:
-        """Write a snapshot of our own; the body in pieces, so that it is never whole in memory. OSError if it fails.
+        """Write a local snapshot and return its metadata.
 
-        May run on another thread than the rest; `Storage.adopt_snapshot` then makes it the newest.
+        The body is streamed in pieces to bound memory. This may run on another thread; `Storage.adopt_snapshot` then
+        makes it the newest. Raises OSError if the write fails.
         """
         path = self.path(index, term)
         part = path.with_suffix(".tmp")
-        names = (list(members), list(learners)) if learners else (list(members),)  # none: as it always was
+        names = (list(members), list(learners)) if learners else (list(members),)  # compatible with older files
         described = encode((index, term, *names))
         digest, size = xxhash.xxh3_64(described), 0
         try:
@@ -93,15 +97,15 @@
         return SnapshotMeta(index, term, members, path.stat().st_size, learners)
 
     def delete_others(self, meta: SnapshotMeta) -> None:
-        """Delete all snapshots but one, as far as that goes."""
+        """Delete all snapshots but the given one, ignoring errors."""
         keep = self.path(meta.index, meta.term)
         for path in self.directory.glob("snapshot-*.snap"):
             if path != keep:
-                with contextlib.suppress(OSError):  # the next start drops it
+                with contextlib.suppress(OSError):  # deleted at the next start
                     path.unlink()
 
     def read_chunk(self, meta: SnapshotMeta, offset: int) -> bytes | None:
-        """A piece of a snapshot as it is on the disk, header and all; None where it is no more."""
+        """Return a chunk of a snapshot file, header included, or None if the file no longer exists."""
         try:
             with self.path(meta.index, meta.term).open("rb") as file:
                 file.seek(offset)
@@ -110,7 +114,10 @@
             return None
 
     def write_chunk(self, index: int, term: int, offset: int, data: bytes) -> None:
-        """A piece of a snapshot that is being received. OSError if it fails."""
+        """Write and sync a chunk of a received snapshot at a byte offset.
+
+        Raises OSError if the write fails.
+        """
         path = self.directory / f"incoming-{index}-{term}.part"
         for other in self.directory.glob("incoming-*.part"):
             if other != path:
@@ -122,7 +129,7 @@
             self.disk.sync(file)
 
     def body(self, meta: SnapshotMeta) -> Iterator[bytes]:
-        """The body of a snapshot, in pieces."""
+        """Yield the body of a snapshot in chunks."""
         with self.path(meta.index, meta.term).open("rb") as file:
             _, length, _, _ = SNAPSHOT_HEADER.unpack(file.read(SNAPSHOT_HEADER.size))
             file.seek(length, os.SEEK_CUR)
@@ -130,12 +137,12 @@
                 yield piece
 
     def path(self, index: int, term: int) -> Path:
-        """Return where the snapshot of an index and a term is."""
+        """Return the path of the snapshot with an index and a term."""
         return self.directory / f"snapshot-{index:016d}-{term:012d}.snap"
 
 
 def check_snapshot(path: Path) -> SnapshotMeta | None:
-    """What a snapshot is of; None where it is not whole."""
+    """Return the metadata of a snapshot file, or None if it is missing, incomplete or damaged."""
     try:
         with path.open("rb") as file:
             head = file.read(SNAPSHOT_HEADER.size)
--- a/tealwing/replica/storage/store.py
+++ b/tealwing/replica/storage/store.py
@@ -1,15 +1,15 @@
-"""The log and the snapshots of one member on its disk.
+"""Persistent log and snapshots of one member.
 
-The log is files of records, each with a mark, its length and a checksum; a record is on the disk before anything that
-rests on it is said. Of entries with one index the later record counts, and cuts all that came after that index. A
-record at the end that is not whole was being written when the power went: it is cut at the start. A bad record with
-good ones after it is no torn tail but a damaged disk, and the start ends with that: cutting there would forget what
-was promised.
+The log consists of segment files of records, each with a magic number, its length and a checksum. A record is durable
+before any message that depends on it is sent. Of several records for one index the last is valid, and it truncates all
+entries after that index. An incomplete record at the end of the last segment is a torn write and is truncated at
+startup. An invalid record followed by valid ones is damage: startup fails, as truncating there could lose acknowledged
+state.
 
-Snapshots are written beside, synced, renamed, and their folder synced; the name says index and term. The first bytes
-are a header with the size and a checksum of all that follows.
+Snapshots are written to a temporary file, synced, renamed, and their directory synced; the name contains index and
+term. The file begins with a header that has the size and a checksum of all that follows.
 
-After a failed operation nothing more is written until `reopen` has read the folder anew: see durability.py.
+After a failed operation nothing more is written until `reopen` has read the directory again: see durability.py.
 """
 
 from __future__ import annotations
@@ -43,41 +43,45 @@
 )  # fmt: skip
 from tealwing.replica.storage.snapshot_files import SnapshotFiles, check_snapshot
 
-SEGMENT_BYTES = 8 << 20  # bytes after which the log goes on in a new file
+SEGMENT_BYTES = 8 << 20  # size at which a new segment is started
 
 
 class Storage:
-    """The folder of one member. One thread uses it."""
+    """Log and snapshots in the directory of one member; single-threaded."""
 
     def __init__(self, directory: Path, disk: Disk | None = None) -> None:
         self.directory, self.disk = directory, disk or Disk()
         self.snapshot_files = SnapshotFiles(self.directory, self.disk)
         self._file: BinaryIO | None = None
-        self._segments: dict[Path, int] = {}  # each file with the highest index that it may hold
-        self._path_written: Path | None = None  # the file that is written, or was to be begun
-        self._size = 0  # bytes of it that are known to be on the disk
+        self._segments: dict[Path, int] = {}  # highest index that each segment may contain
+        self._path_written: Path | None = None  # current segment, even if creating it failed
+        self._size = 0  # bytes of the current segment known to be durable
         self._number = 0
-        self._last = self._last_term = 0  # highest index written, and the term of its entry
+        self._last = self._last_term = 0  # index and term of the last entry written
         self._hard_state = HardState(0, "")
         self.snapshot = SnapshotMeta()
-        self.broken = ""  # why nothing more is written until the folder is read anew
+        self.broken = ""  # why writes are refused until `reopen`; empty if they are not
 
-    # The start
+    # Recovery
 
     def open(self) -> StoredState:
-        """Read all; cut a torn tail. StorageError where something else is wrong."""
+        """Recover the state from the directory, truncate a torn tail and start a new segment.
+
+        Raises StorageError if the files are damaged or inconsistent.
+        """
         self.directory.mkdir(parents=True, exist_ok=True)
         found = self._load()
         self._roll()
         return found
 
     def reopen(self, allow_loss: bool) -> StoredState:
-        """Read the folder anew after a failure, and have all of it on the disk once more; then it may be written again.
+        """Recover the state after a failed operation, rewrite the log and allow writes again.
 
-        Only what is known to be on the disk is read of the file that was written. That file is replaced by one with
-        the whole log, as the pages of the old one may be lost though a later sync of it reports success.
-        may_forget: a folder that lacks what was acknowledged is taken too, for a core that is unsure after a start.
-        OSError or StorageError: not yet, it may be tried again.
+        Of the current segment only the bytes known to be durable are read. It is replaced by a file with the whole
+        log, as pages of the old file may be lost even if a later sync of it reports success. With `allow_loss` a
+        directory that lacks acknowledged state is accepted, for a core that restarts as unconfirmed.
+
+        Raises OSError or StorageError if recovery failed; it may be retried.
         """
         self.close()
         acknowledged = self.acknowledged
@@ -93,16 +97,16 @@
 
     @property
     def acknowledged(self) -> Acknowledged:
-        """What others may have been told that the disk has."""
+        """State that may have been acknowledged to others."""
         return Acknowledged(self._hard_state.term, self._hard_state.vote, self._last, self._last_term)
 
     def _restore_acknowledged(self, acknowledged: Acknowledged) -> None:
-        """Keep what was acknowledged for the next try: the folder that was read had less."""
+        """Keep the acknowledged state for the next attempt, as the directory had less."""
         self._hard_state = HardState(acknowledged.term, acknowledged.vote, self._hard_state.commit)
         self._last, self._last_term = acknowledged.last_index, acknowledged.last_term
 
     def _replace_log(self, found: StoredState) -> None:
-        """Have term, vote and all entries in one new file, which takes the place of the one that was written last."""
+        """Write the hard state and all entries to a new file that replaces the current segment."""
         path = self._path_written or self._next_path()
         part = path.with_suffix(".tmp")
         size = 0
@@ -117,7 +121,7 @@
         self._segments[path] = self._last
 
     def _load(self, unconfirmed_file: Path | None = None) -> StoredState:
-        """What the folder has; of unsure_file only what is known to be on the disk."""
+        """Return the state in the directory; of `unconfirmed_file` read only the bytes known to be durable."""
         found = StoredState()
         for part in self.directory.glob("*.tmp"):
             part.unlink()
@@ -142,7 +146,7 @@
                     continue
                 entry = record.entry
                 for index in range(entry.index + 1, last + 1):
-                    entries.pop(index, None)  # what a new leader's entries took the place of
+                    entries.pop(index, None)  # overwritten by a later leader's entries
                 entries[entry.index], last = entry, entry.index
                 highest = max(highest, entry.index)
             self._segments[path] = highest
@@ -160,7 +164,10 @@
         return found
 
     def _records(self, path: Path, last: bool, found: StoredState, limit: int | None = None) -> Iterator[LogRecord]:
-        """The records of a file; a limit is how many of its bytes are known to be whole, and no tail of them is cut."""
+        """Yield the records of a file; with a `limit` in bytes read only so many, and truncate no tail.
+
+        Raises StorageError if a record is damaged and is not a torn tail of the last segment.
+        """
         data = path.read_bytes()[:limit]
         at = 0
         while at < len(data):
@@ -183,13 +190,15 @@
 
     @property
     def commit(self) -> int:
-        """How far the disk knows the log to be committed."""
+        """Commit index in the last hard state written."""
         return self._hard_state.commit
 
     def save(self, hard: tuple[int, str] | None, entries: Iterable[Entry], commit: int = 0) -> None:
-        """Have term and vote, and entries, on the disk when this returns. OSError: nobody knows, `reopen` before more.
+        """Append hard state (term and vote) and entries, durable on return.
+
+        A higher commit index is written with them, or alone if neither is given.
 
-        commit goes with what is written; it alone is written where neither of the others is given.
+        Raises OSError if the write failed, or an earlier one did; what is on disk is then unknown until `reopen`.
         """
         if self.broken:
             raise OSError(5, self.broken)
@@ -212,7 +221,10 @@
             self._roll()
 
     def _append(self, records: Iterable[LogRecord]) -> None:
-        """Have records on the disk when this returns. OSError: nobody knows."""
+        """Append records, durable on return.
+
+        Raises OSError if the write failed; what is on disk is then unknown.
+        """
         data = b"".join(frame(encode(record)) for record in records)
         assert self._file is not None
         try:
@@ -228,7 +240,7 @@
         return self.directory / f"log-{self._number:012d}.wal"
 
     def _roll(self) -> None:
-        """Go on in a new file, which begins with term and vote: those of older files go with them."""
+        """Start a new segment with the hard state as its first record, as older segments may be deleted."""
         self.close()
         path = self._next_path()
         self._path_written, self._size = path, 0
@@ -244,7 +256,7 @@
     # Snapshots
 
     def adopt_snapshot(self, meta: SnapshotMeta) -> None:
-        """A snapshot is the newest: drop older ones, and log files that hold nothing after it, as far as they go."""
+        """Make a snapshot the newest; delete older ones and segments without entries after it, ignoring errors."""
         self.snapshot = meta
         self.snapshot_files.delete_others(meta)
         for path, highest in list(self._segments.items()):
@@ -254,7 +266,7 @@
                 del self._segments[path]
 
     def install_snapshot(self, index: int, term: int) -> SnapshotMeta | None:
-        """The received snapshot is whole: take it, and forget the log before it. None where its checksum is wrong."""
+        """Install a completely received snapshot and return its metadata, or None if it is damaged."""
         part = self.directory / f"incoming-{index}-{term}.part"
         meta = check_snapshot(part)
         if meta is None or (meta.index, meta.term) != (index, term):
@@ -269,14 +281,14 @@
         return meta
 
     def close(self) -> None:
-        """Use it no more."""
+        """Close the current segment."""
         if self._file is not None:
             self._file.close()
             self._file = None
 
 
 def verify(directory: Path) -> list[str]:
-    """What is wrong with a folder, without changing it; a torn tail is told and is no fault."""
+    """Return the problems found in a directory, which is not changed; a torn tail is listed, but is not damage."""
     problems = []
     for path in sorted(directory.glob("snapshot-*.snap")):
         if check_snapshot(path) is None:
