--- a/tealwing/replica/raft/__init__.py
+++ b/tealwing/replica/raft/__init__.py
@@ -1,23 +1,23 @@
-"""Raft, the core: no I/O, no clock but the one passed in, the same for the same seed and events.
+"""Raft consensus core: no I/O, no clock but the `now` passed in, deterministic for a given seed and event sequence.
 
-After Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), with Ongaro's dissertation for
-pre-vote, check-quorum, read-index and membership changes of one member at a time. Like etcd's raft package the core
-keeps state and makes messages, and a shell moves messages and writes the disk: it calls `step`, `tick`, `propose` or
-`read`, then takes `ready()`, writes what that says to disk, calls `entries_saved`, and only then sends the messages and
-applies what is committed.
+It follows Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), and Ongaro's dissertation
+for pre-vote, check-quorum, read-index and single-server membership changes. As in etcd's raft package, the core keeps
+state and produces messages, and a shell does the I/O: it calls `step`, `tick`, `propose` or `read`, takes `ready()`,
+writes its hard state and entries to disk, calls `entries_saved`, and only then sends the messages and applies the
+committed entries.
 
-Disks that come back older (ours). A member whose disk lost its last writes has forgotten votes that it gave and entries
-that it acknowledged, and does not know it. With `stale` = s, at most s members at a time may be in that state. Each
-start is *unconfirmed* until the leader says `ConfirmIncarnation`, and every quorum of which u members are unconfirmed
-needs min(s, u) members more than a majority. Two such quorums share a member that has forgotten nothing, so what Raft
-rests on holds. The leader says `ConfirmIncarnation` once the member has what was committed when the leader knew that it
-still led, as of after the member's start: its vote in that start shows that, or a round that a quorum without it has
-answered since. Votes may be forgotten while a candidate still collects them: it leads only once all whose votes it
-counts have said that they hold them still (see election). docs/replication.md has the argument, and
-benchmarks/consensus.py the model check.
+Stale disks (an extension of ours). A member whose disk lost its last writes has lost votes that it granted and entries
+that it acknowledged, and cannot detect it. With `stale` = s, at most s members at a time may be in that state. Each
+incarnation of a member is *unconfirmed* until the leader sends it `ConfirmIncarnation`, and a quorum with u unconfirmed
+members needs min(s, u) members more than a majority. Any two such quorums share a member that has lost nothing, so
+Raft's quorum intersection holds. The leader sends `ConfirmIncarnation` once the member holds everything committed at
+some time after its start at which the leader is known to have led: a vote of that incarnation for the leader shows
+this, or a later round acknowledged by a quorum without the member. As votes may be lost while a candidate still
+collects them, it becomes leader only after a quorum of members has confirmed their votes (see election).
+docs/replication.md has the proof, and benchmarks/consensus.py the model check.
 
-The class is built in layers, each on the one before it; read them in this order: records, state, quorum, follower,
-replication, commit, membership, leader, election, core.
+The class is built in layers, each derived from the one before; read them in this order: records, state, quorum,
+follower, replication, commit, membership, leader, election, core.
 """
 
 from __future__ import annotations
--- a/tealwing/replica/raft/commit.py
+++ b/tealwing/replica/raft/commit.py
@@ -1,4 +1,4 @@
-"""What is committed, what may be read, and who is sure again."""
+"""Commit index, read-index reads, and confirmation of restarted members."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 
 
 class Commitment(Replication):
-    """What a leader makes of what its followers have."""
+    """Leader logic that depends on the progress of the followers."""
 
     def read(self, now: float, number: int) -> None:
-        """A read that must see all that was committed before it: read-index. NotLeader."""
+        """Start a linearizable read (read-index), which `ready` returns under `number` when confirmed.
+
+        Raises NotLeaderError if this member is not the leader.
+        """
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
-        if self.commit < self.term_start_index:  # what is committed is not known before our first entry is
+        if self.commit < self.term_start_index:  # the commit index is unknown until an entry of our term is committed
             self._reads.append((number, 0))
             return
         self._begin_round(now)
@@ -34,14 +37,14 @@
         self._reads = left
 
     def entries_saved(self, now: float, index: int, term: int) -> None:
-        """The log is on disk up to an index, whose entry then had that term."""
-        if self.term_at(index) == term and index > self.stable:  # else it was cut meanwhile
+        """Record that the log is durable up to an index, whose entry had the given term when written."""
+        if self.term_at(index) == term and index > self.stable:  # otherwise it was truncated meanwhile
             self.stable = index
             if self.role is Role.LEADER:
                 self._advance_commit(now)
 
     def _advance_commit(self, now: float) -> None:
-        """What a quorum has on disk is committed, if it is of our own term: with it all that comes before."""
+        """Advance the commit index to the highest entry of the current term that a quorum has on disk."""
         marks = sorted({p.match for _, p in self._voting()} | {self.stable}, reverse=True)
         for mark in marks:
             if mark <= self.commit or not self._may_commit(mark):
@@ -55,16 +58,16 @@
         return self.term_at(index) == self.term
 
     def _is_replicated(self, index: int) -> bool:
-        """Whether a quorum has an entry on disk."""
+        """Return whether a quorum has the entry at an index on disk."""
         holders = [name for name, progress in self._voting() if progress.match >= index]
         return self.is_quorum([self.local_id, *holders] if self.stable >= index else holders)
 
     def _commit_advanced(self, now: float) -> None:
         if self.commit >= self.term_start_index:
-            # a quorum of this start's votes made us leader, so nothing that we forgot can have been committed
+            # a quorum elected this incarnation, so no committed entry can be missing here
             self.unconfirmed = False
         if self.local_id not in self.members and self.commit >= self._members_index():
-            self._become_follower(now, self.term, "")  # our removal is committed: the others go on
+            self._become_follower(now, self.term, "")  # our removal is committed
             return
         waiting = [number for number, round_ in self._reads if not round_]
         if waiting and self.commit >= self.term_start_index:
@@ -76,7 +79,7 @@
         self._replicate(now)
 
     def _confirm_incarnation(self, name: str, progress: Progress) -> None:
-        """Say `ConfirmIncarnation` to a member that has caught up with all that it may have forgotten."""
+        """Send ConfirmIncarnation to a member that holds everything its disk may have lost."""
         if self.role is not Role.LEADER or not progress.unconfirmed or self.commit < self.term_start_index:
             return
         if progress.match < self.commit:
--- a/tealwing/replica/raft/core.py
+++ b/tealwing/replica/raft/core.py
@@ -1,4 +1,4 @@
-"""The core as its shell sees it: events in, what is to be done out."""
+"""Interface of the core to its shell: events in, Ready out."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class Raft(Election):
-    """One member."""
+    """Raft state machine of one member."""
 
     def step(self, now: float, source: str, message: Message) -> None:
-        """A message has come."""
+        """Process a received message."""
         match message:
             case RequestVote():
                 self._handle_request_vote(now, source, message)
-            case ConfirmVote():  # no vote is asked for: its term moves nobody
+            case ConfirmVote():  # not a vote request: its term is not adopted
                 self._send(source, VoteConfirmation(self.term, self.incarnation))
             case RequestVoteReply():
                 if message.term > self.term and not message.pre_vote:
@@ -46,7 +46,7 @@
                 self._step_in_term(now, source, message)
 
     def _step_in_term(self, now: float, source: str, message: _TermMessage) -> None:
-        """Handle a message whose term is not above ours any more."""
+        """Process a message whose term is at most the current term."""
         match message:
             case VoteConfirmation():
                 self._handle_vote_confirmation(now, source, message)
@@ -75,20 +75,23 @@
         self._confirm_incarnation(source, progress)
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
+        """Run the timers: heartbeats and check-quorum as leader, else the election timeout."""
         if self.role is Role.LEADER:
             self._leader_tick(now)
         elif now >= self.election_deadline:
             self.campaign(now)
 
     def next_deadline(self) -> float:
-        """When a tick has something to do."""
+        """Return the time at which `tick` is next due."""
         return (
             self.last_round_at + self.options.heartbeat_interval if self.role is Role.LEADER else self.election_deadline
         )
 
     def ready(self) -> Ready:
-        """What there is to do now; what it says is not said again."""
+        """Return the pending work and mark it as taken.
+
+        Log entries are returned again until `entries_saved` reports them durable, all else only once.
+        """
         hard = (self.term, self.vote) if self._hard_state_changed else None
         entries = self.entries(self.stable + 1, self.last_index)
         out, self._outgoing = self._outgoing, []
@@ -102,14 +105,14 @@
         return Ready(hard, entries, chunk, out, committed, reads, failed)
 
     def has_ready(self) -> bool:
-        """Whether `ready` has something."""
+        """Return whether `ready` has pending work."""
         return bool(
             self._hard_state_changed or self._outgoing or self._pending_chunk or self._done_reads or self._failed_reads
             or self.stable < self.last_index or self.applied < min(self.commit, self.stable)
         )  # fmt: skip
 
     def clone(self) -> Raft:
-        """One like this that goes its own way: for the model check."""
+        """Return an independent copy, for the model check."""
         twin = copy.copy(self)
         for name in ("log", "_outgoing", "_reads", "_done_reads", "_failed_reads"):
             setattr(twin, name, list(getattr(self, name)))
--- a/tealwing/replica/raft/election.py
+++ b/tealwing/replica/raft/election.py
@@ -1,4 +1,4 @@
-"""Elections: asking for votes, giving them, handing over."""
+"""Elections: requesting and granting votes, and leadership transfer."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class Election(Leader):
-    """How a member comes to lead; a learner does not (see Membership).
+    """Leader election; a learner never stands (see Membership).
 
-    Where disks may come back older, votes are asked for and then held: once a candidate has a quorum of votes it asks
-    those that gave them once more, and leads when they have answered in the term and the start in which they voted. So
-    there was a moment, the one of its question, at which all of them held their votes together: whoever has forgotten
-    its vote since has begun anew after all the others had voted. See docs/replication.md for what rests on that.
+    If disks may be stale, votes are confirmed: a candidate with a quorum of votes sends ConfirmVote to its voters, and
+    becomes leader once a quorum has replied in the term and the incarnation in which they voted. At the time of the
+    request all of these held their votes, so a voter that has lost its vote restarted after all the others had voted.
+    See docs/replication.md for the proof that depends on it.
     """
 
     def campaign(self, now: float) -> None:
-        """Ask for votes: first whether they would be given, where pre-votes are on."""
+        """Start an election, with a pre-vote first if enabled; a member that is not a voter only resets its timer."""
         self._reset_election_deadline(now)
         if self.local_id not in self.members:
             return
@@ -29,9 +29,9 @@
             self._start_election(now)
 
     def transfer_leadership(self, now: float) -> str:
-        """Have the follower that is furthest stand at once, as we are about to go; who that is, empty if nobody can.
+        """Send TimeoutNow to the most up-to-date voter and return its name, or an empty string if none is eligible.
 
-        Nothing is given away by it: it is elected by votes like anyone, or not, and then an election time passes.
+        This is safe, as the target still needs a quorum of votes; if it fails, an election timeout passes.
         """
         if self.role is not Role.LEADER:
             return ""
@@ -59,7 +59,7 @@
         for name in self.members:
             if name != self.local_id:
                 self._send(name, RequestVote(term, self.last_index, self.last_term, pre_vote, leadership_transfer))
-        self._count_votes(now)  # alone, we have them all
+        self._count_votes(now)  # a single voter wins at once
 
     def _count_votes(self, now: float) -> None:
         if not self.is_quorum(name for name, (granted, _, _) in self.votes.items() if granted):
@@ -70,7 +70,7 @@
             self._votes_won(now)
 
     def _votes_won(self, now: float) -> None:
-        """A quorum has voted for us: without older disks that is all."""
+        """Become leader, or request vote confirmations first if disks may be stale."""
         if not self.options.max_stale_disks:
             self._become_leader(now)
             return
@@ -78,7 +78,7 @@
         for name, (granted, _, _) in self.votes.items():
             if granted and name != self.local_id:
                 self._send(name, ConfirmVote(self.term))
-        self._count_vote_confirmations(now)  # alone, we have all that we need
+        self._count_vote_confirmations(now)  # a single voter needs no reply
 
     def _handle_vote_confirmation(self, now: float, source: str, reply: VoteConfirmation) -> None:
         if self.role is not Role.CANDIDATE or not self.vote_confirmations or reply.term != self.term:
@@ -112,7 +112,7 @@
             self.leader and now - self.last_leader_contact < self.options.election_timeout
         )
         if self.options.check_quorum and led and self.leader != source and not request.leadership_transfer:
-            return  # our leader is well: who was cut off and comes back must not unseat it
+            return  # a member back from a partition must not depose a live leader
         newer = (request.last_term, request.last_index) >= (self.last_term, self.last_index)
         if request.pre_vote:
             granted = request.term > self.term and newer
@@ -139,6 +139,6 @@
             self._become_follower(now, reply.term, "")
             return
         if self.vote_confirmations:
-            return  # it may have voted after the others were asked whether they hold theirs
+            return  # it may have voted after ConfirmVote was sent to the others
         self.votes[source] = reply.granted, reply.incarnation, reply.unconfirmed
         self._count_votes(now)
--- a/tealwing/replica/raft/follower.py
+++ b/tealwing/replica/raft/follower.py
@@ -1,4 +1,4 @@
-"""A follower: what it makes of a leader's entries and snapshots."""
+"""Follower: processing of AppendEntries and InstallSnapshot."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Follower(QuorumRules):
-    """What a member does that is led."""
+    """Follower logic of a member."""
 
     def _become_follower(self, now: float, term: int, leader: str) -> None:
         if term > self.term:
@@ -19,7 +19,7 @@
             self._reads.clear()
             self.progress.clear()
             self._reset_election_deadline(now)
-        # others keep theirs: whoever asks for votes that nobody gives must not keep the rest from asking
+        # others keep their deadline: a candidate that cannot win must not delay their elections
         self.role, self.leader = Role.FOLLOWER, leader
         self.votes, self.vote_confirmations = {}, set()
 
@@ -35,7 +35,7 @@
             return
         self._recognize_leader(now, source)
         last = append.prev_index + len(append.entries)
-        if append.prev_index < self.commit and last >= self.commit:  # what is committed agrees: look at the rest only
+        if append.prev_index < self.commit and last >= self.commit:  # committed entries match: check the rest only
             entries = append.entries[self.commit - append.prev_index :]
         elif append.prev_index < self.commit:
             self._send(source, self._append_reply(True, self.commit, append.round))
@@ -49,7 +49,7 @@
             local_term = self.term_at(entry.index)
             if local_term == entry.term:
                 continue
-            if local_term is not None:  # the leader's log goes before ours from the first index where terms differ
+            if local_term is not None:  # conflict: the leader's entries replace ours from here
                 self._truncate(entry.index)
             self.log += entries[place:]
             if any(later.kind is Kind.MEMBERS for later in entries[place:]):
@@ -62,7 +62,7 @@
         return AppendEntriesReply(self.term, ok, match, hint, hint_term, round_, self.incarnation, self.unconfirmed)
 
     def _reject_append(self, source: str, round_: int, prev: int) -> None:
-        """Say where to look: the last of ours that can agree, past the whole term of a conflict."""
+        """Reject with a hint: the last index that can match, before all entries of the conflicting term."""
         hint = min(prev, self.last_index)
         conflict = self.term_at(hint)
         if hint == prev and conflict is not None:
@@ -99,13 +99,13 @@
         )
 
     def snapshot_installed(self, meta: SnapshotMeta) -> None:
-        """The received snapshot is the state now."""
+        """Adopt a received snapshot that the shell has installed."""
         self._incoming_snapshot = (0, 0, 0)
         self._reset_to_snapshot(meta)
         self.commit, self.applied = max(self.commit, meta.index), max(self.applied, meta.index)
-        self.stable = meta.index  # what is kept after it is written again, behind the word of the snapshot
+        self.stable = meta.index  # retained entries are written again, after the SnapshotInstalled record
         self._refresh_members()
 
     def snapshot_rejected(self) -> None:
-        """The received snapshot was no good: it has to come anew."""
+        """Discard a received snapshot that was damaged; it is transferred again."""
         self._incoming_snapshot = (0, 0, 0)
--- a/tealwing/replica/raft/leader.py
+++ b/tealwing/replica/raft/leader.py
@@ -1,4 +1,4 @@
-"""A leader: what it takes, and what it hears of its followers."""
+"""Leader: proposals, and processing of the replies of followers."""
 
 from __future__ import annotations
 
@@ -8,12 +8,14 @@
 
 
 class Leader(Membership):
-    """What a leader does."""
+    """Leader logic of a member."""
 
     def propose(self, now: float, data: bytes, defer_send: bool = False) -> tuple[int, int]:
-        """A command for the state; its index and term, where it will be if it is committed. NotLeader or Busy.
+        """Append a command and return its index and term, which identify it if it is committed.
 
-        more: others may follow at once, and `send_deferred` sends them together, one message to each follower.
+        With `defer_send` it is not sent before `send_deferred`, which batches several proposals.
+
+        Raises NotLeaderError if this member is not the leader, BusyError if too many entries are uncommitted.
         """
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
@@ -25,7 +27,7 @@
         return entry.index, entry.term
 
     def send_deferred(self, now: float) -> None:
-        """What was proposed with others to follow goes out now; nothing where we lead no more."""
+        """Send deferred proposals; do nothing if no longer leader."""
         if self.role is Role.LEADER:
             self._replicate(now)
 
@@ -33,7 +35,7 @@
         if self.options.check_quorum:
             recent = [name for name, p in self._voting() if now - p.last_contact < self.options.election_timeout]
             if not self.is_quorum([self.local_id, *recent]):
-                self._become_follower(now, self.term, "")  # another may lead already: ours is no word to act on
+                self._become_follower(now, self.term, "")  # another leader may have been elected
                 return
         for progress in self.progress.values():
             if progress.unanswered_since and now - progress.unanswered_since >= self.options.resend_timeout:
@@ -45,12 +47,12 @@
         progress.last_contact = now
         if (
             incarnation != progress.incarnation
-        ):  # it has begun anew, and may have forgotten: no earlier word of it counts
+        ):  # it restarted and may have lost state: discard what it acknowledged before
             if progress.incarnation:
                 progress.match, progress.snapshot_offset, progress.known_commit = 0, 0, 0
                 progress.inflight.clear()
                 progress.unanswered_since, progress.mode = 0.0, Mode.PROBE
-                progress.next = min(progress.next, self.last_index + 1)  # a guess: it says where it is
+                progress.next = min(progress.next, self.last_index + 1)  # a guess, corrected by its reply
             progress.incarnation, progress.acked_round, progress.incarnation_round = incarnation, 0, self.round
         progress.unconfirmed = unconfirmed
 
@@ -73,19 +75,19 @@
             self._advance_commit(now)
         elif not self._back_off_next(progress, reply):
             self._answer_reads()
-            return  # nothing new to try: with the next beat
+            return  # nothing new to try before the next heartbeat
         self._answer_reads()
         self._send_to(now, name, progress)
 
     def _back_off_next(self, progress: Progress, reply: AppendEntriesReply) -> bool:
-        """A refused append: go back to where the logs can agree, never before what is known to. Whether that is new."""
+        """Move `next` back after a rejected append, never below the match index; return whether it changed."""
         before = progress.next
         progress.inflight.clear()
         progress.unanswered_since = 0.0
         progress.mode = Mode.PROBE
         place = min(reply.hint_index, self.last_index)
         while place > progress.match and (self.term_at(place) or 0) > reply.hint_term:
-            place -= 1  # a term of ours that it does not have there can't agree
+            place -= 1  # our term here is above that of the hint, so it cannot match
         progress.next = max(progress.match + 1, min(place + 1, progress.next))
         return progress.next != before
 
@@ -100,6 +102,6 @@
         elif reply.index == self.snapshot.index:
             progress.snapshot_offset = min(reply.offset, self.snapshot.size)
         else:
-            progress.snapshot_offset = 0  # of a snapshot that is no more
+            progress.snapshot_offset = 0  # the reply is for an older snapshot
         self._answer_reads()
         self._send_to(now, name, progress)
--- a/tealwing/replica/raft/membership.py
+++ b/tealwing/replica/raft/membership.py
@@ -1,4 +1,4 @@
-"""Who the members are: one change at a time, and when a learner may vote."""
+"""Single-server membership changes, and the conditions for promoting a learner."""
 
 from __future__ import annotations
 
@@ -8,48 +8,50 @@
 
 
 class Membership(Commitment):
-    """What a leader does about members.
+    """Membership changes by the leader.
 
-    Each change makes voters by one more or one fewer, or leaves them. Of two such sets, one after the other, any two
-    majorities share a member, so quorums before and after a change meet (Ongaro's dissertation, 4.1), with the members
-    more than a majority that unsure ones ask for, too: of n voters and the n + 1 after a promotion, two quorums of
-    which the later has u unsure members share 1 + min(s, u).
+    Each change adds or removes at most one voter. Any two majorities of consecutive voter sets intersect, so quorums
+    before and after a change intersect (Ongaro's dissertation, 4.1). This includes the margin for unconfirmed members:
+    of n voters and the n + 1 after a promotion, two quorums of which the later has u unconfirmed members share
+    1 + min(s, u) members.
 
-    **A promoted learner and older disks** (`stale` s above 0). What a learner has acknowledged counted in no quorum.
-    But it may have voted before it became a learner, and its disk may have come back older since, so it has no more
-    right to be trusted than any start. So each start of a learner is unsure as any is (also one with no disk at all,
-    that knows no members), and the leader says `ConfirmIncarnation` to it under the same condition: it has all that was
-    committed when a quorum of voters, of which it is none, confirmed the leader in a round begun after the leader heard
-    of that start. It is not promoted before (`promotion_blocked_by`): of all learners, those that have forgotten thus
-    never count against s as long as they are learners. If it starts anew between the leader's last word of it and the
-    entry that promotes it, that start is unsure, says so with its first acknowledgement and its first vote, and counts
-    as an unsure voter, as the start of any voter would: the members that have forgotten then are at most s by what s
-    means.
+    **Promoted learners and stale disks** (`stale` s above 0). The acknowledgements of a learner counted in no quorum.
+    But it may have voted before it became a learner, and its disk may be stale since, so it is trusted no more than any
+    restarted member. Each incarnation of a learner is therefore unconfirmed (also one with an empty disk, that knows no
+    members), and the leader sends it `ConfirmIncarnation` under the same condition: it holds everything committed when
+    a quorum of voters, which excludes it, acknowledged a round begun after the leader first saw that incarnation. It is
+    not promoted before (`promotion_blocked_by`), so learners with stale disks do not count against s. If it restarts
+    between its last reply to the leader and the entry that promotes it, the new incarnation is unconfirmed, reports so
+    with its first acknowledgement and vote, and counts as an unconfirmed voter, as that of any voter would; the members
+    with stale disks are then at most s by the definition of s.
 
-    **A learner is not asked for its vote**, its acknowledgements and answers count in no quorum, and it neither stands
-    for election nor is handed the lead. Who asks it all the same holds it for a voter by a later entry than it has, or
-    by an earlier one, and it answers as anyone does: term and vote bind it, and the candidate counts by its own log. If
-    it did not, a fleet of one that promotes a second, and restarts before the second has that entry, could never elect.
+    **Votes of learners.** A learner is not asked for its vote, its replies count in no quorum, and it neither stands
+    for election nor is a target of leadership transfer. A candidate that does ask it has a configuration in its log in
+    which the learner is a voter; the learner answers as any member, its term and vote are binding, and the candidate
+    counts by its own log. Otherwise a group of one that promotes a second member, and restarts before the second has
+    that entry, could never elect a leader.
     """
 
     def change_members(
         self, now: float, members: tuple[str, ...], learners: tuple[str, ...] | None = None
     ) -> tuple[int, int]:
-        """Other voters and learners; index and term of the entry that says so. NotLeader, Busy, or ValueError.
+        """Append a new configuration and return index and term of its entry.
 
-        One change at a time: one learner more or fewer, a learner that votes from now on, a voter that only learns
-        from now on. learners None: they stay, but for one that is named as a voter; one voter more, or one fewer. Busy,
-        with the cause, also where a learner can't vote yet: the same call later may do.
+        Only a single change is allowed: add or remove a learner, promote a learner, or demote a voter. If `learners`
+        is None, one voter is added or removed, and the learners stay, except one that becomes a voter.
+
+        Raises NotLeaderError if this member is not the leader, BusyError if a change is pending or a learner is not yet
+        promotable (retry later), and ValueError if the change is not allowed.
         """
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
         learners = self._checked_learners(members, learners)
         pending = any(entry.kind is Kind.MEMBERS for entry in self.entries(self.commit + 1, self.last_index))
-        if pending or self.commit < self.term_start_index:  # else two changes may each find a majority of their own
+        if pending or self.commit < self.term_start_index:  # otherwise two changes could have disjoint majorities
             raise BusyError("another change of members, or the leader's first entry, is not committed yet")
         for name in set(self.learners) & set(members):
             if why := self.promotion_blocked_by(now, name):
-                self._send_to(now, name, self.progress[name], heartbeat=True)  # its answer may be all that is missing
+                self._send_to(now, name, self.progress[name], heartbeat=True)  # its reply may be all that is missing
                 raise BusyError(why)
         entry = self._append(Kind.MEMBERS, members_data(members, learners))
         self._update_progress(now)
@@ -57,13 +59,11 @@
         return entry.index, entry.term
 
     def promotion_blocked_by(self, now: float, name: str) -> str:
-        """Why a learner can't vote yet, as its leader knows; empty: it can."""
+        """Return why the leader cannot promote a learner yet, or an empty string if it can."""
         progress = self.progress.get(name)
         if name not in self.learners or progress is None:
             return f"{name} is no learner of ours"
-        if (
-            progress.match < self.learner_commit
-        ):  # what it had to be sent: news since the last round goes out with the next
+        if progress.match < self.learner_commit:  # later commits are sent with the next round
             return f"{name} is behind: it has {progress.match} of the {self.learner_commit} entries that were committed"
         if now - progress.last_contact >= self.options.election_timeout:
             return f"{name} was not heard for {now - progress.last_contact:.1f} s"
@@ -72,7 +72,10 @@
         return ""
 
     def _checked_learners(self, voters: tuple[str, ...], learners: tuple[str, ...] | None) -> tuple[str, ...]:
-        """The learners of a change, if it is one that can be made at once; else ValueError."""
+        """Return the learners after a change.
+
+        Raises ValueError if it is not a single allowed change.
+        """
         other = set(voters) ^ set(self.members)
         if learners is None:
             if len(other) != 1 or not voters:
@@ -87,7 +90,7 @@
                 )
             min_voters = (
                 2 * self.options.max_stale_disks + 1
-            )  # of fewer, s that have forgotten are too many for any quorum
+            )  # with fewer voters, quorums cannot tolerate s stale disks
             if set(voters) < set(self.members) and len(voters) < min_voters:
                 raise ValueError(f"with stale {self.options.max_stale_disks} there must be {min_voters} voters left")
         if len({*voters, *learners}) != len(voters) + len(learners):
@@ -95,7 +98,7 @@
         return learners
 
     def _update_progress(self, now: float) -> None:
-        """Of the members as they are now; the beats of learners are spread over theirs."""
+        """Add and remove progress to match the configuration; spread the heartbeats of learners evenly."""
         for name in self.members:
             if name != self.local_id and name not in self.progress:
                 self.progress[name] = Progress(self.last_index, last_contact=now)
--- a/tealwing/replica/raft/quorum.py
+++ b/tealwing/replica/raft/quorum.py
@@ -1,4 +1,4 @@
-"""Quorums: more than half, and as many more as may have forgotten."""
+"""Quorums: a majority, plus a margin for members whose disks may be stale."""
 
 from __future__ import annotations
 
@@ -9,14 +9,18 @@
 
 
 class QuorumRules(RaftState):
-    """Who counts: voters only. A learner is in no quorum, whatever it has or says."""
+    """Quorum rules; only voters count, never learners."""
 
     def _voting(self) -> list[tuple[str, Progress]]:
-        """The followers that vote, as their leader knows them."""
+        """Return name and progress of the followers that are voters."""
         return [(name, self.progress[name]) for name in self.members if name in self.progress]
 
     def is_quorum(self, names: Iterable[str]) -> bool:
-        """Whether these are a quorum: more than half, and as many more as may have forgotten (see the module)."""
+        """Return whether the given members are a quorum.
+
+        That is a majority plus one for each unconfirmed member, up to `max_stale_disks`, but never more than all
+        members (see the package).
+        """
         there = {name for name in names if name in self.members}
         spare = min(self.options.max_stale_disks, (len(self.members) - 1) // 2)
         unconfirmed = sum(1 for name in there if self._is_unconfirmed(name))
--- a/tealwing/replica/raft/records.py
+++ b/tealwing/replica/raft/records.py
@@ -1,4 +1,4 @@
-"""What the core is told, keeps and says: roles, options, snapshots, progress, errors."""
+"""Data types of the core: roles, options, snapshot metadata, progress, Ready and errors."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Role(Enum):
-    """What a member is for now."""
+    """Current role of a member."""
 
     FOLLOWER = "follower"
     PRECANDIDATE = "precandidate"
@@ -20,41 +20,39 @@
 
 
 class Mode(Enum):
-    """How the leader sends to a follower."""
+    """Replication mode of a follower, as tracked by the leader."""
 
-    PROBE = "probe"  # one message at a time, until it is known where the logs agree
-    REPLICATE = "replicate"  # several under way
-    SNAPSHOT = "snapshot"  # it needs what the log has no more
+    PROBE = "probe"  # one message in flight, until the match index is known
+    REPLICATE = "replicate"  # several messages in flight
+    SNAPSHOT = "snapshot"  # it needs entries that were compacted
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Seconds, bytes and counts; the same at all members but for mutations of the model check."""
+    """Tuning options, identical at all members except in mutations of the model check."""
 
-    heartbeat_interval: float = 0.1  # s between two rounds of a leader that has nothing else to say
-    learner_heartbeat_interval: float = (
-        0.5  # s between two words to a learner that has nothing new to hear: see Replication
-    )
+    heartbeat_interval: float = 0.1  # s between rounds of an idle leader
+    learner_heartbeat_interval: float = 0.5  # s between heartbeats to an idle learner: see Replication
     learner_message_rate: float = (
-        4000.0  # messages a second with news for learners, but for those of `broadcast_commit`: see Replication
+        4000.0  # maximum update messages to learners per s, `broadcast_commit` excepted: see Replication
     )
-    election_timeout: float = 0.6  # s without a leader after which a member asks for votes, at least; up to twice that
-    resend_timeout: float = 0.5  # s without an answer after which what is under way to a follower counts as lost
-    max_batch_bytes: int = 64 * 1024  # bytes of entries in one message, but one entry at least
-    max_batch_entries: int = 256  # of one message
-    max_inflight: int = 8  # messages under way to one follower
-    max_uncommitted: int = 4096  # entries beyond which a leader takes no more for now
-    max_snapshot_transfers: int = 2  # snapshots under way at once, lest a fleet that returns takes them all together
+    election_timeout: float = 0.6  # minimum s without a leader before an election; randomized up to twice that
+    resend_timeout: float = 0.5  # s without a reply after which messages in flight count as lost
+    max_batch_bytes: int = 64 * 1024  # maximum bytes of entries in one message, which has at least one entry
+    max_batch_entries: int = 256  # maximum entries in one message
+    max_inflight: int = 8  # maximum messages in flight to one follower
+    max_uncommitted: int = 4096  # uncommitted entries at which proposals are refused
+    max_snapshot_transfers: int = 2  # concurrent snapshot transfers, to bound the load when many members return
     uncommitted_to_learners: bool = (
-        False  # learners get entries before those are committed: for the model check, which then sees more
+        False  # send uncommitted entries to learners: for the model check, which then covers more states
     )
-    max_stale_disks: int = 0  # members that may at once have come back with an older disk
+    max_stale_disks: int = 0  # maximum members with a stale disk at one time
     pre_vote: bool = True
     check_quorum: bool = True
 
 
 class NotLeaderError(ReplicaError):
-    """Only the leader can do that; `leader` is who that may be, empty if unknown."""
+    """This member is not the leader; `leader` is the presumed leader, empty if unknown."""
 
     def __init__(self, leader: str) -> None:
         super().__init__(f"not the leader; {leader or 'nobody'} may be")
@@ -62,12 +60,12 @@
 
 
 class BusyError(ReplicaError):
-    """Not now: too much is under way, or another change of members is, or a learner can't vote yet."""
+    """Retry later: too many uncommitted entries, a pending membership change, or a learner not yet promotable."""
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotMeta:
-    """A snapshot: the state up to an index, its term, the voters then, its size in bytes, the learners then."""
+    """Snapshot metadata: last index and term included, voters, size in bytes, and learners."""
 
     index: int = 0
     term: int = 0
@@ -78,24 +76,24 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What the leader knows of one follower."""
+    """Replication progress of one follower, as known to the leader."""
 
     next: int
     match: int = 0
     mode: Mode = Mode.PROBE
-    inflight: deque[int] = field(default_factory=deque)  # last index of each message under way
-    unanswered_since: float = 0.0  # when the oldest that is unanswered was sent; 0: none is
+    inflight: deque[int] = field(default_factory=deque)  # last index of each message in flight
+    unanswered_since: float = 0.0  # time since when a reply is awaited, 0 if none is
     last_contact: float = 0.0
-    acked_round: int = 0  # highest that it answered
-    incarnation: int = 0  # of its process, as it said last
+    acked_round: int = 0  # highest round acknowledged
+    incarnation: int = 0  # last reported incarnation
     unconfirmed: bool = False
-    incarnation_round: int = 0  # our round when we heard of that start first
-    snapshot_offset: int = 0  # of the snapshot that it has
-    next_heartbeat: float = 0.0  # when the next beat to a learner is
-    known_commit: int = 0  # the commit that it was told, if nothing was lost
+    incarnation_round: int = 0  # our round when this incarnation was first seen
+    snapshot_offset: int = 0  # bytes of the snapshot already received
+    next_heartbeat: float = 0.0  # time of the next heartbeat to a learner
+    known_commit: int = 0  # highest commit index sent
 
     def clone(self) -> Progress:
-        """One like this."""
+        """Return an independent copy."""
         return Progress(
             self.next,
             self.match,
@@ -115,12 +113,12 @@
 
 @dataclass(slots=True)
 class Ready:
-    """What the shell has to do, in this order: write, say `entries_saved`, send, apply, answer reads."""
+    """Work for the shell, in this order: write, call `entries_saved`, send, apply, answer reads."""
 
-    hard_state: tuple[int, str] | None  # term and vote, to be on disk before anything is sent
-    entries: list[Entry]  # to be on disk; the first takes the place of all from its index on
-    chunk: InstallSnapshot | None  # a piece of a snapshot, to be on disk; the last one of it then is to be installed
+    hard_state: tuple[int, str] | None  # term and vote, to be durable before any message is sent
+    entries: list[Entry]  # to be made durable; the first replaces all entries from its index on
+    chunk: InstallSnapshot | None  # snapshot chunk to be made durable; install the snapshot after its last chunk
     messages: list[tuple[str, Message]]
     committed: list[Entry]
-    reads: list[tuple[int, int]]  # number and index: once the state is at the index, the read may be answered
+    reads: list[tuple[int, int]]  # read number, and the index that must be applied before the read is answered
     failed_reads: list[int]
--- a/tealwing/replica/raft/replication.py
+++ b/tealwing/replica/raft/replication.py
@@ -1,4 +1,4 @@
-"""A leader's messages: rounds, entries and snapshots, as far as they may be under way."""
+"""Replication: rounds, entries and snapshot chunks sent by a leader, with flow control."""
 
 from __future__ import annotations
 
@@ -9,22 +9,21 @@
 
 
 class Replication(Follower):
-    """What a leader says.
-
-    Learners may be many, so a leader that has nothing new to say costs little for them: each has a beat of its own,
-    `learner_heartbeat_interval` apart and spread evenly, so that of n learners n * heartbeat_interval /
-    learner_heartbeat_interval hear something in a round (40 of 200). What is new does not wait for that: entries go out
-    with the next round (that of `broadcast_commit`, where it must be now) once they are committed, as before that a
-    learner has no use for them, and with the word that they are: one message, and one answer, for all that a round has
-    of news. Rounds with news for learners are so far apart that these messages stay within `learner_message_rate`:
-    acknowledgements of 1,100 members come in over many rounds, and a leader that told all of each round had no time
-    left to take them in. Who votes gets entries at once, as ever. A learner that was not heard for two of its beats
-    gets no entries and no pieces of a snapshot, only its beat, until it is heard again: else those that are gone would
-    take the places of those that wait for a snapshot.
+    """Message sending of a leader.
+
+    Voters get entries at once. As there may be many learners, an idle leader sends them few messages: each has its own
+    heartbeats, `learner_heartbeat_interval` apart and spread evenly, so that of n learners n * heartbeat_interval /
+    learner_heartbeat_interval get one in a round (40 of 200). Updates do not wait for a heartbeat: committed entries
+    and the commit index go out together in the next round (begun at once by `broadcast_commit`), so that a round costs
+    one message and one reply per learner. Uncommitted entries are not sent to learners, except unconfirmed ones. Rounds
+    with updates for learners are spaced to stay within `learner_message_rate`: with 1,100 members acknowledgements
+    arrive over many rounds, and a leader that announced commits in each round would have no time left to process them.
+    A learner that has been silent for two of its heartbeat intervals gets heartbeats only, neither entries nor snapshot
+    chunks, until it replies: otherwise failed learners would occupy the snapshot transfers that others wait for.
     """
 
     def _begin_round(self, now: float) -> None:
-        """One message to everyone, numbered: its answers show who still follows us."""
+        """Start a numbered round of messages, whose replies show which members still follow this leader."""
         self.round += 1
         self.last_round_at = now
         if now >= self.next_learner_round:
@@ -36,9 +35,9 @@
             self._send_to(now, name, progress, heartbeat=name in self.members or self._heartbeat_due(now, progress))
 
     def broadcast_commit(self, now: float) -> bool:
-        """Begin a round at once, so that all learn now how far the log is committed; whether one was begun.
+        """Start a round at once to announce the commit index; return whether one was started.
 
-        None is where nothing was committed since the last one began, or where we don't lead.
+        None is started if learners were already told the commit index, or this member is not the leader.
         """
         if self.role is not Role.LEADER or self.learner_commit >= self.commit:
             return False
@@ -47,7 +46,7 @@
         return True
 
     def _heartbeat_due(self, now: float, progress: Progress) -> bool:
-        """Whether a learner is to hear something in this round though there are no entries for it."""
+        """Return whether a learner gets a message in this round even without entries."""
         if now < progress.next_heartbeat:
             return progress.known_commit < self.learner_commit
         overdue = now - progress.next_heartbeat >= self.options.learner_heartbeat_interval
@@ -65,7 +64,7 @@
             self._send_to(now, name, progress)
 
     def _send_to(self, now: float, name: str, progress: Progress, heartbeat: bool = False) -> None:
-        """What a follower needs next, as far as it may be under way; a beat at least, where one is due."""
+        """Send the next entries or snapshot chunk within the in-flight limit, or else a heartbeat if one is due."""
         if self._is_unreachable_learner(now, name, progress):
             if heartbeat:
                 self._send_heartbeat(name, progress)
@@ -89,7 +88,7 @@
             self._send_entries(now, name, progress, [])
 
     def _last_index_for(self, name: str, progress: Progress) -> int:
-        """Index of the last entry that a follower is to have now."""
+        """Return the index of the last entry that may be sent to a follower."""
         if name in self.members or progress.unconfirmed or self.options.uncommitted_to_learners:
             return self.last_index
         return self.learner_commit
@@ -106,7 +105,7 @@
             progress.unanswered_since = now
 
     def _send_heartbeat(self, name: str, progress: Progress) -> None:
-        """A sign of life: it may well be refused, and its answer says that the member hears us."""
+        """Send a heartbeat; it may be rejected, but any reply shows that the member is reachable."""
         progress.known_commit = self.commit
         self._send(name, AppendEntries(self.term, self.last_index, self.last_term, (), self.commit, self.round))
 
@@ -121,7 +120,7 @@
         return found
 
     def _send_snapshot_chunk(self, now: float, name: str, progress: Progress, heartbeat: bool) -> None:
-        """One piece at a time, sent again where no answer came; the shell puts the bytes in."""
+        """Send one snapshot chunk at a time, again after a timeout; the shell fills in the data."""
         transfers = sum(1 for other in self.progress.values() if other.mode is Mode.SNAPSHOT and other.inflight)
         if progress.mode is not Mode.SNAPSHOT:
             progress.mode, progress.snapshot_offset = Mode.SNAPSHOT, 0
@@ -139,8 +138,8 @@
         )
 
     def _restart_probing(self, progress: Progress) -> None:
-        """What is under way counts as lost: find out anew where the logs agree."""
+        """Treat messages in flight as lost, and probe for the match index again."""
         progress.inflight.clear()
         progress.unanswered_since = 0.0
-        if progress.mode is Mode.REPLICATE:  # else where they agree is not known, and `next` is our guess at it
+        if progress.mode is Mode.REPLICATE:  # in other modes `next` is still a guess, which is kept
             progress.mode, progress.next = Mode.PROBE, progress.match + 1
--- a/tealwing/replica/raft/state.py
+++ b/tealwing/replica/raft/state.py
@@ -1,4 +1,4 @@
-"""What a member has: its state, and the log with its entries, terms and members."""
+"""Raft state of a member, and access to its log: entries, terms and configurations."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RaftState:
-    """The state of a member, and what it does with its log."""
+    """Persistent and volatile state of a member, with the operations on its log."""
 
     def __init__(  # noqa: PLR0913 - all that a disk may have, each by its name
         self,
@@ -29,73 +29,73 @@
         commit: int = 0,
         learners: tuple[str, ...] = (),
     ) -> None:
-        """From what the disk has. start is a number that no earlier start of this member had.
+        """Initialize the state from what storage recovered.
 
-        members (who vote) and learners hold where neither snapshot nor log says who they are; none: this one joins a
-        fleet that has it added.
-        incoming is index, term and size so far of a snapshot that was being received.
+        `incarnation` must differ from that of every earlier start of this member. `members` (the voters) and `learners`
+        apply if neither the snapshot nor the log has a configuration; both are empty for a member that joins an
+        existing group. `incoming_snapshot` is index, term and bytes so far of a partly received snapshot.
         """
         self.local_id, self.options, self.incarnation = local_id, options, incarnation
         self._random = random.Random(seed)
         self.term, self.vote = term, vote
         self.snapshot = snapshot
-        self.log_base = (snapshot.index, snapshot.term)  # of what comes before the log: the snapshot's, or older
+        self.log_base = (snapshot.index, snapshot.term)  # index and term that precede the first log entry
         self.first_members, self.first_learners = members, learners
-        self.log = list(log)  # after the base
-        self.members, self.learners = self.members_at(self.last_index)  # who vote, and who only follow
+        self.log = list(log)  # entries after log_base
+        self.members, self.learners = self.members_at(self.last_index)  # voters and learners
         self.applied = snapshot.index
         self.commit = max(snapshot.index, min(commit, self.last_index))
         self.unconfirmed = options.max_stale_disks > 0 and self.members != (
             local_id,
-        )  # a learner too: it may have voted, or come to
+        )  # learners too: they may have voted, or become voters
         self.role, self.leader = Role.FOLLOWER, ""
-        self.last_leader_contact = now - 2 * options.election_timeout  # when a leader was heard
+        self.last_leader_contact = now - 2 * options.election_timeout  # time of the last message from the leader
         self.election_deadline = 0.0
-        self.votes: dict[str, tuple[bool, int, bool]] = {}  # granted, start and unsure, by who answered
+        self.votes: dict[str, tuple[bool, int, bool]] = {}  # granted, incarnation and unconfirmed, by member
         self.vote_confirmations: set[str] = (
             set()
-        )  # who has said again that it holds its vote for us; empty: nobody was asked to
-        self.voter_incarnations: dict[str, int] = {}  # the starts that voted for us as we became leader
+        )  # voters that confirmed their vote for us; empty before confirmation is requested
+        self.voter_incarnations: dict[str, int] = {}  # incarnations that elected us
         self.progress: dict[str, Progress] = {}
         self.round = 0
-        self.last_round_at = 0.0  # when the last round began
-        self.learner_commit = 0  # what was committed when learners were last told of news
-        self.next_learner_round = 0.0  # when they may be told of further news
-        self.term_start_index = 0  # index of our first entry as leader
-        self.stable = self.last_index  # written to disk up to here
-        self._hard_state_changed = False  # term or vote is not on disk
+        self.last_round_at = 0.0  # start time of the last round
+        self.learner_commit = 0  # commit index last announced to learners
+        self.next_learner_round = 0.0  # earliest time of the next announcement
+        self.term_start_index = 0  # index of the first entry of our term as leader
+        self.stable = self.last_index  # index of the last durable entry
+        self._hard_state_changed = False  # term or vote not yet written to disk
         self._outgoing: list[tuple[str, Message]] = []
         self._pending_chunk: InstallSnapshot | None = None
         self._incoming_snapshot = incoming_snapshot
-        self._reads: list[tuple[int, int]] = []  # number, round that must be answered; round 0: not begun
+        self._reads: list[tuple[int, int]] = []  # read number and the round it needs; 0 if not begun
         self._done_reads: list[tuple[int, int]] = []
         self._failed_reads: list[int] = []
         self._reset_election_deadline(now)
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry."""
+        """Index of the last log entry."""
         return self.log_base[0] + len(self.log)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry."""
+        """Term of the last log entry."""
         return self.log[-1].term if self.log else self.log_base[1]
 
     def term_at(self, index: int) -> int | None:
-        """Term of the entry at an index; None where the log has none there."""
+        """Return the term of the entry at an index, or None if the log has no entry there."""
         if index == self.log_base[0]:
             return self.log_base[1]
         place = index - self.log_base[0] - 1
         return self.log[place].term if 0 <= place < len(self.log) else None
 
     def entries(self, first: int, last: int) -> list[Entry]:
-        """The entries from first to last, as far as the log has them."""
+        """Return the entries from `first` to `last` inclusive that are in the log."""
         begin = self.log_base[0] + 1
         return self.log[max(first - begin, 0) : max(last - begin + 1, 0)]
 
     def members_at(self, index: int) -> tuple[tuple[str, ...], tuple[str, ...]]:
-        """Voters and learners as of an index, which is not before the snapshot's."""
+        """Return the voters and learners as of an index, which must not be before the snapshot."""
         for entry in reversed(self.entries(self.log_base[0] + 1, index)):
             if entry.kind is Kind.MEMBERS:
                 return voters_of(entry), learners_of(entry)
@@ -104,7 +104,7 @@
         return self.first_members, self.first_learners
 
     def _refresh_members(self) -> None:
-        """The log has changed: the members are those of its last word on them, committed or not."""
+        """Use the latest configuration in the log, committed or not."""
         self.members, self.learners = self.members_at(self.last_index)
 
     def _members_index(self) -> int:
@@ -121,16 +121,16 @@
         return entry
 
     def _truncate(self, index: int) -> None:
-        """Drop the entries from an index on; none of them was committed."""
+        """Remove the entries from an index on, which must be uncommitted."""
         log.check_invariant(index > self.commit, "what is committed is never cut")
         del self.log[index - self.log_base[0] - 1 :]
         self.stable = min(self.stable, index - 1)
         self._refresh_members()
 
     def compact(self, meta: SnapshotMeta, retained_entries: int = 0) -> None:
-        """A snapshot of our own state is on disk: the log up to it can go, but for so many entries.
+        """Discard the log up to a local snapshot that is durable, except its last `retained_entries` entries.
 
-        Who is a little behind takes those, and not the whole state.
+        With these a follower that is slightly behind needs no snapshot.
         """
         if meta.index <= self.snapshot.index:
             return
@@ -141,7 +141,7 @@
             self.log, self.log_base = self.entries(keep + 1, self.last_index), (keep, term)
 
     def _reset_to_snapshot(self, meta: SnapshotMeta) -> None:
-        """A snapshot of another takes the place of the log, but for what comes after it and agrees."""
+        """Replace the log by a received snapshot, and retain later entries if the log matches the snapshot."""
         retained = self.entries(meta.index + 1, self.last_index) if self.term_at(meta.index) == meta.term else []
         self.snapshot, self.log_base, self.log = meta, (meta.index, meta.term), retained
 
