--- a/tealwing/mysql/departures.py
+++ b/tealwing/mysql/departures.py
@@ -1,4 +1,4 @@
-"""Whether a client has left, asked of its socket; and what of a client can be answered without a request."""
+"""Detect by its socket that a client has left, and recognize commands that are answered without a request."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 def watcher(sock: socket.socket) -> select.poll:
-    """What `has_left` asks of the socket, for as long as that is open."""
+    """Return a poll object for `has_left`, valid while the socket is open."""
     found = select.poll()
     found.register(sock, select.POLLIN | select.POLLRDHUP)
     return found
 
 
 def has_left(sock: socket.socket, found: select.poll | None = None) -> bool:
-    """Whether the peer has closed or reset the connection, or its sending half, also behind bytes not yet read.
+    """Return whether the peer has closed or reset the connection, or its sending half, even behind unread bytes.
 
     It never waits. A system that does not tell an end behind unread bytes (POLLRDHUP) tells it once they are read.
     """
     events = (found or watcher(sock)).poll(0)
-    if not events:  # an end can be read too, so that this is sure everywhere
+    if not events:  # an end is readable too: this holds on every platform
         return False
     if events[0][1] & (select.POLLRDHUP | select.POLLHUP | select.POLLERR):
         return True
@@ -41,17 +41,17 @@
 
 
 class ClientDeparture:
-    """Whether the client of one session has left, asked by any thread: a poll object is one thread's at a time."""
+    """Check, by any thread, of whether one session's client has left; serializes the poll object."""
 
     __slots__ = ("_lock", "_poll", "_sock", "has_departed")
 
     def __init__(self, sock: socket.socket) -> None:
-        self._sock, self._lock = sock, threading.Lock()  # nothing is waited for under the lock
-        self._poll: select.poll | None = None  # made with the first request
+        self._sock, self._lock = sock, threading.Lock()  # never held while anything is waited for
+        self._poll: select.poll | None = None  # created with the first request
         self.has_departed = False
 
     def check(self) -> bool:
-        """Ask the socket, unless the client is known to have left; never waits."""
+        """Return whether the client has left; never blocks."""
         with self._lock:
             if self._poll is None:
                 self._poll = watcher(self._sock)
@@ -60,7 +60,7 @@
 
 
 def brief_commands_length(sock: socket.socket, inside: bool, buffer: memoryview) -> int | None:
-    """How many bytes have come, if all are whole commands that are answered at once, of which KILL is one.
+    """Return the number of bytes read, if all are complete commands that are answered at once, KILL included.
 
     None where anything else has come, or the client does not take what it is answered: that may have to wait. inside
     tells whether the client is logged in. Nothing is read. An end, or an error, counts as a byte: reading it says so.
@@ -75,7 +75,7 @@
     parser.feed(buffer[:size])
     try:
         while (message := parser.next()) is not None:
-            command, inside = inside, True  # what comes before the commands is the login
+            command, inside = inside, True  # the login precedes the commands
             if command and message[1][:1] == bytes([QUERY]) and statements.parse_kill(message[1][1:]) is None:
                 return None
     except packets.PacketError:
--- a/tealwing/mysql/overdue.py
+++ b/tealwing/mysql/overdue.py
@@ -1,4 +1,4 @@
-"""The moment by which a request is answered, whatever it waits for; pure.
+"""The time by which a request is answered, whatever it waits for; pure.
 
 The invariant: a request whose bytes have come is answered at the latest soon after its time to live is over, and once.
 Its own thread answers it as a rule. Where that thread waits (for a lock, a connection, the gate) or where there is
@@ -19,7 +19,7 @@
 
 
 class AnswerDeadline:
-    """Of the request that a session has open, if any."""
+    """The deadline of a session's open request, if any."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -27,24 +27,24 @@
         self._answered = False
 
     def begin(self, due: float) -> None:
-        """A request was read that is due by then; reading it anew under other settings begins no second one."""
+        """Open a request due at a monotonic time; parsing it again under other settings does not open a second one."""
         with self._lock:
             if self._due == inf:
                 self._due, self._answered = due, False
 
     def claim(self) -> bool:
-        """End the open request: whether the caller is to answer it. True where none is open."""
+        """End the open request; return whether the caller must answer it (True if none is open)."""
         with self._lock:
             mine = not self._answered
             self._due, self._answered = inf, False
             return mine
 
     def is_overdue(self, now: float) -> bool:
-        """Whether the open request's time may be over: a cheap look, without the lock."""
+        """Return whether the open request may be overdue; cheap, without the lock."""
         return now >= self._due + OWN_THREAD_GRACE
 
     def claim_overdue(self, now: float) -> bool:
-        """Whether the open request's time is over and nobody has answered it: then the caller is to, at once."""
+        """Claim the open request if it is overdue and unanswered; return whether the caller must answer it now."""
         with self._lock:
             if now < self._due + OWN_THREAD_GRACE or self._answered:
                 return False
@@ -53,6 +53,6 @@
 
 
 def time_to_live(raw: bytes) -> float | None:
-    """Seconds that the first request among bytes not yet read has, by its comment; None where that has not come."""
+    """Return the time to live in s of the first request in unread bytes; None if its comment is incomplete."""
     found = _TIME_TO_LIVE.search(raw)
     return int(found[1]) / 1e3 if found else None
--- a/tealwing/mysql/packets.py
+++ b/tealwing/mysql/packets.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 VERSION = b"8.0.0-tealwing"
-MAX_PACKET_BYTES = 0xFFFFFF  # bytes of one packet; a longer message goes on in the next
+MAX_PACKET_BYTES = 0xFFFFFF  # of one packet; a longer message continues in the next
 MAX_MESSAGE_BYTES = 128 * 1024  # max_allowed_packet: a third of the descriptors times this must fit the memory
 PLUGIN = b"mysql_native_password"
 
@@ -20,12 +20,12 @@
 AUTOCOMMIT = 0x2  # status flag
 UTF8MB4 = 45  # the character set
 VAR_STRING = 0xFD  # the columns' type
-LENGTHS = [bytes([length]) for length in range(251)]  # of short strings, as they go before them
+LENGTHS = [bytes([length]) for length in range(251)]  # length prefixes of short strings
 WIDEST = 0xFFFF  # the columns' stated length
 
 
 class PacketError(ValueError):
-    """Bytes that are no packet of this protocol; code and state are the error that a server sends."""
+    """Malformed bytes; code and state are those of the error that the server sends."""
 
     def __init__(self, text: str, code: int = 1043, state: str = "08S01", sequence: int = 0) -> None:
         super().__init__(text)
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Login:
-    """What a client says of itself."""
+    """The client's handshake response."""
 
     user: bytes
     auth: bytes
@@ -45,7 +45,7 @@
 
 
 class Parser:
-    """Cuts a stream into messages with the sequence number of their last packet, of bounded size."""
+    """Splits a stream into messages of bounded size, with the sequence number of their last packet."""
 
     def __init__(self) -> None:
         self._data = bytearray()
@@ -55,32 +55,32 @@
 
     @property
     def begun(self) -> bool:
-        """Whether a part of a message has come."""
+        """Whether a message is incomplete."""
         return bool(self._data or self._message)
 
     @property
     def unread(self) -> bytes:
-        """What has come of a message that is not whole."""
+        """The received part of an incomplete message."""
         return bytes(self._message + self._data)
 
     @property
     def missing_bytes(self) -> int:
-        """Bytes to the end of the packet that has begun, or of its header as long as that is not whole."""
+        """Missing bytes of the incomplete packet, or of its header."""
         if len(self._data) < HEADER:
             return HEADER - len(self._data)
         return HEADER + int.from_bytes(self._data[:3], "little") - len(self._data)
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take in what has come."""
+        """Add received bytes."""
         self._data += data
 
     def next(self) -> tuple[int, bytes] | None:
-        """The next whole message, if there is one."""
+        """Return the next complete message, if there is one."""
         while len(self._data) >= 4:
             length, sequence = int.from_bytes(self._data[:3], "little"), self._data[3]
             if self._open and sequence != (self._sequence + 1) % 256:
                 raise PacketError("Got packets out of order", 1156, "08S01", sequence)
-            if len(self._message) + length > MAX_MESSAGE_BYTES:  # known before its bytes are kept
+            if len(self._message) + length > MAX_MESSAGE_BYTES:  # checked before its bytes are stored
                 text = "Got a packet bigger than 'max_allowed_packet' bytes"
                 raise PacketError(text, 1153, "08S01", sequence)
             if len(self._data) < 4 + length:
@@ -95,19 +95,19 @@
 
 
 def packet(sequence: int, payload: bytes) -> bytes:
-    """One payload, below 16 MB as all here are, as a packet."""
+    """Return one payload, below 16 MB as all here are, as a packet."""
     return len(payload).to_bytes(3, "little") + bytes([sequence % 256]) + payload
 
 
 def greeting(connection: int, scramble: bytes) -> bytes:
-    """The first payload of a server; the scramble has 20 bytes."""
+    """Return the server's handshake; the scramble has 20 bytes."""
     head = b"\x0a" + VERSION + b"\0" + struct.pack("<I", connection) + scramble[:8] + b"\0"
     flags = struct.pack("<HBHHB", CAPABILITIES & 0xFFFF, UTF8MB4, AUTOCOMMIT, CAPABILITIES >> 16, 21)
     return head + flags + bytes(10) + scramble[8:] + b"\0" + PLUGIN + b"\0"
 
 
 def login(payload: bytes) -> Login:
-    """The client's answer to the greeting."""
+    """Return the client's handshake response. Raises PacketError."""
     if len(payload) < 32:
         raise PacketError("Bad handshake")
     flags = int.from_bytes(payload[:4], "little")
@@ -132,22 +132,22 @@
 
 
 def ok() -> bytes:
-    """The OK payload."""
+    """Return the OK payload."""
     return b"\0\0\0" + struct.pack("<HH", AUTOCOMMIT, 0)
 
 
 def eof() -> bytes:
-    """The EOF payload."""
+    """Return the EOF payload."""
     return b"\xfe" + struct.pack("<HH", 0, AUTOCOMMIT)
 
 
 def error(code: int, state: str, text: str) -> bytes:
-    """An error payload."""
+    """Return an error payload."""
     return b"\xff" + struct.pack("<H", code) + b"#" + state.encode() + text.encode()[:512]
 
 
 def _string(data: bytes) -> bytes:
-    """A length-encoded string."""
+    """Return a length-encoded string."""
     if len(data) < len(LENGTHS):
         return LENGTHS[len(data)] + data
     if len(data) < 1 << 16:
@@ -156,7 +156,7 @@
 
 
 def result_set(columns: Iterable[bytes], rows: Iterable[Iterable[bytes]], sequence: int) -> bytes:
-    """A whole result set of text columns as packets, with EOF after the columns and after the rows."""
+    """Return a result set of text columns as packets, with EOF after the columns and after the rows."""
     payloads = [
         b"".join(map(_string, (b"def", b"", b"", b"", name, name)))
         + struct.pack("<BHIBHBH", 12, UTF8MB4, WIDEST, VAR_STRING, 0, 0, 0)
--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -32,17 +32,17 @@
 
 USER, DATABASE = b"app", b"reports"
 COLUMNS = (b"column_1", b"column_2", b"column_3")  # engines send no names
-FIRST_LIMIT = 2.0  # s from its connect in which a client logs in and sends its first command whole
-PACKET_LIMIT = 2.0  # s for the rest of a command that has begun to come
-IDLE_LIMIT = 60.0  # s between commands: usual clients close after 4, some ask once and stay for good
-WRITE_LIMIT = 5  # s that a client may take nothing
-READINGS = 3  # of one request: once more for each change of the rules that it meets
-UNREAD_WAITS = 1.0  # s that a request without a known time may be held
-OVERDUE_PUSHBACK = 0.2  # s of pushback for one that no thread came to in its time: most bursts are over by then
-STILL_CHANGING = 0.2  # s of pushback for one that met a change at each reading
-RESERVE, RESERVE_SHARE = 0.25, 0.5  # of a held request's time, that is kept for what follows: at most s, and a share
-MIN_WAIT = 0.02  # s unread that count: less is the usual way to a thread, and far below the slack of a deadline
-SAMPLED = 4  # of so many sessions one tells how long what it reads has waited: enough for a mean
+FIRST_LIMIT = 2.0  # s from the connect for the login and the first complete command
+PACKET_LIMIT = 2.0  # s for the rest of an incomplete command
+IDLE_LIMIT = 60.0  # s between commands
+WRITE_LIMIT = 5  # s without progress
+READINGS = 3  # parses of one request: again for each change of the rules that it meets
+UNREAD_WAITS = 1.0  # s that a request with unknown time to live may wait unread
+OVERDUE_PUSHBACK = 0.2  # s of Retry-After for a request that no thread read in time
+STILL_CHANGING = 0.2  # s of Retry-After for a request that met a change at each parse
+RESERVE, RESERVE_SHARE = 0.25, 0.5  # of a held request's time, reserved for serving it: max s, and share
+MIN_WAIT = 0.02  # s of unread age below which it is ignored
+SAMPLED = 4  # one in so many sessions reports the age of what it reads
 
 QUIT, INIT_DB, QUERY, PROCESS_KILL, PING, RESET_CONNECTION = 0x01, 0x02, 0x03, 0x0C, 0x0E, 0x1F
 
@@ -74,43 +74,45 @@
 
 
 class Session:
-    """One client connection."""
+    """One client connection, served by one thread at a time."""
 
     def __init__(self, server: SessionHost, sock: socket.socket, number: int) -> None:
         self.server, self.number = server, number
         self._sock = sock
-        self.descriptor = sock.fileno()  # for the thread that has the session: its number, as long as it is open
+        self.descriptor = sock.fileno()  # valid while the session is open
         self._departure = departures.ClientDeparture(sock)
         prepare(sock, WRITE_LIMIT)
         self._parser = packets.Parser()
         self._lock = threading.Lock()
-        self._exchange: Exchange | None = None  # the request that is open, under the lock
-        self._since = time.monotonic()  # when the client was last answered
-        self._first = self._since + FIRST_LIMIT  # until when its first command is due; 0 after that
-        self._rest = 0.0  # until when the rest of a command that has begun is due
-        self._waiting: tuple[float, float] | None = None  # for its client: since when, and until when, under the lock
-        self._is_sampled = number % SAMPLED == 0  # how long what it reads has waited
+        self._exchange: Exchange | None = None  # of the open request; under the lock
+        self._since = time.monotonic()  # monotonic; the last answer
+        self._first = self._since + FIRST_LIMIT  # monotonic deadline of the first command; 0 after that
+        self._rest = 0.0  # monotonic deadline of an incomplete command
+        self._waiting: tuple[float, float] | None = (
+            None  # since when and until when it waits for its client; under the lock
+        )
+        self._is_sampled = number % SAMPLED == 0  # reports the age of what it reads
         self._greeted = self._in = False
-        self._taken = 0.0  # monotonic, when the last byte of the last message had been read
-        self._deferred_answer = 0.0  # s that it had waited unread by then
-        self._linger: lingering.Linger | None = None  # it is over: what it still says is dropped, under the lock
-        self._gone = False  # its client has ended its side, and all that it said is read
-        self._quit = False  # its client has said that it says no more
-        self._closing = False  # the gateway ends: close once what has come is answered, under the lock
-        self._cut = False  # killed: close once its open request is answered, under the lock
-        self._idle = False  # waiting for a further command, under the lock
-        self._due = False  # a command has come, or may have, and is not yet answered, under the lock
-        self._killed = False  # by a KILL that came before the exchange of what is due was there, under the lock
+        self._taken = 0.0  # monotonic; when the last message had been read
+        self._deferred_answer = 0.0  # s that it had waited unread
+        self._linger: lingering.Linger | None = None  # after the last answer, while input is dropped; under the lock
+        self._gone = False  # the client has ended its side, and all input is read
+        self._quit = False  # the client has sent QUIT
+        self._closing = False  # close once the received commands are answered; under the lock
+        self._cut = False  # close once the open request is answered; under the lock
+        self._idle = False  # between two commands; under the lock
+        self._due = False  # a command may have been received and is not answered; under the lock
+        self._killed = False  # by a KILL before the request's exchange existed; under the lock
         self._deadline = overdue.AnswerDeadline()
-        self._unread_due: float | None = None  # monotonic, of a request that waits unread; None where it is not known
-        self._refusing = False  # the next request is refused unread: its time is over
+        self._unread_due: float | None = None  # monotonic deadline of an unread request; None: unknown
+        self._refusing = False  # the next request is rejected unread, as it is overdue
 
     def fileno(self) -> int:
-        """The client's descriptor."""
+        """The client's file descriptor."""
         return self._sock.fileno()
 
     def run(self, buffer: memoryview, short: float = 0.0) -> bool:
-        """Serve what has come; whether the client is waited for again. Else the session is over and closed.
+        """Serve the received input; return whether to wait for the client again, else the session is closed.
 
         short is for how many seconds no thread has been free for it, at most.
         """
@@ -123,7 +125,7 @@
         return going
 
     def _serve_or_drain(self, buffer: memoryview, short: float) -> bool:
-        """Serve, or drop what comes after the end."""
+        """Serve the input, or drop it after the end."""
         try:
             if self._serve(buffer, short):
                 if self._wait_for_command():
@@ -132,7 +134,7 @@
                 return False
         except packets.PacketError as error:  # malformed input ends this connection only
             text = packets.error(error.code, error.state, str(error))
-            with contextlib.suppress(OSError):  # the client may have gone already
+            with contextlib.suppress(OSError):  # the client may have left already
                 self._send(packets.packet(error.sequence + 1, text))
         except OSError as error:
             log.event("client_lost", error=str(error))
@@ -140,46 +142,46 @@
         return self._lingers(buffer)
 
     def _lingers(self, buffer: memoryview) -> bool:
-        """After its last answer: end our side, and drop what comes; whether more of that is waited for."""
+        """After the last answer, end our side and drop further input; return whether to wait for more."""
         with self._lock:
             new = self._linger is None
             linger = self._linger = self._linger or lingering.Linger(time.monotonic() + lingering.LINGER_TIME)
-        if new and not self._quit:  # at once, so that nobody sends what would be dropped
+        if new and not self._quit:  # at once, so that the client does not send what would be dropped
             self._end_sending()
         before = linger.left
         if not linger.drop(self._sock, buffer, time.monotonic):
             return False
         if new:
             if self._quit and linger.left == before and not self._parser.begun:
-                return False  # nothing is unread, and no more is to come
+                return False  # nothing is unread, and no more can arrive
             self._end_sending()
             self.server.lingers(self, linger.until)
         return True
 
     def _end_sending(self) -> None:
-        """Tell the client that no more comes from us; once or twice is the same."""
+        """Shut down the sending side; idempotent."""
         with contextlib.suppress(OSError):  # it may have gone by itself
             self._sock.shutdown(socket.SHUT_WR)
 
     def run_brief(self, buffer: memoryview) -> bool | None:
-        """As run, and never waits; None, with nothing read, where what has come may have to: a request most of all."""
+        """Serve like `run` without blocking; return None, with nothing read, if the input may block, as a request does."""
         if not self._greeted:
             return self.run(buffer[:0])
         size = None if self._parser.begun else departures.brief_commands_length(self._sock, self._in, buffer)
         return None if size is None else self.run(buffer[:size])
 
     def unread_overdue(self, now: float, buffer: memoryview) -> bool:
-        """Whether the time of a request that waits unread for a thread is over; by who has the session."""
+        """Return whether a request that waits unread is overdue. Call by whoever has claimed the session."""
         if self._unread_due is None:
             size = 0
-            with contextlib.suppress(OSError):  # nothing more has come
+            with contextlib.suppress(OSError):  # nothing more to read
                 size = self._sock.recv_into(buffer, 0, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             if (left := overdue.time_to_live(self._parser.unread + bytes(buffer[:size]))) is not None:
                 self._unread_due = now - seconds_since_data(self._sock) + left
         return self._unread_due is not None and now >= self._unread_due
 
     def refuse_overdue(self, buffer: memoryview) -> bool:
-        """Refuse the request that has waited unread for too long, and wait for nothing; as run. It reads no further."""
+        """Reject the overdue unread request without blocking or reading further; returns like `run`."""
         going, self._refusing = True, True
         while going and self._refusing and self._has_input():
             going = self.run(buffer[: self._parser.missing_bytes])
@@ -187,7 +189,7 @@
         return going
 
     def answer_overdue(self, now: float) -> bool:
-        """Fail the open request if its time is over, in place of its thread, which still waits; whether that was so.
+        """Fail the open request if it is overdue, in place of its blocked thread; return whether it was.
 
         The session ends with it: what its client says next would wait for the same thread.
         """
@@ -200,39 +202,39 @@
                 return False
             self._cut = True
             if self._exchange is not None:
-                self._exchange.cancel()  # first, and it never waits: nothing more is sent once the client has heard
+                self._exchange.cancel()  # first, and without blocking: nothing is sent after the client's answer
             left = packets.packet(1, FAILED)
-            with contextlib.suppress(OSError):  # the client has gone, or takes nothing
+            with contextlib.suppress(OSError):  # the client has left, or takes nothing
                 while left:
                     left = left[self._sock.send(left, socket.MSG_DONTWAIT) :]
                 self._sock.shutdown(socket.SHUT_WR)
         return True
 
     def client_has_left(self) -> bool:
-        """Whether the client of the open request has left; one that has shut its sending half has too.
+        """Return whether the client of the open request has left, which includes shutting its sending half.
 
         We never shut our reading side under an open request: what would seem the same.
         """
         return self._departure.check()
 
     def check_departure(self) -> None:
-        """The client may have left: if it has, give its open request up.
+        """Cancel the open request if the client has left.
 
         What is asked is the socket, not the event that came: that may be older than the request, or our own doing.
         """
-        with self._lock:  # while there is an exchange its thread does not close the socket
+        with self._lock:  # the socket stays open while there is an exchange
             exchange = self._exchange if self._exchange is not None and self.client_has_left() else None
         if exchange is not None:
             exchange.cancel()
 
     def close(self) -> None:
-        """It is over."""
+        """Close the session."""
         self.server.ended(self)
-        with self._lock:  # no other thread shuts a descriptor that may be another's by then
+        with self._lock:  # other threads must not shut down a reused descriptor
             self._sock.close()
 
     def end_linger(self) -> None:
-        """It has lingered for long enough: have its thread close it."""
+        """End the lingering: its thread closes it."""
         with self._lock:
             if self._linger is not None:
                 self._linger.until = 0.0
@@ -240,7 +242,7 @@
                 self._sock.shutdown(socket.SHUT_RDWR)
 
     def kill(self, query_only: bool) -> None:
-        """KILL: give the open request up, and end the session unless only the query was meant.
+        """Cancel the open request for a KILL, and end the session unless only the query was meant.
 
         The open request may be one that is still read, held by the gate, or not read yet: it is not sent then.
         """
@@ -253,7 +255,7 @@
             self._cut_off()
 
     def stop(self) -> None:
-        """Take no more from the client than has come: a session between commands ends now, others after one.
+        """Serve only what has been received: a session between commands ends now, others after their command.
 
         A session that has just begun, or whose command is under way, answers it first, and so does one whose
         command has come and is not read yet.
@@ -265,15 +267,15 @@
             self._queue_for_service()
 
     def _unread(self) -> bool:
-        """Whether the client that is waited for has sent something. Under the lock."""
-        if self._waiting is None:  # it is over, or its thread has not begun
+        """Return whether the client has sent something. Call under the lock."""
+        if self._waiting is None:  # over, or not waiting yet
             return False
-        with contextlib.suppress(OSError):  # nothing has come
+        with contextlib.suppress(OSError):  # nothing to read
             return self._parser.begun or bool(self._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         return False
 
     def _cut_off(self) -> None:
-        """Take no more from the client at all: a session that waits ends now, others with their open request."""
+        """Accept no more input: a waiting session ends now, others with their open request."""
         with self._lock:
             self._cut = True
             lingers = self._waiting is not None and self._end_waiting()
@@ -282,20 +284,20 @@
 
     @property
     def is_served(self) -> bool:
-        """Whether a thread has it, and not the wait for its client: a request may be open."""
+        """Whether a thread is serving it."""
         return self._waiting is None
 
     def idle_share(self, now: float) -> float:
-        """The share of its time that the client has let pass; 0 while it waits for us."""
+        """Return the used share of the client's time limit; 0 while it waits for us."""
         waiting = self._waiting
         return (now - waiting[0]) / (waiting[1] - waiting[0]) if waiting else 0.0
 
     def eviction_order(self) -> tuple[bool, float]:
-        """By what the longest idle client goes first, from its last answer or connect; half a command goes last."""
+        """Sort key of evictions: longest idle first, since the last answer or connect; incomplete commands last."""
         return bool(self._rest), self._since
 
     def evict(self, at_once: bool = False) -> bool:
-        """End it unless something of the client has come; what crosses that it sends again on a new connection.
+        """End the session unless its client has sent something; what crosses that it sends again on a new connection.
 
         at_once: its descriptor is needed now, so it does not linger.
         """
@@ -308,7 +310,7 @@
         return True
 
     def _has_input(self) -> bool:
-        """Whether there is something to read: bytes, or the client's end. Under the lock.
+        """Return whether there is something to read: bytes, or the client's end. Call under the lock.
 
         What is done upon it comes next: the last look is one after which no other thread has the interpreter.
         """
@@ -316,12 +318,12 @@
             self._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return has_unread(self._sock)
-        except OSError:  # its end too
+        except OSError:  # a reset is an end too
             return True
         return True
 
     def _end_waiting(self, at_once: bool = False) -> bool:
-        """End a session that waits for its client, whichever thread it is that ends it; whether it lingers.
+        """End a waiting session, from any thread; return whether it lingers.
 
         Under the lock: from here on nothing that is read is taken. An answer of long ago has arrived, so that
         nothing is lost with a reset: such a session is closed by the thread that this shutdown wakes.
@@ -338,7 +340,7 @@
             self.server.lingers(self, self._linger.until)
 
     def _wait_for_command(self) -> bool:
-        """Give the client its time to say something; whether it may.
+        """Start waiting for the client, with its time limit; return whether to wait at all.
 
         The limits are on the whole of a command: a client that drips must not stay, nor a silent one.
         """
@@ -354,8 +356,8 @@
         return True
 
     def _serve(self, buffer: memoryview, short: float) -> bool:
-        """Read once, and answer the messages that are whole; whether the session goes on."""
-        with self._lock:  # from here on it is not evicted: see evict
+        """Read once, and answer the complete messages; return whether the session goes on."""
+        with self._lock:  # from here on it can't be evicted
             self._idle, self._waiting, self._due = False, None, True
             self._unread_due = None
             if self._linger is not None:
@@ -368,12 +370,12 @@
         self._deferred_answer = self._unread_age(short)
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
-        except BlockingIOError:  # nothing has come yet
+        except BlockingIOError:  # nothing to read yet
             return True
         except OSError as error:
             if not is_short_of_memory(error):
                 raise
-            time.sleep(MEMORY_PAUSE)  # what has come is still there, and is told again
+            time.sleep(MEMORY_PAUSE)  # the input is kept, and its event repeats
             return True
         if not size:
             self._gone = True
@@ -388,7 +390,7 @@
         return True
 
     def _answer(self, sequence: int, payload: bytes) -> bool:
-        """One command; whether the session goes on."""
+        """Answer one command; return whether the session goes on."""
         self._first = 0.0
         if sequence != 0:
             raise packets.PacketError("Got packets out of order", 1156, "08S01", sequence)
@@ -397,15 +399,15 @@
             return False
         try:
             reply = self._command(payload)
-        except threads.ThreadUnavailableError:  # a thread the request needed: it gets its whole answer still
+        except threads.ThreadUnavailableError:  # of a thread that the request needed: it still gets its answer
             reply = packets.packet(1, FAILED)
-        if not self._deadline.claim():  # its time was over, and it has been answered
+        if not self._deadline.claim():  # overdue: it has been answered
             return False
         self._send(reply)
         return True
 
     def _unread_age(self, short: float) -> float:
-        """Seconds that what has come has waited to be read, by the kernel's books; 0 for what is usual.
+        """Return the age in s of the unread input, by the kernel; 0 below MIN_WAIT.
 
         short is for how long no thread has been free, at most. Without that the processor may have been elsewhere.
         """
@@ -433,7 +435,7 @@
         return packets.error(1049, "42000", f"Unknown database '{name.decode('utf-8', 'replace')}'")
 
     def _command(self, payload: bytes) -> bytes:
-        """The whole answer to one command, as packets."""
+        """Return the answer to one command, as packets."""
         command, body = payload[0] if payload else 0, payload[1:]
         if command == QUERY:
             killed = statements.parse_kill(body)
@@ -451,7 +453,7 @@
         if other is None:
             return UNKNOWN_THREAD
         other.kill(killed.query_only)
-        if other is self:  # what this client sends next is no open request
+        if other is self:  # KILL of itself: nothing else is open
             with self._lock:
                 self._killed = False
         return packets.ok()
@@ -462,14 +464,14 @@
         try:
             reply = self._run_request(text)
         finally:
-            with self._lock:  # from here on a KILL, or an event of the descriptor, is not for this request
+            with self._lock:  # later KILLs and events are not for this request
                 self._exchange, self._due, self._killed = None, False, False
         if self._departure.has_departed:
             raise ConnectionAbortedError("it left while its request was open")
         return reply
 
     def _run_request(self, text: bytes) -> bytes:
-        """The answer to a request."""
+        """Run a request, and return its answer."""
         if self._refusing:
             self._refusing = False
             return answer(Rejected(OVERDUE_PUSHBACK))
@@ -482,9 +484,9 @@
                     return answer(passed)
                 query, exchange = passed
             else:
-                settings = self.server.settings  # one version for the reading and the deciding
+                settings = self.server.settings  # the same for parsing and deciding
                 query = statements.parse_query(text, settings, self._taken)
-                if self._deferred_answer:  # its time has run since it came: past its deadline it is refused at once
+                if self._deferred_answer:  # its time has run since it arrived: an overdue one is rejected at once
                     query = dataclasses.replace(query, ttl=query.ttl - self._deferred_answer)
                 self._deadline.begin(query.received_at + query.ttl)
                 query.set_client_check(self.client_has_left)
@@ -512,7 +514,7 @@
                 log.event("answer_late", call=query.request_id.decode(), ttl=query.ttl, took=took)
 
     def _failed_by(self, error: Exception) -> bytes:
-        """The answer to a request that a fault of ours ended: its client is owed one all the same.
+        """Return the answer to a request that an internal error ended.
 
         What must hold still ends a debug build's session: tests have to see it.
         """
@@ -522,13 +524,13 @@
         return packets.packet(1, FAILED)
 
     def _open_admitted(self, text: bytes, gate: AdmissionGate) -> tuple[Query, Exchange] | Deferred | Cancelled:
-        """Open a request that the gate lets in, read under the version of the rules that then decides it.
+        """Open an admitted request, parsed under the version of the rules that decides it.
 
         One that was given up while it was held is not opened.
         Raises Unusable; of a request that can't be read, only when it could have passed.
         """
         settings, overdue = self.server.settings, self._deferred_answer
-        taken = self._taken  # later by what late has more than the session's: its end stays the same
+        taken = self._taken  # later by the additional wait: the deadline stays the same
         for _ in range(READINGS):
             now = time.monotonic()
             try:
@@ -537,7 +539,7 @@
                 tenant = settings.tenants[query.tenant] if settings.tenants else ""
                 until = now + _max_admission_wait(query.ttl - overdue)
                 entered = gate.admit(settings.classes[query.cls].name, tenant, query.tables, until)
-            except InvalidRequestError:  # under a version that may be going
+            except InvalidRequestError:  # under a version that may be replaced
                 entered = gate.admit(None, "", 0, now + UNREAD_WAITS)
                 if not (isinstance(entered, Deferred) or entered.waited):
                     raise
@@ -549,7 +551,7 @@
                 query = statements.parse_query(text, settings, taken)
             if self._killed or (entered.waited and self.client_has_left()):
                 return Cancelled()
-            if overdue:  # its time has run since it came: past its deadline it is refused at once
+            if overdue:  # its time has run since it arrived: an overdue one is rejected at once
                 query = dataclasses.replace(query, ttl=query.ttl - overdue)
             query.set_client_check(self.client_has_left)
             try:
@@ -560,12 +562,12 @@
 
 
 def _max_admission_wait(ttl: float) -> float:
-    """Seconds that a request with so many left may be held: what is left then must do to refuse or to serve it."""
+    """Return the s that a request with that time to live may be held, so that enough is left to serve or reject it."""
     return ttl - min(RESERVE_SHARE * ttl, RESERVE)
 
 
 def answer(reply: Reply) -> bytes:
-    """A reply as packets."""
+    """Return a reply as packets."""
     match reply:
         case Served(pages):
             rows = (line.split(b"\t") for page in pages for line in page.split(b"\n")[:-1])
--- a/tealwing/mysql/statements.py
+++ b/tealwing/mysql/statements.py
@@ -31,7 +31,7 @@
 
 
 class FieldError(InvalidRequestError):
-    """A request whose fields can't be used."""
+    """A request with invalid fields; the text names the field."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,13 +43,13 @@
 
 
 def parse_kill(text: bytes) -> Kill | None:
-    """The KILL that a statement is, if it is one."""
+    """Return the KILL of a statement, if it is one."""
     found = _KILL.match(text)
     return Kill(int(found[2]), (found[1] or b"").upper() == b"QUERY") if found else None
 
 
 def parse_query(text: bytes, settings: interface.Settings, taken: float = 0.0) -> Query:
-    """The request that a statement and the comment ahead of it make; taken is when it had been read."""
+    """Return the request of a statement and its leading comment. Raises FieldError."""
     head = _HEAD.match(text)
     if head is None:
         raise FieldError("no comment with the fields stands ahead of the statement")
@@ -104,7 +104,7 @@
 
 
 def table_group(statement: bytes) -> int:
-    """The group of tables: the number in the first schema read or written; 0 without one."""
+    """Return the table group: the number in the first schema read or written; 0 without one."""
     bare = _QUOTED.sub(lambda found: found[0] if found[0][:1] == b"`" else b" ", statement)
     for found in _SCHEMA.finditer(bare):
         schema = found[1] or found[2]
