--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -164,7 +164,7 @@
             self._sock.shutdown(socket.SHUT_WR)
 
     def run_brief(self, buffer: memoryview) -> bool | None:
-        """Serve like `run` without blocking; return None, with nothing read, if the input may block, as a request does."""
+        """Serve like `run`, without blocking; return None, with nothing read, if the input may block."""
         if not self._greeted:
             return self.run(buffer[:0])
         size = None if self._parser.begun else departures.brief_commands_length(self._sock, self._in, buffer)
