--- a/tealwing/coordinator/watch.py
+++ b/tealwing/coordinator/watch.py
@@ -20,10 +20,11 @@
 from tealwing.sockets import Address
 
 CONNECT_TIMEOUT = 1.0  # s
+# s without a complete line, drawn at random: all gateways lose a coordinator at once
 SILENCE_TIMEOUT = (
     1.4,
     1.8,
-)  # s without a complete line, drawn at random: all gateways lose a coordinator at once
+)
 RETRY_INTERVAL = (0.1, 1.5)  # s between connects, min and max: its events count as known 2 s after a break
 
 
--- a/tealwing/exchange.py
+++ b/tealwing/exchange.py
@@ -37,9 +37,8 @@
     memory_estimate: float = 0.0
     tables: int = 0
     received_at: float = 0.0  # monotonic; when its last byte had been read
-    has_left: Callable[[], bool] = field(
-        default=_never_left, compare=False
-    )  # whether its client has left; never blocks
+    # whether its client has left; never blocks
+    has_left: Callable[[], bool] = field(default=_never_left, compare=False)
 
     def set_client_check(self, has_left: Callable[[], bool]) -> None:
         """Set the check of whether the client has left, before the request is shared.
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -69,10 +69,11 @@
         self.metrics = Metrics((cls.name for cls in config.settings.classes), (end.value for end in WatchEnd))
         self.metrics.gauges = self._gauges
         self._starts, self._reads_cached_list = StartTimes(), True  # the configuration's cached events are being read
+        # the index of the last watch update that could not be taken in whole, and how often
         self._list_failures = (
             0,
             0,
-        )  # the index of the last watch update that could not be taken in whole, and how often
+        )
         self._follower = WatchClient(
             config.coordinator, config.index, config.settings, self._on_watch_update, self.metrics.count_watch_end
         )
--- a/tealwing/gateway/decisions.py
+++ b/tealwing/gateway/decisions.py
@@ -29,9 +29,8 @@
         self._versions = ModuleVersions(settings, seed)
         self._engines = engines
         self._lock = threading.Lock()
-        self.clock_offset = (
-            time.time() - time.monotonic()
-        )  # s; makes Unix time of the monotonic clock, which no step turns back
+        # s; makes Unix time of the monotonic clock, which no step turns back
+        self.clock_offset = time.time() - time.monotonic()
         self._mailboxes: dict[int, Mailbox] = {}
         self._request_ids: set[bytes] = set()  # the clients' ids of the open requests
         self._ids = itertools.count(1)
--- a/tealwing/gateway/module_versions.py
+++ b/tealwing/gateway/module_versions.py
@@ -22,13 +22,14 @@
 MAX_REPLACED_SETTINGS = (
     4  # changes of settings after which a request that is still being read under the first is turned back
 )
+# events of one request: to its module
 REQUEST_EVENTS = (
     api.Request,
     api.AttemptOutcome,
     api.StreamStarted,
     api.AttemptProgress,
     api.ClientGone,
-)  # events of one request: to its module
+)
 
 
 class Module(Protocol):
--- a/tealwing/mysql/server.py
+++ b/tealwing/mysql/server.py
@@ -81,9 +81,8 @@
         self._numbers = itertools.count(1)
         self._changed = threading.Condition()
         self._sessions: dict[int, Session] = {}
-        self._lingering: Lingering[Session] = Lingering(
-            self._spare
-        )  # ended sessions whose connection is not closed yet
+        # ended sessions whose connection is not closed yet
+        self._lingering: Lingering[Session] = Lingering(self._spare)
         self._waiting: dict[int, Session] = {}  # by descriptor: sessions in the epoll set
         self._armed: set[int] = set()  # those armed for reading; whoever gets the event removes the descriptor
         self._deferred: deque[Session] = deque()  # ready sessions that wait for a free thread
--- a/tealwing/replica/raft/membership.py
+++ b/tealwing/replica/raft/membership.py
@@ -88,9 +88,8 @@
                     "one change at a time: one learner more or fewer, one learner that votes from now on, or one voter "
                     "that only learns from now on; and one voter at least"
                 )
-            min_voters = (
-                2 * self.options.max_stale_disks + 1
-            )  # with fewer voters, quorums cannot tolerate s stale disks
+            # with fewer voters, quorums cannot tolerate s stale disks
+            min_voters = 2 * self.options.max_stale_disks + 1
             if set(voters) < set(self.members) and len(voters) < min_voters:
                 raise ValueError(f"with stale {self.options.max_stale_disks} there must be {min_voters} voters left")
         if len({*voters, *learners}) != len(voters) + len(learners):
--- a/tealwing/replica/raft/state.py
+++ b/tealwing/replica/raft/state.py
@@ -52,9 +52,8 @@
         self.last_leader_contact = now - 2 * options.election_timeout  # time of the last message from the leader
         self.election_deadline = 0.0
         self.votes: dict[str, tuple[bool, int, bool]] = {}  # granted, incarnation and unconfirmed, by member
-        self.vote_confirmations: set[str] = (
-            set()
-        )  # voters that confirmed their vote for us; empty before confirmation is requested
+        # voters that confirmed their vote for us; empty before confirmation is requested
+        self.vote_confirmations: set[str] = set()
         self.voter_incarnations: dict[str, int] = {}  # incarnations that elected us
         self.progress: dict[str, Progress] = {}
         self.round = 0
--- a/tealwing/rollout/agent/actions.py
+++ b/tealwing/rollout/agent/actions.py
@@ -8,9 +8,8 @@
 from tealwing.rules.records import Body
 
 Mode = Literal["open", "closed", "shut"]
-HOLD_MARKER = (
-    2**63 - 1
-)  # the mark of `hold`: no version's outcome is known, so that nothing of this disk is served from
+# the mark of `hold`: no version's outcome is known, so that nothing of this disk is served from
+HOLD_MARKER = 2**63 - 1
 FOREVER = float("inf")
 
 
--- a/tealwing/rollout/control_calls.py
+++ b/tealwing/rollout/control_calls.py
@@ -26,9 +26,8 @@
 
     def __init__(self, runtime: Runtime, replica: Replica, control: ControlServer) -> None:
         self._runtime, self._replica = runtime, replica
-        self._deciding_log = (
-            runtime.federation.replica if runtime.federation is not None else replica
-        )  # the log that decides versions
+        # the log that decides versions
+        self._deciding_log = runtime.federation.replica if runtime.federation is not None else replica
         self._lock, self._sequence = threading.Lock(), 0
         calls: dict[str, Callable[[Fields], Fields]] = {
             "rules.propose": self._propose,
