--- a/tealwing/replica/commands.py
+++ b/tealwing/replica/commands.py
@@ -1,7 +1,7 @@
-"""What can be done to the replicated state, and what comes of it; pure.
+"""Commands of the replicated state machine, and their encoding; pure.
 
-Every command has its client and a number that only grows with it, so that one that was sent again is applied once; and
-it may be fenced: it then counts only under the newest grant of a lease.
+A command carries its client and an increasing sequence number, so that a retry is applied only once (Raft thesis,
+section 6.3). It may be fenced: it is then applied only under the newest token of a lease (Chubby: sequencer).
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 Text = Annotated[str, msgspec.Meta(max_length=4096)]
-Ms = UnsignedInt63  # milliseconds of the Unix clock, told by whoever saw it; nothing is decided by it
+Ms = UnsignedInt63  # ms of the Unix clock of the proposer; no command is decided by it
 MAX_COMMAND_BYTES = 512 * 1024  # bytes of one command
 
 
 class Put(Record, tag="put", frozen=True):
-    """A value under a key, where its version is the one expected (any if None; 0: there is none)."""
+    """Put a value under a key if its version is the expected one (None: any version; 0: the key must be absent)."""
 
     key: Name
     value: bytes
@@ -31,21 +31,21 @@
 
 
 class Delete(Record, tag="del", frozen=True):
-    """No value under a key."""
+    """Delete the value under a key."""
 
     key: Name
 
 
 class Settings(Record, tag="settings", frozen=True):
-    """A version of the operators' settings: one more than the last, or it is refused."""
+    """Add a version of the operators' settings; refused unless its number is the last one plus 1."""
 
     version: UnsignedInt63
     text: bytes
-    valid: bool = True  # checked by whoever proposes it; a bad one is kept for the record and never the last good
+    valid: bool = True  # checked by the proposer; an invalid version is kept on record and is never the last good one
 
 
 class Drain(Record, tag="drain", frozen=True):
-    """An engine's start drains, as told at a time, with its cut-off; over: it is forgotten."""
+    """Record that an engine started at a time drains until a cut-off; removed deletes the record."""
 
     engine: UnsignedInt63
     started: Ms
@@ -55,7 +55,7 @@
 
 
 class Note(Record, tag="note", frozen=True):
-    """Something about an engine's start: `cold` or `aside` since then; over: it is forgotten."""
+    """Record a condition of a started engine since a time, `cold` or `aside`; removed deletes the record."""
 
     engine: UnsignedInt63
     started: Ms
@@ -65,7 +65,7 @@
 
 
 class Level(Record, tag="level", frozen=True):
-    """A service level that is in force, and why; over: it is not."""
+    """Record a service level in force and the reason; removed deletes the record."""
 
     name: Name
     reason: Text = ""
@@ -74,7 +74,7 @@
 
 
 class Acquire(Record, tag="acquire", frozen=True):
-    """Grant a lease for so many milliseconds, where nobody holds it; the fencing token is the grant's index."""
+    """Grant a lease for ttl ms if no other client holds it; the fencing token is the index of the grant."""
 
     name: Name
     holder: Name
@@ -82,21 +82,21 @@
 
 
 class Renew(Record, tag="renew", frozen=True):
-    """The holder goes on, where the grant is still the newest and was not found expired."""
+    """Renew a lease, if the token is that of its current grant and the grant has not expired."""
 
     name: Name
     token: UnsignedInt63
 
 
 class Release(Record, tag="release", frozen=True):
-    """The holder gives it back."""
+    """Release a lease."""
 
     name: Name
     token: UnsignedInt63
 
 
 class Expire(Record, tag="expire", frozen=True):
-    """The leader found that a grant, as last renewed by the entry at an index, has run out by its clock."""
+    """Expire a lease that has run out by the leader's clock, unless it was renewed since the entry at index renewed."""
 
     name: Name
     token: UnsignedInt63
@@ -107,25 +107,25 @@
 
 
 class Fence(Record, frozen=True):
-    """The lease under which something is done, and its token."""
+    """The lease that protects a command, and its fencing token."""
 
     name: Name
     token: UnsignedInt63
 
 
 class Command(Record, frozen=True):
-    """An entry's data."""
+    """The data of a log entry."""
 
     client: Annotated[str, msgspec.Meta(max_length=100)]
-    sequence: UnsignedInt63  # 0: sent once, never again
+    sequence: UnsignedInt63  # 0: no session, the command is not retried
     body: Body
     fence: Fence | None = None
 
 
 class NewerEntryError(ReplicaError, ValueError):
-    """Something in the log that a newer build wrote; the text says what, and what to do.
+    """The log has an entry that only a newer build can decode; the message has the remedy.
 
-    To refuse it would be wrong: the newer build applies it, and the copies of the state would differ from here on.
+    Refusing the entry would make the replicas diverge, as the newer build applies it.
     """
 
     remedy = (
@@ -138,7 +138,7 @@
 
 
 class _CommandOutline(msgspec.Struct, array_like=True):
-    """A command's outline, whatever is in it; more at its end is passed over."""
+    """A command with its body and fence undecoded; additional fields at the end are ignored."""
 
     client: str
     sequence: int
@@ -148,7 +148,7 @@
 
 _COMMAND_TYPES: dict[str, Any] = {kind.__struct_config__.tag: kind for kind in get_args(Body)}
 _TAG = re.compile(r"[a-z][a-z0-9.-]{0,39}")
-_PLACEHOLDER_BODY = [Delete.__struct_config__.tag, "x"]  # stands for a body that is not known
+_PLACEHOLDER_BODY = [Delete.__struct_config__.tag, "x"]  # replaces an unknown body
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(Command)
@@ -157,7 +157,7 @@
 
 
 def encode(command: Command) -> bytes:
-    """A command as an entry's data; ValueError where it is too large."""
+    """Return a command as the data of a log entry. Raises ValueError if it is too large."""
     data = _encode(command)
     if len(data) > MAX_COMMAND_BYTES:
         raise ValueError(f"a command of {len(data)} bytes; allowed: {MAX_COMMAND_BYTES}")
@@ -165,7 +165,10 @@
 
 
 def decode(data: bytes) -> Command:
-    """The command of an entry's data; NewerEntry for a newer build's, ValueError for anything else."""
+    """Return the command in the data of a log entry.
+
+    Raises NewerEntryError if a newer build wrote it, ValueError if it is no command.
+    """
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError as error:
@@ -176,9 +179,9 @@
 
 
 def _newer_content(data: bytes) -> str:
-    """What a newer build says in some bytes: a command of a kind that is not known, or with more to it than is known.
+    """Return what is unknown here in a newer build's command: its kind, or additional fields.
 
-    Empty where even what is known of it does not hold: such bytes are nobody's command.
+    Returns an empty string if the known parts are invalid too, as no build writes such a command.
     """
     try:
         found = _outlines.decode(data)
@@ -205,12 +208,12 @@
 
 
 def encode_result(result: CommandResult) -> bytes:
-    """A result as bytes."""
+    """Return an encoded result."""
     return _encode(result)
 
 
 def decode_result(data: bytes) -> CommandResult:
-    """The result of some bytes; ValueError for anything else."""
+    """Return a decoded result. Raises ValueError if the data is no result."""
     try:
         return _results.decode(data)
     except msgspec.DecodeError as error:
--- a/tealwing/replica/errors.py
+++ b/tealwing/replica/errors.py
@@ -1,7 +1,7 @@
-"""The base of the errors of this package."""
+"""Base class of the errors of this package."""
 
 from __future__ import annotations
 
 
 class ReplicaError(RuntimeError):
-    """Something that the replicated log can't do or trust; the message says what, and the remedy where there is one."""
+    """An operation that failed or data that can't be trusted; the message has the remedy, if there is one."""
--- a/tealwing/replica/forwarding/__init__.py
+++ b/tealwing/replica/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Requests to the leader: proposals and reads of other threads and members, and the replies that they wait for.
+"""Forwarding of proposals and reads from other threads and members to the leader, and the pending replies.
 
 Read protocol, pending and reads, then batching and client.
 """
--- a/tealwing/replica/forwarding/batching.py
+++ b/tealwing/replica/forwarding/batching.py
@@ -1,7 +1,7 @@
-"""Members' words on a version of the rules that come to the leader together are written as one entry; pure.
+"""Batching of reports on a version of the rules that reach the leader together into one log entry; pure.
 
-Each gateway of a large fleet says the same two things of every change: as entries of their own they would cost every
-member its time, and the leader a message to everyone, for each of them.
+Each gateway of a large fleet sends the same two reports on every change. One entry per report would cost each member
+an apply, and the leader a message to every follower.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 from tealwing.replica import commands as c
 from tealwing.rules.records import Closed, Reports, Verdict
 
-MAX_BATCH_REPORTS = 256  # words in one entry
-MAX_BATCH_BYTES = 48 * 1024  # of commands in one entry: several fit into one message
+MAX_BATCH_REPORTS = 256  # reports in one entry
+MAX_BATCH_BYTES = 48 * 1024  # size of the commands in one entry: several entries fit into one message
 
 
 def batched(commands: list[bytes]) -> list[bytes]:
-    """The same in as few entries as may be, for commands of which nobody waits for what comes of them.
+    """Return the commands with their reports merged into as few entries as possible; no caller may wait for them.
 
-    A word may go before a command that came before it, as on the network: nothing rests on their order.
+    A report may move before an earlier command, as on the network; the result does not depend on their order.
     """
     found: list[bytes] = []
     reports: list[Verdict | Closed] = []
@@ -36,7 +36,7 @@
 
 
 def _report_of(data: bytes) -> Verdict | Closed | None:
-    """The word that a command is; None: it is another, or says more than that."""
+    """Return the report in a command, or None for another command or one with a client, sequence or fence."""
     try:
         command = c.decode(data)
     except ValueError:
--- a/tealwing/replica/forwarding/client.py
+++ b/tealwing/replica/forwarding/client.py
@@ -1,4 +1,4 @@
-"""For other threads: have the leader, wherever it is, propose something or say at which index a read sees all."""
+"""Client for other threads: sends proposals and read index requests to the leader, whichever member that is."""
 
 from __future__ import annotations
 
@@ -20,43 +20,50 @@
     encode,
 )
 
-RETRY_BACKOFF = (0.03, 0.3)  # s between two tries to reach a leader, least and most, jittered
-ATTEMPT_TIMEOUT = 1.0  # s that one try at the leader may take before another is made
-LEADER_CHECK_INTERVAL = 0.05  # s between two looks whether it leads still
+RETRY_BACKOFF = (0.03, 0.3)  # s between two attempts, minimum and maximum, jittered
+ATTEMPT_TIMEOUT = 1.0  # s, limit of one attempt at an idempotent request
+LEADER_CHECK_INTERVAL = 0.05  # s between two checks that the leader is unchanged
 
 
 class LeaderClient:
-    """One member's questions to its leader. Any thread."""
+    """Sender of one member's requests to the leader; thread-safe."""
 
     def __init__(
         self, local_id: str, queue: SimpleQueue[tuple[Any, ...]], send: Callable[[str, bytes], object],
         leader: Callable[[], str], broken: Callable[[], str],
     ) -> None:  # fmt: skip
-        """Send takes a member's name and what is forwarded to it; leader says who leads as seen here, if anybody."""
+        """Set up the client.
+
+        send takes a member's name and an encoded request. leader returns the known leader or an empty string. broken
+        returns the fault that takes this member out of service, or an empty string.
+        """
         self._local_id, self._queue, self._send = local_id, queue, send
         self._leader, self._broken = leader, broken
         self._lock = threading.Lock()
-        self._in_flight: dict[int, Pending] = {}  # by number: what we asked the leader
+        self._in_flight: dict[int, Pending] = {}  # requests at the leader, by number
         self._numbers = itertools.count(1)
         self._stopped = threading.Event()
 
     def stop(self) -> None:
-        """Try no more."""
+        """Stop retrying."""
         self._stopped.set()
 
     def handle_reply(self, reply: ForwardReply) -> None:
-        """The leader's answer; on the link's reader thread."""
+        """Complete a request with the leader's reply; called on the link's reader thread."""
         with self._lock:
             pending = self._in_flight.get(reply.number)
         if pending is not None:
             pending.set(reply)
 
     def read_index(self, timeout: float) -> int:
-        """Wait until the state here has all that was committed when this was called. Unavailable where it can't."""
+        """Return the read index, once the local state has applied it (Raft thesis, section 6.4).
+
+        Raises UnavailableError if that fails or takes more than timeout seconds.
+        """
         end = time.monotonic() + timeout
         try:
             index = self.call_leader(ForwardRequest(0, b""), timeout, idempotent=True).index
-        except OutcomeUnknownError as error:  # a read changes nothing
+        except OutcomeUnknownError as error:  # a read has no effect, so its outcome is never in doubt
             raise UnavailableError(str(error)) from None
         pending = Pending()
         self._queue.put(("at", index, pending))
@@ -65,7 +72,7 @@
         return index
 
     def forward(self, command: bytes) -> None:
-        """Have whoever leads propose a command, if anybody does; nobody hears what comes of it."""
+        """Forward a command to the leader, if one is known; the outcome is discarded."""
         leader = self._leader()
         if leader == self._local_id:
             self._queue.put(("ask", ForwardRequest(0, command), lambda told: None))
@@ -75,7 +82,11 @@
     def call_leader(  # noqa: C901 - the outcomes of an attempt, side by side
         self, request: ForwardRequest, timeout: float, idempotent: bool
     ) -> ForwardReply:
-        """What the leader says to it. Tried again where that does no harm, with growing, jittered waits."""
+        """Return the leader's reply to a request, within timeout seconds.
+
+        Retries with jittered exponential backoff; once the request may have taken effect, only if it is idempotent.
+        Raises OutcomeUnknownError if the request may have taken effect, UnavailableError if it did not.
+        """
         end = time.monotonic() + timeout
         pause, sent = RETRY_BACKOFF[0], False
         why = "no leader is known"
@@ -107,7 +118,7 @@
         raise UnavailableError(why)
 
     def _await(self, pending: Pending, leader: str, timeout: float, idempotent: bool) -> None:
-        """Wait for the outcome; where it may be asked again, no longer than that one leads."""
+        """Wait for the outcome for timeout seconds; an idempotent request is abandoned when the leader changes."""
         end = time.monotonic() + timeout
         while (left := end - time.monotonic()) > 0:
             if pending.done.wait(min(left, LEADER_CHECK_INTERVAL) if idempotent else left):
--- a/tealwing/replica/forwarding/pending.py
+++ b/tealwing/replica/forwarding/pending.py
@@ -1,4 +1,4 @@
-"""What waits at a member: proposals for their entry, and calls for an index. Its thread's own."""
+"""Pending calls at a member: proposals until they are applied, and reads until an index is; not thread-safe."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 
 class PendingProposals:
-    """The pending outcomes of one member."""
+    """Pending calls of one member; confined to its thread."""
 
     def __init__(self) -> None:
         self._proposed: dict[int, Pending] = {}  # by index
-        self._at_index: list[tuple[int, Pending]] = []  # reads that wait for the state to be there
+        self._at_index: list[tuple[int, Pending]] = []  # reads that wait for an applied index
 
     def __len__(self) -> int:
         return len(self._proposed)
 
     def add(self, index: int, term: int, pending: Pending) -> None:
-        """It waits for the entry at an index, and only if that is of this term."""
+        """Register a proposal by the index and term of its entry."""
         pending.term = term
         if (older := self._proposed.pop(index, None)) is not None:
             older.set(None)
         self._proposed[index] = pending
 
     def entry_applied(self, entry: Entry, result: CommandResult | None) -> None:
-        """An entry is applied."""
+        """Complete the proposal of an applied entry."""
         pending = self._proposed.pop(entry.index, None)
         if pending is not None:
-            # another's entry at the index of ours: ours is lost, or was cut and may be proposed again
+            # another term: the proposed entry was overwritten, so its outcome is not known here
             pending.set(
                 (result or CommandResult(True, entry.index), entry.index) if pending.term == entry.term else None
             )
 
     def wait_for_index(self, index: int, pending: Pending) -> None:
-        """It waits for the state to be at an index."""
+        """Register a read that waits until an index is applied."""
         self._at_index.append((index, pending))
 
     def index_reached(self, applied: int) -> None:
-        """The state is at an index."""
+        """Complete the reads that wait for an index up to the applied one."""
         waiting, self._at_index = self._at_index, []
         for index, pending in waiting:
             if applied >= index:
@@ -47,7 +47,7 @@
                 self._at_index.append((index, pending))
 
     def fail_all(self) -> None:
-        """We take part no more."""
+        """Fail all pending proposals, as the member stops or is out of order."""
         for pending in self._proposed.values():
             pending.set(None)
         self._proposed.clear()
--- a/tealwing/replica/forwarding/protocol.py
+++ b/tealwing/replica/forwarding/protocol.py
@@ -1,4 +1,4 @@
-"""What callers wait for, what a follower asks its leader, and how either can fail."""
+"""Pending calls, the messages between follower and leader, and the errors of both."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from tealwing.replica.commands import CommandResult
 from tealwing.replica.errors import ReplicaError
 
-MAX_PENDING = 1024  # proposals and reads that wait for their outcome
+MAX_PENDING = 1024  # limit of pending proposals and reads
 
 
 class OutcomeUnknownError(ReplicaError):
-    """No outcome in time: it may have been applied, or may yet be; sent again under its number it is applied once."""
+    """The command may have been applied, or may still be; a retry with the same sequence is applied only once."""
 
 
 class UnavailableError(ReplicaError):
-    """It was surely not applied: no leader was reached, or this member is out of order."""
+    """The command was not applied: no leader was reached, or this member is out of order."""
 
 
 class Pending:
-    """What a caller waits for."""
+    """A pending call: an event and its outcome."""
 
     __slots__ = ("done", "outcome", "term")
 
@@ -34,22 +34,22 @@
         self.term = 0
 
     def set(self, outcome: Any) -> None:
-        """It has come."""
+        """Set the outcome and wake the caller."""
         self.outcome = outcome
         self.done.set()
 
 
 class ForwardRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A follower asks the leader: to propose this command, or, without one, at which index a read sees all."""
+    """Request to the leader: a command or members to propose, or else a request for the read index."""
 
     number: int
     command: bytes
-    voters: list[str] | None = None  # voters
-    learners: list[str] | None = None  # None: as they are
+    voters: list[str] | None = None  # None: no membership change
+    learners: list[str] | None = None  # None: unchanged
 
 
 class ForwardReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The answer: how it went, and a result or an index."""
+    """Reply of the leader: a status, and a result or an index."""
 
     number: int
     status: str  # ok, not-leader, busy, lost, refused
@@ -64,7 +64,7 @@
 
 
 def decode(body: bytes) -> ForwardRequest | ForwardReply:
-    """What was forwarded; ValueError for anything else."""
+    """Return a decoded request or reply. Raises ValueError if the body is neither."""
     try:
         return _decoder.decode(body)
     except msgspec.DecodeError as error:
@@ -72,7 +72,7 @@
 
 
 class CallbackPending(Pending):
-    """A pending outcome whose caller hears it through a function."""
+    """A pending call that passes its outcome to a callback."""
 
     __slots__ = ("number", "reply")
 
@@ -81,7 +81,7 @@
         self.number, self.reply = number, reply
 
     def set(self, outcome: tuple[CommandResult, int] | None) -> None:
-        """It has come; None: its place in the log is another's."""
+        """Send the reply; None means that another entry took the index in the log."""
         if outcome is None:
             self.reply(ForwardReply(self.number, "lost", b"", 0))
         else:
--- a/tealwing/replica/forwarding/reads.py
+++ b/tealwing/replica/forwarding/reads.py
@@ -1,8 +1,8 @@
-"""Reads that wait for a round of the leader: those that come together share one. The member's thread's own.
+"""Batching of read index requests: reads that arrive together share one heartbeat round; not thread-safe.
 
-A round that is begun after a read was asked shows, once a quorum has answered it, that what was committed then is what
-the read must see: so one round serves all reads that were asked before it. The first read after a pause begins one at
-once; those that come within PACE of it wait for the next, so that rounds do not grow with those that ask.
+Once a quorum has acknowledged a round, the commit index at its start is a valid read index for every read requested
+before it (Raft thesis, section 6.4). The first read after a pause starts a round at once; reads within
+MIN_ROUND_INTERVAL of it wait for the next, so that the number of rounds does not grow with the number of reads.
 """
 
 from __future__ import annotations
@@ -13,39 +13,37 @@
 from tealwing.replica.forwarding.protocol import CallbackPending, ForwardReply
 from tealwing.replica.raft import NotLeaderError, Raft, Role
 
-MIN_ROUND_INTERVAL = (
-    0.01  # s between two rounds that are begun for reads: a read waits so much longer at most, and only under load
-)
+MIN_ROUND_INTERVAL = 0.01  # s between two rounds: the most that a read waits for one to start, and only under load
 
 
 class ReadBatcher:
-    """The reads at one member."""
+    """Pending reads of one member; confined to its thread."""
 
     def __init__(self, core: Raft) -> None:
         self._core = core
         self._numbers = itertools.count(1)
-        self._waiting: list[CallbackPending] = []  # no round is begun for them yet
-        self._begun: dict[int, list[CallbackPending]] = {}  # by the number of the read at the core
-        self._last = float("-inf")  # when the last round was begun
+        self._waiting: list[CallbackPending] = []  # their round is not started yet
+        self._begun: dict[int, list[CallbackPending]] = {}  # by the number of the round at the core
+        self._last = float("-inf")  # start of the last round
         self.requested = self.rounds = 0
 
     def __len__(self) -> int:
         return len(self._waiting) + sum(map(len, self._begun.values()))
 
     def add(self, pending: CallbackPending) -> None:
-        """It is to be answered with an index at which a read sees all. raft.NotLeader."""
+        """Queue a read for the next round. Raises raft.NotLeaderError if this member does not lead."""
         if self._core.role is not Role.LEADER:
             raise NotLeaderError(self._core.leader)
         self.requested += 1
         self._waiting.append(pending)
 
     def next_round_at(self) -> float:
-        """When the next round is to begin; infinity: nothing waits for one."""
+        """Return the time at which the next round is due, infinity if no read waits."""
         return self._last + MIN_ROUND_INTERVAL if self._waiting else float("inf")
 
     def begin(self, now: float) -> None:
-        """Begin one round for all that wait, if it is time."""
-        # a clock that was stepped back must not hold them
+        """Start one round for all waiting reads, if it is due."""
+        # a clock that was stepped back must not delay reads
         if not self._waiting or self._last <= now < self._last + MIN_ROUND_INTERVAL:
             return
         number, batch = next(self._numbers), self._waiting
@@ -61,17 +59,17 @@
         self.rounds += 1
 
     def confirmed(self, number: int, index: int) -> None:
-        """A quorum has confirmed the index."""
+        """Complete the reads of a round that a quorum has confirmed."""
         for pending in self._begun.pop(number):
             pending.set((CommandResult(True, index), index))
 
     def failed(self, number: int) -> None:
-        """We lead no more: they have to be asked again."""
+        """Fail the reads of a round, as leadership was lost; the callers may retry."""
         for pending in self._begun.pop(number):
             pending.set(None)
 
     def fail_all(self) -> None:
-        """We take part no more."""
+        """Fail all reads, as the member stops or is out of order."""
         for pending in [*self._waiting, *itertools.chain(*self._begun.values())]:
             pending.set(None)
         self._waiting.clear()
--- a/tealwing/replica/membership/__init__.py
+++ b/tealwing/replica/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Changes of voters and learners: voter_plan decides which comes next, promotion proposes it, changes asks the core."""
+"""Membership changes: voter_plan decides on the next one, promotion proposes it, changes passes it to the core."""
--- a/tealwing/replica/membership/changes.py
+++ b/tealwing/replica/membership/changes.py
@@ -1,4 +1,4 @@
-"""What the shell asks of the core about voters and learners."""
+"""Membership calls of the event loop to the core."""
 
 from __future__ import annotations
 
@@ -6,10 +6,13 @@
 
 
 def change(core: Raft, now: float, voters: list[str], learners: list[str] | None) -> tuple[int, int]:
-    """Have the core propose other members; learners None: as they are. NotLeader, Busy, or ValueError."""
+    """Propose a membership change and return index and term of its entry; learners None leaves them unchanged.
+
+    Raises raft.NotLeaderError, raft.BusyError, or ValueError if the change is not allowed.
+    """
     return core.change_members(now, tuple(sorted(voters)), None if learners is None else tuple(sorted(learners)))
 
 
 def ready(core: Raft, now: float) -> list[str]:
-    """The learners that could vote now, as their leader knows."""
+    """Return the learners that may be promoted now; only the leader knows them."""
     return [name for name in core.learners if not core.promotion_blocked_by(now, name)]
--- a/tealwing/replica/membership/promotion.py
+++ b/tealwing/replica/membership/promotion.py
@@ -1,4 +1,4 @@
-"""Where this member leads: a voter that is silent for long gives its place to a learner, one change after the other."""
+"""Replacement of lost voters by learners, one change at a time, while this member leads."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from tealwing.replica.membership import changes
 from tealwing.replica.service.node import Replica
 
-CHECK_INTERVAL = 0.5  # s between two looks: what is looked for is silence of seconds or minutes
+CHECK_INTERVAL = 0.5  # s between two checks: the silence limits are seconds to minutes
 
 
 class ProposedChange(Protocol):
-    """The members after the next change, and why: roster.Change."""
+    """The members after a change and its reason: voter_plan.MembershipChange."""
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """Who votes then."""
+        """The voters after the change."""
 
     @property
     def learners(self) -> tuple[str, ...]:
-        """Who only follows then."""
+        """The learners after the change."""
 
     @property
     def reason(self) -> str:
-        """For the log."""
+        """The reason, for the log."""
 
 
 class NextChange(Protocol):
-    """The decision, pure: roster.next_change."""
+    """The pure decision function: voter_plan.next_change."""
 
     def __call__(
         self,
@@ -42,14 +42,18 @@
         silence_limit: float,
         desired_voters: int,
     ) -> ProposedChange | None:
-        """The one next change, or None."""
+        """Return the next change, or None."""
 
 
 class Promotion:
-    """Asks the roster while this member leads, and proposes what it says. On the member's thread."""
+    """Proposer of the planned membership changes while this member leads; confined to its thread."""
 
     def __init__(self, replica: Replica, next_change: NextChange, silence_limit: float, desired_voters: int) -> None:
-        """after: s of silence that make a voter lost for good. wanted: voters that there should be."""
+        """Register for leader ticks.
+
+        silence_limit is the silence in s after which a voter counts as lost; desired_voters is the wanted number of
+        voters.
+        """
         self._replica, self._next_change, self._silence_limit, self._desired_voters = (
             replica,
             next_change,
@@ -58,13 +62,11 @@
         )
         self._checked_at = float("-inf")
         self._under_way = False
-        self._logged: ProposedChange | None = (
-            None  # logged already: what can't be done yet is asked for again and again
-        )
+        self._logged: ProposedChange | None = None  # last change logged: a rejected one is proposed repeatedly
         replica.on_leader_tick(self.check)
 
     def check(self, now: float) -> None:
-        """Propose the next change, if there is one and none is under way."""
+        """Propose the next change, if there is one and none is in progress."""
         if self._under_way or self._checked_at <= now < self._checked_at + CHECK_INTERVAL:
             return
         self._checked_at = now
@@ -95,5 +97,5 @@
         self._under_way = False
         if reply.status == "ok":
             self._logged = None
-        if reply.status != "busy":  # busy: it comes again by itself
+        if reply.status != "busy":  # busy: the next check proposes it again
             log.event("replica_replaced", word=reply.status, index=reply.index, **self._replica.group.log_fields)
--- a/tealwing/replica/membership/voter_plan.py
+++ b/tealwing/replica/membership/voter_plan.py
@@ -1,18 +1,18 @@
-"""Who should vote: which one change of members comes next as voters are lost for good; pure.
+"""Choice of the next membership change when voters are permanently lost; pure.
 
-A voter that is silent for long is gone, with its disk: the fleet still has a majority, but the next loss counts. A live
-learner that has caught up takes its place, in three changes of which each is asked for anew when the one before it is
-committed: first the learner is promoted, then the lost voter is demoted, and then it may be removed by an operator, or
-come back and learn.
+A voter that is silent for too long counts as lost, with its disk: the fleet still has a majority, but tolerates fewer
+failures. A live learner that has caught up replaces it, in separate changes, each decided after the previous one is
+committed: the learner is promoted, then the lost voter is demoted. An operator may then remove it, or it may return as
+a learner.
 
-Why promote first. As to how many voters more may fail the order does not matter: of n voters l live, and l - (n // 2 +
-1) more may fail. Either first step leaves that as it is for odd n and makes it one more for even n. But demoting first
-has what is committed in between on fewer disks: of 3 voters with one lost, 2 are left, a majority is those 2, and if
-the learner is lost before its turn the fleet has 2 voters for good. Promoting first makes it 4, whose majority is 3
-disks, and if nothing comes after it, none is lost by that: the lost voter still counts if it comes back. At each moment
-a majority is at least as many disks as before.
+Why promote first: for the number of further failures tolerated the order does not matter. With l of n voters live,
+l - (n // 2 + 1) more may fail; either first step leaves that unchanged for odd n and adds one for even n. But demoting
+first stores entries committed in between on fewer disks: of 3 voters with one lost, 2 are left, both are needed for a
+majority, and if the learner is lost before its promotion the fleet stays at 2 voters. Promoting first makes 4 voters
+with a majority of 3 disks; if the second change never follows, nothing is lost, as the lost voter still counts when it
+returns. At no time is a majority fewer disks than before.
 
-Where the live voters are no majority nothing is proposed: it could not be committed.
+If the live voters are no majority, nothing is proposed, as it could not be committed.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """The members after the next change, and why: what `Raft.change_members` is given."""
+    """The members after a change, as passed to `Raft.change_members`, and the reason."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...]
@@ -39,17 +39,17 @@
     silence_limit: float,
     desired_voters: int,
 ) -> MembershipChange | None:
-    """The one next change, or None; the same for the same arguments, whatever order they are in.
+    """Return the next change, or None; deterministic, whatever the order within the collections.
 
-    heard: seconds at which each member was heard last, the asking leader included; who is not in it was never heard.
-    ready: learners that could vote now (`Raft.promotion_blocked_by` is empty). after: seconds of silence that make a
-    voter lost for good. wanted: as many voters as there should be. A lost voter is demoted only while there are more
-    voters than that, which the promotion of a learner has made: so none goes without one that has taken its place.
+    last_contact has the time in s of the last message of each member, the leader included; a member that is missing was
+    never heard. ready has the learners that may be promoted (`Raft.promotion_blocked_by` is empty). silence_limit is
+    the silence in s after which a voter counts as lost. desired_voters is the wanted number of voters: a lost voter is
+    demoted only while there are more, that is after a learner was promoted in its place.
     """
     live = {name for name in {*voters, *learners} if name in last_contact and now - last_contact[name] < silence_limit}
     lost = sorted(set(voters) - live)
     if len(set(voters) & live) < len(set(voters)) // 2 + 1:
-        return None  # nothing can be committed: it is not for the members that are left to say that the rest is gone
+        return None  # nothing can be committed: a minority must not decide that the others are lost
     if lost and len(set(voters)) > desired_voters:
         lost_voter = lost[0]
         rest = tuple(sorted(set(voters) - {lost_voter}))
--- a/tealwing/replica/section.py
+++ b/tealwing/replica/section.py
@@ -1,4 +1,4 @@
-"""The section `replica` of the operators' file."""
+"""Schema of the section `replica` of the configuration file."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def build(block: Block, report: Report) -> ReplicaPlan:
-    """The plan that a checked section makes."""
+    """Return the plan of a checked section; inconsistent values are added to the report."""
     heartbeat_interval, election_timeout = block.one("beat"), block.one("election")
     plan = ReplicaPlan(
         block.one("folder"),
--- a/tealwing/replica/service/__init__.py
+++ b/tealwing/replica/service/__init__.py
@@ -1,4 +1,4 @@
-"""One member at work: its thread, the effects that the Raft core asks for, and what operators and gateways call.
+"""Runtime of a Raft member: its thread, the I/O that the core requests, and the API for operators and gateways.
 
 Read bootstrap, snapshots, recovery and listeners, then member, status and node, then control and state_feed.
 """
--- a/tealwing/replica/service/bootstrap.py
+++ b/tealwing/replica/service/bootstrap.py
@@ -1,4 +1,4 @@
-"""From what the disk has to a member: its core, and the state as far as it is known to be committed."""
+"""Construction of a member from its storage: the Raft core, and the state machine up to the known commit index."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 def read_state(storage: Storage, found: StoredState) -> State:
-    """The state of the newest snapshot; an empty one where there is none. storage.StorageError."""
+    """Return the state of the newest snapshot, or an empty state if there is none.
+
+    Raises storage.StorageError if the snapshot can't be read.
+    """
     state = State()
     if found.snapshot.index:
         state.load(found.snapshot.index, storage.snapshot_files.body(found.snapshot))
@@ -21,7 +24,10 @@
 
 
 def make_core(plan: ReplicaPlan, peers: PeersPlan, group: Group, found: StoredState, now: float, start: int) -> Raft:
-    """The core as the disk has it; start is a number that no earlier start of this member had."""
+    """Return a Raft core restored from storage.
+
+    start is the incarnation number; no earlier start of this member may have used it.
+    """
     voters, learners = group.initial_members(peers)
     return Raft(
         peers.name,
@@ -45,7 +51,7 @@
 
 
 def catch_up(core: Raft, state: State) -> None:
-    """Apply what was known to be committed: it is the state, whoever is there."""
+    """Apply the log up to the stored commit index; committed entries need no leader to be applied."""
     for entry in core.ready().committed:
         if entry.kind is Kind.DATA:
             state.apply(entry.index, entry.data)
--- a/tealwing/replica/service/control.py
+++ b/tealwing/replica/service/control.py
@@ -1,4 +1,4 @@
-"""The calls of the control address about the replicated state."""
+"""Control calls for the replicated state."""
 
 from __future__ import annotations
 
@@ -14,14 +14,17 @@
 from tealwing.replica.storage.store import verify
 from tealwing.rules import records
 
-DEFAULT_TIMEOUT = 5.0  # s that a call waits where it does not say
+DEFAULT_TIMEOUT = 5.0  # s that a call waits if it gives no timeout
 
 
 class ReplicaControl:
-    """Answers for one member."""
+    """Handlers of the control calls for one member."""
 
     def __init__(self, replica: Replica, control: ControlServer, prefix: str = "replica") -> None:
-        """prefix: of the names of the calls, so that a process can have those of two groups."""
+        """Register the handlers.
+
+        prefix is prepended to the names of the calls, so that one process can serve two groups.
+        """
         self._replica = replica
         calls: dict[str, Callable[[Fields], Fields]] = {
             "status": lambda _: replica.status(),
@@ -42,7 +45,7 @@
         return {"applied": applied, "digest": digest}
 
     def _verify(self, _: Fields) -> Fields:
-        """Look at the disk, and compare the state with the hash that a read of the disk gives."""
+        """Check the files in the storage directory and return the findings."""
         return {"folder": self._replica.plan.directory, "found": verify(self._replica.storage.directory)}
 
     def _snapshot(self, _: Fields) -> Fields:
@@ -50,7 +53,7 @@
         return {"applied": self._replica.state.applied}
 
     def _members(self, fields: Fields) -> Fields:
-        """One member more that votes (`add`, also of a learner) or only follows (`learn`), or one fewer (`remove`)."""
+        """Change the membership: `add` adds a voter or promotes a learner, `learn` adds a learner, `remove` removes."""
         change, name = field(fields, "change", str), field(fields, "name", str)
         voters, learners = set(self._replica.core.members), set(self._replica.core.learners)
         if change not in ("add", "learn", "remove"):
@@ -62,14 +65,15 @@
             raise CallRejectedError(f"name: {name} has no member line in the section peers here")
         voting, following = voters - {name}, learners - {name}
         {"add": voting, "learn": following}.get(change, set()).add(name)
-        changed_learners = sorted(following) if following or learners else None  # none ever: the plain change of old
+        # no learners before or after: the request as older builds send it
+        changed_learners = sorted(following) if following or learners else None
         outcome = self._outcome(
             lambda wait: {"index": self._replica.change_members(sorted(voting), wait, changed_learners)}, fields
         )
         return outcome | {"members": sorted(voting), "learners": sorted(following)}
 
     def _settings(self, fields: Fields) -> Fields:
-        """Propose the next version of the settings: checked here first, and only where this gateway has caught up."""
+        """Validate and propose the next version of the settings; unavailable until this gateway has caught up."""
         text = field(fields, "text", bytes)
         if not self._replica.recovery.may_change:
             return {"word": "unavailable", "why": self._replica.recovery.reason(self._replica.observe())}
@@ -86,12 +90,12 @@
         return self._outcome(propose, fields)
 
     def _apply_command(self, fields: Fields) -> Fields:
-        """Have a command applied: `body` is one of tealwing.replica.commands, as msgpack."""
+        """Propose a command and return its result; `body` is one of tealwing.replica.commands, as msgpack."""
         try:
             body = msgspec.msgpack.decode(field(fields, "body", bytes), type=c.Body)
         except msgspec.DecodeError as error:
             raise CallRejectedError(f"body: {error}") from None
-        if isinstance(body, records.Body):  # a member's word must be that member's own
+        if isinstance(body, records.Body):  # only the reporting member itself may propose these
             raise CallRejectedError("body: a command on versions of the rules; allowed: the calls rules.*")
         fence = None
         if "token" in fields:
@@ -102,7 +106,7 @@
         return self._outcome(lambda wait: _result_fields(self._replica.write(command, wait)), fields)
 
     def _get(self, fields: Fields) -> Fields:
-        """A value by its table and key: seen by a quorum, or with `stale` as it is here, and marked so."""
+        """Return the value of a key in a table: a linearizable read, or with `stale` the local value, marked so."""
         table, key = field(fields, "table", str, "values"), field(fields, "key", str)
         if table not in self._replica.state.tables:
             raise CallRejectedError(f"table: {table!r}; allowed: {', '.join(sorted(self._replica.state.tables))}")
@@ -120,7 +124,7 @@
         return self._outcome(get, fields)
 
     def _outcome(self, run: Callable[[float], Fields], fields: Fields) -> Fields:
-        """What came of it, in a word: ok, refused (by the state), unavailable (surely not done), unknown."""
+        """Run a call and return its status: ok, refused (by the state), unavailable (not applied) or unknown."""
         try:
             return {"word": "ok"} | run(wait_seconds(fields, DEFAULT_TIMEOUT))
         except UnavailableError as error:
--- a/tealwing/replica/service/listeners.py
+++ b/tealwing/replica/service/listeners.py
@@ -1,4 +1,4 @@
-"""Who is told of what a member applies, of its leading, and of the time while it leads."""
+"""Listeners for applied entries, leadership changes, leader ticks and replaced states."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Listeners:
-    """Those that are told, on the member's thread: registered before the start, quick, never waiting."""
+    """Registry of listeners; they are registered before the start, run on the member's thread and must not block."""
 
     def __init__(self) -> None:
         self._on_applied: list[AppliedListener] = []
@@ -20,17 +20,17 @@
         self._on_state_replaced: list[Callable[[], None]] = []
 
     def on_applied(self, watch: AppliedListener) -> None:
-        """Be told of every entry once it is applied, on the member's thread; before the start."""
+        """Register a listener for every applied entry, called on the member's thread; only before the start."""
         self._on_applied.append(watch)
 
     def on_leadership(self, led: LeadershipListener) -> None:
-        """Be told when this member begins and ceases to lead, on its thread; before the start."""
+        """Register a listener for leadership changes, called on the member's thread; only before the start."""
         self._on_leadership.append(led)
 
     def on_leader_tick(self, ticked: Callable[[float], None]) -> None:
-        """Be told of the time while this member leads, on its thread; before the start."""
+        """Register a listener for ticks while this member leads, called on its thread; only before the start."""
         self._on_leader_tick.append(ticked)
 
     def on_state_replaced(self, installed: Callable[[], None]) -> None:
-        """Be told that another's snapshot took the place of the state, on the member's thread; before the start."""
+        """Register a listener for installed snapshots, called on the member's thread; only before the start."""
         self._on_state_replaced.append(installed)
--- a/tealwing/replica/service/member.py
+++ b/tealwing/replica/service/member.py
@@ -1,4 +1,4 @@
-"""One member without its thread: its core, its disk and its state, and what the core wants, done in its order."""
+"""A Raft member without its thread: core, storage and state machine, and the processing of the core's output."""
 
 from __future__ import annotations
 
@@ -29,26 +29,24 @@
 from tealwing.replica.storage.disk import Disk
 from tealwing.replica.storage.store import Storage
 
-COMMIT_SAVE_INTERVAL = (
-    0.25  # s between two words to the disk of how far the log is committed, where nothing else is written
-)
+COMMIT_SAVE_INTERVAL = 0.25  # s between two writes of the commit index when nothing else is written
 
 
 class Member(Listeners):
-    """The core, its disk and its state. Its thread's own, but for what is read under the lock."""
+    """Core, storage and state machine of one member; confined to its thread, except for reads under the lock."""
 
     def __init__(
         self, plan: ReplicaPlan, link: Link, clock: Clock, disk: Disk | None = None, group: Group = SITE
     ) -> None:
-        """Read the disk. storage.StorageError where it can't be trusted."""
+        """Restore the member from storage. Raises storage.StorageError if the files can't be trusted."""
         super().__init__()
         self.plan, self._link, self.clock, self.group = plan, link, clock, group
         self.disk = disk or Disk()
         self.storage = Storage(Path(plan.directory), self.disk)
         self.recovery = Recovery(time.monotonic())
-        self.lock = threading.Lock()  # round the state, and what status reads
+        self.lock = threading.Lock()  # guards the state and the fields that status reads
         self.stored = self.storage.open()
-        self.state = bootstrap.read_state(self.storage, self.stored)  # the thread's own; others read under the lock
+        self.state = bootstrap.read_state(self.storage, self.stored)  # other threads read it under the lock
         self.incarnation = random.SystemRandom().randrange(1, 2**53)
         self.core = bootstrap.make_core(plan, link.plan, group, self.stored, clock.now(), self.incarnation)
         self._queue: SimpleQueue[tuple[Any, ...]] = SimpleQueue()
@@ -59,20 +57,21 @@
         self._pending, self._reads = PendingProposals(), ReadBatcher(self.core)
         self.broken = ""
         self._leading = False
-        self._connected: set[str] = set()  # members that the link connects to for this log
-        self.leaders_by_term: dict[int, str] = {}  # leader by term, as far as seen here
-        self._commit_saved_at = 0.0  # monotonic, when the disk last heard how far all is committed
-        self.slowest_save = 0.0  # s that the disk took for one write and its sync, at most
+        self._connected: set[str] = set()  # members that the link is connected to for this group
+        self.leaders_by_term: dict[int, str] = {}  # leader by term, as observed by this member
+        self._commit_saved_at = 0.0  # monotonic time of the last write of the commit index
+        self.slowest_save = 0.0  # s, longest write and sync so far
 
     def _reopen(self) -> None:
-        """Begin anew from the disk after it failed, as a start does. OSError or storage.StorageError: not yet.
+        """Rebuild the core from storage after a disk fault, as a start does.
 
-        The state stays: all that it applied was committed, and the log says it again from where the disk knows of it.
+        The state is kept: all applied entries were committed, and those that the log delivers again are skipped.
+        Raises OSError or storage.StorageError if the storage is still not usable.
         """
         self.stored = self.storage.reopen(allow_loss=self.plan.max_stale_disks > 0)
         incarnation = random.SystemRandom().randrange(1, 2**53)
         core = bootstrap.make_core(self.plan, self._link.plan, self.group, self.stored, self.clock.now(), incarnation)
-        if not self.stored.lost_acknowledged:  # unlike a process that starts, this one knows what it has acknowledged
+        if not self.stored.lost_acknowledged:  # unlike a new process, this one knows what it has acknowledged
             core.unconfirmed = self.core.unconfirmed
         self.core = core
         self.snapshots.restart(self.core)
@@ -80,7 +79,7 @@
         self.broken = ""
 
     def _process_ready(self, ready: Ready) -> None:
-        """What the core wants, in its order: the disk, then words that rest on it, then the state."""
+        """Process the core's output in order: persist, then send the messages that depend on it, then apply."""
         if not self._save(ready):
             return
         if ready.entries:
@@ -97,7 +96,7 @@
             self._reads.confirmed(number, index)
 
     def _save(self, ready: Ready) -> bool:
-        """Write what is to be on the disk before anything else; False where the disk failed."""
+        """Persist hard state, entries and snapshot chunk; return False if the disk failed."""
         begun = time.monotonic()
         try:
             commit = min(self.core.commit, self.core.stable)
@@ -112,20 +111,20 @@
             return False
         took = time.monotonic() - begun
         self.slowest_save = max(self.slowest_save, took)
-        if took >= self.plan.election_timeout / 2:  # while it lasts we answer nobody: a leader may be missed for it
+        if took >= self.plan.election_timeout / 2:  # no message is answered meanwhile: an election may follow
             log.event("replica_disk_slow", took=round(took, 3), entries=len(ready.entries), **self.group.log_fields)
         return True
 
     def _send(self, name: str, message: Message) -> None:
-        if isinstance(message, InstallSnapshot):  # the core says which piece
+        if isinstance(message, InstallSnapshot):  # the core selects the chunk, storage has the bytes
             filled = self.snapshots.fill_chunk(message)
             if filled is None:
-                return  # it is no more: the newer one goes out with the next beat
+                return  # compacted away: the next heartbeat starts the newer snapshot
             message = filled
         self._link.send(name, self.group.channel, messages.encode(message))
 
     def _apply(self, entry: messages.Entry) -> None:
-        if entry.index <= self.state.applied:  # the disk was read anew, and the state is ahead of it
+        if entry.index <= self.state.applied:  # after a reopen the state is ahead of the log
             return
         command = result = None
         self.snapshots.bytes += len(entry.data)
@@ -144,7 +143,7 @@
         self._pending.entry_applied(entry, result)
 
     def _replace_state(self, fresh: State) -> None:
-        """Another's snapshot takes the place of the state, unless the state is ahead of it."""
+        """Replace the state by that of an installed snapshot, unless the state is ahead of it."""
         if fresh.applied < self.state.applied:
             return
         with self.lock:
@@ -155,7 +154,7 @@
         self._pending.index_reached(fresh.applied)
 
     def _save_commit(self) -> None:
-        """Tell the disk how far the log is committed, now and then: a start then knows its state without a leader."""
+        """Persist the commit index periodically, so that a restart can apply committed entries without a leader."""
         commit, now = min(self.core.commit, self.core.stable), time.monotonic()
         if self.storage.commit >= commit or now - self._commit_saved_at < COMMIT_SAVE_INTERVAL:
             return
@@ -166,17 +165,17 @@
             self.broken = str(error)
 
     def plan_address(self, name: str) -> tuple[str, int] | None:
-        """Where a gateway's link listens, by the section `peers`."""
+        """Return the address of a gateway's link by the section `peers`, or None if it is not listed."""
         return self._link.plan.address(name)
 
     def digest(self) -> tuple[int, str]:
-        """Index and hash of the state."""
+        """Return the applied index and the hash of the state."""
         with self.lock:
             twin = self.state.copy()
         return twin.applied, twin.digest()
 
     def _connect_members(self) -> None:
-        """Have the link speak to those that the log needs: what the file says of them may be old."""
+        """Connect the link to the current members of the log, as the configuration file may be outdated."""
         core = self.core
         names = {*core.members, *core.learners} if core.local_id in core.members else {*core.members, core.leader}
         if names != self._connected:
@@ -189,19 +188,19 @@
             led(leads)
 
     def propose_if_leader(self, data: bytes) -> None:
-        """Propose a command if this member leads; nobody hears what comes of it."""
+        """Propose a command if this member leads; the outcome is discarded."""
         self._queue.put(("ask", ForwardRequest(0, data), lambda told: None))
 
     def change_members_if_leader(
         self, voters: list[str], learners: list[str], reply: Callable[[ForwardReply], None]
     ) -> None:
-        """Propose other members if this member leads; told hears what comes of it, on the member's thread."""
+        """Propose a membership change if this member leads; reply is called with the outcome on the member's thread."""
         self._queue.put(("ask", ForwardRequest(0, b"", voters, learners), reply))
 
     def broadcast_commit(self) -> None:
-        """If this member leads: say at once how far all is committed, not with the next beat."""
+        """Send the commit index to the followers at once instead of with the next heartbeat, if this member leads."""
         self._queue.put(("hurry",))
 
     def snapshot(self) -> None:
-        """Write a snapshot soon, whatever has come since the last."""
+        """Request a snapshot regardless of the number of entries since the last one."""
         self.snapshots.request()
--- a/tealwing/replica/service/node.py
+++ b/tealwing/replica/service/node.py
@@ -1,7 +1,7 @@
-"""The shell round the core: one thread that takes messages, writes the disk, sends, applies and answers.
+"""The event loop of a Raft member: one thread that receives messages, persists, sends, applies and replies.
 
-Other threads put what they want into the queue and wait for its outcome. Proposals that wait together are written with
-one sync. Nothing here waits for a socket: sends go into the link's bounded outboxes.
+Other threads put requests into the queue and wait for the outcome. Proposals that are queued together share one sync.
+The loop never blocks on a socket: messages go into the link's bounded outboxes.
 """
 
 from __future__ import annotations
@@ -42,25 +42,25 @@
 
 __all__ = ["OutcomeUnknownError", "Replica", "UnavailableError"]
 
-MAX_TICK = 0.05  # s between two looks at the clock, whatever the deadlines: it may have been stepped
-MAX_QUEUE_BATCH = 256  # items of the queue before the disk is written
+MAX_TICK = 0.05  # s, longest wait for the queue, whatever the deadlines: the clock may be stepped
+MAX_QUEUE_BATCH = 256  # items taken from the queue before one write to disk
 LEADERSHIP_TRANSFER_TIMEOUT, LEADERSHIP_TRANSFER_POLL = (
     0.5,
     0.01,
-)  # s that a leader's end may wait for another to lead, and between two looks
+)  # s, limit of a leadership transfer at the stop, and polling interval
 
 
 class Replica(Member):
-    """One member of a replicated log, on its thread."""
+    """A member of a replicated log with its thread."""
 
     def __init__(
         self, plan: ReplicaPlan, link: Link, clock: Clock, disk: Disk | None = None, group: Group = SITE
     ) -> None:
-        """Read the disk. storage.StorageError where it can't be trusted."""
+        """Restore the member from storage. Raises storage.StorageError if the files can't be trusted."""
         super().__init__(plan, link, clock, disk, group)
         self._stopped = threading.Event()
-        self._proposed = False  # whether proposals of this turn are still to be sent
-        self._forwarded: list[bytes] = []  # commands of this turn of which nobody waits for what comes of them
+        self._proposed = False  # whether proposals of this iteration are not sent yet
+        self._forwarded: list[bytes] = []  # commands of this iteration without a waiting caller
         self._leader_client = LeaderClient(
             link.plan.name, self._queue, lambda name, body: self._link.send(name, group.forward_channel, body),
             lambda: self.core.leader, lambda: self.broken,
@@ -70,12 +70,12 @@
         self._connect_members()
 
     def start(self) -> None:
-        """Take part from now on."""
+        """Start the member's thread."""
         threads.start(self._run, self.group.thread_name("replica"))
         status.log_start(self)
 
     def stop(self) -> None:
-        """Take part no more; what waits for an outcome has none. A leader hands over first, as far as that is quick."""
+        """Stop the member; pending calls fail. A leader first transfers its leadership, for a bounded time."""
         if self.core.role is Role.LEADER and not self.broken:
             self._queue.put(("leave",))
             end = time.monotonic() + LEADERSHIP_TRANSFER_TIMEOUT
@@ -85,43 +85,50 @@
         self._leader_client.stop()
         self._queue.put(("wake",))
 
-    # For other threads
+    # Called by other threads
 
     def write(self, command: Command, timeout: float) -> CommandResult:
-        """Have a command applied, wherever the leader is. Unknown or Unavailable where that is not seen in time.
+        """Propose a command to the leader and return its result once it is applied.
 
-        One with a sequence is tried again until the time is over: the state applies it once.
+        A command with a sequence is retried for timeout seconds, as the session applies it only once. Raises
+        OutcomeUnknownError if it may have been applied, UnavailableError if it was not.
         """
         data = commands.encode(command)
         reply = self._leader_client.call_leader(ForwardRequest(0, data), timeout, idempotent=bool(command.sequence))
         return commands.decode_result(reply.result)
 
     def change_members(self, voters: list[str], timeout: float, learners: list[str] | None = None) -> int:
-        """Other members, learners None: as they are; the index of the entry that says so. Unknown or Unavailable."""
+        """Change the members and return the index of the configuration entry; learners None leaves them unchanged.
+
+        Raises OutcomeUnknownError if the change may have been made, UnavailableError if it was not.
+        """
         return self._leader_client.call_leader(
             ForwardRequest(0, b"", voters, learners), timeout, idempotent=False
         ).index
 
     def read_index(self, timeout: float) -> int:
-        """Wait until the state here has all that was committed when this was called. Unavailable where it can't."""
+        """Return the read index, once the local state has applied it (Raft thesis, section 6.4).
+
+        Raises UnavailableError if that fails or takes more than timeout seconds.
+        """
         return self._leader_client.read_index(timeout)
 
     def forward(self, data: bytes) -> None:
-        """Have whoever leads propose a command, if anybody does; nobody hears what comes of it."""
+        """Forward a command to the leader, if one is known; the outcome is discarded."""
         self._leader_client.forward(data)
 
     def status(self) -> dict[str, Any]:
-        """What operators ask for."""
+        """Return the status for operators."""
         return status.status(self)
 
     def observe(self) -> FleetView:
-        """What this member sees of the fleet, for the order of return."""
+        """Return this member's view of the fleet, for the recovery phases."""
         return status.observe(self, self._link.live())
 
-    # The link's reader thread
+    # Called on the link's reader thread
 
     def _on_message(self, name: str, body: bytes) -> None:
-        if self.broken or self._stopped.is_set():  # out, or at the end: nobody takes from the queue
+        if self.broken or self._stopped.is_set():  # out of order or stopping: the queue is not read
             return
         self._queue.put(("message", name, messages.decode(body)))
 
@@ -133,7 +140,7 @@
             channel = self.group.forward_channel
             self._queue.put(("ask", forwarded, lambda told: self._link.send(name, channel, protocol.encode(told))))
 
-    # Our thread
+    # Called on the member's thread
 
     def _run(self) -> None:
         try:
@@ -153,7 +160,7 @@
                 log.event("replica_broken", why=self.broken, **self.group.log_fields)
 
     def _withdraw(self) -> None:
-        """Take part in nothing: lead nobody, and have no one wait."""
+        """Fail pending proposals and read rounds after a disk fault, and report the loss of leadership."""
         self._pending.fail_all()
         self._reads.fail_all()
         self._forwarded, self._proposed = [], False
@@ -161,7 +168,7 @@
             self._set_leading(False)
 
     def _return_from_disk_fault(self) -> None:
-        """Stay out until the folder can be read and written again, then begin anew from it, as a start does."""
+        """Wait until the storage directory is usable again or the member stops, then restore the member from it."""
         begun, why = time.monotonic(), ""
         backoff = ReopenBackoff(random.Random())
         self._withdraw()
@@ -186,7 +193,7 @@
             return
 
     def _drop_queue(self) -> list[tuple[Any, ...]]:
-        """Drop what was said to the core that is no more, and answer who waits; the words of snapshots written stay."""
+        """Drop the items queued for the discarded core and fail their callers; return those of written snapshots."""
         written = []
         with contextlib.suppress(Empty):
             while True:
@@ -232,14 +239,14 @@
             self._save_commit()
 
     def _propose_forwarded(self) -> None:
-        """Propose what was passed on, and send all proposals of this turn together."""
+        """Propose the forwarded commands, and send all proposals of this iteration together."""
         now = self.clock.now()
         forwarded, self._forwarded = self._forwarded, []
         try:
             for data in batching.batched(forwarded):
                 self.core.propose(now, data, defer_send=True)
                 self._proposed = True
-        except (NotLeaderError, BusyError):  # who said it says it again, until the state shows it
+        except (NotLeaderError, BusyError):  # the sender repeats it until the state shows it
             pass
         if self._proposed:
             self._proposed = False
@@ -272,7 +279,7 @@
                 self.snapshots.finish_write(item[1])
 
     def _handle_request(self, now: float, request: ForwardRequest, reply: Callable[[ForwardReply], None]) -> None:
-        """Somebody wants something of the leader."""
+        """Handle a request to the leader: a proposal, a read index or a membership change."""
         if request.command and not request.number:
             self._forwarded.append(request.command)
             return
--- a/tealwing/replica/service/recovery.py
+++ b/tealwing/replica/service/recovery.py
@@ -1,11 +1,11 @@
-"""What a gateway that comes back may believe of its disk, and the order in which service returns; pure.
+"""How far a restarted gateway trusts its stored state, and the phases of its recovery; pure.
 
-After a power loss nobody can be asked at first, and what the disk has may be old. So each thing is believed only as far
-as being wrong about it does no harm: the last good settings serve at once, a drain goes on under its first cut-off, a
-lease held before is never trusted, and whatever has an age that can't be known is marked.
+After a power loss no peer may be reachable, and the stored state may be outdated. Each item is therefore trusted only
+as far as an error does no harm: the last good settings are used at once, a drain keeps its first cut-off, a lease held
+before the restart is never trusted, and an item of unknown age is marked.
 
-The order: the disk (torn tails cut, checksums), then the peers are asked, for a bounded time, then the gateway is
-ready, whether a quorum is back or not. A quorum is asked for what changes the fleet, never for serving a client.
+The phases: storage is checked (checksums, torn tails truncated), the peers are queried for a bounded time, then the
+gateway is ready, with or without a quorum. A quorum is needed to change the fleet, never to serve a client.
 """
 
 from __future__ import annotations
@@ -18,33 +18,33 @@
 from tealwing.lease_bounds import DEFAULT_BOUNDS
 from tealwing.replica.state import State
 
-PEER_QUERY_TIMEOUT = 2.0  # s for which the peers are asked before the gateway says that it is ready without them
-MAX_AGE_MS = 600_000  # ms of age beyond which a note or a level is not taken as the present
-MAX_CLOCK_AHEAD_MS = 5_000  # ms by which a time may lie ahead of our clock, as clocks differ
+PEER_QUERY_TIMEOUT = 2.0  # s for which the peers are queried before the gateway is ready without them
+MAX_AGE_MS = 600_000  # ms, age beyond which a note or a level is marked as possibly outdated
+MAX_CLOCK_AHEAD_MS = 5_000  # ms, tolerated clock skew of a time in the future
 
 
 class Trust(Enum):
-    """How far something from the disk is believed."""
+    """Degree of trust in a stored item."""
 
-    TRUSTED = "held"  # as it is
-    MARKED = "marked"  # in force, and marked: its age is not known, or nobody has confirmed it
-    WAITS = "waits"  # not before a time has passed
+    TRUSTED = "held"  # used without restriction
+    MARKED = "marked"  # in force, but marked: of unknown age, or unconfirmed
+    WAITS = "waits"  # not used before a time
     NEVER = "never"
 
 
 @dataclass(frozen=True, slots=True)
 class TrustedItem:
-    """One thing from the disk: what it is, how far it is believed, and why."""
+    """A stored item, its degree of trust, and the reason."""
 
     kind: str
     key: str
     trust: Trust
     reason: str
-    until_ms: int = 0  # ms of the Unix clock, where a time is part of it
+    until_ms: int = 0  # ms of the Unix clock, 0 if there is no time limit
 
 
 def assess_trust(state: State, last_index: int, now_ms: int) -> list[TrustedItem]:
-    """What may be believed of a state as the disk has it, with a log that goes to an index."""
+    """Return the degree of trust in each item of a restored state; last_index is the end of the stored log."""
     found = [*_settings(state), *_leases(state, now_ms), *_drains(state, now_ms)]
     for table in ("notes", "levels"):
         for key, entry in state.tables[table].items():
@@ -94,45 +94,45 @@
 
 
 class Phase(Enum):
-    """Where the return is."""
+    """Phase of the recovery."""
 
-    DISK = "disk"  # read and checked; nothing is said to anyone yet
-    QUERYING_PEERS = "asking"  # the peers are asked, for ASK_LIMIT at most
-    STANDALONE = "alone"  # ready; no quorum is back, or we have not caught up: what is known is marked
+    DISK = "disk"  # storage is read and checked; no message is sent yet
+    QUERYING_PEERS = "asking"  # the peers are queried, for PEER_QUERY_TIMEOUT at most
+    STANDALONE = "alone"  # ready without a quorum or not caught up: the state is marked
     MEMBER = "member"  # caught up with a leader
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What a member sees of the fleet at a moment."""
+    """A member's view of the fleet at one moment."""
 
     leader: str
     term: int
     unconfirmed: bool
     commit: int
     applied: int
-    reachable: int  # members that are heard, this one too
+    reachable: int  # reachable members, this one included
     members: int
 
 
 class Recovery:
-    """The order of return of one gateway."""
+    """State machine of the recovery phases of one gateway."""
 
     def __init__(self, now: float) -> None:
         self.phase, self.started_at = Phase.DISK, now
         self._querying_since = now
         self._catch_up_target: tuple[int, int] | None = (
-            None  # term, and what was committed when its leader was first heard
+            None  # term, and the commit index when its leader was first seen
         )
         self.ready_after: float | None = None  # s from the start
         self.member_after: float | None = None
 
     def disk_read(self, now: float) -> None:
-        """The disk is checked."""
+        """Enter the phase that queries the peers, once storage is checked."""
         self.phase, self._querying_since = Phase.QUERYING_PEERS, now
 
     def update(self, now: float, view: FleetView) -> Phase:
-        """The phase, as of what is seen now."""
+        """Advance by the current view and return the phase."""
         if self.phase is Phase.DISK:
             return self.phase
         if view.leader and (self._catch_up_target is None or self._catch_up_target[0] != view.term):
@@ -146,7 +146,7 @@
         if caught_up:
             self._enter(now, Phase.MEMBER)
         elif self.phase is Phase.MEMBER and not view.leader:
-            self.phase = Phase.STANDALONE  # the majority is gone: serve on, marked
+            self.phase = Phase.STANDALONE  # quorum lost: keep serving, with the state marked
         elif self.phase is Phase.QUERYING_PEERS and now - self._querying_since >= PEER_QUERY_TIMEOUT:
             self._enter(now, Phase.STANDALONE)
         return self.phase
@@ -160,16 +160,16 @@
 
     @property
     def ready(self) -> bool:
-        """Whether clients may be sent here. Those that come earlier are served too: nobody waits for a quorum."""
+        """Whether the gateway advertises itself; clients that come earlier are served too, as none needs a quorum."""
         return self.phase in (Phase.STANDALONE, Phase.MEMBER)
 
     @property
     def may_change(self) -> bool:
-        """Whether new settings are taken, and fleet-wide tasks done."""
+        """Whether this gateway accepts new settings and runs fleet-wide tasks."""
         return self.phase is Phase.MEMBER
 
     def reason(self, view: FleetView) -> str:
-        """The phase in words."""
+        """Return the phase as a text for operators."""
         reachable = f"{view.reachable} of {view.members} members are heard"
         if self.phase is Phase.DISK:
             return "the disk is being read"
@@ -182,7 +182,7 @@
         return f"catching up with {view.leader}; serving from what this gateway knows"
 
     def report(self, view: FleetView, items: list[TrustedItem]) -> dict[str, Any]:
-        """For operators."""
+        """Return the recovery report for operators."""
         return {
             "phase": self.phase.value, "ready": self.ready, "reason": self.reason(view),
             "ready_after_s": None if self.ready_after is None else round(self.ready_after, 3),
--- a/tealwing/replica/service/snapshots.py
+++ b/tealwing/replica/service/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: when one is due, writing it on a thread of its own, and taking another's in pieces."""
+"""Snapshots: scheduling, writing on a separate thread, and installing one that is received in chunks."""
 
 from __future__ import annotations
 
@@ -17,46 +17,49 @@
 from tealwing.replica.state import State
 from tealwing.replica.storage.store import Storage
 
-RETAINED_ENTRIES, RETAINED_BYTES = 2000, 8 << 20  # entries kept behind a snapshot, for who is a little behind
+RETAINED_ENTRIES, RETAINED_BYTES = 2000, 8 << 20  # log kept before a snapshot, for followers that lag slightly
 INTERVAL_JITTER = (
     0.75,
     1.25,
-)  # times the entries of the plan, at random: members apply the same and would all write at once
-MAX_LOG_BYTES = 32 << 20  # of entries after which a snapshot is due, however few they are: the log is in memory too
+)  # random factor of the interval: members apply the same entries and would write in step
+MAX_LOG_BYTES = 32 << 20  # size at which a snapshot is due, however few the entries: the log is in memory too
 
 
 class SnapshotManager:
-    """One member's snapshots. Its thread's own, but for `want`."""
+    """Snapshots of one member; confined to its thread, except for `request`."""
 
     def __init__(
         self, plan: ReplicaPlan, storage: Storage, core: Raft, queue: SimpleQueue[tuple[Any, ...]],
         replace: Callable[[State], None], group: Group,
     ) -> None:  # fmt: skip
-        """Replace takes the state that another's snapshot makes."""
+        """Set up the manager; replace is called with the state of an installed snapshot."""
         self._group = group
         self._plan, self._storage, self._core, self._queue, self._replace = plan, storage, core, queue, replace
-        self._writing = self._requested = False  # one, on a thread of its own; asked for
-        self._next_interval = random_interval(plan)  # entries after which the next snapshot is written
+        self._writing = self._requested = False  # a write is in progress; one was requested
+        self._next_interval = random_interval(plan)  # entries until the next snapshot
         self.bytes = sum(len(entry.data) for entry in core.log)  # of entries since the last snapshot
         self.count = 0  # written
 
     def restart(self, core: Raft) -> None:
-        """Go on with a core that was made anew from the disk; a snapshot that is being written stays under way."""
+        """Use a core that was rebuilt from storage; a snapshot write in progress continues."""
         self._core = core
         self.bytes = sum(len(entry.data) for entry in core.log)
 
     def request(self) -> None:
-        """Write one soon, whatever has come since the last; any thread."""
+        """Request a snapshot regardless of the entries since the last one; thread-safe."""
         self._requested = True
         self._queue.put(("wake",))
 
     def fill_chunk(self, snap: InstallSnapshot) -> InstallSnapshot | None:
-        """The piece that the core wants to send, with its bytes, which are the disk's. None: it is no more."""
+        """Return the chunk with its bytes read from storage, or None if the snapshot no longer exists."""
         data = self._storage.snapshot_files.read_chunk(SnapshotMeta(snap.index, snap.index_term), snap.offset)
         return None if data is None else msgspec.structs.replace(snap, data=data)
 
     def receive_chunk(self, chunk: InstallSnapshot) -> bool:
-        """A piece of another's snapshot; with the last one it becomes ours. False where it was no good. OSError."""
+        """Store a chunk of a received snapshot, and install the snapshot with the last one.
+
+        Returns False if the snapshot is invalid. Raises OSError if the disk fails.
+        """
         self._storage.snapshot_files.write_chunk(chunk.index, chunk.index_term, chunk.offset, chunk.data)
         if chunk.offset + len(chunk.data) < chunk.total:
             return True
@@ -73,7 +76,7 @@
         return True
 
     def maybe_write(self, state: State) -> None:
-        """Begin to write one if it is due, or was asked for."""
+        """Start writing a snapshot if one is due or was requested."""
         due = state.applied - self._core.snapshot.index >= self._next_interval or self.bytes >= MAX_LOG_BYTES
         if self._writing or not (due or self._requested):
             return
@@ -101,7 +104,7 @@
             self._writing = False
 
     def finish_write(self, meta: SnapshotMeta | None) -> None:
-        """The thread that wrote one is done; None: it could not."""
+        """Adopt a written snapshot and compact the log; meta is None if the write failed."""
         self._writing = False
         if meta is None or meta.index <= self._core.snapshot.index:
             return
@@ -118,5 +121,5 @@
 
 
 def random_interval(plan: ReplicaPlan) -> float:
-    """Entries after which the next snapshot is due."""
+    """Return the number of entries until the next snapshot, jittered."""
     return plan.snapshot_entries * random.uniform(*INTERVAL_JITTER)
--- a/tealwing/replica/service/state_feed.py
+++ b/tealwing/replica/service/state_feed.py
@@ -1,8 +1,8 @@
-"""What a gateway learns that the fleet should not forget, put into the replicated state: drains, cold starts, levels.
+"""Recording of drains, cold starts and service levels in the replicated state, for gateways that restart.
 
-`words` decides, and is pure; the feed sends, on a thread of its own, off the request path. All gateways hear the same
-news, so most words are known already when they come here: those are not sent. What can't be sent waits, bounded, the
-oldest dropped: the state is a memory for who returns, and the news itself go on to each gateway as before.
+`missing_commands` decides and is pure; the feed sends on a thread of its own, off the request path. All gateways
+observe the same changes, so most are in the state already and are not sent. Commands that can't be sent are queued; the
+queue is bounded and drops the oldest, as running gateways do not depend on it: they observe the changes themselves.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 from tealwing.replica.state import State
 
-MAX_QUEUED = 512  # words that wait: twice the engines of the largest fleet that was tried, and more
+MAX_QUEUED = 512  # commands: over twice the engines of the largest fleet tested
 WRITE_TIMEOUT = 2.0  # s for one command
-RETRY_BACKOFF = (0.2, 5.0)  # s between two tries where nobody leads, jittered, lest all gateways try at once
+RETRY_BACKOFF = (0.2, 5.0)  # s between retries, jittered, so that gateways do not retry in step
 SLOW_START = "cold"
 
 
 def missing_commands(
     entries: Iterable[api.EngineListEntry], state: State, now_ms: int, grace_ms: int, slow_start_ms: int
 ) -> list[c.Body]:
-    """What of the engine list the state does not have yet."""
+    """Return the commands that bring the state up to date with the engine list."""
     found: list[c.Body] = []
     drains, notes = state.tables["drains"], state.tables["notes"]
     for entry in entries:
@@ -41,7 +41,7 @@
                 found.append(c.Drain(entry.engine, started, removed=True))
             if started and now_ms - started < slow_start_ms and slow_start_key not in notes:
                 found.append(c.Note(entry.engine, started, SLOW_START, started))
-        elif entry.health is api.Health.GONE:  # its drain is swept in time: news of it may still be late somewhere
+        elif entry.health is api.Health.GONE:  # its drain is swept later: updates on it may still be in flight
             prefix = f"{entry.engine}/"
             for key, note in notes.items():
                 if key.startswith(prefix):
@@ -50,7 +50,7 @@
 
 
 class StateFeed:
-    """Sends words to the shared state."""
+    """Sends commands to the replicated state from a bounded queue."""
 
     def __init__(self, replica: Replica, gateway: str) -> None:
         self._replica, self._gateway = replica, gateway
@@ -61,17 +61,17 @@
         self.dropped = 0
 
     def start(self) -> None:
-        """Send from now on."""
+        """Start the sending thread."""
         threads.start(self._run, "replica-feed")
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stop the sending thread."""
         self._stopped.set()
         with self._changed:
             self._changed.notify_all()
 
     def engine_list_changed(self, entries: tuple[api.EngineListEntry, ...], rules: api.Rules) -> None:
-        """News of the engine list."""
+        """Queue the commands for a changed engine list."""
         with self._replica.lock:
             now = int(time.time() * 1e3)
             grace, slow_start = round(rules.drain_grace * 1e3), round(rules.slow_start_time * 1e3)
@@ -79,7 +79,7 @@
         self._put(found)
 
     def service_level_changed(self, before: str, now: str, why: str, full: str) -> None:
-        """This gateway's service level has changed; full is the name of none."""
+        """Queue the commands for a changed service level of this gateway; full names the level without restrictions."""
         at = int(time.time() * 1e3)
         found: list[c.Body] = []
         if before != full:
@@ -108,7 +108,7 @@
                 body = self._queued.popleft()
             try:
                 result = self._replica.write(c.Command("", 0, body), WRITE_TIMEOUT)
-            except (OutcomeUnknownError, UnavailableError):  # words may be said twice: the first stays
+            except (OutcomeUnknownError, UnavailableError):  # a command may be applied twice: the first stays
                 with self._changed:
                     self._queued.appendleft(body)
                 self._stopped.wait(self._backoff.next())
--- a/tealwing/replica/service/status.py
+++ b/tealwing/replica/service/status.py
@@ -1,4 +1,4 @@
-"""What a member says of itself to operators, and what it sees of the fleet."""
+"""Status of a member for operators, and its view of the fleet."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tealwing.replica.service.member import Member
 from tealwing.replica.service.recovery import FleetView
 
-RECENT_TERMS = 64  # leaders by term that are remembered for the status
+RECENT_TERMS = 64  # terms whose leaders are kept for the status
 
 
 def status(replica: Member) -> dict[str, Any]:
-    """What operators ask for."""
+    """Return the status for operators."""
     core = replica.core
     role = "out" if replica.broken else core.role.value
     with replica.lock:
@@ -41,7 +41,7 @@
 
 
 def observe(replica: Member, live: list[str]) -> FleetView:
-    """What it sees of the fleet, for the order of return; live are the peers that are heard."""
+    """Return the member's view of the fleet, for the recovery phases; live names the reachable peers."""
     core = replica.core
     heard = 1 + sum(1 for name in live if name in core.members)
     leader = "" if replica.broken else core.leader
@@ -49,7 +49,7 @@
 
 
 def note_leader(replica: Member) -> None:
-    """Remember and log who leads which term, once."""
+    """Record and log the leader of the current term, once."""
     core, terms = replica.core, replica.leaders_by_term
     if not core.leader or terms.get(core.term) == core.leader:
         return
@@ -61,7 +61,7 @@
 
 
 def log_start(replica: Member) -> None:
-    """Log what the disk had, and what is believed of it."""
+    """Log what was restored from storage, and how far each item of it is trusted."""
     found, core = replica.stored, replica.core
     log.event(
         "replica_started", term=found.term, snapshot=found.snapshot.index, last=core.last_index,
--- a/tealwing/replica/state.py
+++ b/tealwing/replica/state.py
@@ -1,7 +1,7 @@
-"""The state that the log makes: the same at every member that has applied the same entries; pure.
+"""The replicated state machine: deterministic, so that members with the same applied entries are equal; pure.
 
-No clock is read here. Times in commands are told by whoever saw them; that a lease has run out is an entry of its own.
-Values are immutable, so that a shallow copy of the tables is the state at one moment: a snapshot is written from that.
+No clock is read here: times in commands come from the proposer, and the expiry of a lease is an entry of its own.
+Values are immutable, so that a shallow copy of the tables is a consistent state from which a snapshot is written.
 """
 
 from __future__ import annotations
@@ -16,29 +16,29 @@
 from tealwing.replica.messages import Record
 from tealwing.rules import records, registry
 
-MAX_SESSIONS = 1024  # clients remembered: the one that has been quiet longest by index goes first
-RETAINED_SETTINGS = 16  # versions of settings kept, and the last good one
-DUMP_PIECE_BYTES = 64 * 1024  # bytes after which a snapshot's body is cut
+MAX_SESSIONS = 1024  # client sessions kept; the least recently used by index is evicted
+RETAINED_SETTINGS = 16  # versions of settings kept, in addition to the last good one
+DUMP_PIECE_BYTES = 64 * 1024  # size at which dump yields a piece
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class Value(Record, frozen=True):
-    """A value and its version: the index of the entry that put it."""
+    """A value and its version, the index of the entry that put it."""
 
     value: bytes
     version: int
 
 
 class Session(Record, frozen=True):
-    """The last command of a client, and what came of it."""
+    """The last command of a client and its result."""
 
     sequence: int
     result: c.CommandResult
 
 
 class Lease(Record, frozen=True):
-    """A grant: who holds it, for how long, its token, the entry that renewed it last."""
+    """The current grant of a lease: holder, duration, fencing token, and the index of the last renewal."""
 
     holder: str
     ttl: int  # ms
@@ -64,7 +64,7 @@
     "leases": Lease,
     "fences": int,
     "sessions": Session,
-    "rules": records.Version,  # these three: see tealwing.rules.registry
+    "rules": records.Version,  # the rules* tables: see tealwing.rules.registry
     "rule_members": records.Member,
     "rule_facts": records.Facts,
 }
@@ -74,7 +74,7 @@
 
 
 class Item(msgspec.Struct, array_like=True, frozen=True):
-    """One line of a snapshot: table, key, and the value's bytes."""
+    """An item of a snapshot: table, key, and the encoded value."""
 
     table: str
     key: str
@@ -85,22 +85,25 @@
 
 
 class State:
-    """The tables, and the index up to which entries are applied."""
+    """The tables and the applied index."""
 
     def __init__(self) -> None:
         self.applied = 0
         self.tables: dict[str, dict[str, Any]] = {name: {} for name in TABLES}
-        self.rejected_stale = 0  # fenced commands under an older token: told in the figures, not part of the state
+        self.rejected_stale = 0  # fenced commands with a stale token: a metric, not part of the state
 
     # Commands
 
     def apply(self, index: int, data: bytes) -> c.CommandResult:
-        """Apply the entry at an index, once, in order. c.NewerEntry, with nothing changed, where it can't be known."""
+        """Apply the entry at an index and return the result; each entry is applied once, in order.
+
+        Raises c.NewerEntryError, with the state unchanged, if a newer build wrote the entry.
+        """
         try:
             command = c.decode(data)
         except c.NewerEntryError:
             raise
-        except ValueError as error:  # the same at every member
+        except ValueError as error:  # deterministic: every member refuses it
             self.applied = index
             return c.CommandResult(False, index, reason=str(error))
         self.applied = index
@@ -113,7 +116,7 @@
                 return c.CommandResult(False, index, reason=f"sequence {command.sequence} came after {known.sequence}")
         result = self._apply_fenced(index, command)
         if command.sequence:
-            sessions.pop(command.client, None)  # to the end: the order is that of the last commands
+            sessions.pop(command.client, None)  # reinserted at the end: least recently used first
             sessions[command.client] = Session(command.sequence, result)
             if len(sessions) > MAX_SESSIONS:
                 del sessions[next(iter(sessions))]
@@ -123,7 +126,7 @@
         fence = command.fence
         if fence is not None:
             newest = self.tables["fences"].get(fence.name, 0)
-            if fence.token != newest or not newest:  # an older grant's, or one that there never was
+            if fence.token != newest or not newest:  # a stale token, or one that was never granted
                 self.rejected_stale += 1
                 why = f"stale token {fence.token} of {fence.name}: {newest} is the newest"
                 return c.CommandResult(False, index, newest, why)
@@ -154,7 +157,7 @@
                 return self._end_lease(index, name, token)
             case c.Expire(name, token, renewed):
                 lease: Lease | None = self.tables["leases"].get(name)
-                if lease is None or lease.renewed != renewed:  # renewed meanwhile: it has not run out
+                if lease is None or lease.renewed != renewed:  # renewed in the meantime
                     return c.CommandResult(False, index, reason=f"{name} is renewed or another's")
                 return self._end_lease(index, name, token)
             case _:
@@ -181,13 +184,16 @@
         return c.CommandResult(True, index, version)
 
     def last_good(self) -> int:
-        """The newest version of the settings that is good; 0 where there is none."""
+        """Return the number of the newest valid version of the settings, 0 if there is none."""
         return max((int(key) for key, version in self.tables["settings"].items() if version.valid), default=0)
 
     def _put_or_remove(
         self, index: int, table: str, key: str, value: Any, removed: bool, keep_first: bool = False
     ) -> c.CommandResult:
-        """Put or forget; with first the earliest word stays: a drain's cut-off counts from when it was first told."""
+        """Put or remove a record.
+
+        With keep_first an existing record stays, as a drain's cut-off counts from its first announcement.
+        """
         if removed:
             gone = self.tables[table].pop(key, None)
             return c.CommandResult(gone is not None, index, reason="" if gone else f"no {key} in {table}")
@@ -200,7 +206,7 @@
 
     def _acquire(self, index: int, name: str, holder: str, ttl: int) -> c.CommandResult:
         lease: Lease | None = self.tables["leases"].get(name)
-        if lease is not None and lease.held and lease.holder == holder:  # its answer was lost: it goes on with it
+        if lease is not None and lease.held and lease.holder == holder:  # the reply was lost: same grant, renewed
             self.tables["leases"][name] = msgspec.structs.replace(lease, ttl=ttl, renewed=index)
             return c.CommandResult(True, index, lease.token)
         if lease is not None and lease.held:
@@ -223,17 +229,17 @@
         self.tables["leases"][name] = msgspec.structs.replace(lease, held=False)
         return c.CommandResult(True, index, token)
 
-    # The whole
+    # Snapshots and digest
 
     def copy(self) -> State:
-        """The state as it is now, while this one goes on."""
+        """Return a copy of the state that later commands do not change."""
         twin = State()
         twin.applied = self.applied
         twin.tables = {name: dict(table) for name, table in self.tables.items()}
         return twin
 
     def dump(self) -> Iterator[bytes]:
-        """The body of a snapshot, in pieces: items, each with its length before it, tables in their order."""
+        """Yield the body of a snapshot in pieces: length-prefixed items, in the order of the tables."""
         piece = bytearray()
         for name, table in self.tables.items():
             for key, value in table.items():
@@ -246,7 +252,10 @@
             yield bytes(piece)
 
     def load(self, applied: int, pieces: Iterable[bytes]) -> None:
-        """Be what a snapshot's body says. ValueError where it can't be read; c.NewerEntry where it has other tables."""
+        """Replace the state by the body of a snapshot.
+
+        Raises ValueError if the body is invalid, c.NewerEntryError if it has an unknown table.
+        """
         fresh: dict[str, dict[str, Any]] = {name: {} for name in TABLES}
         data = bytearray()
         for piece in pieces:
@@ -270,7 +279,7 @@
         self.tables, self.applied = fresh, applied
 
     def digest(self) -> str:
-        """A hash of all tables but the order of sessions: equal at members that have applied the same."""
+        """Return a hash of all tables, whatever the order of keys; equal at members with the same applied entries."""
         found = xxhash.xxh3_64()
         for name, table in self.tables.items():
             for key in sorted(table):
@@ -279,5 +288,5 @@
         return found.hexdigest()
 
     def counts(self) -> dict[str, int]:
-        """How much each table holds."""
+        """Return the number of records in each table."""
         return {name: len(table) for name, table in self.tables.items()}
