--- a/tealwing/replica/service/node.py
+++ b/tealwing/replica/service/node.py
@@ -1,7 +1,7 @@
 """The event loop of a Raft member: one thread that receives messages, persists, sends, applies and replies.
 
 Other threads put requests into the queue and wait for the outcome. Proposals that are queued together share one sync.
-The loop never blocks on a socket: messages go into the link's bounded outboxes.
+The loop never blocks on a socket: messages go into the link's bounded send queues.
 """
 
 from __future__ import annotations
@@ -22,13 +22,9 @@
 from tealwing.replica.commands import Command, CommandResult
 from tealwing.replica.forwarding import batching, protocol
 from tealwing.replica.forwarding.client import LeaderClient
-from tealwing.replica.forwarding.protocol import (
-    CallbackPending,
-    ForwardReply,
-    ForwardRequest,
-    OutcomeUnknownError,
-    UnavailableError,
-)
+from tealwing.replica.forwarding.protocol import CallbackPending, ForwardReply, ForwardRequest
+from tealwing.replica.forwarding.protocol import OutcomeUnknownError as OutcomeUnknownError
+from tealwing.replica.forwarding.protocol import UnavailableError as UnavailableError
 from tealwing.replica.group import SITE, Group
 from tealwing.replica.membership import changes
 from tealwing.replica.plan import ReplicaPlan
@@ -40,14 +36,10 @@
 from tealwing.replica.storage.durability import ReopenBackoff
 from tealwing.replica.storage.records import StorageError
 
-__all__ = ["OutcomeUnknownError", "Replica", "UnavailableError"]
-
 MAX_TICK = 0.05  # s, longest wait for the queue, whatever the deadlines: the clock may be stepped
 MAX_QUEUE_BATCH = 256  # items taken from the queue before one write to disk
-LEADERSHIP_TRANSFER_TIMEOUT, LEADERSHIP_TRANSFER_POLL = (
-    0.5,
-    0.01,
-)  # s, limit of a leadership transfer at the stop, and polling interval
+LEADERSHIP_TRANSFER_TIMEOUT = 0.5  # s, of a transfer at the stop
+LEADERSHIP_TRANSFER_POLL = 0.01  # s
 
 
 class Replica(Member):
@@ -102,9 +94,8 @@
 
         Raises OutcomeUnknownError if the change may have been made, UnavailableError if it was not.
         """
-        return self._leader_client.call_leader(
-            ForwardRequest(0, b"", voters, learners), timeout, idempotent=False
-        ).index
+        request = ForwardRequest(0, b"", voters, learners)
+        return self._leader_client.call_leader(request, timeout, idempotent=False).index
 
     def read_index(self, timeout: float) -> int:
         """Return the read index, once the local state has applied it (Raft thesis, section 6.4).
--- a/tealwing/replica/storage/store.py
+++ b/tealwing/replica/storage/store.py
@@ -65,10 +65,7 @@
     # Recovery
 
     def open(self) -> StoredState:
-        """Recover the state from the directory, truncate a torn tail and start a new segment.
-
-        Raises StorageError if the files are damaged or inconsistent.
-        """
+        """Recover the state, truncate a torn tail and start a segment. Raises StorageError if files are damaged."""
         self.directory.mkdir(parents=True, exist_ok=True)
         found = self._load()
         self._roll()
@@ -221,10 +218,7 @@
             self._roll()
 
     def _append(self, records: Iterable[LogRecord]) -> None:
-        """Append records, durable on return.
-
-        Raises OSError if the write failed; what is on disk is then unknown.
-        """
+        """Append records, durable on return. Raises OSError if the write failed; the disk's content is then unknown."""
         data = b"".join(frame(encode(record)) for record in records)
         assert self._file is not None
         try:
