--- a/tests/test_rules_trials.py
+++ b/tests/test_rules_trials.py
@@ -86,6 +86,6 @@
 )
 def test_a_whole_gateway_in_the_moments_that_find_a_broken_one_is_not_found(moment: str, mode: str) -> None:
     name, procs, sites = ("federation-calm", 9, 3) if moment == "site-early" else ("rules-calm", 4, 0)
-    found = attempt(name, procs, 2.0, mode, sites=sites, moment=moment)
+    found = attempt(name, procs, 2.0, mode, sites=sites, injection_point=moment)
     assert [str(violation) for violation in found.violations] == []
     assert found.summary["activated"] >= 3 and found.summary["served"] > 50
