--- a/tealwing/policy/__init__.py
+++ b/tealwing/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of a query gateway: no I/O, clock or thread; `Gateway.handle(now, event)` returns actions.
+"""All decisions of a query gateway, without I/O, clock or thread: `Gateway.handle(now, event)` returns actions.
 
 A query goes to the engine of the smallest marginal productivity index (MPI, Niño-Mora), or is rejected at
 once when none is below its class's rejection cost. docs/design.md has the model.
@@ -11,12 +11,12 @@
     Rates      settings, time, actions, traffic per class, mix in flight, learned capacity
     Fleet      engines, open requests, mean load report, slowdown, eligible engines
     Placement  service level, retry budget, ordering queues
-    Attempts   no state; sends and outcomes
+    Attempts   no state; sending and outcomes
     Gateway    the table of handlers
 
 They stay one class: each decision reads fields of several of them for each engine, and separate objects would cost
-attribute look-ups there. What is used alone is an object of its own: `ClassTraffic`, `Engine`, `ClassEstimate`,
-`SlowdownEstimate` and `RequestState`.
+attribute look-ups there. State that is used by itself is an object of its own: `ClassTraffic`, `Engine`,
+`ClassEstimate`, `SlowdownEstimate` and `RequestState`.
 """
 
 from tealwing.policy.engines import Engine as Engine
--- a/tealwing/policy/attempts.py
+++ b/tealwing/policy/attempts.py
@@ -9,11 +9,11 @@
 from tealwing.policy.placement import Placement
 
 FULL_BACKOFF = 0.5  # s without new attempts to an engine that answered FULL
-CONNECTION_LOSS_WINDOW = 0.1  # s: a lost connection fails all its attempts, which count as one failure
+CONNECTION_LOSS_WINDOW = 0.1  # s; a lost connection fails all attempts on it, and they count as one failure
 RETRY_AFTER_SPREAD = (0.5, 1.0)  # share of the maximum Retry-After, drawn uniformly to spread the retries
 STRAGGLER_FACTOR = 3.0  # remaining time over the class's usual latency at which an attempt is cancelled
 MIN_PROGRESS = 0.01  # lower bound on a reported share of work done
-SILENCE_PERIODS = (1.55, 1.1)  # progress intervals without a first or a further note that mean a lost answer
+SILENCE_PERIODS = (1.55, 1.1)  # progress intervals without a first, or a further, update that mean a lost answer
 
 
 class Attempts(Placement):
@@ -91,7 +91,7 @@
                     other.engine.failures = max(0.0, other.engine.failures - other.blamed_failures)
 
     def _record_loss(self, state: RequestState, attempt: Attempt) -> None:
-        """Count a timeout or a client that left as an abandonment above capacity, where it frees the engine.
+        """Count a timeout or a client that left as an abandonment above capacity, if cancellation frees the engine.
 
         The abandonment rate (theta of the paper) counts only requests whose attempt is cancelled.
         """
@@ -100,13 +100,13 @@
             state.traffic.losses += attempt.engine.estimates[state.request.cls].overload_share
 
     def _handle_progress(self, event: api.AttemptProgress) -> None:
-        """Take in a progress note; cancel a straggler (a bad plan, a slow engine) once."""
+        """Handle a progress update; cancel a straggler (a bad plan, a slow engine) once."""
         state = self.requests.get(event.id)
         if state is None or state.ended or event.attempt + 1 != len(state.attempts):
             return
         attempt, traffic = state.attempts[event.attempt], state.traffic
         if event.kind is api.ProgressKind.WAITING:
-            attempt.progress_due_at = inf  # no notes are due while it waits
+            attempt.progress_due_at = inf  # an attempt that waits sends no updates
             if event.amount == api.WAITING_FOR_LOAD:
                 attempt.engine.remote_locks_until[state.request.dataset] = self.now + self.lock_wait
         if event.kind is not api.ProgressKind.PROGRESS or not self.settings.limits.cancellation or attempt.ended:
@@ -122,13 +122,13 @@
         )
         if slow and not self._fleet_index(state.request.cls):
             self._cancel_for_retry(state)  # once, and not where all engines are slow or the query is long by itself
-        elif time_to_go > time_left:  # it would take capacity until its deadline without an answer
+        elif time_to_go > time_left:  # it would use capacity until the deadline and still time out
             self.actions.append(api.CancelAttempt(event.id, event.attempt))
             self._record_loss(state, attempt)
             self._finish(state)
 
     def _expect_progress(self, state: RequestState, periods: float) -> None:
-        """Set a timer for the time at which the last attempt's next progress note is overdue."""
+        """Set a timer for the time at which the last attempt's next progress update is overdue."""
         state.attempts[-1].progress_due_at = self.now + periods * self.settings.progress_interval
         self._set_timer(periods * self.settings.progress_interval, state.request.id << 1 | 1)
 
@@ -141,7 +141,7 @@
             self.actions.append(api.CancelAttempt(state.request.id, len(state.attempts) - 1))
 
     def _check_silence(self, state: RequestState) -> None:
-        """Count the last attempt as failed where its progress notes are overdue: answer or engine is lost."""
+        """Count the last attempt as failed if its progress update is overdue: its answer or its engine is lost."""
         attempt = state.attempts[-1]
         overdue = not attempt.ended and self.now >= attempt.progress_due_at and state.in_flight() <= 1
         if overdue and state.deadline - self.now > state.traffic.usual_latency:
@@ -149,7 +149,7 @@
             self._cancel_for_retry(state)
 
     def _finish(self, state: RequestState, is_load_shedding: bool = False) -> None:
-        """Give the final answer: a rejection where the request surely had no effect, else a failure."""
+        """Send the final answer: a rejection where a retry by the client is safe, else a failure."""
         if state.ended:
             return
         state.ended, limits = True, self.settings.limits
@@ -171,7 +171,7 @@
         self._release(state)
 
     def _release(self, state: RequestState) -> None:
-        """Drop a request that has ended with no attempt in flight, and wake the next of its ordering key."""
+        """Remove a request that has ended with no attempt in flight; set a timer for the next of its ordering key."""
         if not state.ended or state.in_flight():
             return
         self.requests.pop(state.request.id, None)
--- a/tealwing/policy/engines.py
+++ b/tealwing/policy/engines.py
@@ -9,22 +9,22 @@
 from tealwing.policy.rates import ANSWER_WEIGHT, MIN_LATENCY, ClassTraffic
 from tealwing.policy.tables import interpolate
 
-SHRINKAGE_SAMPLES = 50.0  # answers that the fleet's mean latency weighs in an engine's estimate
+SHRINKAGE_SAMPLES = 50.0  # weight of the fleet's mean latency in an engine's estimate, in answers
 SLOWDOWN_RETENTION = 0.6  # share of the counts that a rebuild keeps: a memory of about two seconds
-SLOWDOWN_PRIOR_ANSWERS = 3.0  # answers that the prior weighs: a single long query is no overload
+SLOWDOWN_PRIOR_ANSWERS = 3.0  # weight of the prior, in answers: a single long query is no overload
 MAX_REPORTED = {"inflight": 1e4, "queue": 1e4}  # upper bounds on reported counts: larger values are faulty
 MAX_REPORTED_SHARE = 4.0  # upper bound on reported shares
-OVERLOAD_SLOWDOWN = 3.0  # recent latency over the best that means overload
+OVERLOAD_SLOWDOWN = 3.0  # recent latency over the best latency above which an engine is overloaded
 OVERLOAD_THRESHOLDS = {
     "util": 0.85,
     "x1": 0.9,
     "x0": 0.9,
     "queue": 0.5,
     "load": 1.0,
-}  # reported values that mean overload
+}  # reported values above which an engine is overloaded
 SLOWDOWN_AT_CAPACITY = 4.0  # slowdown taken as full capacity where no in-flight count is reported
 MIN_SUCCESS_SHARE = 0.05  # lower bound in the service rate: keeps the index finite
-BAD_QUERY_ENGINES = 2  # engines that failed the same query, at which the query is at fault, not the engines
+BAD_QUERY_ENGINES = 2  # engines that fail the same query before the query is blamed, not the engines
 
 
 class SlowdownEstimate:
@@ -49,12 +49,12 @@
 
 
 class ClassEstimate:
-    """One engine's figures for one class: latency, attempts in flight, and the index."""
+    """One engine's estimates for one class: latency, attempts in flight, and the index."""
 
     def __init__(self, now: float) -> None:
         self.latency = 0.0
         self.samples = 0.0
-        self.in_flight = self.unreported = 0  # attempts in flight; those of them sent since the last report
+        self.in_flight = self.unreported = 0  # attempts in flight; attempts sent since the last load report
         self.overload_share = 0.0  # share of queries above capacity
         self.index = 0.0  # index below capacity
         self.query_count = 0.0  # the paper's j, valid where capacity is finite
@@ -70,7 +70,7 @@
         return interpolate(self.index_table, count) if count + 1 > self.capacity else self.index
 
     def service_rate(self, traffic: ClassTraffic) -> float:
-        """Return completions per second of one query, failures left out (the paper's mu)."""
+        """Return the completions per second of one query, ignoring failures (the paper's mu)."""
         latency = traffic.mean_latency + self.samples / (self.samples + SHRINKAGE_SAMPLES) * (
             self.latency - traffic.mean_latency
         )
@@ -83,7 +83,7 @@
 
 
 class Engine:
-    """One engine as this gateway knows it."""
+    """The state of one engine as this gateway knows it."""
 
     def __init__(self, entry: api.EngineListEntry, settings: api.Settings, now: float) -> None:
         self.id = entry.engine
@@ -100,13 +100,13 @@
         self.report = dict[str, float]()
         self.report_values = tuple[float, ...]()
         self.report_count = 0  # distinct load reports
-        self.reported_at = -inf  # time of the last
+        self.reported_at = -inf  # time of the last load report
         self.slowdown_estimate = SlowdownEstimate(now)
-        self.slowdown = 1.0  # latency over the best
+        self.slowdown = 1.0  # recent latency over the best latency
         self.full_until = -inf  # time until which it counts as full
-        self.other_queries = 0.0  # other gateways' queries there, by the last report or the fleet's mean
-        self.memory_reserved = 0.0  # MB of this gateway's attempts
-        self.memory_utilization = 0.0  # share of its memory, by all gateways
+        self.other_queries = 0.0  # other gateways' queries on it, by its last report or the fleet's mean
+        self.memory_reserved = 0.0  # MB reserved by this gateway's attempts
+        self.memory_utilization = 0.0  # share of its memory that all gateways reserve
         self.threads = self.queries = 0  # of this gateway's attempts
         self.load = 0.0  # threads per core
         self.indices_valid_until = -inf  # time until which load and indices are valid
@@ -114,9 +114,9 @@
         self.outcomes = 0.0  # decayed count
         self.failures = 0.0  # decayed count
         self.failed_at = -inf  # time of the last failure
-        self.latency_factor = 1.0  # factor on its latency, by peers
+        self.latency_factor = 1.0  # factor on its expected latency, from EngineHealthEstimates
         self.delisted = False  # not on the engine list
-        # by group of tables: our attempts that lock it; time until which another's lock is assumed
+        # by group of tables: own attempts that lock it; time until which another gateway's lock is assumed
         self.lock_holders = Counter[float]()
         self.remote_locks_until = dict[float, float]()
 
@@ -133,16 +133,16 @@
         return self.rules.slow_start_share + (1 - self.rules.slow_start_share) * passed
 
     def accepts(self, cls: api.RequestClass, within: frozenset[int] | None = None) -> bool:
-        """Whether the class, limited to the zones `within`, may be placed there; None allows all zones."""
+        """Whether a request of the class may be placed on this engine; within limits the zones, None allows all."""
         placed = (cls.zones is None or self.zone in cls.zones) and (within is None or self.zone in within)
         return placed and (cls.machine_kinds is None or self.kind in cls.machine_kinds)
 
     def is_locked(self, group: float, now: float) -> bool:
-        """Whether a load is known to lock the group of tables there."""
+        """Whether a bulk load is known to lock the group of tables on this engine."""
         return group in self.lock_holders or self.remote_locks_until.get(group, -inf) > now
 
     def apply_report(self, field_names: tuple[str, ...], values: tuple[float, ...], now: float) -> bool:
-        """Take in a load report; return False for a repeat of the last one. NaN counts as absent."""
+        """Store a load report; return False if it repeats the last one. NaN values count as absent."""
         if not values or values == self.report_values:
             return False
         self.report_values, self.report_count, self.reported_at = values, self.report_count + 1, now
@@ -150,14 +150,14 @@
         self.report = {name: min(v, MAX_REPORTED.get(name, MAX_REPORTED_SHARE)) for name, v in pairs if v >= 0}
         for estimate in self.estimates:
             estimate.unreported = 0
-        if "inflight" in self.report:  # own queries are counted locally, as reports may be old
+        if "inflight" in self.report:  # own queries are counted locally: reports may be outdated
             self.other_queries = max(0.0, self.report["inflight"] - self.queries)
         return True
 
     def query_count(
         self, cls: int, traffic: ClassTraffic, settings: api.Settings, capacity: float, unreported_weight: int = 1
     ) -> float:
-        """Return the threads in use, by local counts and the report, in queries of the class (the paper's j)."""
+        """Return the threads in use, by local counts and the load report, in queries of the class (the paper's j)."""
         threads = self.other_queries * traffic.weighted_threads
         for estimate, other, weight in zip(self.estimates, settings.classes, traffic.thread_weights, strict=True):
             threads += (
@@ -175,7 +175,7 @@
         )
 
     def is_overloaded(self, now: float, load: float) -> bool:
-        """Whether the capacity limit applies: answered FULL, reported or counted load, or slowdown."""
+        """Whether the capacity limit applies: it answered FULL, or its load or slowdown is over a threshold."""
         saturated = (
             now < self.full_until
             or max(load, self.memory_utilization) > OVERLOAD_THRESHOLDS["load"]
@@ -190,15 +190,15 @@
     def __init__(self, engine: Engine, sent_at: float) -> None:
         self.engine = engine
         self.sent_at = sent_at
-        self.report_count = engine.report_count  # at the send
-        self.progress_due_at = inf  # when its next progress note is overdue
+        self.report_count = engine.report_count  # the engine's, at the send
+        self.progress_due_at = inf  # time from which its next progress update is overdue
         self.ended = False
         self.may_have_run = True
-        self.blamed_failures = 0.0  # failures counted for its error
+        self.blamed_failures = 0.0  # failures counted against its engine for an ERROR
 
 
 class RequestState:
-    """A request from arrival until it has ended and no attempt is in flight."""
+    """The state of a request, from its arrival until it has ended and no attempt is in flight."""
 
     def __init__(self, request: api.Request, traffic: ClassTraffic, now: float, sampling_key: float) -> None:
         self.request = request
@@ -208,7 +208,7 @@
         self.key = request.key if traffic.cls.ordered else 0  # 0: no ordering
         self.ended = False
         self.attempts = list[Attempt]()
-        self.sampling_key = sampling_key  # uniform in [0, 1), for random decisions that stay the same per request
+        self.sampling_key = sampling_key  # uniform in [0, 1): keeps random decisions the same for one request
 
     def in_flight(self) -> int:
         """Return the number of attempts without an outcome."""
--- a/tealwing/policy/fleet.py
+++ b/tealwing/policy/fleet.py
@@ -16,37 +16,37 @@
 )
 from tealwing.policy.tables import interpolate
 
-LOCAL_COUNT_WEIGHT = 10.0  # queries that the reports weigh against local counts in the fleet's load
+LOCAL_COUNT_WEIGHT = 10.0  # weight of the reports against local counts in the fleet's load, in queries
 REPORT_DECAY = 0.33  # share by which an old report moves to the fleet's mean per rebuild
 MEAN_REPORT_WEIGHT = (0.05, 0.3)  # bounds of one report's weight in the fleet's mean
 MEAN_REPORT_MEMORY = 1.5  # s: time constant of the fleet's mean
-FLEET_OVERLOAD_FACTOR = 0.7  # of the thresholds, for the fleet's mean: single engines lie above it
+FLEET_OVERLOAD_FACTOR = 0.7  # share of OVERLOAD_THRESHOLDS that applies to the mean: single engines lie above it
 USUAL_RATE_WEIGHT = 0.03  # weight of one second in this gateway's usual rate
 FAILURE_RETENTION = 0.9  # share of an engine's outcome counts that a rebuild keeps
-COUNT_SPREAD = (0.8, 1.3)  # factor on the query count, random per query: not all react alike to one report
+COUNT_SPREAD = (0.8, 1.3)  # range of the random factor on a query's count: queries react differently to the same report
 
 
 class Fleet(Rates):
-    """The engines of the engine list and the fleet's mean."""
+    """The engines of the engine list and the mean of their load reports."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.requests = dict[int, RequestState]()
         self.engines = dict[int, Engine]()
         self.ready = list[Engine]()
-        self.cores = 0.0  # ready cores times their warm-up progress
+        self.cores = 0.0  # cores of the ready engines times their warm-up progress
         self.is_overloaded = False
         self.eligible_engines: list[list[Engine]] = [[] for _ in settings.classes]  # by class
-        self.mean_report: dict[str, float] = {}  # means of report fields; others and load per core
+        self.mean_report: dict[str, float] = {}  # means of the report fields; "others" and "load" are per core
         self.slowdown_estimate = SlowdownEstimate()
-        self.slowdown = 1.0  # over all engines
+        self.slowdown = 1.0  # recent latency over the best latency, all engines
         self.report_count = 0
         self.reports_at_rebuild = 0  # report_count at the last rebuild
         self.reported_at = -inf  # time of the last report
         self.reports_in_flight = "inflight" in settings.report_fields  # whether reports count queries in flight
         self.best_success = 1.0  # highest success share of a ready engine
         self.is_started = False
-        self.unreported_weight = 1  # attempts of all gateways that one of ours since a report stands for
+        self.unreported_weight = 1  # attempts of all gateways that one unreported own attempt stands for
 
     def _apply_engine_list(self, event: api.EngineList) -> None:
         if event.kind is not api.EngineListKind.DELTA:
@@ -54,7 +54,7 @@
                 self.engines[engine_id].ready, self.engines[engine_id].delisted = False, True
         for entry in event.entries:
             known = self.engines.get(entry.engine)
-            if known is None or entry.started > known.started:  # new or restarted: what was learned is void
+            if known is None or entry.started > known.started:  # new or restarted: its estimates start anew
                 self.engines[entry.engine] = engine = Engine(entry, self.settings, self.now)
                 if engine.warm_up_progress(self.now) >= 1:
                     engine.other_queries = self.mean_report.get("others", 0.0) * engine.cores
@@ -78,7 +78,7 @@
             self.arrivals / REBUILD_INTERVAL - self.usual_rate
         )
         self.rebuilds, self.arrivals, self.memory_time = self.rebuilds + 1, 0, self.memory_time * MIX_RETENTION
-        # drop engines that left the list, once no attempt is in flight there
+        # drop engines that left the list once no attempt is in flight on them
         self.engines = {n: e for n, e in self.engines.items() if e.queries or not e.delisted}
         for traffic in self.class_traffic:
             traffic.arrival_rate = max(
@@ -91,7 +91,7 @@
             traffic.estimated_time = traffic.estimated_time * MIX_RETENTION
             traffic.index_tables = {}
             traffic.best_latency += BEST_LATENCY_DRIFT * (traffic.mean_latency - traffic.best_latency)
-        # no recent reports, as when all requests are rejected
+        # no reports arrive while all requests are rejected
         if self.report_count == self.reports_at_rebuild and not self.requests:
             self.mean_report = {name: value * (1 - REPORT_DECAY) for name, value in self.mean_report.items()}
         self._update_mix()
@@ -125,9 +125,9 @@
                 traffic.overload_time += REBUILD_INTERVAL * estimate.in_flight * estimate.overload_share
 
     def _decay_report(self, engine: Engine) -> None:
-        """Move an old report to the fleet's mean, so that it excludes no engine for ever.
+        """Move an outdated report towards the fleet's mean, so that it never excludes an engine for good.
 
-        Not while attempts are in flight there, nor before the first report of an engine in slow start.
+        It stays while attempts are in flight on the engine, and before the first report of an engine in slow start.
         """
         warming_up = self.now < engine.slow_start_until
         if (
@@ -146,7 +146,7 @@
         engine.other_queries += REPORT_DECAY * (expected_queries - engine.other_queries)
 
     def _apply_report(self, engine: Engine, values: tuple[float, ...]) -> None:
-        """Take in a load report and update the fleet's mean, weighed by the time since the last report."""
+        """Store a load report and update the fleet's mean, weighted by the time since the last report."""
         if not engine.apply_report(self.settings.report_fields, values, self.now):
             return
         weight = min(
@@ -159,16 +159,16 @@
             cores = engine.cores * engine.warm_up_progress(self.now)
             reported["others"] = engine.other_queries / cores
             reported["load"] = (engine.threads + engine.other_queries * self.threads_per_query) / cores
-        if self.now < engine.slow_start_until:  # its load is bounded by the slow-start budget: kept apart
+        if self.now < engine.slow_start_until:  # the slow-start budget bounds its load: a mean of its own
             reported = {"cold": reported.get("others", 0.0)}
         for name, value in reported.items():
             mean = self.mean_report.setdefault(name, value)
             self.mean_report[name] = mean + max(weight, 1 / self.report_count) * (value - mean)
 
     def _advance_slowdown(self, engine: Engine) -> None:
-        out = zip(engine.estimates, self.class_traffic, strict=True)
+        pairs = zip(engine.estimates, self.class_traffic, strict=True)
         engine.slowdown_estimate.advance(
-            self.now, sum(e.in_flight / max(traffic.best_latency, MIN_LATENCY) for e, traffic in out)
+            self.now, sum(e.in_flight / max(traffic.best_latency, MIN_LATENCY) for e, traffic in pairs)
         )
 
     def _count_attempt(self, state: RequestState, engine: Engine, change: int) -> None:
@@ -188,7 +188,7 @@
                 del engine.lock_holders[state.request.dataset]
 
     def _refresh_indices(self, engine: Engine) -> None:
-        """Compute the engine's load and indices: nu*(j) of the paper, or h/mu without overload."""
+        """Compute the engine's load and indices: nu*(j) of the paper, or h/mu if it is not overloaded."""
         now, cores = self.now, engine.cores * engine.warm_up_progress(self.now)
         engine.load = load = (engine.threads + engine.other_queries * self.threads_per_query) / cores
         engine.memory_utilization = (engine.memory_reserved + engine.other_queries * self.memory_per_query) / engine.ram
@@ -217,7 +217,7 @@
         engine.indices_valid_until = engine.full_until if now < engine.full_until else now + REBUILD_INTERVAL
 
     def _fleet_index(self, cls: int) -> float:
-        """Return the index of a mean warm engine, by the mean report and local counts; 0 without overload."""
+        """Return the index of a mean engine after slow start, by the mean report and local counts; 0 without overload."""
         if not self.is_overloaded:
             return 0.0
         traffic = self.class_traffic[cls]
@@ -227,7 +227,7 @@
         )
         local_queries = sum(f.in_flight for f in self.class_traffic)
         other_queries = self.mean_report.get("others", 0.0) * self.cores
-        # this gateway's part, by the reports
+        # this gateway's queries in flight, by the reports
         expected_queries = (
             self.usual_rate / self.quota_rate * (local_queries + other_queries) if self.quota_rate else local_queries
         )
--- a/tealwing/policy/gateway.py
+++ b/tealwing/policy/gateway.py
@@ -1,4 +1,4 @@
-"""The decisions' entry point: a table of handlers, one a kind of event of tealwing/interface.py."""
+"""The entry point of the decision module: one handler per type of event in `tealwing.interface`."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from tealwing.policy.engines import RequestState
 from tealwing.policy.rates import ANSWER_WEIGHT, REBUILD_INTERVAL
 
-ADMISSION_KEY_SCALE = 65536.0  # admission uses the sampling key's digits after these: independent of other choices
+ADMISSION_KEY_SCALE = 65536.0  # admission uses the sampling key's lower digits, independent of other decisions
 
 
 class Gateway(Attempts):
-    """The decisions of one gateway; see the package's docstring for the state that each base class owns."""
+    """The decision module of one gateway; the package's docstring says which base class owns which state."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -41,7 +41,7 @@
                 self.actions.append(api.Subscribe(True))
         handler = self._handlers.get(type(event))
         if handler is None:
-            raise TypeError(f"not an event: {event!r}")
+            raise TypeError(f"expected an event of tealwing.interface, got {event!r}")
         handler(event)
         return self.actions
 
@@ -60,7 +60,7 @@
             engine.indices_valid_until = self.now
 
     def _ignore(self, event: api.Event) -> None:
-        """Do nothing: no decision reads the event."""
+        """Ignore an event that no decision depends on."""
 
     def _handle_request(self, request: api.Request) -> None:
         traffic = self.class_traffic[request.cls]
@@ -69,7 +69,7 @@
         if self.settings.rules.retry_budget_floor is not None:
             self.request_times.append(self.now)
         if not (self.settings.clients_mark_retries and request.is_client_retry):
-            traffic.arrivals += 1  # a client's retry must not raise the arrival rate
+            traffic.arrivals += 1  # a marked retry must not raise the arrival rate
         if request.cost:
             self.cost_sum, self.cost_count = self.cost_sum + request.cost, self.cost_count + 1
             traffic.estimates = min(traffic.estimates + 1, 2 / ANSWER_WEIGHT)
@@ -116,7 +116,7 @@
             self._resume(event.token >> 1)
 
     def _resume(self, id_: int) -> None:
-        """Act on a request's timer: check progress notes, or place or finish one that waits for its turn."""
+        """Handle a request's timer: check for overdue progress, or place or finish a request in an ordering queue."""
         state = self.requests.get(id_)
         if state is None or state.ended:
             return
--- a/tealwing/policy/placement.py
+++ b/tealwing/policy/placement.py
@@ -1,4 +1,4 @@
-"""The choice of an engine for a request, and the rules that every send keeps."""
+"""The choice of an engine for a request, and the rules that every send must satisfy."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 DEADLINE_TICKS = 3  # ticks before the deadline at which a waiting request is answered
 NEAR_TIE = 0.1  # share of the smallest index within which engines count as equal
-CANDIDATES = (2, 2.0)  # engines compared per gateway at least, and over all gateways: prevents herding
+CANDIDATES = (2, 2.0)  # least engines compared, and comparisons per tied engine over all gateways: limits herding
 IDLE_LOAD = 0.7  # threads per core added to an engine's load when ties are broken
-SLOW_START_LOAD_FACTOR = 0.5  # factor on the load of an engine in slow start that the query may use
-HOME_SHARE = 1 / 3  # share of the engines that a group's loads prefer and its readers avoid
-HOME_LOCK_CHANCE = 0.25  # chance that another gateway's load locks the group at one of its home engines
-HOME_OFFSET = 0.4142135624  # between the home engines of successive groups; the same at all gateways
-BUDGET_SAFETY = 0.6  # share of the slow-start budget given out as fixed shares: work estimates are rough
-MIN_BUDGET_QUERIES = 2.0  # queries below which a gateway's share gives way to sampling
+SLOW_START_LOAD_FACTOR = 0.5  # factor on the weighted load of an engine in slow start that may take the query
+HOME_SHARE = 1 / 3  # share of the engines that a group's bulk loads prefer and its readers avoid
+HOME_LOCK_CHANCE = 0.25  # chance that another gateway's bulk load locks the group at a home engine
+HOME_OFFSET = 0.4142135624  # between the home engines of successive groups; must be the same at all gateways
+BUDGET_SAFETY = 0.6  # part of the slow-start budget split into fixed shares: work estimates are imprecise
+MIN_BUDGET_QUERIES = 2.0  # queries in a gateway's fixed share below which it admits by sampling
 BUDGET_SLACK = 2.0  # overshoot that the rule allows for chance, in roots of the budget and in queries
 BUDGET_RISK = 5.0  # -ln of the bound on the chance that sampling uses up the slack
-OFFERED_WORK = (50.0, 1.6)  # prior weight in estimates; most work per core
+OFFERED_WORK = (50.0, 1.6)  # weight of the prior, in cost estimates; most work per core
 GOLDEN_RATIO = 0.6180339887  # low-discrepancy step: spreads one query's sampling keys over the engines
 RETRY_KEY_SCALE = 1e4  # a retry uses the sampling key's digits after these
 
 
 class Placement(Fleet):
-    """Engine selection and the rules for sends."""
+    """Engine selection, the retry budget, ordering and slow start."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -36,15 +36,15 @@
         self.request_times = deque[float]()  # s, for the retry budget
         self.retry_times = deque[float]()  # s, for the retry budget
         self.ordering_queues = defaultdict[int, deque[RequestState]](deque)  # by ordering key, in order of arrival
-        self.ordering_wait_until = dict[int, float]()  # by ordering key: time before which none is sent
+        self.ordering_wait_until = dict[int, float]()  # by ordering key: time before which no request is sent
         self.deadline_margin = min(DEADLINE_TICKS * settings.tick, settings.rules.answer_slack)  # s
 
     def _choose_engine(self, state: RequestState, failed: Engine | None) -> Engine | None:
         """Return the engine of the smallest index below the rejection cost; near-ties go to the least loaded."""
         cls, traffic, zones = state.request.cls, state.traffic, state.request.zones
         candidates: list[tuple[float, Engine]] = []
-        # With recent reports each query scales the count at random, so that not all avoid an engine at once; without
-        # them the gateways' counts differ enough by themselves.
+        # With recent reports each query scales the count at random, so that not all avoid an engine at once. Without
+        # reports, the gateways' own counts differ enough.
         low, high = COUNT_SPREAD if self.unreported_weight > 1 else (1.0, 1.0)
         count_factor = low + (high - low) * (state.sampling_key / GOLDEN_RATIO % 1.0)
         uses_locks = state.cls.locks_tables or state.cls.waits_for_locks  # waiting for a lock costs delay_cost a second
@@ -79,11 +79,11 @@
         return None
 
     def _lock_chance(self, state: RequestState, engine: Engine) -> float:
-        """Return the chance that a load locks the request's tables there; for a load, that it would block readers."""
+        """Return the chance that a bulk load locks the request's tables; for a bulk load, that it blocks readers."""
         group = state.request.dataset
         if engine.is_locked(group, self.now):
             return 1.0
-        # Other gateways' loads are unknown: by convention a group's loads use its home engines, its readers others.
+        # Other gateways' bulk loads are unknown: by convention they use the group's home engines, its readers others.
         home = (engine.id * GOLDEN_RATIO - group * HOME_OFFSET) % 1.0 < HOME_SHARE
         return HOME_LOCK_CHANCE if home != state.cls.locks_tables and self.settings.gateway_count > 1 else 0.0
 
@@ -94,7 +94,7 @@
         return slow_start_factor * (index + crossing_price) * (IDLE_LOAD + engine.load)
 
     def _may_send(self, state: RequestState, engine: Engine) -> bool:
-        """Whether a send now keeps every rule; checked before each send."""
+        """Whether a send to the engine satisfies every rule now; checked before each send."""
         usable = engine.ready and self.now < state.deadline and not state.ended
         allowed = usable and engine.accepts(state.cls, state.request.zones) and self._is_in_order(state)
         allowed = allowed and (not state.attempts or self._has_attempt_left(state))
@@ -135,7 +135,7 @@
         return deduplicated and state.cls.idempotency is api.Idempotency.KEYED
 
     def _fits_slow_start_budget(self, state: RequestState, engine: Engine) -> bool:
-        """Whether a send keeps the recovery ramp: by this gateway's share or, where that is small, by sampling."""
+        """Whether a send fits the slow-start budget: by this gateway's share or, where that is small, by sampling."""
         if self.now >= engine.slow_start_until:
             return True
         rules, traffic, gateways, now = self.settings.rules, state.traffic, self.settings.gateway_count, self.now
@@ -155,9 +155,9 @@
         gateway_share = BUDGET_SAFETY * budget / gateways
         if gateway_share >= MIN_BUDGET_QUERIES * traffic.mean_work:
             return sum(work for _, work in engine.slow_start_sends) + traffic.mean_work <= gateway_share
-        # The chance grows with the time since the last draw, so a window's mean is independent of traffic.
+        # The chance grows with the time since the last draw, so that a window's mean does not depend on the traffic.
         estimate = engine.estimates[state.request.cls]
-        # another key for each attempt
+        # a different key for each attempt
         sampling_key = (state.sampling_key * RETRY_KEY_SCALE ** len(state.attempts) + engine.id * GOLDEN_RATIO) % 1.0
         if sampling_key != estimate.sampling_key:
             estimate.sampling_key = sampling_key
@@ -178,7 +178,7 @@
         reserved = BUDGET_SAFETY * budget if len(sampled) < len(self.class_traffic) else 0.0  # for fixed shares
         max_work = budget - reserved + BUDGET_SLACK * (sqrt(budget * mean_work) + mean_work)
         mean_sampled_work = sum(f.placements * f.mean_work for f in sampled) / sum(f.placements for f in sampled)
-        # maximizes the admitted number
+        # the rate of exponential decay that maximizes the number of admitted queries
         decay = (root := sqrt(2 * BUDGET_RISK * mean_sampled_work / max_work)) * (1 + root / 4) / mean_sampled_work
         capacity = max(min(max_work - BUDGET_RISK / decay, budget), 0.0)
         class_share = sqrt(traffic.placements) / sum(sqrt(f.placements) for f in sampled)
--- a/tealwing/policy/rates.py
+++ b/tealwing/policy/rates.py
@@ -1,4 +1,4 @@
-"""Learned over all engines: rates and latencies per class, the mix in flight, and capacity (the paper's m)."""
+"""Estimates over all engines: rates and latencies per class, the query mix in flight, and capacity (the paper's m)."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from tealwing import interface as api
 from tealwing.policy.tables import mpi_table
 
-REBUILD_INTERVAL = 1.0  # s between rebuilds
-INITIAL_THREADS_PER_CORE = 2.0  # the capacity at the start
+REBUILD_INTERVAL = 1.0  # s between updates of the estimates and of all indices (rebuilds)
+INITIAL_THREADS_PER_CORE = 2.0  # capacity before the first rebuild
 CAPACITY_INCREASE = 0.3  # threads per core added per rebuild while objectives are met
 CAPACITY_DECREASE = 0.8  # factor per rebuild while objectives are missed
 CAPACITY_RANGE = (1.25, 2.5)  # threads per core: bounds of the learned capacity
 TIMEOUT_SHARE_LIMIT = 0.15  # timeouts over answers at which capacity is reduced
 OBJECTIVE_SHARE_LIMIT = 0.5  # recent latency over the objective at which capacity is reduced
 TABLE_LENGTH_FACTOR = 1.5  # table length over capacity (n over m): bounds the queue where abandonments are many
-TABLE_STEPS = (20.0, 2.0)  # steps in ln(service rate) and in capacity within which a table is shared
+TABLE_STEPS = (20.0, 2.0)  # steps per unit of ln(service rate) and of capacity; one step shares a table
 ANSWER_WEIGHT = 0.02  # weight of one answer in a mean
 RECENT_ANSWER_WEIGHT = 0.1  # weight of one answer in a recent mean
 MAX_WORK_FACTOR = 2.0  # bound on reported work over latency times threads
@@ -44,7 +44,7 @@
         self.recent_latency = 0.0  # s
         self.best_latency = cls.latency_objective  # s
         self.samples = 0.0  # answers, bounded
-        self.usual_latency = 0.0  # s: the mean once known
+        self.usual_latency = 0.0  # s: mean_latency from the first answer on, 0 before
         self.mean_work = cls.latency_objective * cls.threads  # s of one thread, of one query
         self.estimated_time = 0.0  # s: decayed sum of the queries' estimates
         self.estimates = 0.0  # cost estimates received, bounded
@@ -54,12 +54,12 @@
         self.priority = api.DEFAULT_PRIORITY
         self.in_flight = 0  # attempts
         self.thread_weights = list[float]()  # by class: how much one of its threads slows this class down
-        self.weighted_threads = 0.0  # mean threads of a query in flight, so weighted
-        self.weighted_share = 1.0  # the same over the unweighted mean
+        self.weighted_threads = 0.0  # mean threads of a query in flight, by thread_weights
+        self.weighted_share = 1.0  # weighted_threads over the unweighted mean
         self.index_tables: dict[tuple[int, int], list[float]] = {}
 
     def record_answer(self, elapsed: float, cost: float) -> None:
-        """Add one served request: latency in s, and work in s of one thread (0: not reported)."""
+        """Record the answer to one request: latency in s, and work in s of one thread (0: not reported)."""
         self.samples = min(self.samples + 1, 2 / ANSWER_WEIGHT)
         self.mean_latency += (elapsed - self.mean_latency) / self.samples
         self.usual_latency = self.mean_latency
@@ -70,7 +70,7 @@
             max_work = MAX_WORK_FACTOR * elapsed * self.cls.threads
             work = min(cost, max_work) if cost > 0 else max_work / MAX_WORK_FACTOR
             self.mean_work += (work - self.mean_work) / self.samples
-        if self.samples * RECENT_ANSWER_WEIGHT >= 1:  # from the slow mean, as single answers lie far below it
+        if self.samples * RECENT_ANSWER_WEIGHT >= 1:  # from the mean: single answers may be far faster
             self.best_latency = min(self.best_latency, self.mean_latency)
 
     def latency_objective(self) -> float:
@@ -78,7 +78,7 @@
         return self.cls.latency_objective + self.cls.objective_per_work * min(self.best_latency, self.mean_latency)
 
     def index_table(self, service_rate: float, capacity: float, gateways: int) -> list[float]:
-        """Return the index table at a service rate and a capacity; near values share one table."""
+        """Return the index table for a service rate and a capacity; close values share one table."""
         key = (round(TABLE_STEPS[0] * log(service_rate)), round(TABLE_STEPS[1] * capacity))
         if key not in self.index_tables:
             length, loss_cost = ceil(TABLE_LENGTH_FACTOR * capacity), self.cls.priority_weight
@@ -95,7 +95,7 @@
 
 
 class Rates:
-    """All classes, and what is learned for all engines alike."""
+    """Traffic of every class, and the estimates that hold for all engines."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
@@ -105,12 +105,12 @@
         self.class_traffic = [ClassTraffic(cls) for cls in settings.classes]
         # queries per second over all gateways
         self.quota_rate = sum(account.rate for account in settings.tenant_quotas)
-        self.usual_rate = self.quota_rate / settings.gateway_count  # this gateway's part, a mean
+        self.usual_rate = self.quota_rate / settings.gateway_count  # queries per second at this gateway, a running mean
         self.arrivals = 0.0  # since the last rebuild
         self.rebuilds = 0.0
         self.cost_sum = 0.0  # s of work, by the queries' estimates
         self.cost_count = 0.0
-        self.planned_cores = 0.0  # ready cores of the first engine list
+        self.planned_cores = 0.0  # cores of the ready engines in the first engine list
         self.threads_per_query = 1.0  # of a mean query in flight
         self.memory_per_query = 0.0  # MB, of a mean query in flight
         self.memory_time = 0.0  # MB times s, decayed
@@ -131,7 +131,7 @@
                 if traffic.cls.priority_weight / traffic.mean_work >= max_weight_per_work
                 else CLASS_PRIORITIES[1]
             )
-        # by estimates where known: under overload, ended queries mislead
+        # by cost estimates where known: under overload, the latency of answered queries misleads
         in_flight_time = [f.estimated_time or f.arrival_rate * f.mean_latency for f in self.class_traffic]
         total = sum(in_flight_time) or 1.0
         self.threads_per_query = (
--- a/tealwing/policy/tables.py
+++ b/tealwing/policy/tables.py
@@ -1,4 +1,4 @@
-"""The marginal productivity index; letters and equation numbers are the paper's (Niño-Mora); pure.
+"""The marginal productivity index as pure functions; letters and equation numbers are those of Niño-Mora's paper.
 
 lam: arrival rate (1/s), mu: service rate of one server (1/s), theta: abandonment rate (1/s), m: servers (capacity in
 queries), n: buffer size (table length), h: holding cost a second, c: cost of an abandonment, j: queries present,
@@ -32,7 +32,7 @@
 
 
 def interpolate(table: list[float], count: float) -> float:
-    """Return the index at a fractional count, linear between whole ones; infinite from n on."""
+    """Return the index at a fractional query count, interpolated linearly; infinite from the table's length on."""
     if count >= len(table):
         return inf
     low, high = int(count), min(int(count) + 1, len(table) - 1)
