--- a/tealwing/interface/__init__.py
+++ b/tealwing/interface/__init__.py
@@ -1,4 +1,4 @@
-"""The records that pass between the decision module and its host: settings, events, actions. Nothing here decides.
+"""The interface between the decision module and its host: records of settings, events and actions, without logic.
 
 Read settings, then events, then actions.
 """
--- a/tealwing/interface/actions.py
+++ b/tealwing/interface/actions.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Hand the request to an engine, for timeout seconds at most."""
+    """Send the request to an engine, as a new attempt that may take timeout seconds."""
 
     id: int
     engine: int
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetResources:
-    """Memory and priority of the request's next attempts; the priority also of those out."""
+    """Set the memory and priority of the request's next attempts, and the priority of those in flight."""
 
     id: int
     priority: int
@@ -25,7 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """A final no; retry_after 0 gives no advice. shed: a service level turned it away, not the fleet's state."""
+    """Reject the request as its final answer; retry_after 0 sends no Retry-After.
+
+    is_load_shedding: a service level rejected it, not the state of the fleet.
+    """
 
     id: int
     retry_after: float
@@ -34,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """A final failure; promises nothing."""
+    """Fail the request as its final answer; it may have had an effect."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt of the request."""
 
     id: int
     attempt: int
@@ -49,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for TimerFired after delay seconds."""
+    """Request a TimerFired event with the token after delay seconds."""
 
     delay: float
     token: int
@@ -57,21 +60,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Ask an engine how it is."""
+    """Send a health check to an engine."""
 
     engine: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close idle connections to an engine."""
+    """Close the idle connections to an engine."""
 
     engine: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Bytes for one gateway, or for all where peer is None."""
+    """Send bytes to one gateway, or to all where peer is None."""
 
     peer: int | None
     data: bytes
@@ -79,19 +82,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for changes of the engine list from now on, or end that."""
+    """Subscribe to changes of the engine list, or end the subscription."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEngineList:
-    """Ask for the whole engine list once."""
+    """Request the whole engine list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators' report."""
+    """Write a line to the operators' report."""
 
     text: str
 
--- a/tealwing/interface/events.py
+++ b/tealwing/interface/events.py
@@ -1,7 +1,7 @@
-"""The events that a gateway's host hands to the decision module.
+"""The events that a gateway's host passes to the decision module.
 
 Times and durations are seconds, memory is in megabytes. Engines, requests, classes, zones and machine kinds are
-numbers; a class, zone or kind is its place in the settings.
+numbers; a class, zone or kind is given by its index in the settings.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class EngineListKind(Enum):
-    """What a list event carries."""
+    """What an engine list event contains."""
 
     DELTA = 0
     FULL = 1
@@ -28,7 +28,7 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -41,7 +41,7 @@
 
 
 class ProgressKind(Enum):
-    """What a progress note tells."""
+    """What a progress update reports."""
 
     PROGRESS = 1
     SPILLING = 2
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineListEntry:
-    """One engine of the engine list; started is 0 where it runs since long ago."""
+    """One engine of the engine list; started is 0 if it started long ago."""
 
     engine: int
     zone: int
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineList:
-    """News of the engine list."""
+    """An update of the engine list, or the failure to fetch one."""
 
     kind: EngineListKind
     version: int
@@ -77,9 +77,10 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request; cost is seconds of work and None without an estimate, key 0 is none.
+    """A client's request; cost is the estimated work in seconds, None without an estimate; key 0 means no key.
 
-    zones has those whose engines its locality allows, fixed when it was admitted: None is all, an empty set nobody.
+    zones has the zones whose engines may serve it by locality, fixed at its admission; None allows all zones, an empty
+    set none.
     """
 
     id: int
@@ -97,7 +98,7 @@
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    """The end of one attempt; report has the values of Settings.report_fields, or is empty."""
+    """The outcome of one attempt; report has the values of Settings.report_fields, or is empty."""
 
     id: int
     attempt: int
@@ -112,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has begun."""
+    """The streamed answer of an attempt has begun."""
 
     id: int
     attempt: int
@@ -122,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
-    """Word of an attempt that is still out."""
+    """A progress update of an attempt in flight."""
 
     id: int
     attempt: int
@@ -133,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """The result of a probe."""
+    """The result of a health check."""
 
     engine: int
     result: AttemptResult
@@ -143,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bytes from another gateway."""
+    """A message from another gateway."""
 
     sender: int
     data: bytes
@@ -151,25 +152,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client has gone; nothing is owed any more."""
+    """The client has disconnected; its request needs no answer."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the gateway set."""
+    """A timer that the gateway set has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevel:
-    """The service level in force, from tealwing.levels; number 0 with all admitted ends it.
+    """The service level in force, from tealwing.levels; number 0 with all requests admitted is full service.
 
-    admitted is the chance of a new request by class and account; attempts, by class, is the most that a request safe
-    to repeat may have, 0 where the deployment's limit stands; pushback is the least and the most that one turned
-    away is told to wait.
+    admission_probability is by class and account. max_attempts, by class, limits the attempts of an idempotent
+    request; 0 keeps the deployment's limit. retry_after_range has the shortest and the longest Retry-After of a
+    rejection.
     """
 
     number: int
@@ -180,15 +181,16 @@
 
     @property
     def is_full_service(self) -> bool:
-        """Whether nothing is reduced."""
+        """Whether the level reduces nothing."""
         return not self.number and all(chance >= 1 for chances in self.admission_probability for chance in chances)
 
 
 @dataclass(frozen=True, slots=True)
 class EngineHealthEstimates:
-    """What peers are believed about engines, from tealwing.gossip: all of it, each time.
+    """The peers' estimates of engines, from tealwing.gossip; each event replaces the previous one.
 
-    By engine and start (ms of the Unix clock, 0 long ago), the factor, above 1, on the latency to expect there.
+    latency_factors has the factor, above 1, on an engine's expected latency, by engine and its start in ms since the
+    Unix epoch (0: long ago).
     """
 
     latency_factors: dict[tuple[int, int], float]
@@ -196,10 +198,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HostLoad:
-    """The gateway's own state, for tealwing.levels: means of the last moments.
+    """The gateway's own load, for tealwing.levels, as recent means.
 
-    lag is from a request's last byte to its first attempt, unread the age of what waited to be read, and processor
-    the time that this process took of its share of the processor.
+    dispatch_delay is the time from a request's last byte to its first attempt, unread_age the age of input that waits
+    to be read, and cpu_utilization the part of its share of the processor that this process used.
     """
 
     dispatch_delay: float
--- a/tealwing/interface/settings.py
+++ b/tealwing/interface/settings.py
@@ -1,7 +1,7 @@
-"""The settings that one gateway is told at its start.
+"""The settings that one gateway receives at its start.
 
 Times and durations are seconds, memory is in megabytes, rates are per second. Classes, zones and machine kinds are
-numbers: their places in the settings.
+given by their indices in the settings.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from enum import Enum
 
 PRIORITY_SHARES = (1, 4, 8, 16)  # shares of scarce cores and disks, by priority
-DEFAULT_PRIORITY = 1  # of a query that names none
+DEFAULT_PRIORITY = 1  # of a query without a priority
 CAPACITY_UTILIZATION = 0.85  # busy share of the cores that counts as an engine's capacity in slow start
 
 
 class Idempotency(Enum):
-    """What repeating a request does."""
+    """Whether a request may be repeated."""
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
@@ -23,16 +23,16 @@
 
 
 class IdempotencyScope(Enum):
-    """Which engines discard the repeats of a keyed request."""
+    """Which engines discard repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
 
-def _require(holds: bool, name: str, value: object) -> None:
-    if not holds:
-        raise ValueError(f"impossible setting {name}: {value!r}")
+def _require(valid: bool, name: str, value: object, expected: str) -> None:
+    if not valid:
+        raise ValueError(f"impossible setting {name}: {value!r}, expected {expected}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,11 +56,13 @@
     waits_for_locks: bool = False  # while another holds its group there
 
     def __post_init__(self) -> None:
-        _require(self.latency_objective > 0, "class aim", self.latency_objective)
-        _require(self.deadline > 0, "class deadline", self.deadline)
-        _require(self.priority_weight >= 0, "class worth", self.priority_weight)
-        _require(self.threads >= 1, "class threads", self.threads)
-        _require(self.idempotency_window >= 0, "class window", self.idempotency_window)
+        _require(self.latency_objective > 0, "class TargetNs in seconds", self.latency_objective, "a number above 0")
+        _require(self.deadline > 0, "class DeadlineNs in seconds", self.deadline, "a number above 0")
+        _require(self.priority_weight >= 0, "class Credit", self.priority_weight, "a number of at least 0")
+        _require(self.threads >= 1, "class WidthByClass", self.threads, "a number of at least 1")
+        _require(
+            self.idempotency_window >= 0, "class WindowNs in seconds", self.idempotency_window, "a number of at least 0"
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,13 +74,13 @@
     memory: float
 
     def __post_init__(self) -> None:
-        _require(self.cores >= 1, "kind cores", self.cores)
-        _require(self.memory >= 0, "kind memory", self.memory)
+        _require(self.cores >= 1, "CoresByKind", self.cores, "a number of at least 1")
+        _require(self.memory >= 0, "RamOfKindMb", self.memory, "a number of at least 0")
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment allows."""
+    """The limits of the deployment, and which optional features it supports."""
 
     cancellation: bool
     hedging: bool
@@ -92,16 +94,18 @@
     attempts_per_connection: int = 100
 
     def __post_init__(self) -> None:
-        _require(self.connect_timeout > 0, "connect timeout", self.connect_timeout)
-        _require(self.idle_timeout > 0, "connection idle time", self.idle_timeout)
-        _require(self.attempts_per_connection >= 1, "multiplex", self.attempts_per_connection)
-        _require(self.max_attempts >= 1, "max attempts", self.max_attempts)
-        _require(self.max_retry_after >= 0, "max retry-after", self.max_retry_after)
+        _require(self.connect_timeout > 0, "ConnectTimeoutNs in seconds", self.connect_timeout, "a number above 0")
+        _require(self.idle_timeout > 0, "ConnIdleNs in seconds", self.idle_timeout, "a number above 0")
+        _require(self.attempts_per_connection >= 1, "Multiplex", self.attempts_per_connection, "a number of at least 1")
+        _require(self.max_attempts >= 1, "MaxAttempts", self.max_attempts, "a number of at least 1")
+        _require(
+            self.max_retry_after >= 0, "MaxRetryAfterNs in seconds", self.max_retry_after, "a number of at least 0"
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Figures of the rules; the optional ones are None where the rule is not set."""
+    """The parameters of the rules; retry_budget_floor is None where there is no retry budget."""
 
     answer_slack: float
     poll_interval: float
@@ -116,16 +120,17 @@
     retry_budget_window: float
 
     def __post_init__(self) -> None:
-        _require(0 < self.slow_start_share <= 1, "cold share", self.slow_start_share)
-        _require(self.overload_multiple > 0, "fall multiple", self.overload_multiple)
-        _require(self.overload_time > 0, "fall time", self.overload_time)
+        _require(0 < self.slow_start_share <= 1, "ColdShare", self.slow_start_share, "a number above 0 and at most 1")
+        _require(self.overload_multiple > 0, "FallMultiple", self.overload_multiple, "a number above 0")
+        _require(self.overload_time > 0, "TipAfterNs in seconds", self.overload_time, "a number above 0")
         for name in ("answer_slack", "poll_interval", "slow_start_time", "drain_grace", "ordering_settle_time"):
-            _require(getattr(self, name) >= 0, name.replace("_", " "), getattr(self, name))
+            value = getattr(self, name)
+            _require(value >= 0, f"{name.replace('_', ' ')} in seconds", value, "a number of at least 0")
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What is taken off the result: per crossing attempt, per share of work wasted, per worth failed late."""
+    """Penalties on a run's score: per cross-zone attempt, per share of work wasted, per weight of late failures."""
 
     cross_zone: float
     waste: float
@@ -134,20 +139,20 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantQuota:
-    """One client account: its share of the service, and the requests a second that lie within it, over all gateways."""
+    """The quota of one client account: its share of the service, and its requests per second over all gateways."""
 
     name: str
     share: float
     rate: float
 
     def __post_init__(self) -> None:
-        _require(0 <= self.share <= 1, "account share", self.share)
-        _require(self.rate >= 0, "account rate", self.rate)
+        _require(0 <= self.share <= 1, "account Share", self.share, "a number from 0 to 1")
+        _require(self.rate >= 0, "account QuotaRps", self.rate, "a number of at least 0")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that one gateway is told at its start."""
+    """All settings that one gateway receives at its start."""
 
     instance_number: int
     gateway_count: int
@@ -169,10 +174,10 @@
     clients_mark_retries: bool
     tick: float
     tenants: tuple[str, ...] = ()
-    tenant_quotas: tuple[TenantQuota, ...] = ()  # in the order of tenants; empty where shares are not told
+    tenant_quotas: tuple[TenantQuota, ...] = ()  # in the order of tenants; empty where the quotas are not configured
 
     def __post_init__(self) -> None:
-        _require(self.gateway_count >= 1, "gateways", self.gateway_count)
-        _require(bool(self.classes), "classes", self.classes)
-        _require(bool(self.machine_kinds), "kinds", self.machine_kinds)
-        _require(self.tick >= 0, "tick", self.tick)
+        _require(self.gateway_count >= 1, "Siblings (gateways)", self.gateway_count, "a number of at least 1")
+        _require(bool(self.classes), "Grades (classes)", self.classes, "at least one class")
+        _require(bool(self.machine_kinds), "Kinds", self.machine_kinds, "at least one machine kind")
+        _require(self.tick >= 0, "TickNs in seconds", self.tick, "a number of at least 0")
--- a/tealwing/policy/fleet.py
+++ b/tealwing/policy/fleet.py
@@ -217,7 +217,7 @@
         engine.indices_valid_until = engine.full_until if now < engine.full_until else now + REBUILD_INTERVAL
 
     def _fleet_index(self, cls: int) -> float:
-        """Return the index of a mean engine after slow start, by the mean report and local counts; 0 without overload."""
+        """Return the index of a mean engine after slow start, by mean report and local counts; 0 without overload."""
         if not self.is_overloaded:
             return 0.0
         traffic = self.class_traffic[cls]
