--- a/tealwing/adapter.py
+++ b/tealwing/adapter.py
@@ -1,6 +1,6 @@
-"""The process loop: batches on standard input, replies on standard output. It decides nothing.
+"""The simulator's adapter: reads batches from standard input and writes replies to standard output.
 
-With TEALWING_CONF the instances are under the service levels of that file, as the gateway on sockets would be.
+If TEALWING_CONF names an operators' file, its service levels apply to the instances as they do to a real gateway.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from tealwing import wire
 from tealwing.policy import Gateway
 
-if TYPE_CHECKING:  # imported where a file switches it on
+if TYPE_CHECKING:  # at run time, imported only if TEALWING_CONF is set
     from tealwing.levels.governor import Governor
     from tealwing.levels.plan import Plan
 
@@ -25,7 +25,7 @@
     def __init__(self, plan: Plan | None = None) -> None:
         self.decoder, self._plan = wire.Decoder(), plan
         self.gateways: dict[int, Gateway | Governor] = {}
-        self._said: list[str] = []  # of changes of level, by the event that is being handled
+        self._level_logs: list[str] = []  # log lines about level changes that the current event caused
 
     def _begin(self, settings: api.Settings, seed: int) -> Gateway | Governor:
         gateway = Gateway(settings, seed)
@@ -33,26 +33,26 @@
             return gateway
         from tealwing.levels.governor import Governor
 
-        def say(name: str, fields: dict[str, Any]) -> None:
-            self._said.append(f"{name} {fields}")
+        def log(name: str, fields: dict[str, Any]) -> None:
+            self._level_logs.append(f"{name} {fields}")
 
-        return Governor(settings, gateway, self._plan, say)
+        return Governor(settings, gateway, self._plan, log)
 
     def reply(self, now: float, count: int, body: bytes) -> bytes:
-        """The reply to one batch."""
+        """Return the reply to one batch; raise WireError or ValueError for invalid input."""
         records: list[bytes] = []
         for instance, event in self.decoder.events(body, count):
             if isinstance(event, wire.Init):
-                self.gateways[instance] = self._begin(wire.parse_settings(event.facts), event.seed)
+                self.gateways[instance] = self._begin(wire.parse_settings(event.settings_json), event.seed)
             elif isinstance(event, wire.Teardown):
                 self.gateways.pop(instance, None)
             elif instance not in self.gateways:
-                raise wire.WireError(f"instance {instance} has not begun")
+                raise wire.WireError(f"unknown instance {instance}: an INIT record must start it first")
             else:
                 try:
                     actions = self.gateways[instance].handle(now, event)
-                    actions += [api.Log(text) for text in self._said]
-                    self._said.clear()
+                    actions += [api.Log(text) for text in self._level_logs]
+                    self._level_logs.clear()
                     records += [wire.encode(instance, action) for action in actions]
                 except Exception:
                     records.append(wire.bug(instance, traceback.format_exc(limit=-3)))
@@ -60,7 +60,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO, plan: Plan | None = None) -> None:
-    """Answer batches until the input ends."""
+    """Reply to each batch of source on sink until the input ends."""
     host = Host(plan)
     while (batch := wire.read_batch(source)) is not None:
         sink.write(host.reply(*batch))
@@ -68,7 +68,7 @@
 
 
 def main() -> int:
-    """Serve standard input; bad input ends it with one line on standard error."""
+    """Serve standard input and return the exit code: 1, with one line on standard error, after invalid input."""
     try:
         plan = None
         if conf := os.environ.get("TEALWING_CONF"):
--- a/tealwing/wire/__init__.py
+++ b/tealwing/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The simulator's binary wire, and the platform's settings: both mapped to the records of `tealwing.interface`.
+"""The simulator's binary protocol and the platform's settings, mapped to the records of `tealwing.interface`.
 
 Read decoder, encoder, then settings.
 """
--- a/tealwing/wire/decoder.py
+++ b/tealwing/wire/decoder.py
@@ -1,6 +1,6 @@
-"""The simulator's binary wire: batches of records, read into events.
+"""The decoder of the simulator's binary protocol: reads batches of records into events.
 
-The wire's names of records and outcomes stand here alone, beside the terms of `tealwing.interface` that they map to.
+Only this module has the protocol's names of records and outcomes, with the terms of `tealwing.interface` they map to.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from tealwing.wire.errors import WireError
 
 NS = 1_000_000_000  # nanoseconds in a second
-COST_UNIT = 4096  # an outcome's cost: milliseconds of work times this, plus memory in units
-MEMORY_UNIT_MB = 4.0  # of the memory in an outcome's cost
+COST_UNIT = 4096  # an outcome's cost is milliseconds of work times COST_UNIT, plus memory in units of MEMORY_UNIT_MB
+MEMORY_UNIT_MB = 4.0
 
 
 class EventCode(IntEnum):
-    """The codes of the records of a batch, by the wire's names."""
+    """The codes of the records of a batch, by the protocol's names."""
 
     MEMO = 10
     FINISHED = 20
@@ -44,7 +44,7 @@
     304: api.AttemptResult.CONNECT_FAILED,
     305: api.AttemptResult.RESET,
     306: api.AttemptResult.CANCELLED,
-    307: api.AttemptResult.NOT_SENT,  # the wire's "moot"
+    307: api.AttemptResult.NOT_SENT,  # "moot" in the protocol
 }
 
 HAS_COST, IS_CLIENT_RETRY, IS_WRITE = 1, 2, 4  # bits of the options of JOB_IN
@@ -66,44 +66,48 @@
 
 @dataclass(frozen=True, slots=True)
 class Init:
-    """An instance begins; facts is the settings' JSON text."""
+    """An instance starts; settings_json is the JSON text of its settings."""
 
     seed: int
-    facts: bytes
+    settings_json: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Teardown:
-    """An instance is dead."""
+    """An instance ends; its state is dropped."""
 
 
 WireEvent = api.Event | Init | Teardown
 
 
 class Reader:
-    """A cursor over one batch."""
+    """A cursor over the records of one batch."""
 
     def __init__(self, data: bytes) -> None:
         self.data, self.at = data, 0
 
     def unpack(self, shape: struct.Struct) -> tuple[Any, ...]:
-        """Return the next fields of a fixed shape. Raises WireError where the batch ends before."""
+        """Return the next fields, of a fixed layout. Raises WireError if the batch ends before them."""
         if self.at + shape.size > len(self.data):
-            raise WireError(f"a record is cut off at byte {self.at} of {len(self.data)}")
+            raise WireError(
+                f"truncated record: {shape.size} bytes expected at byte {self.at}, the batch has {len(self.data)}"
+            )
         fields = shape.unpack_from(self.data, self.at)
         self.at += shape.size
         return fields
 
     def take(self, count: int) -> bytes:
-        """Return the next count bytes. Raises WireError where the batch ends before."""
+        """Return the next count bytes. Raises WireError if the batch ends before them."""
         if self.at + count > len(self.data):
-            raise WireError(f"a record is cut off at byte {self.at} of {len(self.data)}")
+            raise WireError(
+                f"truncated record: {count} bytes expected at byte {self.at}, the batch has {len(self.data)}"
+            )
         self.at += count
         return self.data[self.at - count : self.at]
 
 
 class Decoder:
-    """Turns batches into events; holds the numbered engine lists, which belong to the process."""
+    """Decodes batches into events; keeps the numbered engine lists, which all instances of the process share."""
 
     def __init__(self) -> None:
         self.lists: dict[int, tuple[api.EngineListEntry, ...]] = {}
@@ -132,10 +136,12 @@
             (instance,) = reader.unpack(_INSTANCE)
             handler = self._handlers.get(code)
             if handler is None:
-                raise WireError(f"unknown record code {code}")
+                raise WireError(f"unknown record code {code}, expected a code of EventCode")
             yield instance, handler(reader)
         if reader.at != len(body):
-            raise WireError(f"{len(body) - reader.at} bytes are left over after the last record")
+            raise WireError(
+                f"{len(body) - reader.at} bytes follow the last of the {count} records of a batch, expected none"
+            )
 
     def _store_list(self, reader: Reader) -> None:
         number, length = reader.unpack(_CATALOG)
@@ -148,7 +154,7 @@
         if kind is api.EngineListKind.FAILED:
             return api.EngineList(kind, version, ())
         if number not in self.lists:
-            raise WireError(f"list {number} was never sent")
+            raise WireError(f"unknown engine list {number}: a CATALOG record must define it first")
         return api.EngineList(kind, version, self.lists[number])
 
 
@@ -156,12 +162,12 @@
     try:
         return kind(value)
     except ValueError:
-        raise WireError(f"unknown {kind.__name__} {value}") from None
+        raise WireError(f"unknown {kind.__name__} {value}, expected one of {[m.value for m in kind]}") from None
 
 
 def _result(code: int) -> api.AttemptResult:
     if code not in OUTCOMES:
-        raise WireError(f"unknown outcome {code}")
+        raise WireError(f"unknown outcome {code}, expected one of {sorted(OUTCOMES)}")
     return OUTCOMES[code]
 
 
@@ -244,12 +250,12 @@
     if not head:
         return None
     if len(head) < _BATCH_HEAD.size:
-        raise WireError(f"the input ends inside a header, after {len(head)} bytes")
+        raise WireError(f"the input ends in a batch header, after {len(head)} of {_BATCH_HEAD.size} bytes")
     clock, length, count = _BATCH_HEAD.unpack(head)
     if length < 4 and (length or count):
-        raise WireError(f"a header's length of {length} is too small")
-    length = max(0, length - 4)  # it counts the record count too; an empty batch may say 0
+        raise WireError(f"a batch of {count} records has length {length}, expected at least 4")
+    length = max(0, length - 4)  # the length includes the record count; an empty batch may have 0
     body = stream.read(length)
     if len(body) < length:
-        raise WireError(f"the input ends inside a batch, after {len(body)} of {length} bytes")
+        raise WireError(f"the input ends in a batch, after {len(body)} of {length} bytes")
     return clock / NS, count, body
--- a/tealwing/wire/encoder.py
+++ b/tealwing/wire/encoder.py
@@ -1,4 +1,4 @@
-"""The simulator's binary wire: actions, written as the records of a reply."""
+"""The encoder of the simulator's binary protocol: writes actions as the records of a reply."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from tealwing import interface as api
 from tealwing.wire.decoder import NS
 
-ALL_PEERS = 0xFFFFFFFF  # the receiver of a message to every peer
-MAX_TIMER_NS = 71 * 60 * NS
-MAX_TEXT_BYTES = 0xFFFF
+ALL_PEERS = 0xFFFFFFFF  # receiver number of a message to all peers
+MAX_TIMER_NS = 71 * 60 * NS  # longer delays are cut to it
+MAX_TEXT_BYTES = 0xFFFF  # the length field has 16 bits
 
 
 class ActionCode(IntEnum):
@@ -34,7 +34,7 @@
 
 _REPLY_HEAD = struct.Struct(">II")  # count of records, length of the rest
 _BARE_ACTION = struct.Struct(">BH")
-_NUMBER_ACTION = struct.Struct(">BHI")  # with a request's id or an engine
+_NUMBER_ACTION = struct.Struct(">BHI")  # with a request id or an engine number
 _SEND = struct.Struct(">BHIqI")
 _REJECT = struct.Struct(">BHIQ")
 _CANCEL_ATTEMPT = struct.Struct(">BHIH")
@@ -55,12 +55,12 @@
 
 
 def bug(instance: int, text: str) -> bytes:
-    """Return the record that reports a failure in the decision code."""
+    """Return the record that reports an exception in the decision module."""
     return _text(ActionCode.BUG, instance, text)
 
 
 def encode(instance: int, action: api.Action) -> bytes:
-    """Return one action as its record. Raises TypeError for anything that is no action."""
+    """Return the record of one action. Raises TypeError for any other object."""
     match action:
         case api.Send(id_, engine, timeout):
             return _SEND.pack(ActionCode.SEND, instance, id_, int(timeout * NS), engine)
@@ -93,10 +93,10 @@
             return _SUBSCRIBE.pack(ActionCode.SUBSCRIBE, instance, enabled)
         case api.FetchEngineList():
             return _BARE_ACTION.pack(ActionCode.FETCH_ENGINE_LIST, instance)
-    raise TypeError(f"not an action: {action!r}")
+    raise TypeError(f"expected an action of tealwing.interface, got {action!r}")
 
 
 def reply(records: list[bytes]) -> bytes:
-    """Return a complete reply of these records."""
+    """Return the complete reply that contains the records."""
     body = b"".join(records)
     return _REPLY_HEAD.pack(len(records), len(body)) + body
--- a/tealwing/wire/errors.py
+++ b/tealwing/wire/errors.py
@@ -1,5 +1,5 @@
-"""The error of malformed input on the simulator's wire."""
+"""The error for malformed input in the simulator's protocol."""
 
 
 class WireError(Exception):
-    """The input breaks the wire's format; the text says where. The host has to be mended, or is of another version."""
+    """The input violates the protocol; the text says where. The sender has a fault or uses another protocol version."""
--- a/tealwing/wire/settings.py
+++ b/tealwing/wire/settings.py
@@ -1,6 +1,6 @@
-"""The settings as the platform's JSON tells them, read into `tealwing.interface.Settings`.
+"""The parser of the platform's JSON settings, which returns `tealwing.interface.Settings`.
 
-The keys are those of the operators' page; this module maps them to the terms that the rest of the program uses.
+It maps the keys of the operators' page to the terms that the rest of the program uses.
 """
 
 from __future__ import annotations
@@ -20,57 +20,59 @@
 }
 
 
-class Facts:
-    """A JSON object of the settings, with errors that name what is missing or wrong."""
+class SettingsObject:
+    """A JSON object of the settings; its errors name the key that is missing or has an invalid value."""
 
     def __init__(self, data: Any, path: str = "") -> None:
         if not isinstance(data, dict):
-            raise ValueError(f"setting {path or 'Facts'} is not an object")
+            raise ValueError(
+                f"{f'setting {path}' if path else 'the settings'}: expected a JSON object, got a {type(data).__name__}"
+            )
         self.data, self.path = data, path
 
     def get(self, name: str, kind: type, *default: Any) -> Any:
-        """One value of the kind; the default stands for a key that the wire lets be absent."""
+        """Return the key's value, which must be of the kind; a default makes the key optional."""
         where = f"{self.path}.{name}" if self.path else name
         value = self.data.get(name)
         if value is None:
             if default:
                 return default[0]
-            raise ValueError(f"missing setting {where}")
+            raise ValueError(f"missing setting {where}, expected a value of type {kind.__name__}")
         if kind is float and isinstance(value, int) and not isinstance(value, bool):
             value = float(value)
         if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
-            raise ValueError(f"impossible setting {where}: {value!r}")
+            raise ValueError(f"impossible setting {where}: {value!r}, expected a value of type {kind.__name__}")
         if isinstance(value, float) and not math.isfinite(value):
-            raise ValueError(f"impossible setting {where}: {value!r}")
+            raise ValueError(f"impossible setting {where}: {value!r}, expected a finite number")
         return value
 
     def seconds(self, name: str, *default: float) -> float:
-        """A duration, told in nanoseconds."""
+        """Return a duration in seconds; the key has nanoseconds."""
         value: float = self.get(name, float, *(d * NS for d in default))
         return value / NS
 
-    def sub(self, name: str) -> Facts:
-        """An object within this one."""
-        return Facts(self.get(name, dict), f"{self.path}.{name}" if self.path else name)
+    def sub(self, name: str) -> SettingsObject:
+        """Return the object that is the key's value."""
+        return SettingsObject(self.get(name, dict), f"{self.path}.{name}" if self.path else name)
 
     def choice(self, name: str, values: dict[str, Any]) -> Any:
-        """Return what one of the wire's words stands for."""
+        """Return the value that the key's word maps to."""
         value = self.get(name, str)
         if value not in values:
-            raise ValueError(f"impossible setting {self.path}.{name}: {value!r}")
+            raise ValueError(f"impossible setting {self.path}.{name}: {value!r}, expected one of {list(values)}")
         return values[value]
 
-    def places(self, name: str) -> frozenset[int] | None:
-        """A set of places in a settings list; None where the key is absent."""
+    def indices(self, name: str) -> frozenset[int] | None:
+        """Return a set of indices into a list of the settings; None if the key is absent."""
         values = self.get(name, list, None)
         if values is None:
             return None
         if not all(isinstance(v, int) and not isinstance(v, bool) for v in values):
-            raise ValueError(f"impossible setting {self.path}.{name}: {values!r}")
+            raise ValueError(f"impossible setting {self.path}.{name}: {values!r}, expected a list of integers")
         return frozenset(values)
 
 
-def _class(facts: Facts, threads: int, holds: bool, waits: bool) -> api.RequestClass:
+def _class(facts: SettingsObject, threads: int, holds: bool, waits: bool) -> api.RequestClass:
     groups = {group.value: group for group in api.IdempotencyScope}
     return api.RequestClass(
         name=facts.get("Name", str),
@@ -84,42 +86,46 @@
         idempotency_window=facts.seconds("WindowNs", 0.0),
         ordered=facts.get("FifoByKey", bool, False),
         threads=threads,
-        zones=facts.places("ConfinedTo"),
-        machine_kinds=facts.places("BoundTo"),
+        zones=facts.indices("ConfinedTo"),
+        machine_kinds=facts.indices("BoundTo"),
         locks_tables=holds,
         waits_for_locks=waits,
     )
 
 
-def _account(facts: Facts) -> api.TenantQuota:
+def _account(facts: SettingsObject) -> api.TenantQuota:
     share, rate = facts.get("Share", float, 1.0), facts.get("QuotaRps", float, 0.0)
     return api.TenantQuota(facts.get("Name", str), share, rate)
 
 
-def _listed(facts: Facts, name: str, length: int) -> list[Any]:
+def _number_list(facts: SettingsObject, name: str, length: int) -> list[Any]:
     values: list[Any] = facts.get(name, list)
     if len(values) < length or not all(isinstance(v, (int, float)) for v in values):
-        raise ValueError(f"impossible setting {facts.path}.{name}: {values!r}")
+        raise ValueError(f"impossible setting {facts.path}.{name}: {values!r}, expected at least {length} numbers")
     return values
 
 
 def parse_settings(text: bytes) -> api.Settings:
-    """The settings of an instance from its JSON text."""
+    """Return the settings of an instance from their JSON text; raise WireError or ValueError if they are invalid."""
     try:
-        facts = Facts(json.loads(text))
+        facts = SettingsObject(json.loads(text))
     except (json.JSONDecodeError, UnicodeDecodeError) as error:
-        raise WireError(f"the settings are not JSON: {error}") from None
+        raise WireError(f"the settings are not valid JSON: {error}") from None
     family, allowed, rules = facts.sub("FamilyInfo"), facts.sub("Allowed"), facts.sub("Contract")
     prices, report = facts.sub("Prices"), facts.sub("Report")
     grades, kinds = facts.get("Grades", list), facts.get("Kinds", list)
     accounts = facts.get("Accounts", list, [])
-    threads = _listed(family, "WidthByClass", len(grades))
-    cores, memory = _listed(family, "CoresByKind", len(kinds)), _listed(family, "RamOfKindMb", len(kinds))
-    # older settings name neither loads nor the classes that wait for them
+    threads = _number_list(family, "WidthByClass", len(grades))
+    cores = _number_list(family, "CoresByKind", len(kinds))
+    memory = _number_list(family, "RamOfKindMb", len(kinds))
+    # older settings have neither key: no class locks tables or waits for locks
     none = [False] * len(grades)
     holds, waits = family.get("HoldsTables", list, none), family.get("ClassWaits", list, none)
     if len(holds) < len(grades) or len(waits) < len(grades):
-        raise ValueError(f"impossible setting {family.path}: HoldsTables or ClassWaits is too short")
+        raise ValueError(
+            f"impossible setting {family.path}: HoldsTables has {len(holds)} entries and ClassWaits {len(waits)},"
+            f" expected one per class, {len(grades)}"
+        )
     return api.Settings(
         instance_number=facts.get("Me", int),
         gateway_count=facts.get("Siblings", int),
@@ -129,7 +135,8 @@
             api.MachineKind(str(k), c, float(m)) for k, c, m in zip(kinds, cores, memory, strict=False)
         ),
         classes=tuple(
-            _class(Facts(g, f"Grades[{i}]"), threads[i], bool(holds[i]), bool(waits[i])) for i, g in enumerate(grades)
+            _class(SettingsObject(g, f"Grades[{i}]"), threads[i], bool(holds[i]), bool(waits[i]))
+            for i, g in enumerate(grades)
         ),
         limits=api.Limits(
             cancellation=allowed.get("Cancelling", bool),
@@ -171,6 +178,6 @@
         memory_shortage_policy=family.get("Overbooked", str, "wait"),
         clients_mark_retries=facts.sub("Clients").get("MarksRetry", bool, False),
         tick=facts.seconds("TickNs"),
-        tenants=tuple(Facts(a, f"Accounts[{i}]").get("Name", str) for i, a in enumerate(accounts)),
-        tenant_quotas=tuple(_account(Facts(a, f"Accounts[{i}]")) for i, a in enumerate(accounts)),
+        tenants=tuple(SettingsObject(a, f"Accounts[{i}]").get("Name", str) for i, a in enumerate(accounts)),
+        tenant_quotas=tuple(_account(SettingsObject(a, f"Accounts[{i}]")) for i, a in enumerate(accounts)),
     )
