--- a/tealwing/exchange.py
+++ b/tealwing/exchange.py
@@ -1,4 +1,4 @@
-"""The interface between a client protocol and the request handler; neither knows more of the other."""
+"""The interface between a client protocol and the request handler, which depend on nothing else of each other."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class InvalidRequestError(ValueError):
-    """An invalid request; the text says why."""
+    """A request is invalid; the text says why."""
 
 
 class SettingsChangedError(InvalidRequestError):
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """A client's request; times are seconds, memory is megabytes, cls and tenant are places in the settings."""
+    """A client's request; times are in seconds, memory is in megabytes, cls and tenant are indices in the settings."""
 
     request_id: bytes
     cls: int
@@ -36,40 +36,40 @@
     cost: float | None = None
     memory_estimate: float = 0.0
     tables: int = 0
-    received_at: float = 0.0  # monotonic; when its last byte had been read
-    # whether its client has left; never blocks
+    received_at: float = 0.0  # monotonic time at which its last byte was read
+    # whether the client has disconnected; must not block
     has_left: Callable[[], bool] = field(default=_never_left, compare=False)
 
     def set_client_check(self, has_left: Callable[[], bool]) -> None:
-        """Set the check of whether the client has left, before the request is shared.
+        """Set the check of whether the client has disconnected, before the request is shared between threads.
 
-        It is set in place: a copy takes 8 microseconds, longer than all else that a client's leaving costs a request.
+        It is set in place: a copy takes 8 microseconds, more than the rest of the handling of disconnects per request.
         """
         object.__setattr__(self, "has_left", has_left)
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """The pages of the result, as the engine wrote them."""
+    """The request was served: the pages of the result as the engine wrote them."""
 
     pages: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A rejection without effect: the client may retry, after retry_after seconds if that is not 0."""
+    """The request was rejected without effect; the client may retry, after retry_after seconds if that is not 0."""
 
     retry_after: float
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """A failure; the request may have had an effect."""
+    """The request failed and may have had an effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cancelled:
-    """The client cancelled the request; no answer is owed."""
+    """The client cancelled the request and needs no answer."""
 
 
 Reply = Served | Rejected | Failed | Cancelled
@@ -87,24 +87,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request may be decided. If it waited, the rules may have changed, and it must be parsed again."""
+    """The request may proceed. If it waited, the rules may have changed and it must be parsed again."""
 
     waited: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Deferred:
-    """The request may not be decided now: it is rejected without effect, with a Retry-After in seconds."""
+    """The request may not proceed now and is rejected without effect, with a Retry-After in seconds."""
 
     retry_after: float
     reason: str
 
 
 class AdmissionGate(Protocol):
-    """The gate that requests pass before they are opened; see `tealwing.rollout.admission.gate`."""
+    """The gate that admits requests before their exchange opens; see `tealwing.rollout.admission.gate`."""
 
     def admit(self, cls: str | None, tenant: str, group: int, until: float) -> Admitted | Deferred:
-        """Admit a request, waiting until the monotonic time `until` at most, or defer it."""
+        """Admit a request, waiting no longer than the monotonic time `until`, or defer it."""
 
 
 OpenExchange = Callable[
--- a/tealwing/record.py
+++ b/tealwing/record.py
@@ -1,4 +1,4 @@
-"""The base of records that gateways send and store, and the result of a command to their replicated state; pure."""
+"""The base class of records that gateways send and store, and the result of a command on the replicated state."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """A record encoded as an array; unknown fields are errors."""
+    """A record that is encoded as an array; decoding rejects unknown fields."""
 
 
 class CommandResult(Record, frozen=True):
@@ -18,5 +18,5 @@
 
     ok: bool
     index: UnsignedInt63
-    version: UnsignedInt63 = 0  # of the value, the settings, or the lease's token
+    version: UnsignedInt63 = 0  # version of the value or the settings, or token of the lease
     reason: str = ""
--- a/tealwing/routing/diff.py
+++ b/tealwing/routing/diff.py
@@ -1,4 +1,4 @@
-"""The groups of tables whose sites, or their order, a change of the routing table affects; pure."""
+"""The groups of tables whose sites, or their order, a change of the routing table affects; pure functions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Ranges:
-    """Ranges of groups, both ends included: sorted, disjoint and not adjacent."""
+    """Inclusive ranges of groups: sorted, disjoint and not adjacent."""
 
     pairs: tuple[tuple[int, int], ...] = ()
 
@@ -22,8 +22,8 @@
 
     def contains(self, group: int) -> bool:
         """Whether the group lies in one of the ranges."""
-        place = bisect_right(self._firsts, group)
-        return place > 0 and group <= self.pairs[place - 1][1]
+        following = bisect_right(self._firsts, group)
+        return following > 0 and group <= self.pairs[following - 1][1]
 
     def __bool__(self) -> bool:
         return bool(self.pairs)
--- a/tealwing/routing/table.py
+++ b/tealwing/routing/table.py
@@ -1,4 +1,4 @@
-"""The routing table: ranges of groups of tables, and the sites that serve each, in order of preference; pure."""
+"""The routing table: ranges of groups of tables, and the sites that serve each range, in order of preference."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """The groups from first to last, both included, and the names of their sites in order of preference."""
+    """An inclusive range of groups and the names of the sites that serve it, in order of preference."""
 
     first: int
     last: int
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True)
 class Table:
-    """Routes in the order of their groups; a group that none names may be served anywhere.
+    """Routes sorted by group; any site may serve a group without a route.
 
-    complete: the table must leave out no group up to its last. Nothing is checked here: see `validate.find_faults`.
+    complete: every group up to the last must have a route. This class checks nothing; `validate.find_faults` does.
     """
 
     routes: tuple[Route, ...] = ()
@@ -29,7 +29,7 @@
 
     @staticmethod
     def of(routes: Iterable[Route], complete: bool = False) -> Table:
-        """Return a table of routes given in any order."""
+        """Return the table of these routes, which may be in any order."""
         return Table(tuple(sorted(routes, key=lambda route: (route.first, route.last))), complete)
 
     @cached_property
@@ -37,9 +37,9 @@
         return [route.first for route in self.routes]
 
     def sites_of(self, group: int) -> tuple[str, ...]:
-        """Return the group's sites in order of preference; empty where no route names it."""
-        place = bisect_right(self._firsts, group)
-        if not place:
+        """Return the group's sites in order of preference; empty if it has no route."""
+        following = bisect_right(self._firsts, group)
+        if not following:
             return ()
-        route = self.routes[place - 1]
+        route = self.routes[following - 1]
         return route.sites if group <= route.last else ()
--- a/tealwing/routing/validate.py
+++ b/tealwing/routing/validate.py
@@ -1,4 +1,4 @@
-"""The check of a routing table, which reports all faults at once; pure."""
+"""Validation of a routing table, which reports all faults at once; pure functions."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from tealwing.routing.table import Route
 
-NO_GROUP = 0  # the group of a statement that names no numbered schema: the lowest
+NO_GROUP = 0  # group of a statement without a numbered schema; the lowest group
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: its place in the table as written, what is wrong, and the remedy."""
+    """One fault of a routing table: its place in the table as written, what is wrong, and the remedy."""
 
     place: str
     what: str
@@ -23,14 +23,14 @@
 
 
 def find_faults(routes: Sequence[Route], complete: bool = False) -> list[Fault]:
-    """Return all faults of a table, by route and then between routes; gaps count only where complete is set."""
-    found = [fault for number, route in enumerate(routes) for fault in _alone(f"routes[{number}]", route)]
+    """Return the faults of each route, then overlaps and, if complete is set, gaps between routes."""
+    found = [fault for number, route in enumerate(routes) for fault in _route_faults(f"routes[{number}]", route)]
     usable = [(route, n) for n, route in enumerate(routes) if NO_GROUP <= route.first <= route.last]
     usable.sort(key=lambda pair: (pair[0].first, pair[0].last, pair[1]))
-    return found + list(_between(usable, complete))
+    return found + list(_overlaps_and_gaps(usable, complete))
 
 
-def _alone(place: str, route: Route) -> Iterator[Fault]:
+def _route_faults(place: str, route: Route) -> Iterator[Fault]:
     if route.first < NO_GROUP:
         yield Fault(place, f"first is {route.first}", f"groups are numbers from {NO_GROUP} on")
     if route.last < route.first:
@@ -43,10 +43,10 @@
         yield Fault(place, f"site {site} is named twice", "name each once, where it is preferred most")
 
 
-def _between(usable: list[tuple[Route, int]], complete: bool) -> Iterator[Fault]:
-    """Yield overlaps and gaps in ascending order; furthest is the route with the highest last group so far."""
-    furthest: tuple[Route, int] | None = None
-    free = NO_GROUP  # the first group that nothing up to here names
+def _overlaps_and_gaps(usable: list[tuple[Route, int]], complete: bool) -> Iterator[Fault]:
+    """Yield the overlaps and gaps of routes that are sorted by group."""
+    furthest: tuple[Route, int] | None = None  # the route with the highest last group so far, and its number
+    free = NO_GROUP  # the first group after all routes so far
     for route, number in usable:
         if furthest is not None and route.first <= furthest[0].last:
             both = f"{route.first} to {min(route.last, furthest[0].last)}"
