--- a/tealwing/wire/settings.py
+++ b/tealwing/wire/settings.py
@@ -72,49 +72,49 @@
         return frozenset(values)
 
 
-def _class(facts: SettingsObject, threads: int, holds: bool, waits: bool) -> api.RequestClass:
+def _class(document: SettingsObject, threads: int, holds: bool, waits: bool) -> api.RequestClass:
     groups = {group.value: group for group in api.IdempotencyScope}
     return api.RequestClass(
-        name=facts.get("Name", str),
-        latency_objective=facts.seconds("TargetNs"),
-        objective_per_work=facts.get("AimStretch", float, 0.0),
-        deadline=facts.seconds("DeadlineNs"),
-        priority_weight=facts.get("Credit", float),
-        late_weight_share=facts.get("LateShare", float, 0.0),
-        idempotency=facts.choice("Effect", IDEMPOTENCY),
-        idempotency_scope=facts.choice("Group", groups) if "Group" in facts.data else api.IdempotencyScope.ALL,
-        idempotency_window=facts.seconds("WindowNs", 0.0),
-        ordered=facts.get("FifoByKey", bool, False),
+        name=document.get("Name", str),
+        latency_objective=document.seconds("TargetNs"),
+        objective_per_work=document.get("AimStretch", float, 0.0),
+        deadline=document.seconds("DeadlineNs"),
+        priority_weight=document.get("Credit", float),
+        late_weight_share=document.get("LateShare", float, 0.0),
+        idempotency=document.choice("Effect", IDEMPOTENCY),
+        idempotency_scope=document.choice("Group", groups) if "Group" in document.data else api.IdempotencyScope.ALL,
+        idempotency_window=document.seconds("WindowNs", 0.0),
+        ordered=document.get("FifoByKey", bool, False),
         threads=threads,
-        zones=facts.indices("ConfinedTo"),
-        machine_kinds=facts.indices("BoundTo"),
+        zones=document.indices("ConfinedTo"),
+        machine_kinds=document.indices("BoundTo"),
         locks_tables=holds,
         waits_for_locks=waits,
     )
 
 
-def _account(facts: SettingsObject) -> api.TenantQuota:
-    share, rate = facts.get("Share", float, 1.0), facts.get("QuotaRps", float, 0.0)
-    return api.TenantQuota(facts.get("Name", str), share, rate)
+def _account(document: SettingsObject) -> api.TenantQuota:
+    share, rate = document.get("Share", float, 1.0), document.get("QuotaRps", float, 0.0)
+    return api.TenantQuota(document.get("Name", str), share, rate)
 
 
-def _number_list(facts: SettingsObject, name: str, length: int) -> list[Any]:
-    values: list[Any] = facts.get(name, list)
+def _number_list(document: SettingsObject, name: str, length: int) -> list[Any]:
+    values: list[Any] = document.get(name, list)
     if len(values) < length or not all(isinstance(v, (int, float)) for v in values):
-        raise ValueError(f"impossible setting {facts.path}.{name}: {values!r}, expected at least {length} numbers")
+        raise ValueError(f"impossible setting {document.path}.{name}: {values!r}, expected at least {length} numbers")
     return values
 
 
 def parse_settings(text: bytes) -> api.Settings:
     """Return the settings of an instance from their JSON text; raise WireError or ValueError if they are invalid."""
     try:
-        facts = SettingsObject(json.loads(text))
+        document = SettingsObject(json.loads(text))
     except (json.JSONDecodeError, UnicodeDecodeError) as error:
         raise WireError(f"the settings are not valid JSON: {error}") from None
-    family, allowed, rules = facts.sub("FamilyInfo"), facts.sub("Allowed"), facts.sub("Contract")
-    prices, report = facts.sub("Prices"), facts.sub("Report")
-    grades, kinds = facts.get("Grades", list), facts.get("Kinds", list)
-    accounts = facts.get("Accounts", list, [])
+    family, allowed, rules = document.sub("FamilyInfo"), document.sub("Allowed"), document.sub("Contract")
+    prices, report = document.sub("Prices"), document.sub("Report")
+    grades, kinds = document.get("Grades", list), document.get("Kinds", list)
+    accounts = document.get("Accounts", list, [])
     threads = _number_list(family, "WidthByClass", len(grades))
     cores = _number_list(family, "CoresByKind", len(kinds))
     memory = _number_list(family, "RamOfKindMb", len(kinds))
@@ -127,10 +127,10 @@
             f" expected one per class, {len(grades)}"
         )
     return api.Settings(
-        instance_number=facts.get("Me", int),
-        gateway_count=facts.get("Siblings", int),
-        zone=facts.get("Zone", int),
-        zones=tuple(facts.get("Zones", list)),
+        instance_number=document.get("Me", int),
+        gateway_count=document.get("Siblings", int),
+        zone=document.get("Zone", int),
+        zones=tuple(document.get("Zones", list)),
         machine_kinds=tuple(
             api.MachineKind(str(k), c, float(m)) for k, c, m in zip(kinds, cores, memory, strict=False)
         ),
@@ -168,7 +168,7 @@
             prices.get("Waste", float, 0.0),
             prices.get("LateFail", float, 0.0),
         ),
-        polls_discovery=facts.choice("Discovery", {"push": False, "ask": True}),
+        polls_discovery=document.choice("Discovery", {"push": False, "ask": True}),
         report_fields=() if report.get("Via", str) == "silent" else tuple(report.get("Columns", list, [])),
         heeds_memory_grants=family.get("TakesGrants", bool, False),
         heeds_priorities=family.get("RanksHeeded", bool, False),
@@ -176,8 +176,8 @@
         progress_interval=family.seconds("TellsEveryNs", 0.0),
         reports_cost=family.get("TellsCost", bool, False),
         memory_shortage_policy=family.get("Overbooked", str, "wait"),
-        clients_mark_retries=facts.sub("Clients").get("MarksRetry", bool, False),
-        tick=facts.seconds("TickNs"),
+        clients_mark_retries=document.sub("Clients").get("MarksRetry", bool, False),
+        tick=document.seconds("TickNs"),
         tenants=tuple(SettingsObject(a, f"Accounts[{i}]").get("Name", str) for i, a in enumerate(accounts)),
         tenant_quotas=tuple(_account(SettingsObject(a, f"Accounts[{i}]")) for i, a in enumerate(accounts)),
     )
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as its host runs it: a process on standard input and output."""
+"""The adapter as the simulator runs it: a process that talks on standard input and output."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     return struct.pack(">QII", int(clock * wire.NS), len(body) + 4, len(records)) + body
 
 
-def start(instance: int, facts: bytes | None = None) -> list[bytes]:
-    facts = json.dumps(FACTS).encode() if facts is None else facts
+def start_records(instance: int, settings_json: bytes | None = None) -> list[bytes]:
+    settings_json = json.dumps(FACTS).encode() if settings_json is None else settings_json
     entries = b"".join(struct.pack(">IBHHBfQ", 10 + n, 0, 0, n, 1, 1.0, 0) for n in range(3))
     return [
-        struct.pack(">BHQI", 80, instance, instance, len(facts)) + facts,
+        struct.pack(">BHQI", 80, instance, instance, len(settings_json)) + settings_json,
         struct.pack(">BBI", 60, 0, 3) + entries,
         struct.pack(">BHBQB", 120, instance, 2, 1, 0),
     ]
@@ -39,13 +39,13 @@
     return struct.pack(">BHIHIHQBIBf", 20, instance, number, 0, engine, 100, wire.NS // 4, 1, 0, 1, number % 10 / 10)
 
 
-def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_adapter(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run([sys.executable, "-m", "tealwing.adapter"], input=data, capture_output=True)
 
 
 def batches(instances: tuple[int, ...]) -> list[bytes]:
-    """The same day for each instance: begin, requests, answers and timers, one batch a step."""
-    frames = [frame(1.0, []), frame(1.0, [r for i in instances for r in start(i)])]
+    """Return the same events for each instance: its start, requests, answers and timers, one batch per step."""
+    frames = [frame(1.0, []), frame(1.0, [r for i in instances for r in start_records(i)])]
     for step in range(40):
         records = [request(i, step * 8 + i + 3 * k) for i in instances for k in range(2)]
         if step % 4 == 3:
@@ -56,7 +56,7 @@
 
 
 def replies(output: bytes) -> list[list[bytes]]:
-    """Each reply as the bytes of its records, cut by the sizes that the wire states."""
+    """Split the output into replies, and each reply into its records, by the record sizes of the protocol."""
     sizes = {10: 19, 20: 15, 30: 7, 40: 9, 50: 19, 130: 12}
     found, at = [], 0
     while at < len(output):
@@ -72,32 +72,32 @@
     return found
 
 
-def of(instance: int, all_replies: list[list[bytes]]) -> list[list[bytes]]:
+def records_of(instance: int, all_replies: list[list[bytes]]) -> list[list[bytes]]:
     return [[r for r in records if struct.unpack_from(">H", r, 1)[0] == instance] for records in all_replies]
 
 
-def test_one_process_acts_as_three() -> None:
-    together = run(b"".join(batches(INSTANCES)))
+def test_instances_of_one_process_act_independently() -> None:
+    together = run_adapter(b"".join(batches(INSTANCES)))
     assert together.returncode == 0 and together.stderr == b""
     for instance in INSTANCES:
-        alone = run(b"".join(batches((instance,))))
-        mine = of(instance, replies(together.stdout))
-        assert mine == of(instance, replies(alone.stdout))
+        alone = run_adapter(b"".join(batches((instance,))))
+        mine = records_of(instance, replies(together.stdout))
+        assert mine == records_of(instance, replies(alone.stdout))
         assert sum(record[0] == 10 for records in mine for record in records) > 20
 
 
-def test_a_restart_in_one_batch_forgets_everything() -> None:
-    again = [struct.pack(">BH", 50, 1), *start(1), request(1, 7)]
+def test_instance_restart_within_a_batch_drops_its_state() -> None:
+    again = [struct.pack(">BH", 50, 1), *start_records(1), request(1, 7)]
     host, fresh = Host(), Host()
-    first = frame(1.0, [*start(1), request(1, 7)])
+    first = frame(1.0, [*start_records(1), request(1, 7)])
     host.reply(1.0, 4, first[16:])
     later = frame(2.0, again)
     assert host.reply(2.0, 5, later[16:]) == fresh.reply(2.0, 4, frame(2.0, again[1:])[16:])
 
 
-def test_a_large_batch_is_answered_whole() -> None:
-    records = start(1) + [request(1, n) for n in range(20_000)]
-    got = run(frame(1.0, records))
+def test_large_batch_gets_a_reply_to_every_request() -> None:
+    records = start_records(1) + [request(1, n) for n in range(20_000)]
+    got = run_adapter(frame(1.0, records))
     answered = {struct.unpack_from(">I", r, 3)[0] for r in replies(got.stdout)[0] if r[0] in (10, 20)}
     assert answered == set(range(20_000))
 
@@ -107,23 +107,23 @@
     [
         b"\0\0\0",
         frame(1.0, [b"\xff\0\1"]),
-        frame(1.0, start(1, b"{")),
-        frame(1.0, start(1, b"{}")),
+        frame(1.0, start_records(1, b"{")),
+        frame(1.0, start_records(1, b"{}")),
         frame(1.0, [request(1, 1)]),
-        frame(1.0, [*start(1)])[:-5],
+        frame(1.0, [*start_records(1)])[:-5],
     ],
 )
-def test_bad_input_gets_one_line_and_a_failure(data: bytes) -> None:
-    got = run(data)
+def test_invalid_input_exits_with_one_line_on_stderr(data: bytes) -> None:
+    got = run_adapter(data)
     assert got.returncode != 0
     assert got.stderr.startswith(b"tealwing: ") and got.stderr.count(b"\n") == 1
 
 
-def test_an_exception_in_a_gateway_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_gateway_is_reported_as_bug_record(monkeypatch: pytest.MonkeyPatch) -> None:
     def fails(*_: object) -> None:
         raise RuntimeError("a fault")
 
     host = Host()
     monkeypatch.setattr("tealwing.policy.Gateway.handle", fails)
-    reply = host.reply(1.0, 3, frame(1.0, start(1))[16:])
+    reply = host.reply(1.0, 3, frame(1.0, start_records(1))[16:])
     assert reply[8] == 100 and b"a fault" in reply
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing tables: what they say, their faults, their differences, and who serves."""
+"""Routing tables: look-up, faults, differences between tables, and the zones that serve a group."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from tealwing.routing.table import Route, Table
 from tealwing.routing.validate import find_faults
 
-MOST = 24  # groups in the trials below
+MAX_GROUP = 24  # the highest group number that the tests draw
 SITES = ("a", "b", "c")
 
 
 @st.composite
 def tables(draw: st.DrawFn) -> Table | None:
-    """A table without overlaps, written in any order, or none."""
-    edges = sorted(draw(st.sets(st.integers(0, MOST), max_size=8)))
+    """Draw a table without overlaps, its routes in any order, or None."""
+    edges = sorted(draw(st.sets(st.integers(0, MAX_GROUP), max_size=8)))
     routes = []
     for first, after in zip(edges, edges[1:], strict=False):
         if draw(st.booleans()):
@@ -25,33 +25,33 @@
     return draw(st.sampled_from([None, Table.of(draw(st.permutations(routes)))]))
 
 
-def plain(table: Table | None, group: int) -> tuple[str, ...]:
-    """The sites of a group, found by looking at every route."""
+def sites_by_scan(table: Table | None, group: int) -> tuple[str, ...]:
+    """Return the sites of a group by scanning every route."""
     routes = table.routes if table else ()
     return next((route.sites for route in routes if route.first <= group <= route.last), ())
 
 
 @given(tables(), tables())
-def test_the_difference_is_that_of_every_single_group(old: Table | None, new: Table | None) -> None:
+def test_changed_groups_match_comparison_of_each_group(old: Table | None, new: Table | None) -> None:
     found = changed_groups(old, new)
-    for group in range(-1, MOST + 2):
-        assert found.contains(group) == (plain(old, group) != plain(new, group))
-    assert bool(found) == any(plain(old, group) != plain(new, group) for group in range(MOST))
+    for group in range(-1, MAX_GROUP + 2):
+        assert found.contains(group) == (sites_by_scan(old, group) != sites_by_scan(new, group))
+    assert bool(found) == any(sites_by_scan(old, group) != sites_by_scan(new, group) for group in range(MAX_GROUP))
     for (_, last), (first, _) in zip(found.pairs, found.pairs[1:], strict=False):
-        assert last + 1 < first  # apart, so that each stands for one stretch
+        assert last + 1 < first  # not adjacent: each pair is a maximal range
     assert not changed_groups(old, old) and changed_groups(new, old) == found
 
 
-def test_an_order_of_sites_that_changed_is_a_difference() -> None:
+def test_changed_order_of_sites_is_a_difference() -> None:
     old = Table.of([Route(0, 9, ("a", "b")), Route(10, 19, ("c",))])
     new = Table.of([Route(0, 9, ("b", "a")), Route(10, 12, ("c",))])
     assert changed_groups(old, new) == Ranges(((0, 9), (13, 19)))
 
 
-@given(tables(), st.integers(0, MOST), st.sets(st.integers(0, 2)))
-def test_the_first_site_with_an_engine_serves_alone(table: Table | None, group: int, ready: set[int]) -> None:
+@given(tables(), st.integers(0, MAX_GROUP), st.sets(st.integers(0, 2)))
+def test_first_site_with_ready_engine_serves_alone(table: Table | None, group: int, ready: set[int]) -> None:
     zones = ("b", "c", "a")
-    found, sites = serving_zones(table, group, zones, ready), plain(table, group)
+    found, sites = serving_zones(table, group, zones, ready), sites_by_scan(table, group)
     able = [zones.index(site) for site in sites if zones.index(site) in ready]
     if not sites:
         assert found is None
@@ -59,13 +59,13 @@
         assert found == (frozenset(able[:1]) if able else frozenset(map(zones.index, sites)))
 
 
-def test_a_site_without_engines_or_name_leaves_nobody_to_serve() -> None:
+def test_route_to_unknown_site_allows_no_zone() -> None:
     table = Table.of([Route(0, 3, ("gone",))])
     assert serving_zones(table, 2, ("a", "b"), {0, 1}) == frozenset()
     assert serving_zones(table, 4, ("a", "b"), {0, 1}) is None
 
 
-def test_all_faults_are_reported_at_once_each_with_its_place_and_remedy() -> None:
+def test_all_faults_are_reported_with_place_and_remedy() -> None:
     routes = [
         Route(10, 20, ("a",)),
         Route(5, 2, ()),
@@ -73,7 +73,7 @@
         Route(12, 12, ("c",)),
         Route(33, 40, ("c",)),
     ]
-    told = [str(fault) for fault in find_faults(routes, complete=True)]
+    reported = [str(fault) for fault in find_faults(routes, complete=True)]
     expected = [
         ("routes[1]", "reversed", "smaller"),
         ("routes[1]", "no sites", "leave the route out"),
@@ -84,15 +84,15 @@
         ("routes[2]", "groups 20 to 20 are those of routes[0]", "one of them"),
         ("routes[4]", "groups 31 to 32 before it", "complete"),
     ]
-    assert len(told) == len(expected)
-    for text, (place, what, remedy) in zip(told, expected, strict=True):
+    assert len(reported) == len(expected)
+    for text, (place, what, remedy) in zip(reported, expected, strict=True):
         assert text.startswith(place) and what in text and remedy in text
-    assert len(find_faults(routes)) == len(expected) - 2  # gaps are none where it is not said to be complete
+    assert len(find_faults(routes)) == len(expected) - 2  # gaps are no faults unless the table is complete
     assert not find_faults([Route(4, 6, ("a",)), Route(0, 3, ("b",))], complete=True)
 
 
 @given(st.lists(st.builds(Route, st.integers(0, 9), st.integers(0, 9), st.just(("a",))), max_size=5), st.booleans())
-def test_a_table_without_faults_names_each_group_once(routes: list[Route], complete: bool) -> None:
+def test_table_without_faults_has_at_most_one_route_per_group(routes: list[Route], complete: bool) -> None:
     counts = [sum(route.first <= group <= route.last for route in routes) for group in range(10)]
     last = max((route.last for route in routes), default=-1)
     good = all(route.first <= route.last for route in routes) and max(counts) <= 1
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec on bytes written by hand, and its answers to what is malformed."""
+"""The codec of the simulator's protocol on hand-written bytes, and its errors for malformed input."""
 
 from __future__ import annotations
 
@@ -93,12 +93,12 @@
 
 
 @pytest.mark.parametrize(("text", "event"), EVENTS)
-def test_events(text: str, event: wire.WireEvent) -> None:
+def test_event_is_decoded(text: str, event: wire.WireEvent) -> None:
     ((_, got),) = decode(text)
     assert got == event
 
 
-def test_lists_are_resolved_in_event_order_when_numbers_return() -> None:
+def test_reused_list_number_refers_to_latest_list() -> None:
     first = "3c 00 00000001 03124a07 00 0000 0002 01 3f800000 0000000000000000"
     second = "3c 00 00000001 2c9011f2 01 0001 0000 02 3fc00000 000000003b9aca00"
     update = "78 0003 02 0000000000000029 00"
@@ -128,16 +128,16 @@
 
 
 @pytest.mark.parametrize(("action", "text"), ACTIONS)
-def test_actions(action: api.Action, text: str) -> None:
+def test_action_is_encoded(action: api.Action, text: str) -> None:
     assert wire.encode(3, action) == bytes.fromhex(text)
 
 
-def test_a_fault_and_a_reply() -> None:
+def test_bug_record_and_reply_are_encoded() -> None:
     assert wire.bug(3, "no") == bytes.fromhex("64 0003 0002 6e6f")
     assert wire.reply([b"ab", b"c"]) == bytes.fromhex("00000002 00000003") + b"abc"
 
 
-def test_a_batch_is_read_whole() -> None:
+def test_batch_is_read_with_clock_and_record_count() -> None:
     data = bytes.fromhex("000000003b9aca00 0000000f 00000001 5a 0003 000000000000004d")
     assert wire.read_batch(io.BytesIO(data)) == (1.0, 1, data[16:])
     assert wire.read_batch(io.BytesIO(b"")) is None
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 15, 16, 20])
-def test_a_truncated_frame_is_an_error(cut: int) -> None:
+def test_truncated_batch_raises_wire_error(cut: int) -> None:
     data = bytes.fromhex("000000003b9aca00 0000000f 00000001 5a 0003 000000000000004d")[:cut]
     with pytest.raises(wire.WireError):
         wire.read_batch(io.BytesIO(data))
@@ -163,7 +163,7 @@
         "14 0003 00000001 0002 00000007 0001 0000000000000000 00 00000000 00",
     ],
 )
-def test_a_malformed_record_is_an_error(text: str) -> None:
+def test_malformed_record_raises_wire_error(text: str) -> None:
     with pytest.raises(wire.WireError):
         decode(text)
 
@@ -184,16 +184,16 @@
 
 
 def changed(path: str, value: Any) -> bytes:
-    facts = json.loads(json.dumps(FACTS))
+    settings = json.loads(json.dumps(FACTS))
     *parents, last = path.split(".")
-    place = facts
+    place = settings
     for name in parents:
         place = place[int(name)] if isinstance(place, list) else place[name]
     if value is None:
         del place[last]
     else:
         place[last] = value
-    return json.dumps(facts).encode()
+    return json.dumps(settings).encode()
 
 
 @pytest.mark.parametrize(
@@ -213,11 +213,11 @@
         ("Allowed.MaxAttempts", True, "MaxAttempts"),
     ],
 )
-def test_a_missing_or_impossible_setting_is_named(path: str, value: Any, named: str) -> None:
+def test_error_names_missing_or_impossible_setting(path: str, value: Any, named: str) -> None:
     with pytest.raises(ValueError, match=named):
         wire.parse_settings(changed(path, value))
 
 
-def test_broken_json_is_an_error() -> None:
+def test_invalid_json_settings_raise_wire_error() -> None:
     with pytest.raises(wire.WireError, match="JSON"):
         wire.parse_settings(b"{")
