--- a/tealwing/interface/events.py
+++ b/tealwing/interface/events.py
@@ -50,7 +50,7 @@
 
 NEVER_RAN = (AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 MAY_STILL_RUN = (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
-WAITING_FOR_LOAD = 2.0  # AttemptProgress.amount of a WAITING attempt that waits for a load's table locks
+WAITING_FOR_LOAD = 2.0  # AttemptProgress.amount of a WAITING attempt that waits for a bulk load's table locks
 
 
 @dataclass(frozen=True, slots=True)
--- a/tealwing/interface/settings.py
+++ b/tealwing/interface/settings.py
@@ -52,8 +52,8 @@
     threads: int
     zones: frozenset[int] | None
     machine_kinds: frozenset[int] | None
-    locks_tables: bool = False  # its group of tables, on its engine, while it runs
-    waits_for_locks: bool = False  # while another holds its group there
+    locks_tables: bool = False  # a query locks its group of tables on its engine while it runs
+    waits_for_locks: bool = False  # a query waits while another one locks its group on the engine
 
     def __post_init__(self) -> None:
         _require(self.latency_objective > 0, "class TargetNs in seconds", self.latency_objective, "a number above 0")
--- a/tealwing/policy/fleet.py
+++ b/tealwing/policy/fleet.py
@@ -91,7 +91,7 @@
             traffic.estimated_time = traffic.estimated_time * MIX_RETENTION
             traffic.index_tables = {}
             traffic.best_latency += BEST_LATENCY_DRIFT * (traffic.mean_latency - traffic.best_latency)
-        # no reports arrive while all requests are rejected
+        # no report since the last rebuild and no open request, as when all requests are rejected
         if self.report_count == self.reports_at_rebuild and not self.requests:
             self.mean_report = {name: value * (1 - REPORT_DECAY) for name, value in self.mean_report.items()}
         self._update_mix()
--- a/tealwing/policy/rates.py
+++ b/tealwing/policy/rates.py
@@ -25,7 +25,7 @@
 MIN_LATENCY = 1e-4  # s: keeps the service rate finite
 MIX_RETENTION = 0.97  # share of a class's decayed counts that a rebuild keeps
 TIMER_MARGIN = 1e-6  # s added to timers, against rounding
-LOCK_WAIT_SHARE = 0.5  # share of a load's usual latency for which a reported lock is assumed to last
+LOCK_WAIT_SHARE = 0.5  # share of a bulk load's mean latency for which a reported lock is assumed to last
 CLASS_PRIORITIES = (3, 1)  # priority of the class with the highest weight per work, and of the others
 
 
