--- a/tealwing/resp/__init__.py
+++ b/tealwing/resp/__init__.py
@@ -1,1 +1,1 @@
-"""The engines' side: RESP messages, connections to one engine, and all engines by number."""
+"""Client side of the engine protocol: RESP messages, the connections to one engine, and the pool of all engines."""
--- a/tealwing/resp/connection.py
+++ b/tealwing/resp/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an engine: attempts that share it, and the reader's side of it."""
+"""One connection to an engine: the attempts multiplexed on it, and the dispatch of the answers read from it."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from tealwing.resp import messages
 from tealwing.resp.errors import AttemptWithdrawnError, ConnectError, ConnectionBrokenError, ConnectionEndedError
 
-WRITE_TIMEOUT = 0.25  # s that a write may wait for an engine which takes nothing
-WRITE_LOOK = 0.05  # s of these between two checks whether the attempt is still wanted: half of a client's 0.1 s
-SPENT_IDS = 1000  # ids of the past that a connection remembers, many more than one round trip's
-MESSAGE_TIMEOUT = 0.5  # s for the rest of a message that has begun: pages are short and engines near
-LAST_END = 2  # bytes of the line end that closes a message: an engine may act before it has them
-OVER = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the peer sends nothing more
+WRITE_TIMEOUT = 0.25  # s that a write may wait while the engine reads nothing
+WRITE_CHECK_INTERVAL = 0.05  # s between checks of a blocked write for a withdrawn attempt: half of a client's 0.1 s
+MAX_USED_IDS = 1000  # ids of finished attempts that a connection remembers; far more than finish in a round trip
+MESSAGE_TIMEOUT = 0.5  # s for the rest of an incomplete message: pages are short and engines are on the local network
+TERMINATOR_BYTES = 2  # bytes of the CRLF that ends a message: an engine may act before it receives them
+PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the peer sends nothing more
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One message of an engine for an attempt."""
+    """A message from an engine to an attempt."""
 
     stream: Stream
     status: bytes
@@ -48,14 +48,14 @@
 
 @dataclass(eq=False, slots=True)
 class Stream:
-    """One attempt on one connection."""
+    """An attempt in flight on a connection."""
 
     connection: Connection
     request_id: bytes
     sink: Sink = field(repr=False)
 
     def reprioritize(self, priority: int) -> None:
-        """Send a new priority."""
+        """Send the attempt's new priority to the engine."""
         self.connection.send_messages(b"hurry", self.request_id, b"%d" % priority)
 
     def fetch_pages(self, pages: range) -> None:
@@ -63,11 +63,11 @@
         self.connection.send_messages(*(part for n in pages for part in (b"turn", self.request_id, b"%d" % n)), size=3)
 
     def close_result(self) -> None:
-        """Request no more pages; those that still arrive are dropped."""
+        """Tell the engine that no more pages are needed; pages that still arrive are dropped."""
         self.connection.cancel(self, b"shut")
 
     def cancel(self) -> None:
-        """Cancel the attempt; what still arrives for it is dropped."""
+        """Cancel the attempt; messages that still arrive for it are dropped."""
         self.connection.cancel(self, b"never_mind")
 
     def finish(self) -> None:
@@ -75,39 +75,39 @@
         self.connection.detach(self)
 
     def fail_connection(self) -> None:
-        """End the connection after an invalid answer: nothing more on it can be trusted."""
+        """Close the connection after an invalid answer: nothing that arrives on it can be trusted any more."""
         self.connection.close(self)
 
 
 class Connection:
-    """One open connection. The reader hands answers to the streams' sinks.
+    """One open connection. The reader passes answers to the streams' sinks.
 
-    An attempt takes a place before it is sent and holds it to its end. Whether the connection closes is decided and
-    done under the lock under which places are taken, so that no attempt finds itself on one that was closed as unused.
+    An attempt reserves a slot before it is sent and holds it until it ends. The decision to close and the shutdown
+    happen under the lock that guards the slots, so that no attempt gets a slot on a connection closed as unused.
     """
 
     def __init__(self, sock: socket.socket, closed: Callable[[Connection], None]) -> None:
         self._sock, self._closed = sock, closed
-        self._writing = threading.Lock()  # one message at a time; taken before the other lock
-        self._lock = threading.Lock()  # guards all below; never held while the socket is waited for
-        self._reserved_ids: set[bytes] = set()  # ids of attempts that are to be written
+        self._writing = threading.Lock()  # serializes writes; acquired before `_lock`
+        self._lock = threading.Lock()  # guards the fields below; never held while waiting for the socket
+        self._reserved_ids: set[bytes] = set()  # ids of attempts with a slot that are not written yet
         self._streams: dict[bytes, Stream] = {}
-        self._spent_ids: dict[bytes, None] = {}  # in order; a dict, as every send looks an id up
-        self._alive = True  # until it is read no more
-        self._leaving = False  # takes no further attempt, and closes with the last one
+        self._used_ids: dict[bytes, None] = {}  # oldest first; a dict, because every send looks an id up
+        self._alive = True  # False once the reader has stopped reading the connection
+        self._retired = False  # accepts no further attempt, and closes with the last one
         self.idle_since = time.monotonic()
         self._parser = messages.Parser()
-        self._begun = 0.0  # monotonic; a time before the incomplete message began
-        self._look = select.poll()  # used under the write lock only
-        self._look.register(sock, select.POLLIN | select.POLLRDHUP)
+        self._message_begun = 0.0  # monotonic, no later than the start of the incomplete message; 0: none
+        self._end_poll = select.poll()  # used under the write lock only
+        self._end_poll.register(sock, select.POLLIN | select.POLLRDHUP)
 
     def fileno(self) -> int:
-        """The file descriptor."""
+        """Return the file descriptor of the socket."""
         return self._sock.fileno()
 
     @property
     def is_alive(self) -> bool:
-        """Whether the connection is still read."""
+        """Whether the reader still reads the connection."""
         return self._alive
 
     @property
@@ -117,63 +117,64 @@
 
     @property
     def reserved_count(self) -> int:
-        """Number of attempts that are to be written."""
+        """Number of attempts with a slot that are not written yet."""
         return len(self._reserved_ids)
 
-    def reserve(self, request_id: bytes, max_streams: int, patience: float) -> bool:
-        """Reserve a place for an attempt of this id; return False if it may not use this connection.
+    def reserve(self, request_id: bytes, max_streams: int, max_idle: float) -> bool:
+        """Reserve a slot for an attempt with this id; return False if it may not use this connection.
 
-        A connection that was idle for longer than patience closes: the engine is about to, and no send must cross that.
+        A connection that was idle for longer than max_idle seconds is closed: the engine is about to close it, and a
+        request sent at that moment would be lost.
         """
         with self._lock:
-            if self._leaving:
+            if self._retired:
                 return False
-            taken = len(self._reserved_ids) + len(self._streams)
-            if not taken and time.monotonic() > self.idle_since + patience:
+            held = len(self._reserved_ids) + len(self._streams)
+            if not held and time.monotonic() > self.idle_since + max_idle:
                 self._shut_down()
                 return False
-            # an answer to an earlier attempt of that id must not be taken for its own
+            # a late answer to an earlier attempt with this id would be delivered to this one
             if (
-                taken >= max_streams
+                held >= max_streams
                 or request_id in self._reserved_ids
                 or request_id in self._streams
-                or request_id in self._spent_ids
+                or request_id in self._used_ids
             ):
                 return False
             self._reserved_ids.add(request_id)
             return True
 
     def release(self, request_id: bytes) -> None:
-        """Release a place of which no byte was written, which leaves the idle time as it is."""
+        """Release the slot of an attempt of which no byte was written; the idle time is unchanged."""
         with self._lock:
             self._reserved_ids.discard(request_id)
-            self._close_if_leaving()
+            self._close_if_retired()
 
-    def submit(self, stream: Stream, head: SendFields, body: bytes) -> None:
+    def submit(self, stream: Stream, get_fields: SendFields, body: bytes) -> None:
         """Send the attempt. Raises ConnectError or AttemptWithdrawnError if nothing ran, else ConnectionBrokenError.
 
-        Either it hears one of these and nothing more, or its sink does what comes, to one end.
+        The outcome is reported once: by one of these errors, or to the stream's sink.
         """
         try:
             with self._writing:
                 if self._is_ended_by_engine():
-                    raise ConnectionEndedError("the connection has ended")
-                data = messages.encode(b"want", stream.request_id, head(), body)
+                    raise ConnectionEndedError("the connection has ended before the attempt was sent")
+                data = messages.encode(b"want", stream.request_id, get_fields(), body)
                 with self._lock:
-                    log.check_invariant(stream.request_id not in self._streams, "one attempt of an id on a connection")
+                    log.check_invariant(stream.request_id not in self._streams, "one attempt per id on a connection")
                     self._reserved_ids.discard(stream.request_id)
                     self._streams[stream.request_id] = stream
                 try:
-                    self._write(data, head)
+                    self._write(data, get_fields)
                 except (ConnectError, ConnectionBrokenError, AttemptWithdrawnError):
-                    self.detach(stream)  # before `ended` may run: the end is reported once
+                    self.detach(stream)  # before `ended` runs, which would report the failure again
                     raise
         except BaseException:
             self.release(stream.request_id)
             raise
 
     def send_messages(self, *parts: bytes, size: int = 0) -> None:
-        """Send messages that get no answer, of `size` parts each; a failure only ends the connection."""
+        """Send messages of `size` parts each that the engine does not answer; a failure only ends the connection."""
         size = size or len(parts)
         data = b"".join(messages.encode(*parts[at : at + size]) for at in range(0, len(parts), size))
         try:
@@ -184,42 +185,42 @@
             log.event("engine_write_failed", word=parts[0].decode())
 
     def detach(self, stream: Stream) -> None:
-        """Detach the stream and release its place."""
+        """Detach the stream and release its slot."""
         with self._lock:
             self._release_stream(stream)
-            if self._leaving:
-                self._close_if_leaving()
+            if self._retired:
+                self._close_if_retired()
 
     def cancel(self, stream: Stream, message: bytes) -> None:
-        """Detach the stream and notify the engine; a leaving connection closes after that."""
+        """Detach the stream and send the message to the engine; a retired connection closes after its last attempt."""
         with self._lock:
             self._release_stream(stream)
         self.send_messages(message, stream.request_id)
-        if self._leaving:
+        if self._retired:
             with self._lock:
-                self._close_if_leaving()
+                self._close_if_retired()
 
     def retire(self) -> None:
-        """Close once no attempt has a place: the engine has gone, and may never close it."""
+        """Close once no attempt has a slot: the engine has been removed, and may never close the connection itself."""
         with self._lock:
-            self._leaving = True
-            self._close_if_leaving()
+            self._retired = True
+            self._close_if_retired()
 
     def close_unused(self) -> None:
-        """Close if no attempt has a place."""
+        """Close the connection if no attempt has a slot."""
         with self._lock:
             if not self._reserved_ids and not self._streams:
                 self._shut_down()
 
-    def close(self, spoilt: Stream | None = None) -> None:
-        """Close, whatever is in flight; the reader ends too. The stream `spoilt` is not notified."""
+    def close(self, failed_stream: Stream | None = None) -> None:
+        """Close the connection, also with attempts in flight; the reader drops it. `failed_stream` is not notified."""
         with self._lock:
-            if spoilt is not None:
-                self._release_stream(spoilt)
+            if failed_stream is not None:
+                self._release_stream(failed_stream)
             self._shut_down()
 
     def discard(self) -> None:
-        """Close a connection that is not read: nothing else closes its descriptor."""
+        """Close a connection that the reader does not watch: nothing else closes its descriptor."""
         with self._lock:
             self._alive = False
             self._shut_down()
@@ -227,80 +228,85 @@
             self._sock.close()
 
     def _release_stream(self, stream: Stream) -> None:
-        """Release the place of a sent attempt. Call under the lock."""
+        """Release the slot of a sent attempt. The caller holds `_lock`."""
         if self._streams.get(stream.request_id) is stream:
             del self._streams[stream.request_id]
             self.idle_since = time.monotonic()
-            self._spent_ids[stream.request_id] = None
-            if len(self._spent_ids) > SPENT_IDS:
-                del self._spent_ids[next(iter(self._spent_ids))]
+            self._used_ids[stream.request_id] = None
+            if len(self._used_ids) > MAX_USED_IDS:
+                del self._used_ids[next(iter(self._used_ids))]
 
-    def _close_if_leaving(self) -> None:
-        """Close a leaving connection without attempts. Call under the lock."""
-        if self._leaving and not self._reserved_ids and not self._streams:
+    def _close_if_retired(self) -> None:
+        """Close a retired connection that has no attempts. The caller holds `_lock`."""
+        if self._retired and not self._reserved_ids and not self._streams:
             self._shut_down()
 
     def _shut_down(self) -> None:
-        """Shut the socket down; never blocks. Call under the lock: a closed descriptor may be reused."""
-        self._leaving = True
-        with contextlib.suppress(OSError):  # it may have ended by itself
+        """Shut the socket down without blocking. The caller holds `_lock`: a closed descriptor may be reused."""
+        self._retired = True
+        with contextlib.suppress(OSError):  # the peer may have closed it already
             self._sock.shutdown(socket.SHUT_RDWR)
 
     def _is_ended_by_engine(self) -> bool:
-        """Return whether the engine has ended the connection, perhaps unnoticed by the reader: a write would be lost.
+        """Return whether the engine has ended the connection, seen by the reader or not: a write would be lost.
 
-        Also behind answers that are unread. Where that can't be told, an end that has nothing before it is seen.
+        An end behind unread answers is found by poll. Where poll does not report it, an end is found only if no unread
+        data precedes it.
         """
         if not self._alive:
             return True
-        found = self._look.poll(0)
+        found = self._end_poll.poll(0)
         if not found:
             return False
-        over = bool(found[0][1] & OVER)
+        over = bool(found[0][1] & PEER_CLOSED_EVENTS)
         if not over:
             try:
                 over = not self._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-            except BlockingIOError:  # the reader was faster
+            except BlockingIOError:  # the reader has read the data in the meantime
                 return False
             except OSError:
                 over = True
         if over:
             with self._lock:
-                self._leaving = True  # the reader ends it after what is still buffered
+                self._retired = True  # the reader closes it after the buffered data
         return over
 
-    def _write(self, data: bytes, head: SendFields | None = None) -> None:
-        """Write under the write lock. A failure ends the connection: half a message may have left.
+    def _write(self, data: bytes, get_fields: SendFields | None = None) -> None:
+        """Write the data; the caller holds the write lock. A failure closes the connection: half a message may be sent.
 
-        head is asked again while the engine takes nothing: it raises Withdrawn where the attempt is wanted no more.
+        While the engine reads nothing, get_fields is called again: it raises AttemptWithdrawnError if the attempt was
+        withdrawn in the meantime.
         """
         sent, until = 0, inf
         try:
             while sent < len(data):
-                with contextlib.suppress(BlockingIOError):  # the engine took nothing for WRITE_LOOK
+                with contextlib.suppress(BlockingIOError):  # the engine read nothing for WRITE_CHECK_INTERVAL
                     sent += self._sock.send(data[sent:])
                 if sent == len(data):
                     return
                 until = min(until, time.monotonic() + WRITE_TIMEOUT)
-                if time.monotonic() > until:  # the engine takes a little now and then
-                    raise TimeoutError("the engine takes too little")
-                if head is not None and sent < len(data) - LAST_END:
-                    head()
+                if time.monotonic() > until:  # also if the engine reads a few bytes now and then
+                    raise TimeoutError(f"the engine read too little: {sent} of {len(data)} bytes in {WRITE_TIMEOUT} s")
+                if get_fields is not None and sent < len(data) - TERMINATOR_BYTES:
+                    get_fields()
         except AttemptWithdrawnError:
             self.close()
             raise
         except OSError as error:
             self.close()
-            if sent < len(data) - LAST_END:
+            if sent < len(data) - TERMINATOR_BYTES:
                 raise ConnectError(str(error)) from None
             raise ConnectionBrokenError(str(error)) from None
 
     def read(self, buffer: memoryview) -> float | None:
-        """Dispatch what has arrived; return the monotonic time by which the rest of a message must arrive."""
+        """Dispatch the messages that have arrived.
+
+        Returns the monotonic time by which the rest of an incomplete message must arrive, None if there is none.
+        """
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
         except BlockingIOError:  # a spurious wake-up
-            return self._begun + MESSAGE_TIMEOUT if self._parser.begun else None
+            return self._message_begun + MESSAGE_TIMEOUT if self._parser.begun else None
         if not size:
             raise EOFError
         found = self._parser.feed(buffer[:size])
@@ -309,19 +315,19 @@
         if self._parser.fault is not None:
             raise self._parser.fault
         if not self._parser.begun:
-            self._begun = 0.0
+            self._message_begun = 0.0
             return None
-        if found or not self._begun:  # on a busy connection most reads end within a further message
-            self._begun = time.monotonic()
-        return self._begun + MESSAGE_TIMEOUT
+        if found or not self._message_begun:  # a new message has begun: on a busy connection most reads end within one
+            self._message_begun = time.monotonic()
+        return self._message_begun + MESSAGE_TIMEOUT
 
     def ended(self, why: Exception | None) -> None:
-        """Close after the last read, and notify the attempts in flight."""
-        if not isinstance(why, EOFError):  # malformed input ends this connection only
+        """Close the connection after its last read, and notify the attempts in flight."""
+        if not isinstance(why, EOFError):  # malformed input ends only this connection
             log.event("engine_connection_failed", error=str(why))
         with self._lock:
             self._alive = False
-            self._shut_down()  # wakes a writer that waits for the engine
+            self._shut_down()  # wakes a writer that is blocked on the engine
         self._closed(self)
         with self._writing, self._lock:  # a writer has finished or failed by now
             left = list(self._streams.values())
@@ -332,9 +338,9 @@
 
     def _dispatch(self, parts: list[bytes]) -> None:
         if len(parts) != 4:
-            raise messages.RespError(f"a message of {len(parts)} parts")
+            raise messages.RespError(f"a message has {len(parts)} parts, not the 4 of an answer")
         call, status, fields, body = parts
         with self._lock:
             stream = self._streams.get(call)
-        if stream is not None:  # else it was cancelled: a late answer
+        if stream is not None:  # else the answer is late: its attempt was cancelled or has finished
             stream.sink(Answer(stream, status, messages.fields(fields), body))
--- a/tealwing/resp/engine.py
+++ b/tealwing/resp/engine.py
@@ -1,4 +1,4 @@
-"""Connections to one engine: opened as needed, shared by many attempts, read on the reader's one thread."""
+"""Connections to one engine: opened on demand, shared by many attempts, and all read by one reader thread."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from tealwing import threads
 from tealwing.connection_reader import Watch
-from tealwing.resp.connection import WRITE_LOOK, Connection, SendFields, Sink, Stream
+from tealwing.resp.connection import WRITE_CHECK_INTERVAL, Connection, SendFields, Sink, Stream
 from tealwing.resp.errors import ConnectError, ConnectionEndedError
 from tealwing.resp.quota import ConnectionQuota
 from tealwing.sockets import Address, prepare
 
-IDLE_SHARE = 0.8  # of the engine's idle time, after which a connection is not used again
-MAX_CONNECTIONS = 16  # to one engine: clients hold a third of the descriptors, so fewer do
+IDLE_TIMEOUT_FRACTION = 0.8  # of the engine's idle timeout; a connection that was idle for longer is not used again
+MAX_CONNECTIONS = 16  # to one engine: few suffice, as clients hold about a third of the descriptors
 
 
 class Engine:
-    """One process of one engine, at one address. A later process gets another Engine."""
+    """The connections to one process of an engine, at one address. A restarted process gets a new Engine."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         watch: Watch,
         quota: ConnectionQuota | None = None,
     ) -> None:
-        """Prepare connections to an address; `quota` bounds those of all engines together, None does not."""
+        """Set the address and the limits; `quota` bounds the connections to all engines together, None: no bound."""
         self.address, self._watch, self._quota = address, watch, quota or ConnectionQuota()
         self._streams, self._connect_limit, self._idle_limit = streams, connect_limit, idle_limit
         self._changed = threading.Condition()
@@ -39,95 +39,95 @@
         self._failures = 0  # number of failed connects
         self._retired = self._draining = False
 
-    def send(self, request_id: bytes, head: SendFields, body: bytes, sink: Sink, limit: float) -> Stream:
-        """Send one attempt; blocks for a connect at most. `head` is called right before the bytes are written."""
+    def send(self, request_id: bytes, get_fields: SendFields, body: bytes, sink: Sink, limit: float) -> Stream:
+        """Send one attempt; waits at most for a connect and a write. `get_fields` is called right before the write."""
         until = time.monotonic() + min(limit, self._connect_limit)
 
         def checked() -> bytes:
-            fields = head()
-            if self._retired or self._draining:  # checked again after waiting for a connect or write
+            fields = get_fields()
+            if self._retired or self._draining:  # may have changed during the wait for a connect or a write
                 self._check()
             return fields
 
         while True:
-            connection, fresh = self._reserve(request_id, until)
+            connection, is_new = self._reserve(request_id, until)
             stream = Stream(connection, request_id, sink)
             try:
                 connection.submit(stream, checked, body)
                 return stream
-            except ConnectionEndedError:  # mostly while it was idle: try another
-                if fresh:  # an engine that accepts and closes is not retried forever
+            except ConnectionEndedError:  # mostly while it was idle: try another connection
+                if is_new:  # an engine that accepts and closes at once is not retried forever
                     raise
 
     def set_draining(self, draining: bool) -> None:
-        """Set whether the engine is draining: attempts in flight go on, and no more are sent.
+        """Set whether the engine is draining: attempts in flight continue, and no more are sent.
 
-        The rules' grace is not used up. It counts from when the coordinator was told, which may be seconds before we
-        hear of it, and an engine that drains may turn away what still comes.
+        The grace period that the rules allow is not used. It starts when the coordinator is notified, possibly seconds
+        before this gateway learns of it, and a draining engine may reject attempts that still arrive.
         """
         with self._changed:
             self._draining = draining
-            self._changed.notify_all()  # waiters may use another engine
+            self._changed.notify_all()  # attempts that wait for a connect fail now, and may use another engine
 
     def set_limits(self, streams: int, connect_limit: float, idle_limit: float) -> None:
-        """Set the limits; attempts in flight stay where they are."""
+        """Set the limits for further attempts; attempts in flight keep their connections."""
         with self._changed:
             self._streams, self._connect_limit, self._idle_limit = streams, connect_limit, idle_limit
 
     def close_idle(self) -> None:
-        """Close unused connections."""
+        """Close the connections that no attempt uses."""
         with self._changed:
             all_open = list(self._open)
         for connection in all_open:
             connection.close_unused()
 
     def idle_connections(self) -> list[Connection]:
-        """Return the unused connections."""
+        """Return the connections that no attempt uses."""
         with self._changed:
             return [one for one in self._open if not one.stream_count and not one.reserved_count]
 
     def retire(self) -> None:
-        """Send nothing more; attempts in flight run to their end."""
+        """Send no further attempts; attempts in flight run to their end."""
         with self._changed:
             self._retired = True
-            left = list(self._open)
+            all_open = list(self._open)
             self._changed.notify_all()
-        for connection in left:
+        for connection in all_open:
             connection.retire()
 
     def _check(self) -> None:
-        """Raise ConnectError if the newest list allows no send."""
+        """Raise ConnectError if the newest engine list allows no send."""
         if self._retired:
-            raise ConnectError("the engine is gone")
+            raise ConnectError(f"the engine at {self.address} has been removed or replaced")
         if self._draining:
-            raise ConnectError("the engine drains")
+            raise ConnectError(f"the engine at {self.address} drains and accepts no attempts")
 
     def _reserve(self, request_id: bytes, until: float) -> tuple[Connection, bool]:
-        """Return a connection with a reserved place, and whether it was opened for that.
+        """Return a connection with a reserved slot, and whether it was opened for this attempt.
 
-        One thread opens a new one; the others wait for it and share its fate.
+        One thread at a time opens a connection. The others wait for the connect, and fail if it fails.
         """
         with self._changed:
             while True:
                 if self._retired or self._draining:
                     self._check()
                 for connection in self._open:
-                    if connection.reserve(request_id, self._streams, IDLE_SHARE * self._idle_limit):
+                    if connection.reserve(request_id, self._streams, IDLE_TIMEOUT_FRACTION * self._idle_limit):
                         return connection, False
                 if not self._opening:
                     if len(self._open) >= MAX_CONNECTIONS:
-                        raise ConnectError("too many connections")
+                        raise ConnectError(f"all {MAX_CONNECTIONS} connections to {self.address} are in use")
                     self._opening = True
                     break
                 failures = self._failures
                 if not self._changed.wait(until - time.monotonic()) or self._failures != failures:
-                    raise ConnectError("no connection in time")
+                    raise ConnectError(f"no connection to the engine at {self.address} was established in time")
         opened: Connection | None = None
-        place = False
+        reserved = False
         try:
-            place = self._quota.acquire(until)
-            if not place:
-                raise ConnectError("connections to engines hold all the descriptors that they may")
+            reserved = self._quota.acquire(until)
+            if not reserved:
+                raise ConnectError("connections to engines hold all the descriptors of their quota")
             opened = self._connect(until - time.monotonic())
             opened.reserve(request_id, self._streams, inf)
             try:
@@ -135,33 +135,33 @@
             except (
                 threads.ThreadUnavailableError,
                 OSError,
-            ) as error:  # nothing was sent: the module may choose another engine
+            ) as error:  # nothing was sent: the policy may choose another engine
                 opened.discard()
                 opened = None
-                raise ConnectError(f"nobody reads the connection: {error}") from None
+                raise ConnectError(f"nobody reads the connection to the engine at {self.address}: {error}") from None
             return opened, True
         finally:
             with self._changed:
                 self._opening = False
                 if opened is None:
                     self._failures += 1
-                elif opened.is_alive:  # else `_drop` has run already, and it would stay in the table forever
+                elif opened.is_alive:  # else `_drop` has run already, and the entry would never be removed
                     self._open.append(opened)
                     if self._retired:
                         opened.retire()
                 self._changed.notify_all()
-            if place and opened is None:
+            if reserved and opened is None:
                 self._quota.release()
 
     def _connect(self, limit: float) -> Connection:
         if limit <= 0:
-            raise ConnectError("no time left")
+            raise ConnectError(f"no time is left to connect to the engine at {self.address}")
         try:
             sock = socket.create_connection(self.address, timeout=limit)
         except OSError as error:
             raise ConnectError(str(error)) from None
         try:
-            prepare(sock, WRITE_LOOK)  # blocking from here on; the kernel enforces the write timeout
+            prepare(sock, WRITE_CHECK_INTERVAL)  # blocking; the kernel enforces the timeout of each write call
             return Connection(sock, self._drop)
         except OSError as error:
             sock.close()
--- a/tealwing/resp/engine_pool.py
+++ b/tealwing/resp/engine_pool.py
@@ -1,4 +1,4 @@
-"""The pool of engines that the coordinator listed, by the module's numbers."""
+"""The pool of engines from the coordinator's list, by engine number."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """The engines at their current addresses; a changed address or process gets new connections."""
 
     def __init__(self, limits: interface.Limits, max_connections: int = UNBOUNDED) -> None:
-        """Bound the connections at once, to all engines together."""
+        """Create an empty pool with at most max_connections open at once, to all engines together."""
         self._limits = limits
         self._quota = ConnectionQuota(max_connections, self._close_least_recently_used)
         self._lock = threading.Lock()
@@ -25,11 +25,11 @@
         self._reader = ConnectionReader()
 
     def start(self) -> None:
-        """Start the thread that reads all connections, before the first request."""
+        """Start the thread that reads all connections. Call before the first request."""
         self._reader.start()
 
     def set_limits(self, limits: interface.Limits) -> None:
-        """Set the limits of all engines, from the settings in force."""
+        """Set the limits of all engines, from the active settings."""
         with self._lock:
             self._limits = limits
             engines = [engine for _, engine in self._engines.values()]
@@ -37,7 +37,7 @@
             engine.set_limits(limits.attempts_per_connection, limits.connect_timeout, limits.idle_timeout)
 
     def update(self, members: tuple[Member, ...], complete: bool) -> None:
-        """Apply a watch update. Once this returns, nothing more is sent to draining or removed engines."""
+        """Apply an engine list update. Once this returns, nothing more is sent to draining or removed engines."""
         retired: list[Engine] = []
         with self._lock:
             named = {member.entry.engine for member in members}
@@ -46,29 +46,31 @@
             for member in members:  # in order: a removal may precede a start of the same engine
                 number, health = member.entry.engine, member.entry.health
                 before = self._engines.get(number)
-                alone = before is None or before[0].name == member.name
-                log.check_invariant(alone, "no two engines share a number")
-                engine = before[1] if before is not None and _same(before[0], member) else None
+                unique = before is None or before[0].name == member.name
+                log.check_invariant(unique, "no two engines share a number")
+                engine = before[1] if before is not None and _is_same_process(before[0], member) else None
                 if before is not None and (engine is None or health is interface.Health.GONE):
-                    # a reused address or a new process: the old connections must not serve it
+                    # the address or the process is new: the old connections must not be used for it
                     retired.append(self._engines.pop(number)[1])
                 if health is not interface.Health.GONE:
-                    engine = engine or self._engine(member)
+                    engine = engine or self._create_engine(member)
                     engine.set_draining(health is interface.Health.DRAINING)
                     self._engines[number] = member, engine
         for engine in retired:
             engine.retire()
 
-    def send(self, number: int, request_id: bytes, head: SendFields, body: bytes, sink: Sink, limit: float) -> Stream:
-        """Send one attempt to an engine."""
+    def send(
+        self, number: int, request_id: bytes, get_fields: SendFields, body: bytes, sink: Sink, limit: float
+    ) -> Stream:
+        """Send one attempt to the engine of that number. Raises ConnectError if there is none."""
         with self._lock:
             found = self._engines.get(number)
         if found is None:
-            raise ConnectError("the engine has been removed")
-        return found[1].send(request_id, head, body, sink, limit)
+            raise ConnectError(f"engine {number} has been removed")
+        return found[1].send(request_id, get_fields, body, sink, limit)
 
     def close_idle(self, number: int) -> None:
-        """Close the engine's idle connections."""
+        """Close the idle connections to an engine."""
         with self._lock:
             found = self._engines.get(number)
         if found is not None:
@@ -82,7 +84,7 @@
         if idle:
             min(idle, key=lambda connection: connection.idle_since).close_unused()
 
-    def _engine(self, member: Member) -> Engine:
+    def _create_engine(self, member: Member) -> Engine:
         limits = self._limits
         address = member.host, member.port
         return Engine(
@@ -95,5 +97,5 @@
         )
 
 
-def _same(one: Member, other: Member) -> bool:
+def _is_same_process(one: Member, other: Member) -> bool:
     return (one.host, one.port, one.entry.started) == (other.host, other.port, other.entry.started)
--- a/tealwing/resp/errors.py
+++ b/tealwing/resp/errors.py
@@ -1,4 +1,4 @@
-"""How an attempt fails before an engine's answer, and whether it may have run."""
+"""Errors of an attempt before its first answer; each says whether the attempt may have run."""
 
 
 class ConnectError(Exception):
@@ -6,12 +6,12 @@
 
 
 class ConnectionEndedError(ConnectError):
-    """The connection had ended before a byte of the attempt left: another may be taken."""
+    """The connection had ended before a byte of the attempt was sent: another connection may be used."""
 
 
 class ConnectionBrokenError(Exception):
-    """The connection failed when the attempt may have reached the engine completely: it may have run."""
+    """The connection failed after the attempt may have reached the engine completely: it may have run."""
 
 
 class AttemptWithdrawnError(Exception):
-    """The attempt was withdrawn before a byte of it was sent: nothing ran."""
+    """The attempt was withdrawn before it was sent completely: nothing ran."""
--- a/tealwing/resp/messages.py
+++ b/tealwing/resp/messages.py
@@ -1,41 +1,41 @@
-"""RESP arrays of bulk strings and the engines' messages; pure. Malformed input is a RespError."""
+"""RESP arrays of bulk strings, and the contents of engine messages. No I/O; malformed input raises RespError."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Mapping
 
-MAX_PARTS = 8  # strings in an array
-MAX_PART_BYTES = 16 * 1024  # of one received string: a page has at most 6,000
-MAX_LENGTH_DIGITS = 16  # bytes of a length line
+MAX_PARTS = 8  # bulk strings in an array
+MAX_PART_BYTES = 16 * 1024  # of a received bulk string: a page has at most 6,000
+MAX_LENGTH_LINE_BYTES = 16  # bytes of a length line, with its prefix and CRLF
 
 
 class RespError(ValueError):
-    """Malformed bytes; the connection they came from must end."""
+    """The input is malformed; the connection that it came from must be closed."""
 
 
 def encode(*parts: bytes) -> bytes:
-    """Return one array of bulk strings."""
+    """Return the parts as one RESP array of bulk strings."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
 class Parser:
-    """Cuts a stream into arrays of bulk strings, of bounded size."""
+    """Splits a byte stream into RESP arrays of bulk strings, of bounded size."""
 
     def __init__(self) -> None:
         self._data = bytearray()
         self._at = 0
-        self._expected_parts = 0  # missing strings of the incomplete array
+        self._expected_parts = 0  # bulk strings that the incomplete array still lacks
         self._parts: list[bytes] = []
-        self.fault: RespError | None = None  # of the bytes behind the arrays that `feed` returned last
+        self.fault: RespError | None = None  # error in the bytes after the arrays that `feed` returned last
 
     @property
     def begun(self) -> bool:
-        """Whether a message is incomplete."""
+        """Whether the parser holds an incomplete array."""
         return bool(self._data or self._expected_parts)
 
     def feed(self, data: bytes | memoryview) -> list[list[bytes]]:
-        """Return the complete arrays after more data; an error behind them is kept in `fault`."""
+        """Add data and return the arrays that are complete now; an error after them is kept in `fault`."""
         if self.fault is not None:
             raise self.fault
         self._data += data
@@ -57,7 +57,7 @@
             if count is None:
                 return None
             if not 1 <= count <= MAX_PARTS:
-                raise RespError(f"an array of {count}")
+                raise RespError(f"an array has {count} strings, not 1 to {MAX_PARTS}")
             self._expected_parts, self._parts = count, []
         while self._expected_parts:
             start = self._at
@@ -65,49 +65,50 @@
             if length is None:
                 return None
             if length > MAX_PART_BYTES:
-                raise RespError(f"a string of {length} bytes")
+                raise RespError(f"a bulk string has {length} bytes, more than {MAX_PART_BYTES}")
             end = self._at + length
             if len(self._data) < end + 2:
                 self._at = start
                 return None
             if self._data[end : end + 2] != b"\r\n":
-                raise RespError("a string without its end")
+                found = bytes(self._data[end : end + 2])
+                raise RespError(f"a bulk string of {length} bytes is followed by {found!r}, not CRLF")
             self._parts.append(bytes(self._data[self._at : end]))
             self._at, self._expected_parts = end + 2, self._expected_parts - 1
         return self._parts
 
-    def _length(self, mark: bytes) -> int | None:
-        """Return the number on a line that begins with the mark; None while the line is incomplete."""
-        end = self._data.find(b"\r\n", self._at, self._at + MAX_LENGTH_DIGITS)
-        head = self._data[self._at : self._at + 1]
-        if head and head != mark:
-            raise RespError(f"{bytes(head)!r} where {mark!r} was due")
+    def _length(self, prefix: bytes) -> int | None:
+        """Return the number on a line that begins with the prefix; None while the line is incomplete."""
+        end = self._data.find(b"\r\n", self._at, self._at + MAX_LENGTH_LINE_BYTES)
+        first = self._data[self._at : self._at + 1]
+        if first and first != prefix:
+            raise RespError(f"the prefix {prefix!r} is expected, not {bytes(first)!r}")
         if end < 0:
-            if len(self._data) - self._at >= MAX_LENGTH_DIGITS:
-                raise RespError("a length that does not end")
+            if len(self._data) - self._at >= MAX_LENGTH_LINE_BYTES:
+                raise RespError(f"a length line has no CRLF in its first {MAX_LENGTH_LINE_BYTES} bytes")
             return None
         digits = bytes(self._data[self._at + 1 : end])
         if not digits.isdigit():
-            raise RespError(f"a length of {digits!r}")
+            raise RespError(f"the length {digits!r} is not a number")
         self._at = end + 2
         return int(digits)
 
 
 def fields(data: bytes) -> dict[str, str]:
-    """Return FIELDS as a dict; `-` is empty."""
+    """Return the fields of a message (`name=value,...`) as a dict; `-` stands for none."""
     if data in (b"-", b""):
         return {}
     found = {}
     for part in data.decode("utf-8", "replace").split(","):
         name, equals, value = part.partition("=")
         if not name or not equals:
-            raise RespError(f"a field without a value: {part[:40]!r}")
+            raise RespError(f"the field {part[:40]!r} is not of the form name=value")
         found[name] = value
     return found
 
 
 def report(found: Mapping[str, str], names: tuple[str, ...]) -> tuple[float, ...]:
-    """Return the load report among an answer's fields, in the settings' order; empty if absent, NaN for a gap."""
+    """Return the load report of an answer, in the order of `names`; empty if there is none, NaN for a missing value."""
     if not found.get("rep"):
         return ()
     values = dict(part.partition(":")[::2] for part in found["rep"].split(";"))
@@ -115,7 +116,7 @@
 
 
 def number(text: str, other: float) -> float:
-    """Return the text as a number, or `other` if it is none."""
+    """Return the text as a finite number, or `other` if it is none."""
     try:
         value = float(text)
     except ValueError:
@@ -126,5 +127,5 @@
 def count(text: str | None, max_value: int) -> int:
     """Return the text as an integer from 0 to max_value. Raises RespError."""
     if text is None or not (text.isascii() and text.isdigit()) or len(text) > 9 or int(text) > max_value:
-        raise RespError(f"not a number up to {max_value}: {text!r}")
+        raise RespError(f"{text!r} is not an integer from 0 to {max_value}")
     return int(text)
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -518,7 +518,7 @@
         def poll(self, _: int) -> list[tuple[int, int]]:
             return [(connection.fileno(), told)]
 
-    vars(connection)["_look"] = Plain()
+    vars(connection)["_end_poll"] = Plain()
     stream = engine.send(b"second", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     assert (stream.connection is not connection) == ends
     for left in {connection, stream.connection}:
