--- a/tealwing/sockets.py
+++ b/tealwing/sockets.py
@@ -1,4 +1,4 @@
-"""Time limits of blocking sockets, kept by the kernel."""
+"""Time limits of blocking sockets, enforced by the kernel, and what the kernel knows about unread data."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 Address = tuple[str, int]
 
-OUT_OF_MEMORY_ERRORS = frozenset({errno.ENOMEM, errno.ENOBUFS})  # the call has done nothing, and may be made again
-MEMORY_PAUSE = 0.01  # s before a call is made again that had no memory: the kernel frees some within milliseconds
-OPTION_TRIES = 3  # of setting an option, at once: a connection without it is still better than none
+OUT_OF_MEMORY_ERRORS = frozenset({errno.ENOMEM, errno.ENOBUFS})  # the call had no effect and can be repeated
+MEMORY_PAUSE = 0.01  # s before a call that lacked memory is repeated: the kernel frees some within milliseconds
+OPTION_TRIES = 3  # immediate attempts to set an option: a connection without the option is better than none
 
 
 def is_short_of_memory(error: OSError) -> bool:
-    """Whether a call only lacked memory for a moment: its connection is as it was."""
+    """Return whether a call failed only because the kernel was short of memory: the connection is unaffected."""
     return error.errno in OUT_OF_MEMORY_ERRORS
 
 
 def prepare(sock: socket.socket, write_limit: float) -> None:
-    """Have what is written leave at once, and writes fail after write_limit seconds without progress.
+    """Make the socket blocking, without Nagle's algorithm; writes fail after write_limit seconds without progress.
 
-    An option that the system does not set, after some tries, costs a delay and not the connection.
+    If the options can't be set after OPTION_TRIES attempts, the connection is used without them: delays may be longer.
     """
     sock.settimeout(None)
     for _ in range(OPTION_TRIES):
@@ -35,9 +35,9 @@
 
 
 def send_all(sock: socket.socket, data: bytes, limit: float) -> None:
-    """Write all of the data; OSError where the peer has gone or has taken nothing for limit seconds.
+    """Write all of the data. Raises OSError if the peer has closed, or has read nothing for `limit` seconds.
 
-    Unlike `socket.sendall` it goes on after a moment without memory: half an answer must not be the last of it.
+    Unlike `socket.sendall`, it continues after a short lack of kernel memory, which must not truncate an answer.
     """
     left, until = memoryview(data), time.monotonic() + limit
     while left:
@@ -51,32 +51,32 @@
 
 
 def set_limit(sock: socket.socket, option: int, seconds: float) -> None:
-    """Let calls that read (SO_RCVTIMEO) or write (SO_SNDTIMEO) fail with BlockingIOError after some time."""
+    """Make reads (SO_RCVTIMEO) or writes (SO_SNDTIMEO) fail with BlockingIOError after this many seconds."""
     whole, rest = divmod(seconds, 1)
     sock.setsockopt(socket.SOL_SOCKET, option, struct.pack("ll", int(whole), int(rest * 1e6)))
 
 
-MEMORY_INFO = 55  # Linux: SO_MEMINFO (socket(7)), of which the first number is what unread data takes
-UNREAD = struct.Struct("=I")
+SO_MEMINFO = 55  # Linux, socket(7); the first integer of its value is the memory of unread data
+UNREAD_MEMORY = struct.Struct("=I")
 
 
 def has_unread(sock: socket.socket) -> bool:
-    """Whether data has come that nobody has read, by the kernel's books; False where it can't tell.
+    """Return whether the kernel holds unread data of the socket; False if it does not say.
 
-    Unlike a read this keeps the interpreter: no other thread runs between the answer and what is done upon it.
+    Unlike a read, this call keeps the interpreter lock: no other thread runs between the check and the caller's action.
     """
     try:
-        return bool(UNREAD.unpack(sock.getsockopt(socket.SOL_SOCKET, MEMORY_INFO, UNREAD.size))[0])
+        return bool(UNREAD_MEMORY.unpack(sock.getsockopt(socket.SOL_SOCKET, SO_MEMINFO, UNREAD_MEMORY.size))[0])
     except (OSError, struct.error):
         return False
 
 
-LAST_DATA = struct.Struct("=52xI")  # of struct tcp_info (linux/tcp.h): tcpi_last_data_recv, milliseconds
+LAST_RECV = struct.Struct("=52xI")  # tcpi_last_data_recv in struct tcp_info (linux/tcp.h), ms
 
 
 def seconds_since_data(sock: socket.socket) -> float:
-    """Seconds since data last came on a TCP connection, by the kernel's books; 0 where it can't tell."""
+    """Return the seconds since the kernel last received data on a TCP connection; 0 if it does not say."""
     try:
-        return float(LAST_DATA.unpack(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA.size))[0]) / 1e3
+        return float(LAST_RECV.unpack(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECV.size))[0]) / 1e3
     except (OSError, struct.error):
         return 0.0
--- a/tealwing/threads.py
+++ b/tealwing/threads.py
@@ -1,8 +1,8 @@
-"""Starting threads: the one place where the system's refusal of a thread is met, and where it is counted.
+"""Starts threads, and counts and logs the starts that the system refuses.
 
-Hundreds of gateways on one machine share its table of tasks (every thread is one, `kernel.pid_max`), so
-`Thread.start()` can fail with RuntimeError at any moment of a busy day. Callers get `NoThread` and decide
-what is lost: nothing, if they answer what they hold.
+Hundreds of gateways on one machine share its process IDs (each thread takes one, `kernel.pid_max`), so
+`Thread.start()` can raise RuntimeError at any time under load. Callers get ThreadUnavailableError and decide how to
+continue: no request is lost if they answer those that they have accepted.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 from tealwing import log
 
-PEAKS = 8  # the first high-water mark that is logged; each further one is twice the last: a few lines a process
+FIRST_PEAK = 8  # threads at the first logged peak; each further one is twice the last: a few log lines a process
 
 
 class ThreadUnavailableError(RuntimeError):
-    """The system gave no thread for now."""
+    """The system refused to start a thread; a later start may succeed."""
 
 
-refuse: Callable[[str], bool] | None = None  # for tests: refuses the thread of that name when it says so
+refuse: Callable[[str], bool] | None = None  # test hook: returns whether to refuse the thread of that name
 _lock = threading.Lock()
-_peak = PEAKS // 2
-_refused = 0  # starts refused since the last that went through: one log line an episode
+_peak = FIRST_PEAK // 2
+_refused = 0  # refused starts since the last successful one: each series logs one line
 
 
 def start(target: Callable[[], object], name: str) -> None:
-    """Start a daemon thread that runs target; NoThread when none can be had."""
+    """Start a daemon thread that runs target. Raises ThreadUnavailableError if the system refuses it."""
     global _peak, _refused
     try:
         if refuse is not None and refuse(name):
@@ -43,11 +43,11 @@
     count = threading.active_count()
     with _lock:
         refused, _refused = _refused, 0
-        peak = count >= 2 * _peak
-        if peak:
+        is_peak = count >= 2 * _peak
+        if is_peak:
             _peak = count
     if refused:
         log.event("threads_again", refused=refused, threads=count)
-    if peak:
+    if is_peak:
         names = Counter(thread.name for thread in threading.enumerate())
         log.event("threads_peak", threads=count, names=names)
