--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -1,4 +1,4 @@
-"""The connections to engines on real sockets: what ends them while an attempt is on its way, each crossing forced."""
+"""Connections to engines on real sockets: ends and closes that race with attempts, with each interleaving forced."""
 
 from __future__ import annotations
 
@@ -41,21 +41,21 @@
 from tests.peers import LIMIT, say
 
 PAGE = b"a\tb\tc\n"
-MANY = 8  # attempts that a connection takes
-IDLE = 30.0  # s
+MAX_STREAMS = 8  # attempts in flight that a connection accepts
+IDLE_TIMEOUT = 30.0  # s; the engine's idle timeout
 Sink = SimpleQueue[Any]
 
 
-def head() -> bytes:
+def empty_fields() -> bytes:
     return b"-"
 
 
-def no_head() -> bytes:
-    raise AttemptWithdrawnError("its client has left")
+def withdraw_fields() -> bytes:
+    raise AttemptWithdrawnError("the client has disconnected")
 
 
-class Machine:
-    """An engine played by hand: nothing is read, answered or closed but by the test."""
+class FakeEngine:
+    """A scripted engine: only the test reads, answers and closes its connections."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -69,8 +69,8 @@
         self.socks.append(sock)
         return sock
 
-    def alone(self) -> bool:
-        """Whether nobody else has connected; a connect on this machine is over when it returns."""
+    def is_backlog_empty(self) -> bool:
+        """Return whether no connection waits to be accepted; a local connect has arrived when it returns."""
         return not select.select([self.listener], [], [], 0)[0]
 
     def close(self) -> None:
@@ -78,8 +78,8 @@
             sock.close()
 
 
-def take(sock: socket.socket) -> list[bytes]:
-    """The next message that comes, and nothing of what follows; empty at the end."""
+def read_message(sock: socket.socket) -> list[bytes]:
+    """Read the next message and no byte beyond it; empty at the end of the connection."""
     parser = messages.Parser()
     while data := sock.recv(1):
         if found := parser.feed(data):
@@ -88,42 +88,42 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """End a connection with a reset instead of an end."""
+    """Close a connection with a reset (RST) instead of FIN."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 def wait_for_end(sock: socket.socket) -> None:
-    """Until the other side's end is in our buffer, behind whatever else is there."""
+    """Wait until the peer's end has arrived, possibly behind unread data."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     assert poll.poll(LIMIT * 1e3)
 
 
-def until(holds: Callable[[], bool]) -> None:
+def wait_until(holds: Callable[[], bool]) -> None:
     end = time.monotonic() + LIMIT
     while not holds():
         assert time.monotonic() < end
         time.sleep(0.001)
 
 
-def unread(connection: Any) -> None:
-    """Instead of the reader: the connection waits for the test to read it."""
+def leave_unread(connection: Any) -> None:
+    """Replace `ConnectionReader.watch`: the test itself reads the connection."""
 
 
-def read(connection: Connection) -> None:
-    """One turn of the reader."""
+def read_once(connection: Connection) -> None:
+    """Read the connection once, as the reader does."""
     try:
         connection.read(memoryview(bytearray(65536)))
     except (EOFError, OSError, ValueError) as error:
         connection.ended(error)
 
 
-def descriptors() -> set[tuple[str, str]]:
-    """What is open, by number and by what it is: a number that is used again for something else is new."""
+def open_descriptors() -> set[tuple[str, str]]:
+    """Return the open descriptors with their targets: a descriptor reused for another file counts as new."""
     found = set()
     for number in os.listdir("/proc/self/fd"):
-        with contextlib.suppress(OSError):  # the listing's own, closed since
+        with contextlib.suppress(OSError):  # the descriptor of the directory listing, closed by now
             found.add((number, os.readlink(f"/proc/self/fd/{number}")))
     return found
 
@@ -133,7 +133,7 @@
 
 
 class Sender(threading.Thread):
-    """A send on a thread of its own: its stream, or how it failed."""
+    """Runs a send on its own thread and keeps its stream or its error."""
 
     def __init__(self, send: Callable[..., Stream | None], *args: Any) -> None:
         super().__init__(daemon=True)
@@ -154,8 +154,8 @@
         return self.error
 
 
-class Held:
-    """A call that waits at its beginning until it is let go."""
+class BlockedCall:
+    """Wraps a function so that each call waits until the event `go` is set."""
 
     def __init__(self, call: Callable[..., Any]) -> None:
         self.call, self.reached, self.go = call, threading.Event(), threading.Event()
@@ -166,8 +166,8 @@
         return self.call(*args, **named)
 
 
-class Hooked:
-    """A socket with some methods of the test's."""
+class PatchedSocket:
+    """Wraps a socket and replaces some of its methods."""
 
     def __init__(self, sock: socket.socket, **methods: Callable[..., Any]) -> None:
         self.sock, self.methods = sock, methods
@@ -176,8 +176,8 @@
         return self.methods.get(name) or getattr(self.sock, name)
 
 
-class Watched:
-    """A lock that tells when somebody has to wait for it."""
+class ObservedLock:
+    """Wraps a lock and sets an event when a thread has to wait for it."""
 
     def __init__(self, lock: Any, waits: threading.Event) -> None:
         self.lock, self.waits = lock, waits
@@ -192,10 +192,10 @@
 
 
 @pytest.fixture
-def machine() -> Iterator[Machine]:
-    machine = Machine()
-    yield machine
-    machine.close()
+def fake_engine() -> Iterator[FakeEngine]:
+    fake_engine = FakeEngine()
+    yield fake_engine
+    fake_engine.close()
 
 
 @pytest.fixture(scope="module")
@@ -205,21 +205,21 @@
     return reader
 
 
-def engine_at(machine: Machine, watch: Watch, many: int = MANY) -> Engine:
-    return Engine(machine.address, many, LIMIT, IDLE, watch)
+def engine_at(fake_engine: FakeEngine, watch: Watch, max_streams: int = MAX_STREAMS) -> Engine:
+    return Engine(fake_engine.address, max_streams, LIMIT, IDLE_TIMEOUT, watch)
 
 
-def used(engine: Engine, machine: Machine) -> tuple[Connection, socket.socket]:
-    """A connection on which an attempt has come to its end, and the engine's side of it."""
-    heard: Sink = SimpleQueue()
-    stream = engine.send(b"first", head, b"SELECT 1", heard.put, LIMIT)
-    sock = machine.accept()
-    assert take(sock)[1] == b"first"
+def make_used_connection(engine: Engine, fake_engine: FakeEngine) -> tuple[Connection, socket.socket]:
+    """Return a connection on which an attempt has finished, and the engine's side of it."""
+    received: Sink = SimpleQueue()
+    stream = engine.send(b"first", empty_fields, b"SELECT 1", received.put, LIMIT)
+    sock = fake_engine.accept()
+    assert read_message(sock)[1] == b"first"
     stream.finish()
     return stream.connection, sock
 
 
-# Closes of ours: no attempt is cut by one
+# Closes by the gateway interrupt no attempt
 
 
 def close_idle(engine: Engine) -> None:
@@ -231,527 +231,531 @@
 
 
 @pytest.mark.parametrize("close", [close_idle, retire])
-def test_a_close_does_not_cut_a_send_that_takes_its_place_meanwhile(
-    machine: Machine, reader: ConnectionReader, close: Callable[[Engine], None]
+def test_close_does_not_interrupt_concurrent_send(
+    fake_engine: FakeEngine, reader: ConnectionReader, close: Callable[[Engine], None]
 ) -> None:
-    # was: unused connections were found under a lock and closed outside it, and what was sent between was lost
-    engine = engine_at(machine, reader.watch)
-    connection, sock = used(engine, machine)
-    heard: Sink = SimpleQueue()
+    # guards against closing outside the lock under which unused connections are found: attempts in between were lost
+    engine = engine_at(fake_engine, reader.watch)
+    connection, sock = make_used_connection(engine, fake_engine)
+    received: Sink = SimpleQueue()
     crossed, senders = threading.Event(), list[Sender]()
 
     def send() -> Stream:
         try:
-            return engine.send(b"second", head, b"SELECT 1", heard.put, LIMIT)
+            return engine.send(b"second", empty_fields, b"SELECT 1", received.put, LIMIT)
         finally:
             crossed.set()
 
     def shutdown(how: int) -> None:
-        """Decided, and not done yet: a send takes its chance now, and goes as far as it gets."""
+        """Start a send after the close was decided and before the shutdown, and let it run as far as it gets."""
         if not senders:
             senders.append(Sender(send))
             assert crossed.wait(LIMIT)
         real.shutdown(how)
 
     real = socket_of(connection)
-    vars(connection)["_lock"] = Watched(connection._lock, crossed)
-    vars(connection)["_sock"] = Hooked(real, shutdown=shutdown)
+    vars(connection)["_lock"] = ObservedLock(connection._lock, crossed)
+    vars(connection)["_sock"] = PatchedSocket(real, shutdown=shutdown)
     close(engine)
     assert senders
     error = senders[0].end()
     if close is retire:
-        assert isinstance(error, ConnectError)  # the engine has gone: nothing may be sent
-        assert take(sock) == []  # nor was it
+        assert isinstance(error, ConnectError)  # the engine has been removed: nothing may be sent
+        assert read_message(sock) == []  # and nothing was sent
     else:
         assert error is None
-        second = machine.accept()  # a connection of its own
-        assert take(sock) == [] and take(second)[1] == b"second"
+        second = fake_engine.accept()  # the attempt uses a new connection
+        assert read_message(sock) == [] and read_message(second)[1] == b"second"
         say(second, b"second", b"200", b"sheets=1", PAGE)
-        assert isinstance(heard.get(timeout=LIMIT), Answer)
+        assert isinstance(received.get(timeout=LIMIT), Answer)
     engine.retire()
 
 
 @pytest.mark.parametrize("close", [close_idle, retire])
-def test_a_place_that_was_taken_forbids_the_close(
-    machine: Machine, reader: ConnectionReader, monkeypatch: pytest.MonkeyPatch, close: Callable[[Engine], None]
+def test_reserved_slot_prevents_close(
+    fake_engine: FakeEngine, reader: ConnectionReader, monkeypatch: pytest.MonkeyPatch, close: Callable[[Engine], None]
 ) -> None:
-    # was: a retired connection asked for attempts that were sent, not for places; one sent before the shutdown was cut
-    engine = engine_at(machine, reader.watch)
-    connection, sock = used(engine, machine)
-    want = Held(Connection.submit)
+    # guards against counting only sent attempts, not reserved slots: one sent before the shutdown was interrupted
+    engine = engine_at(fake_engine, reader.watch)
+    connection, sock = make_used_connection(engine, fake_engine)
+    want = BlockedCall(Connection.submit)
     monkeypatch.setattr(Connection, "submit", lambda *args: want(*args))
-    heard: Sink = SimpleQueue()
-    sender = Sender(engine.send, b"second", head, b"SELECT 1", heard.put, LIMIT)
-    assert want.reached.wait(LIMIT)  # it has its place, and is not known to the connection yet
+    received: Sink = SimpleQueue()
+    sender = Sender(engine.send, b"second", empty_fields, b"SELECT 1", received.put, LIMIT)
+    assert want.reached.wait(LIMIT)  # its slot is reserved, and its stream is not registered yet
     closer, real = threading.current_thread(), socket_of(connection)
 
     def shutdown(how: int) -> None:
-        if threading.current_thread() is closer:  # decided, and not done yet
+        if threading.current_thread() is closer:  # after the decision to close, before the shutdown
             want.go.set()
             sender.end()
         real.shutdown(how)
 
-    vars(connection)["_sock"] = Hooked(real, shutdown=shutdown)
+    vars(connection)["_sock"] = PatchedSocket(real, shutdown=shutdown)
     close(engine)
     want.go.set()
     if close is retire:
         assert isinstance(sender.end(), ConnectError)
-        assert take(sock) == []  # closed as the place came back, with nothing sent
+        assert read_message(sock) == []  # closed when the slot was released, with nothing sent
     else:
         assert sender.end() is None
-        assert take(sock)[1] == b"second"
+        assert read_message(sock)[1] == b"second"
         say(sock, b"second", b"200", b"sheets=1", PAGE)
-        assert isinstance(heard.get(timeout=LIMIT), Answer)
+        assert isinstance(received.get(timeout=LIMIT), Answer)
     engine.retire()
 
 
-def test_a_connection_that_was_idle_too_long_is_closed_and_another_opened(
-    machine: Machine, reader: ConnectionReader
-) -> None:
-    engine = engine_at(machine, reader.watch)
-    connection, sock = used(engine, machine)
-    connection.idle_since -= IDLE
-    engine.send(b"second", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
-    assert take(machine.accept())[1] == b"second" and take(sock) == []
+def test_connection_idle_too_long_is_replaced(fake_engine: FakeEngine, reader: ConnectionReader) -> None:
+    engine = engine_at(fake_engine, reader.watch)
+    connection, sock = make_used_connection(engine, fake_engine)
+    connection.idle_since -= IDLE_TIMEOUT
+    engine.send(b"second", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+    assert read_message(fake_engine.accept())[1] == b"second" and read_message(sock) == []
     engine.retire()
 
 
-def test_what_closes_takes_no_attempt_though_its_reader_has_not_seen_it(machine: Machine) -> None:
-    # was: a send found the connection alive, and a try of its request was spent on a socket that was shut
-    engine = engine_at(machine, unread)
-    first = engine.send(b"first", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+def test_closing_connection_accepts_no_attempt_before_its_reader_notices(fake_engine: FakeEngine) -> None:
+    # guards against a send on a socket already shut down, which wasted one of the request's attempts
+    engine = engine_at(fake_engine, leave_unread)
+    first = engine.send(b"first", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     first.fail_connection()
-    second = engine.send(b"second", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+    second = engine.send(b"second", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     assert second.connection is not first.connection
     first.connection.ended(EOFError())
     second.connection.ended(EOFError())
 
 
-def test_an_attempt_given_up_on_a_retired_connection_is_told_before_the_close(
-    machine: Machine, reader: ConnectionReader
+def test_retired_connection_sends_cancellation_before_it_closes(
+    fake_engine: FakeEngine, reader: ConnectionReader
 ) -> None:
-    # was: the connection was shut first, and the word failed with a line in the log
-    engine = engine_at(machine, reader.watch)
-    stream = engine.send(b"first", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
-    sock = machine.accept()
-    assert take(sock)[0] == b"want"
+    # guards against shutting the connection down first: the cancellation then failed, with a log line
+    engine = engine_at(fake_engine, reader.watch)
+    stream = engine.send(b"first", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+    sock = fake_engine.accept()
+    assert read_message(sock)[0] == b"want"
     engine.retire()
     stream.cancel()
-    assert take(sock) == [b"never_mind", b"first"] and take(sock) == []
+    assert read_message(sock) == [b"never_mind", b"first"] and read_message(sock) == []
 
 
-# The last look before the bytes
+# The check right before the write
 
 
 def member(started: float = 0.0, health: api.Health = api.Health.READY, port: int = 1) -> Member:
     return Member("s-7", "127.0.0.1", port, entry(7, started=started, health=health))
 
 
-def gone(list_: EnginePool, port: int) -> None:
-    list_.update((member(health=api.Health.GONE, port=port),), False)
+def gone(pool: EnginePool, port: int) -> None:
+    pool.update((member(health=api.Health.GONE, port=port),), False)
 
 
-def unlisted(list_: EnginePool, port: int) -> None:
-    list_.update((), True)
+def unlisted(pool: EnginePool, port: int) -> None:
+    pool.update((), True)
 
 
-def replaced(list_: EnginePool, port: int) -> None:
-    list_.update((member(started=5.0, port=port),), False)
+def replaced(pool: EnginePool, port: int) -> None:
+    pool.update((member(started=5.0, port=port),), False)
 
 
-def draining(list_: EnginePool, port: int) -> None:
-    list_.update((member(health=api.Health.DRAINING, port=port),), False)
+def draining(pool: EnginePool, port: int) -> None:
+    pool.update((member(health=api.Health.DRAINING, port=port),), False)
 
 
 UPDATES = pytest.mark.parametrize("update", [gone, unlisted, replaced, draining])
 
 
-def limits(many: int = MANY) -> api.Limits:
-    return dataclasses.replace(make_settings().limits, connect_timeout=LIMIT, attempts_per_connection=many)
+def limits(max_streams: int = MAX_STREAMS) -> api.Limits:
+    return dataclasses.replace(make_settings().limits, connect_timeout=LIMIT, attempts_per_connection=max_streams)
 
 
-def listed(machine: Machine) -> EnginePool:
-    list_ = EnginePool(limits())
-    list_.update((member(port=machine.address[1]),), True)
-    list_.start()
-    return list_
+def make_pool(fake_engine: FakeEngine) -> EnginePool:
+    pool = EnginePool(limits())
+    pool.update((member(port=fake_engine.address[1]),), True)
+    pool.start()
+    return pool
 
 
-def nothing_came(machine: Machine, update: Callable[..., None], list_: EnginePool, socks: list[socket.socket]) -> None:
-    """Whether the old engine got no byte more, and what is sent after the next update comes first."""
+def assert_nothing_received(
+    fake_engine: FakeEngine, update: Callable[..., None], pool: EnginePool, socks: list[socket.socket]
+) -> None:
+    """Check that the old engine received nothing more on these connections before they were closed."""
     if update is draining:
-        replaced(list_, machine.address[1])  # it closes what is unused
+        replaced(pool, fake_engine.address[1])  # closes the unused connections
     for sock in socks:
-        assert take(sock) == []
+        assert read_message(sock) == []
 
 
 @UPDATES
-def test_a_connect_that_comes_up_after_the_update_sends_nothing(
-    machine: Machine, monkeypatch: pytest.MonkeyPatch, update: Callable[[EnginePool, int], None]
+def test_connect_completed_after_engine_update_sends_nothing(
+    fake_engine: FakeEngine, monkeypatch: pytest.MonkeyPatch, update: Callable[[EnginePool, int], None]
 ) -> None:
-    list_, port = listed(machine), machine.address[1]
-    connect = Held(socket.create_connection)
+    pool, port = make_pool(fake_engine), fake_engine.address[1]
+    connect = BlockedCall(socket.create_connection)
     monkeypatch.setattr(socket, "create_connection", connect)
-    opener = Sender(list_.send, 7, b"1", head, b"SELECT 1", None, LIMIT)
+    opener = Sender(pool.send, 7, b"1", empty_fields, b"SELECT 1", None, LIMIT)
     assert connect.reached.wait(LIMIT)
-    # another waits for the same connect
-    other = Sender(list_.send, 7, b"2", head, b"SELECT 1", None, LIMIT)
-    engine = list_._engines[7][1]
-    until(lambda: bool(engine._changed._waiters))  # type: ignore[attr-defined]
-    update(list_, port)
-    assert isinstance(other.end(), ConnectError)  # at once: nothing that it waits for could help it
+    # a second attempt waits for the same connect
+    other = Sender(pool.send, 7, b"2", empty_fields, b"SELECT 1", None, LIMIT)
+    engine = pool._engines[7][1]
+    wait_until(lambda: bool(engine._changed._waiters))  # type: ignore[attr-defined]
+    update(pool, port)
+    assert isinstance(other.end(), ConnectError)  # at once: the connect can't help it any more
     connect.go.set()
     assert isinstance(opener.end(), ConnectError)
-    nothing_came(machine, update, list_, [machine.accept()])
-    until(lambda: not engine._open)  # nothing is left of it
+    assert_nothing_received(fake_engine, update, pool, [fake_engine.accept()])
+    wait_until(lambda: not engine._open)  # the connection has been closed
 
 
 @UPDATES
-def test_a_send_that_waited_for_the_write_lock_sees_the_update(
-    machine: Machine, update: Callable[[EnginePool, int], None]
+def test_send_waiting_for_write_lock_sees_engine_update(
+    fake_engine: FakeEngine, update: Callable[[EnginePool, int], None]
 ) -> None:
-    list_, port = listed(machine), machine.address[1]
-    list_.send(7, b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).finish()
-    sock = machine.accept()
-    assert take(sock)[1] == b"1"
-    engine = list_._engines[7][1]
+    pool, port = make_pool(fake_engine), fake_engine.address[1]
+    pool.send(7, b"1", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).finish()
+    sock = fake_engine.accept()
+    assert read_message(sock)[1] == b"1"
+    engine = pool._engines[7][1]
     connection = engine._open[0]
-    held = Held(head)
-    first = Sender(list_.send, 7, b"2", held, b"SELECT 1", None, LIMIT)
-    assert held.reached.wait(LIMIT)  # it has the lock of writes, and has sent nothing yet
+    held = BlockedCall(empty_fields)
+    first = Sender(pool.send, 7, b"2", held, b"SELECT 1", None, LIMIT)
+    assert held.reached.wait(LIMIT)  # it holds the write lock and has sent nothing yet
     waits = threading.Event()
-    vars(connection)["_writing"] = Watched(connection._writing, waits)
-    second = Sender(list_.send, 7, b"3", head, b"SELECT 1", None, LIMIT)
+    vars(connection)["_writing"] = ObservedLock(connection._writing, waits)
+    second = Sender(pool.send, 7, b"3", empty_fields, b"SELECT 1", None, LIMIT)
     assert waits.wait(LIMIT)
-    update(list_, port)
+    update(pool, port)
     held.go.set()
     assert isinstance(first.end(), ConnectError) and isinstance(second.end(), ConnectError)
     assert connection.reserved_count == connection.stream_count == 0
-    nothing_came(machine, update, list_, [sock])
+    assert_nothing_received(fake_engine, update, pool, [sock])
 
 
-def test_an_engine_that_drains_and_returns_is_sent_to_again_on_its_connection(machine: Machine) -> None:
-    list_, port = listed(machine), machine.address[1]
-    list_.send(7, b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).finish()
-    sock = machine.accept()
-    draining(list_, port)
+def test_engine_ready_after_draining_is_used_again_on_its_connection(fake_engine: FakeEngine) -> None:
+    pool, port = make_pool(fake_engine), fake_engine.address[1]
+    pool.send(7, b"1", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).finish()
+    sock = fake_engine.accept()
+    draining(pool, port)
     with pytest.raises(ConnectError, match="drains"):
-        list_.send(7, b"2", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
-    list_.update((member(port=port),), False)
-    list_.send(7, b"2", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
-    assert [take(sock)[1] for _ in range(2)] == [b"1", b"2"] and machine.alone()
-    gone(list_, port)
-
-
-def test_attempts_that_are_out_when_the_engine_drains_get_their_answers(machine: Machine) -> None:
-    list_, port = listed(machine), machine.address[1]
-    heard: Sink = SimpleQueue()
-    stream = list_.send(7, b"1", head, b"SELECT 1", heard.put, LIMIT)
-    sock = machine.accept()
-    take(sock)
-    draining(list_, port)
-    gone(list_, port)
+        pool.send(7, b"2", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+    pool.update((member(port=port),), False)
+    pool.send(7, b"2", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+    assert [read_message(sock)[1] for _ in range(2)] == [b"1", b"2"] and fake_engine.is_backlog_empty()
+    gone(pool, port)
+
+
+def test_attempts_in_flight_get_answers_from_draining_engine(fake_engine: FakeEngine) -> None:
+    pool, port = make_pool(fake_engine), fake_engine.address[1]
+    received: Sink = SimpleQueue()
+    stream = pool.send(7, b"1", empty_fields, b"SELECT 1", received.put, LIMIT)
+    sock = fake_engine.accept()
+    read_message(sock)
+    draining(pool, port)
+    gone(pool, port)
     say(sock, b"1", b"200", b"sheets=1", PAGE)
-    assert isinstance(heard.get(timeout=LIMIT), Answer)
+    assert isinstance(received.get(timeout=LIMIT), Answer)
     stream.finish()
-    assert take(sock) == []
+    assert read_message(sock) == []
 
 
-def test_a_removal_and_a_start_in_one_event_are_taken_in_turn(machine: Machine) -> None:
-    # was: removals of an event were done after all its starts, so that the engine was gone for good
-    list_, port = listed(machine), machine.address[1]
-    list_.update((member(health=api.Health.GONE, port=port), member(started=5.0, port=port)), False)
-    list_.send(7, b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
-    assert take(machine.accept())[1] == b"1"
-    gone(list_, port)
+def test_removal_and_start_in_one_update_are_applied_in_order(fake_engine: FakeEngine) -> None:
+    # guards against applying all removals of an update after its starts: the engine stayed removed for good
+    pool, port = make_pool(fake_engine), fake_engine.address[1]
+    pool.update((member(health=api.Health.GONE, port=port), member(started=5.0, port=port)), False)
+    pool.send(7, b"1", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+    assert read_message(fake_engine.accept())[1] == b"1"
+    gone(pool, port)
 
 
-def test_an_attempt_withdrawn_leaves_no_trace(machine: Machine, reader: ConnectionReader) -> None:
-    # was: its id counted as spent, and the idle time as begun anew, though the engine had heard nothing
-    engine = engine_at(machine, reader.watch)
-    connection, sock = used(engine, machine)
+def test_withdrawn_attempt_leaves_connection_unchanged(fake_engine: FakeEngine, reader: ConnectionReader) -> None:
+    # guards against marking the id as used and resetting the idle time, though nothing was sent
+    engine = engine_at(fake_engine, reader.watch)
+    connection, sock = make_used_connection(engine, fake_engine)
     before = connection.idle_since
     for _ in range(3):
         with pytest.raises(AttemptWithdrawnError):
-            engine.send(b"second", no_head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+            engine.send(b"second", withdraw_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     assert (connection.reserved_count, connection.stream_count, connection.idle_since) == (0, 0, before)
-    engine.send(b"second", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
-    assert take(sock)[1] == b"second" and machine.alone()
+    engine.send(b"second", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+    assert read_message(sock)[1] == b"second" and fake_engine.is_backlog_empty()
     engine.retire()
 
 
-# Ends of the engine's side
+# Connections ended by the engine
 
 
 @pytest.mark.parametrize("behind", [b"", messages.encode(b"first", b"200", b"-", PAGE)], ids=["alone", "behind"])
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
-def test_an_end_that_is_in_our_buffer_is_seen_before_a_byte_is_written(
-    machine: Machine, behind: bytes, end: Callable[[socket.socket], None]
+def test_connection_end_in_receive_buffer_is_detected_before_write(
+    fake_engine: FakeEngine, behind: bytes, end: Callable[[socket.socket], None]
 ) -> None:
-    # was: only the reader saw ends, in its turn; what was written before went nowhere, and could not be repeated
-    engine = engine_at(machine, unread)
-    connection, sock = used(engine, machine)
-    sock.sendall(behind)  # a second answer, say
+    # guards against detecting ends only in the reader: a write before that was lost and could not be repeated
+    engine = engine_at(fake_engine, leave_unread)
+    connection, sock = make_used_connection(engine, fake_engine)
+    sock.sendall(behind)  # such as a second answer
     end(sock)
     wait_for_end(socket_of(connection))
-    heard: Sink = SimpleQueue()
-    stream = engine.send(b"second", head, b"SELECT 1", heard.put, LIMIT)
+    received: Sink = SimpleQueue()
+    stream = engine.send(b"second", empty_fields, b"SELECT 1", received.put, LIMIT)
     assert stream.connection is not connection
-    assert take(machine.accept())[1] == b"second"
-    read(connection)
+    assert read_message(fake_engine.accept())[1] == b"second"
+    read_once(connection)
     if connection.is_alive:
-        read(connection)
-    assert not connection.is_alive and engine._open == [stream.connection] and heard.empty()
+        read_once(connection)
+    assert not connection.is_alive and engine._open == [stream.connection] and received.empty()
     stream.connection.ended(EOFError())
 
 
 @pytest.mark.parametrize("ends", [True, False])
-@pytest.mark.parametrize("told", [select.POLLIN, select.POLLNVAL])
-def test_an_end_is_told_from_none_where_poll_can_not_tell_it(machine: Machine, told: int, ends: bool) -> None:
-    engine = engine_at(machine, unread)
-    connection, sock = used(engine, machine)
+@pytest.mark.parametrize("reported", [select.POLLIN, select.POLLNVAL])
+def test_connection_end_is_detected_when_poll_does_not_report_it(
+    fake_engine: FakeEngine, reported: int, ends: bool
+) -> None:
+    engine = engine_at(fake_engine, leave_unread)
+    connection, sock = make_used_connection(engine, fake_engine)
     if ends:
         sock.close()
         wait_for_end(socket_of(connection))
 
-    class Plain:
+    class FakePoll:
         def poll(self, _: int) -> list[tuple[int, int]]:
-            return [(connection.fileno(), told)]
+            return [(connection.fileno(), reported)]
 
-    vars(connection)["_end_poll"] = Plain()
-    stream = engine.send(b"second", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+    vars(connection)["_end_poll"] = FakePoll()
+    stream = engine.send(b"second", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     assert (stream.connection is not connection) == ends
     for left in {connection, stream.connection}:
         left.ended(EOFError())
 
 
-def test_an_answer_that_waits_to_be_read_is_no_end(machine: Machine) -> None:
-    engine = engine_at(machine, unread)
-    connection, sock = used(engine, machine)
+def test_unread_answer_does_not_count_as_connection_end(fake_engine: FakeEngine) -> None:
+    engine = engine_at(fake_engine, leave_unread)
+    connection, sock = make_used_connection(engine, fake_engine)
     say(sock, b"first", b"200", b"-", PAGE)
     assert select.select([socket_of(connection)], [], [], LIMIT)[0]
-    stream = engine.send(b"second", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
-    assert stream.connection is connection and take(sock)[1] == b"second"
+    stream = engine.send(b"second", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+    assert stream.connection is connection and read_message(sock)[1] == b"second"
     connection.ended(EOFError())
 
 
-def test_an_engine_that_ends_each_new_connection_is_not_asked_again_and_again(
-    machine: Machine, monkeypatch: pytest.MonkeyPatch
+def test_send_fails_when_engine_closes_each_new_connection(
+    fake_engine: FakeEngine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # was: a connection whose end was read before it stood in the table stayed there for good, sixteen of them for all
+    # guards against a leak: a connection whose end was read before it was in the table stayed there, up to all sixteen
     monkeypatch.setattr(engines, "MAX_CONNECTIONS", 2)
 
     def ended_at_once(connection: Any) -> None:
-        machine.accept().close()
+        fake_engine.accept().close()
         wait_for_end(socket_of(connection))
-        read(connection)
+        read_once(connection)
 
-    engine = engine_at(machine, ended_at_once)
-    before = descriptors()
+    engine = engine_at(fake_engine, ended_at_once)
+    before = open_descriptors()
     for _ in range(4):
         with pytest.raises(ConnectError, match="has ended"):
-            engine.send(b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
-    assert engine._open == [] and descriptors() <= before and machine.alone()
+            engine.send(b"1", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+    assert engine._open == [] and open_descriptors() <= before and fake_engine.is_backlog_empty()
 
 
-def test_what_the_engine_never_read_is_lost_once(machine: Machine, reader: ConnectionReader) -> None:
-    # no fault: the attempt had left whole when the engine closed, and nobody can tell whether it ran
-    engine = engine_at(machine, reader.watch)
-    heard: Sink = SimpleQueue()
-    stream = engine.send(b"1", head, b"SELECT 1", heard.put, LIMIT)
-    sock = machine.accept()
-    assert select.select([sock], [], [], LIMIT)[0]  # it is in the engine's buffer
-    sock.close()  # unread: a reset
-    assert heard.get(timeout=LIMIT) == StreamLost(stream)
-    until(lambda: not engine._open)
-    assert heard.empty()
+def test_attempt_unread_by_closing_engine_is_reported_lost_once(
+    fake_engine: FakeEngine, reader: ConnectionReader
+) -> None:
+    # the attempt was sent completely when the engine closed, so that it is unknown whether it ran
+    engine = engine_at(fake_engine, reader.watch)
+    received: Sink = SimpleQueue()
+    stream = engine.send(b"1", empty_fields, b"SELECT 1", received.put, LIMIT)
+    sock = fake_engine.accept()
+    assert select.select([sock], [], [], LIMIT)[0]  # the attempt is in the engine's receive buffer
+    sock.close()  # with unread data, so that the kernel sends a reset
+    assert received.get(timeout=LIMIT) == StreamLost(stream)
+    wait_until(lambda: not engine._open)
+    assert received.empty()
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
-def test_half_an_answer_then_an_end_is_a_loss_of_its_attempt_and_no_other(
-    machine: Machine, reader: ConnectionReader, end: Callable[[socket.socket], None]
+def test_connection_end_within_answer_loses_only_its_attempt(
+    fake_engine: FakeEngine, reader: ConnectionReader, end: Callable[[socket.socket], None]
 ) -> None:
-    engine = engine_at(machine, reader.watch)
-    heard: Sink = SimpleQueue()
-    streams = [engine.send(name, head, b"SELECT 1", heard.put, LIMIT) for name in (b"1", b"2")]
-    sock = machine.accept()
-    assert [take(sock)[1] for _ in range(2)] == [b"1", b"2"]
+    engine = engine_at(fake_engine, reader.watch)
+    received: Sink = SimpleQueue()
+    streams = [engine.send(name, empty_fields, b"SELECT 1", received.put, LIMIT) for name in (b"1", b"2")]
+    sock = fake_engine.accept()
+    assert [read_message(sock)[1] for _ in range(2)] == [b"1", b"2"]
     sock.sendall(messages.encode(b"1", b"200", b"-", PAGE) + messages.encode(b"2", b"200", b"-", PAGE)[:-9])
-    answer = heard.get(timeout=LIMIT)
+    answer = received.get(timeout=LIMIT)
     assert isinstance(answer, Answer) and answer.stream is streams[0]
     streams[0].finish()
     end(sock)
-    assert heard.get(timeout=LIMIT) == StreamLost(streams[1])
-    until(lambda: not engine._open)
-    assert heard.empty()
+    assert received.get(timeout=LIMIT) == StreamLost(streams[1])
+    wait_until(lambda: not engine._open)
+    assert received.empty()
 
 
-def test_a_whole_answer_is_heard_though_what_follows_it_is_malformed(machine: Machine) -> None:
-    # was: the answers that came in one read with malformed bytes were lost with them
-    engine = engine_at(machine, unread)
-    heard: Sink = SimpleQueue()
-    streams = [engine.send(name, head, b"SELECT 1", heard.put, LIMIT) for name in (b"1", b"2")]
-    sock = machine.accept()
+def test_complete_answer_before_malformed_bytes_is_delivered(fake_engine: FakeEngine) -> None:
+    # guards against losing the answers that arrive in one read with malformed bytes
+    engine = engine_at(fake_engine, leave_unread)
+    received: Sink = SimpleQueue()
+    streams = [engine.send(name, empty_fields, b"SELECT 1", received.put, LIMIT) for name in (b"1", b"2")]
+    sock = fake_engine.accept()
     sock.sendall(messages.encode(b"1", b"200", b"-", PAGE) + b"?no message\r\n")
     assert select.select([socket_of(streams[0].connection)], [], [], LIMIT)[0]
-    read(streams[0].connection)
-    answer = heard.get(timeout=LIMIT)
+    read_once(streams[0].connection)
+    answer = received.get(timeout=LIMIT)
     assert isinstance(answer, Answer) and answer.stream is streams[0] and answer.body == PAGE
-    # nobody has said of the first that it is over
-    assert [heard.get(timeout=LIMIT) for _ in streams] == [StreamLost(stream) for stream in streams]
+    # the first attempt was not finished either, so that both are lost
+    assert [received.get(timeout=LIMIT) for _ in streams] == [StreamLost(stream) for stream in streams]
 
 
-def test_an_answer_that_never_ends_is_a_loss(
-    machine: Machine, reader: ConnectionReader, monkeypatch: pytest.MonkeyPatch
+def test_incomplete_answer_is_lost_after_message_timeout(
+    fake_engine: FakeEngine, reader: ConnectionReader, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(connections, "MESSAGE_TIMEOUT", 0.05)
-    engine = engine_at(machine, reader.watch)
-    heard: Sink = SimpleQueue()
-    stream = engine.send(b"1", head, b"SELECT 1", heard.put, LIMIT)
-    sock = machine.accept()
-    take(sock)
+    engine = engine_at(fake_engine, reader.watch)
+    received: Sink = SimpleQueue()
+    stream = engine.send(b"1", empty_fields, b"SELECT 1", received.put, LIMIT)
+    sock = fake_engine.accept()
+    read_message(sock)
     sock.sendall(messages.encode(b"1", b"200", b"-", PAGE)[:-1])
-    assert heard.get(timeout=LIMIT) == StreamLost(stream)
-    assert take(sock) == []
-    until(lambda: not engine._open)
-    assert not reader._limits and heard.empty()
-
-
-def test_a_second_answer_reaches_nobody(machine: Machine, reader: ConnectionReader) -> None:
-    engine = engine_at(machine, reader.watch)
-    heard: Sink = SimpleQueue()
-    stream = engine.send(b"1", head, b"SELECT 1", heard.put, LIMIT)
-    sock = machine.accept()
-    take(sock)
+    assert received.get(timeout=LIMIT) == StreamLost(stream)
+    assert read_message(sock) == []
+    wait_until(lambda: not engine._open)
+    assert not reader._limits and received.empty()
+
+
+def test_second_answer_to_attempt_is_dropped(fake_engine: FakeEngine, reader: ConnectionReader) -> None:
+    engine = engine_at(fake_engine, reader.watch)
+    received: Sink = SimpleQueue()
+    stream = engine.send(b"1", empty_fields, b"SELECT 1", received.put, LIMIT)
+    sock = fake_engine.accept()
+    read_message(sock)
     say(sock, b"1", b"200", b"-", PAGE)
-    assert isinstance(heard.get(timeout=LIMIT), Answer)
+    assert isinstance(received.get(timeout=LIMIT), Answer)
     stream.finish()
     again: Sink = SimpleQueue()
-    second = engine.send(b"1", head, b"SELECT 1", again.put, LIMIT)  # the same id, and never here
+    second = engine.send(b"1", empty_fields, b"SELECT 1", again.put, LIMIT)  # used id: another connection
     assert second.connection is not stream.connection
     say(sock, b"1", b"200", b"-", PAGE)
     other: Sink = SimpleQueue()
-    assert engine.send(b"2", head, b"SELECT 1", other.put, LIMIT).connection is stream.connection
+    assert engine.send(b"2", empty_fields, b"SELECT 1", other.put, LIMIT).connection is stream.connection
     say(sock, b"2", b"200", b"-", PAGE)
-    assert isinstance(other.get(timeout=LIMIT), Answer)  # what came before it has been read
-    assert heard.empty() and again.empty()
+    assert isinstance(other.get(timeout=LIMIT), Answer)  # the earlier message has been read too
+    assert received.empty() and again.empty()
     engine.retire()
-    machine.accept().close()
+    fake_engine.accept().close()
     assert again.get(timeout=LIMIT) == StreamLost(second)
 
 
-def test_a_process_that_returns_at_the_same_address_gets_connections_of_its_own(machine: Machine) -> None:
-    list_, port = listed(machine), machine.address[1]
-    heard: Sink = SimpleQueue()
+def test_restarted_engine_at_same_address_gets_new_connections(fake_engine: FakeEngine) -> None:
+    pool, port = make_pool(fake_engine), fake_engine.address[1]
+    received: Sink = SimpleQueue()
     later: Sink = SimpleQueue()
-    old = list_.send(7, b"1", head, b"SELECT 1", heard.put, LIMIT)
-    before = machine.accept()
-    take(before)
-    replaced(list_, port)
-    new = list_.send(7, b"1", head, b"SELECT 1", later.put, LIMIT)
-    after = machine.accept()
-    assert take(after)[1] == b"1"
+    old = pool.send(7, b"1", empty_fields, b"SELECT 1", received.put, LIMIT)
+    before = fake_engine.accept()
+    read_message(before)
+    replaced(pool, port)
+    new = pool.send(7, b"1", empty_fields, b"SELECT 1", later.put, LIMIT)
+    after = fake_engine.accept()
+    assert read_message(after)[1] == b"1"
     say(before, b"1", b"200", b"-", b"old\tb\tc\n")
-    answer = heard.get(timeout=LIMIT)
+    answer = received.get(timeout=LIMIT)
     assert isinstance(answer, Answer) and answer.stream is old and answer.body == b"old\tb\tc\n"
     old.finish()
-    assert take(before) == []  # nothing is out there: it closes
+    assert read_message(before) == []  # no attempt is left, so that the connection closes
     say(after, b"1", b"200", b"-", PAGE)
     answer = later.get(timeout=LIMIT)
     assert isinstance(answer, Answer) and answer.stream is new and answer.body == PAGE
     new.finish()
-    gone(list_, port)
-    assert heard.empty() and later.empty()
+    gone(pool, port)
+    assert received.empty() and later.empty()
 
 
-# Writes that fail
+# Failing writes
 
 
-def test_a_write_that_stops_half_way_never_ran(
-    machine: Machine, reader: ConnectionReader, monkeypatch: pytest.MonkeyPatch
+def test_incomplete_write_counts_as_not_run(
+    fake_engine: FakeEngine, reader: ConnectionReader, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # was: a request of a class unsafe to repeat was failed, though no engine can have had it whole
+    # guards against failing a request unsafe to repeat, though no engine can have received it completely
     monkeypatch.setattr(connections, "WRITE_TIMEOUT", 0.05)
-    engine = engine_at(machine, reader.watch)
-    heard: Sink = SimpleQueue()
-    out = engine.send(b"1", head, b"SELECT 1", heard.put, LIMIT)
-    sock = machine.accept()
+    engine = engine_at(fake_engine, reader.watch)
+    received: Sink = SimpleQueue()
+    out = engine.send(b"1", empty_fields, b"SELECT 1", received.put, LIMIT)
+    sock = fake_engine.accept()
     big: Sink = SimpleQueue()
     with pytest.raises(ConnectError):
-        engine.send(b"2", head, b"x" * (1 << 26), big.put, LIMIT)  # more than the buffers take
-    assert heard.get(timeout=LIMIT) == StreamLost(out)
-    until(lambda: not engine._open)
+        engine.send(b"2", empty_fields, b"x" * (1 << 26), big.put, LIMIT)  # more than the socket buffers hold
+    assert received.get(timeout=LIMIT) == StreamLost(out)
+    wait_until(lambda: not engine._open)
     assert big.empty() and out.connection.stream_count == out.connection.reserved_count == 0
-    assert take(sock)[1] == b"1"
+    assert read_message(sock)[1] == b"1"
     size = 0
     while data := sock.recv(1 << 20):
         size += len(data)
     assert 0 < size < 1 << 26
 
 
-def test_a_write_of_which_only_the_last_line_end_is_missing_may_have_run(machine: Machine) -> None:
-    engine = engine_at(machine, unread)
-    connection, sock = used(engine, machine)
+def test_write_lacking_only_its_terminator_may_have_run(fake_engine: FakeEngine) -> None:
+    engine = engine_at(fake_engine, leave_unread)
+    connection, sock = make_used_connection(engine, fake_engine)
     real = socket_of(connection)
-    turns = itertools.chain((-1,), itertools.repeat(None))  # one write waits in several calls
+    turns = itertools.chain((-1,), itertools.repeat(None))  # one write waits through several send calls
 
     def send(data: bytes) -> int:
         if (most := next(turns)) is None:
             raise BlockingIOError("the engine takes nothing")
         return real.send(data[:most])
 
-    vars(connection)["_sock"] = Hooked(real, send=send)
+    vars(connection)["_sock"] = PatchedSocket(real, send=send)
     with pytest.raises(ConnectionBrokenError):
-        engine.send(b"2", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+        engine.send(b"2", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     connection.ended(EOFError())
 
 
-def test_an_engine_that_takes_a_little_now_and_then_does_not_hold_the_writer(
-    machine: Machine, monkeypatch: pytest.MonkeyPatch
+def test_slowly_reading_engine_does_not_extend_write_timeout(
+    fake_engine: FakeEngine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # was: each byte that was taken gave the write its whole time again
+    # guards against restarting the write timeout with each byte that the engine reads
     monkeypatch.setattr(connections, "WRITE_TIMEOUT", 0.05)
-    engine = engine_at(machine, unread)
-    connection, sock = used(engine, machine)
+    engine = engine_at(fake_engine, leave_unread)
+    connection, sock = make_used_connection(engine, fake_engine)
     real = socket_of(connection)
     calls: list[float] = []
 
     def send(data: bytes) -> int:
         calls.append(time.monotonic())
         if len(calls) > 1:
-            time.sleep(0.03)  # within the limit of one call
+            time.sleep(0.03)  # within the time limit of one send call
         return real.send(data[:1])
 
-    vars(connection)["_sock"] = Hooked(real, send=send)
+    vars(connection)["_sock"] = PatchedSocket(real, send=send)
     with pytest.raises(ConnectError, match="too little"):
-        engine.send(b"2", head, b"SELECT 1 FROM a_table_with_a_long_name", SimpleQueue[Any]().put, LIMIT)
+        engine.send(b"2", empty_fields, b"SELECT 1 FROM a_table_with_a_long_name", SimpleQueue[Any]().put, LIMIT)
     assert len(calls) <= 5
     connection.ended(EOFError())
 
 
-def test_a_connection_that_ends_under_a_write_tells_it_once(machine: Machine) -> None:
-    # was: the writer heard that it failed, and its sink that it was lost
-    engine = engine_at(machine, unread)
-    connection, sock = used(engine, machine)
+def test_connection_end_during_write_is_reported_once(fake_engine: FakeEngine) -> None:
+    # guards against two reports: an error to the writer and a loss to its sink
+    engine = engine_at(fake_engine, leave_unread)
+    connection, sock = make_used_connection(engine, fake_engine)
     real = socket_of(connection)
-    send = Held(real.send)
-    vars(connection)["_sock"] = Hooked(real, send=send)
-    heard: Sink = SimpleQueue()
-    sender = Sender(engine.send, b"2", head, b"SELECT 1", heard.put, LIMIT)
+    send = BlockedCall(real.send)
+    vars(connection)["_sock"] = PatchedSocket(real, send=send)
+    received: Sink = SimpleQueue()
+    sender = Sender(engine.send, b"2", empty_fields, b"SELECT 1", received.put, LIMIT)
     assert send.reached.wait(LIMIT)
     ends = threading.Thread(target=connection.ended, args=(EOFError(),), daemon=True)
     ends.start()
-    until(lambda: not connection.is_alive)
-    assert take(sock) == []  # it is shut
+    wait_until(lambda: not connection.is_alive)
+    assert read_message(sock) == []  # the connection has been shut down
     send.go.set()
     assert isinstance(sender.end(), ConnectError)
     ends.join(LIMIT)
-    assert heard.empty() and connection.stream_count == connection.reserved_count == 0
+    assert received.empty() and connection.stream_count == connection.reserved_count == 0
 
 
-def test_a_connection_that_ends_as_the_last_byte_has_left_tells_the_sink_once(machine: Machine) -> None:
-    engine = engine_at(machine, unread)
-    connection, sock = used(engine, machine)
+def test_connection_end_after_last_byte_is_reported_once_to_sink(fake_engine: FakeEngine) -> None:
+    engine = engine_at(fake_engine, leave_unread)
+    connection, sock = make_used_connection(engine, fake_engine)
     real = socket_of(connection)
     sent, go = threading.Event(), threading.Event()
 
@@ -761,62 +765,64 @@
         assert go.wait(LIMIT)
         return size
 
-    vars(connection)["_sock"] = Hooked(real, send=send)
-    heard: Sink = SimpleQueue()
-    sender = Sender(engine.send, b"2", head, b"SELECT 1", heard.put, LIMIT)
+    vars(connection)["_sock"] = PatchedSocket(real, send=send)
+    received: Sink = SimpleQueue()
+    sender = Sender(engine.send, b"2", empty_fields, b"SELECT 1", received.put, LIMIT)
     assert sent.wait(LIMIT)
     ends = threading.Thread(target=connection.ended, args=(EOFError(),), daemon=True)
     ends.start()
-    until(lambda: not connection.is_alive)
+    wait_until(lambda: not connection.is_alive)
     go.set()
     assert sender.end() is None and sender.stream is not None
-    assert heard.get(timeout=LIMIT) == StreamLost(sender.stream)
+    assert received.get(timeout=LIMIT) == StreamLost(sender.stream)
     ends.join(LIMIT)
-    assert heard.empty() and connection.stream_count == 0 and connection.fileno() == -1
+    assert received.empty() and connection.stream_count == 0 and connection.fileno() == -1
 
 
-def test_a_connection_discarded_under_a_write_lets_the_writer_go(machine: Machine) -> None:
-    # was: the discard waited for the writer, which waited for its engine
-    ours, theirs = socket.socketpair()  # with no limit on writes
+def test_discarding_connection_unblocks_writer(fake_engine: FakeEngine) -> None:
+    # guards against a deadlock: the discard waited for the writer, which waited for the engine
+    ours, theirs = socket.socketpair()  # without a time limit on writes
     connection = Connection(ours, lambda _: None)
-    heard: Sink = SimpleQueue()
-    sender = Sender(connection.submit, Stream(connection, b"1", heard.put), head, b"x" * (1 << 24))
+    received: Sink = SimpleQueue()
+    sender = Sender(connection.submit, Stream(connection, b"1", received.put), empty_fields, b"x" * (1 << 24))
     assert theirs.recv(4) == b"*4\r\n"
     discarder = threading.Thread(target=connection.discard, daemon=True)
     discarder.start()
     discarder.join(LIMIT)
     assert not discarder.is_alive()
     assert isinstance(sender.end(), ConnectError)
-    assert connection.fileno() == -1 and connection.stream_count == 0 and heard.empty()
+    assert connection.fileno() == -1 and connection.stream_count == 0 and received.empty()
     theirs.close()
 
 
-def test_a_connection_that_can_not_be_watched_leaves_nothing(machine: Machine, reader: ConnectionReader) -> None:
-    class Full:
+def test_connection_that_cannot_be_watched_leaves_no_resources(
+    fake_engine: FakeEngine, reader: ConnectionReader
+) -> None:
+    class FullEpoll:
         def register(self, *_: int) -> None:
             raise OSError("no space left")
 
     epoll = reader._poll
-    engine = engine_at(machine, reader.watch)
-    before, watched = descriptors(), dict(reader._watched)
-    vars(reader)["_poll"] = Full()
+    engine = engine_at(fake_engine, reader.watch)
+    before, watched = open_descriptors(), dict(reader._watched)
+    vars(reader)["_poll"] = FullEpoll()
     try:
         with pytest.raises(ConnectError, match="nobody reads"):
-            engine.send(b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
+            engine.send(b"1", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
     finally:
         vars(reader)["_poll"] = epoll
-    assert descriptors() <= before and reader._watched == watched and engine._open == []
-    assert take(machine.accept()) == []
-    engine.send(b"1", head, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).finish()
+    assert open_descriptors() <= before and reader._watched == watched and engine._open == []
+    assert read_message(fake_engine.accept()) == []
+    engine.send(b"1", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT).finish()
     engine.retire()
 
 
-def test_a_limit_of_a_connection_that_has_ended_is_not_that_of_the_next_with_its_descriptor() -> None:
-    # was: limits of new connections were kept by descriptor, which another may have when they are looked at
+def test_time_limit_does_not_pass_to_next_connection_with_same_descriptor() -> None:
+    # guards against keeping new connections' limits by descriptor only: another connection may have reused it
     reader = ConnectionReader("test-reader", limited=True)
 
-    class Same:
-        """A connection whose descriptor is that of the one before."""
+    class FakeConnection:
+        """A connection with the same descriptor as its predecessor."""
 
         def fileno(self) -> int:
             return 5
@@ -834,7 +840,7 @@
         def unregister(self, number: int) -> None:
             pass
 
-    first, second, ends, now = Same(), Same(), list[Same](), time.monotonic()
+    first, second, ends, now = FakeConnection(), FakeConnection(), list[FakeConnection](), time.monotonic()
     vars(reader).update(_poll=Epoll(), _started=True)
     reader.watch(first, now - 1.0)
     reader._read(5, memoryview(b""))
@@ -844,225 +850,225 @@
     assert ends == [first] and reader._limits == {5: now + LIMIT}
 
 
-# Any order of it all
+# Random orders of all these events
 
 
 class Attempt:
-    """One attempt that is out, as the test holds it."""
+    """An attempt in flight: its stream, what its sink received, and the engine's socket."""
 
-    def __init__(self, stream: Stream, heard: Sink, sock: socket.socket) -> None:
-        self.stream, self.heard, self.sock = stream, heard, sock
-        self.half = b""  # of its answer, that has still to come
+    def __init__(self, stream: Stream, received: Sink, sock: socket.socket) -> None:
+        self.stream, self.received, self.sock = stream, received, sock
+        self.rest = b""  # rest of a partly sent answer
 
 
-IDS = 4  # of attempts that are sent: few, so that each comes again
+IDS = 4  # ids of attempts: few, so that each is used repeatedly
 
 
 class Connections(RuleBasedStateMachine):
-    """One engine's connections, its processes, and the attempts on them; the reader is the real one."""
+    """The connections to one engine, its successive processes and the attempts, with a real ConnectionReader."""
 
     reader = ConnectionReader("test-machine-reader")
 
     @initialize()
     def start(self) -> None:
         self.reader.start()
-        self.machine = Machine()
-        self.before = descriptors()
-        self.list = EnginePool(limits(many=2))
-        vars(self.list)["_reader"] = self.reader
+        self.fake_engine = FakeEngine()
+        self.before = open_descriptors()
+        self.pool = EnginePool(limits(max_streams=2))
+        vars(self.pool)["_reader"] = self.reader
         self.started, self.health = 1.0, api.Health.READY
-        self.out: dict[int, Attempt] = {}
-        self.over: list[Sink] = []  # of attempts that have heard their end: nothing more may come
+        self.in_flight: dict[int, Attempt] = {}
+        self.finished: list[Sink] = []  # sinks of finished attempts: nothing more may arrive
         self.socks: dict[tuple[str, int], socket.socket] = {}
         self.engines: list[Engine] = []
-        self.had: list[tuple[socket.socket, int]] = []  # ids that a connection has had
+        self.used_ids: list[tuple[socket.socket, int]] = []  # ids that were used on each connection
         self.update()
 
     def update(self) -> None:
-        self.list.update((member(self.started, self.health, self.machine.address[1]),), False)
-        found = self.list._engines.get(7)
+        self.pool.update((member(self.started, self.health, self.fake_engine.address[1]),), False)
+        found = self.pool._engines.get(7)
         if found is not None and found[1] not in self.engines:
             self.engines.append(found[1])
 
-    def side_of(self, connection: Connection) -> socket.socket:
-        """The engine's side of a connection, its messages read so far."""
+    def engine_side_of(self, connection: Connection) -> socket.socket:
+        """Return the engine's side of a connection."""
         name = socket_of(connection).getsockname()
         while name not in self.socks:
-            sock = self.machine.accept()
+            sock = self.fake_engine.accept()
             self.socks[sock.getpeername()] = sock
         return self.socks[name]
 
     def attempt(self, data: Any) -> Attempt:
-        return self.out.pop(data.draw(st.sampled_from(sorted(self.out))))
+        return self.in_flight.pop(data.draw(st.sampled_from(sorted(self.in_flight))))
 
-    def lose(self, sock: socket.socket) -> None:
-        """Its connection has ended: all that is out there hears so, once."""
+    def expect_losses(self, sock: socket.socket) -> None:
+        """Check that each attempt in flight on an ended connection is reported lost once."""
         self.socks = {name: other for name, other in self.socks.items() if other is not sock}
-        for call, attempt in list(self.out.items()):
+        for call, attempt in list(self.in_flight.items()):
             if attempt.sock is sock:
-                assert attempt.heard.get(timeout=LIMIT) == StreamLost(attempt.stream)
-                self.over.append(attempt.heard)
-                del self.out[call]
+                assert attempt.received.get(timeout=LIMIT) == StreamLost(attempt.stream)
+                self.finished.append(attempt.received)
+                del self.in_flight[call]
 
     @rule(calls=st.permutations(range(IDS)), count=st.integers(1, IDS))
     def send(self, calls: list[int], count: int) -> None:
         for call in calls[:count]:
-            if call not in self.out:
+            if call not in self.in_flight:
                 self.send_one(call)
 
     def send_one(self, call: int) -> None:
-        heard: Sink = SimpleQueue()
+        received: Sink = SimpleQueue()
         try:
-            stream = self.list.send(7, b"%d" % call, head, b"SELECT 1", heard.put, LIMIT)
+            stream = self.pool.send(7, b"%d" % call, empty_fields, b"SELECT 1", received.put, LIMIT)
         except ConnectError:
             assert self.health is not api.Health.READY
-            self.over.append(heard)
+            self.finished.append(received)
             return
         assert self.health is api.Health.READY
-        sock = self.side_of(stream.connection)
-        while (parts := take(sock))[:2] != [b"want", b"%d" % call]:
+        sock = self.engine_side_of(stream.connection)
+        while (parts := read_message(sock))[:2] != [b"want", b"%d" % call]:
             assert parts[0] in (b"want", b"never_mind", b"shut", b"hurry")
-        self.out[call] = Attempt(stream, heard, sock)
-        assert (sock, call) not in self.had  # a late answer to the earlier one would be its own
-        self.had.append((sock, call))
+        self.in_flight[call] = Attempt(stream, received, sock)
+        assert (sock, call) not in self.used_ids  # else it could get a late answer to the earlier attempt
+        self.used_ids.append((sock, call))
 
     @rule(call=st.integers(0, IDS - 1))
     def withdraw(self, call: int) -> None:
-        if call not in self.out:
-            heard: Sink = SimpleQueue()
+        if call not in self.in_flight:
+            received: Sink = SimpleQueue()
             with pytest.raises((AttemptWithdrawnError, ConnectError)):
-                self.list.send(7, b"%d" % call, no_head, b"SELECT 1", heard.put, LIMIT)
-            self.over.append(heard)
+                self.pool.send(7, b"%d" % call, withdraw_fields, b"SELECT 1", received.put, LIMIT)
+            self.finished.append(received)
 
-    @precondition(lambda self: self.out)
+    @precondition(lambda self: self.in_flight)
     @rule(data=st.data(), count=st.integers(1, IDS), twice=st.booleans())
     def answer(self, data: Any, count: int, twice: bool) -> None:
-        for _ in range(min(count, len(self.out))):
+        for _ in range(min(count, len(self.in_flight))):
             self.answer_one(data, twice)
 
     def answer_one(self, data: Any, twice: bool) -> None:
-        if not self.out:
+        if not self.in_flight:
             return
         attempt = self.attempt(data)
         whole = messages.encode(attempt.stream.request_id, b"200", b"sheets=1", PAGE)
-        others = [a for a in self.out.values() if a.sock is attempt.sock and a.half]
-        if others:  # one that has begun comes first
-            self.out[int(attempt.stream.request_id)] = attempt
-            attempt = self.out.pop(int(others[0].stream.request_id))
-            whole, attempt.half = attempt.half, b""
-        elif attempt.half:
-            whole, attempt.half = attempt.half, b""
+        others = [a for a in self.in_flight.values() if a.sock is attempt.sock and a.rest]
+        if others:  # a partly sent answer must be completed first
+            self.in_flight[int(attempt.stream.request_id)] = attempt
+            attempt = self.in_flight.pop(int(others[0].stream.request_id))
+            whole, attempt.rest = attempt.rest, b""
+        elif attempt.rest:
+            whole, attempt.rest = attempt.rest, b""
         attempt.sock.sendall(whole)
-        got = attempt.heard.get(timeout=LIMIT)
+        got = attempt.received.get(timeout=LIMIT)
         assert isinstance(got, Answer) and got.stream is attempt.stream and got.body == PAGE
         attempt.stream.finish()
-        self.over.append(attempt.heard)
+        self.finished.append(attempt.received)
         if twice and attempt.stream.connection.is_alive:
             try:
                 say(attempt.sock, attempt.stream.request_id, b"200", b"sheets=1", PAGE)
-            except OSError:  # retired, and closed with its last attempt
-                self.lose(attempt.sock)
+            except OSError:  # the connection was retired and closed with its last attempt
+                self.expect_losses(attempt.sock)
 
-    @precondition(lambda self: self.out)
+    @precondition(lambda self: self.in_flight)
     @rule(data=st.data(), cut=st.integers(1, 30))
     def begin_an_answer(self, data: Any, cut: int) -> None:
         attempt = self.attempt(data)
-        self.out[int(attempt.stream.request_id)] = attempt
-        if not any(a.half for a in self.out.values() if a.sock is attempt.sock):
+        self.in_flight[int(attempt.stream.request_id)] = attempt
+        if not any(a.rest for a in self.in_flight.values() if a.sock is attempt.sock):
             whole = messages.encode(attempt.stream.request_id, b"200", b"sheets=1", PAGE)
             attempt.sock.sendall(whole[:cut])
-            attempt.half = whole[cut:]
+            attempt.rest = whole[cut:]
 
-    @precondition(lambda self: self.out)
-    @rule(data=st.data(), word=st.sampled_from([Stream.cancel, Stream.close_result]))
-    def give_up(self, data: Any, word: Callable[[Stream], None]) -> None:
+    @precondition(lambda self: self.in_flight)
+    @rule(data=st.data(), operation=st.sampled_from([Stream.cancel, Stream.close_result]))
+    def cancel_attempt(self, data: Any, operation: Callable[[Stream], None]) -> None:
         attempt = self.attempt(data)
-        if attempt.half:  # a message without its end would end the connection later, by the clock
-            self.out[int(attempt.stream.request_id)] = attempt
+        if attempt.rest:  # an incomplete message would end the connection after the message timeout
+            self.in_flight[int(attempt.stream.request_id)] = attempt
             return
-        word(attempt.stream)
-        self.over.append(attempt.heard)
+        operation(attempt.stream)
+        self.finished.append(attempt.received)
 
-    @precondition(lambda self: self.out)
+    @precondition(lambda self: self.in_flight)
     @rule(data=st.data())
-    def spoil(self, data: Any) -> None:
+    def fail_connection(self, data: Any) -> None:
         attempt = self.attempt(data)
         attempt.stream.fail_connection()
-        self.over.append(attempt.heard)
-        self.lose(attempt.sock)
+        self.finished.append(attempt.received)
+        self.expect_losses(attempt.sock)
 
-    @precondition(lambda self: self.had)
+    @precondition(lambda self: self.used_ids)
     @rule(data=st.data())
     def answer_late(self, data: Any) -> None:
-        """An answer to an attempt that is over."""
-        sock, call = data.draw(st.sampled_from(self.had))
-        here = [attempt for attempt in self.out.values() if attempt.sock is sock]
-        if sock.fileno() < 0 or any(attempt.half or attempt.stream.request_id == b"%d" % call for attempt in here):
+        """Send an answer to a finished attempt."""
+        sock, call = data.draw(st.sampled_from(self.used_ids))
+        here = [attempt for attempt in self.in_flight.values() if attempt.sock is sock]
+        if sock.fileno() < 0 or any(attempt.rest or attempt.stream.request_id == b"%d" % call for attempt in here):
             return
         try:
             say(sock, b"%d" % call, b"200", b"sheets=1", PAGE)
-        except OSError:  # ours has closed it
+        except OSError:  # the gateway has closed the connection
             assert not here
 
     @precondition(lambda self: self.socks)
     @rule(data=st.data(), end=st.sampled_from([socket.socket.close, reset]))
     def end(self, data: Any, end: Callable[[socket.socket], None]) -> None:
-        """The engine ends a connection, and the next step comes at once where nothing is out on it."""
+        """End a connection from the engine's side; without attempts in flight, the next step follows at once."""
         name = data.draw(st.sampled_from(list(self.socks)))
         sock = self.socks.pop(name)
         end(sock)
-        self.lose(sock)
+        self.expect_losses(sock)
 
     @rule()
     def close_idle(self) -> None:
-        self.list.close_idle(7)
+        self.pool.close_idle(7)
 
     @rule()
     def replace(self) -> None:
-        """A later process at the same address."""
+        """Start a new engine process at the same address."""
         self.started += 1.0
         self.health = api.Health.READY
         self.update()
 
     @rule(health=st.sampled_from([*api.Health, *[api.Health.READY] * 3]))
-    def list_as(self, health: api.Health) -> None:
+    def set_health(self, health: api.Health) -> None:
         self.health = health
         self.update()
 
     @invariant()
-    def nobody_hears_more_than_one_end(self) -> None:
-        assert all(heard.empty() for heard in getattr(self, "over", ()))
+    def finished_attempts_receive_nothing_more(self) -> None:
+        assert all(received.empty() for received in getattr(self, "finished", ()))
 
     @invariant()
-    def each_attempt_out_has_one_place(self) -> None:
+    def each_attempt_in_flight_holds_one_slot(self) -> None:
         if not hasattr(self, "engines"):
             return
         held = [c for engine in self.engines for c in list(engine._open)]
         assert sum(c.reserved_count for c in held) == 0
-        assert sum(c.stream_count for c in held) == len(self.out)
+        assert sum(c.stream_count for c in held) == len(self.in_flight)
 
     def teardown(self) -> None:
         if not hasattr(self, "engines"):
             return
         self.health = api.Health.GONE
-        self.update()  # what is unused closes; the rest with its last attempt
-        for attempt in list(self.out.values()):
+        self.update()  # unused connections close now, the others with their last attempt
+        for attempt in list(self.in_flight.values()):
             attempt.stream.cancel()
-            self.over.append(attempt.heard)
-        until(lambda: not any(engine._open for engine in self.engines))
-        until(lambda: not self.reader._watched and not self.reader._limits)
-        while not self.machine.alone():
-            self.machine.accept()
-        for sock in (*self.machine.socks, *self.socks.values()):
+            self.finished.append(attempt.received)
+        wait_until(lambda: not any(engine._open for engine in self.engines))
+        wait_until(lambda: not self.reader._watched and not self.reader._limits)
+        while not self.fake_engine.is_backlog_empty():
+            self.fake_engine.accept()
+        for sock in (*self.fake_engine.socks, *self.socks.values()):
             sock.close()
-        # Nothing is left that was not there before. What earlier tests have left may close meanwhile, as the collector
-        # comes: a count of descriptors was 5 lower then for good, and the wait for the same count ran out of time.
-        until(lambda: descriptors() <= self.before)
-        self.nobody_hears_more_than_one_end()
-        self.machine.close()
+        # No new descriptor is left open. The set is compared, not the count: the garbage collector may close what
+        # earlier tests left, the count was then 5 lower for good, and a wait for an equal count timed out.
+        wait_until(lambda: open_descriptors() <= self.before)
+        self.finished_attempts_receive_nothing_more()
+        self.fake_engine.close()
 
 
-def test_any_order_of_ends_gives_each_attempt_one_end_and_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_any_event_order_gives_each_attempt_one_outcome_and_leaks_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connections, "MESSAGE_TIMEOUT", LIMIT)
     run_state_machine_as_test(
         Connections,
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -1,4 +1,4 @@
-"""SIGTERM in the moments round a command, and what the exit says; on the program's own process."""
+"""SIGTERM just before, during and after a command, and the summary logged at exit, with the real process."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from tests.test_program import PAGE, Site
 
 LOGIN = packets.packet(1, (0xA20D).to_bytes(4, "little") + bytes(28) + b"app\0\0reports\0")
-WIDE = b"\t".join([b"x" * 1000] * 3) + b"\n"
-SHEETS = 12  # pages of a result of some 36,000 bytes
+WIDE_PAGE = b"\t".join([b"x" * 1000] * 3) + b"\n"
+PAGE_COUNT = 12  # pages in a result of some 36,000 bytes
 
 
 @pytest.fixture
@@ -32,76 +32,76 @@
     assert errors == ""
 
 
-def stop(site: Site) -> float:
-    """SIGTERM, as far as the drain's beginning; when it was sent."""
+def start_drain(site: Site) -> float:
+    """Send SIGTERM and wait until the drain begins; return the time at which it was sent."""
     begun = time.monotonic()
     site.program.terminate()
     site.program.wait_for("draining")
     return begun
 
 
-def left(site: Site) -> dict[str, Any]:
-    """What the exit says, once the process has ended well."""
-    said = site.program.wait_for("stopped")
+def exit_summary(site: Site) -> dict[str, Any]:
+    """Wait until the process has exited with status 0; return the summary that it logged."""
+    summary = site.program.wait_for("stopped")
     assert site.program.process.wait(LIMIT) == 0
-    return {name: said[name] for name in ("answered", "failed", "cut_short", "unanswered", "connections")}
+    return {name: summary[name] for name in ("answered", "failed", "cut_short", "unanswered", "connections")}
 
 
-def clean(answered: int) -> dict[str, int]:
+def clean_summary(answered: int) -> dict[str, int]:
     return {"answered": answered, "failed": 0, "cut_short": 0, "unanswered": 0, "connections": 0}
 
 
-def served(site: Site) -> tuple[socket.socket, bytes]:
-    """The next attempt, and its id."""
+def next_attempt(site: Site) -> tuple[socket.socket, bytes]:
+    """Return the connection and the id of the next attempt."""
     sock, parts = site.engine.next(b"want")
     return sock, parts[1]
 
 
 def connect(site: Site) -> Client:
-    """A client that has been accepted and has said nothing."""
+    """Return a client that has been accepted and has sent nothing."""
     client = Client.__new__(Client)
     client.sock, client.parser = socket.create_connection(site.address, LIMIT), packets.Parser()
     client.greeting = client.read()
     return client
 
 
-def test_a_connection_just_accepted_is_served_after_sigterm(site: Site) -> None:
+def test_connection_accepted_before_sigterm_is_served(site: Site) -> None:
     client = connect(site)
-    stop(site)
+    start_drain(site)
     client.sock.sendall(LOGIN + packets.packet(0, b"\x03" + request()))
-    sock, call = served(site)
+    sock, call = next_attempt(site)
     assert client.read() == packets.ok()
     say(sock, call, b"200", b"sheets=1", PAGE)
     assert len(client.rows()) == 2
-    assert left(site) == clean(1)
+    assert exit_summary(site) == clean_summary(1)
 
 
-def test_half_a_command_at_sigterm_is_answered_whole(site: Site) -> None:
+def test_command_half_received_at_sigterm_gets_complete_answer(site: Site) -> None:
     client, query = site.client(), packets.packet(0, b"\x03" + request())
     client.sock.sendall(query[:20])
-    stop(site)
+    start_drain(site)
     client.sock.sendall(query[20:])
-    sock, call = served(site)
+    sock, call = next_attempt(site)
     say(sock, call, b"200", b"sheets=1", PAGE)
     assert len(client.rows()) == 2
-    assert left(site) == clean(1)
+    assert exit_summary(site) == clean_summary(1)
 
 
-def test_a_command_that_waits_unread_at_sigterm_is_answered_whole(site: Site) -> None:
-    # forced: the process is held while the command and the signal come, so that it finds both
+def test_command_unread_at_sigterm_gets_complete_answer(site: Site) -> None:
+    # the process is stopped while the command and the signal arrive, so that it finds both
     client = site.client()
     os.kill(site.program.process.pid, signal.SIGSTOP)
     client.ask()
     site.program.terminate()
     os.kill(site.program.process.pid, signal.SIGCONT)
-    sock, call = served(site)
+    sock, call = next_attempt(site)
     say(sock, call, b"200", b"sheets=1", PAGE)
     assert len(client.rows()) == 2
-    assert left(site) == clean(1)
+    assert exit_summary(site) == clean_summary(1)
 
 
-def test_an_answer_that_is_just_being_written_at_sigterm_comes_whole(site: Site) -> None:
-    # forced: the client takes nothing, so the answer stands half written; it reads once the drain has begun
+def test_answer_half_written_at_sigterm_is_completed(site: Site) -> None:
+    # the client reads nothing until the drain has begun, so that the answer is half written at that time
     client = Client.__new__(Client)
     client.sock, client.parser = socket.socket(), packets.Parser()
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -110,45 +110,46 @@
     client.sock.sendall(LOGIN)
     client.greeting, client.login = client.read(), client.read()
     client.ask()
-    sock, call = served(site)
-    say(sock, call, b"200", b"sheets=%d" % SHEETS, WIDE)
-    for sheet in range(1, SHEETS):
+    sock, call = next_attempt(site)
+    say(sock, call, b"200", b"sheets=%d" % PAGE_COUNT, WIDE_PAGE)
+    for sheet in range(1, PAGE_COUNT):
         site.engine.next(b"turn")
-        say(sock, call, b"chunk", b"sheet=%d" % sheet, WIDE)
-    site.engine.next(b"shut")  # the gateway has the whole result, and writes it next
-    stop(site)
-    assert len(client.rows()) == SHEETS
-    assert left(site) == clean(1)
+        say(sock, call, b"chunk", b"sheet=%d" % sheet, WIDE_PAGE)
+    site.engine.next(b"shut")  # the gateway has the complete result, and writes it next
+    start_drain(site)
+    assert len(client.rows()) == PAGE_COUNT
+    assert exit_summary(site) == clean_summary(1)
 
 
-def test_an_engine_that_hangs_holds_the_exit_no_longer_than_the_platform_waits(site: Site) -> None:
+def test_hanging_engine_does_not_delay_exit_beyond_platform_limit(site: Site) -> None:
     client = site.client()
     client.ask()
-    served(site)
-    begun = stop(site)
+    next_attempt(site)
+    begun = start_drain(site)
     assert client.error()[0] == 1105
-    assert left(site) == {"answered": 0, "failed": 1, "cut_short": 1, "unanswered": 0, "connections": 0}
-    assert time.monotonic() - begun < 3.0 + 0.7  # the longest deadline, counted as 3 s, and what the platform adds
+    assert exit_summary(site) == {"answered": 0, "failed": 1, "cut_short": 1, "unanswered": 0, "connections": 0}
+    # the longest deadline, counted as 3 s, and the time that the platform adds
+    assert time.monotonic() - begun < 3.0 + 0.7
 
 
-def test_the_exit_keeps_to_the_deadlines_that_sighup_has_put_in_force(site: Site) -> None:
-    # seen in the code: the end of the drain was reckoned from the configuration of the start, so SIGKILL came first
+def test_exit_uses_deadlines_reloaded_by_sighup(site: Site) -> None:
+    # guards against computing the end of the drain from the configuration at the start: SIGKILL came first
     grades = [grade | {"DeadlineNs": 1_000_000_000} for grade in SETTINGS["Grades"]]
     site.program.reload(json.dumps(site.program.config | {"settings": SETTINGS | {"Grades": grades}}))
     site.program.wait_for("reconfigured")
-    begun = stop(site)
-    client = connect(site)  # has 2 s for its first command, which is longer than the process has
-    said = left(site)
+    begun = start_drain(site)
+    client = connect(site)  # may wait 2 s for its first command, longer than the process has left
+    summary = exit_summary(site)
     assert time.monotonic() - begun < 1.0 + 0.7
-    assert said == clean(0) | {"connections": 1}
+    assert summary == clean_summary(0) | {"connections": 1}
     client.sock.close()
 
 
-def test_what_an_exit_says_counts_refusals_too(site: Site) -> None:
+def test_exit_summary_counts_refused_requests_as_answered(site: Site) -> None:
     client = site.client()
     client.ask()
-    sock, call = served(site)
+    sock, call = next_attempt(site)
     say(sock, call, b"503", b"rep=queue:0;inflight:70", b"")
     assert client.error()[0] == 1226
-    stop(site)
-    assert left(site) == clean(1)
+    start_drain(site)
+    assert exit_summary(site) == clean_summary(1)
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -1,4 +1,4 @@
-"""A machine short of tasks: threads that can't be started cost no request its whole answer."""
+"""Thread starts that the system refuses: every request still gets its complete answer."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from tests.build import make_settings
 from tests.peers import LIMIT, SETTINGS, Client, Peer, event, member, request, say
 
-CLIENTS = 40  # with a request open each, at once: many more than the server keeps free threads for
+CLIENTS = 40  # clients with an open request each, at once: many more than the server keeps free threads
 PAGE = b"a\tb\tc\n"
 
 
 class Refuser:
-    """Refuses the first start of the threads named, and every second after: short now and then, not for good."""
+    """Refuses every second start of the named threads, beginning with the first: a shortage that comes and goes."""
 
     def __init__(self, *names: str) -> None:
         self.names, self.asked, self.refused = names, itertools.count(), 0
@@ -61,7 +61,7 @@
 
 
 def answer_engine(engine: Peer, stop: threading.Event) -> None:
-    """Serve every attempt that reaches the engine, with one page."""
+    """Answer every attempt that reaches the engine with one page."""
     while not stop.is_set():
         try:
             sock, parts = engine.got.get(timeout=0.05)
@@ -71,22 +71,23 @@
             say(sock, parts[1], b"200", b"sheets=1", PAGE)
 
 
-def test_every_request_has_its_whole_answer_when_threads_are_refused(gateway: tuple[Server, Peer]) -> None:
-    # guards the standing test's lost answers: a machine short of tasks refused threads, and requests went unanswered
+def test_every_request_gets_complete_answer_when_threads_are_refused(gateway: tuple[Server, Peer]) -> None:
+    # guards against lost answers, seen in a long run: the system refused threads, and requests went unanswered
     server, engine = gateway
     refuser = Refuser("session")
     threads.refuse = refuser
     stop = threading.Event()
     serving = threading.Thread(target=answer_engine, args=(engine, stop), daemon=True)
-    asks = [packets.packet(0, b"\x03" + request(call=f"{number:016x}")) for number in range(CLIENTS)]
-    clients = [ask_at_once(server.address, ask) for ask in asks]  # each asks as it logs in: no thread, no greeting
+    commands = [packets.packet(0, b"\x03" + request(call=f"{number:016x}")) for number in range(CLIENTS)]
+    # each client sends its request with its login, because a client without a thread gets no greeting
+    clients = [login_and_ask(server.address, command) for command in commands]
     serving.start()
     answers = {"rows": 0, "errors": 0}
     try:
         for client in clients:
             for _ in range(2):
-                client.read()  # the greeting, and the login's answer
-            payload = client.read()  # EOFError where the connection was ended with no answer
+                client.read()  # the greeting and the answer to the login
+            payload = client.read()  # raises EOFError if the connection was closed without an answer
             answers["errors" if payload[:1] == b"\xff" else "rows"] += 1
             if payload[:1] != b"\xff":
                 while client.read() != packets.eof():
@@ -98,22 +99,22 @@
         serving.join(LIMIT)
         for client in clients:
             client.sock.close()
-    assert refuser.refused > 0  # the failure was caused, not hoped for
-    assert answers == {"rows": CLIENTS, "errors": 0}  # 20 s each: they wait in turn for a free thread
+    assert refuser.refused > 0  # the failure did occur
+    assert answers == {"rows": CLIENTS, "errors": 0}  # the clients wait up to 20 s each for a free thread
 
 
-def ask_at_once(address: tuple[str, int], also: bytes) -> Client:
-    """A client that has written its login and a command, and has read nothing."""
+def login_and_ask(address: tuple[str, int], command: bytes) -> Client:
+    """Return a client that has sent its login and a command, and has read nothing."""
     client = Client.__new__(Client)
     client.sock = socket.create_connection(address, LIMIT)
     login = (0xA20D).to_bytes(4, "little") + bytes(28) + b"app\0\0reports\0"
-    client.sock.sendall(packets.packet(1, login) + also)
+    client.sock.sendall(packets.packet(1, login) + command)
     client.parser = packets.Parser()
     return client
 
 
-def test_an_engine_connection_that_nobody_reads_is_a_failed_connect() -> None:
-    # guards the session against a refused reader: it ended its client's connection with no answer
+def test_connect_fails_when_reader_thread_is_refused() -> None:
+    # guards against a session that closed its client's connection without an answer when the reader was refused
     engine = Peer()
     threads.refuse = lambda name: name == "engine-reader"
     host, _, port = engine.address.rpartition(":")
@@ -133,7 +134,7 @@
         engine.listener.close()
 
 
-def test_a_refused_start_is_logged_once_an_episode(capsys: pytest.CaptureFixture[str]) -> None:
+def test_series_of_refused_thread_starts_is_logged_once(capsys: pytest.CaptureFixture[str]) -> None:
     threads.refuse = lambda name: True
     try:
         for _ in range(5):
@@ -147,24 +148,24 @@
     assert lines.count("threads_again") == 1
 
 
-def test_a_client_finds_a_thread_when_none_can_be_started(
+def test_idle_clients_do_not_occupy_threads(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    # guards the standing test's requests of 0 attempts: clients between commands held every thread there was
+    # guards against requests with 0 attempts, seen in a long run: idle clients occupied all threads
     capsys.readouterr()
     from tests.test_server import ping, refuse
 
     monkeypatch.setattr(server_module, "FREE_THREADS", (2, 2))
     started = itertools.count()
-    threads.refuse = lambda name: name == "session" and next(started) >= 2  # two session threads, then none
+    threads.refuse = lambda name: name == "session" and next(started) >= 2  # two session threads are started, then none
     few = Server(("127.0.0.1", 0), 64, make_settings(), refuse)
     few.start()
     try:
         staying = [Client(few.address) for _ in range(20)]
-        for client in staying * 2:  # with a thread for each, the third would wait until another's 60 s are over
+        for client in staying * 2:  # if each held a thread, the third would wait for another's idle timeout of 60 s
             ping(client)
         events = [json.loads(line)["event"] for line in capsys.readouterr().out.splitlines()]
-        assert events.count("thread_refused") == 1  # one line an episode, not one a connection
+        assert events.count("thread_refused") == 1  # one line for the series, not one per connection
     finally:
         threads.refuse = None
         few.stop_listening()
