--- a/tealwing/resp/connection.py
+++ b/tealwing/resp/connection.py
@@ -41,9 +41,8 @@
 
 
 Sink = Callable[[Answer | StreamLost], None]
-SendFields = Callable[
-    [], bytes
-]  # returns an attempt's fields right before it is written; may raise AttemptWithdrawnError
+# Returns an attempt's fields right before it is written; may raise AttemptWithdrawnError.
+SendFields = Callable[[], bytes]
 
 
 @dataclass(eq=False, slots=True)
@@ -258,18 +257,18 @@
         found = self._end_poll.poll(0)
         if not found:
             return False
-        over = bool(found[0][1] & PEER_CLOSED_EVENTS)
-        if not over:
+        ended = bool(found[0][1] & PEER_CLOSED_EVENTS)
+        if not ended:
             try:
-                over = not self._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+                ended = not self._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             except BlockingIOError:  # the reader has read the data in the meantime
                 return False
             except OSError:
-                over = True
-        if over:
+                ended = True
+        if ended:
             with self._lock:
                 self._retired = True  # the reader closes it after the buffered data
-        return over
+        return ended
 
     def _write(self, data: bytes, get_fields: SendFields | None = None) -> None:
         """Write the data; the caller holds the write lock. A failure closes the connection: half a message may be sent.
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -631,7 +631,7 @@
     assert isinstance(received.get(timeout=LIMIT), Answer)
     stream.finish()
     again: Sink = SimpleQueue()
-    second = engine.send(b"1", empty_fields, b"SELECT 1", again.put, LIMIT)  # used id: another connection
+    second = engine.send(b"1", empty_fields, b"SELECT 1", again.put, LIMIT)  # the id is used: gets another connection
     assert second.connection is not stream.connection
     say(sock, b"1", b"200", b"-", PAGE)
     other: Sink = SimpleQueue()
