--- a/tealwing/levels/admission.py
+++ b/tealwing/levels/admission.py
@@ -1,9 +1,9 @@
-"""What a level admits: shares by class and account, attempts, and Retry-After; pure.
+"""Computes what a service level admits: shares by class and account, attempt limits and Retry-After; pure.
 
 A level has a floor and a ceiling for each class's admitted share. On entry the floor applies. While the level's entry
-condition holds the share is reduced; while it does not, and few engines are in slow start, it rises at a bounded rate
-up to the ceiling. After the last level it rises to 1. So rejected clients do not all return at once, and a level's
-minimum stay costs little once the overload has passed.
+condition holds, the share is reduced; while it does not, and few engines are in slow start, the share rises at a
+bounded rate up to the ceiling. Back at full service, it rises to 1. So rejected clients do not all return at once, and
+a level's minimum stay costs little once the overload has passed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLimits:
-    """One level's limits, by class; max_attempts 0 leaves the deployment's limit."""
+    """The limits of one service level, by class; max_attempts 0 keeps the deployment's limit."""
 
     floor: tuple[float, ...]
     ceiling: tuple[float, ...]
@@ -29,15 +29,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryRamp:
-    """How fast admitted shares fall and rise, and when a rise waits."""
+    """Rates at which admitted shares fall and rise, and the slow-start share that delays a rise."""
 
     decrease_factor: float  # per second of overload
-    ramp_time: float  # s from 0 to 1
-    max_warming_up_share: float  # share of capacity missing by slow starts at which a rise waits
+    ramp_time: float  # s in which a share rises from 0 to 1
+    max_warming_up_share: float  # share of capacity that engines in slow start lack; shares rise only below it
 
 
 def full_service_limits(classes: int, accounts: int) -> AdmissionLimits:
-    """Return the limits of full service."""
+    """Return the limits of full service, which admit every request."""
     shares = (ALL_ADMITTED,) * classes
     return AdmissionLimits(shares, shares, (0,) * classes, (ALL_ADMITTED,) * accounts, (0.0, 0.0))
 
@@ -50,7 +50,7 @@
     overloaded: bool,
     warming_up_share: float,
 ) -> tuple[float, ...]:
-    """Return the shares by class after some seconds under the limits."""
+    """Return the admitted share of each class after `seconds` more under the limits."""
     adjusted = []
     for share, floor, ceiling in zip(shares, limits.floor, limits.ceiling, strict=True):
         if overloaded:
@@ -63,29 +63,30 @@
 
 
 def shares_on_entry(shares: Sequence[float], limits: AdmissionLimits) -> tuple[float, ...]:
-    """Return the shares on entry of a level from below: its floors, or the present shares where lower."""
+    """Return the shares on entry to a level from below: each class's floor, or its present share if that is lower."""
     return tuple(min(share, floor) for share, floor in zip(shares, limits.floor, strict=True))
 
 
 def divide_among_accounts(
-    share: float, requested: Sequence[float], beyond: Sequence[float], caps: Sequence[float]
+    share: float, requested: Sequence[float], beyond_quota: Sequence[float], caps: Sequence[float]
 ) -> tuple[float, ...]:
     """Divide one class's share among the accounts, so that requests beyond an account's quota are shed first.
 
-    requested is each account's requests of the class, beyond the share of them beyond its quota, caps the upper bound
-    on an account's share. A request does not show whether it is beyond, so an account's chance is the mean of both.
+    `requested` counts each account's requests of the class, `beyond_quota` is the fraction of them beyond the
+    account's quota, and `caps` is the upper bound on each account's share. A single request does not show whether it
+    is beyond the quota, so an account's admission probability is the weighted mean of the two cases.
     """
-    within = [n * (1 - part) for n, part in zip(requested, beyond, strict=True)]
-    excess = [n * part for n, part in zip(requested, beyond, strict=True)]
+    within = [n * (1 - part) for n, part in zip(requested, beyond_quota, strict=True)]
+    excess = [n * part for n, part in zip(requested, beyond_quota, strict=True)]
     capacity = share * sum(requested)
-    within_chance = min(1.0, capacity / sum(within)) if sum(within) > 0 else share
+    within_probability = min(1.0, capacity / sum(within)) if sum(within) > 0 else share
     remaining = max(0.0, capacity - sum(within))
-    excess_chance = min(1.0, remaining / sum(excess)) if sum(excess) > 0 else share
-    chances = []
-    for n, part, cap in zip(requested, beyond, caps, strict=True):
-        chance = (1 - part) * within_chance + part * excess_chance if n > 0 else share
-        chances.append(min(max(chance, 0.0), cap))
-    return tuple(chances)
+    excess_probability = min(1.0, remaining / sum(excess)) if sum(excess) > 0 else share
+    probabilities = []
+    for n, part, cap in zip(requested, beyond_quota, caps, strict=True):
+        probability = (1 - part) * within_probability + part * excess_probability if n > 0 else share
+        probabilities.append(min(max(probability, 0.0), cap))
+    return tuple(probabilities)
 
 
 def service_level_event(
@@ -94,16 +95,16 @@
     shares: Sequence[float],
     limits: AdmissionLimits,
     arrivals: Sequence[Sequence[int]],
-    beyond: Sequence[float],
+    beyond_quota: Sequence[float],
 ) -> api.ServiceLevel:
-    """Return the event for the decision module."""
+    """Return the event that gives the decision module the level in force and its limits."""
     admitted = tuple(
-        divide_among_accounts(share, [counts[cls] for counts in arrivals], beyond, limits.account_caps)
+        divide_among_accounts(share, [counts[cls] for counts in arrivals], beyond_quota, limits.account_caps)
         for cls, share in enumerate(shares)
     )
     return api.ServiceLevel(number, name, admitted, limits.max_attempts, limits.retry_after_range)
 
 
 def is_recovering(shares: Sequence[float]) -> bool:
-    """Whether some class is admitted in part only."""
+    """Return whether the admitted share of some class is still below 1."""
     return any(share < ALL_ADMITTED for share in shares)
--- a/tealwing/levels/conditions.py
+++ b/tealwing/levels/conditions.py
@@ -1,7 +1,8 @@
-"""Conditions on signals, as `fleet.load > 1.8 or class.lookup.late > 20%`; pure.
+"""Parses and checks conditions on signals, such as `fleet.load > 1.8 or class.lookup.late > 20%`; pure.
 
-A condition is kept as it was written, and as a sum of products for the checks: whether it can hold at all, and
-whether two can hold at once. Both follow from intervals, signal by signal, and are exact.
+A condition is kept as written and as a sum of products (disjunctive normal form). The sum of products serves two
+checks: whether a condition can hold at all, and whether two conditions can hold at once. Both checks compare the
+intervals of each signal and are exact.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 from tealwing.conf import values
 
-MAX_PRODUCTS = 64  # of a condition as a sum of products: what is longer nobody can read
+MAX_PRODUCTS = 64  # products of one condition; operators cannot read a longer one
 
 GRAMMAR = r"""
     ?start: any
@@ -33,16 +34,16 @@
 
 
 class LevelsError(ValueError):
-    """The base of the errors of tealwing.levels."""
+    """Base class of the errors of tealwing.levels."""
 
 
 class ConditionError(LevelsError):
-    """A condition that can't be used; the message says what is allowed."""
+    """Raised for an invalid condition; the message says what is allowed."""
 
 
 @dataclass(frozen=True, slots=True)
 class SignalKind:
-    """The kind of a signal: unit, the direction that is worse, the value without traffic, and bounds."""
+    """The kind of a signal: its unit, the direction that is worse, its value without traffic, and its bounds."""
 
     unit: str  # share, duration or number
     worse_operator: str  # operator of an entry condition: > or <
@@ -52,19 +53,19 @@
     help: str
 
     def read(self, text: str) -> float:
-        """Parse a value as the file writes it; raise values.Unfit."""
+        """Parse a value written as in the operators' file; raise values.InvalidValueError."""
         reader = {"share": values.share, "duration": values.duration, "number": values.number}[self.unit]
         return reader(text)
 
     def write(self, value: float) -> str:
-        """Format a value as the file writes it."""
+        """Format a value as the operators' file writes it."""
         if self.unit == "share":
             return f"{value * 100:.3g}%"
         return values.format_duration(value) if self.unit == "duration" else f"{value:.3g}"
 
 
-def _share(worse: str, help_: str, maximum: float = 1.0) -> SignalKind:
-    return SignalKind("share", worse, 1.0 if worse == "<" else 0.0, 0.0, maximum, help_)
+def _share(worse_operator: str, help_: str, maximum: float = 1.0) -> SignalKind:
+    return SignalKind("share", worse_operator, 1.0 if worse_operator == "<" else 0.0, 0.0, maximum, help_)
 
 
 def _number(help_: str, idle_value: float = 0.0) -> SignalKind:
@@ -72,34 +73,34 @@
 
 
 FLEET_SIGNALS = {
-    "load": _number("threads out over the cores ready, by reports and by our own books"),
-    "queue": _number("queries that wait for memory at an engine, by reports"),
-    "slow": _number("latency over the best, of what is out and of what was answered", 1.0),
-    "ready": _share("<", "engines ready over the most that were ready in the last five minutes"),
-    "cold": _share(">", "capacity that ready engines still lack because they started cold"),
-    "kept": _share("<", "worth answered in time over the worth of all requests that ended"),
-    "refused": _share(">", "requests that the decision module refused, those shed by a level left out"),
+    "load": _number("threads in use per core of the ready engines, by engine reports or the gateway's own accounting"),
+    "queue": _number("queries that wait for memory at an engine, by engine reports"),
+    "slow": _number("latency over the best latency, of open and of answered requests", 1.0),
+    "ready": _share("<", "ready engines over the maximum of ready engines in the last five minutes"),
+    "cold": _share(">", "capacity that ready engines still lack because they are in slow start"),
+    "kept": _share("<", "priority weight served in time over the weight of all requests that ended"),
+    "refused": _share(">", "requests that the decision module rejected, without those shed by a level"),
 }
 GATEWAY_SIGNALS = {
-    "lag": SignalKind("duration", ">", 0.0, 0.0, inf, "from a request's last byte to its first attempt, a mean"),
-    "unread": SignalKind("duration", ">", 0.0, 0.0, inf, "age of what waited to be read, a mean"),
+    "lag": SignalKind("duration", ">", 0.0, 0.0, inf, "mean time from a request's last byte to its first attempt"),
+    "unread": SignalKind("duration", ">", 0.0, 0.0, inf, "mean age of received data when the gateway reads it"),
     "processor": _share(">", "processor time over the share that this process may use", inf),
 }
 CLASS_SIGNALS = {
-    "late": _share(">", "requests of the class past their aim, over all that ended or are past it"),
-    "refused": _share(">", "requests of the class that the module refused, those shed left out"),
+    "late": _share(">", "requests past their latency objective, over the class's requests that ended or are past it"),
+    "refused": _share(">", "requests of the class that the decision module rejected, without those shed by a level"),
     "timeouts": _share(">", "attempts of the class that timed out"),
-    "kept": _share("<", "worth of the class answered in time over the worth of its requests that ended"),
-    "rate": _number("requests of the class a second"),
+    "kept": _share("<", "priority weight of the class served in time over the weight of its requests that ended"),
+    "rate": _number("requests of the class per second"),
 }
 ACCOUNT_SIGNALS = {
-    "beyond": _share(">", "requests of the account beyond its share"),
-    "rate": _number("requests of the account a second"),
+    "beyond": _share(">", "requests of the account beyond its quota"),
+    "rate": _number("requests of the account per second"),
 }
 
 
 def signal_kind(signal: str) -> SignalKind:
-    """Return the kind of a signal by its name, without a check of class and account names; raise ConditionError."""
+    """Return the kind of the named signal; raise ConditionError. Class and account names are not checked."""
     head, _, rest = signal.partition(".")
     if head in ("fleet", "own") and rest in (table := FLEET_SIGNALS if head == "fleet" else GATEWAY_SIGNALS):
         return table[rest]
@@ -112,7 +113,7 @@
         return table[what]
     known = [f"fleet.{n}" for n in FLEET_SIGNALS] + [f"own.{n}" for n in GATEWAY_SIGNALS]
     known += [f"class.NAME.{n}" for n in CLASS_SIGNALS] + [f"account.NAME.{n}" for n in ACCOUNT_SIGNALS]
-    raise ConditionError(f"a signal: {', '.join(known)}")
+    raise ConditionError(f"one of the signals {', '.join(known)}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,7 +125,7 @@
     bound: float
 
     def holds(self, signals: Mapping[str, float]) -> bool:
-        """Whether it holds; an absent signal has its idle value."""
+        """Return whether the comparison holds; an absent signal has its idle value."""
         value = signals.get(self.signal)
         if value is None:
             value = signal_kind(self.signal).idle_value
@@ -139,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """A condition as a sum of products: it holds when all of one product hold."""
+    """A condition as a sum of products: it holds when all comparisons of one product hold."""
 
     text: str
     products: tuple[Product, ...]
@@ -152,12 +153,12 @@
         return None
 
     def signals(self) -> set[str]:
-        """Return the names of the signals that it reads."""
+        """Return the names of the signals that the condition reads."""
         return {compare.signal for product in self.products for compare in product}
 
 
 def format_values(product: Iterable[Comparison], signals: Mapping[str, float]) -> dict[str, str]:
-    """Return the values of a product's signals, as the file writes them."""
+    """Return the values of a product's signals, formatted as in the operators' file."""
     formatted = {}
     for compare in product:
         kind = signal_kind(compare.signal)
@@ -171,16 +172,16 @@
 
 
 def parse(text: str) -> Condition:
-    """Parse a condition; raise ConditionError, which says what is allowed."""
+    """Parse a condition; raise ConditionError with a message that says what is allowed."""
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
         at = max(getattr(error, "column", 1) - 1, 0)
-        where = f'at "{text[at : at + 20]}"' if text[at:] else "at its end"
+        where = f'error at "{text[at : at + 20]}"' if text[at:] else "the condition is incomplete"
         raise ConditionError(f'SIGNAL > VALUE or SIGNAL < VALUE, joined by "and" and "or" ({where})') from None
     products = _products(tree)
     if len(products) > MAX_PRODUCTS:
-        raise ConditionError(f"at most {MAX_PRODUCTS} alternatives")
+        raise ConditionError(f"at most {MAX_PRODUCTS} alternatives after expansion, not {len(products)}")
     return Condition(re.sub(r"\s+", " ", text.strip()), tuple(products))
 
 
@@ -201,12 +202,12 @@
     for part in parts:
         joined = [left + right for left in joined for right in part]
         if len(joined) > MAX_PRODUCTS:
-            raise ConditionError(f"at most {MAX_PRODUCTS} alternatives")
+            raise ConditionError(f"at most {MAX_PRODUCTS} alternatives after expansion, not {len(joined)} or more")
     return joined
 
 
 def _intervals(product: Product) -> dict[str, tuple[float, float]] | None:
-    """Return the open interval of each signal; None where one is empty or out of its range."""
+    """Return the open interval that the product allows each signal; None if one is empty or outside the bounds."""
     found: dict[str, tuple[float, float]] = {}
     for compare in product:
         kind = signal_kind(compare.signal)
@@ -219,12 +220,12 @@
 
 
 def is_satisfiable(condition: Condition) -> bool:
-    """Whether some values make it hold."""
+    """Return whether some signal values make the condition hold."""
     return any(_intervals(product) is not None for product in condition.products)
 
 
 def overlap(one: Condition, other: Condition) -> dict[str, str] | None:
-    """Return values at which both hold, or touch without a gap; None where there are none."""
+    """Return signal values at which both conditions hold or their intervals touch; None if there are none."""
     for left in one.products:
         for right in other.products:
             left_intervals, right_intervals = _intervals(left), _intervals(right)
--- a/tealwing/levels/signals.py
+++ b/tealwing/levels/signals.py
@@ -1,4 +1,4 @@
-"""The signals that levels act on: metrics over a sliding window, from the decision module's events and actions; pure.
+"""Computes the signals of service levels: sliding-window metrics of the decision module's events and actions; pure.
 
 The window is a ring of buckets, one per evaluation. Sums are updated by the bucket that enters and the one that
 leaves, so an evaluation's cost does not depend on the traffic.
@@ -13,17 +13,17 @@
 
 from tealwing import interface as api
 
-MIN_REQUESTS = 10  # requests below which a share is left out
-READY_WINDOW = 300.0  # s over which the maximum of ready engines is taken
+MIN_REQUESTS = 10  # requests in the window; of fewer, no share is computed
+READY_WINDOW = 300.0  # s over which the maximum number of ready engines is taken
 
-# indices of a class's counters
-# JUDGED: ended in time, or past its objective whether ended or not; rejections are left out
+# Indices of a class's counters. JUDGED counts requests that ended in time or are past their latency objective, ended
+# or not; rejected requests are not counted.
 ARRIVED, ENDED, JUDGED, MISSED, REFUSED, ATTEMPTS, TIMEOUTS = range(7)
 COUNTS = 7
 
 
 class Fleet(Protocol):
-    """The part of tealwing.policy.Gateway that signals are read from."""
+    """The attributes of tealwing.policy.Gateway that signals are computed from."""
 
     mean_report: dict[str, float]
     slowdown: float
@@ -36,7 +36,7 @@
 
 
 class Engine(Protocol):
-    """The part of tealwing.policy.Engine that signals are read from."""
+    """The attributes of tealwing.policy.Engine that signals are computed from."""
 
     cores: int
     load: float
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """An open request; objective_at is the time (s) at which it misses its latency objective."""
+    """An open request; from the time objective_at (s) on it misses its latency objective."""
 
     cls: int
     objective_at: float
@@ -55,16 +55,16 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """The counts between two evaluations."""
+    """The counts of requests and attempts between two evaluations."""
 
     counts: list[list[int]]  # by class
     by_account: list[list[int]]  # arrivals, by account and class
     offered_weight: list[float]  # priority weight of ended requests, by class
-    served_weight: list[float]
+    served_weight: list[float]  # the part of offered_weight that was served; late requests count in part
 
 
 class Signals:
-    """Counts the events and actions between host and module; `sample` returns the window's signals."""
+    """Counts the decision module's events and actions; `sample` returns the window's signals."""
 
     def __init__(self, settings: api.Settings, window: float, interval: float) -> None:
         self._settings = settings
@@ -74,7 +74,7 @@
         self._open: dict[int, OpenRequest] = {}  # in order of arrival
         self._window = self._bucket()
         self._current = self._bucket()
-        self._ready_peaks: deque[tuple[float, int]] = deque()  # (time, count): falling counts, rising times
+        self._ready_peaks: deque[tuple[float, int]] = deque()  # (time, count); counts decrease as times increase
         self._host_load: api.HostLoad | None = None
 
     def _bucket(self) -> Bucket:
@@ -89,7 +89,7 @@
     # Events and actions
 
     def on_request(self, now: float, request: api.Request, latency_objective: float) -> None:
-        """Count an arrival; latency_objective is that of a usual request of its class, in seconds."""
+        """Count an arrival; latency_objective, in seconds, applies to a request of its class without a cost."""
         cls = self._settings.classes[request.cls]
         if request.cost is not None:  # the objective grows with the work per thread
             latency_objective = cls.latency_objective + cls.objective_per_work * request.cost / cls.threads
@@ -102,7 +102,7 @@
         ] += 1
 
     def on_outcome(self, now: float, event: api.AttemptOutcome) -> None:
-        """Count the end of an attempt, and of its request where that has ended."""
+        """Count the end of an attempt, and the end of its request if the attempt was the last."""
         open_request = self._open.get(event.id)
         if open_request is None:
             return
@@ -113,13 +113,13 @@
             self._close(now, event.id, open_request, event.result is api.AttemptResult.OK)
 
     def on_failure(self, now: float, request: int) -> None:
-        """Count a request whose client has gone or that the module failed."""
+        """Count a request as unserved: its client has gone or the module has failed it."""
         open_request = self._open.get(request)
         if open_request is not None:
             self._close(now, request, open_request, False)
 
     def on_rejection(self, now: float, request: int, is_load_shedding: bool) -> None:
-        """Count a rejection; load shedding by a level says nothing about the fleet and is not counted."""
+        """Count a rejection. A request shed by a level shows nothing about the fleet's state and is not counted."""
         open_request = self._open.get(request)
         if open_request is None:
             return
@@ -132,7 +132,7 @@
         del self._open[request]
 
     def on_host_load(self, load: api.HostLoad) -> None:
-        """Take in the gateway's own load."""
+        """Store the gateway's own load for the next sample."""
         self._host_load = load
 
     def _close(self, now: float, request: int, open_request: OpenRequest, served: bool) -> None:
@@ -146,15 +146,15 @@
             self._current.served_weight[open_request.cls] += (
                 open_request.priority_weight * open_request.late_weight_share
             )
-        if not open_request.is_late:  # else counted when it missed its objective
+        if not open_request.is_late:  # a late one was counted when it missed its objective
             counts[JUDGED] += 1
             counts[MISSED] += now > open_request.objective_at
 
     # Evaluation
 
     def sample(self, now: float, fleet: Fleet) -> dict[str, float]:
-        """Return the signals of the window that ends now. Shares of fewer than MIN_REQUESTS requests are left out."""
-        for request in self._open.values():  # open requests past their objective show an overload in which none ends
+        """Return the signals of the window that ends now, without shares of fewer than MIN_REQUESTS requests."""
+        for request in self._open.values():  # counting open ones detects an overload in which no request ends
             if not request.is_late and request.objective_at < now:
                 request.is_late = True
                 self._current.counts[request.cls][JUDGED] += 1
@@ -174,13 +174,13 @@
         return signals
 
     def resize(self, window: float, interval: float) -> None:
-        """Change the window and interval (s); drop the counts, as the buckets have another length."""
+        """Change the window and interval (s), and drop the counts, as their buckets have the old length."""
         self._interval, self._length = interval, max(1, round(window / interval))
         self._ring.clear()
         self._window, self._current = self._bucket(), self._bucket()
 
     def _rotate(self) -> None:
-        """Move the current bucket into the window and drop the oldest."""
+        """Move the current bucket into the window, and drop the oldest bucket once the window is full."""
         self._add(self._current, 1)
         self._ring.append(self._current)
         self._current = self._bucket()
@@ -189,13 +189,13 @@
 
     def _add(self, bucket: Bucket, sign: int) -> None:
         both = zip(self._window.counts + self._window.by_account, bucket.counts + bucket.by_account, strict=True)
-        for ours, theirs in both:
-            for i, count in enumerate(theirs):
-                ours[i] += sign * count
-        for i, (offered, kept) in enumerate(zip(bucket.offered_weight, bucket.served_weight, strict=True)):
+        for sums, counts in both:
+            for i, count in enumerate(counts):
+                sums[i] += sign * count
+        for i, (offered, served) in enumerate(zip(bucket.offered_weight, bucket.served_weight, strict=True)):
             # rounding stops the drift of float sums: an empty window must sum to 0
             self._window.offered_weight[i] = round(self._window.offered_weight[i] + sign * offered, 6)
-            self._window.served_weight[i] = round(self._window.served_weight[i] + sign * kept, 6)
+            self._window.served_weight[i] = round(self._window.served_weight[i] + sign * served, 6)
 
     def _fleet_signals(self, now: float, fleet: Fleet) -> dict[str, float]:
         ready = len(fleet.ready)
@@ -221,24 +221,24 @@
         return signals
 
     def _class_signals(self, cls: api.RequestClass, counts: Sequence[int]) -> dict[str, float]:
-        head, place = f"class.{cls.name}", self._settings.classes.index(cls)
-        signals = {f"{head}.rate": counts[ARRIVED] / (len(self._ring) * self._interval)}
+        prefix, index = f"class.{cls.name}", self._settings.classes.index(cls)
+        signals = {f"{prefix}.rate": counts[ARRIVED] / (len(self._ring) * self._interval)}
         if counts[JUDGED] >= MIN_REQUESTS:
-            signals[f"{head}.late"] = counts[MISSED] / counts[JUDGED]
-        offered = self._window.offered_weight[place]
+            signals[f"{prefix}.late"] = counts[MISSED] / counts[JUDGED]
+        offered = self._window.offered_weight[index]
         if counts[ENDED] >= MIN_REQUESTS and offered:
-            signals[f"{head}.refused"] = counts[REFUSED] / counts[ENDED]
-            signals[f"{head}.kept"] = min(self._window.served_weight[place] / offered, 1.0)
+            signals[f"{prefix}.refused"] = counts[REFUSED] / counts[ENDED]
+            signals[f"{prefix}.kept"] = min(self._window.served_weight[index] / offered, 1.0)
         if counts[ATTEMPTS] >= MIN_REQUESTS:
-            signals[f"{head}.timeouts"] = counts[TIMEOUTS] / counts[ATTEMPTS]
+            signals[f"{prefix}.timeouts"] = counts[TIMEOUTS] / counts[ATTEMPTS]
         return signals
 
     def arrivals(self) -> Sequence[Sequence[int]]:
-        """Return the window's requests by account and class."""
+        """Return the number of the window's requests by account and class."""
         return self._window.by_account
 
     def shares_beyond_quota(self) -> Mapping[str, float]:
-        """Return by account the share of its requests that lie beyond its quota."""
+        """Return, for each account, the share of its requests in the window that are beyond its quota."""
         total = sum(map(sum, self._window.by_account))
         seconds = max(len(self._ring), 1) * self._interval
         shares = {}
