--- a/tealwing/levels/controller.py
+++ b/tealwing/levels/controller.py
@@ -1,14 +1,14 @@
-"""Which level is in force: a pure function of its state, the time and the conditions.
+"""Decides which service level is in force: a pure function of the state, the time and the conditions.
 
 Levels are ordered; 0 is full service. One step makes at most one change. It goes up when an entry condition has held
 for its time: by one level, or to a higher one whose strong condition has held. It goes down by one level when the
 exit condition has held for its (longer) time and the minimum stay, counted from the last change, is over.
 
-A guard limits all changes: the change before the last must be CHANGE_WINDOW old. So no minute has more than two
-changes. A minimum stay of a minute or more keeps one of the two free for a rise, so that a rise waits only after two
-rises in the same minute. The last change that the window allows goes as high as the present conditions say, whether
-or not they have held for their time. tests/test_controller.py proves the bound with an SMT solver for all times, and
-explores the whole state space for small parameters.
+A rate limit applies to all changes: the change before the last must be CHANGE_WINDOW old. So no minute has more than
+two changes. A minimum stay of a minute or more keeps one of the two free for a rise, so that a rise waits only after
+two rises in the same minute. The last change that the window allows goes as high as the present conditions say,
+whether or not they have held for their time. tests/test_controller.py proves the bound with an SMT solver for all
+times, and explores the whole state space for small parameters.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from math import inf
 from typing import NamedTuple
 
-CHANGE_WINDOW = 60.0  # s in which there are two changes at most
-REENTRY_WINDOW = 300.0  # s after its exit within which a level entered again has a longer minimum stay
-BACKOFF_FACTOR = 2.0  # on the minimum stay, for each such entry
-MAX_SNAPSHOT_GAP = 2.0  # s between snapshots beyond which no condition counts as held
+CHANGE_WINDOW = 60.0  # s in which at most two changes are made
+REENTRY_WINDOW = 300.0  # s after a level's exit in which a new entry lengthens its minimum stay
+BACKOFF_FACTOR = 2.0  # multiplies the minimum stay on each entry within REENTRY_WINDOW
+MAX_SNAPSHOT_GAP = 2.0  # s; after a longer gap between snapshots no condition counts as having held
 
 
 @dataclass(frozen=True, slots=True)
 class LevelTimings:
-    """When a level is entered and left; times in seconds."""
+    """For how long a level's conditions must hold, and the range of its minimum stay; times in seconds."""
 
     name: str
     enter_for: float
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HysteresisState:
-    """One level's state: time of its last exit, minimum stay (s), and since when its conditions hold (inf: not)."""
+    """One level's state: time of its last exit, minimum stay (s), and since when each condition holds (inf: not)."""
 
     left_at: float = -inf
     min_stay: float = 0.0
@@ -67,27 +67,27 @@
 
 
 class Change(NamedTuple):
-    """A change of level, and the condition that caused it."""
+    """A change of level, its time, and the condition that caused it."""
 
     at: float
     from_level: int
     to_level: int
     cause: str  # enter, strong, exit or configuration
-    cause_level: int  # the level whose condition it was
+    cause_level: int  # the level whose condition caused the change
 
 
 def initial_state(timings: Sequence[LevelTimings]) -> ControllerState:
-    """Return the state at full service, without history."""
+    """Return the state at full service, without earlier changes."""
     return ControllerState(0, tuple(HysteresisState(min_stay=level_timings.min_stay) for level_timings in timings))
 
 
 def may_change(now: float, earlier_change: float) -> bool:
-    """Whether CHANGE_WINDOW has passed since an earlier change."""
+    """Return whether CHANGE_WINDOW has passed since an earlier change."""
     return now - earlier_change >= CHANGE_WINDOW
 
 
 def may_leave(now: float, last_change: float, min_stay: float) -> bool:
-    """Whether the minimum stay in a level is over."""
+    """Return whether the minimum stay in a level is over."""
     return now - last_change >= min_stay
 
 
@@ -105,7 +105,8 @@
 ) -> tuple[ControllerState, Change | None]:
     """Return the state after one evaluation, and the change that it made, if any.
 
-    A clock that went back stands still until it has caught up. After a gap no condition counts as having held.
+    If the clock goes back, the state keeps its time until the clock has caught up. After a gap of more than
+    MAX_SNAPSHOT_GAP no condition counts as having held.
     """
     now = max(now, state.now)
     after_gap = now - state.now > MAX_SNAPSHOT_GAP
@@ -141,9 +142,9 @@
 def _rise(
     timings: Sequence[LevelTimings], state: ControllerState, snapshots: Sequence[ConditionSnapshot]
 ) -> Change | None:
-    """Return a rise to the highest level whose strong condition has held, else to the next one.
+    """Return a rise to the highest level whose strong condition has held, else to the next level.
 
-    Evidence for a higher level is evidence for the next one too.
+    A rise to the next level is also due when only the entry condition of a higher level has held.
     """
     level, now = state.level, state.now
     above = range(level, len(timings))
@@ -157,8 +158,8 @@
     if not may_change(now, state.last_change_at):  # the last change that the window allows
         holding = [i for i in above if snapshots[i].enter or snapshots[i].strong]
         if holding and holding[-1] + 1 > change.to_level:
-            why = "enter" if snapshots[holding[-1]].enter else "strong"
-            change = Change(now, level, holding[-1] + 1, why, holding[-1] + 1)
+            cause = "enter" if snapshots[holding[-1]].enter else "strong"
+            change = Change(now, level, holding[-1] + 1, cause, holding[-1] + 1)
     return change
 
 
@@ -173,7 +174,7 @@
 
 
 def _apply_change(timings: Sequence[LevelTimings], state: ControllerState, change: Change) -> ControllerState:
-    """Return the state after a change; exit conditions must hold anew for the next level down."""
+    """Return the state after a change; every exit condition must then hold for its full time again."""
     hysteresis = [replace(level_hysteresis, exit_since=inf) for level_hysteresis in state.hysteresis]
     for i in range(change.from_level, change.to_level):  # entered
         hysteresis[i] = replace(
@@ -188,9 +189,10 @@
 def adopt(
     old_timings: Sequence[LevelTimings], state: ControllerState, new_timings: Sequence[LevelTimings]
 ) -> tuple[ControllerState, Change | None]:
-    """Return the state under a new plan. Levels match by name; a removed level in force gives way to the next below.
+    """Return the state under a new plan, and the change of level that this makes, if any.
 
-    A change made so is the operators' own and waits for no guard, but it counts for those that follow.
+    Levels match by name. If the level in force is removed, the next lower one that remains replaces it. The rate limit
+    does not delay this change, as the operators ask for it, but counts it for later changes.
     """
     by_name = {
         level_timings.name: level_hysteresis
--- a/tealwing/levels/governor.py
+++ b/tealwing/levels/governor.py
@@ -1,7 +1,7 @@
 """Wraps the decision module: derives signals from events and actions, and notifies the module of its service level.
 
-It has the module's own `handle`, so that the gateway, the simulator's adapter and the laboratory use it alike. It
-changes no event and no action; only the module admits and rejects.
+The governor has the same `handle` method as the decision module, so that the gateway, the simulator's adapter and
+tealwing.lab can use either. It changes no event and no action; only the module admits and rejects.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from tealwing.levels.signals import Signals
 from tealwing.policy import Gateway
 
-MAX_RECENT_CHANGES = 99  # kept beside the last one
-TIMER_TOKEN = 2  # the module's own tokens are 0 or odd
+MAX_RECENT_CHANGES = 99  # changes kept in addition to the newest one
+TIMER_TOKEN = 2  # of the governor's timer; the decision module's own tokens are 0 or odd
 
 LogEvent = Callable[[str, dict[str, Any]], None]  # an event's name and fields, for the log
 
@@ -37,11 +37,11 @@
         self._is_started = False
         self._evaluated_at = 0.0
         self._is_reduced = False
-        self.changes: list[controller.Change] = []  # the last ones, for the admin interface
-        self.latest_signals: dict[str, float] = {}  # of the last evaluation
+        self.changes: list[controller.Change] = []  # the most recent ones, for the admin interface
+        self.latest_signals: dict[str, float] = {}  # signals of the last evaluation
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Return the module's actions on one event, with the governor's timer."""
+        """Return the module's actions on one event; the first call adds the governor's timer."""
         match event:
             case api.TimerFired(token=token) if token == TIMER_TOKEN:
                 return self._evaluate(now)
@@ -66,23 +66,26 @@
         return actions
 
     def end(self, now: float) -> Gateway:
-        """Restore full service and return the module, as the operators have switched the levels off."""
+        """Restore full service and return the decision module, for use after the operators switch the levels off."""
         if self._is_reduced:
-            admitted = tuple((chance,) for chance in self._full_service.floor)
+            admitted = tuple((share,) for share in self._full_service.floor)
             self.gateway.handle(
                 now, api.ServiceLevel(0, FULL_SERVICE, admitted, self._full_service.max_attempts, (0.0, 0.0))
             )
         return self.gateway
 
     def adopt(self, plan: Plan, now: float) -> None:
-        """Take over a new plan; a level in force that it lacks gives way. Raise PlanError without a change."""
-        new = plan.admission_limits(self.settings)
+        """Adopt a new plan. If it lacks the level in force, the next lower level replaces that one.
+
+        Raise PlanError, and keep the old plan, if the new one does not fit the settings.
+        """
+        new_limits = plan.admission_limits(self.settings)
         self.state, change = controller.adopt(self.plan.timings, self.state, plan.timings)
-        before, self.plan, self._limits_by_level = self.plan, plan, new
-        if (before.window, before.interval) != (plan.window, plan.interval):
+        old_plan, self.plan, self._limits_by_level = self.plan, plan, new_limits
+        if (old_plan.window, old_plan.interval) != (plan.window, plan.interval):
             self.signals.resize(plan.window, plan.interval)
         if change is not None:
-            names = before.names
+            names = old_plan.names
             self._log_change(change, {"from": names[change.from_level], "to": self.name, "why": change.cause})
         self._notify_gateway(now)
 
@@ -112,17 +115,17 @@
         return self._limits_by_level[self.state.level - 1] if self.state.level else self._full_service
 
     def _notify_gateway(self, now: float) -> None:
-        """Notify the module while a level is in force or recovering, and once more at its end."""
+        """Notify the module while a level is in force or shares are still rising, and once more when all are 1."""
         is_reduced = self.state.level > 0 or admission.is_recovering(self._shares)
         if is_reduced or self._is_reduced:
-            beyond = self.signals.shares_beyond_quota()  # empty without tenant quotas
+            beyond_quota = self.signals.shares_beyond_quota()  # empty without tenant quotas
             event = admission.service_level_event(
                 self.state.level,
                 self.name,
                 self._shares,
                 self._current_limits(),
                 self.signals.arrivals(),
-                [beyond.get(name, 0.0) for name in self.settings.tenants] or [0.0],
+                [beyond_quota.get(name, 0.0) for name in self.settings.tenants] or [0.0],
             )
             self.gateway.handle(now, event)
         self._is_reduced = is_reduced
--- a/tealwing/levels/plan.py
+++ b/tealwing/levels/plan.py
@@ -1,4 +1,4 @@
-"""The operators' section `levels` as a record, and what follows from it; pure."""
+"""The section `levels` of the operators' file as records, and the admission limits derived from it; pure."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from tealwing.levels.controller import Change, ConditionSnapshot, LevelTimings
 
 FULL_SERVICE = "full"  # name of level 0
-CAUSES = ("enter", "strong", "exit")  # a level's conditions, in the order of Matches
-Matches = tuple[Product | None, Product | None, Product | None]  # the product that holds, of each condition
+CAUSES = ("enter", "strong", "exit")  # names of a level's conditions, in the order of Matches
+Matches = tuple[Product | None, Product | None, Product | None]  # the product of each condition that holds
 
 
 class PlanError(LevelsError):
-    """A plan that does not fit the settings; the message names what is unknown."""
+    """Raised for a plan that does not fit the settings; the message names what is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,14 +34,14 @@
     retry_after_range: tuple[float, float]
 
     def signals(self) -> set[str]:
-        """Return the names of all signals that its conditions read."""
+        """Return the names of all signals that the level's conditions read."""
         names = self.enter.signals() | self.exit.signals()
         return names | self.strong.signals() if self.strong else names
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All levels, the mildest first, and common settings; window and interval in seconds."""
+    """All levels, the mildest first, and their common settings; window and interval in seconds."""
 
     levels: tuple[Level, ...]
     window: float
@@ -55,11 +55,11 @@
 
     @property
     def names(self) -> list[str]:
-        """The names of full service and of the levels, by number."""
+        """The names of full service and of the levels, indexed by level number."""
         return [FULL_SERVICE, *(level.timings.name for level in self.levels)]
 
     def matches(self, signals: Mapping[str, float]) -> list[Matches]:
-        """Return which product of each level's conditions holds."""
+        """Return, for each level, which product of each condition holds."""
         return [
             (
                 level.enter.first_match(signals),
@@ -70,7 +70,7 @@
         ]
 
     def log_fields(self, change: Change, matches: Sequence[Matches], signals: Mapping[str, float]) -> dict[str, Any]:
-        """Return a change's fields for the log: from, to, and the condition that caused it with its values."""
+        """Return the log fields of a change: both levels, the condition that caused it, and its signals' values."""
         level, place = self.levels[change.cause_level - 1], CAUSES.index(change.cause)
         condition = (level.enter, level.strong, level.exit)[place]
         return {
@@ -88,16 +88,25 @@
         for level in self.levels:
             for name in (*level.admitted_shares, *level.max_attempts):
                 if name not in classes:
-                    raise PlanError(f"level {level.timings.name}: no class {name}, but {', '.join(classes)}")
+                    raise PlanError(
+                        f"level {level.timings.name}: no class {name} in the settings; allowed: {', '.join(classes)}"
+                    )
             for name in level.account_caps:
                 if name not in settings.tenants:
-                    raise PlanError(f"level {level.timings.name}: no account {name}, but {settings.tenants}")
+                    allowed = ", ".join(settings.tenants) or "none"
+                    raise PlanError(
+                        f"level {level.timings.name}: no account {name} in the settings; allowed: {allowed}"
+                    )
             for signal in level.signals():
                 head, _, rest = signal.partition(".")
                 name = rest.rpartition(".")[0]
-                if head in ("class", "account") and name not in (classes, settings.tenants)[head == "account"]:
-                    raise PlanError(f"level {level.timings.name}: {signal} names no {head} of the settings")
-        all_admitted = (1.0, 1.0)  # of a class that the level does not name
+                known = (classes, settings.tenants)[head == "account"]
+                if head in ("class", "account") and name not in known:
+                    raise PlanError(
+                        f"level {level.timings.name}: signal {signal}: no {head} {name} in the settings;"
+                        f" allowed: {', '.join(known) or 'none'}"
+                    )
+        all_admitted = (1.0, 1.0)  # floor and ceiling of a class that the level does not name
         return tuple(
             AdmissionLimits(
                 tuple(level.admitted_shares.get(name, all_admitted)[0] for name in classes),
@@ -111,5 +120,5 @@
 
 
 def snapshots(matches: Sequence[Matches]) -> list[ConditionSnapshot]:
-    """Convert matches to the controller's snapshots."""
+    """Return, for each level, which of its conditions hold, as the controller takes them."""
     return [ConditionSnapshot(*(product is not None for product in products)) for products in matches]
