--- a/tealwing/levels/section.py
+++ b/tealwing/levels/section.py
@@ -1,4 +1,4 @@
-"""The section `levels` of the operators' file: its directives, and the checks that hold them together."""
+"""The section `levels` of the operators' file: its directives, and the checks of their consistency."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from tealwing.levels.controller import LevelTimings
 from tealwing.levels.plan import Level, Plan
 
-MAX_LEVELS = 8  # more than operators can tell apart under stress
+MAX_LEVELS = 8  # operators under stress cannot tell more levels apart
 RANGE_HELP = "VALUE or LOW..HIGH"
 
 
 class TimedCondition(msgspec.Struct, frozen=True):
-    """A condition and the time for which it must hold."""
+    """A condition and the time in seconds for which it must hold."""
 
     condition: Condition
     seconds: float
 
 
 def _timed_condition(min_seconds: float) -> values.ArgumentReader:
-    """`when CONDITION for DURATION`."""
+    """Return a reader of `when CONDITION for DURATION`, whose duration is at least min_seconds."""
 
     def read(words: values.Arguments) -> TimedCondition:
         if len(words) < 5 or words[0] != "when" or words[-2] != "for":
-            raise values.InvalidValueError("when, a condition, for, a duration")
+            raise values.InvalidValueError('the word "when", a condition, the word "for" and a duration')
         seconds = values.durations(min_seconds, 3600.0)(words[-1:])
         try:
             return TimedCondition(conditions.parse(" ".join(words[1:-2])), seconds)
@@ -43,13 +43,13 @@
 
 
 def _stay(words: values.Arguments) -> tuple[float, float]:
-    """`DURATION` or `DURATION growing to DURATION`."""
+    """Return the minimum and maximum stay of `DURATION` or `DURATION growing to DURATION`, in seconds."""
     bounded = values.durations(1.0, 86400.0)
     if len(words) == 1:
         return bounded(words), bounded(words)
     if len(words) == 4 and words[1:3] == ("growing", "to"):
         return bounded(words[:1]), bounded(words[3:])
-    raise values.InvalidValueError("a duration, or: a duration growing to a duration")
+    raise values.InvalidValueError('one duration, or two joined by "growing to"')
 
 
 def _range(read: values.ArgumentReader, text: str) -> tuple[Any, Any]:
@@ -59,31 +59,31 @@
 
 def _admit(words: values.Arguments) -> tuple[str, tuple[float, float]]:
     if len(words) != 2:
-        raise values.InvalidValueError("a class, and the share of it that is admitted")
+        raise values.InvalidValueError("a class, and the share of its requests that is admitted")
     low, high = _range(values.shares(), words[1])
     if low > high:
-        raise values.InvalidValueError("a lower share, two dots, a higher share")
+        raise values.InvalidValueError("a range whose first share is not above the second")
     return words[0], (low, high)
 
 
 def _account(words: values.Arguments) -> tuple[str, float]:
     if len(words) != 2:
-        raise values.InvalidValueError("an account, and the share of it that is admitted")
+        raise values.InvalidValueError("an account, and the share of its requests that is admitted")
     return words[0], values.shares()(words[1:])
 
 
 def _attempts(words: values.Arguments) -> tuple[str, int]:
     if len(words) != 2:
-        raise values.InvalidValueError("a class, and how many attempts its requests have")
+        raise values.InvalidValueError("a class, and the maximum number of attempts of its requests")
     return words[0], values.integers(1, 100)(words[1:])
 
 
 def _pushback(words: values.Arguments) -> tuple[float, float]:
     if len(words) != 1:
-        raise values.InvalidValueError("a duration, or two with two dots between")
+        raise values.InvalidValueError('one duration, or two joined by ".." as a range')
     low, high = _range(values.durations(0.0, 3600.0), words[0])
     if low > high:
-        raise values.InvalidValueError("a shorter duration, two dots, a longer one")
+        raise values.InvalidValueError("a range whose first duration is not above the second")
     return low, high
 
 
@@ -91,60 +91,62 @@
     Spec(
         "enter",
         "when CONDITION for DURATION",
-        "Entered from the level below when this has held so long.",
+        "The level is entered from the level below when the condition has held for the duration.",
         _timed_condition(0.0),
         needed=True,
     ),
     Spec(
         "strong",
         "when CONDITION for DURATION",
-        "Entered at once from any level below when this has held so long.",
+        "The level is entered directly from any level below when the condition has held for the duration.",
         _timed_condition(0.0),
     ),
     Spec(
         "exit",
         "when CONDITION for DURATION",
-        "Left for the level below when this has held so long, and the least stay is over. Must lie apart from"
-        " `enter`, with a gap, and hold for no shorter time.",
+        "The level is left for the level below when the condition has held for the duration and the minimum stay is"
+        " over. The condition must not overlap or touch those of `enter` and `strong`, and its duration must not be"
+        " shorter than that of `enter`.",
         _timed_condition(0.0),
         needed=True,
     ),
     Spec(
         "stay",
         "DURATION [growing to DURATION]",
-        "Least stay in the level, from the change that led there. Doubled, up to the second figure, each time that"
-        " the level is entered again within 5 minutes of being left. Below 60s it costs protection: no minute has"
-        " more than two changes, so after an early exit an entry may have to wait.",
+        "Minimum stay in the level, from the change that entered it. It doubles, up to the second duration, each time"
+        " that the level is entered again within 5 minutes of its exit. Below 60s it weakens the protection: no"
+        " minute has more than two changes of level, so after an early exit the next entry may be delayed.",
         _stay,
         "60s growing to 4m",
     ),
     Spec(
         "admit",
         f"CLASS {RANGE_HELP}",
-        "Share of a class's requests that is admitted: the lower figure on entry and under pressure, up to the"
-        " higher one as pressure goes. A class that is not named is admitted whole.",
+        "Admitted share of a class's requests: it starts at the lower value on entry, falls no lower under overload,"
+        " and rises to the higher value as the overload ends. All requests of a class that is not named are admitted.",
         _admit,
         many=True,
     ),
     Spec(
         "account",
         "ACCOUNT SHARE",
-        "Most that is admitted of an account's requests, of every class.",
+        "Upper bound on the admitted share of an account's requests, in every class.",
         _account,
         many=True,
     ),
     Spec(
         "attempts",
         "CLASS NUMBER",
-        "Most attempts of a request of a class that is safe to repeat; a keyed one once sent is never cut short.",
+        "Maximum number of attempts of a request, for a class that is safe to repeat; a keyed request that was sent to"
+        " an engine keeps all its attempts.",
         _attempts,
         many=True,
     ),
     Spec(
         "pushback",
         "DURATION or LOW..HIGH",
-        "What a refused client is told to wait, drawn anew for each; never beyond what the platform lets a"
-        " client heed.",
+        "Retry-After time of a rejected request, drawn at random from the range for each one, up to the maximum that"
+        " the platform's settings allow.",
         _pushback,
         "250ms..500ms",
     ),
@@ -154,36 +156,36 @@
     Spec(
         "window",
         "DURATION",
-        "Over how much of the past signals are taken.",
+        "Length of the sliding window over which signals are computed.",
         values.durations(0.5, 300.0),
         "3s",
     ),
-    Spec("every", "DURATION", "How often the levels are looked at.", values.durations(0.05, 5.0), "250ms"),
+    Spec("every", "DURATION", "Interval between two evaluations of the levels.", values.durations(0.05, 5.0), "250ms"),
     Spec(
         "cut",
         "SHARE",
-        "What is left of an admitted share after a second of pressure.",
+        "Factor by which an admitted share falls in one second of overload.",
         values.shares(0.01, 1.0),
         "50%",
     ),
     Spec(
         "ramp",
         "DURATION",
-        "Time in which an admitted share rises from nothing to the whole.",
+        "Time in which an admitted share rises from 0% to 100%.",
         values.durations(0.1, 3600.0),
         "20s",
     ),
     Spec(
         "cold",
         "SHARE",
-        "Capacity that engines which started cold still lack at which admitted shares wait before they rise.",
+        "Share of capacity that engines in slow start lack; at this share or more, admitted shares do not rise.",
         values.shares(0.0, 1.0),
         "10%",
     ),
     Spec(
         "level",
         "NAME",
-        "One level; the mildest comes first.",
+        "One service level, with its directives indented below it; the mildest level comes first.",
         values.name,
         many=True,
         needed=True,
@@ -193,13 +195,13 @@
 
 
 def build(block: Block, report: Report) -> Plan | None:
-    """Return the plan of a checked section, and report contradictions."""
+    """Return the plan that a checked section describes, and report directives that contradict each other."""
     entries, found = block.all("level"), list[Level]()
     for entry in entries[MAX_LEVELS:]:
         report.add(entry.place, "level", f"more than {MAX_LEVELS} levels", f"at most {MAX_LEVELS}")
     for entry in entries:
         if any(level.timings.name == entry.value for level in found):
-            report.add(entry.place, "level", f"a second level {entry.value}", "names that differ")
+            report.add(entry.place, "level", f"a second level {entry.value}", "a different name for each level")
         found.append(_level(entry, report))
     window, interval = block.one("window"), block.one("every")
     if interval > window:
@@ -230,7 +232,9 @@
     )
     admit, accounts, attempts = (_repeated(block, name, report) for name in ("admit", "account", "attempts"))
     if not (admit or accounts or attempts):
-        report.add(place, "level", f"a level {entry.value} that does nothing", "admit, account or attempts")
+        report.add(
+            place, "level", f"a level {entry.value} that does nothing", "at least one admit, account or attempts"
+        )
     return Level(
         timings,
         enter.condition,
@@ -244,35 +248,40 @@
 
 
 def _repeated(block: Block, name: str, report: Report) -> dict[str, Any]:
-    """Return a repeatable directive's values by its first word, and report duplicates."""
+    """Return the values of a repeatable directive, keyed by its first argument, and report duplicates."""
     found: dict[str, Any] = {}
     for entry in block.all(name):
         key, value = entry.value
         if key in found:
-            report.add(entry.place, name, f"{quoted(key)} a second time", "each once")
+            report.add(entry.place, name, f"{quoted(key)} a second time", "each name once")
         found[key] = value
     return found
 
 
 def _check_conditions(block: Block, place: Place, report: Report) -> None:
-    """Report conditions that can't hold, and an exit that overlaps an entry or has no gap to it."""
+    """Report conditions that can never hold, and an exit condition that overlaps or touches an entry condition."""
     exit_ = block.one("exit")
     for name in ("enter", "strong", "exit"):
-        times = block.one(name)
-        if times is not None and not conditions.is_satisfiable(times.condition):
-            report.add(block.place(name, place), name, f'"{times.condition.text}"', "a condition that can hold")
+        timed = block.one(name)
+        if timed is not None and not conditions.is_satisfiable(timed.condition):
+            report.add(
+                block.place(name, place),
+                name,
+                f'"{timed.condition.text}", which can never hold',
+                "a condition that some signal values fulfil",
+            )
     for name in ("enter", "strong"):
-        times = block.one(name)
-        if times is None:
+        timed = block.one(name)
+        if timed is None:
             continue
-        witness = conditions.overlap(times.condition, exit_.condition)
+        witness = conditions.overlap(timed.condition, exit_.condition)
         if witness is not None:
-            written = ", ".join(f"{signal} {value}" for signal, value in witness.items())
+            signal_values = ", ".join(f"{signal} {value}" for signal, value in witness.items())
             report.add(
                 block.place("exit", place),
                 "exit",
-                f"a condition that meets {name} at {written}",
-                f"one that lies apart from {name}, with a gap between the two",
+                f"a condition that overlaps or touches {name} at {signal_values}",
+                f"a condition with a gap between it and {name}",
             )
     enter = block.one("enter")
     if exit_.seconds < enter.seconds:
@@ -280,13 +289,13 @@
             block.place("exit", place),
             "exit",
             f"for {values.format_duration(exit_.seconds)}",
-            f"for {values.format_duration(enter.seconds)} or more, as enter has",
+            f"for {values.format_duration(enter.seconds)} or more, the duration of enter",
         )
 
 
 SECTION = Section(
     "levels",
-    "Named levels of reduced service; see docs/operating/levels.md. Absent: always full service.",
+    "Named levels of reduced service; see docs/operating/levels.md. Without this section, service is always full.",
     SPECS,
     build,
 )
