--- a/tealwing/conf/grammar.py
+++ b/tealwing/conf/grammar.py
@@ -1,6 +1,6 @@
-"""The grammar of one line of the operators' file; pure. Blocks follow from indentation, as the reader sees it.
+"""The grammar of one line of the operators' file; pure. `reader` derives the blocks from the lines' indentation.
 
-Lines are parsed one by one, so that every bad line of a file is reported.
+Lines are parsed one by one, so that every invalid line of a file is reported.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 
 from lark import Lark, Token, UnexpectedInput
 
-MAX_LINE_LENGTH = 4096  # characters: a line that is longer is no directive
-TAB_WIDTH = 8  # columns of a tab stop, as terminals show it
+MAX_LINE_LENGTH = 4096  # characters; a longer line is reported as a problem
+TAB_WIDTH = 8  # columns between tab stops, as on terminals
 
 _LINE = Lark(
     r"""
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong: where, in which directive, what was found, and what is allowed."""
+    """One error in a file: its place, the directive, what was found and what is allowed."""
 
     place: Place
     directive: str
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class Directive:
-    """One line: a name and its arguments, with the lines indented below it."""
+    """One line: a name and its arguments, with the directives indented below it."""
 
     name: str
     arguments: tuple[str, ...]
@@ -65,20 +65,20 @@
 
 
 def parse_line(text: str, place: Place) -> Directive | Problem | None:
-    """Return the directive on a line, or the problem; None for an empty line or a comment."""
+    """Return the directive on a line, or the problem with the line; None for an empty line or a comment."""
     if len(text) > MAX_LINE_LENGTH:
         return Problem(place, "a line", f"{len(text)} characters", f"at most {MAX_LINE_LENGTH}")
-    bare = text.rstrip()
-    indent = len(bare.expandtabs(TAB_WIDTH)) - len(bare.expandtabs(TAB_WIDTH).lstrip())
+    stripped = text.rstrip()
+    indent = len(stripped.expandtabs(TAB_WIDTH)) - len(stripped.expandtabs(TAB_WIDTH).lstrip())
     try:
-        tree = _LINE.parse(bare)
+        tree = _LINE.parse(stripped)
     except UnexpectedInput as error:
         at = max(getattr(error, "column", 1) - 1, 0)
         return Problem(
             place,
             "syntax",
-            f'"{bare[at : at + 20]}" in column {at + 1}',
-            'a directive in lower-case letters, then words or "strings"; # begins a comment',
+            f'"{stripped[at : at + 20]}" in column {at + 1}',
+            'a directive name of lower-case letters, digits and hyphens, then words or "strings"; # begins a comment',
         )
     tokens = [token for token in tree.children if isinstance(token, Token)]
     if not tokens:
@@ -93,7 +93,7 @@
 
 
 def quoted(argument: str) -> str:
-    """Return an argument as it is written in a file."""
-    if argument and not any(mark in argument for mark in ' \t#"'):
+    """Return an argument as it is written in the operators' file, in quotes if it needs them."""
+    if argument and not any(character in argument for character in ' \t#"'):
         return argument
     return '"' + argument.replace("\\", "\\\\").replace('"', '\\"') + '"'
--- a/tealwing/conf/reader.py
+++ b/tealwing/conf/reader.py
@@ -1,4 +1,4 @@
-"""Reads the operators' file with all that it includes, and builds the records of its sections."""
+"""Reads the operators' file with all files that it includes, and builds the records of its sections."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tealwing.conf.grammar import Directive, Place, Problem, parse_line
 from tealwing.conf.schema import Block, Report, Section, check
 
-# A section's module is imported when a file has the section, and not before: memory is short.
+# Module of each section. It is imported only when a file has the section, as memory is limited.
 SECTIONS = {
     "levels": "tealwing.levels.section",
     "gossip": "tealwing.gossip.section",
@@ -19,12 +19,12 @@
     "rules": "tealwing.rollout.section",
     "federation": "tealwing.federation.section",
 }
-MAX_FILES = 64  # files that one file may include, in all
+MAX_FILES = 64  # files of one configuration, includes and the operators' file counted
 MAX_FILE_BYTES = 1 << 20  # bytes of one file
 
 
 class ConfError(ValueError):
-    """A file that can't be used; the message has a line for each problem."""
+    """Raised for an unusable operators' file; the message has a line for each problem."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(map(str, problems)))
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Conf:
-    """A file that was read: the records by section, and what each section holds, for showing it."""
+    """A file that was read: the record of each section, and its checked directives, from which `render` prints it."""
 
     path: str
     records: dict[str, Any] = field(default_factory=dict)
@@ -57,14 +57,14 @@
         elif top.arguments:
             report.add(top.place, top.name, " ".join(top.arguments), "the section's name alone")
         elif top.name in conf.blocks:
-            report.add(top.place, top.name, f"a second section {top.name}", "one")
+            report.add(top.place, top.name, f"a second section {top.name}", "one section of each name")
         else:
-            what = section(top.name)
-            before = len(report.problems)
-            block = check(what.specs, top.children, top.place, top.name, report)
+            found = section(top.name)
+            problems_before = len(report.problems)
+            block = check(found.specs, top.children, top.place, top.name, report)
             conf.blocks[top.name] = block
-            if len(report.problems) == before:  # what does not stand by itself can't be held together
-                conf.records[top.name] = what.build(block, report)
+            if len(report.problems) == problems_before:  # a record can only be built from valid directives
+                conf.records[top.name] = found.build(block, report)
     for name in conf.blocks:
         if (across := section(name).across) is not None:
             across(conf.records, conf.blocks, report)
@@ -74,7 +74,7 @@
 
 
 def _lines(path: Path, included_at: Place, report: Report, seen: list[Path]) -> list[Directive]:
-    """Return the directives at the left margin of a file, with those below them as children."""
+    """Return the top-level directives of a file, with the directives indented below them as children."""
     if path.resolve() in seen:
         report.add(included_at, "include", f'"{path}"', "a file that is not included already")
         return []
@@ -86,7 +86,7 @@
     if text is None:
         return []
     top: list[Directive] = []
-    open_blocks: list[Directive] = []  # from the margin inwards
+    open_blocks: list[Directive] = []  # the directives that enclose the current line, the outermost first
     for number, raw in enumerate(text.splitlines(), 1):
         found = parse_line(raw, Place(str(path), number))
         if found is None:
@@ -104,7 +104,7 @@
             else:
                 inner = _lines(path.parent / found.arguments[0], found.place, report, seen)
                 for item in inner:
-                    item.indent = found.indent  # they stand where the include stands
+                    item.indent = found.indent  # included directives replace the include, at its indentation
                 siblings += inner
             continue
         siblings.append(found)
@@ -113,31 +113,40 @@
 
 
 def _read_text(path: Path, included_at: Place, report: Report) -> str | None:
-    """Return the text of a file; None, with a problem reported, where it can't be used."""
+    """Return the text of a file; report a problem and return None if the file cannot be used."""
     try:
         with path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
         text = data.decode()
     except OSError as error:
-        report.add(included_at, "file", f'"{path}": {error.strerror}', "a file that can be read")
+        report.add(included_at, "file", f'"{path}": {error.strerror}', "a readable file")
         return None
     except UnicodeDecodeError as error:
-        report.add(included_at, "file", f"a byte that is no UTF-8 at {error.start}", "text in UTF-8")
+        report.add(
+            included_at, "file", f'"{path}": a byte that is not UTF-8, at offset {error.start}', "text encoded in UTF-8"
+        )
         return None
     if len(data) > MAX_FILE_BYTES:
-        report.add(included_at, "file", f"more than {MAX_FILE_BYTES} bytes", f"at most {MAX_FILE_BYTES} bytes")
+        report.add(
+            included_at, "file", f'"{path}": more than {MAX_FILE_BYTES} bytes', f"at most {MAX_FILE_BYTES} bytes"
+        )
         return None
     return text
 
 
 def _check_indent(found: Directive, siblings: list[Directive], in_block: bool, report: Report) -> None:
-    """Report a directive that is indented otherwise than its siblings, or outside of any section."""
+    """Report a directive whose indentation differs from that of its siblings, or that is outside any section."""
     if siblings and siblings[-1].indent != found.indent:
         report.add(
             found.place,
             found.name,
-            f"an indentation of {found.indent}",
-            f"{siblings[-1].indent}, as its neighbours have",
+            f"an indentation of {found.indent} columns",
+            f"{siblings[-1].indent} columns, as in the directive before",
         )
     elif not in_block and found.indent:
-        report.add(found.place, found.name, f"an indentation of {found.indent}", "a section first")
+        report.add(
+            found.place,
+            found.name,
+            f"an indentation of {found.indent} columns outside a section",
+            "a section first, at the left margin",
+        )
--- a/tealwing/conf/render.py
+++ b/tealwing/conf/render.py
@@ -1,4 +1,4 @@
-"""The file as it is in force, with its defaults; and the reference of all sections for the manual."""
+"""Prints a checked file with its defaults, and the reference of all sections for the manual."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def show(conf: Conf) -> str:
-    """All that holds, as a file; what was not written is marked as a default."""
+    """Return all directives of a file, with its includes expanded; defaults that it does not give are marked."""
     lines: list[str] = []
     for name, block in conf.blocks.items():
         lines += [name, *_block(reader.section(name).specs, block, 1), ""]
-    return "\n".join(lines) if lines else f"# {conf.path} has no section: everything is off\n"
+    return "\n".join(lines) if lines else f"# {conf.path} has no section: every optional subsystem is off\n"
 
 
 def _block(specs: tuple[Spec, ...], block: Block, depth: int) -> Iterator[str]:
@@ -28,7 +28,7 @@
 
 
 def manual() -> str:
-    """The reference of every section, in Markdown."""
+    """Return the reference of every section, in Markdown."""
     parts: list[str] = []
     for name in reader.SECTIONS:
         section = reader.section(name)
@@ -43,7 +43,7 @@
     for spec in specs:
         usage = f"`{spec.name} {spec.usage}`".replace(" `", "`").replace("|", "\\|")
         default = f"`{spec.default}`" if spec.default else ("must be given" if spec.needed else "none")
-        many = " May stand several times." if spec.many else ""
+        many = " May occur several times." if spec.many else ""
         yield f"| {usage} | {default} | {spec.help}{many} |"
     for spec in specs:
         if spec.children:
--- a/tealwing/conf/schema.py
+++ b/tealwing/conf/schema.py
@@ -1,4 +1,4 @@
-"""What a section may hold, and the check of a block of directives against that; pure."""
+"""Specifies the directives that a section may contain, and checks a block of directives against them; pure."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
     """One directive: how it is written, what it means, and how its arguments are read."""
 
     name: str
-    usage: str  # of its arguments, as the manual prints it
+    usage: str  # the arguments, as the manual prints them
     help: str
     read: values.ArgumentReader
-    default: str = ""  # as a file would write it; empty: there is none
-    many: bool = False  # whether it may stand more than once
-    needed: bool = False
+    default: str = ""  # arguments as a file would write them; empty: no default
+    many: bool = False  # whether the directive may occur more than once
+    needed: bool = False  # whether the directive must occur
     children: tuple[Spec, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """A section of the file, which belongs to one subsystem."""
+    """A section of the operators' file, which configures one subsystem."""
 
     name: str
     help: str
     specs: tuple[Spec, ...]
-    build: Callable[[Block, Report], Any]  # the subsystem's own record; problems go to the report
-    # what it contradicts in other sections: all records and blocks by section, once each stands by itself
+    build: Callable[[Block, Report], Any]  # builds the subsystem's record; problems go to the report
+    # checks the section against the others, after each was checked alone; takes all records and blocks by section
     across: Callable[[Mapping[str, Any], Mapping[str, Block], Report], None] | None = None
 
 
 @dataclass(slots=True)
 class Entry:
-    """One checked directive: its value, its arguments as written or by default, and its place."""
+    """One checked directive: its value, its arguments as given in the file or by default, and its place."""
 
     value: Any
     arguments: tuple[str, ...]
     place: Place
     block: Block | None = None
-    given: bool = True
+    given: bool = True  # False: the entry is a default
 
 
 @dataclass(slots=True)
 class Block:
-    """The checked directives of one section, or of one directive with lines of its own."""
+    """The checked directives of one section, or of one directive with directives indented below it."""
 
     entries: dict[str, list[Entry]] = field(default_factory=dict)
 
@@ -63,13 +63,13 @@
         return self.entries.get(name, [])
 
     def place(self, name: str, other: Place) -> Place:
-        """Return the place of a directive, or the other where it is absent."""
+        """Return the place of a directive, or `other` if the directive is absent."""
         found = self.entries.get(name)
         return found[0].place if found else other
 
 
 class Report:
-    """All problems of one reading."""
+    """Collects all problems found while a file is read."""
 
     def __init__(self) -> None:
         self.problems: list[Problem] = []
@@ -80,7 +80,7 @@
 
 
 def check(specs: tuple[Spec, ...], lines: list[Directive], place: Place, parent: str, report: Report) -> Block:
-    """Return the block of some lines, with defaults for absent directives; problems go to the report."""
+    """Return the block that some lines form, with defaults for absent directives; problems go to the report."""
     block, known = Block(), {spec.name: spec for spec in specs}
     for line in lines:
         spec = known.get(line.name)
@@ -89,10 +89,10 @@
             continue
         if spec.name in block.entries and not spec.many:
             first = block.entries[spec.name][0].place
-            report.add(line.place, line.name, f"a second {line.name}", f"one, and {first} has it")
+            report.add(line.place, line.name, f"a second {line.name}", f"one; the first is at {first}")
             continue
         if line.children and not spec.children:
-            report.add(line.children[0].place, line.name, "indented lines below it", "none there")
+            report.add(line.children[0].place, line.name, "indented lines below it", "no lines below this directive")
         try:
             value = spec.read(line.arguments)
         except values.InvalidValueError as error:
@@ -113,7 +113,7 @@
 
 
 def _add_defaults(specs: tuple[Spec, ...], block: Block, place: Place, parent: str, report: Report) -> None:
-    """Add the defaults of absent directives; report those that are needed."""
+    """Add the defaults of absent directives; report absent directives that are required."""
     for spec in specs:
         if spec.name in block.entries:
             continue
--- a/tealwing/conf/values.py
+++ b/tealwing/conf/values.py
@@ -1,4 +1,4 @@
-"""Values and their units in the operators' file; pure. Ranges are checked by msgspec's typed records."""
+"""Readers of the arguments in the operators' file: values with units, and names; pure. msgspec checks the ranges."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 Arguments = tuple[str, ...]
 ArgumentReader = Callable[[Arguments], Any]
 
-DURATIONS = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}  # s
-SIZES = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}  # bytes
+DURATIONS = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}  # s of each unit
+SIZES = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}  # bytes of each unit
 _PLAIN = re.compile(r"\d{1,15}(?:\.\d{1,9})?", re.ASCII)
 
 
 class InvalidValueError(ValueError):
-    """A value that is not allowed; the message says what is."""
+    """Raised for a value that is not allowed; the message says what is allowed."""
 
 
 def _number(text: str, allowed: str) -> float:
@@ -28,8 +28,8 @@
 
 
 def duration(text: str) -> float:
-    """Return `250ms`, `1.5s`, `2m` in seconds."""
-    allowed = "a duration with its unit, as 250ms, 1.5s, 2m, 1h or 7d"
+    """Return a duration such as `250ms`, `1.5s` or `2m` in seconds."""
+    allowed = "a duration with its unit, such as 250ms, 1.5s, 2m, 1h or 7d"
     unit = next((u for u in sorted(DURATIONS, key=len, reverse=True) if text.endswith(u)), None)
     if unit is None:
         raise InvalidValueError(allowed)
@@ -37,8 +37,8 @@
 
 
 def size(text: str) -> int:
-    """Return `64MB` in bytes."""
-    allowed = "a size with its unit, as 512B, 16KB, 64MB or 1GB"
+    """Return a size such as `64MB` in bytes."""
+    allowed = "a size with its unit, such as 512B, 16KB, 64MB or 1GB"
     unit = next((u for u in sorted(SIZES, key=len, reverse=True) if text.endswith(u)), None)
     if unit is None:
         raise InvalidValueError(allowed)
@@ -46,26 +46,26 @@
 
 
 def share(text: str) -> float:
-    """Return `85%` as 0.85."""
+    """Return a share such as `85%` as a fraction, here 0.85."""
     if not text.endswith("%"):
-        raise InvalidValueError("a share with its sign, as 85%")
-    return _number(text[:-1], "a share with its sign, as 85%") / 100
+        raise InvalidValueError("a share with its percent sign, such as 85%")
+    return _number(text[:-1], "a share with its percent sign, such as 85%") / 100
 
 
 def number(text: str) -> float:
-    """Return a plain number."""
-    return _number(text, "a number, as 2 or 1.5")
+    """Return a number without a unit or a sign."""
+    return _number(text, "a number, such as 2 or 1.5")
 
 
 def integer(text: str) -> int:
-    """Return an integer."""
+    """Return an integer of at most 15 digits."""
     if not (text.isascii() and text.isdigit()) or len(text) > 15:
-        raise InvalidValueError("a whole number, as 3")
+        raise InvalidValueError("a whole number of at most 15 digits, such as 3")
     return int(text)
 
 
 def format_duration(seconds: float) -> str:
-    """Return seconds as a file would write them."""
+    """Return a number of seconds as the operators' file writes a duration."""
     for unit, length in (("h", 3600.0), ("m", 60.0), ("s", 1.0)):
         if seconds >= length and abs(seconds / length - round(seconds / length)) < 1e-9:
             return f"{round(seconds / length)}{unit}"
@@ -73,7 +73,7 @@
 
 
 def format_share(value: float) -> str:
-    """Return a share as a file would write it."""
+    """Return a fraction as the operators' file writes a share."""
     return f"{value * 100:g}%"
 
 
@@ -83,7 +83,7 @@
 
     def value(arguments: Arguments) -> Any:
         if len(arguments) != 1:
-            raise InvalidValueError("one value")
+            raise InvalidValueError("exactly one value")
         found = read(arguments[0])
         try:
             return msgspec.convert(found, bounded)
@@ -119,7 +119,7 @@
 
 
 def choice(*allowed: str) -> ArgumentReader:
-    """Return a reader of one of some words."""
+    """Return a reader of one word out of `allowed`."""
 
     def value(arguments: Arguments) -> str:
         if len(arguments) != 1 or arguments[0] not in allowed:
@@ -137,7 +137,7 @@
 def name(arguments: Arguments) -> str:
     """Read one name of lower-case letters, digits and hyphens."""
     if len(arguments) != 1 or not re.fullmatch(r"[a-z][a-z0-9-]{0,39}", arguments[0]):
-        raise InvalidValueError("one name of at most 40 lower-case letters, digits and hyphens")
+        raise InvalidValueError("one name of at most 40 lower-case letters, digits and hyphens, a letter first")
     return arguments[0]
 
 
@@ -149,21 +149,23 @@
 
 
 def nothing(arguments: Arguments) -> None:
-    """Check that there is no argument."""
+    """Check that the directive has no argument."""
     if arguments:
         raise InvalidValueError("no argument")
 
 
 def instance(arguments: Arguments) -> str:
-    """Read the name of one instance of the program."""
+    """Read the name of one instance of the program, of at most 32 letters, digits, dots, hyphens and underscores."""
     if len(arguments) != 1 or not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,31}", arguments[0], re.ASCII):
-        raise InvalidValueError("one name of at most 32 letters, digits, dots, hyphens and underscores")
+        raise InvalidValueError(
+            "one name of at most 32 letters, digits, dots, hyphens and underscores, a letter or digit first"
+        )
     return arguments[0]
 
 
 def address(arguments: Arguments) -> tuple[str, int]:
     """Read one IPv4 address with its port."""
-    allowed = "one address, as 10.0.0.4:7946 or 127.0.0.1:0"
+    allowed = "one IPv4 address with its port, such as 10.0.0.4:7946 or 127.0.0.1:0"
     host, colon, port = arguments[0].rpartition(":") if len(arguments) == 1 else ("", "", "")
     if not colon or not (port.isascii() and port.isdigit()) or len(port) > 5 or int(port) > 65535:
         raise InvalidValueError(allowed)
