--- a/tealwing/__main__.py
+++ b/tealwing/__main__.py
@@ -1,4 +1,4 @@
-"""The command `tealwing`, and `python -m tealwing`. With no argument it is the gateway."""
+"""Entry point of `tealwing` and `python -m tealwing`. Without an argument it runs the gateway."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def main() -> int:
-    """Run what the arguments say; the gateway alone imports nothing that other commands need."""
+    """Run the command that the arguments name. Without one, only the gateway's modules are imported, to save memory."""
     if len(sys.argv) > 1:
         from tealwing.commands import root
 
--- a/tealwing/commands/__init__.py
+++ b/tealwing/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module a group of sub-commands."""
+"""The command line: one module for each group of sub-commands."""
--- a/tealwing/commands/base.py
+++ b/tealwing/commands/base.py
@@ -1,4 +1,4 @@
-"""What the commands share: findings, exit codes, and reading the operators' file."""
+"""Helpers of all commands: findings, exit codes, and reading the operators' file."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from tealwing.conf.reader import ConfError
 
 FILE = click.Path(dir_okay=False)
-FINDING = 1  # exit code: what was asked about is not as it should be
+FINDING = 1  # exit code of a command that found a fault in what it examined
 
 
 class Finding(click.ClickException):
-    """What a command found wrong; the message goes to standard error, and the exit code is 1."""
+    """Raised for a fault that a command found; the message goes to standard error, and the exit code is 1."""
 
     exit_code = FINDING
 
     def show(self, file: object = None) -> None:
-        """Write the message."""
+        """Write the message to standard error."""
         click.echo(self.message, err=True)
 
 
--- a/tealwing/commands/fleet.py
+++ b/tealwing/commands/fleet.py
@@ -1,4 +1,4 @@
-"""`tealwing fleet`: trials of several real processes with faults between them."""
+"""`tealwing fleet`: trials of several real processes under injected faults."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 @fleet.command("list")
-@click.option("--json", "as_json", is_flag=True, help="One line of JSON a scenario.")
+@click.option("--json", "as_json", is_flag=True, help="One line of JSON per scenario.")
 def list_(as_json: bool) -> None:
-    """Show the scenarios that come along.
+    """List the scenarios that are part of the program.
 
     Example: tealwing fleet list
     """
@@ -38,17 +38,17 @@
 @click.argument("name", metavar="SCENARIO")
 @click.option("--procs", type=click.IntRange(2, 32), default=5, show_default=True, help="Processes of the program.")
 @click.option("--seconds", type=click.FloatRange(3, 3600), default=20.0, show_default=True,
-              help="Of load and faults; what heals after them comes on top.")  # fmt: skip
+              help="Duration of load and faults; the recovery after them takes additional time.")  # fmt: skip
 @click.option("--seed", type=click.IntRange(0, 10**9), default=1, show_default=True)
-@click.option("--out", type=click.Path(file_okay=False), help="Folder for history, logs and report; must be new.")
-@click.option("--sabotage", default="", help="Break something on purpose, to see a judge find it; `help` lists.")
+@click.option("--out", type=click.Path(file_okay=False), help="Folder for history, logs and report; new or empty.")
+@click.option("--sabotage", default="", help="Inject a defect, to see that a check finds it; `help` lists the defects.")
 @click.option("--lost-touch", type=click.Choice(["serve", "hold"]), default="serve", show_default=True,
-              help="Load rules: what gateways that are cut off do.")  # fmt: skip
+              help="With the load `rules`: whether gateways that are cut off serve requests or hold them.")  # fmt: skip
 @click.option("--sites", type=click.IntRange(0, 16), default=0, show_default=True,
-              help="Load rules: of a federation, among which the processes are shared out; 0: none.")  # fmt: skip
+              help="With the load `rules`: number of federated sites; 0: no federation.")  # fmt: skip
 @click.option("--learners", type=click.IntRange(0, 29), default=0, show_default=True,
-              help="Of the processes: those that follow the replicated log without a vote.")  # fmt: skip
-@click.option("--json", "as_json", is_flag=True, help="The figures as one line of JSON.")
+              help="Number of processes that follow the replicated log without a vote.")  # fmt: skip
+@click.option("--json", "as_json", is_flag=True, help="Print the results as one line of JSON.")
 def attempt(
     name: str,
     procs: int,
@@ -63,8 +63,8 @@
 ) -> None:
     """Run SCENARIO, a name of `tealwing fleet list` or a .toml file, on real processes over loopback.
 
-    Every peer link goes through a proxy that injects the scenario's faults. The history of all operations is judged
-    afterwards; exit code 1 where a judge finds a violation. Needs the extra `lab`.
+    Every peer link goes through a proxy that injects the scenario's faults. Afterwards the history of all operations
+    is checked; exit code 1 if a check finds a violation. Needs the extra `lab`.
 
     Example: tealwing fleet try partition-halves --procs 5 --seconds 20 --seed 1 --json --out /tmp/trial
     """
@@ -72,14 +72,14 @@
         from tealwing.lab.faults import scenario
         from tealwing.lab.rig import runs
     except ImportError as error:
-        raise Finding(f"fleet try needs the extra lab: pip install 'tealwing[lab]' ({error})") from None
+        raise Finding(f"fleet try needs the extra `lab`: pip install 'tealwing[lab]' ({error})") from None
     if sabotage and sabotage not in runs.SABOTAGES:
-        lines = [f"  {key:16} {what}" for key, what in sorted(runs.SABOTAGES.items())]
-        raise click.UsageError("--sabotage: allowed:\n" + "\n".join(lines))
-    log.logger.disabled = True  # the processes have logs of their own; ours would stand among the figures
+        lines = [f"  {key:16} {effect}" for key, effect in sorted(runs.SABOTAGES.items())]
+        raise click.UsageError(f"--sabotage: found {sabotage}; allowed:\n" + "\n".join(lines))
+    log.logger.disabled = True  # the gateways log to files of their own; this process's log would mix with the results
     folder = Path(out) if out is not None else None
     if folder is not None and folder.exists() and any(folder.iterdir()):
-        raise click.UsageError(f"--out: {out} is there and not empty; allowed: a new folder")
+        raise click.UsageError(f"--out: {out} exists and is not empty; allowed: a new or empty folder")
     try:
         found = runs.run_trial(scenario.load(name), procs, seconds, seed, folder, sabotage, lost_touch, sites, learners)
     except (scenario.ScenarioError, ValueError, RuntimeError, OSError) as error:
--- a/tealwing/commands/gossip.py
+++ b/tealwing/commands/gossip.py
@@ -1,4 +1,4 @@
-"""`tealwing gossip`: keys, the members that an instance knows, and trials in virtual time or as processes."""
+"""`tealwing gossip`: keys, the members that an instance knows, and trials in simulated time or as processes."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 @click.option("--name", required=True, help="The instance's name.")
 @click.option("--out", type=click.Path(file_okay=False), default=".", show_default=True, help="Folder of the key.")
 def keygen(name: str, out: str) -> None:
-    """Make a key: writes OUT/NAME.key (mode 0600) and prints the line `peer NAME KEY` for the operators' files.
+    """Generate a key: write OUT/NAME.key (mode 0600) and print the line `peer NAME KEY` for the operators' files.
 
-    A file that is there stays. To change a key in service: make the new one in another folder, add its peer line at
-    every instance (SIGHUP), then let this instance's `key` name the new file (SIGHUP), then take the old line away.
+    An existing file is not overwritten. To change a key in service: generate the new one in another folder, add its
+    peer line at every instance (SIGHUP), then set this instance's `key` to the new file (SIGHUP), then remove the old
+    peer line at every instance.
 
     Example: tealwing gossip keygen --name n0 --out /etc/tealwing
     """
@@ -36,14 +37,14 @@
         msgspec.convert(name, Name)
     except msgspec.ValidationError:
         raise click.UsageError(
-            f"--name: found {name!r}; allowed: 32 letters, digits, dots, hyphens and underscores"
+            f"--name: found {name!r}; allowed: at most 32 letters, digits, dots, hyphens and underscores"
         ) from None
     path = Path(out) / f"{name}.key"
     try:
         private = keys.generate()
         keys.write_private(path, private)
     except FileExistsError:
-        raise Finding(f"{path}: it is there already, and stays") from None
+        raise Finding(f"{path}: exists already and was not overwritten; use another folder with --out") from None
     except OSError as error:
         raise Finding(f"{path}: {error.strerror}") from None
     click.echo(f"wrote {path}", err=True)
@@ -51,10 +52,12 @@
 
 
 @gossip.command()
-@click.option("--control", "path", type=click.Path(), required=True, help="The socket that its `control` names.")
-@click.option("--json", "as_json", is_flag=True, help="One line of JSON in place of a table.")
+@click.option(
+    "--control", "path", type=click.Path(), required=True, help="The socket that the instance's `control` names."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON instead of a table.")
 def members(path: str, as_json: bool) -> None:
-    """Ask a running instance which members it knows, in which state and for how many seconds.
+    """Show the members that a running instance knows, their state and for how many seconds they have had it.
 
     Example: tealwing gossip members --control /run/tealwing/n0.sock
     """
@@ -79,42 +82,50 @@
 
 
 @gossip.command("try")
-@click.option("--instances", type=click.IntRange(2, 2000), default=20, show_default=True)
+@click.option(
+    "--instances", type=click.IntRange(2, 2000), default=20, show_default=True, help="Members of the cluster."
+)
 @click.option(
     "--liars",
     type=click.IntRange(0, 1000),
     default=0,
     show_default=True,
-    help="Accuse engines that are well, praise the slow one, call live members dead.",
+    help="Instances that report healthy engines as slow, the slow one as fast and live members as dead.",
 )
 @click.option(
-    "--silent", type=click.IntRange(0, 1000), default=0, show_default=True, help="Answer probes and pass nothing on."
+    "--silent",
+    type=click.IntRange(0, 1000),
+    default=0,
+    show_default=True,
+    help="Instances that answer probes but forward nothing.",
 )
 @click.option(
     "--seconds",
     type=click.FloatRange(5, 3600),
     default=60.0,
     show_default=True,
-    help="Watched after one engine of eight has grown five times slower.",
+    help="Time observed after one of eight engines becomes five times slower.",
 )
 @click.option("--seed", type=click.IntRange(0, 10**9), default=1, show_default=True)
-@click.option("--real", is_flag=True, help="Processes over UDP on loopback, in real time.")
-@click.option("--json", "as_json", is_flag=True, help="One line of JSON.")
+@click.option("--real", is_flag=True, help="Use processes over UDP on loopback, in real time, instead of a simulation.")
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON.")
 def attempt(instances: int, liars: int, silent: int, seconds: float, seed: int, real: bool, as_json: bool) -> None:
-    """Try gossip out: a cluster joins, one engine grows slow, and the rest is watched.
+    """Try gossip: a cluster forms, one engine becomes slow, and the cluster's reaction is observed.
 
-    Times are seconds, rates bytes a second. `slow_engine_known_s` is when the last honest instance leaned away from
-    the slow engine, `slow_engine_known_alone_s` when it would have by what it saw itself. Needs the extra `lab`.
-    Exit code 1 where the ceiling was passed or a healthy engine shunned.
+    Times are in seconds, rates in bytes per second. `slow_engine_known_s` is when the last honest instance began to
+    avoid the slow engine, `slow_engine_known_alone_s` when it would have done so by its own observations alone. Needs
+    the extra `lab`. Exit code 1 if the traffic ceiling was exceeded or a healthy engine was avoided.
 
     Example: tealwing gossip try --instances 20 --liars 3 --silent 2 --seconds 60 --seed 1 --json
     """
     if liars + silent > instances - 3:
-        raise click.UsageError("--liars and --silent together must leave three instances honest")
+        raise click.UsageError(
+            f"--liars {liars} and --silent {silent} of {instances} instances: at least three must remain honest"
+        )
     try:
         from tealwing.lab import gossip_trial, processes
     except ImportError as error:
-        raise Finding(f"gossip try needs the extra lab: pip install 'tealwing[lab]' ({error})") from None
+        raise Finding(f"gossip try needs the extra `lab`: pip install 'tealwing[lab]' ({error})") from None
     found: dict[str, Any]
     if real:
         found = processes.run_trial(instances, liars, silent, seconds, seed)
--- a/tealwing/commands/lease.py
+++ b/tealwing/commands/lease.py
@@ -1,4 +1,4 @@
-"""`tealwing lease`: who does which fleet-wide task."""
+"""`tealwing lease`: which gateway holds the lease of each fleet-wide task."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 @CONTROL
 @JSON
 def list_(control: str, as_json: bool) -> None:
-    """Show all leases as this gateway's copy of the state has them, and what is wanted and held here.
+    """Show all leases in this gateway's copy of the replicated state, and those that it wants or holds itself.
 
     Example: tealwing lease list --control 127.0.0.1:7951
     """
@@ -27,11 +27,11 @@
         return
     for each in found["leases"]:
         holder = each["holder"] if each["held"] else "nobody"
-        click.echo(f"{each['name']:24} held by {holder}, token {each['token']}, for {each['ttl_s']:g} s at a time")
+        click.echo(f"{each['name']:24} held by {holder}, token {each['token']}, time to live {each['ttl_s']:g} s")
     for each in found["here"]:
         held = f"held here, {each['left_s']:.1f} s left" if each["valid"] else "wanted here"
         click.echo(f"{each['name']:24} {held}")
-    click.echo(f"actions refused for an older token, in this copy: {found['refused_stale']}")
+    click.echo(f"actions rejected for an outdated token, by this copy of the state: {found['refused_stale']}")
 
 
 @lease.command()
@@ -39,7 +39,7 @@
 @JSON
 @click.argument("name")
 def show(control: str, as_json: bool, name: str) -> None:
-    """Show one lease.
+    """Show the lease NAME.
 
     Example: tealwing lease show --control 127.0.0.1:7951 sweep-drains
     """
--- a/tealwing/commands/levels.py
+++ b/tealwing/commands/levels.py
@@ -1,4 +1,4 @@
-"""`tealwing levels`: replay of recorded signals, and load swinging round the thresholds."""
+"""`tealwing levels`: replay of recorded signals, and simulated load that oscillates around the thresholds."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 if TYPE_CHECKING:
     from tealwing.levels.plan import Plan
 
-MAX_CHANGES = 2  # in any minute at one gateway, as the controller promises
+MAX_CHANGES = 2  # changes of level in any minute at one gateway; the controller guarantees no more
 CONF = click.option("--conf", type=FILE, required=True, help="The operators' file with a section `levels`.")
 
 
 def plan_of(path: str) -> Plan:
-    """The plan that a file's section `levels` makes."""
+    """Return the plan of a file's section `levels`; raise a Finding if the file has none."""
     record = read(path).records.get("levels")
     if record is None:
-        raise Finding(f"{path}: found no section levels; allowed: one")
+        raise Finding(f"{path}: no section levels; add one (`tealwing config manual` describes it)")
     plan: Plan = record
     return plan
 
@@ -35,18 +35,18 @@
 
 @click.group()
 def levels() -> None:
-    """Reduced service levels: what a plan would do."""
+    """Reduced service levels: what the plan in a file would do."""
 
 
 @levels.command()
 @CONF
 @click.argument("trace", type=click.Path(dir_okay=False, allow_dash=True))
 def replay(conf: str, trace: str) -> None:
-    """Play the signals recorded in TRACE (`-` reads standard input) through the plan.
+    """Replay the signals recorded in TRACE (`-` reads standard input) through the plan.
 
-    TRACE has one JSON object a line, `{"at": SECONDS, "signals": {NAME: VALUE}}`, with `at` rising. Durations are
-    seconds and shares lie between 0 and 1, so that 20% is 0.2; signals that a line leaves out read as calm, and a
-    line holds until the next. Prints a JSON line for each change of level, and a last one that sums up.
+    TRACE has one JSON object per line, `{"at": SECONDS, "signals": {NAME: VALUE}}`, with increasing `at`. Durations
+    are in seconds and shares lie between 0 and 1, so that 20% is 0.2. A signal that a line omits has its value without
+    traffic, and a line holds until the next. Prints a JSON line for each change of level, then a summary line.
 
     Example: tealwing levels replay --conf deploy/tealwing.conf flood.jsonl
     """
@@ -66,19 +66,20 @@
 
 @levels.command()
 @CONF
-@click.option("--seed", type=click.IntRange(0, 10**9), required=True, help="Same seed, same output.")
+@click.option("--seed", type=click.IntRange(0, 10**9), required=True, help="The same seed gives the same output.")
 @click.option(
-    "--minutes", type=click.FloatRange(0.5, 60), default=5.0, show_default=True, help="Virtual minutes of each play."
+    "--minutes", type=click.FloatRange(0.5, 60), default=5.0, show_default=True, help="Simulated minutes of each run."
 )
-@click.option("--jobs", type=click.IntRange(1, 256), help="Processes; as many as there are processors.")
-@click.option("--json", "as_json", is_flag=True, help="JSON lines in place of a table.")
+@click.option("--jobs", type=click.IntRange(1, 256), help="Worker processes; default: the number of processors.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON lines instead of a table.")
 def swing(conf: str, seed: int, minutes: float, jobs: int | None, as_json: bool) -> None:
-    """Swing modelled load round each threshold, with the levels on and off on the same arrivals.
+    """Simulate load that oscillates around each threshold, with the levels on and off for the same arrivals.
 
-    For each level that load enters, a square wave, a saw-tooth and noise of a drawn period, from 1 s to 2 min; then
-    a flood of 2.5 times the usual and a calm day. Figures: changes of level, the most in any minute at one gateway,
-    the worth served over that asked for, and the share of admitted lookups within their aim. Needs the extra `lab`.
-    Exit code 1 where a level changed more than twice in a minute, or a rule was broken.
+    For each level that load can trigger, the load is a square wave, a sawtooth and noise, each with a random period
+    from 1 s to 2 min; then come an overload of 2.5 times the usual load and a run of low load. Results: changes of
+    level, their maximum in any minute at one gateway, the priority weight served over the weight requested (worth),
+    and the share of admitted lookups that met their latency objective. Needs the extra `lab`. Exit code 1 if a level
+    changed more than twice in a minute or a rule was broken.
 
     Example: tealwing levels swing --conf deploy/tealwing.conf --seed 1 --minutes 2 --json
     """
@@ -86,7 +87,7 @@
     try:
         from tealwing.lab import load_swing as module
     except ImportError as error:
-        raise Finding(f"levels swing needs the extra lab: pip install 'tealwing[lab]' ({error})") from None
+        raise Finding(f"levels swing needs the extra `lab`: pip install 'tealwing[lab]' ({error})") from None
     last: dict[str, Any] = {}
     if not as_json:
         click.echo(
@@ -105,9 +106,9 @@
             )
     if not as_json:
         for name in last["not_entered_by_load"]:
-            click.echo(f"{name}: load alone does not enter it")
+            click.echo(f"{name}: load alone does not trigger this level")
         click.echo(
-            f"most changes in a minute: {last['changes_per_minute_max']}; worth on {last['worth']['on']:.4f}, off"
+            f"maximum changes in a minute: {last['changes_per_minute_max']}; worth on {last['worth']['on']:.4f}, off"
             f" {last['worth']['off']:.4f}"
         )
     if last["changes_per_minute_max"] > MAX_CHANGES or last["rules_broken"]:
--- a/tealwing/commands/peers.py
+++ b/tealwing/commands/peers.py
@@ -1,4 +1,4 @@
-"""`tealwing peers`: who is heard, and whether a peer answers."""
+"""`tealwing peers`: which peers a gateway receives messages from, and whether a peer answers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def call_gateway(control: str, call: str, limit: float = 5.0, **fields: Any) -> dict[str, Any]:
-    """One call of a gateway's control address, given as HOST:PORT; what went wrong is a finding."""
+    """Return the reply to a call of a gateway's control address (HOST:PORT); raise a Finding if the call fails."""
     from tealwing.conf import values
     from tealwing.peers.control import RemoteCallError, call_control
 
@@ -27,20 +27,22 @@
         raise Finding(f"{control}: no gateway answers there ({error})") from None
 
 
-CONTROL = click.option("--control", required=True, metavar="HOST:PORT", help="`control` of the section `peers`.")
-JSON = click.option("--json", "as_json", is_flag=True, help="One line of JSON.")
+CONTROL = click.option(
+    "--control", required=True, metavar="HOST:PORT", help="The gateway's address `control` in its section `peers`."
+)
+JSON = click.option("--json", "as_json", is_flag=True, help="Print one line of JSON.")
 
 
 @click.group()
 def peers() -> None:
-    """The link between gateways."""
+    """The links between gateways."""
 
 
 @peers.command()
 @CONTROL
 @JSON
 def status(control: str, as_json: bool) -> None:
-    """Show what a gateway hears of its peers.
+    """Show the state of a gateway's peers, when each was last heard, and message counts.
 
     Example: tealwing peers status --control 127.0.0.1:7951
     """
@@ -60,7 +62,7 @@
 @JSON
 @click.argument("name")
 def ping(control: str, as_json: bool, name: str) -> None:
-    """Have a gateway ask its peer NAME, and show in what time it answered, both ways.
+    """Have a gateway ping its peer NAME, and show the round-trip time.
 
     Example: tealwing peers ping --control 127.0.0.1:7951 n2
     """
--- a/tealwing/commands/replica.py
+++ b/tealwing/commands/replica.py
@@ -14,7 +14,7 @@
 
 @click.group()
 def replica() -> None:
-    """The state that gateways share: who leads, members, snapshots, the disk."""
+    """The replicated state of the gateways: leader, members, snapshots and stored files."""
 
 
 def _print_result(found: dict[str, Any], as_json: bool, text: str) -> None:
@@ -25,7 +25,7 @@
 @CONTROL
 @JSON
 def status(control: str, as_json: bool) -> None:
-    """Show a member's role, term and leader, and how far its log and state are.
+    """Show a member's role, term and leader, and the indices of its log and state.
 
     Example: tealwing replica status --control 127.0.0.1:7951
     """
@@ -38,9 +38,9 @@
         f" snapshot at {found['snapshot']}; holds {held}"
     )
     if found["unsure"]:
-        text += "\nunsure: this start has not yet caught up with what it may have forgotten"
+        text += "\nunsure: since its start, this member has not yet caught up with entries that its disk may have lost"
     if found["broken"]:
-        text += f"\nOUT OF ORDER: {found['broken']}"
+        text += f"\nBROKEN: {found['broken']}"
     _print_result(found, as_json, text)
 
 
@@ -48,13 +48,13 @@
 @CONTROL
 @JSON
 def members(control: str, as_json: bool) -> None:
-    """Show the members, and whether each is heard.
+    """Show the members, and the state of the link to each.
 
     Example: tealwing replica members --control 127.0.0.1:7951
     """
     found = call_gateway(control, "status")
     if "members" not in found:
-        raise Finding(f"{control}: no replicated state there: the section replica is absent")
+        raise Finding(f"{control}: the gateway has no replicated state: its file has no section replica")
     states = {peer["name"]: peer["state"] for peer in found["peers"]} | {found["name"]: "this one"}
     result = {"members": [{"name": name, "state": states.get(name, "unknown")} for name in found["members"]]}
     _print_result(result, as_json, "\n".join(f"{each['name']:32} {each['state']}" for each in result["members"]))
@@ -72,7 +72,7 @@
 @JSON
 @click.argument("name")
 def add(control: str, as_json: bool, name: str) -> None:
-    """Add the gateway NAME to the members: one that runs with `join on` and has a member line everywhere.
+    """Add the gateway NAME to the members. It must run with `join on`, and every gateway needs a member line for it.
 
     Example: tealwing replica add --control 127.0.0.1:7951 n5
     """
@@ -84,7 +84,7 @@
 @JSON
 @click.argument("name")
 def remove(control: str, as_json: bool, name: str) -> None:
-    """Take the gateway NAME out of the members.
+    """Remove the gateway NAME from the members.
 
     Example: tealwing replica remove --control 127.0.0.1:7951 n1
     """
@@ -95,7 +95,7 @@
 @CONTROL
 @JSON
 def snapshot(control: str, as_json: bool) -> None:
-    """Have a member write a snapshot now; the log before it goes.
+    """Have a member write a snapshot now and delete the log entries before it.
 
     Example: tealwing replica snapshot --control 127.0.0.1:7951
     """
@@ -104,22 +104,24 @@
 
 
 @replica.command()
-@click.option("--control", metavar="HOST:PORT", help="Of a gateway that runs.")
-@click.option("--folder", type=click.Path(exists=True, file_okay=False), help="Of a gateway that does not.")
+@click.option("--control", metavar="HOST:PORT", help="Control address of a running gateway.")
+@click.option("--folder", type=click.Path(exists=True, file_okay=False), help="Folder of a gateway that does not run.")
 @JSON
 def verify(control: str | None, folder: str | None, as_json: bool) -> None:
-    """Check every record and snapshot on a member's disk. A torn tail is told and is no fault; exit code 1 for others.
+    """Check every record and snapshot on a member's disk.
+
+    An incomplete record at the end of the log is reported but is not damage. Exit code 1 if anything is damaged.
 
     Example: tealwing replica verify --folder /var/lib/tealwing/replica
     """
     if (control is None) == (folder is None):
-        raise click.UsageError("one of --control and --folder")
+        raise click.UsageError("give either --control or --folder, and only one of them")
     if folder is not None:
         from tealwing.replica.storage import store
 
         result = {"folder": folder, "found": store.verify(Path(folder))}
     else:
         result = call_gateway(str(control), "replica.verify", 60.0)
-    _print_result(result, as_json, "\n".join(result["found"]) or f"{result['folder']}: good")
+    _print_result(result, as_json, "\n".join(result["found"]) or f"{result['folder']}: no problems found")
     if any("damaged" in line for line in result["found"]):
         raise SystemExit(1)
--- a/tealwing/commands/root.py
+++ b/tealwing/commands/root.py
@@ -1,4 +1,4 @@
-"""`tealwing` and its sub-commands: run, check, config, levels. Exit codes: 0, 1 for a finding, 2 for usage."""
+"""`tealwing` and its sub-commands. Exit codes: 0 for success, 1 for a finding, 2 for wrong usage."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="tealwing", message="%(prog)s %(version)s")
 def tealwing() -> None:
-    """A query gateway. With no command it runs the gateway, as `tealwing run` does.
+    """A query gateway. Without a command it runs the gateway, as `tealwing run` does.
 
-    Exit codes: 0; 1 for a finding, such as an error in a file; 2 for a call that can't be understood.
+    Exit codes: 0 for success; 1 for a finding, such as an error in a file; 2 for an unknown command or wrong usage.
     """
 
 
 @tealwing.command()
-@click.option("--conf", type=FILE, help="The operators' file; else $TEALWING_CONF, else none.")
+@click.option("--conf", type=FILE, help="The operators' file; default: $TEALWING_CONF, or none.")
 def run(conf: str | None) -> None:
     """Run one gateway in the foreground.
 
-    The platform's settings come from $LB_CONFIG (JSON), $LB_NAME and $LB_LISTEN. SIGHUP reads both files again, and
-    SIGTERM drains. The log is standard output, one JSON line an event; times in it are Unix seconds.
+    The platform's settings come from $LB_CONFIG (a JSON file), $LB_NAME and $LB_LISTEN. On SIGHUP the gateway reads
+    both files again; on SIGTERM it drains and exits. It logs to standard output, one JSON line per event, with times
+    in Unix seconds.
 
     Example: LB_CONFIG=config.json tealwing run --conf deploy/tealwing.conf
     """
@@ -39,25 +40,25 @@
 @tealwing.command()
 @click.argument("file", type=FILE)
 def check(file: str) -> None:
-    """Check the operators' FILE: every error with its file, line and directive, what was found and what is allowed.
+    """Check the operators' FILE. Each error is printed with file, line, directive, what was found and what is allowed.
 
-    Exit code 1 where there is an error.
+    Exit code 1 if there is an error.
 
     Example: tealwing check deploy/tealwing.conf
     """
     conf = read(file)
-    click.echo(f"{file}: good; sections: {', '.join(conf.blocks) or 'none'}")
+    click.echo(f"{file}: valid; sections: {', '.join(conf.blocks) or 'none'}")
 
 
 @tealwing.group()
 def config() -> None:
-    """The operators' file."""
+    """The operators' file: print it with all defaults, and print its reference."""
 
 
 @config.command()
 @click.argument("file", type=FILE)
 def show(file: str) -> None:
-    """Print FILE as it would hold, its includes in place and with all defaults; the output is such a file too.
+    """Print FILE with its includes expanded and all defaults added; the output is itself a valid file.
 
     Example: tealwing config show deploy/tealwing.conf
     """
@@ -66,7 +67,7 @@
 
 @config.command()
 def manual() -> None:
-    """Print the reference of every section and directive, in Markdown; docs/configuration.md holds it.
+    """Print the reference of every section and directive, in Markdown, as docs/configuration.md contains it.
 
     Example: tealwing config manual
     """
@@ -74,7 +75,7 @@
 
 
 def main() -> int:
-    """Run the command line; the exit code."""
+    """Run the command line and return its exit code."""
     from tealwing.commands import demo, fleet, gossip, lease, levels, load, peers, replica, rules
 
     tealwing.add_command(levels.levels)
--- a/tealwing/commands/rules.py
+++ b/tealwing/commands/rules.py
@@ -1,4 +1,4 @@
-"""`tealwing rules`: versions of the rules, which take hold on every gateway or on none."""
+"""`tealwing rules`: versions of the rules, each of which takes effect on every gateway or on none."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from tealwing.commands.peers import CONTROL, JSON, call_gateway
 
 MAX_BUNDLE_BYTES = 256 * 1024  # bytes of a bundle's file
-MAX_WAIT = 600.0  # s that a call may wait for the outcome
-POLL_INTERVAL = 0.1  # s between two looks at what has become of a version
-PENDING_PHASES = ("proposed", "checked", "preparing", "agreed")  # phases that are not the last
-WHO = click.option("--who", metavar="NAME", help="Who proposes it; else the name of the user.")
-REMEDIES = {
-    "rejected": "put right what they name, and propose again",
-    "aborted": "see `tealwing rules status` for who is missing; bring it back or take it out, and propose again",
-    "withdrawn": "nothing has changed; propose again if it is still wanted",
-    "superseded": "it was in force, and a later one is now",
+MAX_WAIT = 600.0  # s that `propose` may wait for the outcome
+POLL_INTERVAL = 0.1  # s between two queries for the phase of a proposed version
+PENDING_PHASES = ("proposed", "checked", "preparing", "agreed")  # phases in which the outcome is still open
+WHO = click.option("--who", metavar="NAME", help="Author of the change; default: the name of the user.")
+REMEDIES = {  # by final phase of a version that is not in force
+    "rejected": "correct what the gateways name, and propose again",
+    "aborted": "see `tealwing rules status` for the missing gateway; restart it or remove it, and propose again",
+    "withdrawn": "nothing has changed; propose again if the change is still wanted",
+    "superseded": "nothing; the version was in force, and a later one has replaced it",
 }
 
 
 @click.group()
 def rules() -> None:
-    """The rules by which gateways decide: one version at a time, on all gateways or on none."""
+    """The rules by which gateways decide: one version is in force at a time, on all gateways or on none."""
 
 
 def _user(who: str | None) -> str:
@@ -37,7 +37,7 @@
     try:
         return getpass.getuser()
     except (KeyError, OSError):
-        raise click.UsageError("--who: this user has no name; say whose change it is") from None
+        raise click.UsageError("--who: this user has no name; give the author's name with --who") from None
 
 
 def _bundle(path: str) -> bytes:
@@ -45,15 +45,16 @@
         with Path(path).open("rb") as file:
             data = file.read(MAX_BUNDLE_BYTES + 1)
     except OSError as error:
-        raise Finding(f"{path}: {error.strerror}; allowed: a bundle of rules that can be read") from None
+        raise Finding(f"{path}: {error.strerror}; allowed: a readable bundle of rules") from None
     if len(data) > MAX_BUNDLE_BYTES:
         raise Finding(f"{path}: more than {MAX_BUNDLE_BYTES} bytes; allowed: at most {MAX_BUNDLE_BYTES}")
     return data
 
 
 def _version_lines(version: dict[str, Any]) -> str:
-    """A version and what was said of it, a line each."""
-    lines = [f"version {version['number']}: {version['phase']}, on {version['parent']}; proposed by {version['who']}"
+    """Return the text of a version: a line for the version, its outcome, and a line for each gateway's verdict."""
+    lines = [f"version {version['number']}: {version['phase']}, based on version {version['parent']}; proposed by"
+             f" {version['who']}"
              + (f": {version['why']}" if version["why"] else "")]  # fmt: skip
     if version["outcome"]:
         lines.append(f"  {version['outcome']}")
@@ -67,16 +68,18 @@
 @CONTROL
 @JSON
 @WHO
-@click.option("--why", required=True, metavar="TEXT", help="For what reason; it stays with the version.")
-@click.option("--parent", type=click.IntRange(0), help="The version that it was made from; else the one in force.")
+@click.option("--why", required=True, metavar="TEXT", help="Reason for the change; stored with the version.")
+@click.option(
+    "--parent", type=click.IntRange(0), help="Version that the bundle is based on; default: the one in force."
+)
 @click.option("--wait", default=30.0, show_default=True, type=click.FloatRange(0, MAX_WAIT), metavar="S",
               help="Seconds to wait for the outcome.")  # fmt: skip
 @click.argument("file", type=FILE)
 def propose(control: str, as_json: bool, who: str | None, why: str, parent: int | None, wait: float, file: str) -> None:
-    """Propose the bundle in FILE as the next version, and wait for what comes of it.
+    """Propose the bundle in FILE as the next version, and wait for the outcome.
 
-    Exit code 0 only where it is in force; else who said no, and why. Stopping the command does not stop the change:
-    `withdraw` does, as long as no gateway has closed for it.
+    Exit code 0 only if the version is in force; otherwise the command prints which gateways rejected it and why.
+    Stopping the command does not stop the change: `withdraw` does, as long as no gateway has closed for the version.
 
     Example: tealwing rules propose --control 127.0.0.1:7951 --why "loads to upington" rules.toml
     """
@@ -90,9 +93,12 @@
     while True:
         try:
             version = call_gateway(control, "rules.show", number=number)
-        except Finding as error:  # the gateway may be on its way back, and the change goes on without it
+        except Finding as error:  # the gateway may be restarting, and the change goes on without it
             if time.monotonic() >= end:
-                raise Finding(f"version {number}: the outcome is not known here: {error}; see status") from None
+                raise Finding(
+                    f"version {number}: outcome unknown, the gateway does not answer: {error}; see"
+                    " `tealwing rules status`"
+                ) from None
         if version["phase"] not in PENDING_PHASES or time.monotonic() >= end:
             break
         time.sleep(POLL_INTERVAL)
@@ -106,7 +112,8 @@
         raise SystemExit(1)
     if version["phase"] in PENDING_PHASES:
         raise Finding(
-            f"{_version_lines(version)}\nnot decided in {wait:g} s, and it goes on; see status, or withdraw it"
+            f"{_version_lines(version)}\nnot decided within {wait:g} s; the change continues: see"
+            " `tealwing rules status`, or withdraw it"
         )
     raise Finding(f"{_version_lines(version)}\nwhat to do: {REMEDIES[version['phase']]}")
 
@@ -115,7 +122,7 @@
 @CONTROL
 @JSON
 def status(control: str, as_json: bool) -> None:
-    """Show the version in force, a change under way and for what it waits, the members, and this gateway's gate.
+    """Show the version in force, the change in progress and what it waits for, the members, and this gateway's gate.
 
     Example: tealwing rules status --control 127.0.0.1:7951
     """
@@ -129,25 +136,25 @@
     if found["permit_left_s"] is not None:
         click.echo(f"permit: {found['permit_left_s']:.1f} s left")
     if found["broken"]:
-        click.echo(f"OUT OF ORDER: {found['broken']}")
+        click.echo(f"BROKEN: {found['broken']}")
     if flight is not None:
-        click.echo(f"under way for {flight['for_s']:.1f} s: {_version_lines(flight)}")
+        click.echo(f"in progress for {flight['for_s']:.1f} s: {_version_lines(flight)}")
         if flight["waits_for"]:
             click.echo(f"  waits for {', '.join(flight['waits_for'])}")
     for member in found["members"]:
-        lapsed = f"; lapsed{', over' if member['over'] else ''}" if member["lapsed"] else ""
-        click.echo(f"  {member['name']:32} {member['lost_touch']}, build {member['build']}; closed for"
-                   f" {member['closed'] or 'none'}{lapsed}")  # fmt: skip
+        expired = f"; permit expired{', confirmed' if member['over'] else ''}" if member["lapsed"] else ""
+        click.echo(f"  {member['name']:32} {member['lost_touch']}, build {member['build']}; closed for version"
+                   f" {member['closed'] or 'none'}{expired}")  # fmt: skip
 
 
 @rules.command()
 @CONTROL
 @JSON
 @WHO
-@click.option("--why", default="", metavar="TEXT", help="For what reason.")
+@click.option("--why", default="", metavar="TEXT", help="Reason for the withdrawal.")
 @click.argument("number", type=click.IntRange(1))
 def withdraw(control: str, as_json: bool, who: str | None, why: str, number: int) -> None:
-    """Take version NUMBER back before any gateway closes for it.
+    """Withdraw version NUMBER before any gateway has closed for it.
 
     Example: tealwing rules withdraw --control 127.0.0.1:7951 7
     """
