--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -39,7 +39,7 @@
     assert tealwing("config", "show", str(shown))[1].split() == [w for w in out.replace("# by default", "").split()]
 
 
-def test_replay() -> None:
+def test_levels_replay_prints_each_change_and_a_summary() -> None:
     trace = "".join(
         json.dumps({"at": at, "signals": {"fleet.load": 2.0 if at < 9 else 0.5}}) + "\n" for at in range(99)
     )
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -1,4 +1,4 @@
-"""Signals, conditions, measures, and the governor before the decision module."""
+"""Service levels: signals, conditions, admission limits, replay, and the governor around the decision module."""
 
 from __future__ import annotations
 
@@ -53,130 +53,130 @@
     return found
 
 
-class Bench:
-    """A governor, driven by hand."""
+class GovernorDriver:
+    """A governor with a simulated clock; each call hands it one event."""
 
     def __init__(self, plan: Plan, settings: api.Settings = SETTINGS) -> None:
-        self.told: list[tuple[str, dict[str, object]]] = []
+        self.logged: list[tuple[str, dict[str, object]]] = []
         self.governor = Governor(
-            settings, Gateway(settings, 1), plan, lambda name, what: self.told.append((name, what))
+            settings, Gateway(settings, 1), plan, lambda name, fields: self.logged.append((name, fields))
         )
         self.now, self.id = 0.0, 0
-        self.do(listing(entry(7), entry(8)))
+        self.handle(listing(entry(7), entry(8)))
 
-    def do(self, event: api.Event, after: float = 0.0) -> list[api.Action]:
+    def handle(self, event: api.Event, after: float = 0.0) -> list[api.Action]:
         self.now += after
         return self.governor.handle(self.now, event)
 
-    def ask(self, cls: int = 0, tenant: int = 0) -> list[api.Action]:
+    def send_request(self, cls: int = 0, tenant: int = 0) -> list[api.Action]:
         self.id += 1
-        return self.do(api.Request(self.id, cls, 5.0, tenant=tenant))
+        return self.handle(api.Request(self.id, cls, 5.0, tenant=tenant))
 
-    def look(self, seconds: float = 0.25) -> None:
+    def evaluate(self, seconds: float = 0.25) -> None:
         for _ in range(round(seconds / 0.25)):
-            self.do(api.TimerFired(TIMER_TOKEN), 0.25)
+            self.handle(api.TimerFired(TIMER_TOKEN), 0.25)
 
-    def press(self) -> None:
-        """Lookups that stay out past their aim, until the level is entered."""
+    def overload(self) -> None:
+        """Send lookups that stay open past their latency objective, so that the level is entered."""
         for _ in range(30):
-            self.ask()
-        self.look(4.0)
+            self.send_request()
+        self.evaluate(4.0)
 
 
 def test_a_level_is_entered_enforced_and_left(tmp_path: Path) -> None:
-    bench = Bench(plan(tmp_path))
-    bench.press()
-    (change,) = bench.told
+    driver = GovernorDriver(plan(tmp_path))
+    driver.overload()
+    (change,) = driver.logged
     assert change[0] == "service_level" and change[1]["from"] == "full" and change[1]["to"] == "fewer"
     assert change[1]["condition"] == "class.lookup.late > 50%" and change[1]["figures"] == {"class.lookup.late": "100%"}
-    refused = [a for _ in range(200) for a in bench.ask(cls=1) if isinstance(a, api.Reject)]
-    shed = [a for a in refused if a.is_load_shedding]
-    assert 160 <= len(shed) < 195, "the floor is 10 %"
+    rejected = [a for _ in range(200) for a in driver.send_request(cls=1) if isinstance(a, api.Reject)]
+    shed = [a for a in rejected if a.is_load_shedding]
+    assert 160 <= len(shed) < 195, "about 90 % are shed, as the floor is 10 %"
     waits = [a.retry_after for a in shed]
-    assert min(waits) >= 0.2 and max(waits) <= 0.3 and max(waits) - min(waits) > 0.05, "spread, not together"
+    assert min(waits) >= 0.2 and max(waits) <= 0.3 and max(waits) - min(waits) > 0.05, "Retry-After times are spread"
     for id_ in range(1, 31):
-        bench.do(ok(id_, sent_to(bench, id_)))
-    bench.look(70.0)
-    assert [what["to"] for _, what in bench.told] == ["fewer", "full"]
-    bench.look(10.0)
-    assert bench.governor.shares["report"] == 1.0 and bench.governor.gateway.service_level is None
+        driver.handle(ok(id_, engine_id(driver, id_)))
+    driver.evaluate(70.0)
+    assert [fields["to"] for _, fields in driver.logged] == ["fewer", "full"]
+    driver.evaluate(10.0)
+    assert driver.governor.shares["report"] == 1.0 and driver.governor.gateway.service_level is None
 
 
-def sent_to(bench: Bench, id_: int) -> int:
-    return bench.governor.gateway.requests[id_].attempts[-1].engine.id
+def engine_id(driver: GovernorDriver, id_: int) -> int:
+    return driver.governor.gateway.requests[id_].attempts[-1].engine.id
 
 
-def test_what_was_sent_is_never_rejected_by_a_level(tmp_path: Path) -> None:
-    # guards loads: one that may have run must be tried again, whatever level holds; lookups lose their retry
-    bench = Bench(plan(tmp_path))
-    (load,) = sends(bench.ask(cls=2))
-    mine = bench.id
-    (look,) = sends(bench.ask(cls=0))
-    bench.press()
-    assert bench.governor.state.level == 1
-    assert sends(bench.do(bad(mine, load.engine, api.AttemptResult.RESET)))
-    after = bench.do(bad(mine + 1, look.engine, api.AttemptResult.RESET))
-    assert not sends(after) and any(isinstance(a, api.Reject) for a in after)
+def test_level_never_rejects_a_keyed_request_that_was_sent(tmp_path: Path) -> None:
+    # a load that may have run must be retried under every level; a lookup, which is safe to repeat, loses its retry
+    driver = GovernorDriver(plan(tmp_path))
+    (load,) = sends(driver.send_request(cls=2))
+    load_id = driver.id
+    (lookup,) = sends(driver.send_request(cls=0))
+    driver.overload()
+    assert driver.governor.state.level == 1
+    assert sends(driver.handle(bad(load_id, load.engine, api.AttemptResult.RESET)))
+    actions = driver.handle(bad(load_id + 1, lookup.engine, api.AttemptResult.RESET))
+    assert not sends(actions) and any(isinstance(a, api.Reject) for a in actions)
 
 
-def test_a_plan_must_fit_the_settings(tmp_path: Path) -> None:
+def test_plan_with_names_unknown_to_the_settings_is_rejected(tmp_path: Path) -> None:
     for known in ("report", "other", "lookup.late"):
         text = TEXT.replace(known, "x.late" if known == "lookup.late" else "x")
         with pytest.raises(PlanError, match="x"):
-            Bench(plan(tmp_path, text))
+            GovernorDriver(plan(tmp_path, text))
 
 
-def test_a_new_plan_while_a_level_holds(tmp_path: Path) -> None:
-    bench = Bench(plan(tmp_path))
-    bench.press()
-    bench.governor.adopt(plan(tmp_path, TEXT.replace("10%..80%", "0%..80%")), bench.now)
-    assert bench.governor.name == "fewer"
-    bench.governor.adopt(plan(tmp_path, TEXT.replace("level fewer", "level renamed")), bench.now)
-    assert bench.governor.name == "full" and bench.told[-1][1]["why"] == "configuration"
+def test_plan_without_the_level_in_force_restores_full_service(tmp_path: Path) -> None:
+    driver = GovernorDriver(plan(tmp_path))
+    driver.overload()
+    driver.governor.adopt(plan(tmp_path, TEXT.replace("10%..80%", "0%..80%")), driver.now)
+    assert driver.governor.name == "fewer"
+    driver.governor.adopt(plan(tmp_path, TEXT.replace("level fewer", "level renamed")), driver.now)
+    assert driver.governor.name == "full" and driver.logged[-1][1]["why"] == "configuration"
     with pytest.raises(PlanError):
-        bench.governor.adopt(plan(tmp_path, TEXT.replace("admit report", "admit x")), bench.now)
-    assert bench.governor.plan.levels[0].timings.name == "renamed"
+        driver.governor.adopt(plan(tmp_path, TEXT.replace("admit report", "admit x")), driver.now)
+    assert driver.governor.plan.levels[0].timings.name == "renamed"
 
 
-def test_levels_switched_off_leave_the_module_at_full_service(tmp_path: Path) -> None:
-    bench = Bench(plan(tmp_path))
-    bench.press()
-    assert bench.governor.gateway.service_level is not None
-    assert bench.governor.end(bench.now).service_level is None
+def test_switching_levels_off_restores_full_service(tmp_path: Path) -> None:
+    driver = GovernorDriver(plan(tmp_path))
+    driver.overload()
+    assert driver.governor.gateway.service_level is not None
+    assert driver.governor.end(driver.now).service_level is None
 
 
-def test_no_traffic_reads_as_idle(tmp_path: Path) -> None:
-    # guards a level that sheds all of a class: its own signals go silent, and must not hold it for ever
-    bench = Bench(plan(tmp_path))
-    bench.press()
+def test_level_ends_when_its_signals_have_no_traffic(tmp_path: Path) -> None:
+    # a level that sheds a whole class removes the traffic of its own signals; they must not keep it in force for ever
+    driver = GovernorDriver(plan(tmp_path))
+    driver.overload()
     for id_ in range(1, 31):
-        bench.do(api.ClientGone(id_))
-    bench.look(75.0)
-    assert bench.governor.name == "full"
+        driver.handle(api.ClientGone(id_))
+    driver.evaluate(75.0)
+    assert driver.governor.name == "full"
 
 
-def test_without_a_level_the_actions_are_those_of_the_module_alone(tmp_path: Path) -> None:
-    # and were those of commit 712515d, from before there were levels, until the module itself changed
+def test_governor_changes_no_action_while_no_level_is_in_force(tmp_path: Path) -> None:
+    # until the module itself changed, the actions were also those of commit 712515d, before levels existed
     events, _ = recorded.load()
     digests = []
     for module in (
         Gateway(recorded.settings(), 5),
         Governor(recorded.settings(), Gateway(recorded.settings(), 5), plan(tmp_path, recorded.CALM_PLAN)),
     ):
-        got, count = hashlib.sha256(), 0
+        digest, count = hashlib.sha256(), 0
         for now, event in events:
             for action in module.handle(now, event):
                 if not (isinstance(action, api.SetTimer) and action.token == TIMER_TOKEN):
-                    got.update(wire.encode(0, action))
+                    digest.update(wire.encode(0, action))
                     count += 1
-        digests.append((count, got.hexdigest()))
+        digests.append((count, digest.hexdigest()))
     assert digests[0] == digests[1] and digests[0][0] > len(events) / 3
 
 
 # Signals
 
 
-def test_signals_of_a_class() -> None:
+def test_class_signals_count_late_requests_once() -> None:
     signals, fleet = Signals(SETTINGS, 1.0, 0.25), Gateway(SETTINGS, 1)
     for id_ in range(1, 41):
         signals.on_request(0.0, api.Request(id_, 0, 5.0), 1.0)
@@ -186,36 +186,36 @@
         signals.on_rejection(0.5, id_, is_load_shedding=False)
     for id_ in range(16, 21):
         signals.on_rejection(0.5, id_, is_load_shedding=True)
-    read = signals.sample(0.5, fleet)
-    assert read["class.lookup.late"] == 0 and read["class.lookup.refused"] == 5 / 15
-    assert read["class.lookup.kept"] == 10 / 15 and "class.report.late" not in read
-    read = signals.sample(1.1, fleet)
-    assert read["class.lookup.late"] == 20 / 30, "what is open past its aim counts: a jam ends nothing"
+    sample = signals.sample(0.5, fleet)
+    assert sample["class.lookup.late"] == 0 and sample["class.lookup.refused"] == 5 / 15
+    assert sample["class.lookup.kept"] == 10 / 15 and "class.report.late" not in sample
+    sample = signals.sample(1.1, fleet)
+    assert sample["class.lookup.late"] == 20 / 30, "open requests past their objective count: none may end in overload"
     for id_ in range(21, 41):
         signals.on_outcome(1.2, ok(id_, 7))
-    assert signals.sample(1.3, fleet)["class.lookup.late"] == 20 / 30, "and once only"
+    assert signals.sample(1.3, fleet)["class.lookup.late"] == 20 / 30, "late requests count once"
     for _ in range(8):
-        read = signals.sample(3.0, fleet)
-    assert "class.lookup.late" not in read and not signals._open
+        sample = signals.sample(3.0, fleet)
+    assert "class.lookup.late" not in sample and not signals._open
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(1, 30), st.integers(0, 1)), max_size=150))
-def test_counts_end_at_zero(steps: list[tuple[int, int, int]]) -> None:
-    # guards memory over days, and sums that drift: whatever came, nothing is left when all has ended
+def test_window_counts_are_zero_after_all_requests_have_ended(steps: list[tuple[int, int, int]]) -> None:
+    # guards against memory that grows over days and against float sums that drift
     signals, fleet, now = Signals(SETTINGS, 1.0, 0.25), Gateway(SETTINGS, 1), 0.0
-    for what, id_, cls in steps:
+    for kind, id_, cls in steps:
         now += 0.05
-        if what == 0:
+        if kind == 0:
             signals.on_request(now, api.Request(id_, cls, 5.0, tenant=cls), 0.2)
-        elif what == 1:
+        elif kind == 1:
             signals.on_outcome(now, ok(id_, 7))
-        elif what == 2:
+        elif kind == 2:
             signals.on_rejection(now, id_, bool(cls))
-        elif what == 3:
+        elif kind == 3:
             signals.on_failure(now, id_)
         else:
-            read = signals.sample(now, fleet)
-            assert all(0 <= v <= 1 for n, v in read.items() if n.split(".")[-1] in ("late", "kept", "refused"))
+            sample = signals.sample(now, fleet)
+            assert all(0 <= v <= 1 for n, v in sample.items() if n.split(".")[-1] in ("late", "kept", "refused"))
     for id_ in range(1, 31):
         signals.on_failure(now, id_)
     for _ in range(6):
@@ -224,45 +224,51 @@
     assert not any(signals._window.offered_weight) and not any(signals._window.served_weight)
 
 
-def test_the_share_of_requests_beyond_an_accounts_quota() -> None:
+def test_signal_beyond_is_the_share_of_requests_beyond_the_quota() -> None:
     signals, fleet = Signals(SETTINGS, 1.0, 0.25), Gateway(SETTINGS, 1)
     for id_ in range(80):
         signals.on_request(0.0, api.Request(id_, 0, 5.0, tenant=id_ % 2), 1.0)
-    read = signals.sample(0.0, fleet)
-    assert read["account.acme.beyond"] == 0 and read["account.other.beyond"] == 1 - 16 / 40
+    sample = signals.sample(0.0, fleet)
+    assert sample["account.acme.beyond"] == 0 and sample["account.other.beyond"] == 1 - 16 / 40
 
 
-# Measures
+# Admission limits
 
 
 @given(
     st.floats(0, 1),
     st.lists(st.tuples(st.integers(0, 100), st.floats(0, 1), st.floats(0, 1)), min_size=1, max_size=5),
 )
-def test_a_share_is_divided_and_never_exceeded(share: float, accounts: list[tuple[int, float, float]]) -> None:
-    asked, beyond, caps = zip(*accounts, strict=True)
-    chances = admission.divide_among_accounts(share, asked, beyond, caps)
-    assert all(0 <= chance <= cap for chance, cap in zip(chances, caps, strict=True))
-    assert sum(n * c for n, c in zip(asked, chances, strict=True)) <= share * sum(asked) + 1e-6
+def test_accounts_together_never_exceed_the_share_of_the_class(
+    share: float, accounts: list[tuple[int, float, float]]
+) -> None:
+    requested, beyond_quota, caps = zip(*accounts, strict=True)
+    probabilities = admission.divide_among_accounts(share, requested, beyond_quota, caps)
+    assert all(0 <= probability <= cap for probability, cap in zip(probabilities, caps, strict=True))
+    assert sum(n * p for n, p in zip(requested, probabilities, strict=True)) <= share * sum(requested) + 1e-6
 
 
 def test_requests_beyond_a_quota_are_shed_first() -> None:
-    within, flooding = admission.divide_among_accounts(0.5, (50, 50), (0.0, 0.8), (1.0, 1.0))
-    assert within == pytest.approx(50 / 60) and flooding == pytest.approx(0.2 * 50 / 60)
+    within, beyond = admission.divide_among_accounts(0.5, (50, 50), (0.0, 0.8), (1.0, 1.0))
+    assert within == pytest.approx(50 / 60) and beyond == pytest.approx(0.2 * 50 / 60)
     assert admission.divide_among_accounts(0.8, (50, 50), (0.0, 0.8), (1.0, 1.0))[0] == 1.0
 
 
 def test_shares_fall_under_overload_and_rise_at_a_bounded_rate() -> None:
-    measure = admission.AdmissionLimits((0.2,), (0.8,), (0,), (1.0,), (0.0, 0.0))
-    pace = admission.RecoveryRamp(0.5, 10.0, 0.1)
-    assert admission.shares_on_entry((1.0,), measure) == (0.2,)
-    assert admission.adjust_shares((0.8,), measure, pace, 1.0, True, 0.0) == (0.4,)
-    assert admission.adjust_shares((0.3,), measure, pace, 9.0, True, 0.0) == (0.2,)
-    assert admission.adjust_shares((0.2,), measure, pace, 1.0, False, 0.0) == pytest.approx((0.3,))
-    assert admission.adjust_shares((0.2,), measure, pace, 1.0, False, 0.5) == (0.2,), "waits while the fleet is cold"
-    assert admission.adjust_shares((0.75,), measure, pace, 5.0, False, 0.0) == (0.8,)
+    limits = admission.AdmissionLimits((0.2,), (0.8,), (0,), (1.0,), (0.0, 0.0))
+    ramp = admission.RecoveryRamp(0.5, 10.0, 0.1)
+    assert admission.shares_on_entry((1.0,), limits) == (0.2,)
+    assert admission.adjust_shares((0.8,), limits, ramp, 1.0, True, 0.0) == (0.4,)
+    assert admission.adjust_shares((0.3,), limits, ramp, 9.0, True, 0.0) == (0.2,)
+    assert admission.adjust_shares((0.2,), limits, ramp, 1.0, False, 0.0) == pytest.approx((0.3,))
+    assert admission.adjust_shares((0.2,), limits, ramp, 1.0, False, 0.5) == (0.2,), (
+        "no rise while engines are in slow start"
+    )
+    assert admission.adjust_shares((0.75,), limits, ramp, 5.0, False, 0.0) == (0.8,)
     full = admission.full_service_limits(1, 1)
-    assert admission.adjust_shares((0.5,), full, pace, 1.0, False, 0.0) == (0.6,), "eased past the last level too"
+    assert admission.adjust_shares((0.5,), full, ramp, 1.0, False, 0.0) == (0.6,), (
+        "the rise is bounded at full service too"
+    )
 
 
 # Conditions
@@ -272,20 +278,22 @@
 
 
 @st.composite
-def texts(draw: st.DrawFn, depth: int = 2) -> str:
+def condition_texts(draw: st.DrawFn, depth: int = 2) -> str:
     if depth == 0 or draw(st.booleans()):
         name = draw(st.sampled_from(NAMES))
         kind: SignalKind = conditions.signal_kind(name)
         return f"{name} {draw(st.sampled_from('<>'))} {kind.write(draw(st.integers(0, 4)) / 4)}"
-    joined = f" {draw(st.sampled_from(['and', 'or']))} ".join(draw(st.lists(texts(depth - 1), min_size=2, max_size=3)))
+    joined = f" {draw(st.sampled_from(['and', 'or']))} ".join(
+        draw(st.lists(condition_texts(depth - 1), min_size=2, max_size=3))
+    )
     return f"({joined})"
 
 
 POINTS = st.fixed_dictionaries({name: st.sampled_from([i / 8 for i in range(11)]) for name in NAMES})
 
 
-@given(texts(), texts(), POINTS)
-def test_an_overlap_of_conditions_is_found(one: str, other: str, signals: dict[str, float]) -> None:
+@given(condition_texts(), condition_texts(), POINTS)
+def test_overlap_is_found_of_conditions_that_hold_at_once(one: str, other: str, signals: dict[str, float]) -> None:
     left, right = conditions.parse(one), conditions.parse(other)
     if left.first_match(signals):
         assert conditions.is_satisfiable(left)
@@ -307,12 +315,12 @@
 # Replay
 
 
-def test_replay(tmp_path: Path) -> None:
-    late = [
+def test_replay_reports_each_change_and_a_summary(tmp_path: Path) -> None:
+    trace = [
         b'{"at": %d, "signals": {"class.lookup.late": %s}}' % (at, b"0.9" if 10 <= at < 30 else b"0")
         for at in range(200)
     ]
-    *changes, summary = replay.replay(plan(tmp_path), replay.read_trace(late))
+    *changes, summary = replay.replay(plan(tmp_path), replay.read_trace(trace))
     assert [(c["from"], c["to"]) for c in changes] == [("full", "fewer"), ("fewer", "full")]
     assert changes[0]["at"] == 10.5 and summary["changes"] == 2 and summary["changes_per_minute_max"] == 1
     assert sum(summary["time_in"].values()) == pytest.approx(199)
@@ -335,7 +343,7 @@
     assert "class.lookup.late" not in signals.sample(1.0, fleet)
 
 
-def test_the_recording_is_as_described() -> None:
+def test_recording_contains_every_kind_of_event() -> None:
     events, _ = recorded.load()
     kinds = {type(event) for _, event in events}
     assert kinds >= set(recorded.KINDS.values()) and len(events) > 3000
