--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -1,4 +1,4 @@
-"""The operators' file: every error at once, each with its place, and nothing of a bad file in force."""
+"""The operators' file: reading reports all errors with their places, and no part of an invalid file takes effect."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 GOOD = """\
 # service levels
 levels
-    window 2s      # a comment behind
+    window 2s      # a comment after a directive
     level fewer
         enter when fleet.load > 1.8 or (class.lookup.late > 20% and own.lag > 50ms) for 1s
         exit when fleet.load < 1.2 and class.lookup.late < 5% for 5s
@@ -25,6 +25,7 @@
 
 
 def problems(tmp_path: Path, text: str | bytes) -> list[Problem]:
+    """Return the problems that the reader reports for an invalid file with this text."""
     path = tmp_path / "t.conf"
     path.write_bytes(text.encode() if isinstance(text, str) else text)
     with pytest.raises(ConfError) as caught:
@@ -32,7 +33,7 @@
     return caught.value.problems
 
 
-def test_a_good_file(tmp_path: Path) -> None:
+def test_valid_file_gives_the_records_of_its_section(tmp_path: Path) -> None:
     path = tmp_path / "t.conf"
     path.write_text(GOOD)
     plan = reader.read(str(path)).records["levels"]
@@ -41,7 +42,7 @@
     assert level.admitted_shares == {"report": (0.2, 1.0)} and len(level.enter.products) == 2
 
 
-def test_what_show_prints_is_a_file_that_means_the_same(tmp_path: Path) -> None:
+def test_show_prints_a_file_with_the_same_records(tmp_path: Path) -> None:
     path = tmp_path / "t.conf"
     path.write_text(GOOD)
     first = reader.read(str(path))
@@ -49,13 +50,13 @@
     assert reader.read(str(path)).records == first.records
 
 
-def test_the_deployed_file_is_good_and_the_manual_is_the_code() -> None:
+def test_deployed_file_is_valid_and_the_page_has_the_manual() -> None:
     assert reader.read(str(ROOT / "deploy" / "tealwing.conf"))
     page = (ROOT / "docs" / "configuration.md").read_text()
-    assert render.manual() in page, "docs/configuration.md: put in what `tealwing config manual` prints"
+    assert render.manual() in page, "docs/configuration.md must contain the output of `tealwing config manual`"
 
 
-def test_all_errors_are_told_at_once_with_their_places(tmp_path: Path) -> None:
+def test_all_errors_of_a_file_are_reported_with_their_places(tmp_path: Path) -> None:
     found = problems(
         tmp_path,
         """\
@@ -90,25 +91,25 @@
 
 
 @pytest.mark.parametrize(
-    ("enter", "exit_", "of"),
+    ("enter", "exit_", "directive"),
     [
-        ("fleet.load > 2 for 1s", "fleet.load < 2 for 5s", "exit"),  # no gap
-        ("fleet.load > 2 for 1s", "fleet.load < 3 for 5s", "exit"),
+        ("fleet.load > 2 for 1s", "fleet.load < 2 for 5s", "exit"),  # no gap between entry and exit
+        ("fleet.load > 2 for 1s", "fleet.load < 3 for 5s", "exit"),  # entry and exit overlap
         ("fleet.load > 2 or fleet.slow > 3 for 1s", "fleet.load < 1 or fleet.slow < 2 for 5s", "exit"),
-        ("fleet.load > 2 for 1s", "own.lag < 5ms for 5s", "exit"),  # nothing in common
-        ("fleet.load > 2 and fleet.load < 1 for 1s", "fleet.load < 1 for 5s", "enter"),
-        ("class.lookup.late > 100% for 1s", "class.lookup.late < 5% for 5s", "enter"),
-        ("fleet.load > 2 for 9s", "fleet.load < 1 for 5s", "exit"),  # an exit sooner than an entry
+        ("fleet.load > 2 for 1s", "own.lag < 5ms for 5s", "exit"),  # no signal in common
+        ("fleet.load > 2 and fleet.load < 1 for 1s", "fleet.load < 1 for 5s", "enter"),  # can never hold
+        ("class.lookup.late > 100% for 1s", "class.lookup.late < 5% for 5s", "enter"),  # can never hold
+        ("fleet.load > 2 for 9s", "fleet.load < 1 for 5s", "exit"),  # the exit's duration is shorter than the entry's
     ],
 )
-def test_conditions_that_do_not_fit_together(tmp_path: Path, enter: str, exit_: str, of: str) -> None:
+def test_contradicting_conditions_are_rejected(tmp_path: Path, enter: str, exit_: str, directive: str) -> None:
     text = f"levels\n  level a\n    enter when {enter}\n    exit when {exit_}\n    admit report 0%\n"
     found = problems(tmp_path, text)
-    assert [p.directive for p in found] == [of] and found[0].place.line in (3, 4)
+    assert [p.directive for p in found] == [directive] and found[0].place.line in (3, 4)
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("levels\n", "no level"),
         ("levels\n  level a\n  level a\n", "no enter"),
@@ -126,11 +127,11 @@
         (GOOD.replace("2s ", "100ms "), "from 500ms"),
     ],
 )
-def test_errors_say_what_is_wrong(tmp_path: Path, text: str | bytes, says: str) -> None:
-    assert any(says in str(problem) for problem in problems(tmp_path, text))
+def test_errors_say_what_is_wrong(tmp_path: Path, text: str | bytes, message: str) -> None:
+    assert any(message in str(problem) for problem in problems(tmp_path, text))
 
 
-def test_includes_stand_where_they_are_asked_for(tmp_path: Path) -> None:
+def test_included_lines_replace_the_include_directive(tmp_path: Path) -> None:
     head, _, tail = GOOD.partition("        exit")
     (tmp_path / "part.conf").write_text("exit" + tail.replace("\n        ", "\n"))
     (tmp_path / "t.conf").write_text(head + "        include part.conf\n")
@@ -139,20 +140,20 @@
 
 
 @given(st.lists(st.text(min_size=1, max_size=20).filter(lambda t: t.isprintable()), max_size=4))
-def test_any_words_survive_quoting(words: list[str]) -> None:
+def test_any_quoted_arguments_parse_to_themselves(words: list[str]) -> None:
     found = parse_line(" ".join(["name", *map(quoted, words)]), Place("f", 1))
     assert isinstance(found, Directive) and found.arguments == tuple(words)
 
 
 @given(st.text(max_size=60))
-def test_any_line_is_a_directive_a_problem_or_nothing(text: str) -> None:
+def test_any_line_parses_to_a_directive_a_problem_or_none(text: str) -> None:
     assert isinstance(parse_line(text, Place("f", 1)), Directive | Problem | None)
 
 
-def test_units() -> None:
+def test_values_are_read_with_their_units_and_invalid_durations_are_rejected() -> None:
     assert [values.duration(t) for t in ("250ms", "1.5s", "2m", "1h", "7d")] == [0.25, 1.5, 120, 3600, 604800]
     assert values.size("64MB") == 64 << 20 and values.share("85%") == 0.85
-    for bad in ("", "5", "ms", "-1s", "1e3s", "٣s", "1..2s", "infs"):
+    for invalid in ("", "5", "ms", "-1s", "1e3s", "٣s", "1..2s", "infs"):
         with pytest.raises(values.InvalidValueError):
-            values.duration(bad)
+            values.duration(invalid)
     assert values.format_duration(0.25) == "250ms" and values.format_duration(240) == "4m"
