--- a/tealwing/levels/conditions.py
+++ b/tealwing/levels/conditions.py
@@ -193,7 +193,7 @@
         try:
             bound = kind.read(value)
         except values.InvalidValueError as error:
-            raise ConditionError(f"for {signal} {error}") from None
+            raise ConditionError(f"for {signal}, {error}, not {value}") from None
         return [(Comparison(signal, op, bound),)]
     parts = [_products(child) for child in tree.children]
     if tree.data == "any":
--- a/tealwing/levels/plan.py
+++ b/tealwing/levels/plan.py
@@ -120,5 +120,5 @@
 
 
 def snapshots(matches: Sequence[Matches]) -> list[ConditionSnapshot]:
-    """Return, for each level, which of its conditions hold, as the controller takes them."""
+    """Return, for each level, which of its conditions hold, in the form that the controller takes."""
     return [ConditionSnapshot(*(product is not None for product in products)) for products in matches]
