--- a/tealwing/gateway/__init__.py
+++ b/tealwing/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: the life of a request, the decisions and their versions and timers, and the daemon round them."""
+"""The gateway: request handling, the decision modules with their versions and timers, and the assembling daemon."""
--- a/tealwing/gateway/attempt.py
+++ b/tealwing/gateway/attempt.py
@@ -7,11 +7,11 @@
 from tealwing.resp import messages
 from tealwing.resp.connection import Stream
 
-MAX_RESULT_BYTES = 64 * 1024  # bytes: all clients at once must fit the memory
+MAX_RESULT_BYTES = 64 * 1024  # bytes; the results of all clients at once must fit in memory
 COLUMNS = 3
-MAX_PAGES = MAX_RESULT_BYTES // COLUMNS  # a page has a row or more, and a row as many bytes as columns or more
-PAGES_PER_FETCH = 64  # asked for in one write: what an engine's connection takes without a wait
-PAGES_TIMEOUT = 0.5  # s for the pages asked for at once: an engine has them ready, so what is later is lost
+MAX_PAGES = MAX_RESULT_BYTES // COLUMNS  # a page has at least one row, and a row at least one byte per column
+PAGES_PER_FETCH = 64  # requested in one write; an engine's connection accepts that many without blocking
+PAGES_TIMEOUT = 0.5  # s for the pages of one write; engines have them ready, so a page that is later counts as lost
 
 
 class Attempt:
@@ -21,27 +21,27 @@
         self.number, self.engine = number, engine
         self.sent_at = time.monotonic()
         self.deadline = self.sent_at + timeout
-        self.wait_until = self.deadline  # of the next answer or page
+        self.wait_until = self.deadline  # latest time of the next answer or page
         self.stream: Stream | None = None
-        self.pages: list[bytes | None] = []  # None: not come; empty before page 0
+        self.pages: list[bytes | None] = []  # None: not received; empty before page 0
         self.requested_pages = self.received_pages = 0  # page 0 included
         self.received_bytes = 0
         self.report: tuple[float, ...] = ()
 
     def store_page(self, number: int, page: bytes) -> None:
-        """Take in a page that had not come; RespError where the result is too large."""
+        """Store a page that was missing. Raises RespError if the result gets too large."""
         self.pages[number] = page
         self.received_pages, self.received_bytes = self.received_pages + 1, self.received_bytes + len(page)
         if self.received_bytes > MAX_RESULT_BYTES:
-            raise messages.RespError(f"a result of more than {MAX_RESULT_BYTES} bytes")
+            raise messages.RespError(f"the result is larger than {MAX_RESULT_BYTES} bytes")
 
     @property
     def is_complete(self) -> bool:
-        """Whether all pages have come."""
+        """Whether all pages have been received."""
         return self.received_pages == len(self.pages)
 
     def fetch_pages(self, stream: Stream) -> None:
-        """Ask for the next pages, if all that were asked for have come and more are wanted."""
+        """Request the next pages if all requested ones have been received and more exist."""
         if self.received_pages < self.requested_pages or self.requested_pages == len(self.pages):
             return
         begin, self.requested_pages = self.requested_pages, min(self.requested_pages + PAGES_PER_FETCH, len(self.pages))
@@ -49,7 +49,7 @@
         self.wait_until = min(self.deadline, time.monotonic() + PAGES_TIMEOUT)
 
     def cancel(self) -> None:
-        """Tell the engine that nothing more is wanted."""
+        """Cancel the attempt at its engine, or close its result there."""
         if self.stream is None:
             return
         if self.pages:
@@ -59,8 +59,8 @@
 
 
 def checked_page(body: bytes) -> bytes:
-    """Return a page of complete rows. Raises RespError for anything else, which can't be passed on."""
+    """Return the page if all its rows are complete. Raises RespError otherwise: clients can't be sent a part."""
     rows = body.split(b"\n")
     if rows[-1] or any(row.count(b"\t") != COLUMNS - 1 for row in rows[:-1]):
-        raise messages.RespError("a page without whole rows")
+        raise messages.RespError(f"a page has an incomplete row; each row needs {COLUMNS} columns and a line end")
     return body
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway's parts, assembled: start, changes of configuration, and engine list."""
+"""The daemon: assembles the gateway, starts it, and applies configuration changes and engine list updates."""
 
 from __future__ import annotations
 
@@ -40,41 +40,46 @@
 
 
 MAX_LIST_FAILURES = (
-    3  # readings of one watch update that may fail: some tenths of a second apart, then it goes in parts
+    3  # failures of one watch update, some tenths of a second apart, before it is applied member by member
 )
 
 
 class EngineListError(RuntimeError):
-    """A decision module could not apply an engine list update completely; the watch repeats it."""
+    """A decision module could not apply an engine list update completely; the next watch requests it again."""
 
 
 class Daemon:
-    """Owns the decisions, the engine pool and the watch of the coordinator."""
+    """Owns the decision modules, the engine pool and the coordinator watch."""
 
     def __init__(self, config: Config) -> None:
         self._settings, self._cores = config.settings, config.cores
-        self._from_file = config.settings  # the configuration's last settings
-        self.on_settings: Callable[[api.Settings], None] = lambda settings: None  # the server's side of a change
-        self._link: GossipService | None = None  # if gossip is on
+        self._configured_settings = config.settings  # the settings of the last configuration file
+        self.on_settings: Callable[[api.Settings], None] = lambda settings: None  # applies new settings to the server
+        self._gossip: GossipService | None = None  # if gossip is on
         self._peering: Peering | None = None  # if the section `peers` is on
         self.gate: Gate | None = None  # if the section `rules` is on
-        self.sections: frozenset[str] = frozenset()  # of the operators' file, that are on
+        self.sections: frozenset[str] = frozenset()  # the sections present in the operators' file
         self._host_load: HostLoadMonitor | None = None  # if service levels are on
-        self._levels_file: Plan | None = None  # of the operators' file; those of the rules take precedence
+        self._levels_file: Plan | None = None  # from the operators' file; the levels of the rules take precedence
         self._levels_rules: Plan | None = None
-        self._allowed: Callable[..., frozenset[int] | None] = lambda *_: None  # of the routing table, once there is one
+        self._allowed: Callable[..., frozenset[int] | None] = lambda *_: (
+            None
+        )  # looks up the routing table, if there is one
         self._changing = threading.RLock()  # serializes changes of settings and levels
         self._engines = EnginePool(config.settings.limits, config.descriptors.engines)
         self._decisions = Decisions(config.settings, config.seed, self._engines)
         self.metrics = Metrics((cls.name for cls in config.settings.classes), (end.value for end in WatchEnd))
         self.metrics.gauges = self._gauges
-        self._starts, self._reads_cached_list = StartTimes(), True  # the configuration's cached events are being read
-        # the index of the last watch update that could not be taken in whole, and how often
+        self._start_times, self._reads_cached_list = (
+            StartTimes(),
+            True,
+        )  # while the configuration's cached events are applied
+        # index of the last watch update that could not be applied completely, and its number of failures
         self._list_failures = (
             0,
             0,
         )
-        self._follower = WatchClient(
+        self._watch = WatchClient(
             config.coordinator, config.index, config.settings, self._on_watch_update, self.metrics.count_watch_end
         )
         for number, update in enumerate(config.known):
@@ -85,12 +90,13 @@
         """Start the watch and the timers."""
         self._engines.start()
         self._decisions.start()
-        self._follower.start()
+        self._watch.start()
 
     def open(self, query: Query, settings: api.Settings | None = None) -> RequestHandler:
-        """Return the handler of a request that was read under the settings (None: those in force).
+        """Return the handler of a request that was parsed under the settings (None: those in force).
 
-        Raises Unusable, and Outdated where settings and a routing table of different versions would bind it.
+        Raises InvalidRequestError, and SettingsChangedError if its settings and the routing table would be of
+        different versions.
         """
         force, zones = self._decisions.in_force, None
         if force.number and settings is not None and settings is not force.settings:
@@ -103,7 +109,7 @@
     def _gauges(self) -> dict[str, int]:
         """Return the gauges: open requests, listed engines, ejected engines, threads.
 
-        Read without the module's lock: lengths of its tables are whole at any moment.
+        Read without the lock of the decisions: the length of a table is consistent at any moment.
         """
         gateway = service_levels.innermost_module(self._decisions.module)
         listed = len(gateway.engines) if gateway is not None else 0
@@ -113,8 +119,8 @@
             "pool_size": listed,
             "pool_ejected": max(0, listed - ready),
             "threads": threading.active_count(),
-            "list_index": self._follower.index,
-            "list_age_ms": round(self._follower.age * 1e3),
+            "list_index": self._watch.index,
+            "list_age_ms": round(self._watch.age * 1e3),
         }
         if self._peering is not None:
             is_ready, reason, phase = self._peering.readiness()
@@ -123,26 +129,26 @@
         return found
 
     def readiness(self) -> tuple[bool, str]:
-        """Return whether clients may be sent here as far as the peers are concerned, and why."""
+        """Return whether this gateway is ready for clients as far as the peer link is concerned, and the reason."""
         if self._peering is None:
             return True, ""
         is_ready, reason, _ = self._peering.readiness()
         return is_ready, reason
 
     def record_unread_age(self, seconds: float) -> None:
-        """Record the age of a client's bytes when they were read, in s."""
+        """Record how many seconds a client's bytes had waited in the socket when they were read."""
         if self._host_load is not None:
             self._host_load.record_unread_age(seconds)
 
     @property
     def agreed_version(self) -> int:
-        """Number of the version of the rules in force here; 0: none."""
+        """Number of the version of the rules in force at this gateway; 0: none."""
         return self._decisions.in_force.number
 
     @property
     def platform_settings(self) -> api.Settings:
         """The configured settings, without any version of the rules."""
-        return self._from_file
+        return self._configured_settings
 
     @property
     def engine_list(self) -> tuple[api.EngineListEntry, ...]:
@@ -152,10 +158,10 @@
     def put_in_force(
         self, settings: api.Settings | None, table: Table | None, levels: Plan | None, version: int
     ) -> None:
-        """Put a version of the rules in force for new requests; None leaves a part unchanged.
+        """Put a version of the rules in force for new requests.
 
-        settings None are those in force; a table None lets any engine serve; levels None are the operators' file's.
-        Raises ValueError, with nothing changed, where the levels do not fit the settings.
+        settings None keeps those in force; table None lets any engine serve; levels None selects those of the
+        operators' file. Raises ValueError, with nothing changed, if the levels do not fit the settings.
         """
         with self._changing:
             settings = self._settings if settings is None or settings == self._settings else settings
@@ -178,36 +184,36 @@
     def reconfigure(self, config: Config) -> api.Settings:
         """Apply a changed configuration: the coordinator, whose event numbers continue, and the settings.
 
-        New settings bind new requests; open ones keep theirs. Gives the settings in force. Raises ConfigError,
-        with nothing changed, where the settings change and service levels or gossip are on, or forbid the link to the
-        peers that is on; and ConfigRejected, with the coordinator taken, where they change and the fleet has agreed
-        on rules.
+        New settings bind new requests; open ones keep theirs. Returns the settings in force. Raises ConfigError,
+        with nothing changed, if the settings change while service levels or gossip are on, or if they forbid the
+        peer link that is on. Raises ConfigRejectedError, with the new coordinator in use, if the settings change
+        while a version of the rules is in force.
         """
         with self._changing:
-            changed = config.settings not in (self._settings, self._from_file)
+            changed = config.settings not in (self._settings, self._configured_settings)
             if changed and self.agreed_version:
-                self._follower.move_to(config.coordinator)
+                self._watch.move_to(config.coordinator)
                 raise ConfigRejectedError(
                     f"settings: version {self.agreed_version} of the rules is in force, as the fleet has agreed",
                     "propose them: tealwing rules propose FILE --control HOST:PORT --why TEXT",
                 )
-            if changed and (self._host_load is not None or self._link is not None):
-                raise ConfigError("settings: a change of settings needs a restart where levels or gossip are on")
+            if changed and (self._host_load is not None or self._gossip is not None):
+                raise ConfigError("settings: they can't change while levels or gossip are on; restart to apply them")
             if changed and self._peering is not None and not config.settings.limits.peer_messages:
-                raise ConfigError("settings: Allowed.Peers forbids the link to the peers, which is on: restart")
-            self._follower.move_to(config.coordinator)
-            if changed:  # else the fleet's version may be in force
+                raise ConfigError("settings: Allowed.Peers forbids the peer link, which is on; restart to apply them")
+            self._watch.move_to(config.coordinator)
+            if changed:  # unchanged settings must not replace a version that the fleet agreed on
                 self._apply_settings(config.settings)
-                self._from_file = config.settings
+                self._configured_settings = config.settings
         log.event("reconfigured", coordinator=config.coordinator)
         return self._settings
 
     def _apply_settings(self, settings: api.Settings) -> None:
-        """Put settings in force for new requests."""
+        """Put new settings in force for new requests, and apply them to the other parts of the gateway."""
         self._on_settings_changed(settings, self._decisions.replace_settings(settings))
 
     def _on_settings_changed(self, settings: api.Settings, version: int) -> None:
-        self._settings = self._follower.settings = settings
+        self._settings = self._watch.settings = settings
         self._engines.set_limits(settings.limits)
         self.metrics.set_classes(cls.name for cls in settings.classes)
         self.on_settings(settings)
@@ -221,15 +227,15 @@
         except (
             ValueError,
             wire.WireError,
-        ) as error:  # its proposer checked it, perhaps in another version of the program
+        ) as error:  # checked by its proposer, which may have run another version of the program
             log.event("fleet_settings_unusable", version=version, error=str(error))
             return
         with self._changing:
-            if self.agreed_version or self._host_load is not None or self._link is not None:
+            if self.agreed_version or self._host_load is not None or self._gossip is not None:
                 why = (
                     "rules are in force: propose it as rules"
                     if self.agreed_version
-                    else "levels or gossip are on: restart"
+                    else "levels or gossip are on: restart to apply it"
                 )
                 log.event("fleet_settings_unusable", version=version, error=why)
                 return
@@ -241,19 +247,19 @@
         """Apply the operators' file, given as records by section. Raises ValueError, with nothing changed."""
         levels: Plan | None = records.get("levels")
         if levels is not None:
-            levels.admission_limits(self._settings)  # may raise; nothing after it fails because of the levels
+            levels.admission_limits(self._settings)  # raises for levels that don't fit, before anything has changed
         self._apply_gossip(records.get("gossip"))
         self.sections = frozenset(records)
         self._apply_peers(*(records.get(name) for name in ("peers", "replica", "rules", "federation")))
         with self._changing:
             self._levels_file = levels
-            if self._levels_rules is None:  # else those of the rules take precedence
+            if self._levels_rules is None:  # otherwise the levels of the rules take precedence
                 self._apply_levels(levels)
 
     def stop(self) -> None:
-        """Announce the end of the gateway to the other instances."""
-        if self._link is not None:
-            self._link.stop()
+        """Stop gossip and the peer link, which tells the other gateways that this one ends."""
+        if self._gossip is not None:
+            self._gossip.stop()
         if self._peering is not None:
             self._peering.stop()
 
@@ -264,22 +270,24 @@
         """Start the peer link and the replicated state. Raises LinkError, with nothing changed."""
         if plan is None and self._peering is None:
             if replica is not None:
-                raise ValueError("replica: needs the section peers, whose members take part")
+                raise ValueError("replica: needs the section peers, whose members hold the replicated state")
             if federation is not None:
                 raise ValueError("federation: needs the sections peers, replica and rules")
             return
         if federation is not None and (replica is None or rules is None):
-            raise ValueError("federation: needs the sections replica and rules: what the sites agree on is a version")
+            raise ValueError(
+                "federation: needs the sections replica and rules: the sites agree on a version of the rules"
+            )
         from tealwing.fleet.peering import Peering
         from tealwing.peers.errors import LinkError  # imported only if it is on
 
         if self._peering is not None:
             if (plan, replica, rules, federation) != self._peering.plans:
-                raise LinkError("peers, replica, rules, federation: a section changed; allowed: a restart")
+                raise LinkError("peers, replica, rules, federation: a section changed; restart to apply it")
             return
         assert plan is not None
         if not self._settings.limits.peer_messages:
-            raise LinkError("peers: the platform's settings forbid talk among gateways (Allowed.Peers)")
+            raise LinkError("peers: the platform's settings forbid messages between gateways (Allowed.Peers)")
         peering = Peering(plan, replica, self._fleet_settings, federation)
         if rules is not None:
             self.gate = peering.follow_rules(rules, self)
@@ -290,23 +298,23 @@
 
     def _apply_gossip(self, plan: GossipConfig | None) -> None:
         """Start, change or stop gossip. Raises GossipConfigError, with nothing changed."""
-        link = self._link
+        link = self._gossip
         if plan is None and link is None:
             return
         from tealwing.gossip.errors import GossipConfigError  # imported only if gossip is or was on
         from tealwing.gossip.service import GossipService
 
         if plan is not None and not self._settings.limits.peer_messages:
-            raise GossipConfigError("gossip: the platform's settings forbid talk among gateways (Allowed.Peers)")
+            raise GossipConfigError("gossip: the platform's settings forbid messages between gateways (Allowed.Peers)")
         if plan is not None and link is not None:
             link.change(plan)
         elif plan is not None:
-            self._link = GossipService(
+            self._gossip = GossipService(
                 plan, partial(service_levels.fleet_evidence, self._decisions.change_module), self._decisions.submit
             )
-            self._link.start()
+            self._gossip.start()
         elif link is not None:
-            self._link = None
+            self._gossip = None
             link.stop()
             self._decisions.submit(api.EngineHealthEstimates({}))
 
@@ -323,7 +331,7 @@
             self._host_load.start()
 
     def fail_open_requests(self) -> int:
-        """Fail all open requests as the gateway ends; return their number."""
+        """Fail all open requests because the gateway shuts down; return their number."""
         return self._decisions.broadcast(Signal.SHUTDOWN)
 
     @property
@@ -337,16 +345,16 @@
         return self._decisions.open_requests
 
     def _apply_cached_update(self, update: Update, cached: bool) -> None:
-        """Apply a cached event of the configuration, which is not requested again."""
+        """Apply a cached event of the configuration, which can't be requested again."""
         try:
             self._apply_update(update, cached)
         except Exception:
             self._apply_member_by_member(update)
 
     def _on_watch_update(self, update: Update) -> None:
-        """Apply a watch event; an error ends the watch, and the next one repeats the event completely.
+        """Apply a watch event; an error ends the watch, and the next watch requests the event again.
 
-        One that can't be taken at the third time is taken member by member: it must not hide what comes after it.
+        After MAX_LIST_FAILURES failures the event is applied member by member: it must not block later events.
         """
         try:
             self._apply_update(update)
@@ -358,24 +366,24 @@
             self._apply_member_by_member(update)
 
     def _apply_update(self, update: Update, cached: bool = False) -> None:
-        """Update the engine pool, then the module, which may choose a new engine at once.
+        """Update the engine pool, then the decision module, which may choose a new engine at once.
 
-        A second time it changes nothing that the first did.
+        Idempotent: applying the same update again changes nothing.
         """
-        members = update.members + update.unplaced  # the unplaced for settings to come
+        members = update.members + update.unplaced  # later settings may name the zone and kind of the unplaced ones
         self._engines.update(members, update.complete)
         kind = api.EngineListKind.FULL if update.complete else api.EngineListKind.DELTA
         if cached:
             kind = api.EngineListKind.CACHED
         if not self._decisions.update_engine_list(kind, update.revision, self._with_start_times(members)):
-            raise EngineListError(f"event {update.index} could not be decided on")
+            raise EngineListError(f"a decision module could not apply engine list event {update.index}")
         self._publish_update(update, update.members)
 
     def _with_start_times(self, members: tuple[Member, ...]) -> tuple[Member, ...]:
-        """Return the members with start times on the clock of the decisions; see `StartTimes`."""
+        """Return the members with start times on the clock of the decision modules; see `StartTimes`."""
         now, wall = self._decisions.now, time.time()
-        unknown = inf if self._reads_cached_list else self._follower.age
-        return tuple(self._starts.with_start_time(member, now, wall, unknown) for member in members)
+        unknown = inf if self._reads_cached_list else self._watch.age
+        return tuple(self._start_times.with_start_time(member, now, wall, unknown) for member in members)
 
     def _publish_update(self, update: Update, taken: Sequence[Member]) -> None:
         """Publish an update to the fleet and the log."""
@@ -397,18 +405,18 @@
                 if not self._decisions.update_engine_list(
                     api.EngineListKind.DELTA, update.revision, self._with_start_times((member,))
                 ):
-                    raise EngineListError("it could not be decided on")
+                    raise EngineListError("a decision module could not apply the engine")
             except Exception as error:
                 log.event("engine_unusable", why=f"{member.name}: {error!r}")
             else:
                 taken.append(member)
         try:
             self._publish_update(update, taken)
-        except Exception:  # must not end the watch again
-            log.check_invariant(False, f"a watch update is passed on: {traceback.format_exc(limit=-3)}")
+        except Exception:  # an error here must not end the watch
+            log.check_invariant(False, f"a watch update is published: {traceback.format_exc(limit=-3)}")
 
     def _on_level_change(self, name: str, fields: dict[str, Any]) -> None:
-        """Log an event of the governor, and publish a change of level to the fleet."""
+        """Log an event of the service-level governor, and publish a change of level to the fleet."""
         log.event(name, **fields)
         if name == "service_level" and self._peering is not None and self._peering.feed is not None:
             self._peering.feed.service_level_changed(
--- a/tealwing/gateway/decisions.py
+++ b/tealwing/gateway/decisions.py
@@ -1,4 +1,4 @@
-"""The lock round the decision module: passes events in, and its actions to the requests' mailboxes."""
+"""Access to the decision modules under one lock: events go in, their actions go to the requests' mailboxes."""
 
 from __future__ import annotations
 
@@ -18,37 +18,37 @@
 from tealwing.gateway.timers import Timers
 from tealwing.resp.engine_pool import EnginePool
 
-TIMER_GRANULARITY = 0.02  # s: timers fire at its multiples, so that several fire together
-Mailbox = SimpleQueue[Any]  # the module's actions and the engines' answers for one request
+TIMER_GRANULARITY = 0.02  # s; timers fire at multiples of it, so that several fire together
+Mailbox = SimpleQueue[Any]  # the decision module's actions and the engines' answers for one request
 
 
 class Decisions:
-    """Serializes the decision module. The lock is never held while a socket is waited for; mailboxes never block."""
+    """Serializes calls of the decision modules. The lock is never held during socket I/O; mailboxes never block."""
 
     def __init__(self, settings: api.Settings, seed: int, engines: EnginePool) -> None:
         self._versions = ModuleVersions(settings, seed)
         self._engines = engines
         self._lock = threading.Lock()
-        # s; makes Unix time of the monotonic clock, which no step turns back
+        # s; added to the monotonic clock it gives a Unix time that steps of the wall clock don't change
         self.clock_offset = time.time() - time.monotonic()
         self._mailboxes: dict[int, Mailbox] = {}
-        self._request_ids: set[bytes] = set()  # the clients' ids of the open requests
+        self._request_ids: set[bytes] = set()  # request ids that the clients gave, of the open requests
         self._ids = itertools.count(1)
-        self._list_faults = 0  # engine lists that a module could not apply completely
+        self._list_faults = 0  # engine list events that a module could not apply completely
         self._timers = Timers(max(settings.tick, TIMER_GRANULARITY), self._on_timers)
 
     def start(self) -> None:
-        """Start the timers."""
+        """Start the timer thread."""
         self._timers.start()
 
     @property
     def module(self) -> Module:
-        """The decision module, for metrics that are read without the lock."""
+        """The decision module of new requests, for metrics that are read without the lock."""
         return self._versions.module
 
     @property
     def now(self) -> float:
-        """The modules' time: Unix seconds that steps of the wall clock do not change."""
+        """The decision modules' time: Unix seconds that steps of the wall clock do not change."""
         return time.monotonic() + self.clock_offset
 
     @property
@@ -69,7 +69,7 @@
 
     @property
     def in_force(self) -> InForce:
-        """The settings and the routing table of new requests, of one version."""
+        """The settings and the routing table that bind new requests, both of one version."""
         return self._versions.in_force
 
     @property
@@ -84,10 +84,11 @@
         return self._versions.ready_zones
 
     def register(self, call: bytes, mailbox: Mailbox, settings: api.Settings | None = None) -> int:
-        """Return the number of a new request that was read under those settings; its actions go to the mailbox.
+        """Return the number of a new request that was parsed under those settings; its actions go to the mailbox.
 
-        Engines tell requests apart by the clients' ids: a second one of an open id would get the first's rows. Raises
-        InvalidRequestError for an open id, SettingsChangedError for settings of which no module is left.
+        Engines tell requests apart by the clients' ids: a second request with the id of an open one would get the
+        rows of the first. Raises InvalidRequestError for such an id, and SettingsChangedError if no module is left
+        for the settings.
         """
         with self._lock:
             if call in self._request_ids:
@@ -110,21 +111,21 @@
             return [mailbox.get_nowait() for _ in range(mailbox.qsize())]
 
     def forget(self, number: int) -> None:
-        """Drop a request; a module of earlier settings is dropped with its last one."""
+        """Drop a request; a module of earlier settings is dropped with its last request."""
         with self._lock:
             self._versions.forget(number)
 
     def replace_settings(self, settings: api.Settings) -> int:
         """Route new requests to a new module of these settings; the old one keeps its open requests.
 
-        Gives the new version's number.
+        Returns the new version's number.
         """
         return self.put_in_force(InForce(settings))
 
     def put_in_force(self, force: InForce, wrap: WrapModule | None = None) -> int:
         """Bind new requests to this version; changed settings get a new module, as in `replace_settings`.
 
-        wrap puts something before a new module. Gives the number of the module's version.
+        wrap wraps a new module. Returns the number of the module's version.
         """
         with self._lock:
             if force.settings is self._versions.settings:
@@ -133,14 +134,14 @@
                 faults = self._list_faults
                 for event in self._versions.replace_settings(force, wrap):
                     self._handle(event, (self._versions.version,))
-                if self._list_faults != faults:  # one engine that can't be applied must not hide the others
+                if self._list_faults != faults:  # apply the engines one by one: a failing one must not hide the others
                     for entry in self._versions.engine_list:
                         alone = api.EngineList(api.EngineListKind.DELTA, 0, (entry,))
                         self._handle(alone, (self._versions.version,))
             return self._versions.version
 
     def _restore_module(self, settings: api.Settings) -> None:
-        """Restore a module for settings that were replaced while a request was read under them. Call under the lock."""
+        """Restore a module for settings that were replaced after a request was parsed under them. Needs the lock."""
         if (recalled := self._versions.restore(settings)) is not None:
             version, initial_events = recalled
             for event in initial_events:
@@ -154,12 +155,12 @@
             return len(self._mailboxes)
 
     def change_module(self, how: Callable[[Module, float], Module]) -> None:
-        """Wrap or unwrap the module; no event is handled meanwhile."""
+        """Replace the module of new requests by what `how` returns for it and the current time, under the lock."""
         with self._lock:
             self._versions.module = how(self._versions.module, time.monotonic() + self.clock_offset)
 
     def update_engine_list(self, kind: api.EngineListKind, number: int, members: tuple[Member, ...]) -> bool:
-        """Pass a watch update to the modules, numbered by their settings; return whether all applied it completely."""
+        """Pass a watch update to each module, numbered by its settings; return whether all applied it completely."""
         idle: list[int] = []
         with self._lock:
             faults = self._list_faults
@@ -180,7 +181,7 @@
             self._engines.close_idle(engine)
 
     def _on_timers(self, due: list[tuple[int, int]]) -> None:
-        """Pass fired timers to the modules that set them; those of dropped modules are ignored."""
+        """Pass fired timers to the modules that set them; timers of dropped modules are ignored."""
         idle: list[int] = []
         with self._lock:
             for token, version in due:
@@ -189,16 +190,16 @@
             self._engines.close_idle(engine)
 
     def _handle(self, event: api.Event, versions: tuple[int, ...]) -> list[int]:
-        """Pass one event to the modules of the versions that still exist, and their actions to the mailboxes.
+        """Pass one event to those modules of the versions that still exist, and their actions to the mailboxes.
 
-        Gives the engines whose idle connections close.
+        Returns the engines whose idle connections are to be closed.
         """
         idle: list[int] = []
         for version in versions:
             module = self._versions.module_at(version)
             if module is not None:
                 idle += self._decide(module, version, event)
-                if event.__class__ is api.EngineList:  # a quarter of isinstance's cost, on each event
+                if event.__class__ is api.EngineList:  # costs a quarter of isinstance, and runs on each event
                     self._versions.share_slow_start(version)
         return idle
 
@@ -207,7 +208,7 @@
         now = time.monotonic()
         try:
             actions = module.handle(now + self.clock_offset, event)
-        except Exception:  # an error in a decision fails its request, not the gateway
+        except Exception:  # an error in the module fails the request, not the gateway
             log.event("decision_failed", of=type(event).__name__, trace=traceback.format_exc(limit=-3))
             if isinstance(event, api.EngineList):
                 self._list_faults += 1
@@ -224,7 +225,7 @@
                     mailbox = self._mailboxes.get(action.id)
                     if mailbox is not None:
                         mailbox.put(action)
-                    log.check_invariant(mailbox is not None, "an action names a request that is open")
+                    log.check_invariant(mailbox is not None, "an action belongs to an open request")
                 case _:
-                    log.check_invariant(False, f"{type(action).__name__} is not allowed here")
+                    log.check_invariant(False, f"a gateway's decision module never returns {type(action).__name__}")
         return idle
--- a/tealwing/gateway/module_versions.py
+++ b/tealwing/gateway/module_versions.py
@@ -1,4 +1,4 @@
-"""Decision modules by version of the settings, and which request each decides. Guarded by the owner's lock."""
+"""Decision modules by version of the settings, and the requests of each. The owner's lock guards all of it."""
 
 from __future__ import annotations
 
@@ -19,10 +19,8 @@
 if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
     from tealwing.routing.table import Table
 
-MAX_REPLACED_SETTINGS = (
-    4  # changes of settings after which a request that is still being read under the first is turned back
-)
-# events of one request: to its module
+MAX_REPLACED_SETTINGS = 4  # replaced settings that are kept: a request that was parsed under older ones is rejected
+# events of one request, which go to its module only
 REQUEST_EVENTS = (
     api.Request,
     api.AttemptOutcome,
@@ -36,12 +34,12 @@
     """The decision module, or a wrapper of it."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Return the actions on one event."""
+        """Return the actions that follow from one event."""
 
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """What binds a new request. Immutable: one read of it never mixes two versions."""
+    """The settings and routing table that bind a new request. Immutable, so that a reader never mixes two versions."""
 
     settings: api.Settings
     table: Table | None = None
@@ -49,7 +47,7 @@
 
 
 WrapModule = Callable[[Gateway], Module]  # wraps a new module
-Spent = deque[tuple[float, float]]  # times and work of what was sent to an engine in slow start
+SlowStartSends = deque[tuple[float, float]]  # time and work of each attempt sent to an engine in slow start
 
 
 def innermost_module(module: Module) -> Gateway | None:
@@ -66,17 +64,19 @@
         self.in_force, self.version = InForce(settings), 0
         self.ready_zones: frozenset[int] = frozenset()  # zones with a ready engine
         self._seed = seed
-        # The rules on slow start count over the whole gateway: all modules share this.
-        self._taken, self._extra = deque[float](), deque[float]()
-        self._spent: dict[tuple[int, float], Spent] = {}  # by engine and its start
+        # The limits of slow start apply to the whole gateway, so all modules share these.
+        self._request_times, self._retry_times = deque[float](), deque[float]()
+        self._slow_start_sends: dict[tuple[int, float], SlowStartSends] = {}  # by engine number and start time
         self._numbers = itertools.count(1)  # of versions
         self._replaced = deque[api.Settings](maxlen=MAX_REPLACED_SETTINGS)  # replaced settings, the latest last
-        self._older: dict[int, tuple[api.Settings, Module]] = {}  # by version: modules with open requests
+        # earlier versions with open requests: the settings and module of each
+        self._older: dict[int, tuple[api.Settings, Module]] = {}
         self._owners: dict[int, int] = {}  # request id: version of its module
-        self._held: dict[int, int] = {}  # version: number of its open requests
-        self._members: dict[int, Member] = {}  # the engine list by names: settings number zones and kinds differently
+        self._open_requests: dict[int, int] = {}  # version: number of its open requests
+        # the engine list by engine number, with names of zones and kinds, as settings number these differently
+        self._members: dict[int, Member] = {}
         self._list_version = 0
-        self._health_estimates: api.EngineHealthEstimates | None = None  # the latest, for a new module
+        self._health_estimates: api.EngineHealthEstimates | None = None  # the latest, passed to each new module
         self.share_slow_start(0)
 
     @property
@@ -92,11 +92,11 @@
     @property
     def max_deadline(self) -> float:
         """The longest deadline in seconds of the settings in force and of those of open requests."""
-        held = [self.settings, *(settings for settings, _ in self._older.values())]
-        return max(cls.deadline for settings in held for cls in settings.classes)
+        in_use = [self.settings, *(settings for settings, _ in self._older.values())]
+        return max(cls.deadline for settings in in_use for cls in settings.classes)
 
     def version_of(self, settings: api.Settings) -> int:
-        """Return the version of these settings, by identity. Raises SettingsChangedError if no module is left."""
+        """Return the version of these settings, by identity. Raises SettingsChangedError if they have no module."""
         if settings is self.settings:
             return self.version
         for version, (older, _) in self._older.items():
@@ -105,29 +105,29 @@
         raise SettingsChangedError(self.settings)
 
     def module_at(self, version: int) -> Module | None:
-        """Return the module of a version, if there still is one."""
+        """Return the module of a version, or None if it was dropped."""
         if version == self.version:
             return self.module
         older = self._older.get(version)
         return older[1] if older is not None else None
 
     def assign(self, number: int, version: int) -> None:
-        """Assign a request to a version."""
+        """Assign a request to the module of a version."""
         self._owners[number] = version
-        self._held[version] = self._held.get(version, 0) + 1
+        self._open_requests[version] = self._open_requests.get(version, 0) + 1
 
     def forget(self, number: int) -> None:
-        """Drop a request; a module of earlier settings is dropped with its last one."""
+        """Drop a request; a module of earlier settings is dropped with its last request."""
         version = self._owners.pop(number)
-        self._held[version] -= 1
-        if not self._held[version]:
-            del self._held[version]
+        self._open_requests[version] -= 1
+        if not self._open_requests[version]:
+            del self._open_requests[version]
             if self._older.pop(version, None) is not None:
                 log.event("settings_retired", version=version)
 
     def replace_settings(self, force: InForce, wrap: WrapModule | None = None) -> list[api.Event]:
         """Replace the module of new requests, and return the initial events of the new one."""
-        if self._held.get(self.version):
+        if self._open_requests.get(self.version):
             self._older[self.version] = self.settings, self.module
         self._replaced.append(self.settings)
         self.version = next(self._numbers)
@@ -137,12 +137,13 @@
         return self._initial_events(force.settings)
 
     def restore(self, settings: api.Settings) -> tuple[int, list[api.Event]] | None:
-        """Restore a module of replaced settings; return its version and initial events, or None if there is one.
+        """Restore a module of replaced settings; return its version and initial events.
 
-        They were in force when a request was read, and a change has come between that and its being opened.
+        Needed when the settings change between the parsing of a request and its opening. Returns None if a module of
+        these settings exists, or if they were replaced too long ago.
         """
-        held = [self.settings, *(older for older, _ in self._older.values())]
-        if any(one is settings for one in held) or not any(one is settings for one in self._replaced):
+        in_use = [self.settings, *(older for older, _ in self._older.values())]
+        if any(one is settings for one in in_use) or not any(one is settings for one in self._replaced):
             return None
         version = next(self._numbers)
         self._older[version] = settings, Gateway(settings, self._seed + version)
@@ -154,21 +155,23 @@
         gateway = innermost_module(module) if module is not None else None
         if gateway is None:
             return
-        gateway.request_times, gateway.retry_times = self._taken, self._extra
+        gateway.request_times, gateway.retry_times = self._request_times, self._retry_times
         for engine in gateway.engines.values():
-            engine.slow_start_sends = self._spent.setdefault((engine.id, engine.started), engine.slow_start_sends)
-        if version == self.version:  # engines that it does not know have left the list
+            engine.slow_start_sends = self._slow_start_sends.setdefault(
+                (engine.id, engine.started), engine.slow_start_sends
+            )
+        if version == self.version:  # engines that the current module does not know have left the list
             known = {(engine.id, engine.started) for engine in gateway.engines.values()}
-            self._spent = {key: spent for key, spent in self._spent.items() if key in known}
+            self._slow_start_sends = {key: sends for key, sends in self._slow_start_sends.items() if key in known}
 
     def _initial_events(self, settings: api.Settings) -> list[api.Event]:
-        """Return the first events of a new module, numbered by its settings."""
+        """Return the first events of a new module, with zones and kinds numbered by its settings."""
         listed = _entries_for(self._members.values(), settings)
         events: list[api.Event] = [api.EngineList(api.EngineListKind.FULL, self._list_version, listed)]
         return events + ([self._health_estimates] if self._health_estimates is not None else [])
 
     def versions_for(self, event: api.Event) -> tuple[int, ...]:
-        """Return the versions whose modules get an event: that of its request, or all."""
+        """Return the versions whose modules get an event: that of the event's request, or all."""
         if isinstance(event, REQUEST_EVENTS):
             return (self._owners.get(event.id, self.version),)
         if isinstance(event, api.EngineList):  # numbered by the settings in force
@@ -182,13 +185,15 @@
     def engine_list_events(
         self, kind: api.EngineListKind, number: int, members: tuple[Member, ...]
     ) -> list[tuple[int, api.EngineList]]:
-        """Store a watch update; return its event by version, numbered by the settings of each."""
+        """Store a watch update; return its event for each version, numbered by that version's settings."""
         self._store_list(kind, number, members)
-        held = [(self.version, self.settings), *((version, older[0]) for version, older in self._older.items())]
-        return [(version, api.EngineList(kind, number, _entries_for(members, settings))) for version, settings in held]
+        in_use = [(self.version, self.settings), *((version, older[0]) for version, older in self._older.items())]
+        return [
+            (version, api.EngineList(kind, number, _entries_for(members, settings))) for version, settings in in_use
+        ]
 
     def _store_list(self, kind: api.EngineListKind, number: int, members: Iterable[Member]) -> None:
-        """Store the list for modules that are made later."""
+        """Store the engine list for modules that are created later."""
         if kind is not api.EngineListKind.DELTA:
             self._members.clear()
         for member in members:
@@ -204,7 +209,7 @@
 
 
 def _entries_for(members: Iterable[Member], settings: api.Settings) -> tuple[api.EngineListEntry, ...]:
-    """Return the members' entries numbered by the settings; without those whose zone or kind they do not name."""
+    """Return the members' entries numbered by the settings, without members whose zone or kind these don't name."""
     found = []
     for member in members:
         with contextlib.suppress(updates.UpdateError):
--- a/tealwing/gateway/request_handler.py
+++ b/tealwing/gateway/request_handler.py
@@ -1,4 +1,4 @@
-"""The handler of one request, from its arrival to its final answer. It decides nothing: the module does."""
+"""The handler of one request, from its arrival to its final answer; it carries out the decision module's actions."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from tealwing.resp.engine_pool import EnginePool
 from tealwing.resp.errors import AttemptWithdrawnError, ConnectError, ConnectionBrokenError
 
-WAKE_UP_TIME = 0.01  # s from a timer's firing until the answer is sent
-RESERVED_TIME = TIMER_GRANULARITY + WAKE_UP_TIME  # s of a ttl that are kept for the final answer
-CANCEL_GAP = 0.005  # s between a cancel and the next send: they leave on two connections, and the later may be faster
-DECISION_OVERDUE = 0.1  # s past the deadline after which a missing decision counts as an error
+WAKE_UP_TIME = 0.01  # s from a timer's firing until the answer is sent, at most
+RESERVED_TIME = TIMER_GRANULARITY + WAKE_UP_TIME  # s of a request's ttl that are reserved for the final answer
+CANCEL_GAP = 0.005  # s from a cancel to the next send: on another connection the send could overtake the cancel
+DECISION_OVERDUE = 0.1  # s past a request's deadline after which a missing decision is an error
 DEFAULT_PRIORITY = 1
 PROGRESS_KINDS = {
     "frac": api.ProgressKind.PROGRESS,
@@ -33,14 +33,14 @@
 
 
 class Signal(Enum):
-    """Items of a mailbox beside actions and answers."""
+    """Items of a request's mailbox that are neither actions nor answers."""
 
     CLIENT_CANCELLED = "the client gave the request up"
     SHUTDOWN = "the gateway ends"
 
 
 class RequestHandler:
-    """One request under way."""
+    """Runs one request: registers it, sends its attempts and returns its reply."""
 
     def __init__(
         self,
@@ -57,19 +57,19 @@
         self._host_load, self._metrics, self._zones = host_load, metrics, zones
         self._class = settings.classes[query.cls].name
         self._mailbox: Mailbox = SimpleQueue()
-        # a client's late try may have less than the reserved time: the module then sees none remaining
+        # a client's retry may have less than the reserved time left: the module then sees none remaining
         self._deadline = (query.received_at or time.monotonic()) + query.ttl - RESERVED_TIME
         self._id = decisions.register(query.request_id, self._mailbox, settings)
-        self._retry_until = inf  # monotonic; end of the idempotency window, however long a send waits
-        self._next_send_at = 0.0  # monotonic; when the engine of a cancelled attempt has been notified
-        self._read_ahead: list[object] = []  # taken out of the mailbox early, to see whether the request has ended
+        self._retry_until = inf  # monotonic; end of the idempotency window, after which nothing is sent
+        self._next_send_at = 0.0  # monotonic; when the cancel of the last attempt has reached its engine
+        self._read_ahead: list[object] = []  # items taken from the mailbox early, to see whether the request has ended
 
     def cancel(self) -> None:
         """Cancel the request for its client, from any thread."""
         self._mailbox.put(Signal.CLIENT_CANCELLED)
 
     def run(self) -> Reply:
-        """Run the request to its reply, and count how it ended."""
+        """Run the request to its reply, and count its result in the metrics."""
         reply = self._handle()
         if self._metrics is not None:
             figure = counted.OK if isinstance(reply, Served) else counted.SHED
@@ -91,24 +91,24 @@
                             attempt.stream.reprioritize(priority)
 
                     case api.Send(_, engine, timeout):
-                        log.check_invariant(attempt is None, "one attempt out at a time")
+                        log.check_invariant(attempt is None, "a request has one attempt in flight at most")
                         attempt = Attempt(attempt_count, engine, timeout)
                         attempt_count += 1
                         failure = self._send(attempt, priority)
                         if self._host_load is not None and not attempt.number:
                             self._host_load.record_dispatch_delay(time.monotonic() - self._query.received_at)
                         if failure is not None:
-                            # a request cancelled meanwhile must not get another attempt
+                            # a request that was cancelled meanwhile must not get another attempt
                             request_ended = any(isinstance(item, Signal) for item in self._read_ahead)
                             self._report_outcome(attempt, failure, request_ended=request_ended)
                             attempt = None
 
                     case Answer() as answer:
                         if attempt is None or answer.stream is not attempt.stream:
-                            continue  # late: the outcome of that attempt is reported already
+                            continue  # a late answer: the outcome of its attempt is reported already
                         result = self._on_answer(attempt, answer)
                         if result is None:
-                            continue  # not over yet
+                            continue  # more answers are expected
                         served = result is api.AttemptResult.OK
                         self._report_outcome(attempt, result, request_ended=served)
                         pages, attempt = attempt.pages, None
@@ -132,7 +132,7 @@
                             self._decisions.submit(api.ClientGone(self._id))
                             return Failed()
                         self._cancel_attempt(attempt)
-                        lost = attempt.pages  # answered in time, but its pages were lost
+                        lost = attempt.pages  # the engine answered in time, but further pages were lost
                         self._report_outcome(attempt, api.AttemptResult.ERROR if lost else api.AttemptResult.TIMEOUT)
                         attempt = None
 
@@ -143,7 +143,7 @@
                         return Failed()
 
                     case Signal() as signal:
-                        self._decisions.submit(api.ClientGone(self._id))  # an attempt in flight is ended below
+                        self._decisions.submit(api.ClientGone(self._id))  # an attempt in flight is cancelled below
                         return Cancelled() if signal is Signal.CLIENT_CANCELLED else Failed()
         finally:
             if attempt is not None:
@@ -152,7 +152,7 @@
             self._close(attempt_count)
 
     def _close(self, sends: int) -> None:
-        """Unregister the request; a `Send` that is still in the mailbox is reported as not sent."""
+        """Unregister the request, and report a `Send` that is still in the mailbox as not sent."""
         for left in self._read_ahead + self._decisions.unregister(self._id, self._query.request_id):
             if isinstance(left, api.Send):
                 self._report_outcome(
@@ -201,13 +201,13 @@
         """Send the attempt to its engine; return how that failed, or None."""
         if (self._read_ahead or not self._mailbox.empty()) and self._is_withdrawn(
             attempt
-        ):  # no connect for it, which may last
+        ):  # checked first, because a connect may take long
             return api.AttemptResult.NOT_SENT
         if (gap := self._next_send_at - time.monotonic()) > 0:  # sleep(0) would yield the interpreter
             time.sleep(gap)
         left = min(attempt.wait_until, self._deadline) - time.monotonic()
         if left <= 0:
-            return api.AttemptResult.NOT_SENT  # never sent: its time had run out
+            return api.AttemptResult.NOT_SENT  # its time ran out before the send
         try:
             attempt.stream = self._engines.send(
                 attempt.engine,
@@ -228,21 +228,21 @@
         return None
 
     def _send_fields(self, attempt: Attempt, priority: int) -> bytes:
-        """Return the fields of a send that is written next. Raises AttemptWithdrawnError if it must not be.
+        """Return the fields of a send that is about to be written. Raises AttemptWithdrawnError if it must not be.
 
-        The wait before it, for a connect or for the bytes of others, may have been long: the last check is here.
+        The wait for a connect or for other requests' bytes may have been long, so this is the last check.
         """
         left = min(attempt.wait_until, self._deadline) - time.monotonic()
         if left <= 0:
-            raise AttemptWithdrawnError("its time ran out before it was sent")
+            raise AttemptWithdrawnError("the attempt's time ran out before it was sent")
         if time.monotonic() >= self._retry_until:
-            raise AttemptWithdrawnError("its window for repeats was over before it was sent")
+            raise AttemptWithdrawnError("the request's idempotency window ended before the attempt was sent")
         if (self._read_ahead or not self._mailbox.empty()) and self._is_withdrawn(attempt):
-            raise AttemptWithdrawnError("it was given up before it was sent")
+            raise AttemptWithdrawnError("the attempt was cancelled before it was sent")
         query = self._query
-        if query.has_left():  # the event may not have been handled yet
+        if query.has_left():  # its disconnect may not have been handled yet
             self._read_ahead.insert(0, Signal.CLIENT_CANCELLED)
-            raise AttemptWithdrawnError("its client left before it was sent")
+            raise AttemptWithdrawnError("the client disconnected before the attempt was sent")
         fields = b"lane=%b,ttl=%d" % (self._settings.classes[query.cls].name.encode(), ceil(left * 1e3))
         if query.idempotency_key:
             fields += b",dedupe=" + query.idempotency_key
@@ -251,7 +251,7 @@
         return fields
 
     def _on_answer(self, attempt: Attempt, answer: Answer) -> api.AttemptResult | None:
-        """Apply an engine's answer to the attempt; return its result, or None while it goes on."""
+        """Apply an engine's answer to the attempt; return the attempt's result, or None while it continues."""
         try:
             attempt.report = messages.report(answer.fields, self._settings.report_fields) or attempt.report
             if answer.status == b"503" and not attempt.pages:
@@ -260,10 +260,10 @@
                 return self._finish_stream(attempt, api.AttemptResult.NOT_SENT)
             if answer.status == b"500":
                 if attempt.pages:
-                    self._cancel_attempt(attempt)  # its further pages must not reach a later attempt
+                    self._cancel_attempt(attempt)  # further pages must not reach a later attempt
                 return self._finish_stream(attempt, api.AttemptResult.ERROR)
             if answer.status == b"200" and attempt.pages:
-                return None  # a duplicate
+                return None  # a duplicate of the first page
             if answer.status == b"200":
                 sheets = messages.count(answer.fields.get("sheets", "1"), MAX_PAGES)
                 attempt.pages, attempt.requested_pages = [None] * max(sheets, 1), 1
@@ -271,11 +271,11 @@
                 attempt.fetch_pages(answer.stream)
             elif answer.status == b"chunk" and attempt.pages:
                 sheet = messages.count(answer.fields.get("sheet"), len(attempt.pages) - 1)
-                if attempt.pages[sheet] is None:  # else a duplicate
+                if attempt.pages[sheet] is None:  # otherwise a duplicate
                     attempt.store_page(sheet, checked_page(answer.body))
                     attempt.fetch_pages(answer.stream)
             else:
-                raise messages.RespError(f"an answer out of place: {answer.status[:20]!r}")
+                raise messages.RespError(f"unexpected answer from an engine: status {answer.status[:20]!r}")
         except messages.RespError as error:
             log.event("engine_answer_unusable", error=str(error))
             answer.stream.fail_connection()
@@ -292,7 +292,7 @@
         return result
 
     def _on_stream_item(self, attempt: Attempt, item: Answer | StreamLost) -> None:
-        """Handle an item on the reader thread. Progress, which is frequent, goes to the module directly."""
+        """Handle an item of the stream on the reader thread; progress, which is frequent, goes to the module directly."""
         if isinstance(item, StreamLost) or item.status != b"status":
             self._mailbox.put(item)
         elif (kind := PROGRESS_KINDS.get(item.fields.get("why", ""))) is not None:
@@ -303,7 +303,7 @@
         cls = self._settings.classes[self._query.cls]
         if cls.idempotency is api.Idempotency.KEYED and result not in api.NEVER_RAN:
             self._retry_until = min(self._retry_until, attempt.sent_at + cls.idempotency_window)
-        attempt.stream = None  # a reference cycle would keep the pages until a garbage collection
+        attempt.stream = None  # breaks a reference cycle, which would keep the pages until a garbage collection
         elapsed = time.monotonic() - attempt.sent_at
         self._decisions.submit(
             api.AttemptOutcome(
--- a/tealwing/gateway/service_levels.py
+++ b/tealwing/gateway/service_levels.py
@@ -1,4 +1,4 @@
-"""What stands before the module of decisions, and what is seen of the module behind; imports only what is on."""
+"""The service-level governor round the decision module, and local evidence for gossip; imports only what is on."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 def fleet_evidence(change: Callable[[ChangeModule], None]) -> Evidence:
-    """What the module shows of its engines, and how many are ready; change is that of the decisions."""
+    """Return the decision module's observations of its engines, and the number of ready engines.
+
+    `change` is `Decisions.change_module`.
+    """
     from tealwing.gossip import local_evidence
 
     found: list[Evidence] = []
@@ -35,14 +38,14 @@
 
 
 def level_wrapper(settings: api.Settings, plan: Plan, log_change: LogLevelChange) -> WrapModule:
-    """What puts the levels of the plan before a new module of the settings."""
+    """Return a function that wraps a new module of the settings in a governor with the plan's levels."""
     from tealwing.levels.governor import Governor
 
     return lambda gateway: Governor(settings, gateway, plan, log_change)
 
 
 def level_changer(settings: api.Settings, plan: Plan | None, log_change: LogLevelChange) -> ChangeModule:
-    """What begins, changes or ends levels on a module that runs; the same plan again changes nothing."""
+    """Return a function that starts, changes or ends levels on a running module; the same plan changes nothing."""
     from tealwing.levels.governor import Governor
 
     def change(module: Module, now: float) -> Module:
--- a/tealwing/gateway/timers.py
+++ b/tealwing/gateway/timers.py
@@ -1,4 +1,4 @@
-"""The timers that the modules of decisions set: a heap, and the thread that has them fire."""
+"""The timers of the decision modules: a heap of due times, and the thread that fires them."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from collections.abc import Callable
 from math import ceil
 
-MAX_FIRED_TOGETHER = 32  # timers handled before others may have the lock round the decisions
+MAX_FIRED_TOGETHER = 32  # timers fired in one call, so that other threads get the lock of the decisions in between
 
 
 class Timers:
-    """Nothing here is waited for while the lock of the heap is held, so `set` never blocks."""
+    """Fires timers on a thread of its own; nothing waits while it holds the lock of the heap, so `set` never blocks."""
 
     def __init__(self, granularity: float, fire: Callable[[list[tuple[int, int]]], None]) -> None:
-        """Timers fire at multiples of grain seconds, some together; fire hears their tokens and versions."""
+        """Fire timers at multiples of granularity seconds; `fire` gets the (token, version) pairs that are due."""
         self._granularity, self._fire = granularity, fire
-        self._timers: list[tuple[float, int, int]] = []  # due (monotonic), token, version of the module
+        self._timers: list[tuple[float, int, int]] = []  # due time (monotonic), token, version of the module
         self._changed = threading.Condition(threading.Lock())
 
     def start(self) -> None:
-        """Let them fire from now on."""
+        """Start the timer thread."""
         threading.Thread(target=self._run, name="timers", daemon=True).start()
 
     def set(self, due: float, token: int, version: int) -> None:
-        """Have a timer fire at the monotonic time, or up to a grain later."""
-        due = ceil(due / self._granularity) * self._granularity  # as the simulator's ticks do: one wake serves many
+        """Set a timer that fires at the monotonic time, or up to one granularity later."""
+        due = ceil(due / self._granularity) * self._granularity  # as in the simulator; one wake-up serves many timers
         with self._changed:
             heapq.heappush(self._timers, (due, token, version))
             if self._timers[0] == (due, token, version):
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -290,7 +290,7 @@
             daemon.start()
             for number in range(2, 6):
                 coordinator.publish([member(f"s-{number}", "127.0.0.1:1")])
-                wait(lambda: daemon._follower.index == number)  # noqa: B023
+                wait(lambda: daemon._watch.index == number)  # noqa: B023
         assert len(daemon.engine_list) == 5
         assert fault.failed or method in ("getsockopt", "connect_ex", "sendall")
         coordinator.stop()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -237,7 +237,7 @@
         ((name, fields),) = told
         assert name == "config_rejected" and "version 4" in fields["why"] and "propose" in fields["remedy"]
     assert few.settings is daemon._decisions.settings and few.settings.classes[0].latency_objective == 1.0
-    assert daemon._follower._address == ("127.0.0.1", 2)  # the coordinator is taken still
+    assert daemon._watch._address == ("127.0.0.1", 2)  # the coordinator is taken still
 
 
 # The server's side
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -727,7 +727,7 @@
         if on == "levels":
             gate.daemon._host_load = cast(HostLoadMonitor, SimpleNamespace(record_dispatch_delay=lambda seconds: None))
         elif on == "gossip":
-            gate.daemon._link = cast(GossipService, object())
+            gate.daemon._gossip = cast(GossipService, object())
         else:
             gate.daemon.put_in_force(None, None, None, 3)
         before = gate.server.settings
