--- a/tealwing/coordinator/__init__.py
+++ b/tealwing/coordinator/__init__.py
@@ -1,1 +1,1 @@
-"""The engine list: reading the coordinator's events, and following them."""
+"""The engine list: parsing the coordinator's events, and watching the coordinator for them."""
--- a/tealwing/coordinator/updates.py
+++ b/tealwing/coordinator/updates.py
@@ -1,4 +1,4 @@
-"""The coordinator's lines, read into watch updates; pure. A malformed one is an UpdateError."""
+"""Parses the coordinator's lines into watch updates, without I/O. Invalid lines raise UpdateError."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from tealwing import interface
 
-MAX_LINE_BYTES = 1 << 20  # bytes: some thousand engines
+MAX_LINE_BYTES = 1 << 20  # bytes; enough for some thousand engines
 STATES = {
     "up": interface.Health.READY,
     "draining": interface.Health.DRAINING,
@@ -20,61 +20,61 @@
 
 
 class UpdateError(ValueError):
-    """An invalid line; the coordinator has to be mended."""
+    """An invalid line, which is an error of the coordinator."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One listed engine: its name and address, and its entry in the module's list."""
+    """One listed engine: its name and address, and its entry in the decision module's engine list."""
 
     name: str
     host: str
     port: int
-    entry: interface.EngineListEntry  # numbered by the settings that it was parsed under; else -1
+    entry: interface.EngineListEntry  # zone and kind numbered by the settings; -1 where not numbered yet
     zone: str = ""
     kind: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """One numbered event."""
+    """One numbered event of the coordinator: a complete engine list or a change of it."""
 
     index: int
     revision: int
     complete: bool
     members: tuple[Member, ...]
-    unusable: tuple[str, ...] = ()  # reasons of skipped members: one must not hide the others
-    unplaced: tuple[Member, ...] = ()  # skipped members whose zone and kind other settings may name
+    unusable: tuple[str, ...] = ()  # reasons why members were skipped: one must not hide the others
+    unplaced: tuple[Member, ...] = ()  # skipped members whose zone or kind other settings may name
 
 
 def engine_number(name: str) -> int:
-    """Return the engine's number for the module, from its id alone, so that all gateways use the same."""
+    """Return the engine's number for the decision module, a hash of its id, so that all gateways use the same."""
     return zlib.crc32(name.encode())
 
 
 def address(text: Any, min_port: int = 1) -> tuple[str, int]:
-    """Return HOST:PORT as a pair; the port is min_port or more. Raises UpdateError."""
+    """Return HOST:PORT as a pair; the port is at least min_port. Raises UpdateError."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not host or not (port.isascii() and port.isdigit()) or not min_port <= int(port[:6]) < 65536:
-        raise UpdateError(f"not HOST:PORT: {text!r}")
+        raise UpdateError(f"not HOST:PORT with a port from {min_port} to 65535: {text!r}")
     return host, int(port)
 
 
 def _integer(value: Any, what: str) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-        raise UpdateError(f"{what} is not a whole number: {value!r}")
+        raise UpdateError(f"{what} is not a whole number of 0 or more: {value!r}")
     return value
 
 
 def _number(value: Any, what: str) -> float:
     number = isinstance(value, (int, float)) and not isinstance(value, bool)
     if not number or not math.isfinite(value) or value < 0:
-        raise UpdateError(f"{what} is not a number: {value!r}")
+        raise UpdateError(f"{what} is not a finite number of 0 or more: {value!r}")
     return float(value)
 
 
 def renumbered(member: Member, settings: interface.Settings) -> Member:
-    """Return the member numbered by these settings. Raises UpdateError if they do not name its zone and kind."""
+    """Return the member with its zone and kind numbered by the settings. Raises UpdateError if they don't name them."""
     kinds = [kind.name for kind in settings.machine_kinds]
     if member.zone not in settings.zones:
         raise UpdateError(f"locality is not in the settings: {member.zone!r}")
@@ -86,15 +86,15 @@
 
 def _member(data: Any) -> Member:
     if not isinstance(data, dict):
-        raise UpdateError("a member is not an object")
+        raise UpdateError(f"a member is not an object: {data!r:.80}")
     name, state = data.get("id"), data.get("phase")
     if not isinstance(name, str) or not name:
-        raise UpdateError(f"id is not a name: {name!r}")
+        raise UpdateError(f"id is not a non-empty string: {name!r}")
     if state not in STATES:
-        raise UpdateError(f"phase is unknown: {state!r}")
+        raise UpdateError(f"phase is none of {', '.join(STATES)}: {state!r}")
     zone, kind = data.get("locality"), data.get("flavor")
     if not isinstance(zone, str) or not isinstance(kind, str):
-        raise UpdateError(f"locality or flavor is not a name: {zone!r}, {kind!r}")
+        raise UpdateError(f"locality or flavor is not a string: {zone!r}, {kind!r}")
     entry = interface.EngineListEntry(
         engine=engine_number(name),
         zone=-1,
@@ -110,11 +110,11 @@
 def parse_update(data: Any, settings: interface.Settings) -> Update:
     """Return one event from its JSON object."""
     if not isinstance(data, dict) or not isinstance(data.get("endpoints"), dict):
-        raise UpdateError("an event holds no endpoints")
+        raise UpdateError("an event has no object endpoints")
     points = data["endpoints"]
     members = points.get("members")
     if not isinstance(members, list) or not isinstance(points.get("complete"), bool):
-        raise UpdateError("endpoints without members or complete")
+        raise UpdateError("endpoints needs a list members and a boolean complete")
     usable, unusable, unplaced = [], [], []
     for item in members:
         member = None
@@ -136,7 +136,7 @@
 
 
 def parse_line(text: bytes, settings: interface.Settings) -> Update | int:
-    """Return one line: an event, or the last number alone."""
+    """Parse one line: an event, or the number of the last event alone."""
     try:
         data = orjson.loads(text)
     except orjson.JSONDecodeError as error:
@@ -147,9 +147,9 @@
 
 
 def cached_updates(data: Any, settings: interface.Settings) -> tuple[int, tuple[Update, ...]]:
-    """Return the last number and the cached events of the configuration's key `known`."""
+    """Return the number of the last event and the cached events of the configuration's key `known`."""
     if not isinstance(data, dict) or not isinstance(data.get("updates"), list):
-        raise UpdateError("missing, or without updates")
+        raise UpdateError("it is missing or has no list updates")
     return _integer(data.get("index"), "index"), tuple(parse_update(item, settings) for item in data["updates"])
 
 
@@ -160,8 +160,8 @@
         self._rest = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the complete lines after more data."""
+        """Add data, and return the lines that are complete now. Raises UpdateError for a line that is too long."""
         *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > MAX_LINE_BYTES:
-            raise UpdateError(f"a line is longer than {MAX_LINE_BYTES} bytes")
+            raise UpdateError(f"a line is longer than {MAX_LINE_BYTES} bytes: {len(self._rest)} so far")
         return [text for text in lines if text.strip()]
--- a/tealwing/coordinator/watch.py
+++ b/tealwing/coordinator/watch.py
@@ -1,4 +1,4 @@
-"""The watch of the coordinator: a thread that follows its events over reconnects."""
+"""The coordinator watch: a thread that follows the coordinator's events and reconnects when a connection ends."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from tealwing.sockets import Address
 
 CONNECT_TIMEOUT = 1.0  # s
-# s without a complete line, drawn at random: all gateways lose a coordinator at once
+# s without a complete line until a watch ends; random, as all gateways lose a coordinator at the same time
 SILENCE_TIMEOUT = (
     1.4,
     1.8,
 )
-RETRY_INTERVAL = (0.1, 1.5)  # s between connects, min and max: its events count as known 2 s after a break
+RETRY_INTERVAL = (0.1, 1.5)  # s between connects, min and max; events must be known 2 s after a lost connection
 
 
 class WatchEnd(Enum):
@@ -35,10 +35,10 @@
     BROKEN = "broken"  # the connection was reset, or a write failed
     CLOSED = "closed"  # the coordinator ended the stream
     SILENT = "silent"  # no complete line arrived in time
-    MALFORMED = "malformed"  # an invalid line
-    GAP = "gap"  # events are missing: the next watch requests them
-    FAULT = "fault"  # an error of ours in applying an update
-    MOVED = "moved"  # another coordinator is watched from now on
+    MALFORMED = "malformed"  # a line was invalid
+    GAP = "gap"  # events were missing, which the next watch requests
+    FAULT = "fault"  # the gateway failed to apply an update
+    MOVED = "moved"  # the configuration named another coordinator
 
 
 class _WatchEndedError(Exception):
@@ -52,7 +52,7 @@
 
 
 class WatchClient:
-    """Passes each event on once and in order; the list stays while the coordinator is unreachable."""
+    """Applies each event of the coordinator once and in order; the engine list is kept while it is unreachable."""
 
     def __init__(
         self,
@@ -62,16 +62,19 @@
         on_update: Callable[[updates.Update], None],
         on_watch_end: Callable[[str], None] = lambda end: None,
     ) -> None:
-        """Take the callbacks: on_update applies an update completely, or raises and gets it again."""
-        self.settings = settings  # in force: updates are parsed under them
+        """Watch the address from the event after `index` on.
+
+        on_update applies an update completely, or raises and gets it again; on_watch_end gets the reason of each end.
+        """
+        self.settings = settings  # the settings in force, under which updates are parsed
         self._on_update, self._on_watch_end = on_update, on_watch_end
         self._address = address
-        self._lock = threading.Lock()  # guards the address and the socket
-        self._sock: socket.socket | None = None  # set before its connect: a move must not wait for that
+        self._lock = threading.Lock()  # guards the address, the count of moves and the socket
+        self._sock: socket.socket | None = None  # set before the connect, so that a move can interrupt it
         self._moves, self._moved = 0, threading.Event()
         self._backoff = Backoff(*RETRY_INTERVAL)
-        self._complete_at = time.monotonic()  # monotonic; when the list was last known to be complete
-        self.index = index  # of the last applied event
+        self._complete_at = time.monotonic()  # when the list was last known to be complete
+        self.index = index  # number of the last applied event
 
     @property
     def age(self) -> float:
@@ -79,16 +82,16 @@
         return time.monotonic() - self._complete_at
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the watch thread."""
         threading.Thread(target=self._run, name="coordinator", daemon=True).start()
 
     def move_to(self, address: Address) -> None:
-        """Watch another coordinator from the last event on, at once: the old one sends no more."""
+        """Watch another coordinator from the last applied event on, and end the watch of the old one at once."""
         with self._lock:
             self._address = address
             self._moves += 1
             if self._sock is not None:
-                with contextlib.suppress(OSError):  # it may have ended already
+                with contextlib.suppress(OSError):  # the connection may have ended already
                     self._sock.shutdown(socket.SHUT_RDWR)
         self._moved.set()
 
@@ -99,7 +102,7 @@
             self._moved.wait(self._backoff.next())
 
     def _watch(self) -> None:
-        """Watch one connection to its end, and report why it ended."""
+        """Follow one connection to its end, and report why it ended."""
         with self._lock:
             address, moves = self._address, self._moves
         end, why, trace = WatchEnd.CLOSED, "the coordinator closed the connection", None
@@ -108,7 +111,7 @@
                 try:
                     self._follow(sock)
                 finally:
-                    with self._lock:  # before its descriptor is closed and reused
+                    with self._lock:  # a move must not shut down a reused descriptor
                         self._sock = None
         except _WatchEndedError as error:
             end, why = error.end, str(error)
@@ -119,13 +122,13 @@
             end, why = WatchEnd.MALFORMED, str(error)
         except OSError as error:
             end, why = WatchEnd.BROKEN, str(error)
-        except Exception as error:  # an error of ours must not end the watch forever: the event is requested again
+        except Exception as error:  # an internal error must not end the thread: the next watch requests the event again
             end, why, trace = WatchEnd.FAULT, repr(error), traceback.format_exc(limit=-3)
         with self._lock:
             if moves != self._moves:
                 end, why = (
                     WatchEnd.MOVED,
-                    f"{self._address[0]}:{self._address[1]} is followed from now on; before: {why}",
+                    f"{self._address[0]}:{self._address[1]} is the new coordinator; the old watch ended: {why}",
                 )
         fields = {"trace": trace} if trace else {}
         log.event("watch_ended", reason=end.value, error=why, index=self.index, age=round(self.age, 3), **fields)
@@ -135,13 +138,13 @@
         """Return a connection to the address, set under the lock so that a move can shut it down."""
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as error:  # out of descriptors, though the budget reserves some
+        except OSError as error:  # no descriptor is free, although the budget reserves some
             raise _WatchEndedError(WatchEnd.UNREACHED, str(error)) from None
         try:
             sock.setblocking(False)
             with self._lock:
                 if moves != self._moves:
-                    raise OSError("moved before the connect")
+                    raise OSError("the coordinator's address changed before the connect")
                 self._sock = sock
                 code = sock.connect_ex(address)
             if code not in (0, errno.EINPROGRESS):
@@ -149,7 +152,7 @@
             poll = select.poll()
             poll.register(sock, select.POLLOUT)
             if not poll.poll(CONNECT_TIMEOUT * 1e3):
-                raise TimeoutError("no connection in time")
+                raise TimeoutError(f"no connection within {CONNECT_TIMEOUT} s")
             if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 raise OSError(code, os.strerror(code))
         except OSError as error:
@@ -160,14 +163,15 @@
         return sock
 
     def _follow(self, sock: socket.socket) -> None:
+        """Request the events after the last applied one, and apply lines until the stream ends."""
         limit = random.uniform(*SILENCE_TIMEOUT)
         lines, until = updates.LineParser(), time.monotonic() + limit
         sock.settimeout(limit)
         sock.sendall(b"follow %d\n" % self.index)
         while True:
-            left = until - time.monotonic()  # dripping bytes without a line end counts as silence
+            left = until - time.monotonic()  # bytes without a line end count as silence
             if left <= 0:
-                raise _WatchEndedError(WatchEnd.SILENT, f"no whole line in {limit:.1f} s")
+                raise _WatchEndedError(WatchEnd.SILENT, f"no complete line within {limit:.1f} s")
             sock.settimeout(left)
             try:
                 data = sock.recv(64 * 1024)
@@ -177,22 +181,24 @@
                 return
             for text in lines.feed(data):
                 self.apply(updates.parse_line(text, self.settings))
-                self._backoff.reset()  # only a valid line counts as a connection
+                self._backoff.reset()  # only a valid line shows that the coordinator works
                 until = time.monotonic() + limit
 
     def apply(self, item: updates.Update | int) -> None:
-        """Apply one line. A repeat is dropped; a gap ends the connection, and the next requests what is missing."""
+        """Apply one parsed line; drop a repeated event. Raises MissingEventsError for a gap, which ends the watch."""
         if isinstance(item, int):
-            if item > self.index:  # events before it are missing
-                raise MissingEventsError(f"the last event is {item}, and {self.index} is the last that came")
+            if item > self.index:  # events up to it are missing
+                raise MissingEventsError(
+                    f"the coordinator's last event is {item}, the last one received is {self.index}"
+                )
             self._complete_at = time.monotonic()
             return
         if item.index <= self.index:
             return
         if item.index != self.index + 1:
-            raise MissingEventsError(f"event {item.index} came after {self.index}")
+            raise MissingEventsError(f"event {item.index} followed event {self.index}, expected {self.index + 1}")
         try:
             self._on_update(item)
-        except Exception as error:  # whatever it is: it must not count as the connection's
+        except Exception as error:  # even an OSError here is no failure of the connection
             raise _WatchEndedError(WatchEnd.FAULT, f"event {item.index}: {error!r}") from error
         self.index = item.index
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -70,10 +70,8 @@
         self._decisions = Decisions(config.settings, config.seed, self._engines)
         self.metrics = Metrics((cls.name for cls in config.settings.classes), (end.value for end in WatchEnd))
         self.metrics.gauges = self._gauges
-        self._start_times, self._reads_cached_list = (
-            StartTimes(),
-            True,
-        )  # while the configuration's cached events are applied
+        self._start_times = StartTimes()
+        self._reads_cached_list = True  # while the configuration's cached events are applied
         # index of the last watch update that could not be applied completely, and its number of failures
         self._list_failures = (
             0,
--- a/tealwing/gateway/request_handler.py
+++ b/tealwing/gateway/request_handler.py
@@ -292,7 +292,7 @@
         return result
 
     def _on_stream_item(self, attempt: Attempt, item: Answer | StreamLost) -> None:
-        """Handle an item of the stream on the reader thread; progress, which is frequent, goes to the module directly."""
+        """Handle a stream's item on the reader thread; progress, which is frequent, goes to the module directly."""
         if isinstance(item, StreamLost) or item.status != b"status":
             self._mailbox.put(item)
         elif (kind := PROGRESS_KINDS.get(item.fields.get("why", ""))) is not None:
