--- a/tealwing/config.py
+++ b/tealwing/config.py
@@ -1,4 +1,4 @@
-"""Where the gateway's configuration is read, checked and given its defaults: LB_* and the file LB_CONFIG."""
+"""Reads and checks the gateway's configuration: the environment variables LB_* and the file named by LB_CONFIG."""
 
 from __future__ import annotations
 
@@ -13,22 +13,24 @@
 from tealwing.coordinator import updates
 from tealwing.sockets import Address
 
-SOCKETS = 1024  # descriptors, where the file names no limit
-MAX_CORES = 1024  # beyond which a limit is a mistake
-CORES = 1.0  # of the processor, where the file names no limit
-# tasks that the gateways of one deployment may fill with commands under way, should they all share one machine: a
-# quarter of Linux's usual kernel.pid_max of 32,768, as each has further threads and other programs want theirs
+DEFAULT_SOCKETS = 1024  # descriptors, if the file gives no limit
+MAX_CORES = 1024  # a higher limit is taken for a mistake
+DEFAULT_CORES = 1.0  # processor cores, if the file gives no limit
+# threads that serve commands in all gateways of one deployment, if they share one machine: a quarter of Linux's usual
+# kernel.pid_max of 32,768, as each gateway has further threads and other programs need theirs
 TASKS = 8192
-BUSIEST = 4  # times its even share of TASKS for one gateway: a few see several times the mean, so all stay near TASKS
-MIN_THREADS = 128  # commands under way at once that a gateway can take however many there are: some 5 MB of stacks
+# multiple of its even share of TASKS that one gateway may use: only a few gateways get several times the mean load, so
+# the sum stays near TASKS
+BUSIEST = 4
+MIN_THREADS = 128  # concurrent commands of a gateway, however many gateways there are; some 5 MB of stacks
 
 
 class ConfigError(ValueError):
-    """A configuration that can't be used; the message names the key."""
+    """The configuration is unusable; the message starts with the key."""
 
 
 class ConfigRejectedError(ConfigError):
-    """Settings of the configuration that what the fleet has agreed on goes before; says what an operator can do."""
+    """The configured settings changed while a version of the rules overrides them; `remedy` says what to do instead."""
 
     def __init__(self, reason: str, remedy: str) -> None:
         super().__init__(f"{reason}; {remedy}")
@@ -37,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a gateway is told at its start."""
+    """The configuration of one gateway."""
 
     name: str
     listen: Address
@@ -48,27 +50,27 @@
     settings: interface.Settings
     known: tuple[updates.Update, ...]
     index: int
-    accept_fd: int | None = None  # the clients' listening socket, handed over by the platform
-    admin: Address | None = None  # the operators' second address
+    accept_fd: int | None = None  # the listening socket for clients, inherited from the platform
+    admin: Address | None = None  # the admin address, for operators
 
     @property
     def descriptors(self) -> descriptors.Budget:
-        """Who may hold how many descriptors."""
+        """The descriptor budget: how many descriptors each use may hold."""
         return descriptors.budget(self.sockets)
 
     @property
     def max_clients(self) -> int:
-        """Client connections held at once."""
+        """Maximum number of concurrent client connections."""
         return self.descriptors.clients
 
     @property
     def max_threads(self) -> int:
-        """Threads that serve clients at most: one for each command under way, whatever the number of clients."""
+        """Maximum number of threads that serve clients: one for each command in progress, not for each client."""
         return min(self.max_clients, max(MIN_THREADS, BUSIEST * TASKS // max(1, self.settings.gateway_count)))
 
 
 def address(text: Any, key: str, min_port: int = 1) -> Address:
-    """HOST:PORT as a pair, the port at least so much."""
+    """Return HOST:PORT as a pair; the port is at least min_port. Raises ConfigError, which names the key."""
     try:
         return updates.address(text, min_port)
     except updates.UpdateError as error:
@@ -77,14 +79,14 @@
 
 def _section(data: Any, key: str) -> dict[str, Any]:
     if not isinstance(data, dict):
-        raise ConfigError(f"{key}: missing or not an object")
+        raise ConfigError(f"{key}: missing or not an object: {data!r:.80}")
     return data
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """The configuration; LB_NAME and LB_LISTEN, where set, go before the file."""
+    """Read the configuration; LB_NAME, LB_LISTEN and LB_ADMIN override the file's keys. Raises ConfigError."""
     if not environ.get("LB_CONFIG"):
-        raise ConfigError("LB_CONFIG: not set")
+        raise ConfigError("LB_CONFIG: not set; it must name the configuration file")
     path = environ["LB_CONFIG"]
     inherited = environ.get("LB_ACCEPT_FD") or None
     if inherited is not None and not (inherited.isdecimal() and 3 <= int(inherited) < 65536):
@@ -98,7 +100,7 @@
         raise ConfigError(f"LB_CONFIG: {path} is not JSON: {error}") from None
     name = environ.get("LB_NAME") or data.get("name")
     if not isinstance(name, str) or not name:
-        raise ConfigError("name: missing, in LB_NAME and in the file")
+        raise ConfigError(f"name: {name!r} is not a non-empty string; set LB_NAME or the file's key name")
     listen = environ.get("LB_LISTEN") or data.get("listen")
     seed = data.get("seed", "")
     try:
@@ -106,7 +108,7 @@
     except (TypeError, ValueError):
         raise ConfigError(f"seed: {seed!r} is not a hexadecimal number") from None
     limits = _section(data.get("limits", {}), "limits")
-    sockets, cores = limits.get("sockets", SOCKETS), limits.get("cores", CORES)
+    sockets, cores = limits.get("sockets", DEFAULT_SOCKETS), limits.get("cores", DEFAULT_CORES)
     if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < descriptors.MIN_DESCRIPTORS:
         raise ConfigError(f"limits.sockets: {sockets!r} is not a whole number of {descriptors.MIN_DESCRIPTORS} or more")
     if not isinstance(cores, (int, float)) or isinstance(cores, bool) or not 0 < cores <= MAX_CORES:
@@ -123,7 +125,7 @@
     admin = environ.get("LB_ADMIN") or data.get("admin")
     return Config(
         name=name,
-        listen=address(listen, "listen", 0),  # port 0: any that is free
+        listen=address(listen, "listen", 0),  # port 0: any free port
         coordinator=address(data.get("coordinator"), "coordinator"),
         seed=number,
         sockets=sockets,
--- a/tealwing/service.py
+++ b/tealwing/service.py
@@ -1,4 +1,4 @@
-"""The gateway as a program: from its configuration, over reloads, to the end of its drain."""
+"""The gateway process: start, reloads at SIGHUP, and drain at SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from tealwing.gateway.daemon import Daemon
 from tealwing.mysql.server import Server
 
-STACK = 256 * 1024  # bytes a thread
-SWITCH = 0.1  # s that a thread waits before it asks for the interpreter: hundreds that ask are work too
-COLLECT = 5000  # objects made between collections: a request's own cycle is a few dozen
+STACK_SIZE = 256 * 1024  # bytes per thread
+SWITCH_INTERVAL = 0.1  # s until a thread requests the interpreter lock; requests of hundreds of threads cost time
+GC_THRESHOLD = 5000  # allocations between garbage collections; the cycles of one request are a few dozen objects
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
-STILL_COMING = 0.65  # s after SIGTERM for which clients still connect (0.4) and then ask (0.2), and a little
-MAX_SIGNAL_WAIT = 3.0  # s that the platform waits for the longest deadline at most
-KILL_MARGIN = 0.7  # s more after which its SIGKILL comes at the earliest
-REREAD, REREADS = 0.25, 8  # s between, and number of, further readings of a file that can't be used
-SIGNAL_LOOK = 0.02  # s between two looks for a signal, while a file is read again
-LAST_WORDS = 0.4  # s before the platform's SIGKILL at which what is open fails
-EXIT = 0.1  # s before it at which nothing more is waited for: the process's own end takes some hundredths
+LISTEN_GRACE = 0.65  # s after SIGTERM in which clients still connect (0.4) and send a request (0.2), and a margin
+MAX_DEADLINE_WAIT = 3.0  # s; the platform waits for the longest deadline, but no longer than this
+KILL_MARGIN = 0.7  # s after that wait at which the platform's SIGKILL comes at the earliest
+RETRY_INTERVAL, MAX_RETRIES = 0.25, 8  # s between, and number of, further readings of an unusable file
+SIGNAL_POLL_INTERVAL = 0.02  # s between two checks for a signal while an unusable file is read again
+FAIL_MARGIN = 0.4  # s before the platform's SIGKILL at which open requests are failed
+EXIT_MARGIN = 0.1  # s before the SIGKILL at which waiting ends; the process needs some hundredths of a second to exit
 
 
 def serve(config: Config, conf: str | None = None) -> None:
-    """Serve until SIGTERM, then finish all that was taken. conf is the path of the operators' own file."""
+    """Serve until SIGTERM or SIGINT, then finish the open requests. conf is the path of the operators' file."""
     daemon = Daemon(config)
     server = Server(
         config.listen, config.max_clients, config.settings, daemon.open, config.accept_fd, config.max_threads
@@ -38,7 +38,7 @@
     daemon.on_settings = lambda settings: apply_settings(server, config, settings)
     if conf is not None:
         apply_operators_file(daemon, server, conf)
-    serving = threading.Event()  # what readiness says: set once clients are taken, cleared at the drain
+    serving = threading.Event()  # reported by readiness: set once clients are accepted, cleared at the drain
     admin = None
     if config.admin is not None:
         admin = AdminServer(
@@ -52,35 +52,35 @@
     server.start()
     serving.set()
     kinds = {kind.name: kind.cores for kind in config.settings.machine_kinds}
-    gc.freeze()  # what is here now stays: collections need not walk it
-    gc.set_threshold(COLLECT)
+    gc.freeze()  # exempts the objects of the start, which stay, from collections
+    gc.set_threshold(GC_THRESHOLD)
     log.event("started", gateway=config.name, listen=server.address, admin=admin and admin.address, kinds=kinds)
 
-    again = 0  # how often files that can't be used are still read again: they may be half written
+    retries = 0  # further readings that are left for unusable files, which may be half written
     while True:
-        got = next_signal(REREAD if again else None)
+        got = next_signal(RETRY_INTERVAL if retries else None)
         if got is not None and got != signal.SIGHUP:
             break
-        again = REREADS if got is not None else again - 1
-        good = reload(daemon, server, conf, say=got is not None)
-        if got is not None or good:  # a further reading that fails again is the same file turned down
+        retries = MAX_RETRIES if got is not None else retries - 1
+        good = reload(daemon, server, conf, log_failures=got is not None)
+        if got is not None or good:  # a repeated failure concerns the same file, which is counted already
             daemon.metrics.count_configuration(good)
         if good:
-            again = 0
+            retries = 0
     stopped = time.monotonic()
     serving.clear()
     daemon.stop()
     log.event("draining")
-    if not server.shared:  # a queue of our own: clients still come for a while; else the other process takes them
-        time.sleep(STILL_COMING)
+    if not server.shared:  # clients still come; with a shared queue the other process accepts them
+        time.sleep(LISTEN_GRACE)
     server.stop_listening()
-    kill = stopped + min(daemon.max_deadline, MAX_SIGNAL_WAIT) + KILL_MARGIN
+    kill = stopped + min(daemon.max_deadline, MAX_DEADLINE_WAIT) + KILL_MARGIN
     cut_short = 0
-    if not server.finish(kill - LAST_WORDS - time.monotonic()):
+    if not server.finish(kill - FAIL_MARGIN - time.monotonic()):
         cut_short = daemon.fail_open_requests()
         log.event("drain_cut_short", failed=cut_short)
-        if not server.finish(kill - EXIT - time.monotonic()) and daemon.open_requests:
-            server.finish(MAX_SIGNAL_WAIT)  # all have failed: their answers leave, unless SIGKILL comes first
+        if not server.finish(kill - EXIT_MARGIN - time.monotonic()) and daemon.open_requests:
+            server.finish(MAX_DEADLINE_WAIT)  # sends the errors of the failed requests, unless SIGKILL comes first
     if admin is not None:
         admin.stop()
     ok, shed, failed, _ = daemon.metrics.totals
@@ -88,7 +88,7 @@
         "stopped",
         after=time.monotonic() - stopped,
         answered=ok + shed,
-        failed=failed,  # with those cut short, and those that their clients gave up
+        failed=failed,  # includes requests that the drain cut short and requests that clients cancelled
         cut_short=cut_short,
         unanswered=daemon.open_requests,
         connections=server.connections,
@@ -96,59 +96,63 @@
 
 
 def apply_settings(server: Server, config: Config, settings: interface.Settings) -> None:
-    """Have the server read new requests under the settings, with the threads that they allow."""
+    """Have the server parse new requests under the settings, with as many threads as they allow."""
     server.apply_settings(settings, replace(config, settings=settings).max_threads)
 
 
 class OperatorsFileError(Exception):
-    """The operators' file can't be used; the text has a line for each problem."""
+    """The operators' file is unusable; the text has one line for each problem."""
 
 
 def apply_operators_file(daemon: Daemon, server: Server, conf: str) -> None:
-    """Put the operators' file in force; imports the reader and what it switches on, and nothing else."""
+    """Read and apply the operators' file; only the packages of its sections are imported.
+
+    Raises OperatorsFileError.
+    """
     from tealwing.conf import reader
 
     try:
         read = reader.read(conf)
         daemon.apply_operators_file(read.records)
-    except ValueError as error:  # what it says is wrong, or does not fit the platform's settings
+    except ValueError as error:  # its contents are invalid, or don't fit the platform's settings
         raise OperatorsFileError(str(error)) from error
     server.on_unread_age = daemon.record_unread_age if "levels" in read.records else None
     server.gate = daemon.gate
     log.event("operators_file", path=conf, sections=sorted(read.records))
 
 
-def reload(daemon: Daemon, server: Server, conf: str | None, say: bool = True) -> bool:
-    """Read both files again; of each, one that can't be used is logged if say, and the old one stays.
+def reload(daemon: Daemon, server: Server, conf: str | None, log_failures: bool = True) -> bool:
+    """Read the configuration and the operators' file again; return whether both were applied.
 
-    Whether both held. A file is taken whole or not at all: it is read and checked before anything changes.
+    An unusable file changes nothing and is logged if `log_failures`. A file is applied completely or not at all: it is
+    read and checked before anything changes.
     """
     good = True
     try:
         daemon.reconfigure(load(os.environ))
     except ConfigRejectedError as error:
-        if say:
+        if log_failures:
             log.event("config_rejected", why=error.reason, remedy=error.remedy)
         good = False
     except (ConfigError, OSError) as error:
-        if say:
+        if log_failures:
             log.event("configuration_unusable", error=str(error))
         good = False
     try:
         if conf is not None:
             apply_operators_file(daemon, server, conf)
     except OperatorsFileError as error:
-        if say:
+        if log_failures:
             log.event("operators_file_unusable", path=conf, problems=str(error).splitlines())
         good = False
     return good
 
 
 def next_signal(limit: float | None) -> int | None:
-    """The next of the signals, waited for; None where none has come in limit seconds.
+    """Wait for the next of SIGNALS and return it; None if none arrives within limit seconds.
 
-    Not by `signal.sigtimedwait`: where that is interrupted with its time over, as by a stop of the process, CPython
-    gives a signal that never came.
+    Does not use `signal.sigtimedwait`: if that is interrupted after its timeout, as by a stop of the process, CPython
+    returns a signal that was never sent.
     """
     if limit is not None:
         until = time.monotonic() + limit
@@ -156,26 +160,27 @@
             left = until - time.monotonic()
             if left <= 0:
                 return None
-            time.sleep(min(left, SIGNAL_LOOK))
+            time.sleep(min(left, SIGNAL_POLL_INTERVAL))
     return signal.sigwaitinfo(SIGNALS).si_signo
 
 
-def take_signals() -> None:
-    """Have signals wait for `serve`, before any thread starts and before the configuration is read.
+def block_signals() -> None:
+    """Block SIGNALS until `serve` waits for them; called before any thread starts or the configuration is read.
 
-    The shell that starts the program ignores SIGHUP, which would end it while it starts. What it drops until here was
-    for a file that is read after this; what comes from here on is kept. Blocked first: an ignored signal that is
-    blocked is kept too, and no moment is left in which one has its default effect.
+    The shell that starts the program ignores SIGHUP, whose default action would end the process during its start. A
+    SIGHUP that was ignored before this call is no loss, as the configuration is read afterwards. The signals are
+    blocked before the default action of SIGHUP is restored: a blocked signal stays pending, so at no moment does the
+    default action apply.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
 
 
 def gateway(conf: str | None = None) -> int:
-    """Run the gateway; bad configuration ends it with what is wrong on standard error."""
-    take_signals()
-    threading.stack_size(STACK)
-    sys.setswitchinterval(SWITCH)
+    """Run the gateway and return its exit code; 1 if a file is unusable, with the reason on standard error."""
+    block_signals()
+    threading.stack_size(STACK_SIZE)
+    sys.setswitchinterval(SWITCH_INTERVAL)
     try:
         serve(load(os.environ), conf)
     except (ConfigError, OSError) as error:
