--- a/tealwing/admin/__init__.py
+++ b/tealwing/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' second address: HTTP/1.1 calls for readiness and figures, on threads of its own."""
+"""The admin address for operators: HTTP/1.1 calls for readiness and metrics, on threads of their own."""
--- a/tealwing/admin/http.py
+++ b/tealwing/admin/http.py
@@ -1,21 +1,21 @@
-"""The subset of HTTP/1.1 of the admin address: one request head, one response. Pure."""
+"""The subset of HTTP/1.1 that the admin address speaks: one request head and one response, without I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_HEAD_BYTES = 8 * 1024  # request line and headers
+MAX_HEAD_BYTES = 8 * 1024  # bytes of the request line and headers
 METHODS = frozenset({b"GET", b"HEAD", b"POST", b"PUT", b"DELETE", b"PATCH", b"OPTIONS", b"TRACE", b"CONNECT"})
 REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 503: "Service Unavailable"}
 
 
 class BadRequestError(ValueError):
-    """An invalid request head; the text says why."""
+    """An invalid request head; the text, which is sent to the caller, says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A request: its method, and its path without the query."""
+    """The method of a request, and its path without the query."""
 
     method: str
     path: str
@@ -24,7 +24,7 @@
 def end_of_head(data: bytes | bytearray) -> int:
     """Return the length of the request head at the start of data, 0 while it is incomplete.
 
-    Raises BadRequest once more than MOST_HEAD bytes have come without an end.
+    Raises BadRequestError if more than MAX_HEAD_BYTES have been received without its end.
     """
     end = data.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES + 4)
     if end >= 0:
@@ -35,7 +35,7 @@
 
 
 def parse_request(head: bytes) -> HttpRequest:
-    """Return the request of a complete head, as end_of_head found it. Raises BadRequestError."""
+    """Parse a complete request head, as delimited by `end_of_head`. Raises BadRequestError."""
     line, _, headers = head.partition(b"\r\n")
     parts = line.split(b" ")
     if len(parts) != 3 or parts[0] not in METHODS or parts[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
@@ -50,7 +50,7 @@
 
 
 def response(status: int, body: bytes, allow: str = "") -> bytes:
-    """Return a complete response that closes the connection."""
+    """Return a complete response, with a header that announces the end of the connection."""
     extra = f"Allow: {allow}\r\n" if allow else ""
     head = (
         f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
--- a/tealwing/admin/metrics.py
+++ b/tealwing/admin/metrics.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable, Iterable
 
 PREFIX = "app"
-BY_CLASS = ("ok", "shed", "errors", "tries")  # requests served, rejected, failed; attempts written completely
-CONFIG = ("config_applied", "config_rejected")  # files applied and rejected at SIGHUP
+BY_CLASS = ("ok", "shed", "errors", "tries")  # requests served, rejected and failed; attempts sent
+CONFIG = ("config_applied", "config_rejected")  # configuration files applied and rejected at SIGHUP
 
 
 class Metrics:
-    """Counters by class name, from 0 at the start of the process; a dropped class takes its counters along.
+    """Counters by class name, from 0 at the start of the process; the counters of a dropped class are dropped.
 
-    An addition takes a lock that nothing holds for longer than a few dictionary steps.
+    Counting takes a lock, which is never held for longer than a few dictionary operations.
     """
 
     def __init__(self, classes: Iterable[str], watch_ends: Iterable[str] = ()) -> None:
@@ -22,7 +22,7 @@
         self._config = [0, 0]
         self._watches: dict[str, int] = dict.fromkeys(watch_ends, 0)  # ended watches of the engine list, by reason
         self._totals = [0] * len(BY_CLASS)  # of all classes, dropped ones included
-        self.gauges: Callable[[], dict[str, int]] = dict  # active, pool_size, pool_ejected: evaluated on demand
+        self.gauges: Callable[[], dict[str, int]] = dict  # returns the gauges by name; called for each report
 
     def count(self, figure: int, name: str, by: int = 1) -> None:
         """Add to a counter (an index of BY_CLASS) of a class; unknown classes are ignored."""
@@ -44,12 +44,12 @@
             self._watches[reason] = self._watches.get(reason, 0) + 1
 
     def count_configuration(self, applied: bool) -> None:
-        """Count a file that was applied or rejected at SIGHUP."""
+        """Count a reload at SIGHUP whose files were applied or rejected."""
         with self._lock:
             self._config[0 if applied else 1] += 1
 
     def set_classes(self, classes: Iterable[str]) -> None:
-        """Set the classes: new ones start at 0, dropped ones are forgotten."""
+        """Set the classes: counters of new classes start at 0, those of dropped classes are removed."""
         names = list(classes)
         with self._lock:
             self._counts = {name: self._counts.get(name) or [0] * len(BY_CLASS) for name in names}
--- a/tealwing/admin/server.py
+++ b/tealwing/admin/server.py
@@ -1,4 +1,4 @@
-"""The server of the admin address: a fixed number of threads, one call a connection."""
+"""The server of the admin address: a fixed number of threads, one call per connection."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from tealwing.descriptors import ADMIN_THREADS
 from tealwing.sockets import Address, set_limit
 
-THREADS = ADMIN_THREADS  # callers served at once: a few silent ones must not block the others
-READ_LIMIT = 0.5  # s for a complete request head, after which a silent caller frees its thread
-WRITE_LIMIT = 1.0  # s that a caller may take to read the answer
+THREADS = ADMIN_THREADS  # concurrent callers; a few silent callers must not block the others
+READ_LIMIT = 0.5  # s to receive a complete request head, so that a silent caller frees its thread
+WRITE_LIMIT = 1.0  # s without progress in sending the response to a caller
 BACKLOG = 64
 
 
@@ -26,25 +26,27 @@
         self, address: Address, ready: Callable[[], bool], stats: Callable[[], bytes],
         reason: Callable[[], str] = str,
     ) -> None:  # fmt: skip
-        """Listen; `reason` gives the text of readiness where there is more to report than yes or no."""
+        """Listen on the address; `reason` returns a text that is added to the readiness response, or ""."""
         self._ready, self._stats, self._reason = ready, stats, reason
         self._listener = socket.create_server(address, backlog=BACKLOG)
         self._stopping = threading.Event()
-        self._complaints = 0  # bad requests; logged at powers of two, so that a flood writes few lines
+        self._bad_requests = (
+            0  # logged when it reaches a power of two, so that a flood of bad requests writes few lines
+        )
 
     @property
     def address(self) -> Address:
-        """The address that it listens on."""
+        """The address that the server listens on."""
         host, port = self._listener.getsockname()
         return host, port
 
     def start(self) -> None:
-        """Start the threads."""
+        """Start the threads that serve callers."""
         for _ in range(THREADS):
             threading.Thread(target=self._work, name="admin", daemon=True).start()
 
     def stop(self) -> None:
-        """Stop serving."""
+        """Stop accepting callers; the threads end."""
         self._stopping.set()
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RD)
@@ -74,7 +76,7 @@
             try:
                 sock, _ = self._listener.accept()
             except OSError:
-                if not self._stopping.wait(0.05):  # out of descriptors: retry soon
+                if not self._stopping.wait(0.05):  # no descriptor is free: retry soon
                     continue
                 return
             with sock:
@@ -82,7 +84,7 @@
                 try:
                     sock.sendall(self._serve(sock, buffer))
                     sock.shutdown(socket.SHUT_WR)
-                except OSError:  # the caller left, or was too slow
+                except OSError:  # the caller disconnected or was too slow
                     pass
 
     def _serve(self, sock: socket.socket, buffer: bytearray) -> bytes:
@@ -96,7 +98,7 @@
                 set_limit(sock, socket.SO_RCVTIMEO, left)
                 data = sock.recv(4096)
                 if not data:
-                    raise OSError("the caller left")
+                    raise OSError("the caller disconnected")
                 buffer += data
         except BlockingIOError:
             return http.response(400, b"the request did not come whole in time\n")
@@ -106,6 +108,6 @@
         return self.answer(bytes(buffer[:end]))
 
     def _log_unusable(self, why: str) -> None:
-        self._complaints += 1
-        if self._complaints & (self._complaints - 1) == 0:
-            log.event("admin_request_unusable", why=why, so_far=self._complaints)
+        self._bad_requests += 1
+        if self._bad_requests & (self._bad_requests - 1) == 0:
+            log.event("admin_request_unusable", why=why, so_far=self._bad_requests)
--- a/tealwing/log.py
+++ b/tealwing/log.py
@@ -1,8 +1,8 @@
-"""The log: one JSON line an event on standard output, and checks of invariants.
+"""The log: one JSON line per event on standard output, and checks of invariants.
 
-The standard library's logging carries the events, so whoever embeds the gateway can send them elsewhere: they are
-records of the logger "tealwing", the event's name as the message and its fields as `fields`. structlog was weighed:
-it takes 14 MB of a limit that may be 32, and imports asyncio.
+Events are records of the logger "tealwing" of the standard library, so that a program that embeds the gateway can send
+them elsewhere: the message is the event's name, and the attribute `fields` holds its fields. structlog is not used: it
+takes 14 MB of a memory limit that may be 32 MB, and imports asyncio.
 """
 
 from __future__ import annotations
@@ -21,14 +21,15 @@
 _violations: Counter[str] = Counter()
 
 
-MAX_LINE_BYTES = select.PIPE_BUF  # of a line: what a ready pipe takes in one write
+MAX_LINE_BYTES = select.PIPE_BUF  # a writable pipe accepts that many bytes in one write
 
 
 class JsonLineHandler(logging.Handler):
     """Writes each record as one line of JSON, under the handler's lock.
 
-    It never waits: a line that standard output does not take now, or that is longer than a pipe takes at once, is left
-    out or cut, and the next one that is taken tells how many were. Requests must not wait for the log's reader.
+    It never blocks, as requests must not wait for the log's reader. A line is left out if standard output is not
+    writable, and the next line that is written gives the number of lines left out. A line of MAX_LINE_BYTES or more is
+    cut.
     """
 
     def __init__(self) -> None:
@@ -36,7 +37,7 @@
         self._left_out = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record."""
+        """Write one record, or count it as left out."""
         line_fields: dict[str, Any] = {"at": record.created, "event": record.msg, **getattr(record, "fields", {})}
         if not _is_writable():
             self._left_out += 1
@@ -76,15 +77,15 @@
 
 
 def event(name: str, /, **fields: Any) -> None:
-    """Write one event; fields are plain values."""
-    # made directly: finding the caller, as the logger's methods do, is half of an event's cost
+    """Log one event; its fields are plain values."""
+    # created directly: the logger's methods also look up the caller, which is half of an event's cost
     record = logging.LogRecord(logger.name, logging.INFO, "", 0, name, None, None)
     record.fields = fields
     logger.handle(record)
 
 
 def check_invariant(holds: bool, what: str) -> None:
-    """Check an invariant: assert in debug builds; under -O count violations, and log the count."""
+    """Raise AssertionError for a violated invariant; under -O log it with the number of its violations instead."""
     if holds:
         return
     if __debug__:
