--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -100,7 +100,7 @@
     decision, decision_basis = value_at(decision_series, ENGINES)
     run_clients, clients_series = _series(found, "clients", "memory")
     client, client_basis = value_at(clients_series, CLIENTS)
-    threads = max(config.MIN_THREADS, config.BUSIEST * config.TASKS // GATEWAYS)
+    threads = max(config.MIN_THREADS, config.MAX_SHARE_MULTIPLE * config.DEPLOYMENT_THREADS // GATEWAYS)
     subset = "a stable subset of the engines for each gateway, some 64; then less work a statement"
     return [
         Row("gateway, statements", "processor time", statement * STATEMENTS / 1e6, 1.0, "cores", basis,
--- a/tealwing/config.py
+++ b/tealwing/config.py
@@ -18,10 +18,10 @@
 DEFAULT_CORES = 1.0  # processor cores, if the file gives no limit
 # threads that serve commands in all gateways of one deployment, if they share one machine: a quarter of Linux's usual
 # kernel.pid_max of 32,768, as each gateway has further threads and other programs need theirs
-TASKS = 8192
-# multiple of its even share of TASKS that one gateway may use: only a few gateways get several times the mean load, so
-# the sum stays near TASKS
-BUSIEST = 4
+DEPLOYMENT_THREADS = 8192
+# multiple of its even share of DEPLOYMENT_THREADS that one gateway may use: only a few gateways get several times the
+# mean load, so the sum stays near DEPLOYMENT_THREADS
+MAX_SHARE_MULTIPLE = 4
 MIN_THREADS = 128  # concurrent commands of a gateway, however many gateways there are; some 5 MB of stacks
 
 
@@ -66,7 +66,10 @@
     @property
     def max_threads(self) -> int:
         """Maximum number of threads that serve clients: one for each command in progress, not for each client."""
-        return min(self.max_clients, max(MIN_THREADS, BUSIEST * TASKS // max(1, self.settings.gateway_count)))
+        return min(
+            self.max_clients,
+            max(MIN_THREADS, MAX_SHARE_MULTIPLE * DEPLOYMENT_THREADS // max(1, self.settings.gateway_count)),
+        )
 
 
 def address(text: Any, key: str, min_port: int = 1) -> Address:
