--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -67,9 +67,7 @@
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR, -SECONDS, 0.0])
-def test_a_new_engine_is_cold_though_the_clock_was_wrong_from_the_start(
-    step: float, tmp_path: Path, clock: Clock
-) -> None:
+def test_new_engine_gets_slow_start_despite_a_wrong_wall_clock(step: float, tmp_path: Path, clock: Clock) -> None:
     # on a machine that is an hour ahead every cold engine looked warm; an hour behind, cold for an hour
     clock.step = step
     daemon = make(tmp_path, ("127.0.0.1", 1))
@@ -78,7 +76,7 @@
 
 @pytest.mark.parametrize("along", [False, True], ids=["alone", "with the list's"])
 @pytest.mark.parametrize("step", STEPS)
-def test_a_new_engine_is_cold_though_the_clock_was_stepped(
+def test_new_engine_gets_slow_start_despite_a_stepped_wall_clock(
     step: float, along: bool, tmp_path: Path, clock: Clock
 ) -> None:
     daemon = make(tmp_path, ("127.0.0.1", 1))
@@ -86,7 +84,7 @@
     assert is_just_started(daemon, clock.listed(daemon, 2, step if along else 0.0))
 
 
-def test_an_engine_of_the_start_is_not_cold_for_an_hour(tmp_path: Path, clock: Clock) -> None:
+def test_cached_engine_is_not_in_slow_start_for_an_hour(tmp_path: Path, clock: Clock) -> None:
     clock.step = -HOUR
     started = round((time.time() + HOUR) * 1e3)
     known = {"index": 1, "updates": [event(1, member("s-1", "127.0.0.1:1", up_since_ms=started))]}
@@ -94,7 +92,7 @@
     assert left_cold(daemon, find(daemon, ONE)) <= find(daemon, ONE).rules.slow_start_time + 0.1
 
 
-def test_an_engine_that_restarts_by_a_clock_set_back_is_cold_again(tmp_path: Path, clock: Clock) -> None:
+def test_engine_restarted_by_a_clock_set_back_gets_slow_start_again(tmp_path: Path, clock: Clock) -> None:
     daemon = make(tmp_path, ("127.0.0.1", 1))
     first = clock.listed(daemon, 2)
     second = clock.listed(daemon, 3, -HOUR)
@@ -102,7 +100,7 @@
     assert is_just_started(daemon, second)
 
 
-def test_a_start_told_again_is_the_same_start(tmp_path: Path, clock: Clock) -> None:
+def test_start_time_that_is_listed_again_is_the_same_start(tmp_path: Path, clock: Clock) -> None:
     daemon = make(tmp_path, ("127.0.0.1", 1))
     clock.step = HOUR
     first = clock.listed(daemon, 2)
@@ -128,7 +126,7 @@
     engine.listener.close()
 
 
-def test_a_request_that_waited_unread_is_told_as_what_its_client_has_left(tmp_path: Path, engine: Peer) -> None:
+def test_ttl_of_an_attempt_excludes_the_time_its_request_waited_unread(tmp_path: Path, engine: Peer) -> None:
     # a gateway that gets no processor for a while reads late: the time has run since the last byte came
     asked, held, slack = 2000, 700, 150  # ms
     program = Program(tmp_path, engine.address)
@@ -142,7 +140,7 @@
     assert program.end() == ""
 
 
-def test_a_request_behind_another_is_told_as_what_its_client_has_left(tmp_path: Path, engine: Peer) -> None:
+def test_ttl_of_an_attempt_excludes_the_time_its_request_waited_behind_another(tmp_path: Path, engine: Peer) -> None:
     # its time runs while the one before it is served: seen in the code, it began anew with its own turn
     asked, held, slack = 5000, 1000, 150  # ms
     program = Program(tmp_path, engine.address)
@@ -157,7 +155,7 @@
     assert program.end() == ""
 
 
-def test_an_engine_of_the_start_that_is_listed_again_keeps_its_date(tmp_path: Path, clock: Clock) -> None:
+def test_cached_engine_that_is_listed_again_keeps_its_start_time(tmp_path: Path, clock: Clock) -> None:
     started = round((time.time() - 60) * 1e3)
     first = member("s-1", "127.0.0.1:1", up_since_ms=started)
     daemon = make(tmp_path, ("127.0.0.1", 1), known={"index": 1, "updates": [event(1, first)]})
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -63,12 +63,12 @@
 # The gate alone
 
 
-def test_who_passes_an_open_gate_takes_no_lock(gate: Gate) -> None:
+def test_open_gate_admits_without_taking_its_lock(gate: Gate) -> None:
     with gate._changed:
         assert aside(lambda: gate.admit("look", "", 1, 0.0)).get(timeout=LIMIT) == Admitted(False)
 
 
-def test_only_what_the_change_touches_waits_and_is_then_read_anew(gate: Gate) -> None:
+def test_closed_gate_holds_only_affected_requests_and_has_them_parsed_again(gate: Gate) -> None:
     gate.close(Loads())
     held = [aside(partial(gate.admit, cls, "", group, later())) for cls, group in (("load", 1), ("look", 7))]
     waiting(gate, 2)
@@ -79,7 +79,7 @@
     assert (figures.held, figures.rejected, figures.waiting) == (2, 0, 0) and figures.max_wait > 0
 
 
-def test_what_cannot_be_read_waits_for_any_change(gate: Gate) -> None:
+def test_unparseable_request_waits_for_any_change(gate: Gate) -> None:
     gate.close(Loads())
     held = aside(lambda: gate.admit(None, "", 0, later()))
     waiting(gate, 1)
@@ -87,7 +87,7 @@
     assert held.get(timeout=LIMIT) == Admitted(True)
 
 
-def test_a_request_waits_within_its_time_and_the_queue_is_bounded(gate: Gate) -> None:
+def test_held_requests_are_bounded_in_time_and_number(gate: Gate) -> None:
     gate.close(Loads())
     late = gate.admit("load", "", 1, time.monotonic() + 0.01)
     assert isinstance(late, Deferred) and 0.2 <= late.retry_after <= 0.4
@@ -101,7 +101,7 @@
     assert gate.metrics().rejected == 4 and gate.metrics().waiting == 0
 
 
-def test_past_its_permit_the_gate_turns_everybody_away_by_itself() -> None:
+def test_gate_defers_all_requests_after_its_permit_expires() -> None:
     now = [10.0]
     gate = Gate(2, 0.4, lambda: now[0])
     assert isinstance(gate.admit("look", "", 1, 0.0), Deferred)  # nothing is known at the start
@@ -126,7 +126,7 @@
     return gateway.handle(now, api.Request(id_, 0, 20.0, zones=zones))
 
 
-def test_no_attempt_leaves_the_zones_of_its_request() -> None:
+def test_attempts_stay_within_the_zones_of_their_request() -> None:
     gateway = Gateway(make_settings(max_attempts=4), 1)
     gateway.handle(0.0, listing(*(entry(n, zone=n % 2) for n in range(8))))
     assert {send.engine % 2 for n in range(90, 150) for send in sends(asked(gateway, n, None))} == {0, 1}
@@ -140,7 +140,7 @@
     assert len(went) > 1 and all(engine % 2 == 1 for engine in went)
 
 
-def test_zones_without_an_engine_are_an_immediate_refusal() -> None:
+def test_request_whose_zones_have_no_ready_engine_is_rejected_at_once() -> None:
     gateway = Gateway(make_settings(), 1)
     gateway.handle(0.0, listing(entry(1, zone=0), entry(2, zone=1)))
     gateway.handle(0.0, delta(entry(2, zone=1, health=api.Health.DRAINING)))
@@ -178,7 +178,7 @@
     return found
 
 
-def test_a_table_alone_builds_no_module_and_binds_new_requests(daemon: Daemon) -> None:
+def test_new_routing_table_binds_new_requests_and_keeps_the_module(daemon: Daemon) -> None:
     module, platform = daemon._decisions.module, daemon.platform_settings
     z, y = platform.zones.index("z"), platform.zones.index("y")
     assert zones_of(daemon, 1, 3) is None
@@ -197,7 +197,7 @@
     assert zones_of(daemon, 6, 3) is None
 
 
-def test_open_requests_end_under_their_version_and_its_last_lets_it_go(daemon: Daemon) -> None:
+def test_old_version_is_dropped_with_its_last_open_request(daemon: Daemon) -> None:
     old, told, module = daemon.platform_settings, list[api.Settings](), daemon._decisions.module
     daemon.on_settings = told.append
     classes = tuple(dataclasses.replace(cls, latency_objective=cls.latency_objective / 2) for cls in old.classes)
@@ -217,7 +217,7 @@
     assert daemon._decisions.settings is new and len(told) == 1
 
 
-def test_what_the_file_says_does_not_go_before_what_the_fleet_agreed(
+def test_reload_does_not_override_a_version_that_the_fleet_agreed_on(
     daemon: Daemon, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     told: list[tuple[str, dict[str, Any]]] = []
@@ -275,7 +275,7 @@
     return open_
 
 
-def test_a_held_request_is_read_anew_under_what_then_holds(gated: server.Server, gate: Gate) -> None:
+def test_held_request_is_parsed_again_under_the_new_settings(gated: server.Server, gate: Gate) -> None:
     seen: list[tuple[Query, Any]] = []
     gated.open = open_noting(seen)
     gate.close(Loads())
@@ -293,7 +293,7 @@
     assert settings is new and query.cls == 1 and query.ttl <= 9.0 - waited
 
 
-def test_a_request_that_only_the_next_version_can_read_waits_for_it(gated: server.Server, gate: Gate) -> None:
+def test_request_of_a_class_that_the_next_version_adds_waits_for_it(gated: server.Server, gate: Gate) -> None:
     client = Client(gated.address)
     client.ask(op="claim")
     assert client.error()[0] == 1210
@@ -305,7 +305,7 @@
     assert len(client.rows()) == 1
 
 
-def test_who_is_turned_away_is_told_when_to_come_back(gated: server.Server, gate: Gate) -> None:
+def test_deferred_request_gets_a_pushback_time(gated: server.Server, gate: Gate) -> None:
     gate.shut("not known yet", 0.3)
     client = Client(gated.address)
     client.ask(op="look")
@@ -313,7 +313,7 @@
     assert code == 1226 and 150 <= int(text.rpartition("pushback=")[2]) <= 300
 
 
-def test_settings_that_change_between_reading_and_opening_are_read_anew(gated: server.Server) -> None:
+def test_request_is_parsed_again_if_settings_change_before_it_opens(gated: server.Server) -> None:
     seen: list[tuple[Query, Any]] = []
     new = make_settings(tenants=("acme",), classes=(request_class(name="first"), request_class()))
     gated.open = open_noting(seen, [new])
@@ -326,7 +326,7 @@
     assert client.error()[0] == 1226
 
 
-def test_without_a_gate_what_cannot_be_opened_fails_as_before(gated: server.Server) -> None:
+def test_without_a_gate_a_change_of_settings_before_opening_fails_the_request(gated: server.Server) -> None:
     gated.gate = None
     gated.open = open_noting([], [make_settings()])
     client = Client(gated.address)
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -26,7 +26,7 @@
 ROOT = Path(__file__).parent.parent / "tealwing"
 
 
-def test_a_send_overtaken_by_a_kill_gets_its_outcome() -> None:
+def test_send_overtaken_by_a_cancel_gets_an_outcome() -> None:
     # guards the module's books: a send that nobody carried out counted as out at its engine for ever
     settings = make_settings()
     engines = EnginePool(settings.limits)
@@ -40,7 +40,7 @@
     assert not module.requests and module.class_traffic[0].in_flight == 0 and module.engines[7].queries == 0
 
 
-def test_events_come_once_and_in_turn() -> None:
+def test_watch_applies_each_event_once_and_in_order() -> None:
     # guards the engine list: a repeat must not undo later updates, and a gap must be asked for again
     told: list[int] = []
     follower = WatchClient(("127.0.0.1", 1), 4, make_settings(), lambda update: told.append(update.index))
@@ -54,14 +54,14 @@
         assert told == [5, 6] and follower.index == 6
 
 
-def test_a_last_number_ahead_of_us_asks_again() -> None:
+def test_last_event_number_ahead_of_the_applied_one_is_a_gap() -> None:
     # seen on the bench: after SIGHUP a drain was not heard of for 5 s, and five requests went to that engine
     follower = WatchClient(("127.0.0.1", 1), 4, make_settings(), lambda update: None)
     with pytest.raises(updates.UpdateError):
         follower.apply(5)
 
 
-def test_updates_that_fail_are_asked_for_again() -> None:
+def test_failed_update_is_requested_again() -> None:
     # guards the thread that follows the list: a fault of ours ended it, and with it all updates
     listener = socket.create_server(("127.0.0.1", 0))
     listener.settimeout(LIMIT)
@@ -82,7 +82,7 @@
     assert [heard.get(timeout=LIMIT) for _ in range(2)] == [5, 5]
 
 
-def test_a_busy_connection_is_not_taken_for_a_stalled_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_busy_connection_does_not_count_as_stalled(monkeypatch: pytest.MonkeyPatch) -> None:
     # seen under load: where each read ends within a message, all of them were taken for one that is late
     monkeypatch.setattr(connections, "MESSAGE_TIMEOUT", 1.0)
     ours, theirs = socket.socketpair()
@@ -119,7 +119,7 @@
     return found
 
 
-def test_no_package_imports_in_a_circle() -> None:
+def test_packages_have_no_import_cycle() -> None:
     needs: dict[str, set[str]] = {}
     for path in ROOT.rglob("*.py"):
         unit = path.relative_to(ROOT).parts[0].removesuffix(".py")
@@ -143,7 +143,7 @@
     return found & set(modules)
 
 
-def test_no_modules_import_in_a_circle() -> None:
+def test_modules_have_no_import_cycle() -> None:
     modules = {
         ".".join(("tealwing", *path.relative_to(ROOT).with_suffix("").parts)): path for path in ROOT.rglob("*.py")
     }
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("ttl", [0.001, 0.02, request_handler.RESERVED_TIME])
-def test_a_ttl_within_the_time_kept_is_refused_without_a_send(ttl: float) -> None:
+def test_request_whose_ttl_is_within_the_reserved_time_is_rejected_unsent(ttl: float) -> None:
     # guards late tries with a few milliseconds left: sent on, they were answered after their client had gone
     settings = make_settings()
     engines = EnginePool(settings.limits)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -45,7 +45,7 @@
     return int(answer.split(b" ", 2)[1])
 
 
-def test_a_head_is_whole_only_at_its_blank_line() -> None:
+def test_request_head_is_complete_only_at_its_blank_line() -> None:
     assert http.end_of_head(GET[:-1]) == 0
     assert http.end_of_head(GET + b"rest") == len(GET)
     assert http.parse_request(GET) == http.HttpRequest("GET", "/ops/readiness")
@@ -72,7 +72,7 @@
     return admin
 
 
-def test_each_call_and_each_wrong_one_has_its_answer(admin: AdminServer) -> None:
+def test_admin_calls_and_invalid_ones_get_their_status(admin: AdminServer) -> None:
     assert status(ask(admin.address, GET)) == 200
     stats = ask(admin.address, b"GET /ops/stats HTTP/1.1\r\n\r\n").split(b"\r\n\r\n", 1)[1]
     assert b"app.ok.lookup:0|c\n" in stats and b"app.active:2|g\n" in stats
@@ -82,7 +82,7 @@
     assert status(ask(admin.address, b"GET /ops/stats HTTP/1.1\r\n" + b"x" * 9000)) == 400
 
 
-def test_silent_callers_leave_room_for_a_readiness_call(admin: AdminServer) -> None:
+def test_silent_callers_do_not_block_a_readiness_call(admin: AdminServer) -> None:
     silent = [socket.create_connection(admin.address, LIMIT) for _ in range(THREADS + 2)]
     silent[0].sendall(b"GET /ops/rea")  # half a line
     assert status(ask(admin.address, GET)) == 200
@@ -92,7 +92,7 @@
         sock.close()
 
 
-def test_counts_of_a_dropped_class_leave_with_it() -> None:
+def test_counters_of_a_dropped_class_are_dropped() -> None:
     counts = metrics.Metrics(["lookup", "report"])
     counts.count(metrics.OK, "report", 5)
     counts.set_classes(["lookup", "claim"])
@@ -122,7 +122,7 @@
         assert site.program.end() == ""
 
 
-def test_an_inherited_descriptor_that_is_no_listener_is_named(tmp_path: Path) -> None:
+def test_inherited_descriptor_that_is_no_listener_is_rejected_by_name(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text('{"name": "n0", "listen": "127.0.0.1:0", "seed": "1", "coordinator": "127.0.0.1:1"}')
     with pytest.raises(ConfigError, match="LB_ACCEPT_FD"):
@@ -131,7 +131,7 @@
         server.Server(("127.0.0.1", 0), 8, make_settings(), refuse, inherited=plain.fileno())
 
 
-def test_two_processes_on_one_queue_lose_no_client_when_the_old_one_stops() -> None:
+def test_two_servers_on_one_listening_socket_lose_no_client_when_one_stops() -> None:
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
     address = listener.getsockname()
     old = server.Server(address, 64, make_settings(), refuse, inherited=os.dup(listener.fileno()))
@@ -175,7 +175,7 @@
         time.sleep(0.02)
 
 
-def test_a_dropped_class_finishes_its_open_request_and_a_new_one_binds(tmp_path: Path) -> None:
+def test_dropped_class_finishes_its_open_request_and_a_new_class_is_served(tmp_path: Path) -> None:
     site = Site(tmp_path, admin="127.0.0.1:0")
     try:
         client = site.client()
@@ -210,7 +210,7 @@
     "bad",
     ["", '{"name": "n0", "sett', "lacks coordinator", "deadline 0", "attempts 0", "attempts text"],
 )
-def test_a_bad_file_is_turned_down_whole_in_one_line(tmp_path: Path, bad: str) -> None:
+def test_bad_configuration_file_is_rejected_completely_with_one_log_line(tmp_path: Path, bad: str) -> None:
     site = Site(tmp_path, admin="127.0.0.1:0")
     try:
         config = site.program.config
@@ -249,7 +249,7 @@
         return []
 
 
-def test_events_of_a_request_reach_the_module_of_its_settings_to_the_end() -> None:
+def test_events_of_a_request_reach_the_module_of_its_settings_until_it_is_forgotten() -> None:
     # guards the outcome of a send that the end overtook: it came after leave, and went to the new module
     old, new = make_settings(), make_settings()
     decisions = Decisions(old, 1, EnginePool(old.limits))
@@ -289,7 +289,7 @@
     assert few.finish(LIMIT)
 
 
-def test_a_coordinator_that_stops_mid_line_is_asked_again_from_the_same_index(tmp_path: Path) -> None:
+def test_watch_that_breaks_mid_line_resumes_from_the_same_index(tmp_path: Path) -> None:
     site = Site(tmp_path)
     try:
         sock, words = site.coordinator.next(b"follow")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -61,7 +61,7 @@
     sock.close()
 
 
-def test_login_ping_and_query_in_one_write(site: Site) -> None:
+def test_login_ping_and_query_in_one_write_are_answered(site: Site) -> None:
     also = packets.packet(0, b"\x0e") + packets.packet(0, b"\x03" + request())
     client = Client(site.address, also=also)
     assert client.login == client.read() == packets.ok()
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize(
     "trouble", ["reset", "malformed", "stalled", "page", "lost page", "500", "odd rows", "too large"]
 )
-def test_a_lost_attempt_is_an_outcome_and_another_follows(site: Site, trouble: str) -> None:
+def test_failed_attempt_is_followed_by_another(site: Site, trouble: str) -> None:
     # guards the honest mapping: each of these may have run, and ends at most its own connection
     client = site.client()
     client.ask()
@@ -123,7 +123,7 @@
     serve(site, client)
 
 
-def test_an_open_id_is_not_taken_twice(site: Site) -> None:
+def test_request_with_the_id_of_an_open_one_is_rejected(site: Site) -> None:
     # guards an open request: engines tell them apart by id, and would answer one with the other's rows
     client, other = site.client(), site.client()
     client.ask()
@@ -136,7 +136,7 @@
     serve(site, other)
 
 
-def test_a_full_engine_leads_to_a_refusal_with_advice(site: Site) -> None:
+def test_request_at_a_full_engine_is_rejected_with_a_pushback_time(site: Site) -> None:
     client = site.client()
     client.ask()
     sock, parts = site.engine.next(b"want")
@@ -145,7 +145,7 @@
     assert code == 1226 and 0 < int(text.partition("pushback=")[2]) <= 1000
 
 
-def test_a_refused_connect_is_an_outcome(tmp_path: Path) -> None:
+def test_request_is_rejected_if_its_engine_refuses_the_connect(tmp_path: Path) -> None:
     closed = socket.create_server(("127.0.0.1", 0))
     address = f"127.0.0.1:{closed.getsockname()[1]}"
     closed.close()
@@ -167,7 +167,7 @@
     assert max(sizes) < 32 << 20
 
 
-def test_kill_query_gives_the_attempt_up(site: Site) -> None:
+def test_kill_query_cancels_the_attempt(site: Site) -> None:
     client, other = site.client(), site.client()
     client.ask()
     sock, parts = site.engine.next(b"want")
@@ -185,7 +185,7 @@
     assert other.error()[0] == 1094
 
 
-def test_an_attempt_out_of_time_is_given_up_and_answered(site: Site) -> None:
+def test_timed_out_attempt_is_cancelled_and_its_request_answered(site: Site) -> None:
     client = site.client()
     client.ask(ttl=400)
     _, parts = site.engine.next(b"want")
@@ -195,7 +195,7 @@
     serve(site, client)
 
 
-def test_what_a_mysql_server_says_no_to(site: Site) -> None:
+def test_unsupported_commands_get_mysql_errors(site: Site) -> None:
     client = site.client()
     for command, body, code in [(0x05, b"", 1047), (0x02, b"none", 1049), (0x03, request(op="x"), 1210)]:
         client.send(command, body)
@@ -210,7 +210,7 @@
     assert site.engine.got.empty()
 
 
-def test_sigterm_finishes_what_was_taken(site: Site) -> None:
+def test_sigterm_finishes_open_requests(site: Site) -> None:
     client = site.client()
     client.ask()
     sock, parts = site.engine.next(b"want")
@@ -225,7 +225,7 @@
     assert site.program.process.wait(LIMIT) == 0
 
 
-def test_sigterm_fails_what_cant_be_finished(site: Site) -> None:
+def test_sigterm_fails_requests_that_cannot_finish_in_time(site: Site) -> None:
     client = site.client()
     client.ask()
     site.engine.next(b"want")
@@ -234,7 +234,7 @@
     assert site.program.process.wait(LIMIT) == 0
 
 
-def test_the_list_is_followed_over_reconnects(site: Site) -> None:
+def test_watch_resumes_after_a_reconnect(site: Site) -> None:
     sock, words = site.coordinator.next(b"follow")
     assert words[1] == b"1"
     second = Peer()
@@ -253,7 +253,7 @@
     assert len(client.rows()) == 2
 
 
-def test_sighup_moves_to_the_new_coordinator_under_an_open_request(site: Site) -> None:
+def test_sighup_moves_to_the_new_coordinator_during_an_open_request(site: Site) -> None:
     # guards against the end that SIGHUP is by default, and against news missed or open requests disturbed
     old, _ = site.coordinator.next(b"follow")
     client = site.client()
@@ -283,7 +283,7 @@
         ("known", {"known": {"index": 1}}),
     ],
 )
-def test_bad_configuration_ends_with_one_line_that_names_the_key(
+def test_bad_configuration_ends_the_program_with_one_line_that_names_the_key(
     tmp_path: Path, key: str, changes: dict[str, Any] | None
 ) -> None:
     if changes is None:
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_a_reload_while_the_program_starts_does_not_end_it(tmp_path: Path, engine: Peer, moment: float) -> None:
+def test_sighup_during_the_start_does_not_end_the_program(tmp_path: Path, engine: Peer, moment: float) -> None:
     # a new configuration may come at any time, also right after a restart; a gateway that exits has crashed
     program = started(tmp_path, engine)
     time.sleep(moment)
@@ -51,9 +51,7 @@
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_a_configuration_that_comes_while_the_program_starts_is_taken(
-    tmp_path: Path, engine: Peer, moment: float
-) -> None:
+def test_configuration_that_changes_during_the_start_is_applied(tmp_path: Path, engine: Peer, moment: float) -> None:
     # the other side: a signal that is ignored for good would leave the gateway with the file of before
     old, new = Coordinator(), Coordinator()
     program = Program(tmp_path, engine.address, old.address)
@@ -65,7 +63,7 @@
         coordinator.listener.close()
 
 
-def test_signals_in_series_leave_the_last_configuration_and_one_drain(tmp_path: Path, engine: Peer) -> None:
+def test_repeated_signals_apply_the_last_configuration_and_drain_once(tmp_path: Path, engine: Peer) -> None:
     last = Coordinator()
     program = Program(tmp_path, engine.address)
     address = program.address()
@@ -86,7 +84,7 @@
     last.listener.close()
 
 
-def test_a_stop_while_a_bad_file_is_read_again_ends_nothing(tmp_path: Path, engine: Peer) -> None:
+def test_sigstop_while_a_bad_file_is_read_again_does_not_end_the_program(tmp_path: Path, engine: Peer) -> None:
     # seen in a soak: signal.sigtimedwait that is interrupted past its time gives a signal that never came (CPython
     # 3.11), which was taken for SIGTERM: the gateway drained and ended by itself
     program = Program(tmp_path, engine.address)
--- a/tests/test_time_kept.py
+++ b/tests/test_time_kept.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("ttl", [100, 200, 1000, 3000])
-def test_an_engine_is_told_of_nearly_all_the_time_that_its_client_has(ttl: int, tmp_path: Path) -> None:
+def test_ttl_of_an_attempt_is_nearly_all_of_the_time_its_client_has(ttl: int, tmp_path: Path) -> None:
     engine = Peer()
     program = Program(tmp_path, engine.address)
     try:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("end", list(ENDS))
-def test_every_end_of_a_watch_has_its_reason_in_one_line_and_in_the_figures(
+def test_every_watch_end_is_logged_once_and_counted_by_reason(
     end: WatchEnd, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # seen in the code: an end of the stream left no line at all, and no figure told of any end
@@ -168,7 +168,7 @@
     again.close()
 
 
-def test_a_connect_that_fails_has_its_reason(lines: Lines) -> None:
+def test_failed_connect_ends_the_watch_as_unreached(lines: Lines) -> None:
     closed = socket.create_server(("127.0.0.1", 0))
     address = closed.getsockname()
     closed.close()
@@ -176,7 +176,7 @@
     assert lines.next("watch_ended")["reason"] == "unreached"
 
 
-def test_a_peer_that_drips_bytes_without_an_end_of_a_line_is_silent(
+def test_coordinator_that_sends_no_complete_line_counts_as_silent(
     coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # seen in the code: each byte began the limit anew, so such a peer held the watch for good
@@ -188,7 +188,7 @@
     assert coordinator.watch()[1] == 4
 
 
-def test_a_move_is_followed_at_once(coordinator: Coordinator, lines: Lines) -> None:
+def test_moved_watch_connects_to_the_new_coordinator_at_once(coordinator: Coordinator, lines: Lines) -> None:
     other = Coordinator()
     watch = WatchClient(coordinator.address, 4, make_settings(), stay)
     watch.start()
@@ -200,7 +200,7 @@
     other.listener.close()
 
 
-def test_a_move_does_not_wait_for_a_connect_to_the_old_address(
+def test_move_does_not_wait_for_the_connect_to_the_old_coordinator(
     coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # seen in the code: the socket was known to a move only once it was connected
@@ -249,7 +249,7 @@
 
 
 @pytest.mark.parametrize("step", ["connections", "module", "after"])
-def test_a_fault_half_way_through_an_update_is_made_good_at_the_next_reading(
+def test_update_that_fails_halfway_is_applied_by_the_next_watch(
     step: str, tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # seen in the code: a module's fault half way through the list was logged, and the update counted as taken
@@ -285,7 +285,7 @@
     assert isinstance(module, Gateway) and [engine.id for engine in module.ready] == [TWO]
 
 
-def test_an_update_that_fails_each_time_hides_neither_its_others_nor_what_comes_after(
+def test_repeatedly_failing_update_blocks_neither_its_other_members_nor_later_updates(
     tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     daemon, take = make(tmp_path, coordinator.address), Gateway._apply_engine_list
@@ -316,7 +316,7 @@
     lines.taken(4)
 
 
-def test_updates_that_come_together_are_applied_in_turn(
+def test_updates_received_together_are_applied_in_order(
     tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # proved to be no fault: a drain right after a return, and a removal with a start at the same address
@@ -360,7 +360,7 @@
 }
 
 
-def test_new_settings_number_the_list_and_read_what_comes_next(
+def test_new_settings_renumber_the_engine_list_and_parse_later_updates(
     tmp_path: Path, coordinator: Coordinator, lines: Lines
 ) -> None:
     # seen in the code: updates were read under the settings of the start, and a new module got the old numbers
@@ -388,7 +388,7 @@
     daemon._decisions.forget(held)
 
 
-def test_a_watch_update_crosses_a_change_of_settings(
+def test_update_parsed_under_old_settings_is_applied_under_new_ones(
     tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # forced: the update has been read under the old settings and waits while the new ones come in force
@@ -411,7 +411,7 @@
     assert {entry.engine: (entry.zone, entry.kind) for entry in daemon.engine_list} == {ONE: (1, 1), TWO: (1, 1)}
 
 
-def test_the_longest_deadline_is_of_what_is_in_force_and_what_is_still_open(tmp_path: Path) -> None:
+def test_max_deadline_covers_settings_in_force_and_open_requests(tmp_path: Path) -> None:
     # seen in the code: a drain took that of the configuration of the start
     daemon = make(tmp_path, ("127.0.0.1", 1))
     grades = [grade | {"DeadlineNs": 1_000_000_000} for grade in SETTINGS["Grades"]]
@@ -424,9 +424,7 @@
     assert daemon.max_deadline == 1.0
 
 
-def test_the_admin_address_tells_the_age_of_the_list_and_its_last_index(
-    tmp_path: Path, coordinator: Coordinator, lines: Lines
-) -> None:
+def test_admin_stats_report_engine_list_age_and_index(tmp_path: Path, coordinator: Coordinator, lines: Lines) -> None:
     from tealwing.admin.server import AdminServer
 
     daemon = make(tmp_path, coordinator.address)
