--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate that requests pass, the locality that binds them, and what puts a version of the rules in force."""
+"""The admission gate, the zones that requests are bound to, and putting a version of the rules in force."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Loads:
-    """A change that touches one class, or one group of tables."""
+    """A change of the rules that affects the class load and the group of tables 7."""
 
     def includes(self, cls: str, tenant: str, group: int) -> bool:
         return cls == "load" or group == 7
@@ -40,13 +40,14 @@
 
 
 def aside(call: Callable[[], Any]) -> SimpleQueue[Any]:
-    """What a call gives, once it has, on a thread of its own."""
+    """Run a call on a thread of its own; return a queue that gets its result."""
     found: SimpleQueue[Any] = SimpleQueue()
     threading.Thread(target=lambda: found.put(call()), daemon=True).start()
     return found
 
 
 def waiting(gate: Gate, count: int) -> None:
+    """Wait until that many requests wait at the gate."""
     until = later()
     while gate.metrics().waiting != count:
         assert time.monotonic() < until
@@ -95,7 +96,7 @@
     waiting(gate, 2)
     more = gate.admit("load", "", 1, later())
     assert isinstance(more, Deferred) and "too many" in more.reason
-    gate.shut("it ends", 1.0)  # nobody waits for nothing
+    gate.shut("it ends", 1.0)  # releases the waiting requests
     ended = [one.get(timeout=LIMIT) for one in held]
     assert all(isinstance(one, Deferred) and one.reason == "it ends" and one.retry_after >= 0.5 for one in ended)
     assert gate.metrics().rejected == 4 and gate.metrics().waiting == 0
@@ -104,7 +105,7 @@
 def test_gate_defers_all_requests_after_its_permit_expires() -> None:
     now = [10.0]
     gate = Gate(2, 0.4, lambda: now[0])
-    assert isinstance(gate.admit("look", "", 1, 0.0), Deferred)  # nothing is known at the start
+    assert isinstance(gate.admit("look", "", 1, 0.0), Deferred)  # the gate starts closed for all requests
     gate.open()
     gate.permit(12.0)
     assert gate.admit("look", "", 1, 0.0) == Admitted(False) and not gate.denial_reason
@@ -113,13 +114,13 @@
     gate.close(Loads())
     held = aside(lambda: gate.admit("load", "", 1, later()))
     waiting(gate, 1)
-    gate.open()  # guards the permit: who waited over its end must not slip in
+    gate.open()  # a request that waited beyond the permit's expiry must not be admitted
     assert isinstance(held.get(timeout=LIMIT), Deferred)
     gate.permit(inf)
     assert gate.admit("look", "", 1, 0.0) == Admitted(False)
 
 
-# Locality in the decisions
+# Zones in the decision module
 
 
 def asked(gateway: Gateway, id_: int, zones: frozenset[int] | None, now: float = 1.0) -> list[api.Action]:
@@ -150,12 +151,12 @@
     assert not gateway.requests
 
 
-# A version put in force
+# Putting a version in force
 
 
 @pytest.fixture
 def daemon(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Daemon:
-    """One of an engine in each of two zones; its configuration is a file that a reload reads."""
+    """A daemon with one engine in each of two zones; its configuration is a file that a reload reads."""
     up = [member(f"s-{n}", f"127.0.0.1:{n}", locality=zone) for n, zone in ((1, "z"), (2, "y"))]
     known = {"index": 1, "updates": [event(1, *up)]}
     path = tmp_path / "config.json"
@@ -185,8 +186,8 @@
     daemon.put_in_force(None, Table.of([Route(0, 9, ("z", "y"))]), None, 1)
     before = daemon.open(query(2, 3))
     daemon.put_in_force(dataclasses.replace(platform), Table.of([Route(0, 9, ("y", "z"))]), None, 2)
-    assert daemon._decisions.module is module and daemon.agreed_version == 2  # nothing learnt is lost
-    assert before._to_request().zones == frozenset((z,))  # and so for its retries
+    assert daemon._decisions.module is module and daemon.agreed_version == 2  # the module keeps its state
+    assert before._to_request().zones == frozenset((z,))  # also for its retries
     assert zones_of(daemon, 3, 3) == frozenset((y,)) and zones_of(daemon, 4, 30) is None
     down = tuple(
         dataclasses.replace(e, health=api.Health.DRAINING) for e in daemon._decisions.engine_list if e.zone == y
@@ -205,7 +206,7 @@
     life = daemon.open(query(1), old)
     daemon.put_in_force(new, Table.of([Route(0, 9, ("y",))]), None, 1)
     assert told == [new] and daemon._decisions.module is not module
-    with pytest.raises(SettingsChangedError) as caught:  # guards against settings of one version and a table of another
+    with pytest.raises(SettingsChangedError) as caught:  # never settings of one version with the table of another
         daemon.open(query(2), old)
     assert caught.value.settings is new
     versions = daemon._decisions._versions
@@ -227,7 +228,7 @@
     path = Path(os.environ["LB_CONFIG"])
     given = json.loads(path.read_text())
     daemon.put_in_force(None, Table(), None, 4)
-    assert service.reload(daemon, few, None)  # it says what it said
+    assert service.reload(daemon, few, None)  # the file has not changed
     shorter = SETTINGS["Grades"][0] | {"TargetNs": 500_000_000}
     given["settings"]["Grades"] = [shorter, *SETTINGS["Grades"][1:]]
     path.write_text(json.dumps(given | {"coordinator": "127.0.0.1:2"}))
@@ -237,14 +238,14 @@
         ((name, fields),) = told
         assert name == "config_rejected" and "version 4" in fields["why"] and "propose" in fields["remedy"]
     assert few.settings is daemon._decisions.settings and few.settings.classes[0].latency_objective == 1.0
-    assert daemon._watch._address == ("127.0.0.1", 2)  # the coordinator is taken still
+    assert daemon._watch._address == ("127.0.0.1", 2)  # the coordinator is applied nevertheless
 
 
-# The server's side
+# The server
 
 
 class Once:
-    """An exchange that is served at once."""
+    """An exchange that returns one row at once."""
 
     def run(self) -> Reply:
         return Served((b"a\tb\tc\n",))
@@ -255,7 +256,7 @@
 
 @pytest.fixture
 def gated(gate: Gate) -> Iterator[server.Server]:
-    """A server with a gate, which notes what it opens."""
+    """A server with the gate, whose requests are served at once."""
     few = server.Server(("127.0.0.1", 0), 8, make_settings(tenants=("acme",)), open_noting([]))
     few.gate = gate
     few.start()
@@ -321,7 +322,7 @@
     client.ask(op="look")
     assert len(client.rows()) == 1
     assert seen[-1][1] is new and [query.cls for query, _ in seen] == [0, 1]
-    gated.open = open_noting(seen, [new] * 9)  # it never ends: refused, and not for ever
+    gated.open = open_noting(seen, [new] * 9)  # settings that keep changing: rejected instead of an endless loop
     client.ask(op="look")
     assert client.error()[0] == 1226
 
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -1,4 +1,4 @@
-"""The life of a request beside its sockets, and how the packages hang together."""
+"""Request handling and the watch below the sockets, and the imports between packages and modules."""
 
 from __future__ import annotations
 
@@ -27,42 +27,42 @@
 
 
 def test_send_overtaken_by_a_cancel_gets_an_outcome() -> None:
-    # guards the module's books: a send that nobody carried out counted as out at its engine for ever
+    # guards against a send that is never carried out but counts as in flight at its engine forever
     settings = make_settings()
     engines = EnginePool(settings.limits)
     decisions = Decisions(settings, 1, engines)
     decisions.submit(listing(entry(7)))
-    given_up = request_handler.RequestHandler(Query(b"1" * 16, 0, 0, 5.0, b"SELECT 1"), settings, decisions, engines)
-    given_up.cancel()  # before the request has met the module
-    assert isinstance(given_up.run(), Cancelled)
+    cancelled = request_handler.RequestHandler(Query(b"1" * 16, 0, 0, 5.0, b"SELECT 1"), settings, decisions, engines)
+    cancelled.cancel()  # before the request is submitted to the module
+    assert isinstance(cancelled.run(), Cancelled)
     module = decisions.module
     assert isinstance(module, Gateway)
     assert not module.requests and module.class_traffic[0].in_flight == 0 and module.engines[7].queries == 0
 
 
 def test_watch_applies_each_event_once_and_in_order() -> None:
-    # guards the engine list: a repeat must not undo later updates, and a gap must be asked for again
+    # guards the engine list: a repeated event must not undo later updates, and missing events must be requested
     told: list[int] = []
     follower = WatchClient(("127.0.0.1", 1), 4, make_settings(), lambda update: told.append(update.index))
     for index in (4, 5, 5, 6):
         follower.apply(updates.Update(index, index, False, ()))
-    follower.apply(6)  # the last number alone
+    follower.apply(6)  # the number of the last event alone
     try:
         follower.apply(updates.Update(8, 8, False, ()))
-        raise AssertionError("a gap was taken")
+        raise AssertionError("an update after a gap was applied")
     except updates.UpdateError:
         assert told == [5, 6] and follower.index == 6
 
 
 def test_last_event_number_ahead_of_the_applied_one_is_a_gap() -> None:
-    # seen on the bench: after SIGHUP a drain was not heard of for 5 s, and five requests went to that engine
+    # guards against a missed drain: after SIGHUP it went unnoticed for 5 s, and five requests went to that engine
     follower = WatchClient(("127.0.0.1", 1), 4, make_settings(), lambda update: None)
     with pytest.raises(updates.UpdateError):
         follower.apply(5)
 
 
 def test_failed_update_is_requested_again() -> None:
-    # guards the thread that follows the list: a fault of ours ended it, and with it all updates
+    # guards the watch thread: an internal error ended it, and with it all updates
     listener = socket.create_server(("127.0.0.1", 0))
     listener.settimeout(LIMIT)
     heard: queue.SimpleQueue[int] = queue.SimpleQueue()
@@ -83,7 +83,7 @@
 
 
 def test_busy_connection_does_not_count_as_stalled(monkeypatch: pytest.MonkeyPatch) -> None:
-    # seen under load: where each read ends within a message, all of them were taken for one that is late
+    # guards against taking a series of messages for one late message, if each read ends within a message
     monkeypatch.setattr(connections, "MESSAGE_TIMEOUT", 1.0)
     ours, theirs = socket.socketpair()
     heard: queue.SimpleQueue[object] = queue.SimpleQueue()
@@ -94,7 +94,7 @@
     theirs.sendall(note + note[:9])
     for _ in range(5):
         assert isinstance(heard.get(timeout=LIMIT), connections.Answer)
-        time.sleep(0.3)  # longer than the limit in all, each message well within it
+        time.sleep(0.3)  # in sum longer than the limit, while each message is well within it
         theirs.sendall(note[9:] + note[:9])
     theirs.close()
     assert isinstance(heard.get(timeout=LIMIT), connections.Answer)
@@ -102,7 +102,7 @@
 
 
 def test_one_unusable_member_does_not_hide_the_others() -> None:
-    # guards a new kind of machine: one that the settings do not name must not blind the gateway to the rest
+    # guards the rest of an update: a machine kind that the settings do not name must skip its member only
     member = {"id": "s-1", "host_port": "127.0.0.1:1", "locality": "a", "flavor": "big", "phase": "up"}
     data = {"index": 2, "endpoints": {"complete": False, "members": [member | {"flavor": "new"}, member]}}
     got = updates.parse_update(data, make_settings())
@@ -110,7 +110,7 @@
 
 
 def imports(path: Path) -> set[str]:
-    """The names within tealwing that a file imports, as its packages or modules at the top."""
+    """Return the top-level packages and modules of tealwing that a file imports."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module and node.module.split(".")[0] == "tealwing":
@@ -127,13 +127,13 @@
     assert {"gateway", "mysql", "resp", "coordinator"} <= set(needs)
     while needs:
         free = [unit for unit, others in needs.items() if not others & set(needs)]
-        assert free, f"a circle among {sorted(needs)}"
+        assert free, f"an import cycle among {sorted(needs)}"
         for unit in free:
             del needs[unit]
 
 
 def imported_modules(path: Path, modules: dict[str, Path]) -> set[str]:
-    """The modules of tealwing that a file imports, for type checks alone too."""
+    """Return the modules of tealwing that a file imports, also those for type checks only."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("tealwing"):
@@ -154,14 +154,14 @@
     assert len(needs) > 200
     while needs:
         free = [name for name, others in needs.items() if not others & set(needs)]
-        assert free, f"a circle among {sorted(needs)}"
+        assert free, f"an import cycle among {sorted(needs)}"
         for name in free:
             del needs[name]
 
 
 @pytest.mark.parametrize("ttl", [0.001, 0.02, request_handler.RESERVED_TIME])
 def test_request_whose_ttl_is_within_the_reserved_time_is_rejected_unsent(ttl: float) -> None:
-    # guards late tries with a few milliseconds left: sent on, they were answered after their client had gone
+    # guards against late retries with a few milliseconds left: they were answered after their client had left
     settings = make_settings()
     engines = EnginePool(settings.limits)
     decisions = Decisions(settings, 1, engines)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the engine list: why it ends, what it still tells after that, and settings that change under it."""
+"""The coordinator watch: the reasons of its ends, updates that fail, and settings that change during a watch."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 from tests.peers import LIMIT, SETTINGS, event, member
 from tests.test_operations import GET, ask
 
-SHORT = 0.3  # s of silence that the tests allow, where they wait for it
-LONG = 60.0  # s, where a test must end before
+SHORT = 0.3  # s of silence that ends a watch, where a test waits for it
+LONG = 60.0  # s of a limit that a test must not reach
 
 
-class Lines(logging.Handler):
-    """The events that were logged, by name."""
+class LogRecorder(logging.Handler):
+    """Records the logged events in order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,21 +47,22 @@
         self.found.put((record.msg, getattr(record, "fields", {})))
 
     def next(self, name: str, **having: Any) -> dict[str, Any]:
-        until = time.monotonic() + LIMIT  # in all, however many others come
-        self.passed: list[str] = []
+        """Return the fields of the next event with that name and those fields; `skipped` names the events before it."""
+        until = time.monotonic() + LIMIT  # for the whole call, however many other events come
+        self.skipped: list[str] = []
         while True:
             found, fields = self.found.get(timeout=max(0.0, until - time.monotonic()))
             if found == name and having.items() <= fields.items():
                 return fields
-            self.passed.append(found)
+            self.skipped.append(found)
 
-    def taken(self, index: int) -> list[str]:
-        """The update of that index has been taken; what else was logged before it."""
+    def wait_for_update(self, index: int) -> list[str]:
+        """Wait until the update of that index is applied; return the names of the events logged before it."""
         self.next("engine_list", index=index)
-        return self.passed
+        return self.skipped
 
     def rest(self, name: str) -> list[dict[str, Any]]:
-        """All of that name that are there now."""
+        """Return the fields of all events with that name that are logged so far."""
         found = []
         while not self.found.empty():
             one, fields = self.found.get()
@@ -70,15 +71,15 @@
 
 
 @pytest.fixture
-def lines() -> Iterator[Lines]:
-    lines = Lines()
-    log.logger.addHandler(lines)
-    yield lines
-    log.logger.removeHandler(lines)
+def log_events() -> Iterator[LogRecorder]:
+    log_events = LogRecorder()
+    log.logger.addHandler(log_events)
+    yield log_events
+    log.logger.removeHandler(log_events)
 
 
 class Coordinator:
-    """A coordinator whose side of each watch is played by the test."""
+    """A coordinator whose connections are handled by the test."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -90,7 +91,7 @@
         return host, port
 
     def watch(self) -> tuple[socket.socket, int]:
-        """The next watch, and the index that it follows from."""
+        """Accept the next watch; return its socket and the index that it follows from."""
         sock, _ = self.listener.accept()
         sock.settimeout(LIMIT)
         text = b""
@@ -101,7 +102,7 @@
         return sock, int(index)
 
 
-def tell(sock: socket.socket, *events: dict[str, Any]) -> None:
+def send_events(sock: socket.socket, *events: dict[str, Any]) -> None:
     sock.sendall(b"".join(json.dumps(one).encode() + b"\n" for one in events))
 
 
@@ -112,16 +113,16 @@
     coordinator.listener.close()
 
 
-def stay(update: updates.Update) -> None:
-    """Takes every update."""
+def accept_update(update: updates.Update) -> None:
+    """Accept every update."""
 
 
-def fail(update: updates.Update) -> None:
-    raise OSError("a fault of ours that looks like the connection's")
+def raise_os_error(update: updates.Update) -> None:
+    raise OSError("an internal error that looks like one of the connection")
 
 
-def drip(sock: socket.socket) -> None:
-    """Say something over and over, and nothing whole, until the gateway has had enough."""
+def send_blanks(sock: socket.socket) -> None:
+    """Send blanks without a line end until the gateway closes the connection."""
     with contextlib.suppress(OSError):
         while True:
             sock.sendall(b" ")
@@ -139,78 +140,82 @@
     WatchEnd.MALFORMED: lambda sock: sock.sendall(b"nonsense\n"),
     WatchEnd.GAP: lambda sock: sock.sendall(b'{"index":9}\n'),
     WatchEnd.BROKEN: reset,
-    WatchEnd.FAULT: lambda sock: tell(sock, event(5)),
+    WatchEnd.FAULT: lambda sock: send_events(sock, event(5)),
 }
 
 
 @pytest.mark.parametrize("end", list(ENDS))
 def test_every_watch_end_is_logged_once_and_counted_by_reason(
-    end: WatchEnd, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
+    end: WatchEnd, coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # seen in the code: an end of the stream left no line at all, and no figure told of any end
+    # guards against unreported ends: an end of the stream left no log line, and no metric counted the ends of watches
     monkeypatch.setattr(following, "SILENCE_TIMEOUT", (SHORT, SHORT) if end is WatchEnd.SILENT else (LONG, LONG))
     figures = Metrics((), (one.value for one in WatchEnd))
     watch = WatchClient(
-        coordinator.address, 4, make_settings(), fail if end is WatchEnd.FAULT else stay, figures.count_watch_end
+        coordinator.address,
+        4,
+        make_settings(),
+        raise_os_error if end is WatchEnd.FAULT else accept_update,
+        figures.count_watch_end,
     )
     watch.start()
     sock, index = coordinator.watch()
     assert index == 4
     ENDS[end](sock)
-    told = lines.next("watch_ended")
+    told = log_events.next("watch_ended")
     assert told["reason"] == end.value and told["index"] == 4 and told["error"] and told["age"] >= 0
     assert ("trace" in told) == (end is WatchEnd.FAULT)
     again, index = coordinator.watch()
-    assert index == 4  # it is asked again, from the same event
+    assert index == 4  # the next watch follows from the same event
     assert f"app.watch_ended.{end.value}:1|c".encode() in figures.statsd_lines()
     assert sum(line.endswith(b":1|c") for line in figures.statsd_lines().splitlines()) == 1
-    assert not lines.rest("watch_ended")
+    assert not log_events.rest("watch_ended")
     again.close()
 
 
-def test_failed_connect_ends_the_watch_as_unreached(lines: Lines) -> None:
+def test_failed_connect_ends_the_watch_as_unreached(log_events: LogRecorder) -> None:
     closed = socket.create_server(("127.0.0.1", 0))
     address = closed.getsockname()
     closed.close()
-    WatchClient(address, 4, make_settings(), stay).start()
-    assert lines.next("watch_ended")["reason"] == "unreached"
+    WatchClient(address, 4, make_settings(), accept_update).start()
+    assert log_events.next("watch_ended")["reason"] == "unreached"
 
 
 def test_coordinator_that_sends_no_complete_line_counts_as_silent(
-    coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
+    coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # seen in the code: each byte began the limit anew, so such a peer held the watch for good
+    # guards against a limit that each byte restarts: such a coordinator held the watch forever
     monkeypatch.setattr(following, "SILENCE_TIMEOUT", (SHORT, SHORT))
-    WatchClient(coordinator.address, 4, make_settings(), stay).start()
+    WatchClient(coordinator.address, 4, make_settings(), accept_update).start()
     sock, _ = coordinator.watch()
-    threading.Thread(target=drip, args=(sock,), daemon=True).start()
-    assert lines.next("watch_ended")["reason"] == "silent"
+    threading.Thread(target=send_blanks, args=(sock,), daemon=True).start()
+    assert log_events.next("watch_ended")["reason"] == "silent"
     assert coordinator.watch()[1] == 4
 
 
-def test_moved_watch_connects_to_the_new_coordinator_at_once(coordinator: Coordinator, lines: Lines) -> None:
+def test_moved_watch_connects_to_the_new_coordinator_at_once(coordinator: Coordinator, log_events: LogRecorder) -> None:
     other = Coordinator()
-    watch = WatchClient(coordinator.address, 4, make_settings(), stay)
+    watch = WatchClient(coordinator.address, 4, make_settings(), accept_update)
     watch.start()
-    kept, _ = coordinator.watch()  # its end, were it dropped here, might be heard before the move
+    kept, _ = coordinator.watch()  # kept open: its end might be noticed before the move
     watch.move_to(other.address)
     assert other.watch()[1] == 4
-    assert lines.next("watch_ended")["reason"] == "moved"
+    assert log_events.next("watch_ended")["reason"] == "moved"
     kept.close()
     other.listener.close()
 
 
 def test_move_does_not_wait_for_the_connect_to_the_old_coordinator(
-    coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
+    coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # seen in the code: the socket was known to a move only once it was connected
+    # guards against a socket that a move can't shut down until it is connected
     monkeypatch.setattr(following, "CONNECT_TIMEOUT", LONG)
-    full = socket.create_server(("127.0.0.1", 0), backlog=0)  # nobody accepts: connects past its queue hang
+    full = socket.create_server(("127.0.0.1", 0), backlog=0)  # nothing is accepted, so connects beyond the backlog hang
     queued = [socket.socket() for _ in range(4)]
     for sock in queued:
         sock.setblocking(False)
         sock.connect_ex(full.getsockname())
-    watch = WatchClient(full.getsockname(), 4, make_settings(), stay)
+    watch = WatchClient(full.getsockname(), 4, make_settings(), accept_update)
     watch.start()
     until = time.monotonic() + LIMIT
     while watch._sock is None:
@@ -219,16 +224,16 @@
     begun = time.monotonic()
     watch.move_to(coordinator.address)
     assert coordinator.watch()[1] == 4 and time.monotonic() - begun < LONG / 2
-    assert lines.next("watch_ended")["reason"] == "moved"
+    assert log_events.next("watch_ended")["reason"] == "moved"
     for sock in [full, *queued]:
         sock.close()
 
 
-# The gateway's side: an update is taken whole or asked for again
+# The daemon: an update is applied completely or requested again
 
 
 def make(folder: Path, address: tuple[str, int], **changes: Any) -> Daemon:
-    """A gateway that knows of s-1 and follows the address."""
+    """Return a daemon with the cached engine s-1 that watches the coordinator at the address."""
     known = changes.pop("known", {"index": 1, "updates": [event(1, member("s-1", "127.0.0.1:1"))]})
     config = {"name": "n0", "listen": "127.0.0.1:0", "seed": "1f", "coordinator": f"{address[0]}:{address[1]}"}
     path = folder / "config.json"
@@ -236,12 +241,12 @@
     return Daemon(load({"LB_CONFIG": str(path)}))
 
 
-def listed(daemon: Daemon) -> dict[int, api.Health]:
+def engine_health(daemon: Daemon) -> dict[int, api.Health]:
     return {entry.engine: entry.health for entry in daemon.engine_list}
 
 
-def reached(daemon: Daemon) -> dict[str, int]:
-    """The engines to which there are connections or may be, and their ports."""
+def engine_ports(daemon: Daemon) -> dict[str, int]:
+    """Return the ports of the engines in the engine pool, by name."""
     return {found.name: found.port for found, _ in daemon._engines._engines.values()}
 
 
@@ -250,17 +255,17 @@
 
 @pytest.mark.parametrize("step", ["connections", "module", "after"])
 def test_update_that_fails_halfway_is_applied_by_the_next_watch(
-    step: str, tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
+    step: str, tmp_path: Path, coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # seen in the code: a module's fault half way through the list was logged, and the update counted as taken
+    # guards against an update that counts as applied although the module failed halfway through the list
     daemon, faults = make(tmp_path, coordinator.address), SimpleQueue[str]()
     faults.put("once")
 
-    def failing(go_on: Callable[..., Any]) -> Callable[..., Any]:
+    def failing(call_original: Callable[..., Any]) -> Callable[..., Any]:
         def call(*args: Any) -> Any:
             if not faults.empty() and faults.get():
                 raise ZeroDivisionError
-            return go_on(*args)
+            return call_original(*args)
 
         return call
 
@@ -274,19 +279,19 @@
     daemon.start()
     sock, index = coordinator.watch()
     update = event(2, member("s-1", "127.0.0.1:1", phase="removed"), member("s-2", "127.0.0.1:1"))
-    tell(sock, update)
-    assert lines.next("watch_ended")["reason"] == "fault" and index == 1
+    send_events(sock, update)
+    assert log_events.next("watch_ended")["reason"] == "fault" and index == 1
     sock, index = coordinator.watch()
-    assert index == 1  # it has not been counted as taken
-    tell(sock, update)
-    lines.taken(2)
-    assert listed(daemon) == {TWO: api.Health.READY} and reached(daemon) == {"s-2": 1}
+    assert index == 1  # the update did not count as applied
+    send_events(sock, update)
+    log_events.wait_for_update(2)
+    assert engine_health(daemon) == {TWO: api.Health.READY} and engine_ports(daemon) == {"s-2": 1}
     module = daemon._decisions.module
     assert isinstance(module, Gateway) and [engine.id for engine in module.ready] == [TWO]
 
 
 def test_repeatedly_failing_update_blocks_neither_its_other_members_nor_later_updates(
-    tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     daemon, take = make(tmp_path, coordinator.address), Gateway._apply_engine_list
 
@@ -304,48 +309,48 @@
     for _ in range(daemon_module.MAX_LIST_FAILURES):
         sock, index = coordinator.watch()
         assert index == 1
-        tell(sock, *events)
-    lines.next("watch_update_in_parts")
-    assert "s-2" in lines.next("engine_unusable")["why"]
-    lines.taken(2)
-    lines.taken(3)
+        send_events(sock, *events)
+    log_events.next("watch_update_in_parts")
+    assert "s-2" in log_events.next("engine_unusable")["why"]
+    log_events.wait_for_update(2)
+    log_events.wait_for_update(3)
     module = daemon._decisions.module
     assert isinstance(module, Gateway) and [engine.id for engine in module.ready] == [THREE]
-    tell(sock, {"index": 3})  # the watch goes on
-    tell(sock, event(4, member("s-1", "127.0.0.1:1")))
-    lines.taken(4)
+    send_events(sock, {"index": 3})  # the watch continues
+    send_events(sock, event(4, member("s-1", "127.0.0.1:1")))
+    log_events.wait_for_update(4)
 
 
 def test_updates_received_together_are_applied_in_order(
-    tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # proved to be no fault: a drain right after a return, and a removal with a start at the same address
-    daemon, heard, take = make(tmp_path, coordinator.address), [], Gateway._apply_engine_list
+    # covers a drain right after a return, and a removal together with a start at the same address
+    daemon, applied, take = make(tmp_path, coordinator.address), [], Gateway._apply_engine_list
 
-    def hear(self: Gateway, told: api.EngineList) -> None:
+    def record(self: Gateway, told: api.EngineList) -> None:
         take(self, told)
-        heard.append([(entry.engine, entry.health) for entry in told.entries])
+        applied.append([(entry.engine, entry.health) for entry in told.entries])
 
-    monkeypatch.setattr(Gateway, "_apply_engine_list", hear)
+    monkeypatch.setattr(Gateway, "_apply_engine_list", record)
     before = daemon._engines._engines[ONE][1]
     daemon.start()
     sock, _ = coordinator.watch()
-    tell(
+    send_events(
         sock,
         event(2, member("s-1", "127.0.0.1:1", phase="removed")),
         event(3, member("s-1", "127.0.0.1:1", up_since_ms=5000)),
         event(4, member("s-1", "127.0.0.1:1", up_since_ms=5000, phase="draining")),
         event(5, member("s-1", "127.0.0.1:1", up_since_ms=5000, phase="removed"), member("s-2", "127.0.0.1:1")),
     )
-    lines.taken(5)
+    log_events.wait_for_update(5)
     gone, ready, drains = api.Health.GONE, api.Health.READY, api.Health.DRAINING
-    assert heard == [[(ONE, gone)], [(ONE, ready)], [(ONE, drains)], [(ONE, gone), (TWO, ready)]]
-    assert reached(daemon) == {"s-2": 1} and daemon._engines._engines[TWO][1] is not before
+    assert applied == [[(ONE, gone)], [(ONE, ready)], [(ONE, drains)], [(ONE, gone), (TWO, ready)]]
+    assert engine_ports(daemon) == {"s-2": 1} and daemon._engines._engines[TWO][1] is not before
     assert before._retired
 
 
-def changed(daemon: Daemon, folder: Path, **changes: Any) -> None:
-    """New settings, as SIGHUP brings them."""
+def reconfigure(daemon: Daemon, folder: Path, **changes: Any) -> None:
+    """Change the settings in the configuration file and reconfigure the daemon, as at SIGHUP."""
     path = folder / "config.json"
     config = json.loads(path.read_text())
     config["settings"] |= changes
@@ -353,7 +358,7 @@
     daemon.reconfigure(load({"LB_CONFIG": str(path)}))
 
 
-MORE = {
+MORE_PLACES = {
     "Zones": ["y", "z"],
     "Kinds": ["l", "k"],
     "FamilyInfo": {"CoresByKind": [4, 8], "RamOfKindMb": [512.0, 1024.0], "WidthByClass": [1, 2]},
@@ -361,37 +366,39 @@
 
 
 def test_new_settings_renumber_the_engine_list_and_parse_later_updates(
-    tmp_path: Path, coordinator: Coordinator, lines: Lines
+    tmp_path: Path, coordinator: Coordinator, log_events: LogRecorder
 ) -> None:
-    # seen in the code: updates were read under the settings of the start, and a new module got the old numbers
+    # guards against updates parsed under the settings of the start, and a new module that gets the old numbers
     daemon = make(tmp_path, coordinator.address)
     daemon.start()
     sock, _ = coordinator.watch()
     other = {"locality": "y", "flavor": "l"}
-    tell(sock, event(2, member("s-2", "127.0.0.1:1", **other)))  # of settings that come only after it
-    assert "locality" in lines.next("engine_unusable")["why"] and set(listed(daemon)) == {ONE}
+    send_events(sock, event(2, member("s-2", "127.0.0.1:1", **other)))  # the settings that name its place come later
+    assert "locality" in log_events.next("engine_unusable")["why"] and set(engine_health(daemon)) == {ONE}
     old = daemon._decisions.settings
-    held = daemon._decisions.register(b"1" * 16, SimpleQueue(), old)  # a request stays open under the old ones
-    changed(daemon, tmp_path, **MORE)
+    held = daemon._decisions.register(b"1" * 16, SimpleQueue(), old)  # a request stays open under the old settings
+    reconfigure(daemon, tmp_path, **MORE_PLACES)
     sock, _ = coordinator.watch()  # SIGHUP renews the watch
     places = {entry.engine: (entry.zone, entry.kind) for entry in daemon.engine_list}
     assert places == {ONE: (1, 1), TWO: (0, 0)} and daemon._decisions.ready_zones == {0, 1}
-    tell(sock, event(3, member("s-1", "127.0.0.1:1", phase="draining"), member("s-3", "127.0.0.1:1", **other)))
-    lines.taken(3)
+    send_events(sock, event(3, member("s-1", "127.0.0.1:1", phase="draining"), member("s-3", "127.0.0.1:1", **other)))
+    log_events.wait_for_update(3)
     modules = [daemon._decisions.module, daemon._decisions._versions.module_at(0)]
     new, older = [module for module in modules if isinstance(module, Gateway)]
     assert {e.id: (e.zone, e.kind) for e in new.ready} == {TWO: (0, 0), THREE: (0, 0)}
     assert set(older.engines) == {ONE} and older.engines[ONE].zone == 0 and not older.ready
-    tell(sock, event(4))
-    assert not {"engine_unusable", "decision_failed"} & set(lines.taken(4))  # it was read under the new settings
+    send_events(sock, event(4))
+    assert not {"engine_unusable", "decision_failed"} & set(
+        log_events.wait_for_update(4)
+    )  # it was parsed under the new settings
     daemon._decisions.unregister(held, b"1" * 16)
     daemon._decisions.forget(held)
 
 
 def test_update_parsed_under_old_settings_is_applied_under_new_ones(
-    tmp_path: Path, coordinator: Coordinator, lines: Lines, monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # forced: the update has been read under the old settings and waits while the new ones come in force
+    # the update is parsed under the old settings, and held back until the new ones are in force
     daemon, reading, change = make(tmp_path, coordinator.address), threading.Event(), threading.Event()
     update = daemon._engines.update
 
@@ -403,28 +410,30 @@
     monkeypatch.setattr(daemon._engines, "update", wait)
     daemon.start()
     sock, _ = coordinator.watch()
-    tell(sock, event(2, member("s-2", "127.0.0.1:1")))
+    send_events(sock, event(2, member("s-2", "127.0.0.1:1")))
     assert reading.wait(LIMIT)
-    changed(daemon, tmp_path, **MORE)
+    reconfigure(daemon, tmp_path, **MORE_PLACES)
     change.set()
-    lines.taken(2)
+    log_events.wait_for_update(2)
     assert {entry.engine: (entry.zone, entry.kind) for entry in daemon.engine_list} == {ONE: (1, 1), TWO: (1, 1)}
 
 
 def test_max_deadline_covers_settings_in_force_and_open_requests(tmp_path: Path) -> None:
-    # seen in the code: a drain took that of the configuration of the start
+    # guards against a drain that uses the longest deadline of the configuration at the start
     daemon = make(tmp_path, ("127.0.0.1", 1))
     grades = [grade | {"DeadlineNs": 1_000_000_000} for grade in SETTINGS["Grades"]]
     assert daemon.max_deadline == 20.0
     held = daemon._decisions.register(b"1" * 16, SimpleQueue(), daemon._decisions.settings)
-    changed(daemon, tmp_path, Grades=grades)
+    reconfigure(daemon, tmp_path, Grades=grades)
     assert daemon.max_deadline == 20.0
     daemon._decisions.unregister(held, b"1" * 16)
     daemon._decisions.forget(held)
     assert daemon.max_deadline == 1.0
 
 
-def test_admin_stats_report_engine_list_age_and_index(tmp_path: Path, coordinator: Coordinator, lines: Lines) -> None:
+def test_admin_stats_report_engine_list_age_and_index(
+    tmp_path: Path, coordinator: Coordinator, log_events: LogRecorder
+) -> None:
     from tealwing.admin.server import AdminServer
 
     daemon = make(tmp_path, coordinator.address)
@@ -432,8 +441,8 @@
     admin.start()
     daemon.start()
     sock, _ = coordinator.watch()
-    tell(sock, event(2, member("s-2", "127.0.0.1:1")))
-    lines.taken(2)
+    send_events(sock, event(2, member("s-2", "127.0.0.1:1")))
+    log_events.wait_for_update(2)
     sock.shutdown(socket.SHUT_WR)
     again, _ = coordinator.watch()
     found = ask(admin.address, GET.replace(b"readiness", b"stats"))
