--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""A wall clock that is stepped, before the start or under way: spans stay spans of real time."""
+"""A wall clock that is wrong or stepped: slow start and ttl remain spans of real time."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 from tests.test_watch import ONE, TWO, make
 
 HOUR, SECONDS = 3600.0, 5.0
-NOTICED = 1.5  # s after its start at which an engine is listed
+DISCOVERY_DELAY = 1.5  # s from an engine's start until it is listed
 STEPS = [HOUR, -HOUR, SECONDS, -SECONDS, 0.0]
 
 
 class Clock:
-    """The machine's wall clock, which may be stepped; engines are dated by the clock of the list."""
+    """The gateway's wall clock, which a test can step; listed start times come from another clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.step, self._real = 0.0, time.time
         monkeypatch.setattr(time, "time", lambda: self._real() + self.step)
 
-    def listed(self, daemon: Daemon, index: int, step: float = 0.0, engine: str = "s-2") -> Engine:
-        """Tell of an engine that has just started, by a clock that is ahead of the true one by the step."""
-        started = round((self._real() + step - NOTICED) * 1e3)
-        tell(daemon, event(index, member(engine, "127.0.0.1:1", up_since_ms=started)))
+    def list_engine(self, daemon: Daemon, index: int, step: float = 0.0, engine: str = "s-2") -> Engine:
+        """List an engine that has just started, by a clock that is ahead of real time by the step."""
+        started = round((self._real() + step - DISCOVERY_DELAY) * 1e3)
+        apply_event(daemon, event(index, member(engine, "127.0.0.1:1", up_since_ms=started)))
         return find(daemon, updates.engine_number(engine))
 
 
-def tell(daemon: Daemon, told: dict[str, Any]) -> None:
-    """An event of the coordinator."""
+def apply_event(daemon: Daemon, told: dict[str, Any]) -> None:
+    """Apply an event of the coordinator."""
     update = updates.parse_line(json.dumps(told).encode(), daemon.platform_settings)
     assert isinstance(update, updates.Update)
     daemon._on_watch_update(update)
@@ -50,15 +50,15 @@
     return module.engines[number]
 
 
-def left_cold(daemon: Daemon, engine: Engine) -> float:
-    """Seconds for which the module still holds the engine to be cold."""
+def slow_start_left(daemon: Daemon, engine: Engine) -> float:
+    """Return the seconds for which the engine is still in slow start."""
     return engine.slow_start_until - (time.monotonic() + daemon._decisions.clock_offset)
 
 
 def is_just_started(daemon: Daemon, engine: Engine) -> bool:
-    """Whether it is taken to have started when it was listed, or the usual moment before that."""
+    """Return whether the engine's start is taken to be its listing, or the discovery delay before that."""
     cold = engine.rules.slow_start_time
-    return cold - 2 * NOTICED <= left_cold(daemon, engine) <= cold + 0.1
+    return cold - 2 * DISCOVERY_DELAY <= slow_start_left(daemon, engine) <= cold + 0.1
 
 
 @pytest.fixture
@@ -68,10 +68,11 @@
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR, -SECONDS, 0.0])
 def test_new_engine_gets_slow_start_despite_a_wrong_wall_clock(step: float, tmp_path: Path, clock: Clock) -> None:
-    # on a machine that is an hour ahead every cold engine looked warm; an hour behind, cold for an hour
+    # guards against trust in the wall clock: an hour ahead, every cold engine looked warm; an hour behind, it stayed
+    # cold for an hour
     clock.step = step
     daemon = make(tmp_path, ("127.0.0.1", 1))
-    assert is_just_started(daemon, clock.listed(daemon, 2))
+    assert is_just_started(daemon, clock.list_engine(daemon, 2))
 
 
 @pytest.mark.parametrize("along", [False, True], ids=["alone", "with the list's"])
@@ -81,7 +82,7 @@
 ) -> None:
     daemon = make(tmp_path, ("127.0.0.1", 1))
     clock.step = step
-    assert is_just_started(daemon, clock.listed(daemon, 2, step if along else 0.0))
+    assert is_just_started(daemon, clock.list_engine(daemon, 2, step if along else 0.0))
 
 
 def test_cached_engine_is_not_in_slow_start_for_an_hour(tmp_path: Path, clock: Clock) -> None:
@@ -89,13 +90,13 @@
     started = round((time.time() + HOUR) * 1e3)
     known = {"index": 1, "updates": [event(1, member("s-1", "127.0.0.1:1", up_since_ms=started))]}
     daemon = make(tmp_path, ("127.0.0.1", 1), known=known)
-    assert left_cold(daemon, find(daemon, ONE)) <= find(daemon, ONE).rules.slow_start_time + 0.1
+    assert slow_start_left(daemon, find(daemon, ONE)) <= find(daemon, ONE).rules.slow_start_time + 0.1
 
 
 def test_engine_restarted_by_a_clock_set_back_gets_slow_start_again(tmp_path: Path, clock: Clock) -> None:
     daemon = make(tmp_path, ("127.0.0.1", 1))
-    first = clock.listed(daemon, 2)
-    second = clock.listed(daemon, 3, -HOUR)
+    first = clock.list_engine(daemon, 2)
+    second = clock.list_engine(daemon, 3, -HOUR)
     assert second is not first and find(daemon, TWO) is second
     assert is_just_started(daemon, second)
 
@@ -103,19 +104,19 @@
 def test_start_time_that_is_listed_again_is_the_same_start(tmp_path: Path, clock: Clock) -> None:
     daemon = make(tmp_path, ("127.0.0.1", 1))
     clock.step = HOUR
-    first = clock.listed(daemon, 2)
+    first = clock.list_engine(daemon, 2)
     started = first.started
     raw = {found.name: found.entry.started for found, _ in daemon._engines._engines.values()}["s-2"]
     again = event(3, member("s-2", "127.0.0.1:1", up_since_ms=round(raw * 1e3), phase="draining"))
-    tell(daemon, again)
+    apply_event(daemon, again)
     assert find(daemon, TWO) is first and first.started == started and not first.ready
 
 
-# What an engine is told of a client's time
+# The ttl that an engine gets with an attempt
 
 
-def told_time(parts: list[bytes]) -> int:
-    """The milliseconds in the fields of an attempt."""
+def ttl_of(parts: list[bytes]) -> int:
+    """Return the ttl in milliseconds from the fields of an attempt."""
     return int(parts[2].split(b"ttl=")[1].split(b",")[0])
 
 
@@ -127,7 +128,7 @@
 
 
 def test_ttl_of_an_attempt_excludes_the_time_its_request_waited_unread(tmp_path: Path, engine: Peer) -> None:
-    # a gateway that gets no processor for a while reads late: the time has run since the last byte came
+    # a gateway that gets no processor time for a while reads late, but the ttl runs from the arrival of the last byte
     asked, held, slack = 2000, 700, 150  # ms
     program = Program(tmp_path, engine.address)
     client = Client(program.address())
@@ -136,12 +137,12 @@
     time.sleep(held / 1e3)
     program.process.send_signal(signal.SIGCONT)
     _, parts = engine.next(b"want")
-    assert told_time(parts) <= asked - held + slack
+    assert ttl_of(parts) <= asked - held + slack
     assert program.end() == ""
 
 
 def test_ttl_of_an_attempt_excludes_the_time_its_request_waited_behind_another(tmp_path: Path, engine: Peer) -> None:
-    # its time runs while the one before it is served: seen in the code, it began anew with its own turn
+    # guards against a ttl that begins only when the request's turn comes: it runs while the one before it is served
     asked, held, slack = 5000, 1000, 150  # ms
     program = Program(tmp_path, engine.address)
     client = Client(program.address())
@@ -151,7 +152,7 @@
     time.sleep(held / 1e3)
     say(sock, parts[1], b"200", b"sheets=1", b"a\tb\tc\n")
     _, parts = engine.next(b"want")
-    assert told_time(parts) <= asked - held + slack
+    assert ttl_of(parts) <= asked - held + slack
     assert program.end() == ""
 
 
@@ -159,6 +160,6 @@
     started = round((time.time() - 60) * 1e3)
     first = member("s-1", "127.0.0.1:1", up_since_ms=started)
     daemon = make(tmp_path, ("127.0.0.1", 1), known={"index": 1, "updates": [event(1, first)]})
-    tell(daemon, event(2, first | {"phase": "removed"}))
-    tell(daemon, event(3, first))
-    assert left_cold(daemon, find(daemon, ONE)) < 0
+    apply_event(daemon, event(2, first | {"phase": "removed"}))
+    apply_event(daemon, event(3, first))
+    assert slow_start_left(daemon, find(daemon, ONE)) < 0
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""Daily operation: the second address, its figures, and two processes on one inherited listening socket."""
+"""Daily operation: the admin address, its metrics, reloads, and two servers on one inherited listening socket."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def ask(address: tuple[str, int], data: bytes) -> bytes:
-    """One call, and all of its answer."""
+    """Send data on a new connection; return the whole response."""
     with socket.create_connection(address, LIMIT) as sock:
         sock.sendall(data)
         got = b""
@@ -84,9 +84,9 @@
 
 def test_silent_callers_do_not_block_a_readiness_call(admin: AdminServer) -> None:
     silent = [socket.create_connection(admin.address, LIMIT) for _ in range(THREADS + 2)]
-    silent[0].sendall(b"GET /ops/rea")  # half a line
+    silent[0].sendall(b"GET /ops/rea")  # an incomplete request line
     assert status(ask(admin.address, GET)) == 200
-    for sock in silent:  # each is closed on its read limit, with a 400
+    for sock in silent:  # each gets a 400 at its read limit
         sock.settimeout(LIMIT)
         assert status(sock.recv(4096)) == 400
         sock.close()
@@ -145,7 +145,7 @@
             try:
                 client = Client(address)
                 client.ask()
-                assert client.read()[0] == 0xFF  # the refusal: the request was heard
+                assert client.read()[0] == 0xFF  # the error of `refuse`: the request was read
                 client.sock.close()
                 answered[0] += 1
             except (OSError, EOFError) as error:
@@ -154,7 +154,7 @@
     threads = [threading.Thread(target=clients, args=(60,)) for _ in range(4)]
     for thread in threads:
         thread.start()
-    old.stop_listening()  # mid-load, as at SIGTERM
+    old.stop_listening()  # under load, as at SIGTERM
     assert old.finish(LIMIT)
     for thread in threads:
         thread.join(LIMIT)
@@ -165,7 +165,7 @@
 
 
 def stats(site: Site, *wanted: str) -> str:
-    """The figures once they hold the wanted lines: a count follows its event, as the page allows, by a little."""
+    """Return the metrics once they hold the wanted lines, or at LIMIT: counters lag a little behind their events."""
     host, port = site.program.started["admin"]
     until = time.monotonic() + LIMIT
     while True:
@@ -180,7 +180,7 @@
     try:
         client = site.client()
         client.ask(op="load", call="00000000000000a1", dedupe="5c0f")
-        sock, parts = site.engine.next(b"want")  # the load is open while its class is dropped
+        sock, parts = site.engine.next(b"want")  # the request of class load is open while the class is dropped
         grades = [GRADE | {"Name": "lookup"}, GRADE | {"Name": "claim", "Effect": "once"}]
         family = SETTINGS["FamilyInfo"] | {"WidthByClass": [1, 1]}
         changed = SETTINGS | {"Grades": grades, "FamilyInfo": family}
@@ -195,11 +195,11 @@
         assert b"lane=claim" in b" ".join(asked)
         say(claim, asked[1], b"200", b"sheets=1", PAGE)
         assert len(other.rows()) == 2
-        say(sock, parts[1], b"200", b"sheets=1", PAGE)  # the old class's request ends by its own rules
+        say(sock, parts[1], b"200", b"sheets=1", PAGE)  # the request of the dropped class ends under its old settings
         assert len(client.rows()) == 2
         site.program.wait_for("settings_retired")
         other.ask(op="load", call="00000000000000c3", dedupe="5c10")
-        assert other.error()[0] == 1210  # unknown from now on
+        assert other.error()[0] == 1210  # the class is unknown from now on
         figures = stats(site, "app.ok.claim:1|c", "app.config_applied:1|c")
         assert "app.ok.claim:1|c" in figures and ".load:" not in figures and "app.config_applied:1|c" in figures
     finally:
@@ -225,7 +225,9 @@
         site.program.reload(text)
         error = site.program.wait_for("configuration_unusable")["error"]
         assert error.split(":")[0] in ("LB_CONFIG", "coordinator", "settings"), error
-        site.program.reload(json.dumps(config))  # the good one again: taken, and no second line of the bad one
+        site.program.reload(
+            json.dumps(config)
+        )  # the good file again: applied, without a second log line for the bad one
         assert site.program.wait_for("reconfigured")
         figures = stats(site, "app.config_rejected:1|c", "app.config_applied:1|c")
         assert "app.config_rejected:1|c" in figures and "app.config_applied:1|c" in figures, figures
@@ -239,7 +241,7 @@
 
 
 class Recorder:
-    """A module that only notes what it is told."""
+    """A module that records its events and does nothing."""
 
     def __init__(self) -> None:
         self.heard: list[object] = []
@@ -250,7 +252,7 @@
 
 
 def test_events_of_a_request_reach_the_module_of_its_settings_until_it_is_forgotten() -> None:
-    # guards the outcome of a send that the end overtook: it came after leave, and went to the new module
+    # guards the outcome of a send that the request's end overtook: reported after unregister, it went to the new module
     old, new = make_settings(), make_settings()
     decisions = Decisions(old, 1, EnginePool(old.limits))
     decisions.submit(listing(entry(7)))
@@ -258,15 +260,15 @@
     decisions.change_module(lambda module, now: recorder)
     number = decisions.register(b"a" * 16, SimpleQueue(), old)
     assert decisions.replace_settings(new) == 1 and decisions.settings is new
-    with pytest.raises(InvalidRequestError):  # read under settings of which no module is left
+    with pytest.raises(InvalidRequestError):  # parsed under settings that have no module
         decisions.register(b"b" * 16, SimpleQueue(), make_settings())
     decisions.unregister(number, b"a" * 16)
     late = api.AttemptOutcome(number, 0, 7, api.AttemptResult.NOT_SENT, 0.0, True)
     decisions.submit(late, api.EngineList(api.EngineListKind.DELTA, 2, (entry(8),)))
     assert recorder.heard[-2:] == [late, api.EngineList(api.EngineListKind.DELTA, 2, (entry(8),))]
-    decisions.forget(number)  # its last request: the old module goes
+    decisions.forget(number)  # the last request of the old module, which is dropped
     decisions.submit(api.EngineList(api.EngineListKind.DELTA, 3, (entry(9),)))
-    assert len(recorder.heard) == 2  # nothing more reaches it
+    assert len(recorder.heard) == 2  # the old module gets no more events
     module = decisions.module
     assert isinstance(module, Gateway) and set(module.engines) == {7, 8, 9}
 
@@ -295,10 +297,10 @@
         sock, words = site.coordinator.next(b"follow")
         assert words[1] == b"1"
         line = json.dumps(event(2, member("s-2", "127.0.0.1:1"))).encode() + b"\n"
-        sock.sendall(line[: len(line) // 2])  # breaks off in the middle of a line, and stalls
+        sock.sendall(line[: len(line) // 2])  # ends in the middle of a line
         sock.shutdown(socket.SHUT_RDWR)
         sock, words = site.coordinator.next(b"follow")
-        assert words[1] == b"1"  # half a line was not taken
+        assert words[1] == b"1"  # half a line is not applied
         sock.sendall(line)
         assert "s-2" in site.program.wait_for("engine_list")["members"]
     finally:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program, spoken to over sockets. Every wait is for an event; no verdict hangs on how long it takes."""
+"""The program over sockets. Tests wait for events only; no result depends on how long something takes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Site:
-    """One gateway, one engine, one coordinator."""
+    """One gateway with one engine and one coordinator."""
 
     def __init__(self, folder: Path, **changes: Any) -> None:
         self.engine, self.coordinator = Peer(), Coordinator()
@@ -43,7 +43,7 @@
 
 
 def serve(site: Site, client: Client) -> None:
-    """One query from its send to its rows."""
+    """Answer the client's query at the engine, and check the rows that the client gets."""
     sock, parts = site.engine.next(b"want")
     say(sock, parts[1], b"200", b"sheets=1", PAGE)
     assert client.rows() == [b"\x01a\x01b\x01c", b"\x01d\x01e\x01f"]
@@ -57,7 +57,7 @@
 
 def reset(sock: socket.socket) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    sock.shutdown(socket.SHUT_RD)  # wakes the reader, which holds the socket too
+    sock.shutdown(socket.SHUT_RD)  # wakes the reader thread, which also holds the socket
     sock.close()
 
 
@@ -76,10 +76,10 @@
     fields = dict(pair.split(b"=") for pair in parts[2].split(b","))
     assert fields[b"lane"] == b"load" and fields[b"dedupe"] == b"5c0f" and 0 < int(fields[b"ttl"]) <= 20000
     say(sock, parts[1], b"status", b"why=frac,val=0.5", b"")
-    for _ in range(2):  # guards a good answer: its second copy must not spoil it
+    for _ in range(2):  # a duplicate answer must not invalidate the first
         say(sock, parts[1], b"200", b"sheets=3,rep=queue:0;inflight:7", PAGE)
     assert [site.engine.next(b"turn")[1][2] for _ in range(2)] == [b"1", b"2"]
-    for text in (b"3\t3\t3\n", b"4\t4\t4\n"):  # in any order; of two the first
+    for text in (b"3\t3\t3\n", b"4\t4\t4\n"):  # pages come in any order; of duplicates the first counts
         say(sock, parts[1], b"chunk", b"sheet=2", text)
     say(sock, parts[1], b"chunk", b"sheet=1", b"2\t2\t2\n")
     assert client.rows()[2:] == [b"\x012\x012\x012", b"\x013\x013\x013"]
@@ -90,7 +90,7 @@
     "trouble", ["reset", "malformed", "stalled", "page", "lost page", "500", "odd rows", "too large"]
 )
 def test_failed_attempt_is_followed_by_another(site: Site, trouble: str) -> None:
-    # guards the honest mapping: each of these may have run, and ends at most its own connection
+    # each of these attempts may have run at the engine; a failure ends at most the connection it occurred on
     client = site.client()
     client.ask()
     sock, parts = site.engine.next(b"want")
@@ -98,7 +98,7 @@
         reset(sock)
     elif trouble == "malformed":
         sock.sendall(b"$hello\r\n")
-    elif trouble == "stalled":  # guards the other requests there: all of them waited for the rest
+    elif trouble == "stalled":  # guards against blocking other requests of the connection behind an incomplete message
         sock.sendall(messages.encode(parts[1], b"200", b"sheets=1", PAGE)[:-9])
         assert not sock.recv(1)
     elif trouble == "lost page":
@@ -109,8 +109,8 @@
         say(sock, parts[1], b"500", b"-", b"")
     elif trouble == "odd rows":
         say(sock, parts[1], b"200", b"sheets=1", b"only one column\n")
-        assert not sock.recv(1)  # nothing more on this connection is to be trusted
-    elif trouble == "too large":  # guards the memory, which all clients' results must fit at once
+        assert not sock.recv(1)  # further data on this connection can't be trusted
+    elif trouble == "too large":  # guards memory, which must hold the results of all clients at once
         say(sock, parts[1], b"200", b"sheets=6", PAGE * 1200)
         for sheet in range(1, 6):
             site.engine.next(b"turn")
@@ -124,7 +124,7 @@
 
 
 def test_request_with_the_id_of_an_open_one_is_rejected(site: Site) -> None:
-    # guards an open request: engines tell them apart by id, and would answer one with the other's rows
+    # guards an open request: engines tell requests apart by id, and would answer one with the other's rows
     client, other = site.client(), site.client()
     client.ask()
     sock, parts = site.engine.next(b"want")
@@ -132,7 +132,7 @@
     assert other.error()[0] == 1210
     say(sock, parts[1], b"200", b"sheets=1", PAGE)
     assert len(client.rows()) == 2
-    other.ask()  # it is free again
+    other.ask()  # the id is free again
     serve(site, other)
 
 
@@ -157,7 +157,7 @@
 
 
 def test_all_threads_share_one_heap(site: Site) -> None:
-    # guards the memory: of 64 MB that the C library reserves for each thread, what one left served no other
+    # guards memory: the C library reserves a heap of 64 MB per thread, and other threads can't use its free parts
     for _ in range(5):
         serve_one(site)
     sizes = []
@@ -176,7 +176,7 @@
     assert site.engine.next(b"never_mind")[1][1] == parts[1]
     assert client.error()[0] == 1317
     say(sock, parts[1], b"200", b"sheets=1", b"late\tlate\tlate\n")
-    client.ask()  # the same id: the late answer must not be taken for this one's
+    client.ask()  # the same id: the late answer must not count for this request
     again, _ = site.engine.next(b"want")
     assert again.getpeername() != sock.getpeername()
     say(again, parts[1], b"200", b"sheets=1", PAGE)
@@ -202,7 +202,7 @@
         assert client.error()[0] == code
     client.send(0x03, b"SELECT 1")
     assert client.error()[0] == 1210
-    client.sock.sendall(b"\xff\xff\xff\0")  # 16 MB to come
+    client.sock.sendall(b"\xff\xff\xff\0")  # announces a packet of 16 MB
     assert client.error()[0] == 1153
     with pytest.raises(EOFError):
         client.read()
@@ -216,7 +216,7 @@
     sock, parts = site.engine.next(b"want")
     site.program.terminate()
     site.program.wait_for("draining")
-    late = site.client()  # clients still come for a while
+    late = site.client()  # clients may still connect for a while
     late.send(0x0E)
     assert late.read() == packets.ok()
     say(sock, parts[1], b"200", b"sheets=1", PAGE)
@@ -246,7 +246,7 @@
     sock, words = site.coordinator.next(b"follow")
     assert words[1] == b"2"
     sock.sendall(line)  # a repeat is dropped
-    client = site.client()  # guards a changed address: the old one's connection must not serve
+    client = site.client()  # guards a changed address: the connection to the old one must not be used
     client.ask()
     answering, parts = second.next(b"want")
     say(answering, parts[1], b"200", b"sheets=1", PAGE)
@@ -254,7 +254,7 @@
 
 
 def test_sighup_moves_to_the_new_coordinator_during_an_open_request(site: Site) -> None:
-    # guards against the end that SIGHUP is by default, and against news missed or open requests disturbed
+    # guards against the default action of SIGHUP, missed updates and disturbed open requests
     old, _ = site.coordinator.next(b"follow")
     client = site.client()
     client.ask()
@@ -262,10 +262,10 @@
     site.program.reload("{not JSON")
     assert "not JSON" in site.program.wait_for("configuration_unusable")["error"]
     old.sendall(json.dumps(event(2, member("s-2", "127.0.0.1:1", phase="draining"))).encode() + b"\n")
-    site.program.wait_for("engine_list")  # the old configuration stays
+    site.program.wait_for("engine_list")  # the old configuration stays in force
     new = Coordinator()
     site.program.reload(json.dumps(site.program.config | {"coordinator": new.address}))
-    assert new.next(b"follow")[1][1] == b"2"  # the numbers go on
+    assert new.next(b"follow")[1][1] == b"2"  # event numbers continue
     say(sock, parts[1], b"200", b"sheets=1", PAGE)
     assert len(client.rows()) == 2
     new.listener.close()
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at their earliest and in series, on the program's own process as its deploy file starts it."""
+"""Signals during the start and in series, on a process that is started as in the deploy file."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.peers import LIMIT, Client, Coordinator, Peer, Program, answer_next, say
 from tests.test_program import PAGE
 
-MOMENTS = (0.005, 0.02, 0.05)  # s after the program's start: the interpreter, and the imports
-SERIES = 20
+MOMENTS = (0.005, 0.02, 0.05)  # s after the program's start, while the interpreter starts and modules are imported
+SERIES = 20  # signals
 
 
 @pytest.fixture
@@ -26,12 +26,12 @@
 
 
 def is_running_the_program(process: subprocess.Popen[str]) -> bool:
-    """Whether the shell round the program has given its process to it."""
+    """Return whether the shell that starts the program has replaced itself by it."""
     return b"tealwing" in Path(f"/proc/{process.pid}/cmdline").read_bytes().split(b"\0")
 
 
 def started(folder: Path, engine: Peer) -> Program:
-    """The program as soon as the shell has started it."""
+    """Start the program; return as soon as the shell has executed it."""
     program = Program(folder, engine.address)
     until = time.monotonic() + LIMIT
     while not is_running_the_program(program.process):
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("moment", MOMENTS)
 def test_sighup_during_the_start_does_not_end_the_program(tmp_path: Path, engine: Peer, moment: float) -> None:
-    # a new configuration may come at any time, also right after a restart; a gateway that exits has crashed
+    # a new configuration may come right after a restart; a gateway that exits at SIGHUP counts as crashed
     program = started(tmp_path, engine)
     time.sleep(moment)
     program.process.send_signal(signal.SIGHUP)
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("moment", MOMENTS)
 def test_configuration_that_changes_during_the_start_is_applied(tmp_path: Path, engine: Peer, moment: float) -> None:
-    # the other side: a signal that is ignored for good would leave the gateway with the file of before
+    # guards against a SIGHUP that is lost during the start, which would leave the old configuration in force
     old, new = Coordinator(), Coordinator()
     program = Program(tmp_path, engine.address, old.address)
     time.sleep(moment)
@@ -74,7 +74,7 @@
     client = Client(address)
     client.ask()
     sock, parts = engine.next(b"want")
-    for number in range(SERIES):  # amid the drain too: none of them ends it early, or ends the process
+    for number in range(SERIES):  # also during the drain: none of them cuts it short or ends the process
         program.process.send_signal(signal.SIGTERM if number % 2 else signal.SIGHUP)
     program.wait_for("draining")
     program.process.send_signal(signal.SIGHUP)
@@ -85,8 +85,8 @@
 
 
 def test_sigstop_while_a_bad_file_is_read_again_does_not_end_the_program(tmp_path: Path, engine: Peer) -> None:
-    # seen in a soak: signal.sigtimedwait that is interrupted past its time gives a signal that never came (CPython
-    # 3.11), which was taken for SIGTERM: the gateway drained and ended by itself
+    # guards against signal.sigtimedwait, which returns a signal that was never sent if it is interrupted after its
+    # timeout (CPython 3.11): that counted as SIGTERM, and the gateway drained and ended by itself
     program = Program(tmp_path, engine.address)
     address = program.address()
     for _ in range(4):
@@ -96,7 +96,7 @@
         time.sleep(0.4)  # longer than the wait for the next reading
         program.process.send_signal(signal.SIGCONT)
         time.sleep(0.1)
-    time.sleep(1.0)  # a drain would have ended it, or refuse clients
+    time.sleep(1.0)  # after a drain the process would have ended or rejected clients
     client = Client(address)
     client.ask()
     answer_next(engine, PAGE)
