--- a/tealwing/admin/server.py
+++ b/tealwing/admin/server.py
@@ -30,9 +30,7 @@
         self._ready, self._stats, self._reason = ready, stats, reason
         self._listener = socket.create_server(address, backlog=BACKLOG)
         self._stopping = threading.Event()
-        self._bad_requests = (
-            0  # logged when it reaches a power of two, so that a flood of bad requests writes few lines
-        )
+        self._bad_requests = 0  # logged at powers of two, so that a flood of bad requests writes few lines
 
     @property
     def address(self) -> Address:
--- a/tealwing/coordinator/watch.py
+++ b/tealwing/coordinator/watch.py
@@ -21,10 +21,7 @@
 
 CONNECT_TIMEOUT = 1.0  # s
 # s without a complete line until a watch ends; random, as all gateways lose a coordinator at the same time
-SILENCE_TIMEOUT = (
-    1.4,
-    1.8,
-)
+SILENCE_TIMEOUT = (1.4, 1.8)
 RETRY_INTERVAL = (0.1, 1.5)  # s between connects, min and max; events must be known 2 s after a lost connection
 
 
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -39,9 +39,7 @@
     from tealwing.routing.table import Table
 
 
-MAX_LIST_FAILURES = (
-    3  # failures of one watch update, some tenths of a second apart, before it is applied member by member
-)
+MAX_LIST_FAILURES = 3  # of one watch update, some tenths of a second apart; it is then applied member by member
 
 
 class EngineListError(RuntimeError):
@@ -62,9 +60,8 @@
         self._host_load: HostLoadMonitor | None = None  # if service levels are on
         self._levels_file: Plan | None = None  # from the operators' file; the levels of the rules take precedence
         self._levels_rules: Plan | None = None
-        self._allowed: Callable[..., frozenset[int] | None] = lambda *_: (
-            None
-        )  # looks up the routing table, if there is one
+        # looks up a request's zones in the routing table, once a table is in force
+        self._allowed_zones: Callable[..., frozenset[int] | None] = lambda *_: None
         self._changing = threading.RLock()  # serializes changes of settings and levels
         self._engines = EnginePool(config.settings.limits, config.descriptors.engines)
         self._decisions = Decisions(config.settings, config.seed, self._engines)
@@ -73,10 +70,7 @@
         self._start_times = StartTimes()
         self._reads_cached_list = True  # while the configuration's cached events are applied
         # index of the last watch update that could not be applied completely, and its number of failures
-        self._list_failures = (
-            0,
-            0,
-        )
+        self._list_failures = (0, 0)
         self._watch = WatchClient(
             config.coordinator, config.index, config.settings, self._on_watch_update, self.metrics.count_watch_end
         )
@@ -100,7 +94,7 @@
         if force.number and settings is not None and settings is not force.settings:
             raise SettingsChangedError(force.settings)
         if force.table is not None:
-            zones = self._allowed(force.table, query.tables, force.settings.zones, self._decisions.ready_zones)
+            zones = self._allowed_zones(force.table, query.tables, force.settings.zones, self._decisions.ready_zones)
         settings = settings or force.settings
         return RequestHandler(query, settings, self._decisions, self._engines, self._host_load, self.metrics, zones)
 
@@ -169,7 +163,7 @@
             if table is not None:
                 from tealwing.routing.serving import serving_zones  # imported only with a table
 
-                self._allowed = serving_zones
+                self._allowed_zones = serving_zones
             self._levels_rules = levels
             renewed = settings is not self._settings
             wrap = None if plan is None else service_levels.level_wrapper(settings, plan, self._on_level_change)
@@ -222,10 +216,7 @@
         """Apply a valid version of the replicated settings, from disk or newly committed."""
         try:
             settings = wire.parse_settings(text)
-        except (
-            ValueError,
-            wire.WireError,
-        ) as error:  # checked by its proposer, which may have run another version of the program
+        except (ValueError, wire.WireError) as error:  # checked by its proposer, perhaps in another version
             log.event("fleet_settings_unusable", version=version, error=str(error))
             return
         with self._changing:
--- a/tealwing/gateway/request_handler.py
+++ b/tealwing/gateway/request_handler.py
@@ -199,9 +199,8 @@
 
     def _send(self, attempt: Attempt, priority: int) -> api.AttemptResult | None:
         """Send the attempt to its engine; return how that failed, or None."""
-        if (self._read_ahead or not self._mailbox.empty()) and self._is_withdrawn(
-            attempt
-        ):  # checked first, because a connect may take long
+        # checked first, because a connect may take long
+        if (self._read_ahead or not self._mailbox.empty()) and self._is_withdrawn(attempt):
             return api.AttemptResult.NOT_SENT
         if (gap := self._next_send_at - time.monotonic()) > 0:  # sleep(0) would yield the interpreter
             time.sleep(gap)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -37,9 +37,9 @@
         return find(daemon, updates.engine_number(engine))
 
 
-def apply_event(daemon: Daemon, told: dict[str, Any]) -> None:
+def apply_event(daemon: Daemon, data: dict[str, Any]) -> None:
     """Apply an event of the coordinator."""
-    update = updates.parse_line(json.dumps(told).encode(), daemon.platform_settings)
+    update = updates.parse_line(json.dumps(data).encode(), daemon.platform_settings)
     assert isinstance(update, updates.Update)
     daemon._on_watch_update(update)
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -199,13 +199,13 @@
 
 
 def test_old_version_is_dropped_with_its_last_open_request(daemon: Daemon) -> None:
-    old, told, module = daemon.platform_settings, list[api.Settings](), daemon._decisions.module
-    daemon.on_settings = told.append
+    old, applied, module = daemon.platform_settings, list[api.Settings](), daemon._decisions.module
+    daemon.on_settings = applied.append
     classes = tuple(dataclasses.replace(cls, latency_objective=cls.latency_objective / 2) for cls in old.classes)
     new = dataclasses.replace(old, classes=classes)
     life = daemon.open(query(1), old)
     daemon.put_in_force(new, Table.of([Route(0, 9, ("y",))]), None, 1)
-    assert told == [new] and daemon._decisions.module is not module
+    assert applied == [new] and daemon._decisions.module is not module
     with pytest.raises(SettingsChangedError) as caught:  # never settings of one version with the table of another
         daemon.open(query(2), old)
     assert caught.value.settings is new
@@ -215,14 +215,14 @@
     life.run()
     assert versions.module_at(0) is None and not versions._older
     daemon.put_in_force(new, None, None, 2)
-    assert daemon._decisions.settings is new and len(told) == 1
+    assert daemon._decisions.settings is new and len(applied) == 1
 
 
 def test_reload_does_not_override_a_version_that_the_fleet_agreed_on(
     daemon: Daemon, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    told: list[tuple[str, dict[str, Any]]] = []
-    monkeypatch.setattr(log, "event", lambda name, **fields: told.append((name, fields)))
+    logged: list[tuple[str, dict[str, Any]]] = []
+    monkeypatch.setattr(log, "event", lambda name, **fields: logged.append((name, fields)))
     few = server.Server(("127.0.0.1", 0), 2, daemon.platform_settings, daemon.open)
     daemon.on_settings = lambda settings: setattr(few, "settings", settings)
     path = Path(os.environ["LB_CONFIG"])
@@ -233,9 +233,9 @@
     given["settings"]["Grades"] = [shorter, *SETTINGS["Grades"][1:]]
     path.write_text(json.dumps(given | {"coordinator": "127.0.0.1:2"}))
     for _ in range(2):
-        told.clear()
+        logged.clear()
         assert not service.reload(daemon, few, None)
-        ((name, fields),) = told
+        ((name, fields),) = logged
         assert name == "config_rejected" and "version 4" in fields["why"] and "propose" in fields["remedy"]
     assert few.settings is daemon._decisions.settings and few.settings.classes[0].latency_objective == 1.0
     assert daemon._watch._address == ("127.0.0.1", 2)  # the coordinator is applied nevertheless
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -42,63 +42,63 @@
 
 def test_watch_applies_each_event_once_and_in_order() -> None:
     # guards the engine list: a repeated event must not undo later updates, and missing events must be requested
-    told: list[int] = []
-    follower = WatchClient(("127.0.0.1", 1), 4, make_settings(), lambda update: told.append(update.index))
+    applied: list[int] = []
+    watch = WatchClient(("127.0.0.1", 1), 4, make_settings(), lambda update: applied.append(update.index))
     for index in (4, 5, 5, 6):
-        follower.apply(updates.Update(index, index, False, ()))
-    follower.apply(6)  # the number of the last event alone
+        watch.apply(updates.Update(index, index, False, ()))
+    watch.apply(6)  # the number of the last event alone
     try:
-        follower.apply(updates.Update(8, 8, False, ()))
+        watch.apply(updates.Update(8, 8, False, ()))
         raise AssertionError("an update after a gap was applied")
     except updates.UpdateError:
-        assert told == [5, 6] and follower.index == 6
+        assert applied == [5, 6] and watch.index == 6
 
 
 def test_last_event_number_ahead_of_the_applied_one_is_a_gap() -> None:
     # guards against a missed drain: after SIGHUP it went unnoticed for 5 s, and five requests went to that engine
-    follower = WatchClient(("127.0.0.1", 1), 4, make_settings(), lambda update: None)
+    watch = WatchClient(("127.0.0.1", 1), 4, make_settings(), lambda update: None)
     with pytest.raises(updates.UpdateError):
-        follower.apply(5)
+        watch.apply(5)
 
 
 def test_failed_update_is_requested_again() -> None:
     # guards the watch thread: an internal error ended it, and with it all updates
     listener = socket.create_server(("127.0.0.1", 0))
     listener.settimeout(LIMIT)
-    heard: queue.SimpleQueue[int] = queue.SimpleQueue()
+    received: queue.SimpleQueue[int] = queue.SimpleQueue()
 
-    def tell(update: updates.Update) -> None:
-        heard.put(update.index)
-        if heard.qsize() == 1:
+    def fail_once(update: updates.Update) -> None:
+        received.put(update.index)
+        if received.qsize() == 1:
             raise ZeroDivisionError
 
-    WatchClient(listener.getsockname(), 4, make_settings(), tell).start()
+    WatchClient(listener.getsockname(), 4, make_settings(), fail_once).start()
     for _ in range(2):
         sock, _ = listener.accept()
         with sock:
             assert sock.recv(64) == b"follow 4\n"
             sock.sendall(b'{"index":5,"endpoints":{"revision":5,"complete":false,"members":[]}}\n')
             sock.recv(64)
-    assert [heard.get(timeout=LIMIT) for _ in range(2)] == [5, 5]
+    assert [received.get(timeout=LIMIT) for _ in range(2)] == [5, 5]
 
 
 def test_busy_connection_does_not_count_as_stalled(monkeypatch: pytest.MonkeyPatch) -> None:
     # guards against taking a series of messages for one late message, if each read ends within a message
     monkeypatch.setattr(connections, "MESSAGE_TIMEOUT", 1.0)
     ours, theirs = socket.socketpair()
-    heard: queue.SimpleQueue[object] = queue.SimpleQueue()
+    received: queue.SimpleQueue[object] = queue.SimpleQueue()
     connection = connections.Connection(ours, lambda _: None)
     ConnectionReader().watch(connection)
-    connection.submit(connections.Stream(connection, b"1", heard.put), lambda: b"-", b"SELECT 1")
+    connection.submit(connections.Stream(connection, b"1", received.put), lambda: b"-", b"SELECT 1")
     note = messages.encode(b"1", b"status", b"-", b"")
     theirs.sendall(note + note[:9])
     for _ in range(5):
-        assert isinstance(heard.get(timeout=LIMIT), connections.Answer)
+        assert isinstance(received.get(timeout=LIMIT), connections.Answer)
         time.sleep(0.3)  # in sum longer than the limit, while each message is well within it
         theirs.sendall(note[9:] + note[:9])
     theirs.close()
-    assert isinstance(heard.get(timeout=LIMIT), connections.Answer)
-    assert isinstance(heard.get(timeout=LIMIT), connections.StreamLost)
+    assert isinstance(received.get(timeout=LIMIT), connections.Answer)
+    assert isinstance(received.get(timeout=LIMIT), connections.StreamLost)
 
 
 def test_one_unusable_member_does_not_hide_the_others() -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -225,9 +225,7 @@
         site.program.reload(text)
         error = site.program.wait_for("configuration_unusable")["error"]
         assert error.split(":")[0] in ("LB_CONFIG", "coordinator", "settings"), error
-        site.program.reload(
-            json.dumps(config)
-        )  # the good file again: applied, without a second log line for the bad one
+        site.program.reload(json.dumps(config))  # applied, without a second log line for the bad file
         assert site.program.wait_for("reconfigured")
         figures = stats(site, "app.config_rejected:1|c", "app.config_applied:1|c")
         assert "app.config_rejected:1|c" in figures and "app.config_applied:1|c" in figures, figures
@@ -244,10 +242,10 @@
     """A module that records its events and does nothing."""
 
     def __init__(self) -> None:
-        self.heard: list[object] = []
+        self.events: list[object] = []
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        self.heard.append(event)
+        self.events.append(event)
         return []
 
 
@@ -265,10 +263,10 @@
     decisions.unregister(number, b"a" * 16)
     late = api.AttemptOutcome(number, 0, 7, api.AttemptResult.NOT_SENT, 0.0, True)
     decisions.submit(late, api.EngineList(api.EngineListKind.DELTA, 2, (entry(8),)))
-    assert recorder.heard[-2:] == [late, api.EngineList(api.EngineListKind.DELTA, 2, (entry(8),))]
+    assert recorder.events[-2:] == [late, api.EngineList(api.EngineListKind.DELTA, 2, (entry(8),))]
     decisions.forget(number)  # the last request of the old module, which is dropped
     decisions.submit(api.EngineList(api.EngineListKind.DELTA, 3, (entry(9),)))
-    assert len(recorder.heard) == 2  # the old module gets no more events
+    assert len(recorder.events) == 2  # the old module gets no more events
     module = decisions.module
     assert isinstance(module, Gateway) and set(module.engines) == {7, 8, 9}
 
--- a/tests/test_time_kept.py
+++ b/tests/test_time_kept.py
@@ -29,7 +29,7 @@
         client.rows()
         client.ask(call="00000000000000a1", ttl=ttl)
         _, parts = engine.next(b"want")
-        told = int(parts[2].split(b"ttl=")[1].split(b",")[0])
-        assert ttl - (MAX_RESERVED + TRANSIT) * 1e3 <= told <= ttl
+        sent_ttl = int(parts[2].split(b"ttl=")[1].split(b",")[0])
+        assert ttl - (MAX_RESERVED + TRANSIT) * 1e3 <= sent_ttl <= ttl
     finally:
         program.end()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -23,7 +23,7 @@
 from tealwing.admin.metrics import Metrics
 from tealwing.config import load
 from tealwing.coordinator import updates
-from tealwing.coordinator import watch as following
+from tealwing.coordinator import watch as watch_module
 from tealwing.coordinator.watch import WatchClient, WatchEnd
 from tealwing.gateway import daemon as daemon_module
 from tealwing.gateway.daemon import Daemon
@@ -149,7 +149,7 @@
     end: WatchEnd, coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # guards against unreported ends: an end of the stream left no log line, and no metric counted the ends of watches
-    monkeypatch.setattr(following, "SILENCE_TIMEOUT", (SHORT, SHORT) if end is WatchEnd.SILENT else (LONG, LONG))
+    monkeypatch.setattr(watch_module, "SILENCE_TIMEOUT", (SHORT, SHORT) if end is WatchEnd.SILENT else (LONG, LONG))
     figures = Metrics((), (one.value for one in WatchEnd))
     watch = WatchClient(
         coordinator.address,
@@ -162,9 +162,9 @@
     sock, index = coordinator.watch()
     assert index == 4
     ENDS[end](sock)
-    told = log_events.next("watch_ended")
-    assert told["reason"] == end.value and told["index"] == 4 and told["error"] and told["age"] >= 0
-    assert ("trace" in told) == (end is WatchEnd.FAULT)
+    ended = log_events.next("watch_ended")
+    assert ended["reason"] == end.value and ended["index"] == 4 and ended["error"] and ended["age"] >= 0
+    assert ("trace" in ended) == (end is WatchEnd.FAULT)
     again, index = coordinator.watch()
     assert index == 4  # the next watch follows from the same event
     assert f"app.watch_ended.{end.value}:1|c".encode() in figures.statsd_lines()
@@ -185,7 +185,7 @@
     coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # guards against a limit that each byte restarts: such a coordinator held the watch forever
-    monkeypatch.setattr(following, "SILENCE_TIMEOUT", (SHORT, SHORT))
+    monkeypatch.setattr(watch_module, "SILENCE_TIMEOUT", (SHORT, SHORT))
     WatchClient(coordinator.address, 4, make_settings(), accept_update).start()
     sock, _ = coordinator.watch()
     threading.Thread(target=send_blanks, args=(sock,), daemon=True).start()
@@ -209,7 +209,7 @@
     coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # guards against a socket that a move can't shut down until it is connected
-    monkeypatch.setattr(following, "CONNECT_TIMEOUT", LONG)
+    monkeypatch.setattr(watch_module, "CONNECT_TIMEOUT", LONG)
     full = socket.create_server(("127.0.0.1", 0), backlog=0)  # nothing is accepted, so connects beyond the backlog hang
     queued = [socket.socket() for _ in range(4)]
     for sock in queued:
@@ -295,10 +295,10 @@
 ) -> None:
     daemon, take = make(tmp_path, coordinator.address), Gateway._apply_engine_list
 
-    def failing(self: Gateway, told: api.EngineList) -> None:
-        if any(entry.engine == TWO for entry in told.entries):
+    def failing(self: Gateway, engine_list: api.EngineList) -> None:
+        if any(entry.engine == TWO for entry in engine_list.entries):
             raise ZeroDivisionError
-        take(self, told)
+        take(self, engine_list)
 
     monkeypatch.setattr(Gateway, "_apply_engine_list", failing)
     daemon.start()
@@ -327,9 +327,9 @@
     # covers a drain right after a return, and a removal together with a start at the same address
     daemon, applied, take = make(tmp_path, coordinator.address), [], Gateway._apply_engine_list
 
-    def record(self: Gateway, told: api.EngineList) -> None:
-        take(self, told)
-        applied.append([(entry.engine, entry.health) for entry in told.entries])
+    def record(self: Gateway, engine_list: api.EngineList) -> None:
+        take(self, engine_list)
+        applied.append([(entry.engine, entry.health) for entry in engine_list.entries])
 
     monkeypatch.setattr(Gateway, "_apply_engine_list", record)
     before = daemon._engines._engines[ONE][1]
@@ -388,9 +388,8 @@
     assert {e.id: (e.zone, e.kind) for e in new.ready} == {TWO: (0, 0), THREE: (0, 0)}
     assert set(older.engines) == {ONE} and older.engines[ONE].zone == 0 and not older.ready
     send_events(sock, event(4))
-    assert not {"engine_unusable", "decision_failed"} & set(
-        log_events.wait_for_update(4)
-    )  # it was parsed under the new settings
+    # the update was parsed under the new settings
+    assert not {"engine_unusable", "decision_failed"} & set(log_events.wait_for_update(4))
     daemon._decisions.unregister(held, b"1" * 16)
     daemon._decisions.forget(held)
 
@@ -454,8 +453,8 @@
 
 def test_settings_without_a_zone_leave_its_members_unplaced() -> None:
     settings = make_settings()
-    told = event(2, member("s-1", "127.0.0.1:1", locality="a", flavor="big"), member("s-2", "127.0.0.1:1"))
-    data = json.loads(json.dumps(told))
+    update = event(2, member("s-1", "127.0.0.1:1", locality="a", flavor="big"), member("s-2", "127.0.0.1:1"))
+    data = json.loads(json.dumps(update))
     found = updates.parse_update(data, settings)
     assert [one.name for one in found.members] == ["s-1"] and [one.name for one in found.unplaced] == ["s-2"]
     other = dataclasses.replace(settings, zones=("z",), machine_kinds=(api.MachineKind("k", 8, 1024.0),))
