--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -28,27 +28,27 @@
 from tests.peers import LIMIT, SETTINGS, Client, event, member
 
 
-class Loads:
+class LoadChange:
     """A change of the rules that affects the class load and the group of tables 7."""
 
     def includes(self, cls: str, tenant: str, group: int) -> bool:
         return cls == "load" or group == 7
 
 
-def later() -> float:
+def deadline() -> float:
     return time.monotonic() + LIMIT
 
 
-def aside(call: Callable[[], Any]) -> SimpleQueue[Any]:
+def call_in_thread(call: Callable[[], Any]) -> SimpleQueue[Any]:
     """Run a call on a thread of its own; return a queue that gets its result."""
     found: SimpleQueue[Any] = SimpleQueue()
     threading.Thread(target=lambda: found.put(call()), daemon=True).start()
     return found
 
 
-def waiting(gate: Gate, count: int) -> None:
+def wait_until_held(gate: Gate, count: int) -> None:
     """Wait until that many requests wait at the gate."""
-    until = later()
+    until = deadline()
     while gate.metrics().waiting != count:
         assert time.monotonic() < until
         time.sleep(0.005)
@@ -66,13 +66,15 @@
 
 def test_open_gate_admits_without_taking_its_lock(gate: Gate) -> None:
     with gate._changed:
-        assert aside(lambda: gate.admit("look", "", 1, 0.0)).get(timeout=LIMIT) == Admitted(False)
+        assert call_in_thread(lambda: gate.admit("look", "", 1, 0.0)).get(timeout=LIMIT) == Admitted(False)
 
 
 def test_closed_gate_holds_only_affected_requests_and_has_them_parsed_again(gate: Gate) -> None:
-    gate.close(Loads())
-    held = [aside(partial(gate.admit, cls, "", group, later())) for cls, group in (("load", 1), ("look", 7))]
-    waiting(gate, 2)
+    gate.close(LoadChange())
+    held = [
+        call_in_thread(partial(gate.admit, cls, "", group, deadline())) for cls, group in (("load", 1), ("look", 7))
+    ]
+    wait_until_held(gate, 2)
     assert gate.admit("look", "", 6, 0.0) == Admitted(False)
     gate.open()
     assert [one.get(timeout=LIMIT) for one in held] == [Admitted(True)] * 2
@@ -81,20 +83,20 @@
 
 
 def test_unparseable_request_waits_for_any_change(gate: Gate) -> None:
-    gate.close(Loads())
-    held = aside(lambda: gate.admit(None, "", 0, later()))
-    waiting(gate, 1)
+    gate.close(LoadChange())
+    held = call_in_thread(lambda: gate.admit(None, "", 0, deadline()))
+    wait_until_held(gate, 1)
     gate.open()
     assert held.get(timeout=LIMIT) == Admitted(True)
 
 
 def test_held_requests_are_bounded_in_time_and_number(gate: Gate) -> None:
-    gate.close(Loads())
+    gate.close(LoadChange())
     late = gate.admit("load", "", 1, time.monotonic() + 0.01)
     assert isinstance(late, Deferred) and 0.2 <= late.retry_after <= 0.4
-    held = [aside(lambda: gate.admit("load", "", 1, later())) for _ in range(2)]
-    waiting(gate, 2)
-    more = gate.admit("load", "", 1, later())
+    held = [call_in_thread(lambda: gate.admit("load", "", 1, deadline())) for _ in range(2)]
+    wait_until_held(gate, 2)
+    more = gate.admit("load", "", 1, deadline())
     assert isinstance(more, Deferred) and "too many" in more.reason
     gate.shut("it ends", 1.0)  # releases the waiting requests
     ended = [one.get(timeout=LIMIT) for one in held]
@@ -111,9 +113,9 @@
     assert gate.admit("look", "", 1, 0.0) == Admitted(False) and not gate.denial_reason
     now[0] = 12.0
     assert isinstance(gate.admit("look", "", 1, 0.0), Deferred) and "permit" in gate.denial_reason
-    gate.close(Loads())
-    held = aside(lambda: gate.admit("load", "", 1, later()))
-    waiting(gate, 1)
+    gate.close(LoadChange())
+    held = call_in_thread(lambda: gate.admit("load", "", 1, deadline()))
+    wait_until_held(gate, 1)
     gate.open()  # a request that waited beyond the permit's expiry must not be admitted
     assert isinstance(held.get(timeout=LIMIT), Deferred)
     gate.permit(inf)
@@ -123,17 +125,17 @@
 # Zones in the decision module
 
 
-def asked(gateway: Gateway, id_: int, zones: frozenset[int] | None, now: float = 1.0) -> list[api.Action]:
+def handle_request(gateway: Gateway, id_: int, zones: frozenset[int] | None, now: float = 1.0) -> list[api.Action]:
     return gateway.handle(now, api.Request(id_, 0, 20.0, zones=zones))
 
 
 def test_attempts_stay_within_the_zones_of_their_request() -> None:
     gateway = Gateway(make_settings(max_attempts=4), 1)
     gateway.handle(0.0, listing(*(entry(n, zone=n % 2) for n in range(8))))
-    assert {send.engine % 2 for n in range(90, 150) for send in sends(asked(gateway, n, None))} == {0, 1}
+    assert {send.engine % 2 for n in range(90, 150) for send in sends(handle_request(gateway, n, None))} == {0, 1}
     went: set[int] = set()
     for id_ in range(1, 60):
-        actions, number = asked(gateway, id_, frozenset((1,))), 0
+        actions, number = handle_request(gateway, id_, frozenset((1,))), 0
         while send := sends(actions):
             went.add(send[0].engine)
             actions = gateway.handle(1.0, bad(id_, send[0].engine, api.AttemptResult.CONNECT_FAILED, number))
@@ -146,7 +148,7 @@
     gateway.handle(0.0, listing(entry(1, zone=0), entry(2, zone=1)))
     gateway.handle(0.0, delta(entry(2, zone=1, health=api.Health.DRAINING)))
     for id_, zones in enumerate((frozenset((1,)), frozenset[int]()), 1):
-        actions = asked(gateway, id_, zones)
+        actions = handle_request(gateway, id_, zones)
         assert not sends(actions) and any(isinstance(a, api.Reject) and a.retry_after > 0 for a in actions)
     assert not gateway.requests
 
@@ -279,10 +281,10 @@
 def test_held_request_is_parsed_again_under_the_new_settings(gated: server.Server, gate: Gate) -> None:
     seen: list[tuple[Query, Any]] = []
     gated.open = open_noting(seen)
-    gate.close(Loads())
+    gate.close(LoadChange())
     client = Client(gated.address)
     client.ask(op="look", ttl=9000)  # of group 7
-    waiting(gate, 1)
+    wait_until_held(gate, 1)
     held = time.monotonic()
     first = request_class(name="first")
     gated.settings = new = make_settings(tenants=("acme",), classes=(first, request_class()))
@@ -298,9 +300,9 @@
     client = Client(gated.address)
     client.ask(op="claim")
     assert client.error()[0] == 1210
-    gate.close(Loads())
+    gate.close(LoadChange())
     client.ask(op="claim")
-    waiting(gate, 1)
+    wait_until_held(gate, 1)
     gated.settings = make_settings(tenants=("acme",), classes=(request_class(name="claim"),))
     gate.open()
     assert len(client.rows()) == 1
