--- a/tealwing/mysql/__init__.py
+++ b/tealwing/mysql/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: MySQL packets, the fields of a request, and the server on its sockets."""
+"""The client side: the MySQL protocol, the fields of a request, and the server with its sockets."""
--- a/tealwing/mysql/departures.py
+++ b/tealwing/mysql/departures.py
@@ -1,4 +1,4 @@
-"""Detect by its socket that a client has left, and recognize commands that are answered without a request."""
+"""Detect a client's departure from its socket, and recognize commands that are answered without opening a request."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from tealwing.mysql import packets, statements
 from tealwing.sockets import is_short_of_memory
 
-# What tells that a client has left while its request is open. There is no interest in reading: what it sends ahead
-# waits its turn and wakes nobody. Hang-ups and errors are always told.
-LEAVING = select.EPOLLRDHUP | select.EPOLLONESHOT
-QUERY = 0x03
+# epoll events that report a client's departure while its request is open. EPOLLIN is left out: pipelined input must not
+# wake a thread before the open request is answered. epoll always reports EPOLLHUP and EPOLLERR.
+DEPARTURE_EVENTS = select.EPOLLRDHUP | select.EPOLLONESHOT
+QUERY = 0x03  # COM_QUERY
 
 
-def watcher(sock: socket.socket) -> select.poll:
+def departure_poll(sock: socket.socket) -> select.poll:
     """Return a poll object for `has_left`, valid while the socket is open."""
-    found = select.poll()
-    found.register(sock, select.POLLIN | select.POLLRDHUP)
-    return found
+    poll = select.poll()
+    poll.register(sock, select.POLLIN | select.POLLRDHUP)
+    return poll
 
 
-def has_left(sock: socket.socket, found: select.poll | None = None) -> bool:
-    """Return whether the peer has closed or reset the connection, or its sending half, even behind unread bytes.
+def has_left(sock: socket.socket, poll: select.poll | None = None) -> bool:
+    """Return whether the peer has closed or reset the connection, or shut down its sending half; never blocks.
 
-    It never waits. A system that does not tell an end behind unread bytes (POLLRDHUP) tells it once they are read.
+    With POLLRDHUP the end is seen even behind unread bytes; a system without it reports the end once they are read.
     """
-    events = (found or watcher(sock)).poll(0)
-    if not events:  # an end is readable too: this holds on every platform
+    events = (poll or departure_poll(sock)).poll(0)
+    if not events:  # on every platform the end of a connection makes it readable
         return False
     if events[0][1] & (select.POLLRDHUP | select.POLLHUP | select.POLLERR):
         return True
@@ -41,12 +41,12 @@
 
 
 class ClientDeparture:
-    """Check, by any thread, of whether one session's client has left; serializes the poll object."""
+    """Lets any thread check whether a session's client has left; a lock serializes use of the poll object."""
 
     __slots__ = ("_lock", "_poll", "_sock", "has_departed")
 
     def __init__(self, sock: socket.socket) -> None:
-        self._sock, self._lock = sock, threading.Lock()  # never held while anything is waited for
+        self._sock, self._lock = sock, threading.Lock()  # never held across a blocking call
         self._poll: select.poll | None = None  # created with the first request
         self.has_departed = False
 
@@ -54,16 +54,17 @@
         """Return whether the client has left; never blocks."""
         with self._lock:
             if self._poll is None:
-                self._poll = watcher(self._sock)
+                self._poll = departure_poll(self._sock)
             self.has_departed = self.has_departed or has_left(self._sock, self._poll)
             return self.has_departed
 
 
-def brief_commands_length(sock: socket.socket, inside: bool, buffer: memoryview) -> int | None:
-    """Return the number of bytes read, if all are complete commands that are answered at once, KILL included.
+def brief_commands_length(sock: socket.socket, logged_in: bool, buffer: memoryview) -> int | None:
+    """Return the length of the unread input if it consists of complete commands that are answered without blocking.
 
-    None where anything else has come, or the client does not take what it is answered: that may have to wait. inside
-    tells whether the client is logged in. Nothing is read. An end, or an error, counts as a byte: reading it says so.
+    These are all commands but queries, and KILL. Returns None if the input holds anything else, or if the socket is not
+    writable: serving it may block. The input is only peeked at, not consumed. The end of the connection or a socket
+    error counts as one byte, as reading reports it. logged_in: whether the client is logged in.
     """
     try:
         size = sock.recv_into(buffer, 0, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -75,13 +76,13 @@
     parser.feed(buffer[:size])
     try:
         while (message := parser.next()) is not None:
-            command, inside = inside, True  # the login precedes the commands
-            if command and message[1][:1] == bytes([QUERY]) and statements.parse_kill(message[1][1:]) is None:
+            is_command, logged_in = logged_in, True  # the first message is the login
+            if is_command and message[1][:1] == bytes([QUERY]) and statements.parse_kill(message[1][1:]) is None:
                 return None
     except packets.PacketError:
         return None
-    taking = select.poll()
-    taking.register(sock, select.POLLOUT)
-    if parser.begun or not taking.poll(0):
+    writable = select.poll()
+    writable.register(sock, select.POLLOUT)
+    if parser.begun or not writable.poll(0):
         return None
     return size or 1
--- a/tealwing/mysql/lingering.py
+++ b/tealwing/mysql/lingering.py
@@ -1,9 +1,9 @@
-"""Lingering close: after its last answer a client's connection is read, and the input dropped, for a short time.
+"""Lingering close: after the last answer, a connection's further input is read and dropped for a short time.
 
-A close over unread bytes resets the connection, and what is still on its way to the client goes with it. So the
-gateway ends its own side, drops what still comes until the client has ended too, and closes then: a lingering close.
-Its bounds are in time, in bytes, and in the number of such connections, so that clients that are cut off by the
-hundred hold no descriptors.
+Closing a socket with unread input resets the connection, which destroys data still in flight to the client. The gateway
+therefore shuts down its sending side, drops input until the client closes its side too, and only then closes the
+socket. Lingering is bounded in time, in bytes and in the number of connections, so that hundreds of clients cut off at
+once do not exhaust the descriptors.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 class Linger:
-    """The bounds of one connection."""
+    """The remaining time and bytes of one lingering connection."""
 
     def __init__(self, until: float) -> None:
-        """Set the monotonic time of the end."""
+        """Linger until the given monotonic time at most."""
         self.until, self.left = until, MAX_LINGER_BYTES
 
     def drop(self, sock: socket.socket, buffer: memoryview, clock: Callable[[], float]) -> bool:
-        """Read and drop what has arrived; return whether to wait for more. Never blocks."""
-        if not buffer:  # reading into no buffer looks like the client's end
+        """Read and drop the input that has arrived; return whether to wait for more. Never blocks."""
+        if not buffer:  # recv into an empty buffer returns 0, as at the end of the input
             return True
         while self.left > 0 and clock() < self.until:
             try:
@@ -44,18 +44,18 @@
 
 
 class Lingering(Generic[Item]):
-    """The lingering connections by number, oldest first; bounded. Guarded by its owner's lock."""
+    """The lingering connections by number, oldest first; bounded in number. The caller must hold the owner's lock."""
 
     def __init__(self, max_items: int) -> None:
         self._max_items = max_items
-        self._items: dict[int, tuple[Item, float]] = {}  # with the monotonic time of the end
-        self._closing: set[int] = set()  # being closed: their descriptors are still open
+        self._items: dict[int, tuple[Item, float]] = {}  # with the monotonic time at which lingering ends
+        self._closing: set[int] = set()  # handed out for closing; their descriptors are still open
 
     def __len__(self) -> int:
         return len(self._items) + len(self._closing)
 
     def add(self, number: int, item: Item, until: float) -> Item | None:
-        """Add a connection; return the oldest one to close if there are too many."""
+        """Add a connection; if that exceeds the bound, return the oldest one for the caller to close."""
         self._items[number] = item, until
         return self.oldest() if len(self._items) > self._max_items else None
 
@@ -65,12 +65,12 @@
         self._closing.discard(number)
 
     def oldest(self) -> Item | None:
-        """Return the oldest one, to be closed now."""
+        """Remove and return the oldest connection, which the caller must close; None if there is none."""
         number = next(iter(self._items), None)
         return None if number is None else self._take(number)
 
     def expired(self, now: float) -> list[Item]:
-        """Return those whose time is over, to be closed now."""
+        """Remove and return the connections whose time is over; the caller must close them."""
         return [self._take(number) for number, (_, until) in list(self._items.items()) if now >= until]
 
     def _take(self, number: int) -> Item:
--- a/tealwing/mysql/overdue.py
+++ b/tealwing/mysql/overdue.py
@@ -1,8 +1,8 @@
-"""The time by which a request is answered, whatever it waits for; pure.
+"""The deadline by which a request is answered, whatever it waits for; no I/O.
 
-The invariant: a request whose bytes have come is answered at the latest soon after its time to live is over, and once.
-Its own thread answers it as a rule. Where that thread waits (for a lock, a connection, the gate) or where there is
-none, the server's watch over late requests does. Whoever claims the answer first gives it; the other gives none.
+Invariant: a request that has been received is answered exactly once, at the latest shortly after its time to live.
+Normally its own thread answers it. If that thread is blocked (on a lock, a connection, the gate) or none is assigned,
+the server's periodic check for overdue requests answers it. The first to claim the answer sends it; the other does not.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 import threading
 from math import inf
 
-# s past its time that an open request's own thread has first: it gives the attempt up before the client hears, and may
-# ask elsewhere. The answer is still there within half a second with LOOK, the time between two looks.
+# s after the deadline during which only the request's own thread may answer: it cancels the attempt before it answers
+# the client, and may retry on another engine. With server.TIME_LIMIT_CHECK_INTERVAL the answer comes within 0.5 s.
 OWN_THREAD_GRACE = 0.15
 
 _TIME_TO_LIVE = re.compile(rb"/\*[^*]*?\bttl=(\d{1,12})\s*[,*]")
@@ -27,20 +27,20 @@
         self._answered = False
 
     def begin(self, due: float) -> None:
-        """Open a request due at a monotonic time; parsing it again under other settings does not open a second one."""
+        """Open a request due at a monotonic time; a repeated call, for a parse under newer settings, has no effect."""
         with self._lock:
             if self._due == inf:
                 self._due, self._answered = due, False
 
     def claim(self) -> bool:
-        """End the open request; return whether the caller must answer it (True if none is open)."""
+        """End the open request; return whether the caller must answer it (True if none was open)."""
         with self._lock:
-            mine = not self._answered
+            must_answer = not self._answered
             self._due, self._answered = inf, False
-            return mine
+            return must_answer
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether the open request may be overdue; cheap, without the lock."""
+        """Return whether the open request may be overdue; a cheap check that does not take the lock."""
         return now >= self._due + OWN_THREAD_GRACE
 
     def claim_overdue(self, now: float) -> bool:
@@ -53,6 +53,6 @@
 
 
 def time_to_live(raw: bytes) -> float | None:
-    """Return the time to live in s of the first request in unread bytes; None if its comment is incomplete."""
+    """Return the time to live in s of the first request in unread bytes; None if its ttl field is incomplete."""
     found = _TIME_TO_LIVE.search(raw)
     return int(found[1]) / 1e3 if found else None
--- a/tealwing/mysql/packets.py
+++ b/tealwing/mysql/packets.py
@@ -1,4 +1,4 @@
-"""MySQL client protocol 4.1: packets, login and answers; pure. Malformed input is a PacketError."""
+"""MySQL client protocol 4.1: packets, login and responses; no I/O. Malformed input raises PacketError."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 VERSION = b"8.0.0-tealwing"
-MAX_PACKET_BYTES = 0xFFFFFF  # of one packet; a longer message continues in the next
-MAX_MESSAGE_BYTES = 128 * 1024  # max_allowed_packet: a third of the descriptors times this must fit the memory
+MAX_PACKET_BYTES = 0xFFFFFF  # payload of one packet; a longer message continues in the next packet
+MAX_MESSAGE_BYTES = 128 * 1024  # max_allowed_packet; a third of the descriptors times this must fit in memory
 PLUGIN = b"mysql_native_password"
 
 # capability flags
@@ -18,14 +18,14 @@
     CONNECT_WITH_DB | PROTOCOL_41 | PLUGIN_AUTH | SECURE_CONNECTION | LONG_PASSWORD | LONG_FLAG | TRANSACTIONS
 )
 AUTOCOMMIT = 0x2  # status flag
-UTF8MB4 = 45  # the character set
-VAR_STRING = 0xFD  # the columns' type
-LENGTHS = [bytes([length]) for length in range(251)]  # length prefixes of short strings
-WIDEST = 0xFFFF  # the columns' stated length
+UTF8MB4 = 45  # character set and collation
+VAR_STRING = 0xFD  # type of all columns
+LENGTHS = [bytes([length]) for length in range(251)]  # length prefixes of strings below 251 bytes
+COLUMN_LENGTH = 0xFFFF  # bytes; the maximum length declared for each column
 
 
 class PacketError(ValueError):
-    """Malformed bytes; code and state are those of the error that the server sends."""
+    """Malformed input; code, state and sequence are those of the error packet that the server sends."""
 
     def __init__(self, text: str, code: int = 1043, state: str = "08S01", sequence: int = 0) -> None:
         super().__init__(text)
@@ -41,21 +41,21 @@
     database: bytes
 
 
-HEADER = 4  # bytes: three of the length, one of the sequence number
+HEADER = 4  # bytes of a packet header: three for the length, one for the sequence number
 
 
 class Parser:
-    """Splits a stream into messages of bounded size, with the sequence number of their last packet."""
+    """Splits a byte stream into messages of bounded size, each with the sequence number of its last packet."""
 
     def __init__(self) -> None:
         self._data = bytearray()
         self._message = bytearray()
-        self._open = False
+        self._continues = False  # the next packet continues the message
         self._sequence = 0
 
     @property
     def begun(self) -> bool:
-        """Whether a message is incomplete."""
+        """Whether part of a message has been received."""
         return bool(self._data or self._message)
 
     @property
@@ -65,7 +65,7 @@
 
     @property
     def missing_bytes(self) -> int:
-        """Missing bytes of the incomplete packet, or of its header."""
+        """The number of bytes that the incomplete packet, or its header, still lacks."""
         if len(self._data) < HEADER:
             return HEADER - len(self._data)
         return HEADER + int.from_bytes(self._data[:3], "little") - len(self._data)
@@ -75,39 +75,39 @@
         self._data += data
 
     def next(self) -> tuple[int, bytes] | None:
-        """Return the next complete message, if there is one."""
+        """Return the sequence number and payload of the next complete message; None if there is none."""
         while len(self._data) >= 4:
             length, sequence = int.from_bytes(self._data[:3], "little"), self._data[3]
-            if self._open and sequence != (self._sequence + 1) % 256:
+            if self._continues and sequence != (self._sequence + 1) % 256:
                 raise PacketError("Got packets out of order", 1156, "08S01", sequence)
-            if len(self._message) + length > MAX_MESSAGE_BYTES:  # checked before its bytes are stored
+            if len(self._message) + length > MAX_MESSAGE_BYTES:  # checked before the payload is buffered
                 text = "Got a packet bigger than 'max_allowed_packet' bytes"
                 raise PacketError(text, 1153, "08S01", sequence)
             if len(self._data) < 4 + length:
                 return None
             self._message += self._data[4 : 4 + length]
             del self._data[: 4 + length]
-            self._open, self._sequence = length == MAX_PACKET_BYTES, sequence
-            if not self._open:
+            self._continues, self._sequence = length == MAX_PACKET_BYTES, sequence
+            if not self._continues:
                 message, self._message = bytes(self._message), bytearray()
                 return sequence, message
         return None
 
 
 def packet(sequence: int, payload: bytes) -> bytes:
-    """Return one payload, below 16 MB as all here are, as a packet."""
+    """Return a payload as one packet; all payloads sent here are below 16 MB."""
     return len(payload).to_bytes(3, "little") + bytes([sequence % 256]) + payload
 
 
 def greeting(connection: int, scramble: bytes) -> bytes:
-    """Return the server's handshake; the scramble has 20 bytes."""
+    """Return the payload of the server's initial handshake; the scramble has 20 bytes."""
     head = b"\x0a" + VERSION + b"\0" + struct.pack("<I", connection) + scramble[:8] + b"\0"
     flags = struct.pack("<HBHHB", CAPABILITIES & 0xFFFF, UTF8MB4, AUTOCOMMIT, CAPABILITIES >> 16, 21)
     return head + flags + bytes(10) + scramble[8:] + b"\0" + PLUGIN + b"\0"
 
 
 def login(payload: bytes) -> Login:
-    """Return the client's handshake response. Raises PacketError."""
+    """Parse the client's handshake response. Raises PacketError."""
     if len(payload) < 32:
         raise PacketError("Bad handshake")
     flags = int.from_bytes(payload[:4], "little")
@@ -142,12 +142,12 @@
 
 
 def error(code: int, state: str, text: str) -> bytes:
-    """Return an error payload."""
+    """Return an ERR payload."""
     return b"\xff" + struct.pack("<H", code) + b"#" + state.encode() + text.encode()[:512]
 
 
 def _string(data: bytes) -> bytes:
-    """Return a length-encoded string."""
+    """Return the bytes as a length-encoded string."""
     if len(data) < len(LENGTHS):
         return LENGTHS[len(data)] + data
     if len(data) < 1 << 16:
@@ -159,14 +159,14 @@
     """Return a result set of text columns as packets, with EOF after the columns and after the rows."""
     payloads = [
         b"".join(map(_string, (b"def", b"", b"", b"", name, name)))
-        + struct.pack("<BHIBHBH", 12, UTF8MB4, WIDEST, VAR_STRING, 0, 0, 0)
+        + struct.pack("<BHIBHBH", 12, UTF8MB4, COLUMN_LENGTH, VAR_STRING, 0, 0, 0)
         for name in columns
     ]
     out = bytearray()
     for payload in (bytes([len(payloads)]), *payloads, eof()):
         out += packet(sequence, payload)
         sequence += 1
-    for row in rows:  # the gateway's longest loop: some hundred rows a result
+    for row in rows:  # hot loop: a result has some hundred rows
         payload = b"".join([LENGTHS[len(c)] + c if len(c) < 251 else _string(c) for c in row])
         out += len(payload).to_bytes(3, "little")
         out.append(sequence & 255)
--- a/tealwing/mysql/server.py
+++ b/tealwing/mysql/server.py
@@ -1,8 +1,8 @@
-"""The MySQL server: sessions, and a pool of threads that serve whichever client sends something.
+"""The MySQL server: sessions, and a pool of threads that serve the sessions with input.
 
-A client that says nothing holds a descriptor and no thread: all sessions between two commands wait in one epoll set,
-with the listening socket, and each free thread takes what is ready next. A thread for each client was our way before;
-at 200 gateways their clients between commands filled the machine's table of tasks.
+An idle client holds a descriptor but no thread: all sessions between two commands wait in one epoll set, together with
+the listening socket, and each free thread takes the next ready one. A thread per client does not scale: the idle
+clients of 200 gateways filled the machine's table of tasks.
 """
 
 from __future__ import annotations
@@ -21,32 +21,31 @@
 
 from tealwing import interface, log, threads
 from tealwing.exchange import AdmissionGate, OpenExchange
-from tealwing.mysql.departures import LEAVING
+from tealwing.mysql.departures import DEPARTURE_EVENTS
 from tealwing.mysql.lingering import Lingering
 from tealwing.mysql.session import Session
 from tealwing.sockets import Address
 
-SPARE = 11  # one place in so many is reserved for new clients and lingering connections
-FREE_THREADS = (4, 8)  # min and max idle threads: the machine's tasks are shared by all processes
+RESERVE_DIVISOR = 11  # 1/11 of the client places is reserved for new clients and lingering connections
+FREE_THREADS = (4, 8)  # min and max idle threads; the limit on tasks is shared by all processes of the machine
 BACKLOG = 256
-ACCEPT_PAUSE = 0.05  # s before a failed accept is tried again
+ACCEPT_PAUSE = 0.05  # s before a failed accept is retried
 TIME_LIMIT_CHECK_INTERVAL = 0.25  # s between two checks of the clients' time limits
-SHORT = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}  # errors of accept that closing a descriptor may help
-# What Linux tells of the connection that was to be accepted, by an accept that fails (accept(2)): the next one may be
-# well, and is taken at once.
-ABORTED = {
+RESOURCE_ERRORS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}  # of accept; closing a descriptor may help
+# errors of accept that concern only the connection to be accepted (accept(2)): the next one is accepted at once
+CONNECTION_ERRORS = {
     errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET,
     errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH,
 }  # fmt: skip
 READ_SIZE = 4 * 1024  # bytes of a thread's buffer: statements are short
-BRIEF_SIZE = 512  # read where no thread is free: enough for a login and a KILL
-STAND_IN = 0.03  # s without a free thread before the watcher serves brief commands: most bursts are over by then
+BRIEF_SIZE = 512  # bytes read for a session while no thread is free: enough for a login and a KILL
+BUSY_DELAY = 0.03  # s without a free thread before brief commands are served; most bursts are over by then
 
-ARMED = select.EPOLLIN | select.EPOLLONESHOT
+INPUT_EVENTS = select.EPOLLIN | select.EPOLLONESHOT
 
 
 def _inherit(descriptor: int) -> socket.socket:
-    """Return the listening TCP socket of an inherited descriptor."""
+    """Return the listening TCP socket of an inherited descriptor. Raises OSError if it is none."""
     try:
         listener = socket.socket(fileno=descriptor)
     except OSError as error:
@@ -58,7 +57,7 @@
 
 
 class Server:
-    """Listens, and owns the sessions by connection id and the threads that serve them."""
+    """Accepts clients; owns their sessions, by connection id, and the threads that serve them."""
 
     def __init__(
         self,
@@ -71,50 +70,54 @@
     ) -> None:
         """Listen on the address, or on the listening socket of descriptor `inherited` (OSError if it is none).
 
-        most is the number of clients at once; most_threads that of commands under way at once (most if None).
+        max_clients bounds the connected clients; max_threads bounds the commands served at once (default: max_clients).
         """
         self.settings, self.open = settings, open_
-        self.gate: AdmissionGate | None = None  # if the fleet agrees on rules
-        self.on_unread_age: Callable[[float], None] | None = None  # receives the age in s of what was read
-        self._max_clients, self._spare = max_clients, max(1, max_clients // SPARE)
+        self.gate: AdmissionGate | None = None  # set if the fleet agrees on rules
+        self.on_unread_age: Callable[[float], None] | None = None  # called with the age (s) of the input read
+        self._max_clients, self._reserved_places = max_clients, max(1, max_clients // RESERVE_DIVISOR)
         self._max_threads = min(max_clients, max_threads or max_clients)
         self._numbers = itertools.count(1)
         self._changed = threading.Condition()
         self._sessions: dict[int, Session] = {}
-        # ended sessions whose connection is not closed yet
-        self._lingering: Lingering[Session] = Lingering(self._spare)
+        # sessions that have ended, but whose connections are still open
+        self._lingering: Lingering[Session] = Lingering(self._reserved_places)
         self._waiting: dict[int, Session] = {}  # by descriptor: sessions in the epoll set
-        self._armed: set[int] = set()  # those armed for reading; whoever gets the event removes the descriptor
-        self._deferred: deque[Session] = deque()  # ready sessions that wait for a free thread
-        self._threads = self._free = 0  # all threads, and the idle ones
-        self._is_short_of_descriptors = 0.0  # monotonic; since when no thread has been free, 0: one is
-        self._busy = threading.Event()  # no thread is free
-        self._unarmed: deque[Session] = deque()  # sessions that could not be armed
-        self._accept_fails = False  # since the last accepted client
+        self._armed: set[int] = (
+            set()
+        )  # descriptors armed for input; the thread that claims the event removes its descriptor
+        self._deferred: deque[Session] = deque()  # ready sessions waiting for a free thread
+        self._threads = self._free = 0  # number of threads, and of idle ones
+        self._busy_since = 0.0  # monotonic; since when no thread has been free; 0 if one is
+        self._busy = threading.Event()  # set while no thread is free
+        self._unarmed: deque[Session] = deque()  # sessions that epoll had no room to arm; retried periodically
+        self._accept_fails = (
+            False  # accept has failed since the last accepted client; so that an episode is logged once
+        )
         self._listener_unarmed = False  # the listening socket could not be armed
         self._full = False  # no client is accepted until a descriptor is free or a session may be evicted
         self._stopping, self._over = threading.Event(), threading.Event()
         self.shared = inherited is not None  # the accept queue is shared with another process
         self._listener = socket.create_server(address, backlog=BACKLOG) if inherited is None else _inherit(inherited)
-        self._listener.setblocking(False)  # several threads may try to accept one client
-        self._ready = select.epoll()  # one-shot: a descriptor is armed again for further events
-        self._ready.register(self._listener, ARMED)
-        self._ends, self._alive = os.pipe()  # closing the other end wakes every thread
-        self._ready.register(self._ends, 0)
+        self._listener.setblocking(False)  # several threads may try to accept the same client
+        self._ready = select.epoll()  # one-shot: each event disarms its descriptor
+        self._ready.register(self._listener, INPUT_EVENTS)
+        self._end_reader, self._end_writer = os.pipe()  # closing the writer wakes every thread
+        self._ready.register(self._end_reader, 0)
 
     def start(self) -> None:
         """Start accepting clients."""
         if not self._start_thread():
-            raise OSError("no thread can be started to serve clients")
+            raise OSError("cannot start a thread to serve clients; check the limits on tasks and memory")
         threads.start(self._check_time_limits, "session-limits")
 
     def apply_settings(self, settings: interface.Settings, max_threads: int) -> None:
-        """Parse new requests under these settings; surplus threads end once idle."""
+        """Parse new requests under these settings; threads beyond max_threads end once idle."""
         self.settings, self._max_threads = settings, min(self._max_clients, max_threads)
 
     @property
     def address(self) -> Address:
-        """The address that it listens on."""
+        """The address of the listening socket."""
         host, port = self._listener.getsockname()
         return host, port
 
@@ -125,12 +128,12 @@
             return self._descriptor_count()
 
     def session(self, number: int) -> Session | None:
-        """Return the session of a connection id."""
+        """Return the session of a connection id; None if it has ended."""
         with self._changed:
             return self._sessions.get(number)
 
     def ended(self, session: Session) -> None:
-        """Drop a session that is over; its descriptor is closed next."""
+        """Remove a session that has ended; the caller closes its descriptor next."""
         with self._changed:
             self._sessions.pop(session.number, None)
             self._lingering.remove(session.number)
@@ -143,27 +146,27 @@
             self._listen()
 
     def lingers(self, session: Session, until: float) -> None:
-        """Drop a session that is over, and read its connection until then at most."""
+        """Remove a session that has ended; its connection lingers until the monotonic time `until` at most."""
         with self._changed:
-            if self._sessions.pop(session.number, None) is None:  # closed already by another thread
+            if self._sessions.pop(session.number, None) is None:  # another thread has closed it
                 return
             oldest = self._lingering.add(session.number, session, until)
             full, self._full = self._full, False
             self._changed.notify_all()
         if oldest is not None:
             oldest.end_linger()
-        if full:  # lingering connections are closed before a client has to wait
+        if full:  # a lingering connection can be closed for a waiting client
             self._listen()
 
     def stop_listening(self) -> None:
-        """Stop accepting; connected clients are still served."""
+        """Stop accepting clients; connected ones are still served."""
         with self._changed:
             self._stopping.set()
-            # clients in the accept queue may have sent a request; a shared queue is left to the other process
+            # clients in the accept queue may have sent a request; a shared queue is left to the other process's accepts
             waiting = [] if self.shared else self._accept_waiting()
         with contextlib.suppress(OSError):
             self._ready.unregister(self._listener)
-        if not self.shared:  # a shutdown would end a shared queue
+        if not self.shared:  # a shutdown would close a shared queue for the other process too
             with contextlib.suppress(OSError):
                 self._listener.shutdown(socket.SHUT_RD)
         for session in waiting:
@@ -171,25 +174,25 @@
                 self._wait_for_client(session)
 
     def finish(self, seconds: float) -> bool:
-        """End each session with its open request, then the threads; return whether all ended in time."""
+        """End each session after its open request, then the threads; return whether all sessions ended in time."""
         with self._changed:
             sessions = list(self._sessions.values())
         for session in sessions:
             session.stop()
         until = time.monotonic() + seconds
-        while True:  # a thread may accept one more client before it notices the stop
+        while True:  # a thread may have accepted one more client before it noticed the stop
             with self._changed:
                 self._changed.wait_for(self._empty, min(TIME_LIMIT_CHECK_INTERVAL, until - time.monotonic()))
-                overdue = [session for session in self._sessions.values() if session not in sessions]
+                late = [session for session in self._sessions.values() if session not in sessions]
                 left, empty = len(self._sessions), self._empty()
             if empty or (not left and time.monotonic() >= until):
                 break
             if time.monotonic() >= until:
                 return False
-            for session in overdue:
+            for session in late:
                 session.stop()
-            sessions.extend(overdue)
-        with self._changed:  # no answer is owed any more
+            sessions.extend(late)
+        with self._changed:  # all answers have been sent
             lingering = self._lingering.expired(float("inf"))
         for session in lingering:
             session.end_linger()
@@ -202,17 +205,17 @@
         return not self._sessions and not self._lingering
 
     def _end(self) -> None:
-        """End the threads."""
+        """End all threads."""
         if not self._over.is_set():
             self._over.set()
             self._busy.set()
-            os.close(self._alive)
+            os.close(self._end_writer)
 
     def _run_worker(self) -> None:
-        """Serve one client after another, each as far as its input goes.
+        """Serve one ready session after another, each until its input is used up.
 
-        The thread is there before its client: starting one takes too long. Its buffer lasts as it does: one made
-        for each read and cut to what came left holes in the heap.
+        Threads are started ahead of the clients, as starting one takes too long. A thread reuses one buffer: a buffer
+        allocated for each read and shrunk to the data received fragmented the heap.
         """
         buffer = memoryview(bytearray(READ_SIZE))
         while True:
@@ -222,18 +225,18 @@
             with self._changed:
                 self._free -= 1
                 more = self._free < FREE_THREADS[0] and self._threads < self._max_threads
-                since = self._is_short_of_descriptors
+                since = self._busy_since
                 if self._free <= 0 and not since:
-                    self._is_short_of_descriptors = time.monotonic()
+                    self._busy_since = time.monotonic()
             if more:
                 self._start_thread()
-            if self._free <= 0:  # checked by the last free thread too
+            if self._free <= 0:  # this may have been the last free thread
                 self._all_threads_busy()
             try:
                 if session.run(buffer, time.monotonic() - since if since else 0.0):
-                    self._wait_for_client(session)  # from here on another thread may have it
-            except Exception:  # an error of ours ends one session, not the thread
-                log.check_invariant(False, f"a session ends by itself: {traceback.format_exc(limit=-3)}")
+                    self._wait_for_client(session)  # from here on another thread may serve it
+            except Exception:  # an internal error ends one session, not the thread
+                log.check_invariant(False, f"serving a session raises no exception: {traceback.format_exc(limit=-3)}")
             with self._changed:
                 enough = self._free >= FREE_THREADS[1]
                 self._free += not enough
@@ -245,15 +248,15 @@
                 return
 
     def _next_session(self) -> Session | None:
-        """Return the session of a new client, or of one that sent something or left; None at the end."""
+        """Return the next session with input, a new client or a closed connection; None when the server ends."""
         while not self._over.is_set():
             if self._deferred:
-                with contextlib.suppress(IndexError):  # another thread has taken it
+                with contextlib.suppress(IndexError):  # another thread has taken the last one
                     return self._deferred.popleft()
-            short = self._is_short_of_descriptors
-            ready = self._ready.poll(0 if short else None, 1)
-            if not ready:  # no client waits for a thread
-                self._is_short_of_descriptors = 0.0
+            busy_since = self._busy_since
+            ready = self._ready.poll(0 if busy_since else None, 1)
+            if not ready:  # no session waits for a thread
+                self._busy_since = 0.0
                 continue
             number = ready[0][0]
             session = self._accept() if number == self._listener.fileno() else self._claim(number)
@@ -262,10 +265,10 @@
         return None
 
     def _claim(self, number: int) -> Session | None:
-        """Return the session of a ready descriptor to the first thread that claims it.
+        """Return the session of a ready descriptor to the first thread that claims it; None to any other.
 
-        A session with a request open is nobody's to take: what is ready of it is its client's end. An event may be
-        an old one, taken before the descriptor was armed anew: so it is a hint, and what holds is asked for.
+        A session with an open request cannot be claimed: its event reports that the client may have left. An event may
+        be stale, fetched before its descriptor was armed again, so it is only a hint: the socket itself is checked.
         """
         with self._changed:
             session, mine = self._waiting.get(number), number in self._armed
@@ -276,20 +279,20 @@
         return None
 
     def _accept(self) -> Session | None:
-        """Accept a new client, if one is still waiting, and arm the listener for the next."""
+        """Accept a client, if one is still waiting, and arm the listener for the next one."""
         try:
-            with self._changed:  # never blocks; nothing may be accepted after the stop
+            with self._changed:  # never blocks; no client may be accepted after stop_listening
                 if self._stopping.is_set():
                     return None
                 full = self._full = self._descriptor_count() >= self._max_clients
                 if not full:
                     session = self._take_client()
-                is_full = self._descriptor_count() > self._max_clients - self._spare
+                is_full = self._descriptor_count() > self._max_clients - self._reserved_places
                 log.check_invariant(
-                    self._descriptor_count() <= self._max_clients, "clients hold no more descriptors than they may"
+                    self._descriptor_count() <= self._max_clients, "clients hold at most max_clients descriptors"
                 )
-        except OSError as error:  # accepted by another thread, or out of descriptors
-            if not isinstance(error, BlockingIOError) and error.errno not in ABORTED:
+        except OSError as error:  # another thread accepted the client, or descriptors ran out
+            if not isinstance(error, BlockingIOError) and error.errno not in CONNECTION_ERRORS:
                 self._accept_later(error)
             self._listen()
             return None
@@ -303,23 +306,23 @@
         return session
 
     def _accept_waiting(self) -> list[Session]:
-        """Accept the waiting clients, as far as descriptors allow. Call under the lock."""
+        """Accept the clients in the accept queue, up to max_clients. Call under the lock."""
         found = []
-        with contextlib.suppress(OSError):  # none waits, or out of descriptors
+        with contextlib.suppress(OSError):  # the queue is empty, or descriptors ran out
             while self._descriptor_count() < self._max_clients:
                 found.append(self._take_client())
         return found
 
     def _take_client(self) -> Session:
-        """Accept the next client; never blocks. Raises OSError if there is none. Call under the lock."""
+        """Accept the next client; never blocks. Raises OSError if accept fails. Call under the lock."""
         sock, _ = self._listener.accept()
         session = Session(self, sock, next(self._numbers) & 0xFFFFFFFF)
         self._sessions[session.number] = session
         return session
 
     def _accept_later(self, error: OSError) -> None:
-        """Pause after a failed accept, and free a descriptor if that may help; logs once an episode."""
-        if error.errno in SHORT:
+        """Pause after a failed accept, and free a descriptor if that may help; logs the first failure of an episode."""
+        if error.errno in RESOURCE_ERRORS:
             self._free_one(at_once=True)
         if not self._accept_fails and not self._stopping.is_set():
             self._accept_fails = True
@@ -327,38 +330,38 @@
         self._stopping.wait(ACCEPT_PAUSE)
 
     def _listen(self) -> None:
-        """Arm the listener for the next client, or retry later if the system lacks room."""
+        """Arm the listener for the next client; retried later if epoll is out of room."""
         if self._stopping.is_set():
             return
         try:
-            self._ready.modify(self._listener, ARMED)
-        except OSError:  # or stopped meanwhile
+            self._ready.modify(self._listener, INPUT_EVENTS)
+        except OSError:  # out of room, or stopped meanwhile
             self._listener_unarmed = True
 
     def _wait_for_client(self, session: Session) -> None:
-        """Serve the session when its client sends something; another thread may get it at once."""
+        """Arm the session for its client's next input; another thread may serve it at once."""
         number = session.descriptor
         try:
             with self._changed:
                 self._armed.add(number)
                 full, self._full = self._full, False
-                self._arm(number, session, ARMED)
-        except OSError:  # epoll is out of room: what the client sends must still be answered
+                self._arm(number, session, INPUT_EVENTS)
+        except OSError:  # epoll is out of room: retried later, so that the client is still answered
             with self._changed:
                 self._armed.discard(number)
             self._unarmed.append(session)
-        if full:  # now a session may be evicted
+        if full:  # this session may now be evicted for a waiting client
             self._listen()
 
     def watch(self, session: Session) -> None:
-        """Watch for the client's departure. Call by the thread of its open request, the only one to arm it."""
+        """Watch for the client's departure. Only the thread of its open request may call this."""
         try:
-            self._arm(session.descriptor, session, LEAVING)
-        except OSError as error:  # no room: the check before each send remains
+            self._arm(session.descriptor, session, DEPARTURE_EVENTS)
+        except OSError as error:  # out of room: the check before each send remains
             log.event("client_unwatched", error=str(error))
 
     def _arm(self, number: int, session: Session, events: int) -> None:
-        """Arm the descriptor for the next of these events. Call by the thread that has the session."""
+        """Arm the descriptor for the next of these events. Only the thread that serves the session may call this."""
         new = number not in self._waiting
         self._waiting[number] = session
         try:
@@ -367,21 +370,21 @@
             else:
                 self._ready.modify(number, events)
         except OSError:
-            if new:  # else it is registered, but not armed
+            if new:  # otherwise it stays registered, but is not armed
                 del self._waiting[number]
             raise
 
     def _start_thread(self) -> bool:
-        """Start a further thread; return whether there is one, else the others go on."""
+        """Start one more thread; return whether it was started. If not, the existing ones go on."""
         with self._changed:
-            if self._threads >= self._max_threads:  # another thread has started one meanwhile
+            if self._threads >= self._max_threads:  # another thread has started the last allowed one meanwhile
                 return False
             self._threads, self._free = self._threads + 1, self._free + 1
             if self._busy.is_set():
                 self._busy.clear()
         try:
             threads.start(self._run_worker, "session")
-        except threads.ThreadUnavailableError:  # logged where it is raised, once an episode
+        except threads.ThreadUnavailableError:  # logged where it is raised, once per episode
             with self._changed:
                 self._threads, self._free = self._threads - 1, self._free - 1
             return False
@@ -403,7 +406,7 @@
                 session.end_linger()
 
     def _arm_again(self) -> None:
-        """Arm the sessions that could not be armed before."""
+        """Arm the listener and the sessions that could not be armed before."""
         if self._listener_unarmed:
             self._listener_unarmed = False
             self._listen()
@@ -411,28 +414,28 @@
             self._wait_for_client(self._unarmed.popleft())
 
     def _answer_overdue(self, buffer: memoryview) -> None:
-        """Answer each overdue request, whether its thread is held up or it waits for a thread."""
+        """Answer each overdue request, whether its thread is blocked or it still waits for a thread."""
         now = time.monotonic()
         with self._changed:
             served = [session for session in self._sessions.values() if session.is_served]
-            aside = list(self._deferred)
-            self._deferred.clear()  # from here on only this thread has them
+            deferred = list(self._deferred)
+            self._deferred.clear()  # from here on only this thread may serve them
         failed = sum(session.answer_overdue(now) for session in served)
-        overdue = [session for session in aside if session.unread_overdue(now, buffer)]
+        overdue = [session for session in deferred if session.unread_overdue(now, buffer)]
         for session in overdue:
             if session.refuse_overdue(buffer):
                 self._wait_for_client(session)
-        self._requeue_deferred([session for session in aside if session not in overdue])
+        self._requeue_deferred([session for session in deferred if session not in overdue])
         if failed or overdue:
             log.event("requests_overdue", failed=failed, refused=len(overdue))
 
-    def _requeue_deferred(self, aside: list[Session]) -> None:
-        """Queue deferred sessions again, first and in their order."""
+    def _requeue_deferred(self, deferred: list[Session]) -> None:
+        """Put deferred sessions back at the head of the queue, in their order."""
         with self._changed:
             if self._free <= 0:
-                self._deferred.extendleft(reversed(aside))
+                self._deferred.extendleft(reversed(deferred))
                 return
-        for session in aside:  # wakes threads that became free meanwhile
+        for session in deferred:  # arming them wakes threads that became free meanwhile
             self._wait_for_client(session)
 
     def _descriptor_count(self) -> int:
@@ -440,19 +443,19 @@
         return len(self._sessions) + len(self._lingering)
 
     def _pause(self, seconds: float) -> bool:
-        """Sleep, serving brief commands while no thread is free; return whether the server ends."""
+        """Sleep, but serve brief commands while no thread is free; return whether the server has ended."""
         until = time.monotonic() + seconds
         while not self._over.is_set() and (left := until - time.monotonic()) > 0:
-            if self._busy.wait(left) and not self._over.wait(min(STAND_IN, left)):
-                self._stand_in(until)
+            if self._busy.wait(left) and not self._over.wait(min(BUSY_DELAY, left)):
+                self._serve_while_busy(until)
         return self._over.is_set()
 
-    def _stand_in(self, until: float) -> None:
-        """While no session thread is free, claim ready sessions, and serve commands that can't wait for one.
+    def _serve_while_busy(self, until: float) -> None:
+        """While no session thread is free, claim ready sessions, and serve the commands that cannot wait for one.
 
-        That is a KILL, from its connect on, and the end of a client whose request is open: both may be what frees a
-        thread. They need none of their own: this one has little else to do, and nothing here waits, as commands that
-        may are only peeked at and put aside, unread, for the next session thread that is free.
+        These are a KILL, including its connect and login, and the departure of a client whose request is open: both may
+        free a thread. This thread never blocks on them: a command that may block is only peeked at, and its session is
+        deferred, unread, to the next free session thread.
         """
         buffer = memoryview(bytearray(BRIEF_SIZE))
         while self._free <= 0 and not self._over.is_set() and (left := until - time.monotonic()) > 0:
@@ -461,15 +464,17 @@
                     session = self._accept() if number == self._listener.fileno() else self._claim(number)
                     if session is not None:
                         self._serve_brief(session, buffer)
-            except Exception:  # an error of ours must not end the checks
-                log.check_invariant(False, f"standing in goes on: {traceback.format_exc(limit=-3)}")
+            except Exception:  # an internal error must not end the periodic checks
+                log.check_invariant(
+                    False, f"serving brief commands raises no exception: {traceback.format_exc(limit=-3)}"
+                )
                 return
 
     def _serve_brief(self, session: Session, buffer: memoryview) -> None:
         going = session.run_brief(buffer)
         if going is None:
             with self._changed:
-                if self._free <= 0:  # the next free thread looks there first
+                if self._free <= 0:  # the next free thread takes deferred sessions first
                     self._deferred.append(session)
                     return
         if going is not False:
@@ -481,9 +486,9 @@
                 self._busy.set()
 
     def _free_one(self, at_once: bool) -> None:
-        """Free one descriptor: of a lingering connection, else of the client that has been idle longest.
+        """Free one descriptor: that of the oldest lingering connection, else of the client that has been idle longest.
 
-        at_once: a client waits for it already.
+        at_once: a client is already waiting for it, so the evicted session does not linger.
         """
         with self._changed:
             oldest = self._lingering.oldest()
@@ -493,7 +498,7 @@
             self._evict_idlest(at_once)
 
     def _evict_idlest(self, at_once: bool) -> None:
-        """Evict the client that has been idle longest, of those that have sent nothing and are owed nothing."""
+        """Evict the longest idle of the clients that have no unread input and wait for no answer."""
         now = time.monotonic()
         with self._changed:
             waiting = [session for session in self._sessions.values() if session.idle_share(now) > 0]
--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -1,4 +1,4 @@
-"""One client's connection to the MySQL server: its login, its commands, and its end."""
+"""A client's session with the MySQL server: login, commands, and the close of the connection."""
 
 from __future__ import annotations
 
@@ -31,18 +31,19 @@
 from tealwing.sockets import MEMORY_PAUSE, has_unread, is_short_of_memory, prepare, seconds_since_data, send_all
 
 USER, DATABASE = b"app", b"reports"
-COLUMNS = (b"column_1", b"column_2", b"column_3")  # engines send no names
-FIRST_LIMIT = 2.0  # s from the connect for the login and the first complete command
-PACKET_LIMIT = 2.0  # s for the rest of an incomplete command
+COLUMNS = (b"column_1", b"column_2", b"column_3")  # engines send no column names
+FIRST_LIMIT = 2.0  # s from the connect to the first complete command, login included
+PACKET_LIMIT = 2.0  # s within which an incomplete command must be completed
 IDLE_LIMIT = 60.0  # s between commands
-WRITE_LIMIT = 5  # s without progress
-READINGS = 3  # parses of one request: again for each change of the rules that it meets
-UNREAD_WAITS = 1.0  # s that a request with unknown time to live may wait unread
-OVERDUE_PUSHBACK = 0.2  # s of Retry-After for a request that no thread read in time
-STILL_CHANGING = 0.2  # s of Retry-After for a request that met a change at each parse
-RESERVE, RESERVE_SHARE = 0.25, 0.5  # of a held request's time, reserved for serving it: max s, and share
-MIN_WAIT = 0.02  # s of unread age below which it is ignored
-SAMPLED = 4  # one in so many sessions reports the age of what it reads
+WRITE_LIMIT = 5  # s that a send may make no progress
+MAX_PARSES = 3  # of one request: it is parsed again when the rules change meanwhile
+UNPARSED_WAIT = 1.0  # s that the gate may hold a request that cannot be parsed: its time to live is unknown
+OVERDUE_PUSHBACK = 0.2  # s of pushback for a request that no thread read in time
+RULES_CHANGE_PUSHBACK = 0.2  # s of pushback for a request whose rules changed during each parse
+MAX_SERVE_RESERVE = 0.25  # s of a held request's time to live that are kept for serving it, at most
+SERVE_RESERVE_SHARE = 0.5  # share of a held request's time to live that is kept for serving it, up to MAX_SERVE_RESERVE
+MIN_UNREAD_AGE = 0.02  # s; a smaller age of the unread input counts as 0
+SAMPLE_INTERVAL = 4  # every 4th session reports the age of the input that it reads
 
 QUIT, INIT_DB, QUERY, PROCESS_KILL, PING, RESET_CONNECTION = 0x01, 0x02, 0x03, 0x0C, 0x0E, 0x1F
 
@@ -53,7 +54,7 @@
 
 
 class SessionHost(Protocol):
-    """What a session needs of its server."""
+    """The interface of the server that a session uses."""
 
     settings: Any
     open: OpenExchange
@@ -61,16 +62,16 @@
     on_unread_age: Callable[[float], None] | None
 
     def session(self, number: int) -> Session | None:
-        """Return the session of a connection id."""
+        """Return the session of a connection id; None if it has ended."""
 
     def ended(self, session: Session) -> None:
-        """Drop a session that is over."""
+        """Remove a session that has ended."""
 
     def lingers(self, session: Session, until: float) -> None:
-        """Keep reading a session that is over until the monotonic time `until` at most."""
+        """Remove a session that has ended; its connection lingers until the monotonic time `until` at most."""
 
     def watch(self, session: Session) -> None:
-        """Watch for the client's departure while its request is open."""
+        """Watch for the departure of a client whose request is open."""
 
 
 class Session:
@@ -84,50 +85,51 @@
         prepare(sock, WRITE_LIMIT)
         self._parser = packets.Parser()
         self._lock = threading.Lock()
-        self._exchange: Exchange | None = None  # of the open request; under the lock
-        self._since = time.monotonic()  # monotonic; the last answer
-        self._first = self._since + FIRST_LIMIT  # monotonic deadline of the first command; 0 after that
-        self._rest = 0.0  # monotonic deadline of an incomplete command
-        self._waiting: tuple[float, float] | None = (
-            None  # since when and until when it waits for its client; under the lock
+        self._exchange: Exchange | None = None  # the open request's; under the lock
+        self._since = time.monotonic()  # monotonic; the last answer or the connect
+        self._first = self._since + FIRST_LIMIT  # monotonic deadline of the first command; 0 once it has come
+        self._rest = 0.0  # monotonic deadline of an incomplete command; 0 without one
+        # since when and until when the session waits for its client; None while it is served; under the lock
+        self._waiting: tuple[float, float] | None = None
+        self._is_sampled = number % SAMPLE_INTERVAL == 0  # reports the age of its input
+        self._greeted = self._logged_in = False
+        self._taken = 0.0  # monotonic; when input was last read
+        self._deferred_answer = 0.0  # s that this input had waited unread
+        self._linger: lingering.Linger | None = (
+            None  # set after the last answer, while input is dropped; under the lock
         )
-        self._is_sampled = number % SAMPLED == 0  # reports the age of what it reads
-        self._greeted = self._in = False
-        self._taken = 0.0  # monotonic; when the last message had been read
-        self._deferred_answer = 0.0  # s that it had waited unread
-        self._linger: lingering.Linger | None = None  # after the last answer, while input is dropped; under the lock
-        self._gone = False  # the client has ended its side, and all input is read
+        self._gone = False  # the client has closed its side, and all input is read
         self._quit = False  # the client has sent QUIT
-        self._closing = False  # close once the received commands are answered; under the lock
-        self._cut = False  # close once the open request is answered; under the lock
-        self._idle = False  # between two commands; under the lock
-        self._due = False  # a command may have been received and is not answered; under the lock
-        self._killed = False  # by a KILL before the request's exchange existed; under the lock
+        self._closing = False  # close once all received commands are answered; under the lock
+        self._cut = False  # close once the command under way is answered; under the lock
+        self._idle = False  # waits between two commands, with none incomplete; under the lock
+        self._due = False  # a received command may be unanswered; under the lock
+        self._killed = False  # a KILL came before the request's exchange existed; under the lock
         self._deadline = overdue.AnswerDeadline()
         self._unread_due: float | None = None  # monotonic deadline of an unread request; None: unknown
         self._refusing = False  # the next request is rejected unread, as it is overdue
 
     def fileno(self) -> int:
-        """The client's file descriptor."""
+        """The client socket's file descriptor; -1 once closed."""
         return self._sock.fileno()
 
-    def run(self, buffer: memoryview, short: float = 0.0) -> bool:
-        """Serve the received input; return whether to wait for the client again, else the session is closed.
+    def run(self, buffer: memoryview, busy_for: float = 0.0) -> bool:
+        """Serve the received input; return whether to wait for more input; otherwise the session is closed.
 
-        short is for how many seconds no thread has been free for it, at most.
+        busy_for bounds the time (s) that the input waited because no thread was free.
         """
         going = False
         try:
-            going = self._serve_or_drain(buffer, short)
+            going = self._serve_or_drain(buffer, busy_for)
         finally:
             if not going:
                 self.close()
         return going
 
-    def _serve_or_drain(self, buffer: memoryview, short: float) -> bool:
-        """Serve the input, or drop it after the end."""
+    def _serve_or_drain(self, buffer: memoryview, busy_for: float) -> bool:
+        """Serve the input, or drop it once the session has ended; return whether to wait for more."""
         try:
-            if self._serve(buffer, short):
+            if self._serve(buffer, busy_for):
                 if self._wait_for_command():
                     return True
             elif self._gone:
@@ -139,49 +141,49 @@
         except OSError as error:
             log.event("client_lost", error=str(error))
             return False
-        return self._lingers(buffer)
+        return self._linger_on(buffer)
 
-    def _lingers(self, buffer: memoryview) -> bool:
-        """After the last answer, end our side and drop further input; return whether to wait for more."""
+    def _linger_on(self, buffer: memoryview) -> bool:
+        """After the last answer, shut down the sending side and drop further input; return whether to wait for more."""
         with self._lock:
             new = self._linger is None
             linger = self._linger = self._linger or lingering.Linger(time.monotonic() + lingering.LINGER_TIME)
-        if new and not self._quit:  # at once, so that the client does not send what would be dropped
+        if new and not self._quit:  # at once, so that the client sends no more commands, which would be dropped
             self._end_sending()
         before = linger.left
         if not linger.drop(self._sock, buffer, time.monotonic):
             return False
         if new:
             if self._quit and linger.left == before and not self._parser.begun:
-                return False  # nothing is unread, and no more can arrive
+                return False  # the client sent nothing after its QUIT
             self._end_sending()
             self.server.lingers(self, linger.until)
         return True
 
     def _end_sending(self) -> None:
         """Shut down the sending side; idempotent."""
-        with contextlib.suppress(OSError):  # it may have gone by itself
+        with contextlib.suppress(OSError):  # the client may have closed the connection
             self._sock.shutdown(socket.SHUT_WR)
 
     def run_brief(self, buffer: memoryview) -> bool | None:
-        """Serve like `run`, without blocking; return None, with nothing read, if the input may block."""
+        """Like `run`, but never blocks: returns None, with nothing read, if serving the input might block."""
         if not self._greeted:
             return self.run(buffer[:0])
-        size = None if self._parser.begun else departures.brief_commands_length(self._sock, self._in, buffer)
+        size = None if self._parser.begun else departures.brief_commands_length(self._sock, self._logged_in, buffer)
         return None if size is None else self.run(buffer[:size])
 
     def unread_overdue(self, now: float, buffer: memoryview) -> bool:
-        """Return whether a request that waits unread is overdue. Call by whoever has claimed the session."""
+        """Return whether a request that waits unread is overdue. Call by the thread that claimed the session."""
         if self._unread_due is None:
             size = 0
-            with contextlib.suppress(OSError):  # nothing more to read
+            with contextlib.suppress(OSError):  # there is no unread input
                 size = self._sock.recv_into(buffer, 0, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             if (left := overdue.time_to_live(self._parser.unread + bytes(buffer[:size]))) is not None:
                 self._unread_due = now - seconds_since_data(self._sock) + left
         return self._unread_due is not None and now >= self._unread_due
 
     def refuse_overdue(self, buffer: memoryview) -> bool:
-        """Reject the overdue unread request without blocking or reading further; returns like `run`."""
+        """Reject the overdue unread request without blocking or reading beyond it; return the same as `run`."""
         going, self._refusing = True, True
         while going and self._refusing and self._has_input():
             going = self.run(buffer[: self._parser.missing_bytes])
@@ -189,62 +191,63 @@
         return going
 
     def answer_overdue(self, now: float) -> bool:
-        """Fail the open request if it is overdue, in place of its blocked thread; return whether it was.
+        """Fail the open request if it is overdue, in place of its blocked thread; return whether it was overdue.
 
-        The session ends with it: what its client says next would wait for the same thread.
+        This ends the session: the client's next command would wait for the same blocked thread.
         """
         if not self._deadline.is_overdue(now):
             return False
-        # The descriptor is closed, and its sending side ended, under this lock: its thread, which hears that the answer
-        # is claimed, does not come before us.
+        # Closing the descriptor takes this lock too, so the request's thread, on finding the answer claimed, cannot
+        # shut down or close the connection before the answer is sent.
         with self._lock:
             if not self._deadline.claim_overdue(now):
                 return False
             self._cut = True
             if self._exchange is not None:
-                self._exchange.cancel()  # first, and without blocking: nothing is sent after the client's answer
+                self._exchange.cancel()  # before the answer: nothing may be sent to an engine after it
             left = packets.packet(1, FAILED)
-            with contextlib.suppress(OSError):  # the client has left, or takes nothing
+            with contextlib.suppress(OSError):  # the client has left, or does not read
                 while left:
                     left = left[self._sock.send(left, socket.MSG_DONTWAIT) :]
                 self._sock.shutdown(socket.SHUT_WR)
         return True
 
     def client_has_left(self) -> bool:
-        """Return whether the client of the open request has left, which includes shutting its sending half.
+        """Return whether the client of the open request has left, or shut down its sending half.
 
-        We never shut our reading side under an open request: what would seem the same.
+        The gateway must not shut down its own receiving side during a request: that would look the same.
         """
         return self._departure.check()
 
     def check_departure(self) -> None:
         """Cancel the open request if the client has left.
 
-        What is asked is the socket, not the event that came: that may be older than the request, or our own doing.
+        The socket is checked rather than trusting the event, which may be older than the request or be caused by the
+        gateway's own shutdown of the socket.
         """
-        with self._lock:  # the socket stays open while there is an exchange
+        with self._lock:  # while there is an exchange, the socket is open
             exchange = self._exchange if self._exchange is not None and self.client_has_left() else None
         if exchange is not None:
             exchange.cancel()
 
     def close(self) -> None:
-        """Close the session."""
+        """Remove the session from the server and close its socket."""
         self.server.ended(self)
         with self._lock:  # other threads must not shut down a reused descriptor
             self._sock.close()
 
     def end_linger(self) -> None:
-        """End the lingering: its thread closes it."""
+        """End the lingering now; the thread that the shutdown wakes closes the socket."""
         with self._lock:
             if self._linger is not None:
                 self._linger.until = 0.0
-            with contextlib.suppress(OSError):  # it may have gone by itself
+            with contextlib.suppress(OSError):  # the client may have closed the connection
                 self._sock.shutdown(socket.SHUT_RDWR)
 
     def kill(self, query_only: bool) -> None:
-        """Cancel the open request for a KILL, and end the session unless only the query was meant.
+        """Cancel the open request for a KILL; end the session too, unless query_only.
 
-        The open request may be one that is still read, held by the gate, or not read yet: it is not sent then.
+        A request that is unread, being parsed or held by the gate is cancelled too, and not sent to an engine.
         """
         with self._lock:
             exchange = self._exchange
@@ -255,40 +258,39 @@
             self._cut_off()
 
     def stop(self) -> None:
-        """Serve only what has been received: a session between commands ends now, others after their command.
+        """Serve only received commands: an idle session ends now, any other after its commands are answered.
 
-        A session that has just begun, or whose command is under way, answers it first, and so does one whose
-        command has come and is not read yet.
+        A session still answers a command that is under way, incomplete or unread, and a new one its first command.
         """
         with self._lock:
             self._closing = True
-            lingers = self._idle and not self._has_input() and self._end_waiting()
-        if lingers:
-            self._queue_for_service()
+            begins_linger = self._idle and not self._has_input() and self._end_waiting()
+        if begins_linger:
+            self._start_lingering()
 
     def _unread(self) -> bool:
-        """Return whether the client has sent something. Call under the lock."""
-        if self._waiting is None:  # over, or not waiting yet
+        """Return whether a waiting session has unread or incomplete input. Call under the lock."""
+        if self._waiting is None:  # ended, or being served
             return False
-        with contextlib.suppress(OSError):  # nothing to read
+        with contextlib.suppress(OSError):  # there is no unread input
             return self._parser.begun or bool(self._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         return False
 
     def _cut_off(self) -> None:
-        """Accept no more input: a waiting session ends now, others with their open request."""
+        """Serve no more commands: a waiting session ends now, any other after its command under way."""
         with self._lock:
             self._cut = True
-            lingers = self._waiting is not None and self._end_waiting()
-        if lingers:
-            self._queue_for_service()
+            begins_linger = self._waiting is not None and self._end_waiting()
+        if begins_linger:
+            self._start_lingering()
 
     @property
     def is_served(self) -> bool:
-        """Whether a thread is serving it."""
+        """Whether a thread is serving the session."""
         return self._waiting is None
 
     def idle_share(self, now: float) -> float:
-        """Return the used share of the client's time limit; 0 while it waits for us."""
+        """Return the used share of the client's time limit; 0 while the session is served."""
         waiting = self._waiting
         return (now - waiting[0]) / (waiting[1] - waiting[0]) if waiting else 0.0
 
@@ -297,52 +299,53 @@
         return bool(self._rest), self._since
 
     def evict(self, at_once: bool = False) -> bool:
-        """End the session unless its client has sent something; what crosses that it sends again on a new connection.
+        """End the session unless it has unread input; return whether it was ended.
 
-        at_once: its descriptor is needed now, so it does not linger.
+        The client resends on a new connection what it sends while this one is being closed. at_once: the descriptor is
+        needed now, so the connection does not linger.
         """
         with self._lock:
             if self._waiting is None or self._has_input():
                 return False
-            lingers = self._end_waiting(at_once)
-        if lingers:
-            self._queue_for_service()
+            begins_linger = self._end_waiting(at_once)
+        if begins_linger:
+            self._start_lingering()
         return True
 
     def _has_input(self) -> bool:
-        """Return whether there is something to read: bytes, or the client's end. Call under the lock.
+        """Return whether there is unread input: bytes, or the end of the connection. Call under the lock.
 
-        What is done upon it comes next: the last look is one after which no other thread has the interpreter.
+        The last check does not release the interpreter lock, so that no other thread runs before the caller acts on it.
         """
         try:
             self._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return has_unread(self._sock)
-        except OSError:  # a reset is an end too
+        except OSError:  # a reset ends the connection too
             return True
         return True
 
     def _end_waiting(self, at_once: bool = False) -> bool:
-        """End a waiting session, from any thread; return whether it lingers.
+        """End a waiting session, from any thread; return whether it lingers. Call under the lock.
 
-        Under the lock: from here on nothing that is read is taken. An answer of long ago has arrived, so that
-        nothing is lost with a reset: such a session is closed by the thread that this shutdown wakes.
+        From here on all input is dropped. If the last answer was sent more than LINGER_TIME ago, it has arrived and a
+        reset cannot destroy it: such a session does not linger; the thread that the shutdown wakes closes it.
         """
         self._idle, self._waiting = False, None
         linger = self._linger = lingering.Linger(0.0 if at_once else self._since + lingering.LINGER_TIME)
         lingers = time.monotonic() < linger.until
-        with contextlib.suppress(OSError):  # it may have gone by itself
+        with contextlib.suppress(OSError):  # the client may have closed the connection
             self._sock.shutdown(socket.SHUT_WR if lingers else socket.SHUT_RDWR)
         return lingers
 
-    def _queue_for_service(self) -> None:
+    def _start_lingering(self) -> None:
         if self._linger is not None:
             self.server.lingers(self, self._linger.until)
 
     def _wait_for_command(self) -> bool:
-        """Start waiting for the client, with its time limit; return whether to wait at all.
+        """Start waiting for the client, with a time limit; return False if the session ends instead.
 
-        The limits are on the whole of a command: a client that drips must not stay, nor a silent one.
+        The limits hold for a whole command, so that a client that sends byte by byte is cut off as a silent one is.
         """
         begun, now = self._parser.begun, time.monotonic()
         self._rest = (self._rest or now + PACKET_LIMIT) if begun else 0.0
@@ -355,9 +358,9 @@
             self._due, self._killed = False, self._killed and begun
         return True
 
-    def _serve(self, buffer: memoryview, short: float) -> bool:
-        """Read once, and answer the complete messages; return whether the session goes on."""
-        with self._lock:  # from here on it can't be evicted
+    def _serve(self, buffer: memoryview, busy_for: float) -> bool:
+        """Read once, and answer all complete messages; return whether the session goes on."""
+        with self._lock:  # from here on the session cannot be evicted
             self._idle, self._waiting, self._due = False, None, True
             self._unread_due = None
             if self._linger is not None:
@@ -367,7 +370,7 @@
             self._greeted = True
         if not buffer:
             return True
-        self._deferred_answer = self._unread_age(short)
+        self._deferred_answer = self._unread_age(busy_for)
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
         except BlockingIOError:  # nothing to read yet
@@ -375,7 +378,7 @@
         except OSError as error:
             if not is_short_of_memory(error):
                 raise
-            time.sleep(MEMORY_PAUSE)  # the input is kept, and its event repeats
+            time.sleep(MEMORY_PAUSE)  # the input stays in the socket, and epoll reports it again
             return True
         if not size:
             self._gone = True
@@ -384,7 +387,7 @@
         self._taken = time.monotonic()
         while not self._cut and (message := self._parser.next()) is not None:
             self._rest = 0.0
-            if not (self._answer(*message) if self._in else self._login(*message)):
+            if not (self._answer(*message) if self._logged_in else self._login(*message)):
                 return False
             self._since = time.monotonic()
         return True
@@ -399,22 +402,23 @@
             return False
         try:
             reply = self._command(payload)
-        except threads.ThreadUnavailableError:  # of a thread that the request needed: it still gets its answer
+        except threads.ThreadUnavailableError:  # the request needed another thread; the client still gets an answer
             reply = packets.packet(1, FAILED)
-        if not self._deadline.claim():  # overdue: it has been answered
+        if not self._deadline.claim():  # answer_overdue has answered it
             return False
         self._send(reply)
         return True
 
-    def _unread_age(self, short: float) -> float:
-        """Return the age in s of the unread input, by the kernel; 0 below MIN_WAIT.
+    def _unread_age(self, busy_for: float) -> float:
+        """Return the age in s of the unread input, as the kernel tells it; 0 below MIN_UNREAD_AGE.
 
-        short is for how long no thread has been free, at most. Without that the processor may have been elsewhere.
+        A positive busy_for, the time (s) in which no thread was free, caps the age. If it is 0, threads were free, and a
+        large age means that they got no processor time.
         """
         waited = seconds_since_data(self._sock)
         if self._is_sampled and self.server.on_unread_age is not None:
             self.server.on_unread_age(waited)
-        return min(short, waited) if short else waited * (waited >= MIN_WAIT)
+        return min(busy_for, waited) if busy_for else waited * (waited >= MIN_UNREAD_AGE)
 
     def _send(self, data: bytes) -> None:
         send_all(self._sock, data, WRITE_LIMIT)
@@ -428,14 +432,14 @@
         elif login.database not in (b"", DATABASE):
             answer = self._no_database(login.database)
         self._send(packets.packet(sequence + 1, answer))
-        self._in = answer == packets.ok()
-        return self._in
+        self._logged_in = answer == packets.ok()
+        return self._logged_in
 
     def _no_database(self, name: bytes) -> bytes:
         return packets.error(1049, "42000", f"Unknown database '{name.decode('utf-8', 'replace')}'")
 
     def _command(self, payload: bytes) -> bytes:
-        """Return the answer to one command, as packets."""
+        """Execute one command, and return its response packets."""
         command, body = payload[0] if payload else 0, payload[1:]
         if command == QUERY:
             killed = statements.parse_kill(body)
@@ -453,7 +457,7 @@
         if other is None:
             return UNKNOWN_THREAD
         other.kill(killed.query_only)
-        if other is self:  # KILL of itself: nothing else is open
+        if other is self:  # the session kills itself, and has no other request that the KILL could mean
             with self._lock:
                 self._killed = False
         return packets.ok()
@@ -464,14 +468,14 @@
         try:
             reply = self._run_request(text)
         finally:
-            with self._lock:  # later KILLs and events are not for this request
+            with self._lock:  # later KILLs and events do not concern this request
                 self._exchange, self._due, self._killed = None, False, False
         if self._departure.has_departed:
-            raise ConnectionAbortedError("it left while its request was open")
+            raise ConnectionAbortedError("the client left while its request was open")
         return reply
 
     def _run_request(self, text: bytes) -> bytes:
-        """Run a request, and return its answer."""
+        """Run a request, and return its response packets."""
         if self._refusing:
             self._refusing = False
             return answer(Rejected(OVERDUE_PUSHBACK))
@@ -484,9 +488,9 @@
                     return answer(passed)
                 query, exchange = passed
             else:
-                settings = self.server.settings  # the same for parsing and deciding
+                settings = self.server.settings  # the same version for parsing and for the decision
                 query = statements.parse_query(text, settings, self._taken)
-                if self._deferred_answer:  # its time has run since it arrived: an overdue one is rejected at once
+                if self._deferred_answer:  # the ttl counts from the arrival; an overdue request is rejected at once
                     query = dataclasses.replace(query, ttl=query.ttl - self._deferred_answer)
                 self._deadline.begin(query.received_at + query.ttl)
                 query.set_client_check(self.client_has_left)
@@ -514,9 +518,9 @@
                 log.event("answer_late", call=query.request_id.decode(), ttl=query.ttl, took=took)
 
     def _failed_by(self, error: Exception) -> bytes:
-        """Return the answer to a request that an internal error ended.
+        """Return the error packet for a request that an internal error ended.
 
-        What must hold still ends a debug build's session: tests have to see it.
+        An AssertionError is raised on instead: in debug builds it ends the session, so that tests notice it.
         """
         if isinstance(error, AssertionError | threads.ThreadUnavailableError):
             raise error
@@ -524,14 +528,14 @@
         return packets.packet(1, FAILED)
 
     def _open_admitted(self, text: bytes, gate: AdmissionGate) -> tuple[Query, Exchange] | Deferred | Cancelled:
-        """Open an admitted request, parsed under the version of the rules that decides it.
+        """Open a request once the gate admits it, parsed under the version of the rules that decides it.
 
-        One that was given up while it was held is not opened.
-        Raises Unusable; of a request that can't be read, only when it could have passed.
+        A request that is killed, or whose client leaves, while the gate holds it is not opened. Raises
+        InvalidRequestError for a request that cannot be parsed, but only if the gate would admit it without a wait.
         """
         settings, overdue = self.server.settings, self._deferred_answer
-        taken = self._taken  # later by the additional wait: the deadline stays the same
-        for _ in range(READINGS):
+        taken = self._taken  # moved on by the time held, as the ttl is cut by it: the deadline stays the same
+        for _ in range(MAX_PARSES):
             now = time.monotonic()
             try:
                 query = statements.parse_query(text, settings, taken)
@@ -539,8 +543,8 @@
                 tenant = settings.tenants[query.tenant] if settings.tenants else ""
                 until = now + _max_admission_wait(query.ttl - overdue)
                 entered = gate.admit(settings.classes[query.cls].name, tenant, query.tables, until)
-            except InvalidRequestError:  # under a version that may be replaced
-                entered = gate.admit(None, "", 0, now + UNREAD_WAITS)
+            except InvalidRequestError:  # perhaps only under a version that is being replaced
+                entered = gate.admit(None, "", 0, now + UNPARSED_WAIT)
                 if not (isinstance(entered, Deferred) or entered.waited):
                     raise
             if isinstance(entered, Deferred):
@@ -551,23 +555,23 @@
                 query = statements.parse_query(text, settings, taken)
             if self._killed or (entered.waited and self.client_has_left()):
                 return Cancelled()
-            if overdue:  # its time has run since it arrived: an overdue one is rejected at once
+            if overdue:  # the ttl counts from the arrival; an overdue request is rejected at once
                 query = dataclasses.replace(query, ttl=query.ttl - overdue)
             query.set_client_check(self.client_has_left)
             try:
                 return query, self.server.open(query, settings)
             except SettingsChangedError as error:
                 settings = error.settings
-        return Deferred(STILL_CHANGING, "the rules change faster than the request can be read")
+        return Deferred(RULES_CHANGE_PUSHBACK, "the rules change faster than the request can be read")
 
 
 def _max_admission_wait(ttl: float) -> float:
-    """Return the s that a request with that time to live may be held, so that enough is left to serve or reject it."""
-    return ttl - min(RESERVE_SHARE * ttl, RESERVE)
+    """Return how long (s) the gate may hold a request with this time to live, so that time is left to answer it."""
+    return ttl - min(SERVE_RESERVE_SHARE * ttl, MAX_SERVE_RESERVE)
 
 
 def answer(reply: Reply) -> bytes:
-    """Return a reply as packets."""
+    """Encode a reply as response packets."""
     match reply:
         case Served(pages):
             rows = (line.split(b"\t") for page in pages for line in page.split(b"\n")[:-1])
--- a/tealwing/mysql/statements.py
+++ b/tealwing/mysql/statements.py
@@ -1,4 +1,4 @@
-"""The statements of a session: a request with its fields, or KILL; pure."""
+"""Parse a session's statements: a request with the fields in its leading comment, or KILL; no I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 _REQUEST_ID = re.compile(r"[0-9a-f]{16}\Z")
 _IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_.:-]{1,128}\Z")
 _NUMBER = re.compile(r"\d{1,12}(?:\.\d{1,9})?\Z", re.ASCII)
-_QUOTED = re.compile(  # strings, comments and quoted names; one without its end reaches to the last byte
+_QUOTED = re.compile(  # strings, comments and quoted names; an unterminated one extends to the end
     rb"""'(?:[^'\\]|\\.|'')*(?:'|\\?\Z)|"(?:[^"\\]|\\.|"")*(?:"|\\?\Z)|`[^`]*`
     |/\*.*?(?:\*/|\Z)|--(?=\s|\Z)[^\n]*|\#[^\n]*""",
     re.DOTALL | re.VERBOSE,
@@ -31,7 +31,7 @@
 
 
 class FieldError(InvalidRequestError):
-    """A request with invalid fields; the text names the field."""
+    """A request has an invalid field; the text names it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,13 +43,13 @@
 
 
 def parse_kill(text: bytes) -> Kill | None:
-    """Return the KILL of a statement, if it is one."""
+    """Parse a KILL statement; return None for any other statement."""
     found = _KILL.match(text)
     return Kill(int(found[2]), (found[1] or b"").upper() == b"QUERY") if found else None
 
 
 def parse_query(text: bytes, settings: interface.Settings, taken: float = 0.0) -> Query:
-    """Return the request of a statement and its leading comment. Raises FieldError."""
+    """Parse a statement and its leading comment, received at the monotonic time `taken`. Raises FieldError."""
     head = _HEAD.match(text)
     if head is None:
         raise FieldError("no comment with the fields stands ahead of the statement")
@@ -104,7 +104,7 @@
 
 
 def table_group(statement: bytes) -> int:
-    """Return the table group: the number in the first schema read or written; 0 without one."""
+    """Return the table group: the number that ends the first numbered schema read or written; 0 if there is none."""
     bare = _QUOTED.sub(lambda found: found[0] if found[0][:1] == b"`" else b" ", statement)
     for found in _SCHEMA.finditer(bare):
         schema = found[1] or found[2]
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -136,7 +136,7 @@
         until(lambda: not any("session" in one.name for one in set(threading.enumerate()) - self._before))
         self.server._ready.close()
         self.server._listener.close()
-        os.close(self.server._ends)
+        os.close(self.server._end_reader)
 
     def _open(self, query: Query, settings: object) -> Work:
         call = query.request_id.decode()
@@ -542,7 +542,7 @@
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     hold = Hold(monkeypatch, server.Server, "_evict_idlest")
-    rig.server._spare = 0  # all places may be taken before one is evicted
+    rig.server._reserved_places = 0  # all places may be taken before one is evicted
     clients = [resting(rig) for _ in range(8)]
     for n in range(8):
         rig.hold(str(n))
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -875,7 +875,7 @@
     arm = server.Server._arm
 
     def arm_refusing(self: server.Server, number: int, one: session.Session, events: int) -> None:
-        if events == departures.LEAVING:
+        if events == departures.DEPARTURE_EVENTS:
             raise OSError("no room")
         arm(self, number, one, events)
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -187,9 +187,7 @@
     first, second = Client(one.address), Client(one.address)
     ping(second)
     until = time.monotonic() + LIMIT
-    while (
-        one._is_short_of_descriptors
-    ):  # the thread has not seen yet that nobody waits for it: what comes now would count as late
+    while one._busy_since:  # the thread has not seen yet that nobody waits for it: what comes now would count as late
         assert time.monotonic() < until
         time.sleep(0.001)
     first.ask()
