--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -412,7 +412,7 @@
     def _unread_age(self, busy_for: float) -> float:
         """Return the age in s of the unread input, as the kernel tells it; 0 below MIN_UNREAD_AGE.
 
-        A positive busy_for, the time (s) in which no thread was free, caps the age. If it is 0, threads were free, and a
+        A positive busy_for, the time (s) in which no thread was free, caps the age. With 0, threads were free, and a
         large age means that they got no processor time.
         """
         waited = seconds_since_data(self._sock)
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -1,6 +1,6 @@
-"""The ends of a client's connection: at each, what has been read is answered whole or was never sent on.
+"""The end of a client's connection: a request is answered completely, or was never sent to an engine.
 
-Crossings are forced: a thread is held at a named point, and what crosses is done then.
+Races are forced: a thread is held at a named function while the test performs the concurrent action.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from tests.peers import LIMIT, Client, request
 
 PING, QUIT, QUERY, KILL = 0x0E, 0x01, 0x03, 0x0C
-WHOLE = 48_000  # bytes, about: the largest result
+LARGE_RESULT = 48_000  # bytes, about; the largest result
 
 
 def until(holds: Callable[[], bool]) -> None:
     end = time.monotonic() + LIMIT
     while not holds():
-        assert time.monotonic() < end, "it never came about"
+        assert time.monotonic() < end, f"the condition did not hold within {LIMIT} s"
         time.sleep(0.002)
 
 
 class Hold:
-    """Holds the first thread that comes to a function, once armed, until it is let go."""
+    """Once armed, blocks the first thread that calls a function until it is released."""
 
     def __init__(self, patch: pytest.MonkeyPatch, owner: Any, name: str) -> None:
         self.reached, self.go, self._armed = threading.Event(), threading.Event(), threading.Event()
@@ -57,8 +57,8 @@
         assert self.reached.wait(LIMIT)
 
 
-class Spied(socket.socket):
-    """A client's socket at the server, which writes down how it is shut, and calls what a test wants done then."""
+class RecordingSocket(socket.socket):
+    """The server's socket of a client; records each shutdown, and calls the test's hooks before and after it."""
 
     rig: Rig
 
@@ -70,30 +70,30 @@
 
 
 class Listener(socket.socket):
-    """Gives spied sockets, or the errors that a test wants first."""
+    """Accepts recording sockets; raises the errors that a test has set first."""
 
     rig: Rig
 
     def accept(self) -> tuple[socket.socket, Any]:
         if self.rig.refusals:
-            raise OSError(self.rig.refusals.pop(), "refused by a test")
+            raise OSError(self.rig.refusals.pop(), "accept error injected by the test")
         number, address = self._accept()  # type: ignore[attr-defined]
-        spied = Spied(fileno=number)
-        spied.rig = self.rig
-        spied.setblocking(True)
-        return spied, address
+        sock = RecordingSocket(fileno=number)
+        sock.rig = self.rig
+        sock.setblocking(True)
+        return sock, address
 
 
 class Rig:
-    """A server whose engine is a test."""
+    """A server for which the test plays the engine."""
 
     def __init__(self, most: int = 8) -> None:
-        self.journal: list[str] = []  # "shut", and the calls that were sent on
+        self.journal: list[str] = []  # "shut" for a shutdown, and the ids of the requests opened
         self.refusals: list[int] = []
         self.before_shutdown: Callable[[], object] = lambda: None
         self.after_shutdown: Callable[[], object] = lambda: None
         self.held: dict[str, threading.Event] = {}
-        self.size = 1  # bytes of a result's column, about
+        self.size = 1  # bytes of the second column of each result
         self._before = set(threading.enumerate())
         self.server = server.Server(("127.0.0.1", 0), most, make_settings(), self._open)
         listener = Listener(fileno=self.server._listener.detach())
@@ -120,17 +120,17 @@
         assert found is not None
         return found
 
-    def rests(self, client: Client) -> None:
-        """Wait until its session is between two commands, and in the epoll set."""
+    def wait_until_idle(self, client: Client) -> None:
+        """Wait until the client's session is between two commands, and in the epoll set."""
         waits = self.session(client)
         until(lambda: waits._waiting is not None and waits.fileno() in self.server._waiting)
 
     def empty(self) -> None:
-        """Nothing is left of any client."""
+        """Wait until the server holds nothing of any client."""
         until(lambda: not self.server._sessions and not self.lingering and not self.server._waiting)
 
     def end(self) -> None:
-        """End the server; all that it started and opened is gone then."""
+        """End the server, wait for its threads, and close its descriptors."""
         self.server.stop_listening()
         assert self.server.finish(LIMIT)
         until(lambda: not any("session" in one.name for one in set(threading.enumerate()) - self._before))
@@ -145,7 +145,7 @@
 
 
 class Work:
-    """A request that is answered with its own call, once it is let go."""
+    """A request that is answered with its own id, once it is released."""
 
     def __init__(self, rig: Rig, call: str) -> None:
         self._rig, self._call, self._abandoned = rig, call, threading.Event()
@@ -188,7 +188,7 @@
 
 
 def answered(client: Client, call: str) -> bool:
-    """Whether the whole answer to a call comes; False: the connection ends with nothing more."""
+    """Return whether the complete answer to a request arrives; False if the connection ends without it."""
     try:
         rows = client.rows()
     except (EOFError, ConnectionResetError):
@@ -198,48 +198,46 @@
 
 
 def ends_clean(client: Client) -> None:
-    """Nothing more comes, and the end is no reset."""
+    """Assert that the connection ends without further data and without a reset."""
     client.sock.settimeout(LIMIT)
     with pytest.raises(EOFError):
         client.read()
 
 
-def resting(rig: Rig) -> Client:
-    """A client that has been answered and rests; what opened the journal is forgotten."""
+def idle_client(rig: Rig) -> Client:
+    """Return a client that has been answered and is idle."""
     client = Client(rig.address)
     ping(client)
-    rig.rests(client)
+    rig.wait_until_idle(client)
     return client
 
 
-# lingering closes
+# Lingering closes
 
 
-MANY = b"\0" * 64 * 1024  # bytes that a session does not read before it ends: its thread reads 4 KB at once
+MANY = b"\0" * 64 * 1024  # input that a session does not read before it ends: a thread reads 4 KB at a time
 
 
 @pytest.mark.parametrize(
     "last",
     [
-        packets.packet(7, b"\x0e"),  # out of order: an error, and the end
+        packets.packet(7, b"\x0e"),  # out of order: an error ends the session
         packets.packet(0, bytes([QUIT])),
-        packets.packet(0, bytes([KILL]) + b"\1\0\0\0"),  # of itself: the first connection
+        packets.packet(0, bytes([KILL]) + b"\1\0\0\0"),  # of its own connection, the first one
     ],
     ids=["packet-error", "quit", "kill"],
 )
-def test_a_last_answer_is_not_destroyed_by_bytes_that_nobody_reads(
-    rig: Rig, monkeypatch: pytest.MonkeyPatch, last: bytes
-) -> None:
-    # guards the answer: a close over unread bytes reset the connection, and took along what the client had not read
-    def slow(address: tuple[str, int], limit: float) -> socket.socket:
+def test_unread_input_does_not_destroy_the_last_answer(rig: Rig, monkeypatch: pytest.MonkeyPatch, last: bytes) -> None:
+    # fault: a close with unread input reset the connection, which destroyed what the client had not read yet
+    def connect_with_small_buffer(address: tuple[str, int], limit: float) -> socket.socket:
         sock = socket.socket()
         sock.settimeout(limit)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # it takes its answer in small steps
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # it reads its answer in small steps
         sock.connect(address)
         return sock
 
-    monkeypatch.setattr(socket, "create_connection", slow)
-    rig.size = WHOLE
+    monkeypatch.setattr(socket, "create_connection", connect_with_small_buffer)
+    rig.size = LARGE_RESULT
     client = Client(rig.address)
     client.sock.sendall(query("1") + last + MANY)
     until(lambda: not rig.server._sessions)
@@ -251,8 +249,8 @@
     rig.empty()
 
 
-def test_a_client_that_may_not_log_in_hears_why(rig: Rig) -> None:
-    # guards the error against the queries written behind a login: unread, they reset the connection
+def test_client_gets_the_error_of_its_failed_login(rig: Rig) -> None:
+    # fault: queries sent right after a failed login stayed unread, and reset the connection before the error arrived
     client = Client(rig.address, b"mallory", MANY)
     assert int.from_bytes(client.login[1:3], "little") == 1045
     ends_clean(client)
@@ -260,7 +258,7 @@
     rig.empty()
 
 
-def test_an_error_that_ends_a_session_before_its_login_is_heard(rig: Rig) -> None:
+def test_client_gets_the_error_of_a_bad_handshake(rig: Rig) -> None:
     with socket.create_connection(rig.address, LIMIT) as sock:
         sock.sendall(packets.packet(1, b"no login") + MANY)
         got = b""
@@ -270,8 +268,8 @@
     rig.empty()
 
 
-def test_a_clean_close_lingers_for_nothing(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server.Server, "lingers", lambda *_: pytest.fail("it lingers"))
+def test_cleanly_closed_connection_does_not_linger(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(server.Server, "lingers", lambda *_: pytest.fail("a cleanly closed connection lingers"))
     gone, quitting = Client(rig.address), Client(rig.address)
     for client in (gone, quitting):
         ping(client)
@@ -283,7 +281,7 @@
 
 
 def test_lingering_is_bounded_in_time(rig: Rig) -> None:
-    # the client neither reads nor ends; it gives the descriptor back all the same
+    # the client neither reads nor closes; its descriptor must be freed all the same
     client = Client(rig.address, also=packets.packet(7, b"\x0e") + MANY)
     until(lambda: rig.lingering == 1)
     begun = time.monotonic()
@@ -296,17 +294,17 @@
     monkeypatch.setattr(lingering, "LINGER_TIME", LIMIT)
     client = Client(rig.address, also=packets.packet(7, b"\x0e"))
     sent = 0
-    with pytest.raises(OSError):  # closed, while it still sends
+    with pytest.raises(OSError):  # the server closes while the client still sends
         while sent < 256 * lingering.MAX_LINGER_BYTES:
             sent += client.sock.send(MANY)
     rig.empty()
     assert not rig.opened
 
 
-def test_a_flood_of_bad_clients_holds_no_descriptors(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    # what lingers is bounded in number, and goes first: the clients that rest keep their connections
+def test_flood_of_bad_clients_does_not_exhaust_the_places(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    # lingering connections are bounded in number and closed first: idle clients keep their connections
     monkeypatch.setattr(lingering, "LINGER_TIME", LIMIT)
-    rests = [resting(rig) for _ in range(5)]
+    rests = [idle_client(rig) for _ in range(5)]
     bad = []
     most = 0
     for _ in range(60):
@@ -325,30 +323,30 @@
     rig.empty()
 
 
-def test_lingering_ends_with_the_drain(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_drain_ends_lingering(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lingering, "LINGER_TIME", LIMIT)
     client = Client(rig.address, also=packets.packet(7, b"\x0e"))
     until(lambda: rig.lingering == 1)
     rig.server.stop_listening()
     begun = time.monotonic()
-    assert rig.server.finish(0.2)  # nothing is owed: it is no drain that was cut short
+    assert rig.server.finish(0.2)  # no answer is outstanding, so the drain is not cut short
     assert time.monotonic() - begun < LIMIT / 3
     rig.empty()
     client.sock.close()
 
 
-# the drain
+# The drain
 
 
-def test_a_command_that_came_before_the_stop_is_answered_and_the_session_ends(
+def test_command_received_before_the_stop_is_answered_before_the_session_ends(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # guards what crosses a stop: it was read and sent on after the connection had been shut
+    # fault: a command that arrived during a stop was read and sent to an engine after the connection had been shut down
     hold = Hold(monkeypatch, session.Session, "_serve")
-    client = resting(rig)
+    client = idle_client(rig)
     hold.arm()
     client.sock.sendall(query("1"))
-    hold.wait()  # a thread has the event, and has read nothing
+    hold.wait()  # a thread has the event, but has read nothing
     rig.session(client).stop()
     assert "shut" not in rig.journal
     hold.go.set()
@@ -359,10 +357,10 @@
 
 
 @pytest.mark.parametrize("way", ["stop", "kill", "evict"])
-def test_what_comes_after_the_end_is_not_sent_on(rig: Rig, monkeypatch: pytest.MonkeyPatch, way: str) -> None:
-    # guards the rule on one answer: the client sends again elsewhere what crosses the end of its connection
+def test_command_sent_after_the_shutdown_is_not_opened(rig: Rig, monkeypatch: pytest.MonkeyPatch, way: str) -> None:
+    # a request may run only once: the client resends elsewhere what it sent while its connection was being closed
     hold = Hold(monkeypatch, session.Session, "_serve")
-    client = resting(rig)
+    client = idle_client(rig)
     ours = rig.session(client)
     rig.after_shutdown = lambda: client.sock.sendall(query("1"))
     hold.arm()
@@ -373,7 +371,7 @@
             ours.kill(query_only=False)
         case "evict":
             assert ours.evict()
-    hold.wait()  # the shutdown or the command has woken a thread
+    hold.wait()  # the shutdown or the command has woken a thread, held here
     hold.go.set()
     assert not answered(client, "1")
     client.sock.close()
@@ -382,8 +380,8 @@
 
 
 @pytest.mark.parametrize("way", ["stop", "evict"])
-def test_what_comes_between_the_look_and_the_end_is_not_sent_on(rig: Rig, way: str) -> None:
-    client = resting(rig)
+def test_command_sent_between_input_check_and_shutdown_is_not_opened(rig: Rig, way: str) -> None:
+    client = idle_client(rig)
     ours = rig.session(client)
     rig.before_shutdown = lambda: client.sock.sendall(query("1"))
     getattr(ours, way)()
@@ -393,8 +391,8 @@
     assert not rig.opened
 
 
-def test_commands_that_came_together_are_all_answered_at_the_drain(rig: Rig) -> None:
-    # guards what is whole in the parser, and in the socket: the session ended with its first answer
+def test_drain_answers_all_pipelined_commands(rig: Rig) -> None:
+    # fault: the session ended with its first answer, though further commands were complete in the parser and the socket
     go = rig.hold("1")
     client = Client(rig.address)
     client.sock.sendall(query("1") + query("2"))
@@ -408,7 +406,7 @@
     rig.empty()
 
 
-def test_a_client_with_no_login_yet_is_still_served_at_the_drain(rig: Rig) -> None:
+def test_drain_serves_a_client_that_has_not_logged_in_yet(rig: Rig) -> None:
     with socket.create_connection(rig.address, LIMIT) as sock:
         assert sock.recv(4096)
         until(lambda: len(rig.server._waiting) == 1)
@@ -424,7 +422,9 @@
     rig.empty()
 
 
-def test_a_login_in_one_segment_with_a_query_crosses_the_stop(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_query_sent_with_the_login_is_answered_if_the_stop_comes_during_the_login(
+    rig: Rig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     hold = Hold(monkeypatch, session.Session, "_login")
     hold.arm()
     found: list[Client] = []
@@ -442,12 +442,12 @@
 
 
 @pytest.mark.parametrize("read", [True, False])
-def test_half_a_command_at_the_drain_is_answered_when_its_rest_comes(
+def test_drain_answers_an_incomplete_command_once_its_rest_arrives(
     rig: Rig, monkeypatch: pytest.MonkeyPatch, read: bool
 ) -> None:
-    # unread as the stop comes, it was closed over: the session passed for one between commands
+    # fault: with its first half unread at the stop, the session was taken for an idle one and closed
     hold = Hold(monkeypatch, session.Session, "_serve")
-    client = resting(rig)
+    client = idle_client(rig)
     ours = rig.session(client)
     if not read:
         hold.arm()
@@ -467,9 +467,9 @@
     assert rig.opened == ["1"]
 
 
-def test_half_a_command_that_stays_half_does_not_hold_the_drain(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_command_that_stays_incomplete_does_not_block_the_drain(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(session, "PACKET_LIMIT", 0.1)
-    client = resting(rig)
+    client = idle_client(rig)
     client.sock.sendall(query("1")[:9])
     rig.session(client).stop()
     rig.empty()
@@ -477,13 +477,13 @@
     assert not rig.opened
 
 
-# eviction
+# Eviction
 
 
-def test_the_longest_idle_client_is_evicted_and_half_a_command_last(rig: Rig) -> None:
-    # guards clients that have just connected or are slow: idle time was counted in shares of each client's limit,
-    # so that one which had connected 0.1 s ago went before one that had rested for 2 s
-    clients = [resting(rig) for _ in range(6)]
+def test_longest_idle_client_is_evicted_first_and_an_incomplete_command_last(rig: Rig) -> None:
+    # fault: idle time was measured as a share of each client's limit, so that a client which had connected 0.1 s ago
+    # was evicted before one that had been idle for 2 s
+    clients = [idle_client(rig) for _ in range(6)]
     half, fresh = clients[0], socket.create_connection(rig.address, LIMIT)
     until(lambda: len(rig.server._sessions) == 7)
     (newest,) = (ours for ours in rig.server._sessions.values() if ours._first)
@@ -506,15 +506,15 @@
     rig.server._evict_idlest(False)
     assert not [c for c in (fresh,) if c.recv(4096) == b""]  # the greeting
     assert fresh.recv(4096) == b""
-    half.sock.sendall(query("1")[9:])  # it goes last
+    half.sock.sendall(query("1")[9:])  # it would be evicted last
     assert answered(half, "1")
     for sock in (fresh, *(client.sock for client in clients)):
         sock.close()
     rig.empty()
 
 
-def test_a_usual_client_gets_in_when_every_place_is_held_by_idle_ones(rig: Rig) -> None:
-    idle = [resting(rig) for _ in range(30)]
+def test_new_client_is_accepted_when_idle_clients_hold_all_places(rig: Rig) -> None:
+    idle = [idle_client(rig) for _ in range(30)]
     late = Client(rig.address, also=query("1"))
     assert answered(late, "1")
     for client in (*idle, late):
@@ -522,8 +522,8 @@
     rig.empty()
 
 
-def test_a_client_that_came_when_all_were_busy_gets_in_once_one_is_idle(rig: Rig) -> None:
-    # guards the next client: nobody was accepted until a session had ended by itself, after up to 60 s of rest
+def test_client_that_connects_while_all_are_busy_is_accepted_once_one_is_idle(rig: Rig) -> None:
+    # fault: no client was accepted until some session had ended by itself, after up to 60 s idle
     events = [rig.hold(str(n)) for n in range(8)]
     busy = [Client(rig.address, also=query(str(n))) for n in range(8)]
     until(lambda: len(rig.opened) == 8)
@@ -538,17 +538,17 @@
     rig.empty()
 
 
-def test_a_client_that_came_when_nobody_could_be_evicted_gets_in_once_one_is_idle(
+def test_client_is_accepted_once_one_is_idle_after_an_eviction_found_none(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     hold = Hold(monkeypatch, server.Server, "_evict_idlest")
-    rig.server._reserved_places = 0  # all places may be taken before one is evicted
-    clients = [resting(rig) for _ in range(8)]
+    rig.server._reserved_places = 0  # all places can be taken before a client is evicted
+    clients = [idle_client(rig) for _ in range(8)]
     for n in range(8):
         rig.hold(str(n))
     hold.arm()
     late = socket.create_connection(rig.address, LIMIT)
-    hold.wait()  # a thread looks for one to evict, and all have sent something by then
+    hold.wait()  # a thread is about to evict a client; before it chooses, all of them send a command
     for n, client in enumerate(clients):
         client.sock.sendall(query(str(n)))
     hold.go.set()
@@ -563,10 +563,10 @@
     rig.empty()
 
 
-def test_clients_with_unread_bytes_are_not_evicted_and_the_next_still_gets_in(
+def test_clients_with_unread_input_are_not_evicted_and_the_next_client_is_accepted(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clients = [resting(rig) for _ in range(7)]
+    clients = [idle_client(rig) for _ in range(7)]
     real, held = session.Session._serve, threading.Event()
     mine = {client.id for client in clients}
 
@@ -592,20 +592,20 @@
     rig.empty()
 
 
-def test_a_client_whose_time_is_over_is_closed(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_is_closed_after_its_idle_limit(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(session, "IDLE_LIMIT", 0.2)
-    client = resting(rig)
+    client = idle_client(rig)
     ends_clean(client)
     client.sock.close()
     rig.empty()
 
 
-def test_descriptors_that_run_out_are_taken_from_what_lingers_then_from_the_longest_idle(
+def test_descriptor_shortage_closes_lingering_connections_then_the_longest_idle(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # guards accepts against EMFILE: they were tried again every 50 ms, and nothing was closed for them
+    # fault: after EMFILE, accept was retried every 50 ms, but no connection was closed to free a descriptor
     monkeypatch.setattr(lingering, "LINGER_TIME", LIMIT)
-    idle = [resting(rig) for _ in range(3)]
+    idle = [idle_client(rig) for _ in range(3)]
     bad = Client(rig.address, also=packets.packet(7, b"\x0e"))
     until(lambda: rig.lingering == 1)
     rig.refusals = [errno.EMFILE]
@@ -620,11 +620,11 @@
     rig.empty()
 
 
-def test_an_eviction_crosses_the_drain(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    client = resting(rig)
+def test_stop_during_an_eviction_shuts_the_connection_down_once(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    client = idle_client(rig)
     ours = rig.session(client)
     stopping = threading.Thread(target=ours.stop)
-    shuts = iter((stopping.start,))  # the stop comes as the eviction shuts
+    shuts = iter((stopping.start,))  # the stop comes during the eviction's shutdown
     rig.before_shutdown = lambda: next(shuts, bool)()
     assert ours.evict()
     stopping.join(LIMIT)
@@ -634,17 +634,17 @@
     assert rig.journal == ["shut"]
 
 
-def test_an_eviction_crosses_the_thread_that_picks_the_session_up(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_session_is_not_evicted_once_a_thread_serves_it(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     hold = Hold(monkeypatch, session.Session, "_serve")
-    client = resting(rig)
+    client = idle_client(rig)
     ours = rig.session(client)
     hold.arm()
     client.sock.sendall(query("1"))
     hold.wait()
-    assert not ours.evict()  # its command has come
+    assert not ours.evict()  # its command has arrived
     hold.go.set()
     assert answered(client, "1")
-    rig.rests(client)
+    rig.wait_until_idle(client)
     assert ours.evict() and not ours.evict()
     ends_clean(client)
     client.sock.close()
@@ -656,14 +656,14 @@
     sock.close()
 
 
-def test_a_descriptor_is_not_shut_after_its_close(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    # a stop that crosses the session's own end must not shut whoever has the descriptor next
+def test_closed_descriptor_is_not_shut_down(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    # a stop concurrent with the session's own close must not shut down the next user of the descriptor
     hold = Hold(monkeypatch, server.Server, "ended")
-    client = resting(rig)
+    client = idle_client(rig)
     ours = rig.session(client)
     hold.arm()
     reset(client.sock)
-    hold.wait()  # its thread is about to close it
+    hold.wait()  # its thread is about to close the socket
     ours.stop()
     ours.kill(query_only=False)
     hold.go.set()
@@ -674,11 +674,11 @@
     ours.end_linger()
 
 
-def test_a_rig_leaves_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_server_end_releases_threads_and_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(statements, "parse_query", read_call)
     before = len(os.listdir("/proc/self/fd")), threading.active_count()
     rig = Rig()
-    clients = [resting(rig) for _ in range(6)]
+    clients = [idle_client(rig) for _ in range(6)]
     clients.append(Client(rig.address, also=packets.packet(7, b"\x0e") + MANY))
     rig.end()
     rig.empty()
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""A client that leaves or is killed while its request waits, is out, or is about to go: each crossing is forced."""
+"""A client leaves or is killed while its request waits, is at an engine or is about to be sent; races are forced."""
 
 from __future__ import annotations
 
@@ -36,22 +36,22 @@
 
 PAGE = b"a\tb\tc\n"
 INTERRUPTED = 1317
-GONE = 0.1  # s after which no attempt of a client that has left may begin (the operators' newest terms)
-OURS = 60_000  # ms of a ttl past every wait of these tests: nothing here ends because its time is over
+DEPARTURE_LIMIT = 0.1  # s after a client's departure; required by the operators: no attempt may begin later
+LONG_TTL = 60_000  # ms; longer than any wait in these tests, so that no request here becomes overdue
 
 
 class Rig:
-    """The server, the requests' lives, the module and the connections, with engines played by hand."""
+    """A server with request handlers, policy module and engine connections; each test plays the engines itself."""
 
     def __init__(self, threads: int | None = None, engines: int = 1, **of_class: Any) -> None:
-        """of_class are fields of the one class of requests."""
+        """of_class overrides fields of the only request class."""
         plain: dict[str, Any] = {"name": "lookup", "deadline": 60.0, "latency_objective": 20.0}
         self.settings = make_settings(tenants=("acme",), classes=(request_class(**(plain | of_class)),))
         self.peers = [Peer() for _ in range(engines)]
         self.engine = self.peers[0]
         self.engines = EnginePool(dataclasses.replace(self.settings.limits, connect_timeout=LIMIT))
         self.decisions = Decisions(self.settings, 1, self.engines)
-        self.heard: list[api.Event] = []  # by the module, beside lists
+        self.heard: list[api.Event] = []  # submitted to the policy module, engine lists excepted
         self.before: Callable[[api.Event], object] = lambda event: None
         submit = self.decisions.submit
 
@@ -73,7 +73,7 @@
         setattr(self.decisions, "submit", submit_noting)  # noqa: B010
         self.opened: SimpleQueue[bytes] = SimpleQueue()
         self.opening: Callable[[], object] = lambda: None
-        self.blind = False  # requests don't ask their client's socket
+        self.ignores_socket = False  # requests do not check their client's socket
         self.server = server.Server(("127.0.0.1", 0), 64, self.settings, self.open, max_threads=threads)
         self.decisions.start()
         self.engines.start()
@@ -82,7 +82,7 @@
     def open(self, query: Query, settings: api.Settings) -> request_handler.RequestHandler:
         self.opening()
         self.opened.put(query.request_id)
-        if self.blind:
+        if self.ignores_socket:
             query = dataclasses.replace(query, has_left=lambda: False)
         return request_handler.RequestHandler(query, settings, self.decisions, self.engines)
 
@@ -95,16 +95,16 @@
         return found
 
     def ask(self, client: Client, call: int = 1) -> None:
-        client.ask(call=name_of(call), ttl=OURS)
+        client.ask(call=name_of(call), ttl=LONG_TTL)
 
     def sent(self, call: int, peer: int = 0) -> tuple[socket.socket, bytes]:
-        """The next thing that the engine hears is this request."""
+        """Receive the engine's next message, which must be this request; return its connection and id."""
         sock, parts = self.peers[peer].next(b"want")
         assert parts[1] == b"%016x" % call
         return sock, parts[1]
 
     def serve(self, client: Client, call: int) -> None:
-        """Ask and be answered: nothing was sent to the engine before."""
+        """Send a request and have it answered; the engine must not have received anything before it."""
         self.ask(client, call)
         self.answer(client, call)
 
@@ -114,7 +114,7 @@
         assert len(client.rows()) == 1
 
     def nothing_left(self) -> None:
-        """Books, places and tables are as before any request came."""
+        """Wait until no request, reservation or table entry remains, as before the first request."""
         wait(lambda: self.decisions.open_requests == 0)
         module = self.decisions.module
         assert isinstance(module, Gateway)
@@ -129,7 +129,7 @@
         assert not self.decisions._request_ids
 
     def gone(self, number: int) -> None:
-        """The session is over, its connection lingers no more, and nothing is kept of it."""
+        """Wait until the session has ended and its connection lingers no more; nothing of it may remain."""
         server = self.server
         with server._changed:
             assert server._changed.wait_for(lambda: number not in server._sessions and not server._lingering, LIMIT)
@@ -181,7 +181,7 @@
 
 
 class Held:
-    """Holds whoever comes to a point, until it is let go."""
+    """Blocks each caller until it is released."""
 
     def __init__(self) -> None:
         self.come, self.go = threading.Semaphore(0), threading.Event()
@@ -208,55 +208,55 @@
 
 
 def behind_bytes(client: Client) -> None:
-    """A FIN with a whole command ahead of it, that nobody reads while the request is open."""
+    """Send a complete command, then a FIN; neither is read while the request is open."""
     client.send(0x0E)
     client.sock.shutdown(socket.SHUT_WR)
 
 
-WAYS = [fin, rst, half, behind_bytes]
+DEPARTURES = [fin, rst, half, behind_bytes]
 
 
 def leave(rig: Rig, client: Client, way: Callable[[Client], None] = fin) -> None:
-    """The client leaves, and its end has come here."""
+    """Make the client leave, and wait until the server's socket shows it."""
     one = rig.session(client)
     way(client)
     wait(lambda: departures.has_left(one._sock))
 
 
 def kill(rig: Rig, client: Client, what: str = "QUERY ") -> None:
-    """Another client's KILL, answered."""
+    """Send a KILL from another client, and wait for its OK."""
     other = rig.client()
     other.send(3, f"KILL {what}{client.id}".encode())
     assert other.read() == packets.ok()
     other.sock.close()
 
 
-# What is out
+# Requests at an engine
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_a_client_that_leaves_has_its_attempt_given_up(rig: Rig, way: Callable[[Client], None]) -> None:
-    # guards the engines: nobody looked at a client whose request was open, and it ran, and was tried again
+@pytest.mark.parametrize("way", DEPARTURES)
+def test_client_departure_cancels_the_attempt(rig: Rig, way: Callable[[Client], None]) -> None:
+    # fault: a client was not watched while its request was open, so the request ran on, and was retried
     client = rig.client()
     rig.ask(client)
     _, call = rig.sent(1)
     way(client)
     assert rig.engine.next(b"never_mind")[1][1] == call
     rig.gone(client.id)
-    if way in (half, behind_bytes):  # it hears nothing, not even to what it had sent ahead
+    if way in (half, behind_bytes):  # it gets no answer, not even to the pipelined command
         client.sock.settimeout(LIMIT)
         try:
             assert client.sock.recv(4096) == b""
-        except ConnectionResetError:  # closed over what it had sent ahead
+        except ConnectionResetError:  # closed with the pipelined command unread
             assert way is behind_bytes
     rig.nothing_left()
     assert rig.count(api.ClientGone) == 1 and rig.results() == {api.AttemptResult.CANCELLED: 1}
     rig.serve(rig.client(), 2)
 
 
-def test_bytes_sent_ahead_wake_nobody_and_are_answered_in_turn(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    looks: SimpleQueue[int] = SimpleQueue()
-    monkeypatch.setattr(session.Session, "check_departure", lambda self: looks.put(self.number))
+def test_pipelined_command_waits_for_the_open_request(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    checks: SimpleQueue[int] = SimpleQueue()
+    monkeypatch.setattr(session.Session, "check_departure", lambda self: checks.put(self.number))
     client = rig.client()
     rig.ask(client)
     sock, call = rig.sent(1)
@@ -264,15 +264,15 @@
     wait(lambda: readable(rig.session(client)._sock))
     say(sock, call, b"200", b"sheets=1", PAGE)
     assert len(client.rows()) == 1 and client.read() == packets.ok()
-    assert looks.empty()
+    assert checks.empty()
 
 
 def readable(sock: socket.socket) -> bool:
     return bool(select.select([sock], [], [], 0)[0])
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_what_a_socket_says_of_its_client(way: Callable[[Any], None], monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("way", DEPARTURES)
+def test_has_left_detects_each_kind_of_departure(way: Callable[[Any], None], monkeypatch: pytest.MonkeyPatch) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         theirs = socket.create_connection(listener.getsockname(), LIMIT)
         ours, _ = listener.accept()
@@ -281,7 +281,7 @@
     wait(lambda: readable(ours))
     assert not departures.has_left(ours)
     if way is fin:
-        ours.recv(1)  # for a system that tells an end once all bytes are read
+        ours.recv(1)  # for a system that reports the end only once all bytes are read
     way(SimpleNamespace(sock=theirs, send=lambda command: theirs.send(b"y")))
     wait(lambda: departures.has_left(ours))
     if way is fin:
@@ -292,23 +292,23 @@
     theirs.close()
 
 
-def test_a_stop_under_an_open_request_is_no_leaving(rig: Rig) -> None:
-    # the drain may come in the instant in which a request is read: it is owed its answer. A shutdown of our reading
-    # side would look as if its client had left, so that none is made under an open request
+def test_stop_during_a_request_is_not_taken_for_a_departure(rig: Rig) -> None:
+    # a drain may begin while a request is being read, and the request must still be answered. Shutting down the
+    # gateway's receiving side would look as if the client had left, so this must not happen while a request is open
     client = rig.client()
     rig.ask(client)
     sock, call = rig.sent(1)
     ours = rig.session(client)
     ours.stop()
     assert not ours.evict() and not departures.has_left(ours._sock)
-    ours.check_departure()  # an event that came all the same is a hint, no more
+    ours.check_departure()  # an event that comes all the same is only a hint
     say(sock, call, b"200", b"sheets=1", PAGE)
     assert len(client.rows()) == 1
     assert rig.count(api.ClientGone) == 0
     assert client.sock.recv(1) == b""
 
 
-def test_a_killed_connection_hears_that_it_was_interrupted_and_ends(rig: Rig) -> None:
+def test_kill_connection_answers_interrupted_and_closes(rig: Rig) -> None:
     client = rig.client()
     rig.ask(client)
     _, call = rig.sent(1)
@@ -321,13 +321,13 @@
     assert rig.count(api.ClientGone) == 1
 
 
-# The last check before the bytes go out
+# The last check before a request is sent
 
-NOTICED = ["event", "socket"]  # by the event, in the mailbox; or by the last look at the socket alone
+NOTICED = ["event", "socket"]  # by the epoll event in the request's mailbox, or only by the last check of the socket
 
 
-def go(rig: Rig, client: Client, how: str) -> None:
-    """The client leaves; it is known by the time this returns where the event tells."""
+def leave_noticed(rig: Rig, client: Client, how: str) -> None:
+    """Make the client leave; if the event reports it, wait until the request has it in its mailbox."""
     open_ = rig.session(client)._exchange
     assert isinstance(open_, request_handler.RequestHandler)
     leave(rig, client)
@@ -337,14 +337,14 @@
 
 @pytest.fixture(params=NOTICED)
 def how(rig: Rig, request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> str:
-    rig.blind = request.param == "event"
-    if not rig.blind:
+    rig.ignores_socket = request.param == "event"
+    if not rig.ignores_socket:
         monkeypatch.setattr(session.Session, "check_departure", lambda self: None)
     return str(request.param)
 
 
-def unsent(rig: Rig, client: int, attempts: int = 1) -> None:
-    """The request ended unsent, was told so once, and the next thing that the engine hears is another."""
+def assert_not_sent(rig: Rig, client: int, attempts: int = 1) -> None:
+    """The request ended unsent, with one departure reported, and the engine's next message is another request."""
     rig.gone(client)
     rig.nothing_left()
     assert rig.count(api.ClientGone) == 1 and rig.results()[api.AttemptResult.NOT_SENT] == 1
@@ -352,7 +352,9 @@
     rig.serve(rig.client(), 9)
 
 
-def test_it_leaves_during_our_own_connect(rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_is_not_sent_if_client_leaves_during_its_engine_connect(
+    rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     held, connect = Held(), engine.Engine._connect
 
     def connect_held(self: engine.Engine, limit: float) -> Connection:
@@ -363,12 +365,14 @@
     client = rig.client()
     rig.ask(client)
     held.reached()
-    go(rig, client, how)
+    leave_noticed(rig, client, how)
     held.go.set()
-    unsent(rig, client.id)
+    assert_not_sent(rig, client.id)
 
 
-def test_it_leaves_during_the_connect_of_another(rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_is_not_sent_if_client_leaves_during_the_connect_of_another_request(
+    rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     held, connect, reserve = Held(), engine.Engine._connect, engine.Engine._reserve
     waiting: queue.SimpleQueue[bytes] = queue.SimpleQueue()
 
@@ -388,13 +392,15 @@
     assert waiting.get(timeout=LIMIT)
     rig.ask(second, 2)
     assert waiting.get(timeout=LIMIT) == b"%016x" % 2
-    go(rig, second, how)
+    leave_noticed(rig, second, how)
     held.go.set()
     rig.answer(first, 1)
-    unsent(rig, second.id, attempts=2)
+    assert_not_sent(rig, second.id, attempts=2)
 
 
-def test_it_leaves_while_others_write(rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_is_not_sent_if_client_leaves_while_the_connection_is_written(
+    rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     rig.serve(rig.client(), 1)
     come, want = threading.Event(), Connection.submit
 
@@ -408,29 +414,33 @@
     with connection._writing:
         rig.ask(client, 2)
         assert come.wait(LIMIT)
-        go(rig, client, how)
-    unsent(rig, client.id, attempts=2)
+        leave_noticed(rig, client, how)
+    assert_not_sent(rig, client.id, attempts=2)
 
 
-def test_it_leaves_between_giving_up_and_the_next_send(rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_retry_is_not_sent_if_client_leaves_in_the_cancel_gap(
+    rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     held = Held()
     monkeypatch.setattr(request_handler, "time", SimpleNamespace(monotonic=time.monotonic, sleep=held))
-    monkeypatch.setattr(request_handler, "CANCEL_GAP", LIMIT)  # the gap is met however slow the machine is
+    monkeypatch.setattr(
+        request_handler, "CANCEL_GAP", LIMIT
+    )  # long enough for the client to leave within it on a slow machine
     client = rig.client()
     rig.ask(client)
     sock, call = rig.sent(1)
     say(sock, call, b"200", b"sheets=2", PAGE)
     assert rig.engine.next(b"turn")
-    say(sock, call, b"500", b"-", b"")  # the rest is lost, and given up
+    say(sock, call, b"500", b"-", b"")  # the rest of the result is lost, and the attempt given up
     assert rig.engine.next(b"shut")
     held.reached()
-    go(rig, client, how)
+    leave_noticed(rig, client, how)
     held.go.set()
-    unsent(rig, client.id, attempts=2)
+    assert_not_sent(rig, client.id, attempts=2)
 
 
 def hold_outcome(rig: Rig) -> Held:
-    """Holds the request's thread between two attempts: after the first, before the module hears of it."""
+    """Hold the request's thread between two attempts: after the first, before the policy module gets its outcome."""
     held = Held()
     rig.before = lambda event: held() if isinstance(event, api.AttemptOutcome) and not held.go.is_set() else None
     return held
@@ -442,12 +452,12 @@
     say(sock, call, b"500", b"-", b"")
 
 
-def test_it_leaves_between_two_attempts(rig: Rig, how: str) -> None:
+def test_retry_is_not_sent_if_client_leaves_between_attempts(rig: Rig, how: str) -> None:
     held = hold_outcome(rig)
     client = rig.client()
     fail_first(rig, client)
     held.reached()
-    go(rig, client, how)
+    leave_noticed(rig, client, how)
     held.go.set()
     rig.gone(client.id)
     rig.nothing_left()
@@ -456,7 +466,7 @@
     rig.serve(rig.client(), 9)
 
 
-def test_a_killed_retry_is_not_sent_and_the_next_request_is(rig: Rig) -> None:
+def test_retry_is_not_sent_after_kill_and_the_next_request_is(rig: Rig) -> None:
     held = hold_outcome(rig)
     client = rig.client()
     fail_first(rig, client)
@@ -469,7 +479,7 @@
     rig.serve(client, 2)
 
 
-def test_a_request_whose_client_left_while_it_waited_for_a_thread_is_not_sent(single: Rig) -> None:
+def test_request_is_not_sent_if_client_leaves_while_it_waits_for_a_thread(single: Rig) -> None:
     first, second = single.client(), single.client()
     single.ask(first, 1)
     sock, call = single.sent(1)
@@ -482,7 +492,7 @@
     single.serve(single.client(), 9)
 
 
-def test_a_client_that_leaves_is_seen_while_no_thread_is_free(single: Rig) -> None:
+def test_departure_is_detected_while_no_thread_is_free(single: Rig) -> None:
     client = single.client()
     single.ask(client)
     _, call = single.sent(1)
@@ -492,11 +502,11 @@
     single.nothing_left()
 
 
-# The gate
+# Requests held by the gate
 
 
-class Touched:
-    """A change that touches everything."""
+class EveryRequest:
+    """The scope of a change that affects every request."""
 
     def includes(self, cls: str, tenant: str, group: int) -> bool:
         return True
@@ -510,9 +520,9 @@
 
 
 @pytest.mark.parametrize("what", ["leaves", "killed"])
-def test_a_request_given_up_while_it_is_held_is_not_opened(rig: Rig, gate: Gate, what: str) -> None:
+def test_request_cancelled_while_the_gate_holds_it_is_not_opened(rig: Rig, gate: Gate, what: str) -> None:
     client = rig.client()
-    gate.close(Touched())
+    gate.close(EveryRequest())
     rig.ask(client)
     wait(lambda: gate.metrics().waiting)
     if what == "killed":
@@ -532,8 +542,8 @@
 # KILL
 
 
-def test_a_kill_before_the_exchange_is_there_counts_once(rig: Rig) -> None:
-    # guards the instant between the reading of a request and its exchange: the KILL was answered OK, and lost
+def test_kill_before_the_exchange_exists_cancels_one_request(rig: Rig) -> None:
+    # fault: a KILL between the parsing of a request and the creation of its exchange was answered OK, and lost
     held = Held()
     rig.opening = held
     client = rig.client()
@@ -547,7 +557,7 @@
     rig.serve(client, 2)
 
 
-def test_a_kill_after_the_end_is_not_the_next_requests(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_kill_after_the_answer_does_not_cancel_the_next_request(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     held, query = Held(), session.Session._query
 
     def query_held(self: session.Session, text: bytes) -> bytes:
@@ -559,11 +569,11 @@
     monkeypatch.setattr(session.Session, "_query", query_held)
     client = rig.client()
     first, second = map(name_of, (1, 2))
-    both = [packets.packet(0, b"\x03" + request(call=call, ttl=OURS)) for call in (first, second)]
+    both = [packets.packet(0, b"\x03" + request(call=call, ttl=LONG_TTL)) for call in (first, second)]
     client.sock.sendall(b"".join(both))
     sock, call = rig.sent(1)
     say(sock, call, b"200", b"sheets=1", PAGE)
-    held.reached()  # its answer is made, and not yet written; the next request has been read
+    held.reached()  # its answer exists, but is not sent yet; the next request has been read
     kill(rig, client)
     held.go.set()
     assert len(client.rows()) == 1
@@ -571,7 +581,7 @@
     assert rig.count(api.ClientGone) == 0
 
 
-def test_a_kill_of_a_resting_client_or_of_oneself_is_not_the_next_requests(rig: Rig) -> None:
+def test_kill_of_an_idle_session_or_itself_does_not_cancel_the_next_request(rig: Rig) -> None:
     client = rig.client()
     rig.serve(client, 1)
     client.send(0x0E)
@@ -580,15 +590,15 @@
     kill(rig, client)
     rig.serve(client, 4)
     own = packets.packet(0, b"\x03KILL QUERY %d" % client.id)
-    client.sock.sendall(own + packets.packet(0, b"\x03" + request(call=name_of(2), ttl=OURS)))
+    client.sock.sendall(own + packets.packet(0, b"\x03" + request(call=name_of(2), ttl=LONG_TTL)))
     assert client.read() == packets.ok()
     rig.answer(client, 2)
     rig.serve(client, 3)
 
 
 @pytest.mark.parametrize("new", [True, False])
-def test_a_kill_counts_while_no_thread_is_free(single: Rig, new: bool) -> None:
-    # guards cancelling on a crowded day: a KILL waited for a thread that only its own answer would have freed
+def test_kill_is_served_while_no_thread_is_free(single: Rig, new: bool) -> None:
+    # fault: with all threads busy, a KILL waited for a thread that only that KILL would have freed
     client, other = single.client(), single.client()
     single.ask(client)
     _, call = single.sent(1)
@@ -602,7 +612,7 @@
     single.nothing_left()
 
 
-def test_a_kill_of_what_waits_for_a_thread_counts_and_what_follows_is_served(single: Rig) -> None:
+def test_kill_cancels_a_waiting_request_but_not_the_next(single: Rig) -> None:
     first, second = single.client(), single.client()
     single.ask(first, 1)
     sock, call = single.sent(1)
@@ -616,14 +626,14 @@
     single.nothing_left()
 
 
-def test_what_is_put_aside_has_the_next_free_thread(single: Rig) -> None:
-    # requests that came while no thread was free, among them one in a write with its login
+def test_deferred_sessions_get_the_next_free_thread(single: Rig) -> None:
+    # requests arrive while no thread is free, one of them in the same write as its login
     clients = [single.client() for _ in range(5)]
     single.ask(clients[0], 0)
     wait(lambda: single.server._free == 0)
     for number, client in enumerate(clients[1:], 1):
         single.ask(client, number)
-    also = packets.packet(0, b"\x03" + request(call=name_of(5), ttl=OURS))
+    also = packets.packet(0, b"\x03" + request(call=name_of(5), ttl=LONG_TTL))
     login = (0xA20D).to_bytes(4, "little") + bytes(28) + b"app\0\0reports\0"
     late = socket.create_connection(single.server.address, LIMIT)
     late.sendall(packets.packet(1, login) + also)
@@ -656,10 +666,10 @@
         (KILL[:-1], True, None),
         (PING + KILL[:3], True, None),
         (packets.packet(1, b"x")[:3] + b"\x07" + b"x", True, 5),
-        (PING * 200, True, None),  # more than is looked at: its last may be a request
+        (PING * 200, True, None),  # more than is peeked at: the rest may hold a request
     ],
 )
-def test_what_is_answered_without_a_thread(data: bytes, inside: bool, size: int | None) -> None:
+def test_brief_commands_length_of_input(data: bytes, inside: bool, size: int | None) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         theirs = socket.create_connection(listener.getsockname(), LIMIT)
         ours, _ = listener.accept()
@@ -669,11 +679,13 @@
     assert departures.brief_commands_length(ours, inside, buffer) == size
     theirs.close()
     if not data:
-        wait(lambda: departures.brief_commands_length(ours, inside, buffer) == 1)  # its end is to be read
+        wait(
+            lambda: departures.brief_commands_length(ours, inside, buffer) == 1
+        )  # the end of the connection must be read
     ours.close()
 
 
-def test_commands_of_a_client_that_takes_no_answer_may_wait() -> None:
+def test_commands_of_an_unwritable_client_are_not_brief() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         theirs = socket.create_connection(listener.getsockname(), LIMIT)
         ours, _ = listener.accept()
@@ -681,7 +693,7 @@
     theirs.sendall(PING)
     wait(lambda: departures.brief_commands_length(ours, True, buffer) == len(PING))
 
-    def fill() -> bool:  # the system moves on what it holds, for a while
+    def fill() -> bool:  # the kernel still moves buffered data for a while, so this is repeated
         try:
             while True:
                 ours.send(bytes(65536), socket.MSG_DONTWAIT)
@@ -693,12 +705,14 @@
     ours.close()
 
 
-def test_a_client_that_takes_nothing_does_not_hold_who_stands_in(single: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unwritable_client_does_not_block_brief_commands_of_others(
+    single: Rig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     full, busy = single.client(), single.client()
     ours, poll = single.session(full)._sock, select.poll
 
-    class Full:
-        """Says that nothing can be written to one client."""
+    class UnwritablePoll:
+        """Reports that one client's socket is not writable."""
 
         def __init__(self) -> None:
             self.poll_ = poll()
@@ -711,7 +725,7 @@
         def poll(self, limit: int) -> list[tuple[int, int]]:
             return [] if self.full else self.poll_.poll(limit)
 
-    monkeypatch.setattr(select, "poll", Full)
+    monkeypatch.setattr(select, "poll", UnwritablePoll)
     single.ask(busy)
     _, call = single.sent(1)
     full.send(0x0E)
@@ -719,14 +733,14 @@
     kill(single, busy)
     assert busy.error()[0] == INTERRUPTED
     assert single.engine.next(b"never_mind")[1][1] == call
-    assert full.read() == packets.ok()  # by the thread that is free now
+    assert full.read() == packets.ok()  # served by the thread that is free now
 
 
-# Old events
+# Stale events
 
 
-class Slow:
-    """Takes the next event that names a session's descriptor, and holds it."""
+class HeldClaim:
+    """Holds the thread that takes the next event of a session's descriptor, before it claims the session."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, holds: Callable[[int, server.Server], bool]) -> None:
         self.held, claim, done = Held(), server.Server._claim, threading.Event()
@@ -745,9 +759,9 @@
 
 
 def on_descriptor(rig: Rig, number: int) -> Client:
-    """A client whose session has a descriptor that an earlier one had.
+    """Return a client whose session has the descriptor of an earlier session.
 
-    Descriptors are the whole process's: one that another thread takes or gives back meanwhile spoils a try.
+    Descriptors are shared by the whole process, so an attempt fails if another thread opens or closes one meanwhile.
     """
     wait(lambda: not os.path.exists(f"/proc/self/fd/{number}"))  # closed
     until = time.monotonic() + LIMIT
@@ -768,7 +782,7 @@
         sock.settimeout(timeout)
         if ours:
             below.remove(number)
-            os.close(number)  # now the lowest that is free, for who accepts
+            os.close(number)  # now the lowest free descriptor, which the accept gets
         sock.connect(address)
         return sock
 
@@ -788,16 +802,16 @@
     return number not in of._armed
 
 
-def test_the_event_of_a_client_gone_is_not_that_of_the_next_on_its_descriptor(
+def test_stale_event_does_not_cancel_a_request_on_a_reused_descriptor(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    slow = Slow(monkeypatch, of_an_open_request)
+    slow = HeldClaim(monkeypatch, of_an_open_request)
     client = rig.client()
     rig.ask(client)
     number = rig.session(client).fileno()
     sock, call = rig.sent(1)
     client.sock.close()
-    slow.held.reached()  # a thread has the event, and does nothing yet
+    slow.held.reached()  # a thread has the event, but has not acted on it
     say(sock, call, b"200", b"sheets=1", PAGE)
     rig.gone(client.id)
     other = on_descriptor(rig, number)
@@ -807,12 +821,12 @@
     assert slow.done.wait(LIMIT)
     say(sock, call, b"200", b"sheets=1", PAGE)
     assert len(other.rows()) == 1
-    assert rig.count(api.ClientGone) == 0  # the first was answered as its client left
+    assert rig.count(api.ClientGone) == 0  # the first request was answered as its client left
     rig.serve(other, 3)
 
 
-def test_an_old_event_that_takes_a_resting_session_loses_no_command(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    slow = Slow(monkeypatch, of_an_open_request)
+def test_stale_event_that_claims_an_idle_session_loses_no_command(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    slow = HeldClaim(monkeypatch, of_an_open_request)
     client = rig.client()
     rig.ask(client)
     number = rig.session(client).fileno()
@@ -830,13 +844,13 @@
     rig.serve(other, 4)
 
 
-def test_an_answer_that_crosses_the_leaving_ends_the_session_once(rig: Rig) -> None:
-    # the event of the open request and the end of the session come together, in whatever order
+def test_answer_racing_with_departure_ends_the_session_once(rig: Rig) -> None:
+    # the departure event of the open request and the end of the session race, in any order
     for number in range(100):
         client = rig.client()
         rig.ask(client, number)
         while (got := rig.engine.got.get(timeout=LIMIT))[1][0] != b"want":
-            assert got[1][0] == b"never_mind"  # its answer came later than its client's end
+            assert got[1][0] == b"never_mind"  # its answer came after its client had left
         assert got[1][1] == b"%016x" % number
         say(got[0], got[1][1], b"200", b"sheets=1", PAGE)
         client.sock.close()
@@ -853,16 +867,16 @@
     assert len(client.rows()) == 1
 
 
-def test_a_request_never_opened_has_no_watch(rig: Rig) -> None:
-    # a session whose request could not be read is waited for as before
+def test_session_serves_on_after_an_invalid_request(rig: Rig) -> None:
+    # a session whose request could not be parsed waits for its next command as before
     client = rig.client()
     client.send(3, b"SELECT 1")
     assert client.error()[0] == 1210
     rig.serve(client, 2)
 
 
-class Refusal:
-    """A request that is refused at once, and never given up."""
+class RejectedRequest:
+    """A request that is rejected at once, and must not be cancelled."""
 
     def run(self) -> Reply:
         return Rejected(0.1)
@@ -871,7 +885,7 @@
         raise AssertionError
 
 
-def test_a_descriptor_that_can_not_be_watched_is_served_still(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_session_is_served_if_its_departure_cannot_be_watched(monkeypatch: pytest.MonkeyPatch) -> None:
     arm = server.Server._arm
 
     def arm_refusing(self: server.Server, number: int, one: session.Session, events: int) -> None:
@@ -882,7 +896,7 @@
     monkeypatch.setattr(server.Server, "_arm", arm_refusing)
 
     def open_(query: Query, settings: object) -> Exchange:
-        return Refusal()
+        return RejectedRequest()
 
     few = server.Server(("127.0.0.1", 0), 8, make_settings(tenants=("acme",)), open_)
     few.start()
@@ -894,15 +908,15 @@
     assert few.finish(LIMIT)
 
 
-def test_two_threads_that_look_for_a_client_at_once_both_hear(rig: Rig) -> None:
-    # seen in a soak: the event of a client's end met its own thread's look before a send, and the poll object of the
-    # two raised: the request's life ended without an answer, or the thread of other clients did
+def test_concurrent_departure_checks_do_not_raise(rig: Rig) -> None:
+    # fault, seen in a soak: the departure event and the request's own check before a send used one poll object at the
+    # same time, which raised: the request ended without an answer, or a thread that served other clients ended
     client = rig.client()
     rig.ask(client)
     rig.sent(1)
     one, faults, over = rig.session(client), list[Exception](), time.monotonic() + 1.0
 
-    def look() -> None:
+    def check_repeatedly() -> None:
         while time.monotonic() < over:
             try:
                 assert not one.client_has_left()
@@ -910,7 +924,7 @@
                 faults.append(error)
                 return
 
-    threads = [threading.Thread(target=look) for _ in range(4)]
+    threads = [threading.Thread(target=check_repeatedly) for _ in range(4)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -920,11 +934,11 @@
 
 
 @pytest.mark.parametrize("way", ["evict", "stop"])
-def test_a_command_that_comes_just_before_the_close_of_a_resting_session_is_answered(
+def test_command_that_arrives_just_before_an_idle_session_is_closed_is_answered(
     rig: Rig, way: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # seen in a soak: between the look for bytes and the shutdown another thread had the interpreter for 0.1 s, in which
-    # a whole request came, and its client heard of the close long after it had sent it
+    # fault, seen in a soak: between the check for input and the shutdown another thread held the interpreter for 0.1 s;
+    # a whole request arrived meanwhile, and its client saw the close only long after sending it
     client = rig.client()
     client.send(0x0E)
     assert client.read() == packets.ok()
@@ -932,26 +946,26 @@
     wait(lambda: one._idle)
     real = socket.socket.recv
 
-    def look(self: socket.socket, *args: int) -> bytes:
+    def recv_then_send(self: socket.socket, *args: int) -> bytes:
         try:
             return real(self, *args)
-        finally:  # the look is over, and has found nothing: now the command comes
+        finally:  # the check has found no input: now the command arrives
             if self is one._sock and not come.is_set():
                 come.set()
                 client.send(0x0E)
                 time.sleep(0.1)
 
-    monkeypatch.setattr(socket.socket, "recv", look)
+    monkeypatch.setattr(socket.socket, "recv", recv_then_send)
     one.evict() if way == "evict" else one.stop()
     assert come.is_set()
     assert client.read() == packets.ok()
 
 
-def test_it_leaves_while_its_own_statement_is_half_written(rig: Rig) -> None:
-    # the engine takes nothing for a while: what is left of the statement must not leave long after the client has
+def test_rest_of_a_statement_is_not_sent_after_its_client_leaves(rig: Rig) -> None:
+    # the engine reads nothing for a while: the rest of the statement must not be sent long after the client has left
     rig.engine.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client = rig.client()
-    long = request(call=name_of(1), ttl=OURS) + b" -- " + b"x" * 120_000
+    long = request(call=name_of(1), ttl=LONG_TTL) + b" -- " + b"x" * 120_000
     come, go = list[int](), threading.Event()
 
     def read_later(self: Peer, sock: socket.socket) -> None:
@@ -976,8 +990,8 @@
         one = rig.session(client)
         client.sock.close()
         wait(lambda: departures.has_left(one._sock))
-        time.sleep(GONE)
+        time.sleep(DEPARTURE_LIMIT)
         go.set()
     rig.gone(client.id)
-    time.sleep(GONE)
+    time.sleep(DEPARTURE_LIMIT)
     assert 0 < sum(come) < len(long)
