--- a/tests/test_closes_model.py
+++ b/tests/test_closes_model.py
@@ -1,7 +1,7 @@
-"""Sessions under a random order of bytes, ends, KILLs, stops, evictions and answers: exactly one answer, or none owed.
+"""Sessions under random sequences of input, closes, KILLs, stops, evictions and answers: one answer, or none owed.
 
-Nothing here waits for what crosses: the order of the rules is hypothesis's, that of the threads the machine's, and
-what is claimed holds for each.
+Races are not forced: hypothesis chooses the order of the rules, the machine that of the threads, and the assertions
+hold for every order.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 
 
 @dataclass(eq=False)
-class Kept:
-    """A client, and what it and others have done."""
+class ClientRecord:
+    """A client, and what it and others have done with its connection."""
 
     client: Client
-    batches: list[list[str]] = field(default_factory=list)  # calls whose last byte left in one write
-    rest: bytes = b""  # of a command that has begun
-    begun: str = ""  # its call
-    gone: bool = False  # the client has ended it
-    ended: bool = False  # the gateway may have: a stop or an eviction
+    batches: list[list[str]] = field(default_factory=list)  # request ids; a batch holds those completed by one write
+    rest: bytes = b""  # the unsent rest of an incomplete command
+    incomplete: str = ""  # the request id of that command
+    gone: bool = False  # the client has closed its connection
+    ended: bool = False  # the gateway may have closed it, by a stop or an eviction
     killed: bool = False
-    interrupted: int = 0  # KILL QUERYs
+    interrupted: int = 0  # number of KILL QUERYs
 
 
 class Sessions(RuleBasedStateMachine):
@@ -43,10 +43,10 @@
         self.before = len(os.listdir("/proc/self/fd")), threading.active_count()
         self.patch = pytest.MonkeyPatch()
         self.patch.setattr(statements, "parse_query", read_call)
-        for name in ("FIRST_LIMIT", "PACKET_LIMIT"):  # no time passes here
+        for name in ("FIRST_LIMIT", "PACKET_LIMIT"):  # no time limit may expire in this test
             self.patch.setattr(session, name, LIMIT)
         self.rig = Rig(32)
-        self.kept: list[Kept] = []
+        self.kept: list[ClientRecord] = []
         self.calls: list[str] = []
 
     def call(self) -> str:
@@ -62,7 +62,7 @@
     @precondition(lambda self: len(self.kept) < CLIENTS)
     @rule()
     def connect(self) -> None:
-        self.kept.append(Kept(Client(self.rig.address)))
+        self.kept.append(ClientRecord(Client(self.rig.address)))
 
     @rule(at=st.integers(0, CLIENTS), commands=st.integers(1, 3), half=st.booleans())
     def send(self, at: int, commands: int, half: bool) -> None:
@@ -71,14 +71,14 @@
             return
         calls = [self.call() for _ in range(commands)]
         data = one.rest + b"".join(map(query, calls))
-        one.batches.append(([one.begun] if one.begun else []) + calls)
-        one.rest, one.begun = b"", ""
+        one.batches.append(([one.incomplete] if one.incomplete else []) + calls)
+        one.rest, one.incomplete = b"", ""
         if half:
-            one.begun = self.call()
-            data, one.rest = data + query(one.begun)[:7], query(one.begun)[7:]
+            one.incomplete = self.call()
+            data, one.rest = data + query(one.incomplete)[:7], query(one.incomplete)[7:]
         self.write(one, data)
 
-    def write(self, one: Kept, data: bytes) -> None:
+    def write(self, one: ClientRecord, data: bytes) -> None:
         try:
             one.client.sock.sendall(data)
         except OSError:
@@ -133,18 +133,18 @@
             self.patch.undo()
 
     def settle(self) -> None:
-        """All that is open is answered, then the gateway ends; what each client got is compared with the ledger."""
+        """Answer all open requests, end the gateway, and compare what each client received with its record."""
         for held in self.rig.held.values():
             held.set()
         for one in self.kept:
-            if not (one.batches or one.gone):  # the gateway would wait for its first command
+            if not (one.batches or one.gone):  # otherwise the gateway would wait for its first command
                 one.client.sock.close()
                 one.gone = True
-            if one.begun and not one.gone:
+            if one.incomplete and not one.gone:
                 self.write(one, one.rest)
-                one.batches.append([one.begun])
+                one.batches.append([one.incomplete])
         for one in self.kept:
-            if not (one.gone or one.ended or one.killed):  # then all that it asked is answered
+            if not (one.gone or one.ended or one.killed):  # all of its requests must be answered
                 asked = {call for batch in one.batches for call in batch}
                 until(lambda asked=asked: asked <= set(self.rig.opened))  # type: ignore[misc]
         ending = threading.Thread(target=self.rig.end)
@@ -158,22 +158,24 @@
         assert len(self.rig.opened) == len(set(self.rig.opened))
         until(lambda: (len(os.listdir("/proc/self/fd")), threading.active_count()) == self.before)
 
-    def check(self, one: Kept) -> None:
+    def check(self, one: ClientRecord) -> None:
         got, interrupted = self.answers(one.client)
         asked = [call for batch in one.batches for call in batch]
         opened = [call for call in asked if call in self.rig.opened]
-        assert [call for call in got if call] == [call for call in asked if call in got]  # each once, in order
+        assert [call for call in got if call] == [
+            call for call in asked if call in got
+        ]  # each answered at most once, in order
         if not one.killed:
-            assert len(got) >= len(opened)  # what was sent on has an answer
+            assert len(got) >= len(opened)  # every opened request has an answer
             assert interrupted <= one.interrupted
-            for batch in one.batches:  # all that came together, or nothing of it
+            for batch in one.batches:  # a batch is answered completely or not opened at all
                 if not one.interrupted:
                     assert all(call in got for call in batch) or (one.ended and not any(c in opened for c in batch))
         if not (one.killed or one.ended):
             assert len(got) == len(asked)
 
     def answers(self, client: Client) -> tuple[list[str], int]:
-        """The calls of the whole answers until the end, "" for one that was interrupted, and the number of those."""
+        """Read to the end; return the ids of the complete answers ("" for an interrupted one), and the number interrupted."""
         got: list[str] = []
         client.sock.settimeout(LIMIT)
         try:
--- a/tests/test_overdue.py
+++ b/tests/test_overdue.py
@@ -1,10 +1,10 @@
-"""Every request is answered by the moment at which its time is over, whatever it waits for, and once."""
+"""Every request is answered exactly once and soon after its time to live, whatever it waits for."""
 
 from __future__ import annotations
 
 import threading
 import time
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from contextlib import contextmanager, suppress
 from typing import Any
 
@@ -28,25 +28,25 @@
     client.ask(call=name_of(call), ttl=ttl)
 
 
-# The deadline by itself
+# AnswerDeadline alone
 
 
-def test_an_answer_is_claimed_once_and_by_whoever_is_first() -> None:
+def test_first_claimant_alone_answers() -> None:
     deadline = overdue.AnswerDeadline()
     deadline.begin(5.0)
-    deadline.begin(9.0)  # read anew under other settings: the first moment holds
-    over = 5.0 + overdue.OWN_THREAD_GRACE
-    assert not deadline.claim_overdue(over - 0.01)
-    assert deadline.claim_overdue(over) and not deadline.claim_overdue(6.0)
-    assert not deadline.claim()  # its thread comes late
-    assert deadline.claim()  # the next command has none
+    deadline.begin(9.0)  # parsed again under newer settings: the first deadline holds
+    overdue_at = 5.0 + overdue.OWN_THREAD_GRACE
+    assert not deadline.claim_overdue(overdue_at - 0.01)
+    assert deadline.claim_overdue(overdue_at) and not deadline.claim_overdue(6.0)
+    assert not deadline.claim()  # its own thread comes too late
+    assert deadline.claim()  # the next command opens no request
     deadline.begin(5.0)
     assert deadline.claim() and not deadline.claim_overdue(6.0)
 
 
 @given(st.lists(st.sampled_from(["begin", "claim", "overdue"]), max_size=30), st.integers(0, 3))
 @settings(derandomize=True, deadline=None)
-def test_no_order_of_claims_gives_two_answers_or_none(steps: list[str], due: int) -> None:
+def test_any_order_of_claims_gives_exactly_one_answer(steps: list[str], due: int) -> None:
     deadline, answers, is_open = overdue.AnswerDeadline(), 0, False
     for now, step in enumerate(steps):
         if step == "begin" and not is_open:
@@ -66,22 +66,22 @@
     ("raw", "seconds"),
     [
         (packets.packet(0, b"\x03" + request(ttl=2305)), 2.305),
-        (b"/* op=lookup,ttl=23", None),  # its last digit may not have come
+        (b"/* op=lookup,ttl=23", None),  # more digits may follow
         (b"/* op=lookup,ttl=23*/", 0.023),
         (b"SELECT 'ttl=5,'", None),
         (b"", None),
     ],
 )
-def test_the_time_of_a_request_that_is_not_read(raw: bytes, seconds: float | None) -> None:
+def test_time_to_live_of_unread_bytes(raw: bytes, seconds: float | None) -> None:
     assert overdue.time_to_live(raw) == seconds
 
 
-# On sockets: a request waits, and its answer comes while it still does
+# With sockets: a request is answered while it still waits
 
 
 @contextmanager
 def held(owner: Any, name: str, monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
-    """Whoever calls that method waits until the block ends; the event says that somebody does."""
+    """Block each caller of a method until the `with` block ends; the event is set once there is one."""
     come, go, real = threading.Event(), threading.Event(), getattr(owner, name)
 
     def wait_first(*args: Any, **kwargs: Any) -> Any:
@@ -121,7 +121,7 @@
         (Connection, "_write"),
     ],
 )
-def test_a_request_held_up_on_its_way_to_an_engine_is_failed_in_time(
+def test_request_blocked_on_its_way_to_an_engine_fails_in_time(
     rig: Rig, owner: Any, name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     client = rig.client()
@@ -130,12 +130,12 @@
         assert come.wait(LIMIT)
         assert client.error()[0] == FAILED
     rig.nothing_left()
-    if name != "_write":  # of that its bytes may have left
+    if name != "_write":  # a blocked write may have sent some bytes
         assert rig.engine.got.empty()
-    assert client.sock.recv(1) == b""  # the session has ended with it, and said nothing more
+    assert client.sock.recv(1) == b""  # the session has ended, and sent nothing more
 
 
-def test_a_request_held_up_by_the_lock_round_the_decisions_is_failed_in_time(rig: Rig) -> None:
+def test_request_blocked_by_the_decision_lock_fails_in_time(rig: Rig) -> None:
     client = rig.client()
     with rig.decisions._lock:
         ask(client, 1, SHORT_MS)
@@ -144,7 +144,7 @@
     assert rig.engine.got.empty()
 
 
-def test_a_request_held_up_by_the_gate_is_failed_in_time(rig: Rig) -> None:
+def test_request_blocked_by_the_gate_fails_in_time(rig: Rig) -> None:
     come, go = threading.Event(), threading.Event()
 
     class Gate:
@@ -163,8 +163,8 @@
     assert rig.engine.got.empty()
 
 
-def test_requests_that_no_thread_comes_to_are_refused_in_time(single: Rig) -> None:
-    # guards the deadline on a gateway that has more under way than threads: 163 requests of a day were never answered
+def test_requests_waiting_for_a_thread_are_refused_in_time(single: Rig) -> None:
+    # fault: on a gateway with more open requests than threads, 163 requests in a day were never answered
     busy = single.client()
     ask(busy, 1, LONG_MS)
     sock, call = single.sent(1)
@@ -177,17 +177,17 @@
         assert client.error()[0] == REFUSED
     say(sock, call, b"200", b"sheets=1", PAGE)
     assert len(busy.rows()) == 1
-    sock, call = single.sent(9)  # what was not overdue has kept its place, and none of the others was sent
+    sock, call = single.sent(9)  # the request that was not overdue kept its place, and none of the others was sent
     say(sock, call, b"200", b"sheets=1", PAGE)
     assert len(later.rows()) == 1
-    for number, client in enumerate(waiting, 20):  # a refusal ends no session
+    for number, client in enumerate(waiting, 20):  # a refusal does not end the session
         ask(client, number, LONG_MS)
         sock, call = single.sent(number)
         say(sock, call, b"200", b"sheets=1", PAGE)
         assert len(client.rows()) == 1
 
 
-def test_only_the_overdue_one_of_many_commands_in_one_write_is_refused(single: Rig) -> None:
+def test_only_the_overdue_one_of_pipelined_commands_is_refused(single: Rig) -> None:
     busy, client = single.client(), single.client()
     ask(busy, 1, LONG_MS)
     sock, call = single.sent(1)
@@ -203,7 +203,7 @@
     assert len(client.rows()) == 1
 
 
-def test_a_long_statement_that_no_thread_comes_to_is_refused_in_time(single: Rig) -> None:
+def test_long_statement_waiting_for_a_thread_is_refused_in_time(single: Rig) -> None:
     busy, client = single.client(), single.client()
     ask(busy, 1, LONG_MS)
     sock, call = single.sent(1)
@@ -214,7 +214,7 @@
     assert len(busy.rows()) == 1
 
 
-def test_half_a_request_that_no_thread_comes_to_is_not_refused_before_it_is_whole(single: Rig) -> None:
+def test_incomplete_request_waiting_for_a_thread_is_refused_only_once_complete(single: Rig) -> None:
     busy, client = single.client(), single.client()
     ask(busy, 1, LONG_MS)
     sock, call = single.sent(1)
@@ -231,19 +231,18 @@
     assert len(busy.rows()) == 1
 
 
-Stretch = Callable[[Rig, pytest.MonkeyPatch], Any]
-WAITS: dict[str, tuple[Any, str]] = {
+BLOCKING_CALLS: dict[str, tuple[Any, str]] = {
     "connect": (Engine, "_connect"), "place": (Engine, "_reserve"), "send": (Connection, "submit"),
 }  # fmt: skip
 
 
 @given(
-    where=st.lists(st.sampled_from([*WAITS, "lock", ""]), min_size=1, max_size=4),
+    where=st.lists(st.sampled_from([*BLOCKING_CALLS, "lock", ""]), min_size=1, max_size=4),
     times=st.lists(st.integers(150, 450), min_size=4, max_size=4),
     threads=st.sampled_from([1, 2, None]),
 )
 @settings(derandomize=True, deadline=None, max_examples=12)
-def test_each_of_many_has_one_answer_while_any_wait_on_its_way_is_stretched(
+def test_each_request_gets_one_answer_while_any_call_on_its_way_blocks(
     where: list[str], times: list[int], threads: int | None
 ) -> None:
     rig, patch = Rig(threads=threads), pytest.MonkeyPatch()
@@ -251,7 +250,7 @@
     go = threading.Event()
     try:
         clients = [rig.client() for _ in where]
-        for owner, name in {WAITS[place] for place in where if place in WAITS}:
+        for owner, name in {BLOCKING_CALLS[place] for place in where if place in BLOCKING_CALLS}:
             real = getattr(owner, name)
 
             def stretched(*args: Any, real: Any = real, **kwargs: Any) -> Any:
@@ -263,13 +262,13 @@
             rig.decisions._lock.acquire()
         for number, (client, ttl) in enumerate(zip(clients, times, strict=False), 1):
             ask(client, number, ttl)
-        for client in clients:  # no engine answers: each has its answer while all still wait
+        for client in clients:  # no engine answers: each request is answered while all still wait
             assert client.error()[0] in (REFUSED, FAILED)
         if locked:
             rig.decisions._lock.release()
         go.set()
         wait(lambda: rig.decisions.open_requests == 0)
-        for client in clients:  # and no second one
+        for client in clients:  # no client gets a second answer
             client.sock.settimeout(0.05)
             with suppress(TimeoutError):
                 assert client.sock.recv(1) == b""
@@ -279,7 +278,7 @@
         rig.end()
 
 
-def test_a_request_that_is_answered_in_time_meets_nobody(rig: Rig) -> None:
+def test_request_answered_in_time_is_not_failed(rig: Rig) -> None:
     client = rig.client()
     for number in range(1, 4):
         rig.serve(client, number)
@@ -288,18 +287,18 @@
     assert rig.count(api.ClientGone) == 0
 
 
-def test_an_answer_that_comes_as_the_look_claims_the_request_does_not_close_before_it(
+def test_session_is_not_closed_before_a_claimed_overdue_answer_is_sent(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # seen in a soak: the look had claimed the answer and not yet sent it, as the request's own thread heard that it
-    # was claimed, and ended the sending side: the client was closed with no answer at all
+    # fault, seen in a soak: the check for overdue requests had claimed an answer but not sent it yet when the request's
+    # own thread found it claimed, and shut down the sending side: the client got no answer at all
     claimed, real = threading.Event(), overdue.AnswerDeadline.claim_overdue
 
     def claim(self: overdue.AnswerDeadline, now: float) -> bool:
         mine = real(self, now)
         if mine:
             claimed.set()
-            time.sleep(0.3)  # others have the interpreter
+            time.sleep(0.3)  # other threads run meanwhile
         return mine
 
     monkeypatch.setattr(overdue.AnswerDeadline, "claim_overdue", claim)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""The parsers against random cuts of valid messages, and against random garbage."""
+"""The parsers with valid messages split at random positions, and with random garbage."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 garbage = st.binary(max_size=300)
 
 
-class Feeds(Protocol):
-    """What takes bytes and gives what is whole."""
+class StreamParser(Protocol):
+    """Takes bytes, and returns the messages completed by them."""
 
     def feed(self, data: bytes) -> list[Any]: ...
 
 
-class Mysql:
-    """The packet parser with the same face as the others."""
+class MysqlParser:
+    """Gives the MySQL packet parser the interface of the other parsers."""
 
     def __init__(self) -> None:
         self.parser = packets.Parser()
@@ -38,10 +38,10 @@
         return found
 
 
-def cut(feeds: Feeds, data: bytes, cuts: list[int]) -> list[Any]:
+def feed_in_parts(parser: StreamParser, data: bytes, cuts: list[int]) -> list[Any]:
     found, at = [], 0
     for end in [*sorted(c % (len(data) + 1) for c in cuts), len(data)]:
-        found += feeds.feed(data[at:end])
+        found += parser.feed(data[at:end])
         at = end
     return found
 
@@ -50,28 +50,28 @@
 
 
 @given(st.lists(st.lists(st.binary(max_size=40), min_size=1, max_size=8), max_size=6), cuts)
-def test_resp_messages_survive_any_cut(arrays: list[list[bytes]], at: list[int]) -> None:
+def test_resp_parser_accepts_any_split_of_messages(arrays: list[list[bytes]], at: list[int]) -> None:
     data = b"".join(messages.encode(*parts) for parts in arrays)
-    assert cut(messages.Parser(), data, at) == arrays
+    assert feed_in_parts(messages.Parser(), data, at) == arrays
 
 
 @given(st.lists(st.tuples(st.integers(0, 255), st.binary(max_size=80)), max_size=6), cuts)
-def test_mysql_packets_survive_any_cut(sent: list[tuple[int, bytes]], at: list[int]) -> None:
+def test_mysql_parser_accepts_any_split_of_packets(sent: list[tuple[int, bytes]], at: list[int]) -> None:
     data = b"".join(packets.packet(number, payload) for number, payload in sent)
-    assert cut(Mysql(), data, at) == sent
+    assert feed_in_parts(MysqlParser(), data, at) == sent
 
 
 @given(st.lists(st.binary(min_size=1, max_size=60).map(lambda raw: raw.hex().encode()), max_size=6), cuts)
-def test_coordinator_lines_survive_any_cut(lines: list[bytes], at: list[int]) -> None:
-    assert cut(updates.LineParser(), b"".join(line + b"\n" for line in lines), at) == lines
+def test_line_parser_accepts_any_split_of_lines(lines: list[bytes], at: list[int]) -> None:
+    assert feed_in_parts(updates.LineParser(), b"".join(line + b"\n" for line in lines), at) == lines
 
 
 @given(garbage, cuts)
 @example(b"*999999999999999999\r\n", [])
 @example(b"*1\r\n$99999999\r\n", [])
-def test_garbage_ends_a_resp_connection_at_most(data: bytes, at: list[int]) -> None:
+def test_resp_parser_raises_only_resp_errors_on_garbage(data: bytes, at: list[int]) -> None:
     try:
-        for parts in cut(messages.Parser(), data, at):
+        for parts in feed_in_parts(messages.Parser(), data, at):
             messages.fields(parts[-1])
     except messages.RespError:
         pass
@@ -79,9 +79,9 @@
 
 @given(garbage, cuts)
 @example(b"\xff\xff\xff\0" + b"x" * 100, [])
-def test_garbage_ends_a_mysql_connection_at_most(data: bytes, at: list[int]) -> None:
+def test_mysql_parser_raises_only_packet_errors_on_garbage(data: bytes, at: list[int]) -> None:
     try:
-        for _, payload in cut(Mysql(), data, at):
+        for _, payload in feed_in_parts(MysqlParser(), data, at):
             packets.login(payload)
     except packets.PacketError:
         pass
@@ -89,18 +89,18 @@
 
 @given(garbage | st.from_regex(rb"\{.*\}", fullmatch=True))
 @example(b'{"index":1,"endpoints":{"complete":true,"members":[{"id":7}]}}')
-def test_garbage_is_no_update(data: bytes) -> None:
+def test_update_parser_raises_only_update_errors_on_garbage(data: bytes) -> None:
     with contextlib.suppress(updates.UpdateError):
         updates.parse_line(data, make_settings())
 
 
-def test_an_oversized_message_is_refused_before_its_bytes_come() -> None:
-    # guards the memory: clients could else make the gateway keep megabytes each
+def test_oversized_message_is_rejected_by_its_header() -> None:
+    # otherwise each client could make the gateway buffer megabytes
     parser, most = packets.Parser(), packets.MAX_MESSAGE_BYTES
     parser.feed(packets.packet(0, b"x" * most))
     assert parser.next() == (0, b"x" * most)
     parser.feed((most + 1).to_bytes(3, "little") + b"\0")
-    with pytest.raises(packets.PacketError) as caught:  # before its bytes have come
+    with pytest.raises(packets.PacketError) as caught:  # after the header alone
         parser.next()
     assert caught.value.code == 1153
 
@@ -112,7 +112,7 @@
 GOOD = b"op=load,call=9b1f03aa5c7e2d41,ttl=1500,org=other,dedupe=5c0f,work=820.5,heap_mb=96"
 
 
-def test_a_request_keeps_its_fields_and_its_statement() -> None:
+def test_parse_query_keeps_fields_and_statement() -> None:
     got = statements.parse_query(b"/* " + GOOD + b" */ INSERT INTO a_5.t SELECT '\xff'", SETTINGS)
     assert (got.request_id, got.cls, got.tenant, got.ttl) == (b"9b1f03aa5c7e2d41", 1, 1, 1.5)
     assert (got.idempotency_key, got.cost, got.memory_estimate, got.tables) == (b"5c0f", 0.8205, 96.0, 5)
@@ -142,13 +142,13 @@
         ("heap_mb=96", "heap_mb=96,ttl=2"),
     ],
 )
-def test_fields_that_cant_be_used_are_named(old: str, new: str) -> None:
+def test_parse_query_rejects_invalid_fields(old: str, new: str) -> None:
     with pytest.raises(statements.FieldError):
         statements.parse_query(b"/* " + GOOD.decode().replace(old, new).encode() + b" */ SELECT 1", SETTINGS)
 
 
 @given(garbage)
-def test_garbage_is_no_request(data: bytes) -> None:
+def test_parse_query_raises_only_field_errors_on_garbage(data: bytes) -> None:
     for text in (data, b"/*" + data, b"/* " + GOOD + b" */" + data):
         with contextlib.suppress(statements.FieldError):
             statements.parse_query(text, SETTINGS)
@@ -170,11 +170,11 @@
         ("SELECT 1", 0),
     ],
 )
-def test_the_group_of_tables(text: str, group: int) -> None:
+def test_table_group_of_statement(text: str, group: int) -> None:
     assert statements.table_group(text.encode()) == group
 
 
-def test_kill_is_known_in_any_case() -> None:
+def test_parse_kill_ignores_case() -> None:
     assert statements.parse_kill(b"kill query 12") == statements.Kill(12, True)
     assert statements.parse_kill(b" KILL CONNECTION 7 ;") == statements.Kill(7, False)
     assert statements.parse_kill(b"KILL 7") == statements.Kill(7, False)
@@ -182,8 +182,8 @@
 
 
 @given(st.lists(st.lists(st.binary(max_size=400), min_size=3, max_size=3), max_size=5))
-def test_a_result_set_reads_back(rows: list[list[bytes]]) -> None:
-    found = Mysql().feed(packets.result_set((b"a", b"b", b"c"), rows, 1))
+def test_result_set_is_decoded_to_the_same_rows(rows: list[list[bytes]]) -> None:
+    found = MysqlParser().feed(packets.result_set((b"a", b"b", b"c"), rows, 1))
     assert [number for number, _ in found] == [n % 256 for n in range(1, len(found) + 1)]
     payloads = [payload for _, payload in found]
     assert payloads[0] == b"\x03" and payloads[4] == payloads[-1] == packets.eof()
@@ -200,8 +200,8 @@
     return row
 
 
-def test_an_engines_number_comes_from_its_id() -> None:
-    # guards numbers by arrival: two gateways would mean different engines by the same number
+def test_engine_number_depends_only_on_its_id() -> None:
+    # numbers assigned in order of arrival would name different engines on two gateways
     member = {"id": "s-1", "host_port": "127.0.0.1:1", "locality": "a", "flavor": "big", "phase": "up"}
     data = {"index": 1, "endpoints": {"complete": True, "members": [member, member | {"id": "s-2"}]}}
     one, two = updates.parse_update(data, make_settings()).members
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The MySQL server alone: whose threads are whose when clients are silent, drip or stay."""
+"""The MySQL server alone: its threads and time limits with silent, slow and idle clients."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from tests.peers import LIMIT, Client
 
 
-class Refusal:
-    """A request that is refused at once."""
+class RejectedRequest:
+    """A request that is rejected at once."""
 
     def run(self) -> Reply:
         return Rejected(0.1)
@@ -28,12 +28,12 @@
 
 
 def refuse(query: Query, settings: object = None) -> Exchange:
-    return Refusal()
+    return RejectedRequest()
 
 
 @pytest.fixture
 def few() -> Iterator[server.Server]:
-    """A server of eight clients."""
+    """A server for at most eight clients."""
     few = server.Server(("127.0.0.1", 0), 8, make_settings(), refuse)
     few.start()
     yield few
@@ -42,7 +42,7 @@
 
 
 def reading(ttl: float) -> Callable[[bytes, object, float], Query]:
-    """Reads every statement as a request that has so long."""
+    """Return a parser that reads every statement as a request with this time to live (s)."""
     return lambda text, settings, taken: Query(b"1", 0, 0, ttl, b"SELECT 1", received_at=taken)
 
 
@@ -51,46 +51,48 @@
     assert client.read() == packets.ok()
 
 
-def ended(sock: socket.socket) -> None:
-    """The server closes; without that the test gives up."""
+def wait_for_close(sock: socket.socket) -> None:
+    """Read until the server closes the connection; raises TimeoutError if it does not."""
     sock.settimeout(LIMIT)
-    with contextlib.suppress(ConnectionResetError):  # a close too
+    with contextlib.suppress(ConnectionResetError):  # a reset counts as a close
         while sock.recv(4096):
             pass
 
 
-def test_clients_that_stay_or_say_nothing_leave_room_for_others(few: server.Server) -> None:
-    # guards the session threads: clients that ask once and stay, by the hundred, used all of them up
+def test_idle_and_silent_clients_are_evicted_for_new_ones(few: server.Server) -> None:
+    # fault: hundreds of clients that sent one request and stayed connected used up all session threads
     silent = socket.create_connection(few.address, LIMIT)
     assert silent.recv(4096)
     staying = [Client(few.address) for _ in range(20)]
     ping(Client(few.address))
-    ended(silent)
-    ended(staying[0].sock)
+    wait_for_close(silent)
+    wait_for_close(staying[0].sock)
 
 
 @pytest.mark.parametrize("start", [b"", b"\x20", packets.packet(1, bytes(40))[:20]])
-def test_a_client_has_a_time_for_its_first_command(
+def test_client_without_a_first_command_is_closed_after_its_limit(
     few: server.Server, start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # guards the threads against silent clients and against bytes that drip in, each before a limit on reads
+    # silent clients and clients that send byte by byte, each within a limit on single reads, must not hold threads
     monkeypatch.setattr(session, "FIRST_LIMIT", 0.3)
     with socket.create_connection(few.address, LIMIT) as sock:
         sock.sendall(start)
-        ended(sock)
+        wait_for_close(sock)
 
 
-def test_a_started_command_has_a_time_for_its_rest(few: server.Server, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_with_an_incomplete_command_is_closed_after_its_limit(
+    few: server.Server, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(session, "PACKET_LIMIT", 0.1)
     client = Client(few.address)
     ping(client)
     client.sock.sendall(packets.packet(0, b"\x03 SELECT")[:5])
-    ended(client.sock)
+    wait_for_close(client.sock)
 
 
-def test_a_client_that_stays_takes_no_buffer_of_its_own(few: server.Server) -> None:
-    # guards the heap: a buffer for each read, cut to what came, left holes, and memory grew 20 MB a minute
-    warm = [Client(few.address) for _ in range(7)]  # the threads are there
+def test_idle_client_holds_no_read_buffer(few: server.Server) -> None:
+    # fault: a buffer allocated for each read and shrunk to its data fragmented the heap: memory grew 20 MB a minute
+    warm = [Client(few.address) for _ in range(7)]  # so that all threads have started
     for client in warm:
         client.sock.close()
     tracemalloc.start()
@@ -105,8 +107,8 @@
     assert sum(trace.size for trace in ours.traces) < len(staying) * server.READ_SIZE
 
 
-def test_threads_go_with_commands_under_way_not_with_clients(monkeypatch: pytest.MonkeyPatch) -> None:
-    # guards the machine's table of tasks: a thread for each of the clients of 200 gateways filled it
+def test_thread_count_follows_open_commands_not_clients(monkeypatch: pytest.MonkeyPatch) -> None:
+    # fault: with a thread per client, the clients of 200 gateways filled the machine's table of tasks
     held = threading.Semaphore(0)
 
     class Held:
@@ -123,7 +125,7 @@
     clients = [Client(many.address) for _ in range(60)]
     for client in clients:
         ping(client)
-    with many._changed:  # sixty clients between commands
+    with many._changed:  # sixty idle clients
         assert many._changed.wait_for(lambda: many._threads <= server.FREE_THREADS[1], LIMIT)
     for client in clients:
         client.ask()
@@ -131,24 +133,24 @@
     while (many._threads, many._free) != (30, 0) and time.monotonic() < until:
         time.sleep(0.01)
     assert (many._threads, many._free) == (30, 0)
-    held.release(60)  # the other thirty wait for a thread, and each has its answer
+    held.release(60)  # the other thirty wait for a thread, and each gets its answer
     for client in clients:
         assert client.error()[0] == 1226
     with many._changed:
         assert many._changed.wait_for(lambda: many._threads <= server.FREE_THREADS[1], LIMIT)
     many.stop_listening()
     assert many.finish(LIMIT)
-    with many._changed:  # all end with the server
+    with many._changed:  # all sessions end with the server
         assert many._changed.wait_for(lambda: not many._sessions, LIMIT)
 
 
-def test_two_that_start_a_thread_at_once_start_no_more_than_there_may_be(monkeypatch: pytest.MonkeyPatch) -> None:
-    # guards the limit on threads: both had looked at the count before either of them had added its own
+def test_concurrent_thread_starts_do_not_exceed_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    # fault: two threads each read the thread count before either had incremented it, and exceeded the limit
     both, real = threading.Barrier(2), server.Server._start_thread
 
     def start(self: server.Server) -> bool:
         if self._threads == 2:
-            both.wait(LIMIT)  # each has found that there may be one more
+            both.wait(LIMIT)  # both have found that one more thread is allowed
         return real(self)
 
     monkeypatch.setattr(server.Server, "_start_thread", start)
@@ -163,8 +165,8 @@
     assert few.finish(LIMIT)
 
 
-def test_what_waited_for_a_thread_past_its_time_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    # guards the deadline of what no thread took in time: its whole answer comes at once, not after as long again
+def test_request_that_became_overdue_waiting_for_a_thread_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    # fault: a request that had waited its full time to live for a thread was then given the same time again
     begun, go = threading.Event(), threading.Event()
     left: list[float] = []
 
@@ -182,37 +184,39 @@
 
     one = server.Server(("127.0.0.1", 0), 8, make_settings(), lambda query, settings: Slow(query), max_threads=1)
     monkeypatch.setattr(statements, "parse_query", reading(0.4))
-    monkeypatch.setattr(server.Server, "_answer_overdue", lambda *_: None)  # nor does who watches come to it
+    monkeypatch.setattr(
+        server.Server, "_answer_overdue", lambda *_: None
+    )  # the periodic check must not answer it first
     one.start()
     first, second = Client(one.address), Client(one.address)
     ping(second)
     until = time.monotonic() + LIMIT
-    while one._busy_since:  # the thread has not seen yet that nobody waits for it: what comes now would count as late
+    while one._busy_since:  # until the thread has found no waiting session, new input counts as delayed
         assert time.monotonic() < until
         time.sleep(0.001)
     first.ask()
     assert begun.wait(LIMIT)
-    second.ask()  # the only thread is the first's
+    second.ask()  # the only thread serves the first client
     time.sleep(0.6)
     go.set()
     assert first.error()[0] == second.error()[0] == 1226
-    assert left[0] == 0.4 and left[1] < 0  # its time had run out while it waited
+    assert left[0] == 0.4 and left[1] < 0  # its time to live ran out while it waited
     one.stop_listening()
     assert one.finish(LIMIT)
 
 
-def test_a_client_that_has_sent_something_is_not_evicted(few: server.Server) -> None:
-    # guards the rule on one answer: a request read after its connection had closed ran beside its copy
+def test_client_with_unread_input_is_not_evicted(few: server.Server) -> None:
+    # fault: a request read after its connection had been closed ran in addition to the client's retry
     with socket.create_server(("127.0.0.1", 0)) as listener:
         theirs = socket.create_connection(listener.getsockname(), LIMIT)
         ours, _ = listener.accept()
     client = session.Session(few, ours, 1)
     client._waiting = 0.0, 1.0
     theirs.send(b"x")
-    ours.recv(1, socket.MSG_PEEK)  # it has come
+    ours.recv(1, socket.MSG_PEEK)  # the byte has arrived
     assert not client.evict()
     ours.recv(1)
-    assert client.evict() and not client.evict()  # once
+    assert client.evict() and not client.evict()  # only the first call ends it
     theirs.settimeout(LIMIT)
     assert theirs.recv(1) == b""
     theirs.close()
