--- a/tealwing/mysql/server.py
+++ b/tealwing/mysql/server.py
@@ -143,7 +143,7 @@
             full, self._full = self._full, False
             self._changed.notify_all()
         if full:
-            self._listen()
+            self._arm_listener()
 
     def lingers(self, session: Session, until: float) -> None:
         """Remove a session that has ended; its connection lingers until the monotonic time `until` at most."""
@@ -156,7 +156,7 @@
         if oldest is not None:
             oldest.end_linger()
         if full:  # a lingering connection can be closed for a waiting client
-            self._listen()
+            self._arm_listener()
 
     def stop_listening(self) -> None:
         """Stop accepting clients; connected ones are still served."""
@@ -198,13 +198,13 @@
             session.end_linger()
         with self._changed:
             self._changed.wait_for(self._empty, TIME_LIMIT_CHECK_INTERVAL)
-        self._end()
+        self._end_threads()
         return True
 
     def _empty(self) -> bool:
         return not self._sessions and not self._lingering
 
-    def _end(self) -> None:
+    def _end_threads(self) -> None:
         """End all threads."""
         if not self._over.is_set():
             self._over.set()
@@ -231,7 +231,7 @@
             if more:
                 self._start_thread()
             if self._free <= 0:  # this may have been the last free thread
-                self._all_threads_busy()
+                self._mark_all_threads_busy()
             try:
                 if session.run(buffer, time.monotonic() - since if since else 0.0):
                     self._wait_for_client(session)  # from here on another thread may serve it
@@ -286,23 +286,23 @@
                     return None
                 full = self._full = self._descriptor_count() >= self._max_clients
                 if not full:
-                    session = self._take_client()
+                    session = self._accept_client()
                 is_full = self._descriptor_count() > self._max_clients - self._reserved_places
                 log.check_invariant(
                     self._descriptor_count() <= self._max_clients, "clients hold at most max_clients descriptors"
                 )
         except OSError as error:  # another thread accepted the client, or descriptors ran out
             if not isinstance(error, BlockingIOError) and error.errno not in CONNECTION_ERRORS:
-                self._accept_later(error)
-            self._listen()
+                self._pause_accept(error)
+            self._arm_listener()
             return None
         self._accept_fails = False
         if full:  # the client waits until a descriptor is closed
-            self._free_one(at_once=True)
+            self._free_descriptor(at_once=True)
             return None
-        self._listen()
+        self._arm_listener()
         if is_full:
-            self._free_one(at_once=False)
+            self._free_descriptor(at_once=False)
         return session
 
     def _accept_waiting(self) -> list[Session]:
@@ -310,26 +310,26 @@
         found = []
         with contextlib.suppress(OSError):  # the queue is empty, or descriptors ran out
             while self._descriptor_count() < self._max_clients:
-                found.append(self._take_client())
+                found.append(self._accept_client())
         return found
 
-    def _take_client(self) -> Session:
+    def _accept_client(self) -> Session:
         """Accept the next client; never blocks. Raises OSError if accept fails. Call under the lock."""
         sock, _ = self._listener.accept()
         session = Session(self, sock, next(self._numbers) & 0xFFFFFFFF)
         self._sessions[session.number] = session
         return session
 
-    def _accept_later(self, error: OSError) -> None:
+    def _pause_accept(self, error: OSError) -> None:
         """Pause after a failed accept, and free a descriptor if that may help; logs the first failure of an episode."""
         if error.errno in RESOURCE_ERRORS:
-            self._free_one(at_once=True)
+            self._free_descriptor(at_once=True)
         if not self._accept_fails and not self._stopping.is_set():
             self._accept_fails = True
             log.event("accept_failed", error=str(error))
         self._stopping.wait(ACCEPT_PAUSE)
 
-    def _listen(self) -> None:
+    def _arm_listener(self) -> None:
         """Arm the listener for the next client; retried later if epoll is out of room."""
         if self._stopping.is_set():
             return
@@ -351,7 +351,7 @@
                 self._armed.discard(number)
             self._unarmed.append(session)
         if full:  # this session may now be evicted for a waiting client
-            self._listen()
+            self._arm_listener()
 
     def watch(self, session: Session) -> None:
         """Watch for the client's departure. Only the thread of its open request may call this."""
@@ -394,7 +394,7 @@
         """Evict clients past their time limit, close expired lingering connections, and answer overdue requests."""
         buffer = memoryview(bytearray(READ_SIZE))
         while not self._pause(TIME_LIMIT_CHECK_INTERVAL):
-            self._arm_again()
+            self._retry_arming()
             self._answer_overdue(buffer)
             now = time.monotonic()
             with self._changed:
@@ -405,11 +405,11 @@
             for session in lingered:
                 session.end_linger()
 
-    def _arm_again(self) -> None:
+    def _retry_arming(self) -> None:
         """Arm the listener and the sessions that could not be armed before."""
         if self._listener_unarmed:
             self._listener_unarmed = False
-            self._listen()
+            self._arm_listener()
         for _ in range(len(self._unarmed)):
             self._wait_for_client(self._unarmed.popleft())
 
@@ -480,12 +480,12 @@
         if going is not False:
             self._wait_for_client(session)
 
-    def _all_threads_busy(self) -> None:
+    def _mark_all_threads_busy(self) -> None:
         with self._changed:
             if self._free <= 0 and not self._busy.is_set():
                 self._busy.set()
 
-    def _free_one(self, at_once: bool) -> None:
+    def _free_descriptor(self, at_once: bool) -> None:
         """Free one descriptor: that of the oldest lingering connection, else of the client that has been idle longest.
 
         at_once: a client is already waiting for it, so the evicted session does not linger.
--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -87,18 +87,16 @@
         self._lock = threading.Lock()
         self._exchange: Exchange | None = None  # the open request's; under the lock
         self._since = time.monotonic()  # monotonic; the last answer or the connect
-        self._first = self._since + FIRST_LIMIT  # monotonic deadline of the first command; 0 once it has come
-        self._rest = 0.0  # monotonic deadline of an incomplete command; 0 without one
+        self._first_due = self._since + FIRST_LIMIT  # monotonic deadline of the first command; 0 once it has come
+        self._incomplete_due = 0.0  # monotonic deadline of an incomplete command; 0 without one
         # since when and until when the session waits for its client; None while it is served; under the lock
         self._waiting: tuple[float, float] | None = None
         self._is_sampled = number % SAMPLE_INTERVAL == 0  # reports the age of its input
         self._greeted = self._logged_in = False
-        self._taken = 0.0  # monotonic; when input was last read
-        self._deferred_answer = 0.0  # s that this input had waited unread
-        self._linger: lingering.Linger | None = (
-            None  # set after the last answer, while input is dropped; under the lock
-        )
-        self._gone = False  # the client has closed its side, and all input is read
+        self._received_at = 0.0  # monotonic; when input was last read
+        self._waited_unread = 0.0  # s that this input had waited unread
+        self._linger: lingering.Linger | None = None  # set once the session drops its input; under the lock
+        self._client_closed = False  # the client has closed its side, and all input is read
         self._quit = False  # the client has sent QUIT
         self._closing = False  # close once all received commands are answered; under the lock
         self._cut = False  # close once the command under way is answered; under the lock
@@ -114,7 +112,7 @@
         return self._sock.fileno()
 
     def run(self, buffer: memoryview, busy_for: float = 0.0) -> bool:
-        """Serve the received input; return whether to wait for more input; otherwise the session is closed.
+        """Serve the received input; return whether to wait for more. Otherwise the session is closed.
 
         busy_for bounds the time (s) that the input waited because no thread was free.
         """
@@ -132,7 +130,7 @@
             if self._serve(buffer, busy_for):
                 if self._wait_for_command():
                     return True
-            elif self._gone:
+            elif self._client_closed:
                 return False
         except packets.PacketError as error:  # malformed input ends this connection only
             text = packets.error(error.code, error.state, str(error))
@@ -166,7 +164,7 @@
             self._sock.shutdown(socket.SHUT_WR)
 
     def run_brief(self, buffer: memoryview) -> bool | None:
-        """Like `run`, but never blocks: returns None, with nothing read, if serving the input might block."""
+        """Serve like `run`, but never block: return None, with nothing read, if serving the input might block."""
         if not self._greeted:
             return self.run(buffer[:0])
         size = None if self._parser.begun else departures.brief_commands_length(self._sock, self._logged_in, buffer)
@@ -296,7 +294,7 @@
 
     def eviction_order(self) -> tuple[bool, float]:
         """Sort key of evictions: longest idle first, since the last answer or connect; incomplete commands last."""
-        return bool(self._rest), self._since
+        return bool(self._incomplete_due), self._since
 
     def evict(self, at_once: bool = False) -> bool:
         """End the session unless it has unread input; return whether it was ended.
@@ -348,13 +346,13 @@
         The limits hold for a whole command, so that a client that sends byte by byte is cut off as a silent one is.
         """
         begun, now = self._parser.begun, time.monotonic()
-        self._rest = (self._rest or now + PACKET_LIMIT) if begun else 0.0
-        limit = self._first or self._since + IDLE_LIMIT
+        self._incomplete_due = (self._incomplete_due or now + PACKET_LIMIT) if begun else 0.0
+        limit = self._first_due or self._since + IDLE_LIMIT
         with self._lock:
-            if self._cut or (self._closing and not self._first and not begun and not self._has_input()):
+            if self._cut or (self._closing and not self._first_due and not begun and not self._has_input()):
                 return False
-            self._waiting = self._since, min(limit, self._rest) if self._rest else limit
-            self._idle = not self._first and not begun
+            self._waiting = self._since, min(limit, self._incomplete_due) if self._incomplete_due else limit
+            self._idle = not self._first_due and not begun
             self._due, self._killed = False, self._killed and begun
         return True
 
@@ -370,7 +368,7 @@
             self._greeted = True
         if not buffer:
             return True
-        self._deferred_answer = self._unread_age(busy_for)
+        self._waited_unread = self._unread_age(busy_for)
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
         except BlockingIOError:  # nothing to read yet
@@ -381,12 +379,12 @@
             time.sleep(MEMORY_PAUSE)  # the input stays in the socket, and epoll reports it again
             return True
         if not size:
-            self._gone = True
+            self._client_closed = True
             return False
         self._parser.feed(buffer[:size])
-        self._taken = time.monotonic()
+        self._received_at = time.monotonic()
         while not self._cut and (message := self._parser.next()) is not None:
-            self._rest = 0.0
+            self._incomplete_due = 0.0
             if not (self._answer(*message) if self._logged_in else self._login(*message)):
                 return False
             self._since = time.monotonic()
@@ -394,7 +392,7 @@
 
     def _answer(self, sequence: int, payload: bytes) -> bool:
         """Answer one command; return whether the session goes on."""
-        self._first = 0.0
+        self._first_due = 0.0
         if sequence != 0:
             raise packets.PacketError("Got packets out of order", 1156, "08S01", sequence)
         if payload[:1] == bytes([QUIT]):
@@ -457,7 +455,7 @@
         if other is None:
             return UNKNOWN_THREAD
         other.kill(killed.query_only)
-        if other is self:  # the session kills itself, and has no other request that the KILL could mean
+        if other is self:  # a session that kills itself has no other open request
             with self._lock:
                 self._killed = False
         return packets.ok()
@@ -489,19 +487,19 @@
                 query, exchange = passed
             else:
                 settings = self.server.settings  # the same version for parsing and for the decision
-                query = statements.parse_query(text, settings, self._taken)
-                if self._deferred_answer:  # the ttl counts from the arrival; an overdue request is rejected at once
-                    query = dataclasses.replace(query, ttl=query.ttl - self._deferred_answer)
+                query = statements.parse_query(text, settings, self._received_at)
+                if self._waited_unread:  # the ttl counts from the arrival; an overdue request is rejected at once
+                    query = dataclasses.replace(query, ttl=query.ttl - self._waited_unread)
                 self._deadline.begin(query.received_at + query.ttl)
                 query.set_client_check(self.client_has_left)
-                if self._killed or (self._deferred_answer and self.client_has_left()):
+                if self._killed or (self._waited_unread and self.client_has_left()):
                     return answer(Cancelled())
                 exchange = self.server.open(query, settings)
         except InvalidRequestError as error:
             log.event("request_unusable", error=str(error))
             return packets.packet(1, packets.error(1210, "HY000", f"Incorrect arguments: {error}"))
         except Exception as error:
-            return self._failed_by(error)
+            return self._answer_internal_error(error)
         with self._lock:
             self._exchange, killed = exchange, self._killed
         if killed:
@@ -511,16 +509,17 @@
         try:
             return answer(exchange.run())
         except Exception as error:
-            return self._failed_by(error)
+            return self._answer_internal_error(error)
         finally:
             took = time.monotonic() - begun
             if took > query.ttl:
                 log.event("answer_late", call=query.request_id.decode(), ttl=query.ttl, took=took)
 
-    def _failed_by(self, error: Exception) -> bytes:
+    def _answer_internal_error(self, error: Exception) -> bytes:
         """Return the error packet for a request that an internal error ended.
 
-        An AssertionError is raised on instead: in debug builds it ends the session, so that tests notice it.
+        Raises an AssertionError again, as it has to end a debug build's session where tests notice it, and a
+        ThreadUnavailableError, which `_answer` handles.
         """
         if isinstance(error, AssertionError | threads.ThreadUnavailableError):
             raise error
@@ -533,8 +532,8 @@
         A request that is killed, or whose client leaves, while the gate holds it is not opened. Raises
         InvalidRequestError for a request that cannot be parsed, but only if the gate would admit it without a wait.
         """
-        settings, overdue = self.server.settings, self._deferred_answer
-        taken = self._taken  # moved on by the time held, as the ttl is cut by it: the deadline stays the same
+        settings, overdue = self.server.settings, self._waited_unread
+        taken = self._received_at  # moved on by the time held, as the ttl is cut by it: the deadline stays the same
         for _ in range(MAX_PARSES):
             now = time.monotonic()
             try:
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -125,7 +125,7 @@
         waits = self.session(client)
         until(lambda: waits._waiting is not None and waits.fileno() in self.server._waiting)
 
-    def empty(self) -> None:
+    def wait_until_empty(self) -> None:
         """Wait until the server holds nothing of any client."""
         until(lambda: not self.server._sessions and not self.lingering and not self.server._waiting)
 
@@ -197,7 +197,7 @@
     return True
 
 
-def ends_clean(client: Client) -> None:
+def assert_clean_end(client: Client) -> None:
     """Assert that the connection ends without further data and without a reset."""
     client.sock.settimeout(LIMIT)
     with pytest.raises(EOFError):
@@ -215,7 +215,7 @@
 # Lingering closes
 
 
-MANY = b"\0" * 64 * 1024  # input that a session does not read before it ends: a thread reads 4 KB at a time
+UNREAD_INPUT = b"\0" * 64 * 1024  # input that a session does not read before it ends: a thread reads 4 KB at a time
 
 
 @pytest.mark.parametrize(
@@ -239,33 +239,33 @@
     monkeypatch.setattr(socket, "create_connection", connect_with_small_buffer)
     rig.size = LARGE_RESULT
     client = Client(rig.address)
-    client.sock.sendall(query("1") + last + MANY)
+    client.sock.sendall(query("1") + last + UNREAD_INPUT)
     until(lambda: not rig.server._sessions)
     assert answered(client, "1")
     if last[3] or last[4] == KILL:
         assert client.read()[0] == (0xFF if last[3] else 0)
-    ends_clean(client)
+    assert_clean_end(client)
     client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_client_gets_the_error_of_its_failed_login(rig: Rig) -> None:
     # fault: queries sent right after a failed login stayed unread, and reset the connection before the error arrived
-    client = Client(rig.address, b"mallory", MANY)
+    client = Client(rig.address, b"mallory", UNREAD_INPUT)
     assert int.from_bytes(client.login[1:3], "little") == 1045
-    ends_clean(client)
+    assert_clean_end(client)
     client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_client_gets_the_error_of_a_bad_handshake(rig: Rig) -> None:
     with socket.create_connection(rig.address, LIMIT) as sock:
-        sock.sendall(packets.packet(1, b"no login") + MANY)
+        sock.sendall(packets.packet(1, b"no login") + UNREAD_INPUT)
         got = b""
         while data := sock.recv(4096):
             got += data
         assert b"Bad handshake" in got
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_cleanly_closed_connection_does_not_linger(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -274,18 +274,18 @@
     for client in (gone, quitting):
         ping(client)
     quitting.send(QUIT)
-    ends_clean(quitting)
+    assert_clean_end(quitting)
     gone.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
     assert "shut" not in rig.journal
 
 
 def test_lingering_is_bounded_in_time(rig: Rig) -> None:
     # the client neither reads nor closes; its descriptor must be freed all the same
-    client = Client(rig.address, also=packets.packet(7, b"\x0e") + MANY)
+    client = Client(rig.address, also=packets.packet(7, b"\x0e") + UNREAD_INPUT)
     until(lambda: rig.lingering == 1)
     begun = time.monotonic()
-    rig.empty()
+    rig.wait_until_empty()
     assert time.monotonic() - begun < lingering.LINGER_TIME + server.TIME_LIMIT_CHECK_INTERVAL + LIMIT / 10
     client.sock.close()
 
@@ -296,8 +296,8 @@
     sent = 0
     with pytest.raises(OSError):  # the server closes while the client still sends
         while sent < 256 * lingering.MAX_LINGER_BYTES:
-            sent += client.sock.send(MANY)
-    rig.empty()
+            sent += client.sock.send(UNREAD_INPUT)
+    rig.wait_until_empty()
     assert not rig.opened
 
 
@@ -309,7 +309,7 @@
     most = 0
     for _ in range(60):
         with contextlib.suppress(EOFError, ConnectionError):
-            bad.append(Client(rig.address, also=packets.packet(7, b"\x0e") + MANY[:8192]))
+            bad.append(Client(rig.address, also=packets.packet(7, b"\x0e") + UNREAD_INPUT[:8192]))
         until(lambda: len(rig.server._sessions) == 5)
         most = max(most, len(rig.server._sessions) + rig.lingering)
     assert most <= 8
@@ -320,7 +320,7 @@
     ping(late)
     for client in (*bad, *rests, late):
         client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_drain_ends_lingering(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -331,7 +331,7 @@
     begun = time.monotonic()
     assert rig.server.finish(0.2)  # no answer is outstanding, so the drain is not cut short
     assert time.monotonic() - begun < LIMIT / 3
-    rig.empty()
+    rig.wait_until_empty()
     client.sock.close()
 
 
@@ -351,9 +351,9 @@
     assert "shut" not in rig.journal
     hold.go.set()
     assert answered(client, "1")
-    ends_clean(client)
+    assert_clean_end(client)
     client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 @pytest.mark.parametrize("way", ["stop", "kill", "evict"])
@@ -375,7 +375,7 @@
     hold.go.set()
     assert not answered(client, "1")
     client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
     assert rig.journal[0] == "shut" and not rig.opened
 
 
@@ -387,7 +387,7 @@
     getattr(ours, way)()
     assert not answered(client, "1")
     client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
     assert not rig.opened
 
 
@@ -401,9 +401,9 @@
     rig.session(client).stop()
     go.set()
     assert [answered(client, call) for call in ("1", "2", "3")] == [True] * 3
-    ends_clean(client)
+    assert_clean_end(client)
     client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_drain_serves_a_client_that_has_not_logged_in_yet(rig: Rig) -> None:
@@ -419,7 +419,7 @@
         while data := sock.recv(4096):
             got += data
         assert b"1" in got and got.endswith(packets.eof())
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_query_sent_with_the_login_is_answered_if_the_stop_comes_during_the_login(
@@ -436,9 +436,9 @@
     hold.go.set()
     connecting.join(LIMIT)
     assert answered(found[0], "1")
-    ends_clean(found[0])
+    assert_clean_end(found[0])
     found[0].sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 @pytest.mark.parametrize("read", [True, False])
@@ -461,9 +461,9 @@
     until(lambda: ours._parser.begun or ours.fileno() < 0)
     client.sock.sendall(query("1")[9:])
     assert answered(client, "1")
-    ends_clean(client)
+    assert_clean_end(client)
     client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
     assert rig.opened == ["1"]
 
 
@@ -472,7 +472,7 @@
     client = idle_client(rig)
     client.sock.sendall(query("1")[:9])
     rig.session(client).stop()
-    rig.empty()
+    rig.wait_until_empty()
     client.sock.close()
     assert not rig.opened
 
@@ -486,7 +486,7 @@
     clients = [idle_client(rig) for _ in range(6)]
     half, fresh = clients[0], socket.create_connection(rig.address, LIMIT)
     until(lambda: len(rig.server._sessions) == 7)
-    (newest,) = (ours for ours in rig.server._sessions.values() if ours._first)
+    (newest,) = (ours for ours in rig.server._sessions.values() if ours._first_due)
     until(lambda: newest._waiting is not None)
     half.sock.sendall(query("1")[:9])
     ours = rig.session(half)
@@ -502,7 +502,7 @@
     order = [clients[n] for n in (1, 2, 3, 4, 5)]
     for client in order:
         rig.server._evict_idlest(False)
-        ends_clean(client)
+        assert_clean_end(client)
     rig.server._evict_idlest(False)
     assert not [c for c in (fresh,) if c.recv(4096) == b""]  # the greeting
     assert fresh.recv(4096) == b""
@@ -510,7 +510,7 @@
     assert answered(half, "1")
     for sock in (fresh, *(client.sock for client in clients)):
         sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_new_client_is_accepted_when_idle_clients_hold_all_places(rig: Rig) -> None:
@@ -519,7 +519,7 @@
     assert answered(late, "1")
     for client in (*idle, late):
         client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_client_that_connects_while_all_are_busy_is_accepted_once_one_is_idle(rig: Rig) -> None:
@@ -535,7 +535,7 @@
     assert late.recv(4096)  # the greeting
     for sock in (late, *(client.sock for client in busy)):
         sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_client_is_accepted_once_one_is_idle_after_an_eviction_found_none(
@@ -560,7 +560,7 @@
     assert late.recv(4096)  # the greeting
     for sock in (late, *(client.sock for client in clients)):
         sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_clients_with_unread_input_are_not_evicted_and_the_next_client_is_accepted(
@@ -589,15 +589,15 @@
     assert answered(late, "late")
     for client in (*clients, last, late):
         client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_client_is_closed_after_its_idle_limit(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(session, "IDLE_LIMIT", 0.2)
     client = idle_client(rig)
-    ends_clean(client)
+    assert_clean_end(client)
     client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_descriptor_shortage_closes_lingering_connections_then_the_longest_idle(
@@ -614,10 +614,10 @@
     assert len(rig.server._sessions) == 4
     rig.refusals = [errno.EMFILE]
     ping(latest := Client(rig.address))
-    ends_clean(idle[0])
+    assert_clean_end(idle[0])
     for client in (*idle, bad, late, latest):
         client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def test_stop_during_an_eviction_shuts_the_connection_down_once(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -628,9 +628,9 @@
     rig.before_shutdown = lambda: next(shuts, bool)()
     assert ours.evict()
     stopping.join(LIMIT)
-    ends_clean(client)
+    assert_clean_end(client)
     client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
     assert rig.journal == ["shut"]
 
 
@@ -646,9 +646,9 @@
     assert answered(client, "1")
     rig.wait_until_idle(client)
     assert ours.evict() and not ours.evict()
-    ends_clean(client)
+    assert_clean_end(client)
     client.sock.close()
-    rig.empty()
+    rig.wait_until_empty()
 
 
 def reset(sock: socket.socket) -> None:
@@ -667,7 +667,7 @@
     ours.stop()
     ours.kill(query_only=False)
     hold.go.set()
-    rig.empty()
+    rig.wait_until_empty()
     assert ours.fileno() == -1
     ours.stop()
     ours.kill(query_only=False)
@@ -679,9 +679,9 @@
     before = len(os.listdir("/proc/self/fd")), threading.active_count()
     rig = Rig()
     clients = [idle_client(rig) for _ in range(6)]
-    clients.append(Client(rig.address, also=packets.packet(7, b"\x0e") + MANY))
+    clients.append(Client(rig.address, also=packets.packet(7, b"\x0e") + UNREAD_INPUT))
     rig.end()
-    rig.empty()
+    rig.wait_until_empty()
     for client in clients:
         client.sock.close()
     until(lambda: (len(os.listdir("/proc/self/fd")), threading.active_count()) == before)
--- a/tests/test_closes_model.py
+++ b/tests/test_closes_model.py
@@ -154,7 +154,7 @@
                 self.check(one)
         ending.join(LIMIT)
         assert not ending.is_alive() and self.rig.server._over.is_set()
-        self.rig.empty()
+        self.rig.wait_until_empty()
         assert len(self.rig.opened) == len(set(self.rig.opened))
         until(lambda: (len(os.listdir("/proc/self/fd")), threading.active_count()) == self.before)
 
@@ -175,7 +175,7 @@
             assert len(got) == len(asked)
 
     def answers(self, client: Client) -> tuple[list[str], int]:
-        """Read to the end; return the ids of the complete answers ("" for an interrupted one), and the number interrupted."""
+        """Read to the end; return the ids of the answers, "" for an interrupted one, and the number of interruptions."""
         got: list[str] = []
         client.sock.settimeout(LIMIT)
         try:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -36,7 +36,7 @@
 
 PAGE = b"a\tb\tc\n"
 INTERRUPTED = 1317
-DEPARTURE_LIMIT = 0.1  # s after a client's departure; required by the operators: no attempt may begin later
+DEPARTURE_LIMIT = 0.1  # s after its client's departure by which a request begins no more attempts (operators' terms)
 LONG_TTL = 60_000  # ms; longer than any wait in these tests, so that no request here becomes overdue
 
 
@@ -113,7 +113,7 @@
         say(sock, name, b"200", b"sheets=1", PAGE)
         assert len(client.rows()) == 1
 
-    def nothing_left(self) -> None:
+    def wait_until_released(self) -> None:
         """Wait until no request, reservation or table entry remains, as before the first request."""
         wait(lambda: self.decisions.open_requests == 0)
         module = self.decisions.module
@@ -128,7 +128,7 @@
                 wait(partial(free, connection))
         assert not self.decisions._request_ids
 
-    def gone(self, number: int) -> None:
+    def wait_until_ended(self, number: int) -> None:
         """Wait until the session has ended and its connection lingers no more; nothing of it may remain."""
         server = self.server
         with server._changed:
@@ -203,7 +203,7 @@
     client.sock.close()
 
 
-def half(client: Client) -> None:
+def half_close(client: Client) -> None:
     client.sock.shutdown(socket.SHUT_WR)
 
 
@@ -213,7 +213,7 @@
     client.sock.shutdown(socket.SHUT_WR)
 
 
-DEPARTURES = [fin, rst, half, behind_bytes]
+DEPARTURES = [fin, rst, half_close, behind_bytes]
 
 
 def leave(rig: Rig, client: Client, way: Callable[[Client], None] = fin) -> None:
@@ -242,14 +242,14 @@
     _, call = rig.sent(1)
     way(client)
     assert rig.engine.next(b"never_mind")[1][1] == call
-    rig.gone(client.id)
-    if way in (half, behind_bytes):  # it gets no answer, not even to the pipelined command
+    rig.wait_until_ended(client.id)
+    if way in (half_close, behind_bytes):  # it gets no answer, not even to the pipelined command
         client.sock.settimeout(LIMIT)
         try:
             assert client.sock.recv(4096) == b""
         except ConnectionResetError:  # closed with the pipelined command unread
             assert way is behind_bytes
-    rig.nothing_left()
+    rig.wait_until_released()
     assert rig.count(api.ClientGone) == 1 and rig.results() == {api.AttemptResult.CANCELLED: 1}
     rig.serve(rig.client(), 2)
 
@@ -316,14 +316,14 @@
     assert client.error()[0] == INTERRUPTED
     assert client.sock.recv(4096) == b""
     assert rig.engine.next(b"never_mind")[1][1] == call
-    rig.gone(client.id)
-    rig.nothing_left()
+    rig.wait_until_ended(client.id)
+    rig.wait_until_released()
     assert rig.count(api.ClientGone) == 1
 
 
 # The last check before a request is sent
 
-NOTICED = ["event", "socket"]  # by the epoll event in the request's mailbox, or only by the last check of the socket
+DETECTIONS = ["event", "socket"]  # by the epoll event in the request's mailbox, or only by the last check of the socket
 
 
 def leave_noticed(rig: Rig, client: Client, how: str) -> None:
@@ -335,7 +335,7 @@
         wait(lambda: not open_._mailbox.empty())
 
 
-@pytest.fixture(params=NOTICED)
+@pytest.fixture(params=DETECTIONS)
 def how(rig: Rig, request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> str:
     rig.ignores_socket = request.param == "event"
     if not rig.ignores_socket:
@@ -345,8 +345,8 @@
 
 def assert_not_sent(rig: Rig, client: int, attempts: int = 1) -> None:
     """The request ended unsent, with one departure reported, and the engine's next message is another request."""
-    rig.gone(client)
-    rig.nothing_left()
+    rig.wait_until_ended(client)
+    rig.wait_until_released()
     assert rig.count(api.ClientGone) == 1 and rig.results()[api.AttemptResult.NOT_SENT] == 1
     assert sum(rig.results().values()) == attempts
     rig.serve(rig.client(), 9)
@@ -423,9 +423,7 @@
 ) -> None:
     held = Held()
     monkeypatch.setattr(request_handler, "time", SimpleNamespace(monotonic=time.monotonic, sleep=held))
-    monkeypatch.setattr(
-        request_handler, "CANCEL_GAP", LIMIT
-    )  # long enough for the client to leave within it on a slow machine
+    monkeypatch.setattr(request_handler, "CANCEL_GAP", LIMIT)  # the retry falls into the gap on a slow machine too
     client = rig.client()
     rig.ask(client)
     sock, call = rig.sent(1)
@@ -459,8 +457,8 @@
     held.reached()
     leave_noticed(rig, client, how)
     held.go.set()
-    rig.gone(client.id)
-    rig.nothing_left()
+    rig.wait_until_ended(client.id)
+    rig.wait_until_released()
     assert rig.count(api.ClientGone) == 1
     assert rig.results() == {api.AttemptResult.ERROR: 1, api.AttemptResult.NOT_SENT: 1}
     rig.serve(rig.client(), 9)
@@ -474,7 +472,7 @@
     kill(rig, client)
     held.go.set()
     assert client.error()[0] == INTERRUPTED
-    rig.nothing_left()
+    rig.wait_until_released()
     assert rig.count(api.ClientGone) == 1
     rig.serve(client, 2)
 
@@ -484,11 +482,11 @@
     single.ask(first, 1)
     sock, call = single.sent(1)
     single.ask(second, 2)
-    leave(single, second, half)
+    leave(single, second, half_close)
     say(sock, call, b"200", b"sheets=1", PAGE)
     assert len(first.rows()) == 1
-    single.gone(second.id)
-    single.nothing_left()
+    single.wait_until_ended(second.id)
+    single.wait_until_released()
     single.serve(single.client(), 9)
 
 
@@ -498,8 +496,8 @@
     _, call = single.sent(1)
     client.sock.close()
     assert single.engine.next(b"never_mind")[1][1] == call
-    single.gone(client.id)
-    single.nothing_left()
+    single.wait_until_ended(client.id)
+    single.wait_until_released()
 
 
 # Requests held by the gate
@@ -528,12 +526,12 @@
     if what == "killed":
         kill(rig, client)
     else:
-        leave(rig, client, half)
+        leave(rig, client, half_close)
     gate.open()
     if what == "killed":
         assert client.error()[0] == INTERRUPTED
     else:
-        rig.gone(client.id)
+        rig.wait_until_ended(client.id)
         client = rig.client()
     assert rig.opened.empty()
     rig.serve(client, 2)
@@ -552,7 +550,7 @@
     kill(rig, client)
     held.go.set()
     assert client.error()[0] == INTERRUPTED
-    rig.nothing_left()
+    rig.wait_until_released()
     assert rig.count(api.ClientGone) == 1
     rig.serve(client, 2)
 
@@ -609,7 +607,7 @@
         assert other.read() == packets.ok()
     assert client.error()[0] == INTERRUPTED
     assert single.engine.next(b"never_mind")[1][1] == call
-    single.nothing_left()
+    single.wait_until_released()
 
 
 def test_kill_cancels_a_waiting_request_but_not_the_next(single: Rig) -> None:
@@ -623,7 +621,7 @@
     assert len(first.rows()) == 1
     assert second.error()[0] == INTERRUPTED
     single.serve(second, 3)
-    single.nothing_left()
+    single.wait_until_released()
 
 
 def test_deferred_sessions_get_the_next_free_thread(single: Rig) -> None:
@@ -644,7 +642,7 @@
     for client in clients:
         assert len(client.rows()) == 1
     late.close()
-    single.nothing_left()
+    single.wait_until_released()
 
 
 LOGIN = packets.packet(1, bytes(40))
@@ -653,7 +651,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "inside", "size"),
+    ("data", "logged_in", "size"),
     [
         (b"", True, 0),
         (PING, True, 5),
@@ -669,19 +667,18 @@
         (PING * 200, True, None),  # more than is peeked at: the rest may hold a request
     ],
 )
-def test_brief_commands_length_of_input(data: bytes, inside: bool, size: int | None) -> None:
+def test_brief_commands_length_of_input(data: bytes, logged_in: bool, size: int | None) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         theirs = socket.create_connection(listener.getsockname(), LIMIT)
         ours, _ = listener.accept()
     theirs.sendall(data)
     buffer = memoryview(bytearray(server.BRIEF_SIZE))
     wait(lambda: not data or ours.recv_into(buffer, 0, socket.MSG_PEEK) == min(len(data), len(buffer)))
-    assert departures.brief_commands_length(ours, inside, buffer) == size
+    assert departures.brief_commands_length(ours, logged_in, buffer) == size
     theirs.close()
     if not data:
-        wait(
-            lambda: departures.brief_commands_length(ours, inside, buffer) == 1
-        )  # the end of the connection must be read
+        # the end of the connection counts as one byte
+        wait(lambda: departures.brief_commands_length(ours, logged_in, buffer) == 1)
     ours.close()
 
 
@@ -794,7 +791,7 @@
     if rig.session(client).fileno() == number:
         return client
     client.sock.close()
-    rig.gone(client.id)
+    rig.wait_until_ended(client.id)
     return None
 
 
@@ -813,7 +810,7 @@
     client.sock.close()
     slow.held.reached()  # a thread has the event, but has not acted on it
     say(sock, call, b"200", b"sheets=1", PAGE)
-    rig.gone(client.id)
+    rig.wait_until_ended(client.id)
     other = on_descriptor(rig, number)
     rig.ask(other, 2)
     sock, call = rig.sent(2)
@@ -834,7 +831,7 @@
     client.sock.close()
     slow.held.reached()
     say(sock, call, b"200", b"sheets=1", PAGE)
-    rig.gone(client.id)
+    rig.wait_until_ended(client.id)
     other = on_descriptor(rig, number)
     rig.serve(other, 2)
     wait(lambda: number in rig.server._armed)
@@ -858,7 +855,7 @@
         assert rig.server._changed.wait_for(lambda: not rig.server._sessions, LIMIT)
         assert not rig.server._waiting and not rig.server._armed
     wait(lambda: rig.server._free == rig.server._threads)
-    rig.nothing_left()
+    rig.wait_until_released()
     client = rig.client()
     rig.ask(client, 1000)
     while (got := rig.engine.got.get(timeout=LIMIT))[1][0] != b"want":
@@ -992,6 +989,6 @@
         wait(lambda: departures.has_left(one._sock))
         time.sleep(DEPARTURE_LIMIT)
         go.set()
-    rig.gone(client.id)
+    rig.wait_until_ended(client.id)
     time.sleep(DEPARTURE_LIMIT)
     assert 0 < sum(come) < len(long)
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -135,7 +135,7 @@
     assert engine.calls[-1] == name_of(9).encode()
     last.sock.close()
     wait(lambda: rig.server.connections == 0)
-    rig.nothing_left()
+    rig.wait_until_released()
     return found
 
 
--- a/tests/test_overdue.py
+++ b/tests/test_overdue.py
@@ -129,7 +129,7 @@
         ask(client, 1, SHORT_MS)
         assert come.wait(LIMIT)
         assert client.error()[0] == FAILED
-    rig.nothing_left()
+    rig.wait_until_released()
     if name != "_write":  # a blocked write may have sent some bytes
         assert rig.engine.got.empty()
     assert client.sock.recv(1) == b""  # the session has ended, and sent nothing more
@@ -140,7 +140,7 @@
     with rig.decisions._lock:
         ask(client, 1, SHORT_MS)
         assert client.error()[0] == FAILED
-    rig.nothing_left()
+    rig.wait_until_released()
     assert rig.engine.got.empty()
 
 
@@ -159,7 +159,7 @@
     assert come.wait(LIMIT)
     assert client.error()[0] == FAILED
     go.set()
-    rig.nothing_left()
+    rig.wait_until_released()
     assert rig.engine.got.empty()
 
 
