--- a/tests/test_closes_model.py
+++ b/tests/test_closes_model.py
@@ -175,7 +175,7 @@
             assert len(got) == len(asked)
 
     def answers(self, client: Client) -> tuple[list[str], int]:
-        """Read to the end; return the ids of the answers, "" for an interrupted one, and the number of interruptions."""
+        """Read to the end; return the ids of the answers, "" for an interrupted one, and the number of those."""
         got: list[str] = []
         client.sock.settimeout(LIMIT)
         try:
