--- a/tealwing/mysql/server.py
+++ b/tealwing/mysql/server.py
@@ -83,17 +83,13 @@
         # sessions that have ended, but whose connections are still open
         self._lingering: Lingering[Session] = Lingering(self._reserved_places)
         self._waiting: dict[int, Session] = {}  # by descriptor: sessions in the epoll set
-        self._armed: set[int] = (
-            set()
-        )  # descriptors armed for input; the thread that claims the event removes its descriptor
+        self._armed: set[int] = set()  # descriptors armed for input; the thread that claims the event removes its one
         self._deferred: deque[Session] = deque()  # ready sessions waiting for a free thread
         self._threads = self._free = 0  # number of threads, and of idle ones
         self._busy_since = 0.0  # monotonic; since when no thread has been free; 0 if one is
         self._busy = threading.Event()  # set while no thread is free
         self._unarmed: deque[Session] = deque()  # sessions that epoll had no room to arm; retried periodically
-        self._accept_fails = (
-            False  # accept has failed since the last accepted client; so that an episode is logged once
-        )
+        self._accept_fails = False  # since the last accepted client; an episode is logged once
         self._listener_unarmed = False  # the listening socket could not be armed
         self._full = False  # no client is accepted until a descriptor is free or a session may be evicted
         self._stopping, self._over = threading.Event(), threading.Event()
--- a/tests/test_closes_model.py
+++ b/tests/test_closes_model.py
@@ -162,9 +162,8 @@
         got, interrupted = self.answers(one.client)
         asked = [call for batch in one.batches for call in batch]
         opened = [call for call in asked if call in self.rig.opened]
-        assert [call for call in got if call] == [
-            call for call in asked if call in got
-        ]  # each answered at most once, in order
+        # each request is answered at most once, in order
+        assert [call for call in got if call] == [call for call in asked if call in got]
         if not one.killed:
             assert len(got) >= len(opened)  # every opened request has an answer
             assert interrupted <= one.interrupted
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -184,9 +184,8 @@
 
     one = server.Server(("127.0.0.1", 0), 8, make_settings(), lambda query, settings: Slow(query), max_threads=1)
     monkeypatch.setattr(statements, "parse_query", reading(0.4))
-    monkeypatch.setattr(
-        server.Server, "_answer_overdue", lambda *_: None
-    )  # the periodic check must not answer it first
+    # the periodic check must not answer the request first
+    monkeypatch.setattr(server.Server, "_answer_overdue", lambda *_: None)
     one.start()
     first, second = Client(one.address), Client(one.address)
     ping(second)
