--- a/tealwing/gossip/anti_entropy.py
+++ b/tealwing/gossip/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: two instances compare hashes of their members by bucket, and send each other what differs; pure."""
+"""Anti-entropy: two instances compare hashes of their member lists by bucket and exchange what differs; pure."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from tealwing.gossip.messages import Address, Digest, Fetch, Gossip, Ping, Rumour
 from tealwing.gossip.send_queue import Priority
 
-RESYNC_FACTOR = 0.1  # of the usual interval until the next comparison, where one showed a difference
-SYNC_SCALING_MEMBERS = 32  # members past which comparisons grow rarer, by the binary log (memberlist's)
-SEED_PROBABILITY = 0.1  # of a comparison with seeds too: a network partition that has healed is found again there
+RESYNC_FACTOR = 0.1  # of the sync interval: delay of the next comparison after one that found a difference
+SYNC_SCALING_MEMBERS = 32  # members beyond which the sync interval grows with their binary log (as in memberlist)
+SEED_PROBABILITY = 0.1  # of a comparison with seeds too, through which the sides of a healed partition meet again
 SEEDS_PER_SYNC = 2
-MAX_PENDING_FETCHES = 16
-PAYLOAD_RESERVE_BYTES = 120  # of a datagram: the payload around the rumours
-MAX_BUCKET_RUMOURS = 40  # of one bucket in one datagram: its format allows 64
+MAX_PENDING_FETCHES = 16  # fetches that wait to be answered; beyond that the oldest is dropped
+PAYLOAD_RESERVE_BYTES = 120  # of a datagram, for all fields of the payload but the rumours
+MAX_BUCKET_RUMOURS = 40  # rumours of one bucket in one datagram; the format allows 64 in a datagram
 
 
 class AntiEntropy:
@@ -32,7 +32,7 @@
         self._fetches: deque[tuple[Address, list[int]]] = deque(maxlen=MAX_PENDING_FETCHES)
 
     def tick(self) -> bool:
-        """Compare with a member when it is due; return whether it was."""
+        """Send digests to a member if a comparison is due; return whether it was."""
         context = self._context
         if context.clock.now < self._next_sync:
             return False
@@ -42,13 +42,13 @@
         return True
 
     def handle_digest(self, source: Address, digest: Digest) -> None:
-        """Fetch the buckets that differ; send our own digest where it is requested."""
+        """Fetch the buckets that differ; send our own digest if the sender requested it."""
         context, alive = self._context, self._context.identity.alive
         pairs = zip(digest.buckets, context.members.digest(alive), strict=False)
         differing = [number for number, (theirs, ours) in enumerate(pairs) if theirs != ours]
         if digest.request_reply:
             context.outgoing.send(Priority.BULK, source, Digest(context.members.digest(alive), False), [alive])
-        if differing:  # and it may not be the only one: compare again soon, until one agrees
+        if differing:  # other members may differ too: compare again soon, until a comparison finds no difference
             context.outgoing.send(Priority.BULK, source, Fetch(differing), [])
             self._interval = context.timing.sync_interval * RESYNC_FACTOR
             next_sync = context.clock.now + self._interval * context.random.uniform(0.5, 1.5)
@@ -58,12 +58,12 @@
             self._next_sync = context.clock.now + self._interval * context.random.uniform(0.8, 1.2)
 
     def handle_fetch(self, source: Address, fetch: Fetch) -> None:
-        """Queue an answer; one for each requester at a time."""
+        """Queue the answer to a fetch, at most one per requester at a time."""
         if all(source != to for to, _ in self._fetches):
             self._fetches.append((source, list(fetch.buckets)))
 
     def send_fetched(self) -> None:
-        """Send what others fetch, a datagram at a time, as the byte limit lets it."""
+        """Answer the queued fetches, a datagram at a time, while the send queue has capacity."""
         outgoing = self._context.outgoing
         while self._fetches and outgoing.send_queue.has_capacity(Priority.BULK):
             to, buckets = self._fetches[0]
@@ -72,13 +72,13 @@
                 self._fetches.popleft()
 
     def _take_batch(self, buckets: list[int]) -> list[Rumour]:
-        """Take as many buckets off the list as fit one datagram; return their rumours."""
+        """Remove as many buckets from the list as fit into one datagram; return their rumours."""
         members = self._context.members
         batch: list[Rumour] = [self._context.identity.alive]
         available = messages.MAX_DATAGRAM_BYTES - messages.FRAME_BYTES - PAYLOAD_RESERVE_BYTES
         while buckets:
             in_bucket = members.in_bucket(buckets[0])
-            # a suspected member may be new to the requester, so it gets the statement that it was alive too
+            # the requester may not know a suspected member yet, so the member's `Alive` goes along
             rumours: list[Rumour] = [member.alive for member in in_bucket if member.state is State.SUSPECT]
             rumours += [member.rumour() for member in in_bucket]
             size = sum(map(messages.rumour_size, rumours))
@@ -90,18 +90,18 @@
         return batch
 
     def _send_digests(self) -> None:
-        """Send our digest to one member, to seeds while there is none or now and then, and ping one held dead."""
+        """Send our digest to one member, to seeds too if there is none or at random, and ping one dead member."""
         context, alive = self._context, self._context.identity.alive
         targets = [member.address for member in context.members.sample(1)]
         if not targets or context.random.random() < SEED_PROBABILITY:
             targets += context.random.sample(self._seeds, min(SEEDS_PER_SYNC, len(self._seeds)))
         for target in targets:
             context.outgoing.send(Priority.BULK, target, Digest(context.members.digest(alive), True), [alive])
-        for member in context.members.sample_dead(1):  # it may be back, and can refute what we hold
+        for member in context.members.sample_dead(1):  # it may be back, and the rumour of its death lets it refute
             ping = Ping(context.outgoing.next_ping_number(), "")
             context.outgoing.send(Priority.BULK, member.address, ping, [alive, member.rumour()])
 
     def _settled_interval(self) -> float:
-        """Return the time between comparisons that show no difference; longer among many members."""
+        """Return the s between comparisons that find no difference; it grows with the number of members."""
         scale = max(0.0, log2(max(self._context.members.live, 1) / SYNC_SCALING_MEMBERS))
         return self._context.timing.sync_interval * (1 + scale)
--- a/tealwing/gossip/context.py
+++ b/tealwing/gossip/context.py
@@ -12,18 +12,18 @@
 from tealwing.gossip.identity import Clock, LocalIdentity
 from tealwing.gossip.members import Member, Members
 
-MAX_HEALTH_SCORE = 8  # Lifeguard's S
+MAX_HEALTH_SCORE = 8  # points (Lifeguard's S)
 
 
 @dataclass(slots=True)
 class Counters:
-    """Totals since the start."""
+    """Totals since the node's start."""
 
     rejected: Counter[str] = field(default_factory=Counter)  # datagrams and rumours by cause
-    received: int = 0
+    received: int = 0  # datagrams
     probes: int = 0
-    missed: int = 0
-    refuted: int = 0
+    missed: int = 0  # probes without an answer
+    refuted: int = 0  # new incarnations published by this instance
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     score: int = 0
 
     def degrade(self, points: int) -> None:
-        """Raise the score, as something suggests that this instance itself is slow."""
+        """Raise the score after a sign that this instance itself is slow."""
         self.score = min(MAX_HEALTH_SCORE, self.score + points)
 
     def improve(self) -> None:
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class NodeContext:
-    """Shared by the parts of one node; each part owns its other state itself."""
+    """The state that the parts of one node share; each part owns its other state."""
 
     identity: LocalIdentity
     clock: Clock
@@ -56,5 +56,5 @@
     events: list[GossipEvent] = field(default_factory=list)
 
     def report(self, change: MemberChange, member: Member) -> None:
-        """Add an event for the owner."""
+        """Add the event of a member's change to the list that the node's owner reads."""
         self.events.append(MemberEvent.of(change, member))
--- a/tealwing/gossip/dissemination.py
+++ b/tealwing/gossip/dissemination.py
@@ -1,4 +1,4 @@
-"""Sending: datagrams with rumours piggybacked on them, and rounds of rumours alone to random members; pure."""
+"""Dissemination: rumours piggybacked on other datagrams, and rounds of datagrams with rumours only; pure."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from tealwing.gossip.rumour_queue import RumourQueue
 from tealwing.gossip.send_queue import Priority, SendQueue
 
-RETRANSMIT_FACTOR = 4  # sends of a rumour, times the decimal log of the members (memberlist's RetransmitMult)
-GOSSIP_FANOUT = 3  # members that a round of rumours goes to (memberlist's GossipNodes)
-SHORT_DATAGRAM_BYTES = 420  # of a probe or an answer while the byte limit is near: room for two rumours
-ARRAY_HEADER_BYTES = 8  # by which the payload grows as its array of rumours fills
+RETRANSMIT_FACTOR = 4  # times the decimal log of the members: sends of a rumour (memberlist's RetransmitMult)
+GOSSIP_FANOUT = 3  # members that receive a round of rumours (memberlist's GossipNodes)
+SHORT_DATAGRAM_BYTES = 420  # of a probe or an answer while the byte limit is nearly reached: room for two rumours
+ARRAY_HEADER_BYTES = 8  # by which the payload's header of its array of rumours may grow
 
 
 class Disseminator:
@@ -37,7 +37,7 @@
         self._ping_number, self._next_round = first_ping_number, first_round_at
 
     def next_ping_number(self) -> int:
-        """Return a number that an answer to a ping refers to."""
+        """Return the number of the next ping, which its answer repeats."""
         self._ping_number = (self._ping_number + 1) % messages.MAX_INCARNATION
         return self._ping_number
 
@@ -46,7 +46,7 @@
         self._rumours.add(rumour)
 
     def record_received(self, rumour: Rumour) -> None:
-        """Count a rumour that another member sent too as sent once by us."""
+        """Count a queued rumour that another member has sent as one send of ours."""
         self._rumours.record_received(rumour, self._max_sends())
 
     def send(self, priority: Priority, to: Address, body: Body, first: Sequence[Rumour]) -> None:
@@ -56,7 +56,7 @@
         payload = Payload(identity.name, identity.boot, sequence, sent_at_ms, body, [])
         limit = messages.MAX_DATAGRAM_BYTES
         if priority in (Priority.ANSWER, Priority.PROBE) and not self.send_queue.has_spare_tokens():
-            limit = SHORT_DATAGRAM_BYTES  # failure detection must get through, and rumours have datagrams of their own
+            limit = SHORT_DATAGRAM_BYTES  # failure detection goes first; rumours also have datagrams of their own
         available = limit - messages.datagram_size(payload) - ARRAY_HEADER_BYTES
         piggybacked: list[Rumour] = []
         for rumour in first:
@@ -69,14 +69,14 @@
         self.send_queue.enqueue(priority, self._clock.now, to, messages.encode(payload, identity.signer))
 
     def rumours_for(self, name: str) -> list[Rumour]:
-        """Return what goes with a message to a member: that we are alive, or its suspicion, so that it can refute."""
+        """Return the rumours for a message to a member: its suspicion or death to refute, or our `Alive` if unknown."""
         member = self._members.get(name)
         if member is None:
             return [self._identity.alive]
         return [member.rumour()] if member.state in (State.SUSPECT, State.DEAD) else []
 
     def tick(self) -> None:
-        """Send a round of queued rumours to a few members when it is due."""
+        """Send queued rumours to a few random members if a round is due."""
         if self._clock.now < self._next_round:
             return
         self._next_round = self._clock.now + self._timing.gossip_interval
