--- a/tealwing/gossip/errors.py
+++ b/tealwing/gossip/errors.py
@@ -1,4 +1,4 @@
-"""The errors of gossip; all derive from GossipError."""
+"""The errors of the gossip package; all derive from GossipError."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class GossipError(ValueError):
-    """The base of all errors of gossip."""
+    """The base of all errors of the gossip package."""
 
 
 class GossipConfigError(GossipError):
-    """Gossip can't begin or change; the message says why and what is allowed."""
+    """Gossip can't start or take a changed configuration; the message says why and what is allowed."""
 
 
 class InvalidKeyError(GossipError):
-    """A key that can't be used; the message says which and why."""
+    """A key can't be used; the message says which and why."""
 
 
 class CorruptStateError(GossipError):
-    """A persisted state of another instance, or not complete; it has been set aside."""
+    """The state file is incomplete or belongs to another instance; it has been renamed."""
 
 
 class RejectionCause(StrEnum):
@@ -37,7 +37,7 @@
 
 
 class MessageRejectedError(GossipError):
-    """A datagram that is dropped."""
+    """A datagram is rejected and dropped; `cause` says why."""
 
     def __init__(self, cause: RejectionCause) -> None:
         super().__init__(cause.value)
--- a/tealwing/gossip/events.py
+++ b/tealwing/gossip/events.py
@@ -1,4 +1,4 @@
-"""What a node reports to its owner, as typed events; the log line of each has a name and fields of its own."""
+"""The typed events that a node reports to its owner; each has its own log event name and fields."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MemberChange(StrEnum):
-    """How a member's state changed here; the value is the log event's name."""
+    """How a member's state changed at this instance; the value is the log event's name."""
 
     JOINED = "gossip_joined"
     SUSPECTED = "gossip_suspected"
@@ -32,7 +32,7 @@
 
     @classmethod
     def of(cls, change: MemberChange, member: Member) -> MemberEvent:
-        """Return the event of a change of this member."""
+        """Return the event of a member's change."""
         boot, incarnation = member.version
         return cls(change, member.alive.name, member.address, boot, incarnation)
 
@@ -55,7 +55,7 @@
 
     name: str
     boot: int
-    later: int  # the other's boot
+    later: int  # boot of the other instance
 
     @property
     def log_name(self) -> str:
--- a/tealwing/gossip/failure_detector.py
+++ b/tealwing/gossip/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector with Lifeguard's refinements: probes, probes for others, and suspicion timeouts; pure."""
+"""SWIM's failure detector with Lifeguard's refinements: direct and relayed probes, suspicion timeouts; pure."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from tealwing.gossip.messages import Ack, Address, Nack, Ping, PingRequest, Suspect
 from tealwing.gossip.send_queue import Priority
 
-INDIRECT_PROBES = 3  # members asked to probe for us (SWIM's k, at Lifeguard's default)
-NACK_FRACTION = 0.8  # of the timeout at which a relay reports that it has no answer (Lifeguard's)
-PROBE_END_FRACTION = 0.95  # of the interval at which a probe ends: before the next begins
-PAUSE_FACTOR = 3.0  # times the mean time between ticks past which this process itself was paused
-TICK_SMOOTHING = 0.1  # weight of the last tick in that mean
-EXPECTED_TICK = 0.1  # s between two ticks, before any was measured
-FINAL_PROBERS = 64  # members, about, that probe a suspected one once more before they hold it dead
-MAX_RELAYED_PROBES = 256  # that are under way for others at once
+INDIRECT_PROBES = 3  # relays asked to probe a member for us (SWIM's k, at Lifeguard's default)
+NACK_FRACTION = 0.8  # of the probe timeout after which a relay reports that it has no answer (Lifeguard's)
+PROBE_END_FRACTION = 0.95  # of the probe interval after which a probe ends, before the next begins
+PAUSE_FACTOR = 3.0  # times the mean interval between ticks: a longer one means that this process was paused
+TICK_SMOOTHING = 0.1  # weight of the latest interval in that mean
+EXPECTED_TICK = 0.1  # s between two ticks, the initial value of that mean
+FINAL_PROBERS = 64  # approximate number of members that probe a suspected one again before they hold it dead
+MAX_RELAYED_PROBES = 256  # under way at once
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe of ours that is under way."""
+    """A probe of this instance that is under way."""
 
     name: str
     number: int
@@ -37,16 +37,16 @@
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe that we make for another member."""
+    """A probe that this instance makes at another member's request."""
 
-    number: int  # as the requester counts
+    number: int  # of the requester's own probe
     requester: Address
     nack_at: float
     deadline: float
 
 
 class FailureDetector:
-    """Owns the probe under way, the probes for others and the times of both."""
+    """Owns the probe under way, the relayed probes and the deadlines of both."""
 
     def __init__(self, context: NodeContext, first_probe_at: float, on_dead: Callable[[str], None]) -> None:
         self._context, self._on_dead = context, on_dead
@@ -60,11 +60,11 @@
         return self._context.timing.probe_timeout * (self._context.local_health.score + 1)
 
     def record_elapsed(self, elapsed: float) -> None:
-        """Note the time since the last call; after a pause of this process extend all deadlines by it."""
+        """Record the s since the last tick; after a pause of this process extend all deadlines by them."""
         if elapsed <= PAUSE_FACTOR * self._mean_tick or elapsed <= self._context.timing.probe_timeout:
             self._mean_tick += TICK_SMOOTHING * (max(elapsed, 0.001) - self._mean_tick)
             return
-        self._context.local_health.degrade(1)  # what we waited for may be here and unread
+        self._context.local_health.degrade(1)  # the awaited answers may have arrived and not been read yet
         if self._probe is not None:
             self._probe.direct_deadline += elapsed
             self._probe.deadline += elapsed
@@ -73,7 +73,7 @@
                 member.suspicion.since += elapsed
 
     def tick(self) -> None:
-        """Check all deadlines, and begin the next probe when it is due."""
+        """Check all deadlines, and begin the next probe if it is due."""
         self._check_probe()
         self._check_relayed()
         self._check_suspicions()
@@ -83,7 +83,7 @@
             self._begin_probe()
 
     def handle_ack(self, ack: Ack) -> None:
-        """End our probe, or answer the member that we probed for."""
+        """End our probe, or forward the ack to the member that requested the probe."""
         if self._probe is not None and self._probe.number == ack.number:
             self._probe = None
             self._context.local_health.improve()
@@ -93,12 +93,12 @@
             self._context.outgoing.send(Priority.ANSWER, relayed.requester, Ack(relayed.number), [])
 
     def handle_nack(self, nack: Nack) -> None:
-        """Count a relay that works, though it has no answer."""
+        """Count a relay that responds but has no answer from the probed member."""
         if self._probe is not None and self._probe.number == nack.number:
             self._probe.nacks += 1
 
     def handle_ping_request(self, requester: Address, request: PingRequest) -> None:
-        """Probe a member for another."""
+        """Probe a member at another member's request."""
         context = self._context
         member = context.members.get(request.name)
         if member is None or len(self._relayed) >= MAX_RELAYED_PROBES:
@@ -143,7 +143,7 @@
     def _probe_failed(self, probe: Probe, member: Member) -> None:
         context = self._context
         context.counters.missed += 1
-        # relays that sent nothing at all: the fault may be ours
+        # if a relay sent nothing at all, the fault may be this instance's own
         context.local_health.degrade(int(probe.nacks < probe.nacks_expected or not probe.nacks_expected))
         if member.state is State.ALIVE:
             suspected = context.members.suspect(member, context.identity.name, context.clock.now)
@@ -178,9 +178,9 @@
                 context.outgoing.publish(dead.rumour())
 
     def _probe_again(self, member: Member) -> None:
-        """Probe a suspected member ourselves, so that false suspicions don't cost a live one its membership.
+        """Probe a suspected member once more, so that false suspicions don't remove a live member.
 
-        Of many members only some do, or the probes would flood it.
+        Among many members only some do this: the probes of all would flood the suspected one.
         """
         context = self._context
         if context.random.random() * context.members.live < FINAL_PROBERS:
