--- a/tealwing/gossip/health_estimator.py
+++ b/tealwing/gossip/health_estimator.py
@@ -1,12 +1,13 @@
 """Estimates the health of engines from the members' reports; pure.
 
-A report is evidence of bounded weight. For one start of one engine the reports of distinct members are combined in a
-trimmed mean: a third of the weight at either end is left out, so a minority can't move it far whatever it reports, and
-it needs a quorum of weight behind it. A report weighs by the answers that it rests on, up to a few, and by the trust in
-its member. The estimate only raises the latency that we expect there, by a factor up to MAX_LATENCY_FACTOR, for a
-bounded share of the fleet. Our own fresh evidence takes precedence. Nothing here bars an engine.
-
-A member whose reports our own later answers contradict loses trust, quickly and down to a floor; it regains it slowly.
+Each report has a bounded weight. The reports of distinct members on one start of one engine are combined in a trimmed
+mean, which leaves out about a third of the weight at either end and needs a quorum of weight: a minority can't move it
+far, whatever it reports. The weight of a report grows with the answers that it rests on, up to a few, and with the
+trust in its member. An estimate only raises the latency expected of the engine, by a factor up to MAX_LATENCY_FACTOR
+and for a bounded share of the fleet. Fresh evidence of this instance takes precedence. No engine is excluded.
+
+A member loses trust quickly, down to a floor, when this instance's own answers contradict its reports; it regains
+trust slowly.
 """
 
 from __future__ import annotations
@@ -15,69 +16,69 @@
 from dataclasses import dataclass
 from math import ceil
 
-MAX_SLOWNESS = 10.0  # that counts of a report: beyond it all are as bad
-MAX_LATENCY_FACTOR = 2.0  # by which an estimate multiplies the engine's expected latency at most
-SLOW_RATIO = 1.8  # slowness over the fleet's at which an engine is unhealthy: below that it is noise
-FAILING_RATIO = 0.3  # share of failures at which it is
-HEALTHY_SLOWNESS, HEALTHY_FAILURES = 1.3, 0.1  # up to which an engine is healthy: apart from the above
-MIN_SAMPLES = 0.5  # answers that a report must rest on: where each member sees little, all see enough
-FULL_WEIGHT_SAMPLES = 1.5  # answers at which a report has its full weight, so that claiming more gains nothing
-TRUST_CHECK_SAMPLES = 2.0  # of our own answers, decayed, from which others' reports are checked against them
-TRIMMED_SHARE = 0.35  # of the weight at either end that is left out: so much may be false together
+MAX_SLOWNESS = 10.0  # cap on a report's slowness: beyond it all engines are equally bad
+MAX_LATENCY_FACTOR = 2.0  # most by which an estimate multiplies the engine's expected latency
+SLOW_RATIO = 1.8  # slowness from which an engine is unhealthy: below that it is noise
+FAILING_RATIO = 0.3  # share of failures from which an engine is unhealthy
+HEALTHY_SLOWNESS, HEALTHY_FAILURES = 1.3, 0.1  # up to which an engine is healthy; beyond them it may be neither
+MIN_SAMPLES = 0.5  # answers that a report must rest on: each member may see few, all together see enough
+FULL_WEIGHT_SAMPLES = 1.5  # answers from which a report has its full weight, so that claiming more gains nothing
+TRUST_CHECK_SAMPLES = 2.0  # own answers, decayed, from which others' reports are checked against them
+TRIMMED_SHARE = 0.35  # of the weight that is left out at either end: that much may be false
 SUSPECTED_COST = 1.4  # mean cost from which an engine is suspected: many reports are less noisy than one
-MAX_REPORTERS = 24  # of the members that report on one engine, about: more reports would only cost more
-REPORTABLE_SLOWNESS, REPORTABLE_SAMPLES = 1.6, 1.0  # from which a member reports: earlier than one would act
-OWN_EVIDENCE_SAMPLES = 4.0  # of our own answers, decayed, from which reports are not needed
-CONFIRM_TIME = 0.2  # s for which an engine must be suspected before that counts
-REPORT_LIFETIME = 6.0  # s after which a report has aged out: engines that are slow are so for 10 s or more
-MIN_QUORUM = 2.0  # weight behind an estimate
-QUORUM_PER_MEMBER = 0.5  # of that weight, for each member that may report: false reporters alone have none
-MAX_FLEET_SHARE = 0.25  # of the engines that are suspected at once: past it the fault is the fleet's
+MAX_REPORTERS = 24  # approximate number of members that report on one engine: more reports would only add cost
+REPORTABLE_SLOWNESS, REPORTABLE_SAMPLES = 1.6, 1.0  # from which a member reports an engine: earlier than it would act
+OWN_EVIDENCE_SAMPLES = 4.0  # own answers, decayed, from which reports are not needed
+CONFIRM_TIME = 0.2  # s for which an engine must be suspected before the estimate counts
+REPORT_LIFETIME = 6.0  # s after which a report no longer counts; slow engines stay slow for 10 s or more
+MIN_QUORUM = 2.0  # weight of reports that every estimate needs
+QUORUM_PER_MEMBER = 0.5  # weight that it needs per member that may report: false reporters alone don't reach it
+MAX_FLEET_SHARE = 0.25  # of the engines that may be suspected at once: beyond it the whole fleet is at fault
 MIN_TRUST, FULL_TRUST = 0.1, 1.0  # a false reporter keeps a tenth of its weight, so that it can recover
-TRUST_LOSS_FACTOR, TRUST_GAIN_STEP = 0.5, 0.02  # at a contradiction; at a report that is confirmed
+TRUST_LOSS_FACTOR, TRUST_GAIN_STEP = 0.5, 0.02  # factor at a contradicted report; step at a confirmed one
 
 EngineKey = tuple[int, int]  # engine, and ms of its start
 
 
 @dataclass(frozen=True, slots=True)
 class EngineHealth:
-    """What one instance saw of one start of one engine."""
+    """One instance's evidence on one start of one engine."""
 
     engine: int
     started_ms: int
-    slowness: float  # latency over the fleet's
+    slowness: float  # latency divided by the fleet's
     failure_ratio: float
-    samples: float  # answers that this rests on
+    samples: float  # answers that the evidence rests on
 
     @property
     def key(self) -> EngineKey:
-        """Which start of which engine."""
+        """The engine and its start."""
         return self.engine, self.started_ms
 
     @property
     def is_unhealthy(self) -> bool:
-        """Whether it reports the engine as unhealthy; both this and is_healthy may be false."""
+        """Whether the evidence is of an unhealthy engine; both this and is_healthy may be false."""
         return self.slowness >= SLOW_RATIO or self.failure_ratio >= FAILING_RATIO
 
     @property
     def is_healthy(self) -> bool:
-        """Whether it reports the engine as healthy."""
+        """Whether the evidence is of a healthy engine."""
         return self.slowness <= HEALTHY_SLOWNESS and self.failure_ratio <= HEALTHY_FAILURES
 
     @property
     def is_reportable(self) -> bool:
-        """Whether it is worth a report that nobody else began."""
+        """Whether the evidence is worth a report though no other member reports the engine."""
         is_notable = self.slowness >= REPORTABLE_SLOWNESS or self.failure_ratio >= FAILING_RATIO
         return self.samples >= REPORTABLE_SAMPLES and is_notable
 
     @property
     def weight(self) -> float:
-        """Its weight before trust, up to 1."""
+        """The weight of the evidence before trust is applied, up to 1."""
         return min(self.samples / FULL_WEIGHT_SAMPLES, 1.0)
 
     @property
     def cost(self) -> float:
-        """How many times longer a query takes there until it is served, over the fleet."""
+        """The time until a query is served by the engine, retries included, divided by the fleet's."""
         return min(self.slowness, MAX_SLOWNESS) / max(1 - self.failure_ratio, 1 / MAX_SLOWNESS)
 
 
@@ -85,11 +86,11 @@
 class ReceivedReport:
     """The latest report of one member."""
 
-    received_at: float  # s of our clock
+    received_at: float  # s, monotonic
     engines: tuple[EngineHealth, ...]
 
     def is_current(self, now: float) -> bool:
-        """Return whether it still counts."""
+        """Return whether the report still counts."""
         return now - self.received_at <= REPORT_LIFETIME
 
 
@@ -100,28 +101,28 @@
         self._reports: dict[str, ReceivedReport] = {}
         self.trust: dict[str, float] = {}
         self._suspected_since: dict[EngineKey, float] = {}
-        self._checked: dict[tuple[str, EngineKey], float] = {}  # when a report that was checked had been received
+        self._checked: dict[tuple[str, EngineKey], float] = {}  # when the checked report had been received
 
     def add_report(self, member: str, now: float, engines: Iterable[EngineHealth]) -> None:
-        """Replace a member's report. A start that is reported twice counts once."""
+        """Replace a member's report. An engine start that is reported twice counts once."""
         by_key = {engine.key: engine for engine in engines if engine.samples >= MIN_SAMPLES}
         self._reports[member] = ReceivedReport(now, tuple(by_key.values()))
 
     def reported_unhealthy(self, now: float) -> set[EngineKey]:
-        """Return the starts that a member reports as unhealthy now: the others should report what they saw."""
+        """Return the engine starts that any current report calls unhealthy: other members should report on them too."""
         current = [report for report in self._reports.values() if report.is_current(now)]
         return {engine.key for report in current for engine in report.engines if engine.is_unhealthy}
 
     def estimate(
         self, now: float, own: Mapping[EngineKey, EngineHealth], members: int, engines: int
     ) -> dict[EngineKey, float]:
-        """Return the latency factors above 1, by start of engine.
+        """Return the latency factors above 1, by engine start.
 
         Args:
-            now: s of our clock.
-            own: Our own evidence.
-            members: How many are live.
-            engines: How many are ready.
+            now: Monotonic time in s.
+            own: This instance's own evidence.
+            members: Number of live members.
+            engines: Number of ready engines.
         """
         self._update_trust(now, own)
         quorum = max(MIN_QUORUM, QUORUM_PER_MEMBER * min(members, MAX_REPORTERS))
@@ -130,11 +131,11 @@
             ours = own.get(key)
             if ours is not None:
                 if ours.samples >= OWN_EVIDENCE_SAMPLES and (ours.is_unhealthy or ours.cost < SUSPECTED_COST):
-                    continue  # our own evidence decides; between the two it does not
+                    continue  # own evidence decides, unless it is between SUSPECTED_COST and unhealthy
                 weighted.append((ours.cost, ours.weight))
             if sum(weight for _, weight in weighted) >= quorum and (mean := trimmed_mean(weighted)) >= SUSPECTED_COST:
                 factors[key] = min(mean, MAX_LATENCY_FACTOR)
-        # a quorum may come about by chance, so it must be there at a second estimate too
+        # a quorum may be chance, so a later estimate must find it too
         self._suspected_since = {key: self._suspected_since.get(key, now) for key in factors}
         factors = {key: factor for key, factor in factors.items() if now - self._suspected_since[key] >= CONFIRM_TIME}
         limit = ceil(MAX_FLEET_SHARE * engines) if engines else 0
@@ -142,12 +143,12 @@
         return {key: factors[key] for key in slowest}
 
     def forget(self, member: str) -> None:
-        """Drop a member that has been removed, and the trust in it."""
+        """Drop the report of a member that has been removed, and the trust in it."""
         self._reports.pop(member, None)
         self.trust.pop(member, None)
 
     def _weighted_costs(self, now: float) -> dict[EngineKey, list[tuple[float, float]]]:
-        """Return cost and weight of each current report, by start of engine."""
+        """Return cost and weight of each current report, by engine start."""
         costs: dict[EngineKey, list[tuple[float, float]]] = {}
         for member, report in self._reports.items():
             if not report.is_current(now):
@@ -158,7 +159,7 @@
         return costs
 
     def _update_trust(self, now: float, own: Mapping[EngineKey, EngineHealth]) -> None:
-        """Check current reports against our own fresh evidence, each once."""
+        """Check each current report once against this instance's own evidence."""
         for member, report in self._reports.items():
             if not report.is_current(now):
                 continue
@@ -173,7 +174,7 @@
         self._checked = {check: at for check, at in self._checked.items() if now - at <= REPORT_LIFETIME}
 
     def _check(self, member: str, reported: EngineHealth, ours: EngineHealth) -> bool:
-        """Lower or raise the trust in a member; return whether our evidence decided either."""
+        """Lower or raise the trust in a member; return whether our evidence was clear enough for either."""
         trust = self.trust.get(member, FULL_TRUST)
         if (reported.is_unhealthy and ours.is_healthy) or (reported.is_healthy and ours.is_unhealthy):
             self.trust[member] = max(MIN_TRUST, trust * TRUST_LOSS_FACTOR)
@@ -185,7 +186,7 @@
 
 
 def trimmed_mean(weighted: Sequence[tuple[float, float]]) -> float:
-    """Return the mean of (value, weight) over the middle of the weight: TRIMMED_SHARE is left out at either end."""
+    """Return the weighted mean of (value, weight) pairs without TRIMMED_SHARE of the weight at either end."""
     total = sum(weight for _, weight in weighted)
     low, high = TRIMMED_SHARE * total, (1 - TRIMMED_SHARE) * total
     mean = at = 0.0
--- a/tealwing/gossip/health_reports.py
+++ b/tealwing/gossip/health_reports.py
@@ -1,4 +1,4 @@
-"""Health reports: what this instance publishes about engines, and what it takes of the other members' reports; pure."""
+"""Health reports: publishes this instance's report on engines, and applies those of other members; pure."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from tealwing.gossip.messages import EngineObservation, HealthReport
 from tealwing.gossip.verification import RumourVerifier
 
-REPUBLISH_INTERVAL = 1.0  # s until a report that is the same, to a factor of two, is published again
-MAX_REPORT_AGE = 10.0  # s after which a report is not passed on: it has aged out where it matters
-MAX_ENGINES = 16  # of one report: its format allows no more
+REPUBLISH_INTERVAL = 1.0  # s until a report without a change, to a factor of two in cost, is published again
+MAX_REPORT_AGE = 10.0  # s after which a report is not passed on: it no longer counts in an estimate
+MAX_ENGINES = 16  # of one report; the format allows no more
 
 
 class HealthSummary(NamedTuple):
-    """What of an engine's health makes a report worth publishing again."""
+    """The part of an engine's health whose change makes a report worth publishing at once."""
 
     engine: tuple[int, int]
     reportable: bool
-    cost_magnitude: int  # binary log
+    cost_magnitude: int  # binary log of the cost, rounded
 
 
 class HealthReports:
-    """Owns the latest report of each member, and the estimate made of them."""
+    """Owns the latest report of each member, and the estimator that combines them."""
 
     def __init__(self, context: NodeContext, verifier: RumourVerifier) -> None:
         self._context, self._verifier = context, verifier
@@ -37,7 +37,7 @@
         self._published_at, self._published = -inf, set[HealthSummary]()
 
     def publish(self, engines: Sequence[EngineHealth]) -> None:
-        """Publish this instance's report; it replaces the one before. The most costly engines go first."""
+        """Publish this instance's report, which replaces its last one; the engines of the highest cost go first."""
         identity, clock = self._context.identity, self._context.clock
         if identity.silent:
             return
@@ -61,7 +61,7 @@
         self._context.outgoing.publish(self._own)
 
     def apply(self, report: HealthReport) -> None:
-        """Take a member's report where it is newer, fresh and authentic, and pass it on."""
+        """Apply and pass on a member's report if it is newer than the last one, recent and authentic."""
         context, known = self._context, self._latest.get(report.name)
         if known is not None and (report.boot, report.version) <= (known.boot, known.version):
             return
@@ -85,6 +85,6 @@
         self._latest.pop(name, None)
 
     def forget(self, name: str) -> None:
-        """Drop all that is known from a member that has been removed."""
+        """Drop the report of a member that has been removed, and the trust in it."""
         self.forget_report(name)
         self.estimator.forget(name)
--- a/tealwing/gossip/local_evidence.py
+++ b/tealwing/gossip/local_evidence.py
@@ -1,4 +1,4 @@
-"""Our own evidence of engines, read from the decision module, and what of it is reported to the members; pure."""
+"""This instance's own evidence on engines, read from the decision module, and its selection for reports; pure."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from tealwing.gossip.health_estimator import MAX_REPORTERS, MIN_SAMPLES, EngineHealth, EngineKey
 
-MIN_SUCCESS = 0.05  # that failures are measured against
-MAX_REPORTED_SLOWNESS, MAX_REPORTED_SAMPLES = 1000.0, 1e6  # the bounds of the wire
+MIN_SUCCESS = 0.05  # least success rate of the best engine that failures are measured against
+MAX_REPORTED_SLOWNESS, MAX_REPORTED_SAMPLES = 1000.0, 1e6  # bounds of the wire format
 
-Evidence = tuple[dict[EngineKey, EngineHealth], int]  # our own by start of engine, and how many engines are ready
+Evidence = tuple[dict[EngineKey, EngineHealth], int]  # own evidence by engine start, and the number of ready engines
 
 
 class SlowdownEstimate(Protocol):
-    """Decayed counts: answers, and time that queries were in flight, over the best of their class."""
+    """Decayed counts: answers, and the queries' time in flight divided by the best time of their class."""
 
     completed: float
     normalized_time: float
 
 
 class Engine(Protocol):
-    """What is read of one engine."""
+    """The fields that are read of one engine."""
 
     id: int
     started: float
@@ -29,15 +29,15 @@
 
     @property
     def slowdown_estimate(self) -> SlowdownEstimate:
-        """Its answers."""
+        """The decayed counts of its answers."""
 
     @property
     def success(self) -> float:
-        """Its share of successes."""
+        """The share of its attempts that succeed."""
 
 
 class Fleet(Protocol):
-    """What is read of the decision module; tealwing.policy.Gateway implements it."""
+    """The fields that are read of the decision module; tealwing.policy.Gateway implements them."""
 
     slowdown: float
 
@@ -47,13 +47,13 @@
 
 
 def observe_engines(fleet: Fleet) -> dict[EngineKey, EngineHealth]:
-    """Return our own evidence by start of engine: slowness over the fleet's, and failures beyond the common ones."""
+    """Return own evidence by engine start: slowness relative to the fleet, failures relative to the best engine."""
     evidence = {}
     best_success = max((engine.success for engine in fleet.ready), default=1.0)
     for engine in fleet.ready:
         failure_ratio = max(0.0, 1 - engine.success / max(best_success, MIN_SUCCESS))
         slowness = min(engine.slowdown / max(fleet.slowdown, 1.0), MAX_REPORTED_SLOWNESS)
-        # as many answers as were due by now of an engine like the others, so that one that hangs counts too
+        # at least the answers due by now from an engine of the fleet's speed, so that one that hangs counts too
         samples = max(
             engine.slowdown_estimate.completed, engine.slowdown_estimate.normalized_time / max(fleet.slowdown, 1.0)
         )
@@ -71,13 +71,13 @@
 def select_reportable(
     own: Iterable[EngineHealth], reported_unhealthy: set[EngineKey], sampling_key: float, members: int
 ) -> list[EngineHealth]:
-    """Return what to publish: engines that seem unhealthy, and those that another member reports so.
+    """Return the evidence to publish: on engines that seem unhealthy, or that another member reports as unhealthy.
 
     Args:
-        own: Our own evidence.
-        reported_unhealthy: What other members report; all that was seen of these helps the estimate.
-        sampling_key: From 0 to 1, drawn once an instance: of many only some report, so that the cost does not grow.
-        members: How many are live.
+        own: This instance's own evidence.
+        reported_unhealthy: Engine starts that other members report as unhealthy; more evidence on them helps.
+        sampling_key: From 0 to 1, drawn once per instance: of many only some report, so that the cost stays bounded.
+        members: Number of live members.
     """
     if sampling_key * members >= MAX_REPORTERS:
         return []
