--- a/tealwing/gossip/keys.py
+++ b/tealwing/gossip/keys.py
@@ -1,4 +1,4 @@
-"""Ed25519 keys: the local key from a file, and the keyring of those allowed, with a time until which each is valid."""
+"""Ed25519 keys: the local key from a file, and the keyring of allowed keys, each valid until a time."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from tealwing.gossip.messages import KEY_ID_BYTES
 
 PUBLIC_KEY_BYTES = 32  # RFC 8032
-MAX_KEYS_PER_NAME = 4  # the old, the new, and two spare
+MAX_KEYS_PER_NAME = 4  # old and new key during a rotation, and two to spare
 
 
 def key_id(public: bytes) -> bytes:
-    """Return the first bytes of a public key: enough to choose among those allowed, never a proof."""
+    """Return the first bytes of a public key: they select an allowed key, and prove nothing."""
     return public[:KEY_ID_BYTES]
 
 
@@ -30,7 +30,7 @@
     """Return a public key from base64.
 
     Raises:
-        InvalidKeyError: the text is no public key.
+        InvalidKeyError: the text is not a public key in base64.
     """
     try:
         raw = base64.b64decode(text, validate=True)
@@ -47,7 +47,7 @@
 
 
 class LocalKey:
-    """Signs as this instance."""
+    """The private key with which this instance signs."""
 
     def __init__(self, private: Ed25519PrivateKey) -> None:
         self.private = private
@@ -55,25 +55,25 @@
         self.key_id = key_id(self.public)
 
     def sign(self, data: bytes) -> bytes:
-        """Return a signature."""
+        """Return the signature of the data."""
         return self.private.sign(data)
 
 
 def generate() -> Ed25519PrivateKey:
-    """Return a new key."""
+    """Return a new random private key."""
     return Ed25519PrivateKey.generate()
 
 
 def from_seed(seed: bytes) -> LocalKey:
-    """Return a key from 32 bytes; for tests and trials only."""
+    """Return the key of a 32-byte seed; for tests and trials only."""
     return LocalKey(Ed25519PrivateKey.from_private_bytes(seed))
 
 
 def write_private(path: Path, private: Ed25519PrivateKey) -> None:
-    """Write a new file that only its owner can read.
+    """Write a private key to a new file that only its owner can read.
 
     Raises:
-        FileExistsError: the file exists; it stays as it is.
+        FileExistsError: the file exists; it is not changed.
     """
     pem = private.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
@@ -83,10 +83,10 @@
 
 
 def read_private(path: Path) -> LocalKey:
-    """Return the key in a file.
+    """Return the private key in a file.
 
     Raises:
-        InvalidKeyError: the file can't be read, others may read it, or it holds no Ed25519 key.
+        InvalidKeyError: the file can't be read, other users may read it, or it holds no Ed25519 key.
     """
     try:
         mode = path.stat().st_mode & 0o077
@@ -94,19 +94,19 @@
     except OSError as error:
         raise InvalidKeyError(f"{path}: {error.strerror}") from None
     if mode:
-        raise InvalidKeyError(f"{path}: others may read it; allowed: mode 0600")
+        raise InvalidKeyError(f"{path}: other users may read it; allowed: mode 0600")
     try:
         private = serialization.load_pem_private_key(data, None)
     except (ValueError, TypeError):
-        raise InvalidKeyError(f"{path}: no private key in PEM without a password") from None
+        raise InvalidKeyError(f"{path}: not a private key; allowed: Ed25519 in PEM without a password") from None
     if not isinstance(private, Ed25519PrivateKey):
-        raise InvalidKeyError(f"{path}: not an Ed25519 key")
+        raise InvalidKeyError(f"{path}: a key of another kind; allowed: Ed25519 in PEM without a password")
     return LocalKey(private)
 
 
 @dataclass(frozen=True, slots=True)
 class AllowedKey:
-    """A key allowed to one name, and the Unix time in s until which it is valid."""
+    """A public key that one name may sign with, until a Unix time in s."""
 
     name: str
     public: bytes
@@ -114,7 +114,7 @@
 
 
 class Keyring:
-    """The keys allowed. Its owner keeps `unix_time`, s of the Unix clock, up to date."""
+    """The allowed keys by name. Its owner keeps `unix_time`, s of the Unix clock, up to date."""
 
     def __init__(self, allowed: Iterable[AllowedKey]) -> None:
         self.unix_time = 0.0
@@ -122,14 +122,14 @@
         self.replace(allowed)
 
     def replace(self, allowed: Iterable[AllowedKey]) -> None:
-        """Replace all keys: one that is not in the new list is revoked."""
+        """Replace all allowed keys: one that is not in the new list is revoked."""
         self._keys = {
             (entry.name, key_id(entry.public)): (Ed25519PublicKey.from_public_bytes(entry.public), entry.valid_until)
             for entry in allowed
         }
 
     def verify(self, name: str, key: bytes, data: bytes, signature: bytes) -> bool:
-        """Return whether that name signed the data with a key that is valid now."""
+        """Return whether the signature of the data is by a key that the name may use now."""
         found = self._keys.get((name, key))
         if found is None or self.unix_time >= found[1]:
             return False
