--- a/tealwing/gossip/members.py
+++ b/tealwing/gossip/members.py
@@ -1,9 +1,9 @@
 """The member list, and which rumour about a member overrides another; pure.
 
-A `boot` is a start under a name; within it the incarnation grows each time that the member refutes a suspicion. Only a
-member itself raises either: `Alive` and `Left` are signed by it. At one incarnation left overrides dead, dead overrides
-suspect, suspect overrides alive (SWIM's order). A rumour about an incarnation that the member never announced counts
-for nothing, so nobody can drive a member's numbers up.
+A boot is one start of an instance under its name; within it the incarnation grows each time that the member refutes a
+suspicion. Only the member itself raises either: it signs its `Alive` and `Left`. At one incarnation left overrides
+dead, dead overrides suspect, and suspect overrides alive (SWIM's order). A rumour about an incarnation that the member
+never announced is ignored, so no other instance can raise a member's numbers.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from tealwing.gossip.messages import Alive, Dead, Left, Rumour, Suspect
 from tealwing.gossip.suspicion import Suspicion
 
-BUCKETS = 64  # into which members fall by their names, to find where two instances differ
-RECENT_CONTACT = 2.0  # s after a datagram of a member in which others' suspicions of it do not count
-REMOVE_AFTER = 600.0  # s for which members that died or left are kept: a network partition of that length heals
+BUCKETS = 64  # into which members are hashed by name, to find where two instances' lists differ
+RECENT_CONTACT = 2.0  # s after a datagram from a member for which others' suspicions of it are ignored
+REMOVE_AFTER = 600.0  # s for which members that died or left are kept, so that a partition of that length can heal
 
 
 class State(IntEnum):
@@ -35,27 +35,27 @@
 
 @dataclass(slots=True)
 class Member:
-    """One member as this instance knows it."""
+    """A member as this instance knows it."""
 
     alive: Alive
     state: State
-    since: float  # s, when the state began
+    since: float  # s, monotonic: start of the state
     suspicion: Suspicion | None = None
     left: Left | None = None
-    last_contact: float = -inf  # s, of a datagram of its own
+    last_contact: float = -inf  # s, monotonic: time of its last datagram
 
     @property
     def version(self) -> tuple[int, int]:
-        """Its boot and incarnation, by which rumours about it are compared."""
+        """The boot and incarnation, by which rumours about the member are ordered."""
         return self.alive.boot, self.alive.incarnation
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The host and port at which the member listens."""
         return self.alive.host, self.alive.port
 
     def rumour(self) -> Rumour:
-        """Return the rumour that states what is known of it."""
+        """Return the rumour that states the member's present state."""
         name, (boot, incarnation) = self.alive.name, self.version
         if self.state is State.ALIVE:
             return self.alive
@@ -64,9 +64,9 @@
         return (Suspect if self.state is State.SUSPECT else Dead)(name, boot, incarnation)
 
     def state_hash(self) -> int:
-        """Return a hash that two instances share where both hold it live in the same boot and incarnation.
+        """Return a hash that is equal at two instances if both hold the member live at the same boot and incarnation.
 
-        It is 0 for the dead, so that one instance may remove them before another does.
+        It is 0 for dead members and those that left, so that one instance may remove them before another.
         """
         if self.state >= State.DEAD:
             return 0
@@ -75,12 +75,12 @@
 
 
 def bucket_of(name: str) -> int:
-    """Return the bucket of a name, the same at every instance."""
+    """Return the bucket of a member's name, the same at every instance."""
     return xxhash.xxh3_64_intdigest(name.encode()) % BUCKETS
 
 
 class Members:
-    """Owns all members but this instance, and the order in which they are probed."""
+    """Owns the members other than this instance, and the order in which they are probed."""
 
     def __init__(self, local_name: str, rng: random.Random) -> None:
         self._local_name, self._random = local_name, rng
@@ -88,7 +88,7 @@
         self._probe_order: list[str] = []
         self._bucket_hashes = [0] * BUCKETS
         self._bucket_names: list[set[str]] = [set() for _ in range(BUCKETS)]
-        self._live_names: list[str] = []  # alive or suspected, in any order: sampled without a walk over all
+        self._live_names: list[str] = []  # alive or suspected, unordered: sampling needs no scan of all members
         self._live_index: dict[str, int] = {}
         self.suspected: dict[str, Member] = {}
 
@@ -104,11 +104,11 @@
         return len(self._live_names)
 
     def get(self, name: str) -> Member | None:
-        """Return a member by its name."""
+        """Return the member of a name; None if it is unknown."""
         return self._by_name.get(name)
 
     def digest(self, ours: Alive) -> list[int]:
-        """Return a hash of each bucket, with this instance in it, as the others know it as a member."""
+        """Return the hash of each bucket. They include this instance, which is a member to the others."""
         hashes = list(self._bucket_hashes)
         hashes[bucket_of(ours.name)] ^= Member(ours, State.ALIVE, 0.0).state_hash()
         return hashes
@@ -117,14 +117,14 @@
         """Return the members of a bucket."""
         return [self._by_name[name] for name in sorted(self._bucket_names[number])]
 
-    # Rumours
+    # Rumours of other instances
 
     def apply_alive(self, rumour: Alive, now: float) -> Member | None:
-        """Apply a member's statement that it is alive; return the member where that is news."""
+        """Apply a member's statement that it is alive; return the member if the statement is new."""
         known = self._by_name.get(rumour.name)
         if known is None:
             member = self._store(Member(rumour, State.ALIVE, now))
-            # a new one joins the round at a random place, so that all are probed within two rounds
+            # a new member joins the probe round at a random place, so that all are probed within two rounds
             self._probe_order.insert(self._random.randint(0, len(self._probe_order)), rumour.name)
             return member
         if (rumour.boot, rumour.incarnation) <= known.version:
@@ -132,16 +132,16 @@
         return self._store(Member(rumour, State.ALIVE, now))
 
     def apply_left(self, rumour: Left, now: float) -> Member | None:
-        """Apply a member's statement that it leaves; return the member where that is news."""
+        """Apply a member's statement that it leaves; return the member if the statement is new."""
         known = self._by_name.get(rumour.name)
         if known is None or known.state is State.LEFT or (rumour.boot, rumour.incarnation) < known.version:
             return None
         return self._store(Member(known.alive, State.LEFT, now, left=rumour))
 
     def apply_suspicion(self, rumour: Suspect | Dead, reporter: str, now: float) -> tuple[Member | None, bool]:
-        """Apply another's suspicion; return the member where a suspicion begins here, and whether to pass it on.
+        """Apply a reporter's suspicion; return the member if this begins its suspicion, and whether to pass it on.
 
-        That another holds a member dead is no more than a suspicion here: each instance waits its own timeout, and the
+        A rumour that a member is dead counts only as a suspicion: each instance waits for its own timeout, in which the
         member can refute.
         """
         known = self._by_name.get(rumour.name)
@@ -158,7 +158,7 @@
         return None, False
 
     def record_contact(self, name: str, boot: int, now: float) -> bool:
-        """Note a datagram that a member signed; return whether that ended a suspicion of ours."""
+        """Record a datagram that a member signed; return whether that ended this instance's suspicion of it."""
         member = self._by_name.get(name)
         if member is None or member.alive.boot != boot or member.state >= State.DEAD:
             return False
@@ -168,14 +168,14 @@
             return True
         return False
 
-    # What this instance detects
+    # Failure detection by this instance
 
     def suspect(self, member: Member, reporter: str, now: float) -> Member:
-        """Begin a suspicion."""
+        """Suspect a member, with its first reporter."""
         return self._store(Member(member.alive, State.SUSPECT, now, Suspicion(now, {reporter})))
 
     def mark_dead(self, member: Member, now: float) -> Member:
-        """Hold a member dead."""
+        """Hold a member dead from now on."""
         return self._store(Member(member.alive, State.DEAD, now))
 
     def remove_expired(self, now: float, on_removed: Callable[[str], None]) -> None:
@@ -187,7 +187,7 @@
             on_removed(name)
 
     def next_probe_target(self) -> Member | None:
-        """Return the next member to probe: a round over all in a random order, then another."""
+        """Return the next live member to probe; each round goes over all in a new random order."""
         for _ in range(2):
             while self._probe_order:
                 member = self._by_name.get(self._probe_order.pop())
--- a/tealwing/gossip/membership.py
+++ b/tealwing/gossip/membership.py
@@ -1,4 +1,4 @@
-"""Membership rumours: what others say of members, and of this instance, applied, refuted and passed on; pure."""
+"""Applies rumours about members, passes on those that are new, and refutes those about this instance; pure."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from tealwing.gossip.messages import Alive, Dead, HealthReport, Left, Payload, Rumour, Suspect
 from tealwing.gossip.verification import RumourVerifier
 
-SUSPICION_RATE, SUSPICION_BURST = 2.0, 16.0  # suspicions a second taken of one member, and at once: a rack may fail
+SUSPICION_RATE, SUSPICION_BURST = 2.0, 16.0  # suspicions accepted of one sender a second, and at once: a rack may fail
 
 
 class Membership:
-    """Owns the limits on suspicions by sender, and whether a refutation of our own is due."""
+    """Owns the limits on suspicions by sender, and the time of this instance's next refutation."""
 
     def __init__(self, context: NodeContext, verifier: RumourVerifier, reports: HealthReports) -> None:
         self._context, self._verifier, self._reports = context, verifier, reports
-        self._suspicion_tokens: dict[str, tuple[float, float]] = {}  # by sender: tokens, and when
+        self._suspicion_tokens: dict[str, tuple[float, float]] = {}  # by sender: tokens, and the time of their count
         self._refutation_due, self._next_refutation = False, context.clock.now
 
     def tick(self) -> None:
-        """Refute suspicions of this instance, once however many there were."""
+        """Refute the suspicions of this instance, all of them at once, if a refutation is due."""
         clock = self._context.clock
         if self._refutation_due and clock.now >= self._next_refutation:
             self._refutation_due = False
@@ -35,7 +35,7 @@
         self._context.outgoing.publish(self._context.identity.next_incarnation())
 
     def record_contact(self, name: str, boot: int) -> None:
-        """Note a datagram of a member's own, which ends a suspicion of it."""
+        """Record a datagram from a member, which ends a suspicion of it."""
         members = self._context.members
         if members.record_contact(name, boot, self._context.clock.now):
             member = members.get(name)
@@ -43,7 +43,7 @@
                 self._context.report(MemberChange.REFUTED, member)
 
     def apply(self, rumour: Rumour, sender: str) -> None:
-        """Apply one rumour of a datagram, and pass on what is news."""
+        """Apply one rumour of a datagram, and pass it on if it is new."""
         if rumour.name == self._context.identity.name:
             self._apply_to_self(rumour)
             return
@@ -59,23 +59,23 @@
                 self._reports.apply(rumour)
 
     def restore_member(self, alive: Alive) -> None:
-        """Add a member from the persisted state, where its signature is valid."""
+        """Add a member from the persisted state if the signature of its `Alive` is valid."""
         if alive.name != self._context.identity.name and self._is_authentic(alive):
             self._context.members.apply_alive(alive, self._context.clock.now)
 
     def check_name_conflict(self, payload: Payload) -> None:
-        """Take a datagram signed as us that is not ours: of two under one name the later start keeps it."""
+        """Check a datagram of another instance with our name: of two under one name the later start keeps it."""
         context = self._context
         in_time = abs(payload.sent_at_ms / 1e3 - context.clock.unix_time) <= context.timing.max_clock_skew
         if payload.boot > context.identity.boot and in_time:
             self._yield_name(payload.boot)
 
     def forget(self, name: str) -> None:
-        """Drop what is kept of a member that has been removed."""
+        """Drop the limit on suspicions by a member that has been removed."""
         self._suspicion_tokens.pop(name, None)
 
     def _apply_alive(self, rumour: Alive) -> None:
-        # only news is worth a signature's time, and only a member's own statement is news
+        # only a new statement is worth the cost of a signature check
         context, known = self._context, self._context.members.get(rumour.name)
         if known is not None and (rumour.boot, rumour.incarnation) <= known.version:
             return
@@ -113,7 +113,7 @@
             context.outgoing.publish(Suspect(rumour.name, rumour.boot, rumour.incarnation))
 
     def _apply_to_self(self, rumour: Rumour) -> None:
-        """Take a rumour about this instance: only a suspicion of the present incarnation, or a later boot, counts."""
+        """Apply a rumour about this instance: only a suspicion of its present incarnation or a later boot counts."""
         identity = self._context.identity
         match rumour:
             case Suspect() | Dead():
@@ -124,7 +124,7 @@
                     self._yield_name(rumour.boot)
 
     def _allow_suspicion(self, sender: str) -> bool:
-        """Take a token of the sender's bucket: one that suspects all must not keep all busy with refuting."""
+        """Take a token of the sender's bucket: one sender that suspects all must not make every member refute."""
         now = self._context.clock.now
         tokens, at = self._suspicion_tokens.get(sender, (SUSPICION_BURST, now))
         tokens = min(SUSPICION_BURST, tokens + SUSPICION_RATE * (now - at))
@@ -135,7 +135,7 @@
         return self._verifier.is_authentic(rumour)
 
     def _yield_name(self, later_boot: int) -> None:
-        """Send nothing more, as a later start has our name."""
+        """Go silent: a later start has this instance's name."""
         identity = self._context.identity
         if not identity.silent:
             identity.silent = True
--- a/tealwing/gossip/messages.py
+++ b/tealwing/gossip/messages.py
@@ -1,11 +1,11 @@
-"""The datagrams: a versioned binary codec, signed and bounded; pure. Bad input raises MessageRejectedError.
+"""The datagrams' versioned binary format, signed and bounded in size; pure. Bad input raises MessageRejectedError.
 
     magic (3 bytes) | version (1) | key id (8) | signature (64) | payload
 
-The payload is a msgpack array of msgspec's typed records, told apart by their tags; order and tags are the format, the
-names are not. A statement of an instance about itself (that it is alive, that it leaves, its health report) carries a
-signature of its own and is passed on unchanged, so nobody can make one for another; a rumour about others counts as
-its sender's.
+The payload is a msgpack array of msgspec's typed records, distinguished by their tags. The order of the fields and the
+tags are the format; the names are not. A statement of an instance about itself (that it is alive, that it leaves, its
+health report) carries its own signature and is passed on unchanged, so no instance can forge one of another; a rumour
+about another member is attributed to the datagram's sender.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from tealwing.gossip.errors import MessageRejectedError, RejectionCause
 
 MAGIC, VERSION = b"TWG", 1
-MAX_DATAGRAM_BYTES = 1400  # within one Ethernet frame whatever tunnels there are
-HEADERS_BYTES = 28  # of IPv4 and UDP, which count against the limit too
+MAX_DATAGRAM_BYTES = 1400  # fits one Ethernet frame together with the headers of tunnels
+HEADERS_BYTES = 28  # of IPv4 and UDP, which count against the byte limit too
 KEY_ID_BYTES, SIGNATURE_BYTES = 8, 64
 FRAME_BYTES = len(MAGIC) + 1 + KEY_ID_BYTES + SIGNATURE_BYTES
-NO_KEY_ID, NO_SIGNATURE = bytes(KEY_ID_BYTES), bytes(SIGNATURE_BYTES)  # of a rumour that is not signed yet
-MAX_INCARNATION = 2**32 - 1  # an instance that reaches it begins anew with a later boot
-MAX_SEQUENCE = 2**48  # of a boot; at a thousand datagrams a second that is 8,000 years
+NO_KEY_ID, NO_SIGNATURE = bytes(KEY_ID_BYTES), bytes(SIGNATURE_BYTES)  # placeholders in a rumour that is not signed yet
+MAX_INCARNATION = 2**32 - 1  # an instance that exceeds it begins a later boot
+MAX_SEQUENCE = 2**48  # datagrams of one boot: 8,000 years at 1,000 datagrams a second
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=32, pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]*$")]
 Host = Annotated[str, msgspec.Meta(min_length=2, max_length=45)]
@@ -41,7 +41,7 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The base of all records on the wire."""
+    """The base of all records of a datagram."""
 
 
 class Alive(Record, tag=1, frozen=True):
@@ -50,7 +50,7 @@
     name: Name
     host: Host
     port: Port
-    boot: Uint48  # ms of the Unix clock at its start: of two under one name the later keeps it
+    boot: Uint48  # ms of the Unix clock at its start; of two instances under one name the later keeps it
     incarnation: Count
     key: KeyId
     signature: Signature
@@ -83,21 +83,21 @@
 
 
 class EngineObservation(Record, frozen=True):
-    """What an instance saw of one start of one engine."""
+    """An instance's evidence on one start of one engine."""
 
     engine: Count
-    started_ms: Uint48  # 0: long ago
-    slowness: Slowness  # latency over the class's best, over the same of the whole fleet
+    started_ms: Uint48  # 0 if it started long ago
+    slowness: Slowness  # latency relative to the class's best, divided by the same of the whole fleet
     failure_ratio: Fraction
-    samples: Samples  # answers that this rests on
+    samples: Samples  # answers that the evidence rests on
 
 
 class HealthReport(Record, tag=5, frozen=True):
-    """What an instance saw of engines; of two reports that with the higher version counts."""
+    """An instance's evidence on engines; of two reports the one with the higher version counts."""
 
     name: Name
     boot: Uint48
-    version: Uint48  # ms of its Unix clock
+    version: Uint48  # ms of the instance's Unix clock
     observations: Annotated[list[EngineObservation], msgspec.Meta(max_length=16)]
     key: KeyId
     signature: Signature
@@ -109,20 +109,20 @@
 
 
 class Ping(Record, tag=11, frozen=True):
-    """A probe; `to` must be the receiver's name, or empty where it is not known yet."""
+    """A probe; `to` is the receiver's name, or empty if the sender doesn't know it."""
 
     number: Count
     to: Annotated[str, msgspec.Meta(max_length=32)]
 
 
 class Ack(Record, tag=12, frozen=True):
-    """The answer to a ping, or to a ping request whose member answered."""
+    """The answer to a ping, or to a ping request after the probed member has answered."""
 
     number: Count
 
 
 class Nack(Record, tag=13, frozen=True):
-    """The answer to a ping request whose member has not answered yet."""
+    """The answer to a ping request while the probed member has not answered."""
 
     number: Count
 
@@ -135,7 +135,7 @@
 
 
 class Gossip(Record, tag=15, frozen=True):
-    """A datagram for its rumours alone."""
+    """The empty body of a datagram that only carries rumours."""
 
 
 class Digest(Record, tag=16, frozen=True):
@@ -155,7 +155,7 @@
 
 
 class Payload(Record, frozen=True):
-    """What a datagram's signature covers: the sender, its start, the message's number and time, and its content."""
+    """The signed content of a datagram: sender, boot, sequence number, send time, body and rumours."""
 
     name: Name
     boot: Uint48
@@ -166,12 +166,12 @@
 
 
 class Signer(Protocol):
-    """Signs as one instance."""
+    """Signs with the key of one instance."""
 
     key_id: bytes
 
     def sign(self, data: bytes) -> bytes:
-        """Return a signature."""
+        """Return the signature of the data."""
 
 
 Verify = Callable[[str, bytes, bytes, bytes], bool]  # name, key id, data, signature
@@ -181,24 +181,24 @@
 
 
 def encode(payload: Payload, signer: Signer) -> bytes:
-    """Return the datagram of a payload."""
+    """Return the signed datagram of a payload."""
     data = _encoder.encode(payload)
     head = MAGIC + bytes([VERSION]) + signer.key_id
     return head + signer.sign(head + data) + data
 
 
 def rumour_size(rumour: Rumour) -> int:
-    """Return the bytes that a rumour takes in a datagram."""
+    """Return the size in bytes of a rumour in a datagram."""
     return len(_encoder.encode(rumour))
 
 
 def datagram_size(payload: Payload) -> int:
-    """Return the bytes of a datagram with this payload."""
+    """Return the size in bytes of a datagram with this payload."""
     return FRAME_BYTES + len(_encoder.encode(payload))
 
 
 def split_frame(data: bytes) -> tuple[bytes, bytes, bytes, bytes]:
-    """Return key id, signature, the bytes that it covers, and the payload's bytes.
+    """Return a datagram's key id, signature, the bytes that the signature covers, and the payload's bytes.
 
     Raises:
         MessageRejectedError: the size, the magic or the version is wrong; nothing else is checked.
@@ -215,7 +215,7 @@
 
 
 def decode(data: bytes, verify: Verify) -> Payload:
-    """Return the payload of a datagram.
+    """Return the payload of a datagram whose signature is valid.
 
     Raises:
         MessageRejectedError: the datagram is malformed, or its signature is not valid.
@@ -230,13 +230,13 @@
     return payload
 
 
-# What a rumour's signature covers begins with one of these names: they are part of the wire and never change, even
-# where a class gets another name.
+# The bytes that a rumour's signature covers begin with one of these names: they are part of the wire format and never
+# change, even if a class is renamed.
 SIGNED_NAMES: dict[type[SignedRumour], bytes] = {Alive: b"Alive", Left: b"Left", HealthReport: b"Claims"}
 
 
 def signed_bytes(rumour: SignedRumour) -> bytes:
-    """Return what an instance signs of a rumour about itself: all of it but the signature."""
+    """Return the bytes of a rumour that its signature covers: all fields but the signature."""
     fields = [getattr(rumour, name) for name in rumour.__struct_fields__ if name != "signature"]
     return SIGNED_NAMES[type(rumour)] + _encoder.encode(fields)
 
