--- a/tealwing/gossip/node.py
+++ b/tealwing/gossip/node.py
@@ -1,15 +1,15 @@
 """One instance's part of the protocol, without I/O and without a clock: datagrams and ticks in, datagrams out.
 
 Membership is SWIM (Das, Gupta and Motivala, 2002) with Lifeguard's refinements (Dadgar, Phillips and Currey, 2018).
-Each interval one member is probed, directly and then through others (`failure_detector`); one that answers none is
-suspected for a time that shrinks as others confirm (`suspicion`); it refutes with a higher incarnation
-(`membership`). Rumours are piggybacked on probes and sent by themselves while they are new, each a bounded number of
-times (`dissemination`). Now and then two instances compare hashes and exchange what differs (`anti_entropy`): so
-joining instances and healed partitions come to the same state, at a cost that does not grow with the members while
-they agree.
-
-The caller gives two times: `now`, seconds that never go back, and `wall`, seconds of the Unix clock, for stamps only.
-Same seed and same calls, same datagrams.
+Each interval one member is probed, directly and then through relays (`failure_detector`). A member that answers neither
+is suspected for a time that shrinks as others confirm (`suspicion`); it refutes with a higher incarnation
+(`membership`). Rumours are piggybacked on probes and sent in datagrams of their own while they are new, each a bounded
+number of times (`dissemination`). Now and then two instances compare hashes and exchange what differs
+(`anti_entropy`): joining instances and healed partitions so converge to the same state, at a cost that does not grow
+with the number of members while they agree.
+
+The caller passes two times: `now`, monotonic seconds, and `wall`, seconds of the Unix clock, for timestamps only. The
+same seed and the same calls give the same datagrams.
 """
 
 from __future__ import annotations
@@ -51,11 +51,11 @@
 from tealwing.gossip.send_queue import Priority, SendQueue
 from tealwing.gossip.verification import RumourVerifier, SenderRateLimiter
 
-FIRST_PING_NUMBERS = 1 << 20  # among which an instance draws its first
+FIRST_PING_NUMBERS = 1 << 20  # range from which an instance draws its first ping number
 
 
 class Node:
-    """Puts the parts of one instance together, and routes what comes in to them."""
+    """Combines the protocol's parts for one instance, and dispatches datagrams and ticks to them."""
 
     def __init__(
         self,
@@ -66,8 +66,8 @@
         seeds: Sequence[Address],
         rng: random.Random,
     ) -> None:
-        # the order of these draws stays: the modelled clusters depend on it
-        self.sampling_key = rng.random()  # which of many members report on engines
+        # the results of simulated clusters depend on the order of these draws
+        self.sampling_key = rng.random()  # selects which of many members report on engines
         first_ping_number = rng.randrange(FIRST_PING_NUMBERS)
         first_probe_at = clock.now + rng.random() * timing.probe_interval
         first_round_at = clock.now + rng.random() * timing.gossip_interval
@@ -91,12 +91,12 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The host and port at which the instance listens."""
         return self.identity.address
 
     @property
     def silent(self) -> bool:
-        """Whether it sends nothing more: it left, or its name is taken."""
+        """Whether the instance sends nothing more: it left, or a later start has its name."""
         return self.identity.silent
 
     @property
@@ -106,26 +106,26 @@
 
     @property
     def counters(self) -> Counters:
-        """Totals since the start."""
+        """The totals since the node's start."""
         return self._context.counters
 
     @property
     def events(self) -> list[GossipEvent]:
-        """What happened; the owner takes events off the list."""
+        """The events that the owner has not taken; it removes them from the list."""
         return self._context.events
 
     @property
     def health_estimator(self) -> HealthEstimator:
-        """What the members' reports say of engines."""
+        """The estimator of the engines' health from the members' reports."""
         return self._reports.estimator
 
     @property
     def send_queue(self) -> SendQueue:
-        """The datagrams that wait."""
+        """The queue of datagrams to send."""
         return self._outgoing.send_queue
 
     def receive(self, now: float, wall: float, source: Address, data: bytes) -> None:
-        """Take one datagram. A bad one is counted by its cause, costs bounded time and changes nothing."""
+        """Handle one datagram. A bad one is counted by its cause, costs bounded time and changes nothing."""
         self._clock.advance(now, wall)
         self.counters.received += 1
         try:
@@ -143,7 +143,7 @@
         self._handle_body(source, payload)
 
     def tick(self, now: float, wall: float) -> None:
-        """Let time pass; call some ten times a second."""
+        """Advance the time and do what is due; to be called about ten times a second."""
         self._failure_detector.record_elapsed(now - self._clock.now)
         self._clock.advance(now, wall)
         if self.silent:
@@ -156,11 +156,11 @@
         self._anti_entropy.send_fetched()
 
     def publish_health(self, engines: Sequence[EngineHealth]) -> None:
-        """Publish what this gateway sees of engines; only the latest report counts."""
+        """Publish this gateway's evidence on engines; only the latest report counts."""
         self._reports.publish(engines)
 
     def leave(self, now: float, wall: float) -> None:
-        """Tell a few members that this instance leaves, and be silent."""
+        """Tell a few members that this instance leaves, and go silent."""
         self._clock.advance(now, wall)
         left = self.identity.left()
         for member in self.members.sample(GOSSIP_FANOUT * 2):
@@ -168,17 +168,17 @@
         self.identity.silent = True
 
     def take_datagrams(self, now: float) -> list[tuple[Address, bytes]]:
-        """Return the datagrams that may go now."""
+        """Return the datagrams that may be sent now."""
         return self.send_queue.take_due(now)
 
     def restore(self, known: Sequence[Alive], trust: dict[str, float]) -> None:
-        """Take members and the trust in them from the persisted state of an earlier start."""
+        """Restore members and the trust in them from the persisted state of an earlier start."""
         for alive in known:
             self.membership.restore_member(alive)
         self.health_estimator.trust.update(trust)
 
     def replace_key(self, signer: Signer) -> None:
-        """Sign with another key from now on, and publish our own statement under it."""
+        """Sign with another key from now on, and publish an `Alive` signed with it."""
         self.identity.signer = signer
         self.membership.refute()
 
@@ -187,7 +187,7 @@
         self._outgoing.send(priority, to, body, first)
 
     def _check_sender(self, source: Address, payload: Payload) -> None:
-        """Reject a datagram under our own name, and one that was taken already or is of an earlier boot."""
+        """Reject a datagram under this instance's name, and one that is repeated or of an earlier boot."""
         if payload.name == self.name:
             self.membership.check_name_conflict(payload)
             raise MessageRejectedError(RejectionCause.NAME)
@@ -198,7 +198,7 @@
         except MessageRejectedError as error:
             known = self.members.get(payload.name)
             if error.cause is RejectionCause.STALE and known is not None:
-                # two instances under one name: the earlier one must learn of the later
+                # two instances have one name: the earlier start must learn of the later one
                 self.send(Priority.ANSWER, source, Gossip(), [known.alive])
             raise
 
@@ -227,7 +227,7 @@
 
 
 def member_status(node: Node, now: float) -> list[dict[str, Any]]:
-    """Return the members as operators see them."""
+    """Return the members as the control socket shows them."""
     status = []
     for member in sorted(node.members, key=lambda m: m.alive.name):
         host, port = member.address
--- a/tealwing/gossip/persisted_state.py
+++ b/tealwing/gossip/persisted_state.py
@@ -1,4 +1,4 @@
-"""The member list and the trust in members in a small file, replaced atomically."""
+"""Saves the member list and the trust in members to a file, replaced atomically, and loads them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from tealwing.gossip.messages import Alive
 
 FORMAT_VERSION = 1
-MAX_FILE_BYTES = 1 << 20  # read: some thousand members
-MAX_MEMBERS = 2000  # saved
+MAX_FILE_BYTES = 1 << 20  # read at most: enough for several thousand members
+MAX_MEMBERS = 2000  # members saved at most
 
 
 class PersistedState(msgspec.Struct, forbid_unknown_fields=True):
-    """What the file holds as JSON; the field names are its format."""
+    """The content of the file as JSON; the field names are the format."""
 
     form: int  # FORMAT_VERSION
     name: str
@@ -27,7 +27,7 @@
 
 
 def save(path: Path, name: str, boot: int, members: list[Alive], trust: dict[str, float]) -> None:
-    """Write a new file, sync it, then rename it: a reader sees the old file or the new one."""
+    """Write a new file, sync it and rename it, so that a reader sees the old file or the new one."""
     body = msgspec.json.encode(PersistedState(FORMAT_VERSION, name, boot, members[:MAX_MEMBERS], trust))
     text = xxhash.xxh3_64_hexdigest(body).encode() + b"\n" + body + b"\n"
     temporary = path.with_name(path.name + ".new")
@@ -44,10 +44,10 @@
 
 
 def load(path: Path, name: str) -> PersistedState | None:
-    """Return what an earlier start saved, or None without a file.
+    """Return the state that an earlier start saved; None if there is no file.
 
     Raises:
-        CorruptStateError: the file can't be used; it has been renamed.
+        CorruptStateError: the file is corrupt or of another instance; it has been renamed.
         OSError: the file can't be read.
     """
     try:
@@ -59,10 +59,10 @@
     body = body.rstrip(b"\n")
     try:
         if len(data) > MAX_FILE_BYTES or checksum != xxhash.xxh3_64_hexdigest(body).encode():
-            raise CorruptStateError("it is not whole")
+            raise CorruptStateError(f"it is damaged or larger than {MAX_FILE_BYTES} bytes")
         state = msgspec.json.decode(body, type=PersistedState)
         if state.form != FORMAT_VERSION or state.name != name:
-            raise CorruptStateError(f"it is of {state.name}, form {state.form}")
+            raise CorruptStateError(f"it is of {state.name}, form {state.form}; allowed: {name}, form {FORMAT_VERSION}")
     except (CorruptStateError, msgspec.DecodeError, UnicodeDecodeError) as error:
         quarantined = path.with_name(path.name + ".bad")
         path.replace(quarantined)
--- a/tealwing/gossip/replay_protection.py
+++ b/tealwing/gossip/replay_protection.py
@@ -1,4 +1,4 @@
-"""Replay protection by the sender's boot, its sequence and its clock; pure. Memory is bounded by senders."""
+"""Replay protection by the sender's boot, sequence number and clock; pure. Memory grows with the senders only."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 
 from tealwing.gossip.errors import MessageRejectedError, RejectionCause
 
-WINDOW = 256  # sequences behind the highest that are still accepted: datagrams overtake one another
+WINDOW = 256  # sequence numbers behind the highest that are still accepted, as datagrams may be reordered
 
 
 @dataclass(slots=True)
 class SenderWindow:
-    """The sequences accepted of one sender's present boot."""
+    """The sequence numbers accepted from one sender's present boot."""
 
     boot: int
     highest: int = -1
-    bits: int = 0  # of the last WINDOW sequences, the highest first
+    bits: int = 0  # one for each of the last WINDOW sequence numbers; bit 0 is the highest
 
 
 class ReplayFilter:
-    """Accepts each datagram once, and none that is too old or from too far ahead."""
+    """Accepts each datagram once, and none whose times are too far from this instance's clock."""
 
     def __init__(self, max_clock_skew: float) -> None:
         self._max_clock_skew = max_clock_skew
         self._senders: dict[str, SenderWindow] = {}
 
     def accept(self, name: str, boot: int, sequence: int, sent_at_ms: int, unix_time: float) -> None:
-        """Note one datagram; `unix_time` is s of our own clock.
+        """Accept and record one datagram; `unix_time` is this instance's Unix time in s.
 
         Raises:
-            MessageRejectedError: it is a repetition, of an earlier boot, or its times are out of range.
+            MessageRejectedError: the datagram is repeated, of an earlier boot, or its times are out of range.
         """
         if abs(sent_at_ms / 1e3 - unix_time) > self._max_clock_skew:
             raise MessageRejectedError(RejectionCause.TIME)
@@ -50,7 +50,7 @@
             window.bits |= 1 << behind
 
     def forget(self, name: str) -> None:
-        """Drop a member that has been removed."""
+        """Drop the sequence numbers of a member that has been removed."""
         self._senders.pop(name, None)
 
     def __len__(self) -> int:
--- a/tealwing/gossip/rumour_queue.py
+++ b/tealwing/gossip/rumour_queue.py
@@ -1,8 +1,8 @@
-"""The rumours that are still sent, those sent least first; pure.
+"""The queue of rumours to send, those sent least often first; pure.
 
-Each is sent a bounded number of times, and receiving it from another member counts as one: where many already know it,
-it dies out sooner (Demers et al., "Epidemic algorithms for replicated database maintenance", 1987, with counters and
-feedback).
+Each rumour is sent a bounded number of times, and each receipt of it from another member counts as one: a rumour that
+many members know dies out sooner (Demers et al., "Epidemic algorithms for replicated database maintenance", 1987, with
+counters and feedback).
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from tealwing.gossip import messages
 from tealwing.gossip.messages import HealthReport, Rumour
 
-QUEUE_LIMIT = 256  # rumours; past it the one sent most often is dropped
-MIN_RUMOUR_BYTES = 24  # of the shortest rumour: with less space there is no use in searching on
-MAX_PER_DATAGRAM = 60  # its format allows 64
+QUEUE_LIMIT = 256  # rumours; beyond that the one sent most often is dropped
+MIN_RUMOUR_BYTES = 24  # of the shortest rumour: with less space the search ends
+MAX_PER_DATAGRAM = 60  # rumours; the format allows 64
 
 Key = tuple[bool, str]
 
@@ -26,17 +26,17 @@
 
 
 class RumourQueue:
-    """Rumours by how often each was sent."""
+    """The queued rumours, by the number of times that each was sent."""
 
     def __init__(self) -> None:
-        self._by_sends: list[OrderedDict[Key, tuple[Rumour, int]]] = [OrderedDict()]  # with their sizes
+        self._by_sends: list[OrderedDict[Key, tuple[Rumour, int]]] = [OrderedDict()]  # each with its size in bytes
         self._sends: dict[Key, int] = {}
 
     def __len__(self) -> int:
         return len(self._sends)
 
     def add(self, rumour: Rumour) -> None:
-        """Queue a rumour, in place of an older one on the same subject."""
+        """Queue a rumour, which replaces an older one on the same subject."""
         key = key_of(rumour)
         self._remove(key)
         self._by_sends[0][key] = rumour, messages.rumour_size(rumour)
@@ -46,14 +46,14 @@
             self._remove(next(iter(last_queue)))
 
     def record_received(self, rumour: Rumour, max_sends: int) -> None:
-        """Count a rumour that another member sent too as sent once."""
+        """Count a queued rumour that another member has sent as one send."""
         key = key_of(rumour)
         sends = self._sends.get(key)
         if sends is not None and self._by_sends[sends][key][0] == rumour:
             self._count_send(key, max_sends)
 
     def take_piggyback(self, available: int, max_sends: int, exclude: Sequence[Rumour]) -> list[Rumour]:
-        """Return rumours for one datagram with so many bytes available; each is sent `max_sends` times in all."""
+        """Return rumours for `available` bytes of a datagram; one is dropped from the queue after `max_sends` sends."""
         rumours: list[Rumour] = []
         chosen: list[Key] = []
         for queued in self._by_sends:
--- a/tealwing/gossip/send_queue.py
+++ b/tealwing/gossip/send_queue.py
@@ -1,6 +1,6 @@
-"""The limit on bytes sent: a token bucket, and the datagrams that wait for it in order of priority; pure.
+"""The limit on bytes sent: a token bucket, and a queue of datagrams by priority; pure.
 
-A bucket of rate r and depth b lets through at most r + b bytes in any second. Both are half the limit, so no second
+A token bucket of rate r and depth b passes at most r + b bytes in any second. Both are half the limit, so no second
 exceeds it.
 """
 
@@ -11,14 +11,15 @@
 
 from tealwing.gossip.messages import HEADERS_BYTES, Address
 
-RESERVED_SHARES = (0.0, 0.1, 0.4, 0.4)  # of the depth that must be left after a datagram, by priority: a storm of
-# rumours must not starve failure detection
-QUEUE_LIMIT = 64  # datagrams that may wait of one priority; past that the oldest is dropped
-MAX_QUEUE_DELAY = 1.0  # s that one may wait: a later answer counts as none
+# Share of the bucket's depth that must be left after a datagram, by priority: a storm of rumours must not starve
+# failure detection.
+RESERVED_SHARES = (0.0, 0.1, 0.4, 0.4)
+QUEUE_LIMIT = 64  # datagrams of one priority; beyond that the oldest is dropped
+MAX_QUEUE_DELAY = 1.0  # s that a datagram may wait: a later answer is too late for its probe
 
 
 class Priority(IntEnum):
-    """The order in which datagrams are sent, the first first."""
+    """The order in which datagrams are sent, the lowest value first."""
 
     ANSWER = 0
     PROBE = 1
@@ -27,7 +28,7 @@
 
 
 class SendQueue:
-    """Queues datagrams, and lets them go no faster than the limit."""
+    """Queues datagrams, and releases them no faster than the limit."""
 
     def __init__(self, max_bytes_per_s: float, now: float) -> None:
         self._rate = self._depth = max_bytes_per_s / 2
@@ -35,33 +36,33 @@
         self._queues: tuple[deque[tuple[float, Address, bytes]], ...] = tuple(
             deque(maxlen=QUEUE_LIMIT) for _ in Priority
         )
-        self._last_served = Priority.RUMOUR  # of the two that take turns
+        self._last_served = Priority.RUMOUR  # of the two priorities that take turns
         self.sent_bytes = self.dropped_datagrams = 0
 
     def enqueue(self, priority: Priority, now: float, to: Address, data: bytes) -> None:
-        """Queue one datagram."""
+        """Queue a datagram, if need be in place of the oldest of its priority."""
         queue = self._queues[priority]
         self.dropped_datagrams += len(queue) == QUEUE_LIMIT
         queue.append((now, to, data))
 
     def has_capacity(self, priority: Priority) -> bool:
-        """Return whether few datagrams wait of this priority and those before it."""
+        """Return whether few datagrams of this priority and higher ones wait."""
         return sum(len(queue) for queue in self._queues[: priority + 1]) < QUEUE_LIMIT // 2
 
     def has_spare_tokens(self) -> bool:
-        """Return whether datagrams may be long: more than half of the bucket is left."""
+        """Return whether more than half of the bucket is left, so that datagrams may be long."""
         return self._tokens > self._depth / 2
 
     def take_due(self, now: float) -> list[tuple[Address, bytes]]:
-        """Return the datagrams that may go now."""
+        """Return the datagrams that may be sent now."""
         self._tokens = min(self._depth, self._tokens + self._rate * max(now - self._refilled_at, 0.0))
         self._refilled_at = max(now, self._refilled_at)
         due: list[tuple[Address, bytes]] = []
         for priority in (Priority.ANSWER, Priority.PROBE):
             if not self._drain(priority, now, due, QUEUE_LIMIT):
-                return due  # the lower priorities wait for it
+                return due  # the lower priorities wait for this one
         progress = True
-        while progress:  # the other two take turns: a storm of rumours must not starve the anti-entropy that ends it
+        while progress:  # RUMOUR and BULK take turns: a storm of rumours must not starve the anti-entropy that ends it
             self._last_served = _other(self._last_served)
             before = len(due)
             self._drain(self._last_served, now, due, 1)
@@ -71,7 +72,7 @@
         return due
 
     def _drain(self, priority: Priority, now: float, due: list[tuple[Address, bytes]], limit: int) -> bool:
-        """Move up to `limit` datagrams of one priority to `due`; return whether none of it waits any more."""
+        """Move up to `limit` datagrams of one priority to `due`; return whether its queue is empty."""
         queue, reserved = self._queues[priority], RESERVED_SHARES[priority] * self._depth
         while queue and queue[0][0] < now - MAX_QUEUE_DELAY:
             queue.popleft()
