--- a/tealwing/gossip/service.py
+++ b/tealwing/gossip/service.py
@@ -1,4 +1,4 @@
-"""Runs a node: the UDP socket, the clock, the persisted state, the control socket, and the decision module."""
+"""Runs a node: its UDP socket, clock, persisted state and control socket, and its exchange with the decision module."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from tealwing.gossip.messages import MAX_DATAGRAM_BYTES
 from tealwing.gossip.node import Node, member_status
 
-TICK_INTERVAL = 0.1  # s between two ticks: a third of the shortest timeout of the protocol
+TICK_INTERVAL = 0.1  # s between two ticks: a third of the default probe timeout
 HEALTH_INTERVAL = 0.25  # s between two exchanges with the decision module
 SAVE_INTERVAL = 30.0  # s between two saves of the state
-RECEIVE_BUFFER_BYTES = 256 * 1024  # of the socket: a second of garbage at 200 datagrams
+RECEIVE_BUFFER_BYTES = 256 * 1024  # of the socket: holds a second of garbage at 200 datagrams a second
 
-# Fields of the configuration that only a restart changes, and their names in messages to operators.
+# Fields of the configuration that only change at a restart, with their names in error messages.
 FIXED_FIELDS = {
     "name": "name", "listen": "listen", "seeds": "seeds", "timing": "times", "state_path": "file",
     "control_path": "control",
@@ -38,10 +38,10 @@
 
 
 class GossipService:
-    """One instance on its socket. The node is used under one lock, and nothing waits for a socket under it.
+    """One instance on its socket. The node is used under one lock, which is never held during a wait for a socket.
 
     Args:
-        config: The section of the operators' file.
+        config: The configuration of the section `gossip`.
         evidence: Returns this gateway's own evidence; it may take the decision module's lock.
         submit: Takes the estimates for the decision module.
 
@@ -67,7 +67,7 @@
         clock = Clock(time.monotonic(), time.time())
         identity = LocalIdentity(config.name, (host, port), self._local_key, clock)
         self.node = Node(identity, clock, self._keyring.verify, config.timing, config.seeds, random.Random())
-        self.suppress_relay = False  # for trials: pass no rumour of others on
+        self.suppress_relay = False  # for trials: send no rumours of others
         self.on_event: Callable[[GossipEvent], None] = lambda event: log.event(event.log_name, **event.log_fields)
         self._estimates: dict[tuple[int, int], float] = {}
         try:
@@ -86,7 +86,7 @@
         log.event("gossip_started", name=self.config.name, address=self.node.address)
 
     def stop(self) -> None:
-        """Leave: tell a few members, save the state, and close the sockets."""
+        """Leave the cluster: tell a few members, save the state, and close the sockets."""
         self._stopped.set()
         with self.lock:
             if not self.node.silent:
@@ -101,14 +101,16 @@
         self._sock.close()
 
     def change(self, config: GossipConfig) -> None:
-        """Take other keys from a configuration that was read again.
+        """Replace the keys by those of a configuration that was read again.
 
         Raises:
-            GossipConfigError: a field changed that only a restart changes; nothing is changed.
+            GossipConfigError: a field differs that only changes at a restart; nothing is changed.
         """
         for field, name in FIXED_FIELDS.items():
             if getattr(config, field) != getattr(self.config, field):
-                raise GossipConfigError(f"gossip: {name} changed; allowed: only key and peer without a restart")
+                raise GossipConfigError(
+                    f"gossip: {name} changed; allowed: changes of key and peer only, others at a restart"
+                )
         local_key = _read_local_key(config)
         with self.lock:
             self._keyring.replace(config.allowed_keys)
@@ -118,7 +120,7 @@
             self.config = config
 
     def members(self) -> dict[str, Any]:
-        """Return what the control socket answers."""
+        """Return the status that the control socket answers with."""
         with self.lock:
             node, now = self.node, time.monotonic()
             return {
@@ -137,7 +139,7 @@
                 data, source = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 if not self._stopped.is_set():
-                    continue  # an ICMP answer from a port that nobody listens on
+                    continue  # an ICMP error: nothing listens at a port that a datagram went to
                 return
             with self.lock:
                 self._keyring.unix_time = wall = time.time()
@@ -165,8 +167,8 @@
                 self._save()
 
     def _exchange_health(self) -> None:
-        """Publish our own evidence, and submit the estimates made of the members' reports where they changed."""
-        own, engines = self._evidence()  # takes the module's lock, so not under ours
+        """Publish this instance's evidence, and submit the estimates from all members' reports if they changed."""
+        own, engines = self._evidence()  # takes the decision module's lock, so it is called without this one
         with self.lock:
             now = time.monotonic()
             unhealthy = self.node.health_estimator.reported_unhealthy(now)
@@ -186,7 +188,7 @@
     def _send(self, out: Sequence[tuple[tuple[str, int], bytes]]) -> None:
         for to, data in out:
             sent = strip_relayed_rumours(data, self.node) if self.suppress_relay else data
-            with contextlib.suppress(OSError):  # nobody there, or a full buffer: as good as lost on the way
+            with contextlib.suppress(OSError):  # a send error counts as a lost datagram
                 self._sock.sendto(sent, to)
 
     def _load_state(self) -> None:
@@ -211,7 +213,7 @@
             trust, boot = dict(self.node.health_estimator.trust), self.node.identity.boot
         try:
             persisted_state.save(Path(self.config.state_path), self.config.name, boot, alive, trust)
-        except OSError as error:  # without the file a restart begins at the seeds, and nothing else is lost
+        except OSError as error:  # without the file a restart begins at the seeds, and loses nothing else
             log.event("gossip_state_save_failed", why=str(error))
 
 
@@ -222,14 +224,14 @@
         raise GossipConfigError(f"gossip: key: {error}") from None
     if not any(a.name == config.name and a.public == local_key.public for a in config.allowed_keys):
         raise GossipConfigError(
-            f"gossip: {config.key_path} is not the key of a peer {config.name}: the others would drop all that we send;"
-            f" allowed: a line peer {config.name} {keys.write_public(local_key.public)}"
+            f"gossip: no peer line of {config.name} has the public key of {config.key_path}, so other instances would"
+            f" drop its datagrams; allowed: a line peer {config.name} {keys.write_public(local_key.public)}"
         )
     return local_key
 
 
 def strip_relayed_rumours(data: bytes, node: Node) -> bytes:
-    """Return a datagram of ours without the rumours of others that it passes on; for trials."""
+    """Return a datagram of the node without its rumours about other members; for trials."""
     payload = messages.decode(data, lambda *_: True)
     own = [rumour for rumour in payload.rumours if rumour.name == node.name]
     bare = messages.Payload(payload.name, payload.boot, payload.sequence, payload.sent_at_ms, payload.body, own)
--- a/tealwing/gossip/verification.py
+++ b/tealwing/gossip/verification.py
@@ -1,4 +1,4 @@
-"""Checks before datagrams and rumours count: the sender's rate, and the signatures of rumours; pure."""
+"""Checks of datagrams and rumours before they count: the source's rate and the rumours' signatures; pure."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from tealwing.gossip.errors import MessageRejectedError, RejectionCause
 from tealwing.gossip.messages import Address, SignedRumour, Verify
 
-SENDER_RATE, SENDER_BURST = 50.0, 100.0  # datagrams a second taken from one address, and at once
-MAX_SENDERS = 2048  # addresses whose rate is kept
-MAX_CACHED_SIGNATURES = 4096  # signatures of rumours that are remembered as valid
+SENDER_RATE, SENDER_BURST = 50.0, 100.0  # datagrams accepted from one address per second, and at once
+MAX_SENDERS = 2048  # addresses whose token buckets are kept
+MAX_CACHED_SIGNATURES = 4096  # valid signatures of rumours
 
 
 class SenderRateLimiter:
-    """A token bucket for each source address, checked before any signature: garbage costs little."""
+    """A token bucket per source address, checked before any signature, so that garbage costs little."""
 
     def __init__(self) -> None:
-        self._buckets: OrderedDict[Address, tuple[float, float]] = OrderedDict()  # tokens, and when
+        self._buckets: OrderedDict[Address, tuple[float, float]] = OrderedDict()  # tokens, and the time of their count
 
     def admit(self, source: Address, now: float) -> None:
-        """Count one datagram.
+        """Admit one datagram of a source.
 
         Raises:
-            MessageRejectedError: the source is over its rate.
+            MessageRejectedError: the source exceeds its rate.
         """
         tokens, at = self._buckets.pop(source, (SENDER_BURST, now))
         tokens = min(SENDER_BURST, tokens + SENDER_RATE * (now - at))
@@ -36,7 +36,7 @@
 
 
 class RumourVerifier:
-    """Verifies what instances say of themselves; valid signatures are cached."""
+    """Verifies the rumours that instances sign about themselves; valid signatures are cached."""
 
     def __init__(self, verify: Verify, rejected: Counter[str]) -> None:
         self.verify, self._rejected = verify, rejected
