--- a/tealwing/peers/inbound.py
+++ b/tealwing/peers/inbound.py
@@ -17,17 +17,17 @@
 from tealwing.peers.peer_table import PeerTable, StateChange
 from tealwing.peers.plan import Address, LinkTimes, Plan
 
-BACKLOG = 64
+BACKLOG = 64  # connections that wait to be accepted
 ACCEPT_PAUSE = 0.05  # s before a failed accept is tried again
-DESCRIPTOR_SHARE = 0.5  # of the process's descriptors, for the link: clients and engines have the others
-SPARE_INBOUND = 8  # connections beside one of each peer's: of a peer that restarts, or of a stranger before its hello
+DESCRIPTOR_SHARE = 0.5  # of the process's descriptors that the link may use; the rest is for clients and engines
+SPARE_INBOUND = 8  # connections beyond one per peer: a restarted peer's new one, or one that has not identified itself
 
-MessageHandler = Callable[[str, bytes], None]  # name of the peer, body; on the reader's thread: quick, never blocking
+MessageHandler = Callable[[str, bytes], None]  # peer's name, body; called on the reader's thread, so it must not block
 StateHandler = Callable[[StateChange], None]
 
 
 def check_descriptors(plan: Plan, limit: int) -> None:
-    """Raise LinkError where the connections to and from all members would take more than half of the descriptors."""
+    """Raise LinkError if the connections to and from all members need more than half of the descriptors."""
     needed = len(plan.linked_members()) + len(plan.members) - 1
     if needed > limit * DESCRIPTOR_SHARE:
         minimum = ceil(needed / DESCRIPTOR_SHARE)
@@ -39,19 +39,19 @@
 
 
 class PeerListener:
-    """Accepts peers' connections, admits those that say whose they are, and dispatches their messages by channel."""
+    """Accepts connections, admits those that identify themselves as a peer's, and dispatches messages by channel."""
 
     def __init__(self, plan: Plan, table: PeerTable, lock: threading.Lock, on_change: StateHandler) -> None:
-        """Listen at the plan's address; LinkError where it is not available.
+        """Listen at the plan's address; LinkError if it is not available.
 
         Args:
-            plan: this gateway's place among its peers.
-            table: the peers and their states, read and changed under `lock`.
-            lock: the link's, round the table and the connections.
-            on_change: called without the lock when a message changes its sender's state.
+            plan: The members and this gateway's settings.
+            table: The peers and their states, read and changed under `lock`.
+            lock: The link's lock, which guards the table and the connections.
+            on_change: Called without the lock when a message changes its sender's state.
         """
         address = plan.address(plan.name)
-        assert address is not None  # the section's check
+        assert address is not None  # the section's check ensures it
         check_descriptors(plan, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         try:
             self._socket = socket.create_server(address, backlog=BACKLOG)
@@ -67,16 +67,16 @@
 
     @property
     def address(self) -> Address:
-        """The address at which it listens."""
+        """The address at which the listener accepts connections."""
         host, port = self._socket.getsockname()
         return host, port
 
     def on(self, channel: int, handler: MessageHandler) -> None:
-        """Register the handler of a channel; before the start."""
+        """Register the handler of a channel's messages; to be called before the start."""
         self._handlers[channel] = handler
 
     def start(self) -> None:
-        """Start the reader's and the accepting thread."""
+        """Start the thread that reads and the thread that accepts."""
         self._reader.start()
         threads.start(self._accept, "peer-accept")
 
@@ -88,14 +88,14 @@
         self._socket.close()
 
     def receive(self, connection: InboundConnection, message: messages.Message) -> None:
-        """Handle one message, on the reader's thread. FrameError ends the connection."""
+        """Handle one message on the reader's thread. FrameError ends the connection."""
         now = time.monotonic()
         self.received += 1
         change = None
         if not connection.name:
             change = self._admit(connection, message, now)
         elif isinstance(message, messages.Hello):
-            raise frames.FrameError("a second hello")
+            raise frames.FrameError(f"a second hello of {connection.name}; allowed: one, at the start of a connection")
         else:
             with self._lock:
                 change = self._table.record_contact(connection.name, now)
@@ -107,18 +107,18 @@
             self._on_change(change)
 
     def connection_ended(self, connection: InboundConnection, why: Exception | None) -> None:
-        """Forget a connection that is closed."""
+        """Forget a connection that has been closed; log unexpected causes."""
         with self._lock:
             self.connections.discard(connection)
         if not isinstance(why, (EOFError, OSError)) and not self._stopped.is_set():
             self._connection_errors += 1
             errors = self._connection_errors
-            if errors & (errors - 1) == 0:  # at powers of two: a flood writes few lines
+            if errors & (errors - 1) == 0:  # only at powers of two, so that a flood of errors writes few lines
                 log.event("peer_connection_ended", peer=connection.name or None, why=str(why), so_far=errors)
 
     def _admit(self, connection: InboundConnection, message: messages.Message, now: float) -> StateChange | None:
         if not isinstance(message, messages.Hello):
-            raise frames.FrameError("a message before the hello")
+            raise frames.FrameError("a message before the hello; allowed: the hello first")
         if (message.fleet, message.to) != (self._plan.fleet, self._plan.name):
             raise frames.FrameError(
                 f"a hello of {message.name} for {message.to} of fleet {message.fleet!r};"
@@ -128,17 +128,17 @@
             is_member, change = self._table.accept_hello(message.name, message.incarnation, now)
             earlier = [c for c in self.connections if c.name == message.name]
         if not is_member:
-            raise frames.FrameError(f"a hello of {message.name}, which is no member")
+            raise frames.FrameError(f"a hello of {message.name}, which is not a member of fleet {self._plan.fleet!r}")
         connection.name, connection.incarnation = message.name, message.incarnation
-        for other in earlier:  # of one direction the last connection counts
+        for other in earlier:  # only the last connection of a peer counts
             other.shutdown()
         return change
 
     def _dispatch(self, handler: MessageHandler, name: str, body: bytes) -> None:
         try:
             handler(name, body)
-        except ValueError as error:  # a body that its package can't read: nothing more of this connection counts
-            raise frames.FrameError(f"a message of {name}: {error}") from None
+        except ValueError as error:  # the handler can't decode the body: the connection ends
+            raise frames.FrameError(f"an invalid message of {name}: {error}") from None
 
     def _accept(self) -> None:
         while not self._stopped.is_set():
@@ -154,7 +154,7 @@
                 full = len(self.connections) >= len(self._table.names()) + SPARE_INBOUND
                 if not full:
                     self.connections.add(connection)
-            if full:  # strangers hold the places: each for `hello_timeout` seconds at most
+            if full:  # others have not identified themselves: each ends after at most `hello_timeout` seconds
                 connection.close()
                 continue
             try:
@@ -166,20 +166,20 @@
 
 
 class InboundConnection:
-    """A connection on which a peer sends, read by the listener's reader (`connection_reader.Readable`)."""
+    """A connection on which a peer sends, read by the listener's reader (a `connection_reader.Readable`)."""
 
     def __init__(self, listener: PeerListener, sock: socket.socket, times: LinkTimes) -> None:
         self._listener, self._sock, self._times = listener, sock, times
         self._parser = frames.Parser()
-        self.name, self.incarnation = "", 0  # of the peer, once its hello has come
+        self.name, self.incarnation = "", 0  # of the peer, set when its hello has arrived
         self.deadline = time.monotonic() + times.hello_timeout
 
     def fileno(self) -> int:
-        """Return the descriptor."""
+        """Return the socket's descriptor."""
         return self._sock.fileno()
 
     def read(self, buffer: memoryview) -> float | None:
-        """Handle the bytes that have come; return the monotonic time by which the next whole frame must have come."""
+        """Handle the received bytes; return the monotonic time by which the next complete frame must arrive."""
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -193,16 +193,16 @@
         return self.deadline
 
     def ended(self, why: Exception | None) -> None:
-        """Close the connection, which is read no more."""
+        """Close the connection, which the reader has dropped."""
         self.close()
         self._listener.connection_ended(self, why)
 
     def close(self) -> None:
-        """Close the connection."""
+        """Shut down and close the socket."""
         self.shutdown()
         self._sock.close()
 
     def shutdown(self) -> None:
-        """Have the reader end the connection."""
+        """Shut down the socket, so that the reader ends the connection."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
--- a/tealwing/peers/outbound.py
+++ b/tealwing/peers/outbound.py
@@ -1,4 +1,4 @@
-"""The sending side of the peer link: a thread for each peer, which dials it and sends what is queued."""
+"""The sending side of the peer link: a thread per peer that dials it and sends the queued messages."""
 
 from __future__ import annotations
 
@@ -14,20 +14,17 @@
 from tealwing.peers.send_queue import SendQueue
 from tealwing.sockets import set_limit
 
-RECONNECT_BACKOFF = (
-    0.05,
-    1.0,
-)  # s between two dials, least and most, jittered: a healed cut is noticed within the most
-CONNECT_TIMEOUT = 1.0  # s
-WRITE_TIMEOUT = 1.0  # s that a peer may take nothing before the connection is given up
-MAX_BATCH_BYTES = 256 * 1024  # bytes written at once
+RECONNECT_BACKOFF = 0.05, 1.0  # s between two dials, least and most, jittered: the delay after a healed partition
+CONNECT_TIMEOUT = 1.0  # s that a dial may take
+WRITE_TIMEOUT = 1.0  # s that a peer may read nothing before the connection is closed
+MAX_BATCH_BYTES = 256 * 1024  # bytes of messages written to a socket at once
 
 
 class OutboundConnection:
     """The sender to one peer: its queue and its thread."""
 
     def __init__(self, plan: Plan, name: str, address: Address, hello: messages.Hello) -> None:
-        """Prepare a sender to that peer; each of its connections begins with the hello."""
+        """Prepare a sender to the peer; each of its connections begins with the hello."""
         self._plan, self.name, self.address, self._hello = plan, name, address, hello
         self.queue = SendQueue(plan.queue, plan.queue_bytes_per_peer())
         self._backoff = Backoff(*RECONNECT_BACKOFF)
@@ -37,11 +34,11 @@
         self.dials = self.sent = self.sent_bytes = 0
 
     def start(self) -> None:
-        """Start to dial and send."""
+        """Start the thread that dials and sends."""
         threads.start(self._run, f"peer-{self.name}")
 
     def stop(self) -> None:
-        """Stop sending."""
+        """Stop the thread, and close the queue."""
         self._stopped.set()
         self.queue.close()
 
@@ -55,10 +52,10 @@
                     set_limit(sock, socket.SO_SNDTIMEO, WRITE_TIMEOUT)
                     self._send_loop(sock)
             except OSError:
-                pass  # as good as silence, which the other end's peer table judges
+                pass  # the peer notices the silence: its peer table suspects this gateway
             finally:
                 self.connected = False
-            # what was meant for a peer that can't be reached is stale by the time that it can
+            # messages for an unreachable peer are stale by the time that it can be reached
             if self._stopped.wait(self._backoff.next()):
                 return
             self.queue.clear()
@@ -76,16 +73,14 @@
             sock.sendall(data)
             self.sent += len(payloads)
             self.sent_bytes += len(data)
-            if (
-                time.monotonic() - began > times.suspect_after
-            ):  # the connection is stable: the next backoff starts short
+            if time.monotonic() - began > times.suspect_after:  # stable: the next backoff starts at its least
                 self._backoff.reset()
             if closed_by_peer(sock):
                 return
 
 
 def closed_by_peer(sock: socket.socket) -> bool:
-    """Return whether the other end, which never sends on this connection, has closed it."""
+    """Return whether the peer, which never sends on this connection, has closed it."""
     try:
         return sock.recv(1, socket.MSG_DONTWAIT | socket.MSG_PEEK) == b""
     except BlockingIOError:
--- a/tealwing/peers/send_queue.py
+++ b/tealwing/peers/send_queue.py
@@ -1,4 +1,4 @@
-"""The bounded queue of payloads to one peer; the oldest is dropped first and counted."""
+"""The bounded queue of payloads to one peer, which drops and counts the oldest when it is full."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class SendQueue:
-    """A queue between any threads that send and the one that writes to the peer.
+    """A queue between the threads that send and the one that writes to the peer.
 
-    It drops the oldest, as protocols that repeat themselves need the newest message most.
+    It drops the oldest payload, as protocols that repeat their messages need the newest one most.
     """
 
     def __init__(self, max_items: int, max_bytes: int) -> None:
@@ -24,7 +24,7 @@
         return len(self._payloads)
 
     def put(self, payload: bytes) -> None:
-        """Queue a payload, if need be in place of the oldest."""
+        """Queue a payload; if the queue is full, drop the oldest."""
         with self._changed:
             if self._closed:
                 return
@@ -36,9 +36,9 @@
             self._changed.notify()
 
     def get(self, seconds: float, max_bytes: int) -> list[bytes] | None:
-        """Return the oldest payloads up to max_bytes together, one at least; wait so many seconds for one.
+        """Return the oldest payloads of up to max_bytes together, at least one; wait up to so many seconds for it.
 
-        An empty list when none came in time, None once the queue is closed.
+        The list is empty if none came in time; None means that the queue is closed.
         """
         with self._changed:
             if not self._payloads and not self._closed:
@@ -54,7 +54,7 @@
             return batch
 
     def clear(self) -> None:
-        """Drop all payloads, as stale: the peer could not be reached."""
+        """Drop and count all payloads: the peer could not be reached, so they are stale."""
         with self._changed:
             self.dropped += len(self._payloads)
             self._payloads.clear()
