--- a/tealwing/peers/link.py
+++ b/tealwing/peers/link.py
@@ -1,10 +1,10 @@
-"""The peer link: one thread that accepts, one that reads all connections, one that checks timeouts, one sender a peer.
+"""The peer link: a thread that accepts, one that reads all connections, one that checks timeouts, and one per sender.
 
 Each connection carries one direction. The sender dials, identifies itself with a `Hello`, and sends frames; the other
-end only reads (`inbound.PeerListener`). Sends never block the caller: they go into the peer's bounded send queue.
+end only reads (`inbound.PeerListener`). A send never blocks the caller: it goes into the peer's bounded send queue.
 
-A learner of the replicated log links to voters only, and to the members that a log needs besides (`reach`): so links
-grow with members times voters, not with the square of members. It accepts connections of every member.
+A learner of the replicated log links only to voters and to the members that `reach` names: the number of links so grows
+with members times voters, not with the square of the members. It accepts connections of every member.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """Counts of what a link has written to its sockets and read from them."""
+    """Counts of the messages and bytes that a link has sent and received."""
 
     sent: int  # messages, heartbeats included
     sent_bytes: int
@@ -36,18 +36,20 @@
 
 
 class Link:
-    """One gateway among its peers."""
+    """One gateway's connections to and from its peers."""
 
     def __init__(self, plan: Plan, incarnation: int | None = None) -> None:
-        """Listen at the plan's address; LinkError where it is not available.
+        """Listen at the plan's address; LinkError if it is not available.
 
-        incarnation is the time of this start, in ms of the Unix clock; None: now.
+        `incarnation` is the time of this start in ms of the Unix clock; None stands for now.
         """
         self.plan = plan
         self.incarnation = int(time.time() * 1e3) if incarnation is None else incarnation
-        self.lock = threading.Lock()  # round the peer table, the connections and the senders
+        self.lock = threading.Lock()  # guards the peer table, the connections and the senders
         self._members = {name: address for name, address in plan.members if name != plan.name}
-        self._needed: dict[str, frozenset[str]] = {}  # members to link to beside the plan's, by who needs them
+        self._needed: dict[
+            str, frozenset[str]
+        ] = {}  # members to link to besides the plan's, by the caller that needs them
         self._table = PeerTable(self._members, plan.times, time.monotonic())
         self._listener = PeerListener(plan, self._table, self.lock, self._notify)
         linked = plan.linked_members()
@@ -59,19 +61,19 @@
 
     @property
     def address(self) -> Address:
-        """The address at which it listens."""
+        """The address at which the link listens."""
         return self._listener.address
 
     def on(self, channel: int, handler: MessageHandler) -> None:
-        """Register the handler of a channel's messages; before the start."""
+        """Register the handler of a channel's messages; to be called before the start."""
         self._listener.on(channel, handler)
 
     def watch(self, watcher: StateHandler) -> None:
-        """Register a callback for changes of peers' states; before the start. It is never called under the lock."""
+        """Register a callback for changes of peers' states, before the start. It is called without the lock."""
         self._watchers.append(watcher)
 
     def start(self) -> None:
-        """Start to listen and to dial."""
+        """Start the threads that accept, read, check timeouts and send."""
         self._listener.start()
         threads.start(self._monitor, "peer-looks")
         with self.lock:
@@ -82,7 +84,7 @@
         log.event("peers_started", name=self.plan.name, address=self.address, peers=self._table.names())
 
     def stop(self) -> None:
-        """End all connections and threads of the link."""
+        """Close all connections, and end the threads of the link."""
         self._stopped.set()
         self._listener.close()
         with self.lock:
@@ -93,13 +95,13 @@
             connection.shutdown()
 
     def send(self, name: str, channel: int, body: bytes) -> bool:
-        """Queue a message for a peer, and never block; return False where there is no sender to it."""
+        """Queue a message for a peer without blocking; return False if the link has no sender to it."""
         with self.lock:
             outbound = self._senders.get(name)
             if outbound is None:
                 return False
             payload = messages.encode(messages.Data(channel, next(self._sequences[name]), body))
-            outbound.queue.put(payload)  # in the order of its numbers
+            outbound.queue.put(payload)  # under the lock, so that the queue has the order of the sequence numbers
         return True
 
     def live(self) -> list[str]:
@@ -108,23 +110,23 @@
             return self._table.live()
 
     def change(self, members: dict[str, Address]) -> None:
-        """Set the members; the senders to those that leave, and all state of them, are dropped."""
+        """Set the members; the senders to removed members and their state are dropped."""
         with self.lock:
             self._members = {name: address for name, address in members.items() if name != self.plan.name}
             self._table.set_members(self._members, time.monotonic())
-            strangers = [c for c in self._listener.connections if c.name not in ("", *self._members)]
+            removed = [c for c in self._listener.connections if c.name not in ("", *self._members)]
         self._set_senders()
-        for connection in strangers:
+        for connection in removed:
             connection.shutdown()
 
     def reach(self, who: str, names: Collection[str]) -> None:
-        """Link to these members too, until `who` names others. Callable on any thread; never blocks."""
+        """Link to these members too, until `who` names others. It may be called on any thread, and never blocks."""
         with self.lock:
             self._needed[who] = frozenset(names)
         self._set_senders()
 
     def _set_senders(self) -> None:
-        """Have a sender to each member that this one links to, and to no other."""
+        """Add and remove senders, so that there is one to each member that this one links to, and to no other."""
         with self.lock:
             linked = self.plan.linked_members().union(*self._needed.values()) if self.plan.learners else self._members
             targets = {name: address for name, address in self._members.items() if name in linked}
@@ -144,25 +146,25 @@
         for outbound in added if started else ():
             try:
                 outbound.start()
-            except threads.ThreadUnavailableError:  # logged there; without a sender it is as good as unreachable
+            except threads.ThreadUnavailableError:  # logged where it is raised; the peer then counts as unreachable
                 continue
 
     def traffic(self) -> Traffic:
-        """Return the counts so far; those of senders that were removed are not included."""
+        """Return the counts since the start, without those of removed senders."""
         with self.lock:
             senders = list(self._senders.values())
         sent, sent_bytes = sum(one.sent for one in senders), sum(one.sent_bytes for one in senders)
         return Traffic(sent, sent_bytes, self._listener.received, self._listener.received_bytes)
 
     def status(self) -> list[dict[str, Any]]:
-        """Return what is known of each peer; seconds and counts."""
+        """Return the status of each peer; durations in seconds."""
         now = time.monotonic()
         peers = []
         with self.lock:
             for name in self._table.names():
                 peer, out = self._table.get(name), self._senders.get(name)
                 assert peer is not None
-                unlinked = out is None and peer.state is not State.ALIVE  # nothing says whether it lives
+                unlinked = out is None and peer.state is not State.ALIVE  # nothing shows whether the peer is alive
                 silence = peer.silence(now)
                 peers.append(
                     {
--- a/tealwing/peers/peer_table.py
+++ b/tealwing/peers/peer_table.py
@@ -1,7 +1,6 @@
-"""Failure detection of the peers; pure, with the time passed in.
+"""Failure detection of the peers; pure: the caller passes the time.
 
-The states are those of gossip (alive, suspect, dead). A peer that the operators' file names is dead until its first
-message.
+The states are those of gossip (alive, suspect, dead). A peer counts as dead until its first message.
 """
 
 from __future__ import annotations
@@ -15,34 +14,34 @@
 
 @dataclass(slots=True)
 class Peer:
-    """One other gateway, as it is seen here."""
+    """Another gateway, as this one sees it."""
 
     name: str
     state: State = State.DEAD
-    since: float = 0.0  # of the state
-    last_heard: float | None = None
-    incarnation: int = 0  # of the connection accepted last
-    sequence: int = -1  # highest accepted of this incarnation
+    since: float = 0.0  # s, monotonic: start of the state
+    last_heard: float | None = None  # s, monotonic: its last message
+    incarnation: int = 0  # of its last accepted connection
+    sequence: int = -1  # highest accepted number of this incarnation
     received: int = 0  # messages accepted
-    duplicates: int = 0  # copies, and messages that came after a later one
+    duplicates: int = 0  # repeated messages, and those that came after a later one
 
     def silence(self, now: float) -> float | None:
-        """Return the seconds since its last message; None if there was none."""
+        """Return the seconds since the peer's last message; None if there was none."""
         return None if self.last_heard is None else now - self.last_heard
 
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A peer has changed its state."""
+    """The change of a peer's state."""
 
     name: str
     state: State
     previous: State
-    previous_duration: float  # s
+    previous_duration: float  # s that the peer was in the previous state
 
 
 class PeerTable:
-    """The peers by name."""
+    """Owns the peers by name, and their states."""
 
     def __init__(self, names: Iterable[str], times: LinkTimes, now: float) -> None:
         self._times = times
@@ -52,7 +51,7 @@
         return name in self._peers
 
     def names(self) -> list[str]:
-        """Return all names, sorted."""
+        """Return the names of all peers, sorted."""
         return sorted(self._peers)
 
     def get(self, name: str) -> Peer | None:
@@ -60,7 +59,7 @@
         return self._peers.get(name)
 
     def set_members(self, names: Iterable[str], now: float) -> None:
-        """Set the peers; the state of those that leave is dropped."""
+        """Set the names of the peers; the state of removed ones is dropped."""
         members = set(names)
         for name in [name for name in self._peers if name not in members]:
             del self._peers[name]
@@ -68,15 +67,15 @@
             self._peers[name] = Peer(name, since=now)
 
     def reset(self, name: str, now: float) -> None:
-        """Drop the state of a peer that is no longer linked: nothing shows whether it lives."""
+        """Drop the state of a peer that this gateway no longer links to: nothing shows whether it is alive."""
         if name in self._peers:
             self._peers[name] = Peer(name, since=now)
 
     def accept_hello(self, name: str, incarnation: int, now: float) -> tuple[bool, StateChange | None]:
-        """Record a peer's hello; return whether it is a member, and the change of its state.
+        """Record a peer's hello; return whether it is a member, and its change of state if any.
 
-        Of two incarnations the last that connects counts, even if its number is lower: a machine whose clock was set
-        back must not lock its gateway out. An earlier incarnation that still lived would dial again.
+        Of two incarnations the last to connect counts, even if its number is lower: a machine whose clock was set back
+        must not lock its gateway out. An earlier incarnation that is still running would dial again.
         """
         peer = self._peers.get(name)
         if peer is None:
@@ -86,7 +85,7 @@
         return True, self.record_contact(name, now)
 
     def record_contact(self, name: str, now: float) -> StateChange | None:
-        """Record that a message of the peer has come."""
+        """Record the receipt of a message of a peer; return its change of state if any."""
         peer = self._peers.get(name)
         if peer is None:
             return None
@@ -96,7 +95,8 @@
     def accept_message(self, name: str, incarnation: int, sequence: int) -> bool:
         """Return whether a message is of the peer's present incarnation and newer than all accepted before.
 
-        The link keeps order: a message that comes late after a reconnect was dropped by its sender or is a copy.
+        The link keeps messages in order: one that comes late, after a reconnect, was dropped by its sender or is
+        repeated.
         """
         peer = self._peers.get(name)
         if peer is None or incarnation != peer.incarnation or sequence <= peer.sequence:
