--- a/tests/gossip.py
+++ b/tests/gossip.py
@@ -1,4 +1,4 @@
-"""What the tests of gossip share: a payload, and a signed statement that a member is alive."""
+"""Builders for the tests of gossip: a payload, and a signed `Alive` of a member."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def payload(name: str = "n0", sequence: int = 1, at: float = EPOCH, boot: int = 5, **changes: Any) -> Payload:
-    plain: dict[str, Any] = dict(
+    defaults: dict[str, Any] = dict(
         name=name, boot=boot, sequence=sequence, sent_at_ms=round(at * 1e3), body=Ping(1, ""), rumours=[]
     )
-    return Payload(**(plain | changes))
+    return Payload(**(defaults | changes))
 
 
 def alive(name: str = "n1", incarnation: int = 0, boot: int = 5) -> Alive:
--- a/tests/test_gossip_clusters.py
+++ b/tests/test_gossip_clusters.py
@@ -1,4 +1,4 @@
-"""Gossip in whole clusters in virtual time, with network faults and hostile members."""
+"""Gossip in simulated clusters in virtual time, with network faults and malicious members."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from tests.gossip import alive
 
 
-# Its text seeds the draws of hypothesis (derandomize): any change of a line plays other examples.
+# Hypothesis derives its examples from the source of this class (derandomize): changing a line changes the examples.
 class Cluster(RuleBasedStateMachine):
-    """Instances that start, die, restart, stand still and are cut off; after it all they agree."""
+    """Instances start, crash, restart, pause and are partitioned; after the faults have stopped they agree."""
 
     @initialize(seed=st.integers(0, 99))
-    def begin(self, seed: int) -> None:
+    def start_cluster(self, seed: int) -> None:
         self.network = Network(seed)
         self.names = [instance.node.name for instance in cluster(self.network, 6, skew=2.5)]
         self.network.clock.run(5.0)
@@ -53,47 +53,49 @@
 
     @precondition(lambda self: len(self.running()) > 4)
     @rule(which=st.integers(0, 9), seconds=st.floats(1.0, 8.0))
-    def stand_still(self, which: int, seconds: float) -> None:
+    def pause(self, which: int, seconds: float) -> None:
         names = self.running()
         self.network.pause(names[which % len(names)], seconds)
 
     @rule(loss=st.sampled_from([0.0, 0.3]), copies=st.sampled_from([0.0, 0.5]), slow=st.booleans())
-    def weather(self, loss: float, copies: float, slow: bool) -> None:
+    def set_conditions(self, loss: float, copies: float, slow: bool) -> None:
         self.network.conditions.loss, self.network.conditions.copies = loss, copies
         self.network.conditions.delay = (0.0002, 0.25) if slow else (0.0002, 0.003)
 
     @rule(one_way=st.booleans(), part=st.integers(1, 3))
-    def cut(self, one_way: bool, part: int) -> None:
+    def partition(self, one_way: bool, part: int) -> None:
         inside = {f"10.0.0.{i + 1}" for i in range(part)}
         self.network.conditions.cut = lambda source, to: (
             source[0] in inside and to[0] not in inside if one_way else (source[0] in inside) != (to[0] in inside)
         )
 
     @invariant()
-    def bounds(self) -> None:
+    def limits_hold(self) -> None:
         assert self.network.max_bytes_per_second() <= self.network.times.max_bytes_per_s
         assert max((i.largest for i in self.network.instances.values()), default=0) <= messages.MAX_DATAGRAM_BYTES
         for instance in self.network.instances.values():
-            assert not instance.node.silent, "nobody takes another's name here"
+            assert not instance.node.silent, "an instance is silent, though no two have one name"
 
     def teardown(self) -> None:
         if not hasattr(self, "network"):
             return
         self.network.conditions.loss = self.network.conditions.copies = 0.0
         self.network.conditions.delay, self.network.conditions.cut = (0.0002, 0.003), lambda source, to: False
-        assert self.network.until(self.network.agreed, 75.0) is not None, "agreement after the faults have stopped"
+        assert self.network.until(self.network.agreed, 75.0) is not None, (
+            "the members do not agree 75 s after the faults stopped"
+        )
         deaths = len([1 for _, _, what, _ in self.network.events if what == "gossip_dead"])
         self.network.clock.run(self.network.clock.now + 20.0)
         assert self.network.agreed() and deaths == len(
             [1 for _, _, what, _ in self.network.events if what == "gossip_dead"]
-        ), "and it lasts: no live and reachable member is held dead"
+        ), "the agreement did not last, or a live and reachable member was held dead"
 
 
 Cluster.TestCase.settings = settings(max_examples=80, stateful_step_count=12, deadline=None, derandomize=True)
 TestCluster = Cluster.TestCase
 
 
-def test_a_death_is_detected_and_a_graceful_leave_at_once() -> None:
+def test_crash_is_detected_and_leave_is_immediate() -> None:
     network = Network(1)
     cluster(network, 10)
     assert network.until(network.agreed, 30) is not None
@@ -107,14 +109,14 @@
     assert (took := network.until(network.agreed, 10)) is not None and took < 2
 
 
-def test_name_conflict_and_number_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_later_start_keeps_name_and_number_limit_begins_later_boot(monkeypatch: pytest.MonkeyPatch) -> None:
     network = Network(2)
     cluster(network, 5)
     network.until(network.agreed, 30)
     first = network.instances["n4"]
     second = network.start("n4", [("10.0.0.1", 7946)])
     network.clock.run(network.clock.now + 20)
-    assert first.node.silent and not second.node.silent, "the later start keeps the name"
+    assert first.node.silent and not second.node.silent, "the later start does not keep the name"
     assert any(what == "gossip_name_conflict" for _, _, what, _ in network.events)
     network.kill("n4")
     first.running = False
@@ -123,52 +125,54 @@
     for _ in range(4):
         network.instances["n1"].node.membership.refute()
     network.clock.run(network.clock.now + 20)
-    assert network.until(network.agreed, 60) is not None, "numbers at their limits begin a later boot"
+    assert network.until(network.agreed, 60) is not None, (
+        "an instance with a number at its limit does not begin a later boot"
+    )
     assert (
         network.instances["n0"].node.identity.sequence < 2000 and network.instances["n1"].node.identity.incarnation <= 3
     )
 
 
-def test_false_rumours_about_the_receiver_about_others_and_about_the_dead() -> None:
+def test_false_rumours_neither_kill_nor_restore_members() -> None:
     network = Network(3)
     cluster(network, 8)
     network.until(network.agreed, 30)
-    liar, victim = network.instances["n7"].node, network.instances["n2"].node
+    sender, victim = network.instances["n7"].node, network.instances["n2"].node
     before = victim.identity.incarnation
     for other in network.live()[:7]:
-        words: list[Any] = [
+        rumours: list[Any] = [
             Dead("n2", victim.identity.boot, before),
-            Suspect("n2", victim.identity.boot, 2**31),  # of an incarnation that it never had
-            Left("n3", network.instances["n3"].node.identity.boot, 0, bytes(8), bytes(64)),  # in another's name
+            Suspect("n2", victim.identity.boot, 2**31),  # an incarnation that n2 never announced
+            Left("n3", network.instances["n3"].node.identity.boot, 0, bytes(8), bytes(64)),  # forged for n3
             alive("n3", 2**31, network.instances["n3"].node.identity.boot + 5),
         ]
-        words[3] = messages.sign_rumour(words[3], SimulatedKey("n7"))
-        liar.send(Priority.ANSWER, other.address, Gossip(), words)
+        rumours[3] = messages.sign_rumour(rumours[3], SimulatedKey("n7"))
+        sender.send(Priority.ANSWER, other.address, Gossip(), rumours)
     network._flush(network.instances["n7"])
     network.clock.run(network.clock.now + 3)
     assert victim.identity.incarnation == before + 1 and network.instances["n3"].node.identity.incarnation == 0
     assert network.agreed() and not any(what == "gossip_dead" for _, _, what, _ in network.events)
     network.kill("n5")
     network.until(network.agreed, 40)
-    liar.send(Priority.ANSWER, network.instances["n0"].address, Gossip(), [alive("n5", 0, 5)])
+    sender.send(Priority.ANSWER, network.instances["n0"].address, Gossip(), [alive("n5", 0, 5)])
     network._flush(network.instances["n7"])
     network.clock.run(network.clock.now + 5)
-    assert network.agreed(), "a false statement for a dead member restores it nowhere"
+    assert network.agreed(), "a forged statement restores a dead member"
 
 
-def test_a_replay_after_an_hour_and_garbage_change_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_old_replay_and_garbage_are_rejected_cheaply(monkeypatch: pytest.MonkeyPatch) -> None:
     network = Network(4)
     cluster(network, 5)
     recorded: list[tuple[Any, Any, bytes]] = []
-    carry = network._transmit
+    transmit = network._transmit
 
     def record(source: Any, to: Any, data: bytes) -> None:
         recorded.append((source, to, data))
-        carry(source, to, data)
+        transmit(source, to, data)
 
     monkeypatch.setattr(network, "_transmit", record)
     network.until(network.agreed, 30)
-    monkeypatch.setattr(network, "_transmit", carry)
+    monkeypatch.setattr(network, "_transmit", transmit)
     network.clock.run(network.clock.now + 3600)
     node = network.instances["n0"].node
     before = dict(node.counters.rejected)
@@ -183,11 +187,11 @@
     for i in range(5000):
         data = rng.randbytes(rng.randrange(1, 1500))
         node.receive(network.clock.now + i / 5000, network.wall(0), ("10.9.9.9", 9), data)
-    assert time.process_time() - began < 1.0, "5,000 a second of garbage cost less than the second"
+    assert time.process_time() - began < 1.0, "5,000 garbage datagrams cost 1 s of processor time or more"
     assert network.agreed()
 
 
-def test_a_partition_heals_and_a_revoked_key_ejects_its_member() -> None:
+def test_partition_heals_and_revoked_key_ejects_member() -> None:
     network = Network(5)
     cluster(network, 10)
     network.until(network.agreed, 30)
--- a/tests/test_gossip_members.py
+++ b/tests/test_gossip_members.py
@@ -1,4 +1,4 @@
-"""Gossip's rules of membership, in every order of events: one subject, two observers."""
+"""The membership rules of gossip in every order of events, with one member and two observers."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 def successors(state: GlobalState) -> Iterator[tuple[str, GlobalState]]:
     own, views, rumours = state
     for kind, incarnation in rumours:
-        if kind != "alive" and incarnation == own and own < 3:  # it learns of the suspicion and refutes
+        if kind != "alive" and incarnation == own and own < 3:  # the member learns of the suspicion and refutes
             yield "refute", (own + 1, views, rumours | {("alive", own + 1)})
     for i, view in enumerate(views):
         moves: list[tuple[str, Members, set[tuple[str, int]]]] = []
@@ -49,7 +49,7 @@
             moves.append(("probe", members, {("suspect", view[1])}))
             members.suspect(member, "me", 0.0)
         elif member.state is State.SUSPECT:
-            moves.append(("time", members, {("dead", view[1])}))
+            moves.append(("timeout", members, {("dead", view[1])}))
             members.mark_dead(member, 0.0)
         for kind, incarnation in rumours:
             members = members_with(view)
@@ -57,7 +57,7 @@
                 members.apply_alive(alive("n1", incarnation), 0.0)
             else:
                 members.apply_suspicion((Suspect if kind == "suspect" else Dead)("n1", 5, incarnation), "other", 9.0)
-            moves.append((f"hears {kind}", members, set()))
+            moves.append((f"receives {kind}", members, set()))
         for what, members, added in moves:
             after = list(views)
             after[i] = view_of(members)
@@ -78,21 +78,21 @@
                     return len(seen), f"{what}: an incarnation went back"
                 if now[1] == before[1] and now[0] < before[0]:
                     return len(seen), f"{what}: a suspicion ended without the member's own statement"
-                if what.startswith("hears") and now[0] is State.DEAD and before[0] is not State.DEAD:
-                    return len(seen), f"{what}: held dead on another's rumour"
+                if what.startswith("receives") and now[0] is State.DEAD and before[0] is not State.DEAD:
+                    return len(seen), f"{what}: held dead because of a rumour alone"
             if after not in seen:
                 seen.add(after)
                 front.append(after)
     return len(seen), ""
 
 
-def test_every_order_of_suspicions_and_refutations() -> None:
+def test_membership_rules_hold_in_every_order_of_events() -> None:
     states, wrong = search_states()
     assert not wrong and states > 500
 
 
 @pytest.mark.parametrize("fault", ["same incarnation", "dead on a rumour", "any incarnation"])
-def test_the_state_search_catches_planted_faults(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_state_search_detects_injected_faults(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     def same(self: Members, rumour: Alive, now: float) -> Member | None:
         return self._store(Member(rumour, State.ALIVE, now))
 
@@ -113,7 +113,7 @@
     assert search_states()[1]
 
 
-def test_a_suspicion_timeout_shrinks_as_others_confirm() -> None:
+def test_suspicion_timeout_shrinks_with_confirmations() -> None:
     suspected = suspicion.Suspicion(0.0, {"a"})
     deadlines = [suspected.deadline(100, 1.0)]
     for name in "abcde":
