--- a/tests/test_gossip_service.py
+++ b/tests/test_gossip_service.py
@@ -1,4 +1,4 @@
-"""Gossip as the program runs it: persisted state, section, control socket, processes."""
+"""Gossip in the gateway's process: persisted state, section, control socket, members on real sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from tests.peers import LIMIT, SETTINGS, Program
 
 
-def test_the_persisted_state_is_complete_or_quarantined(tmp_path: Path) -> None:
+def test_corrupt_persisted_state_is_quarantined(tmp_path: Path) -> None:
     path = tmp_path / "gossip.state"
     assert persisted_state.load(path, "n0") is None
     persisted_state.save(path, "n0", 7, [alive()], {"n1": 0.25, "n2": 7.0})
@@ -42,10 +42,10 @@
         persisted_state.load(path, "other")
 
 
-def test_persisted_members_are_restored() -> None:
-    ring, toy = SimulatedKeyring(), SimulatedKey("n0")
+def test_persisted_members_with_valid_signature_are_restored() -> None:
+    ring, key = SimulatedKeyring(), SimulatedKey("n0")
     clock = Clock(0.0, EPOCH)
-    node = Node(LocalIdentity("n0", ("10.0.0.1", 1), toy, clock), clock, ring.verify, Timing(), [], random.Random(1))
+    node = Node(LocalIdentity("n0", ("10.0.0.1", 1), key, clock), clock, ring.verify, Timing(), [], random.Random(1))
     node.restore([alive("n1"), replace_signature(alive("n2"))], {"n1": 0.2})
     assert [m.alive.name for m in node.members] == ["n1"] and node.health_estimator.trust == {"n1": 0.2}
 
@@ -73,7 +73,7 @@
     return text + (f"    seed 127.0.0.1:{seed}\n" if seed else "")
 
 
-def test_the_section_names_what_is_wrong(tmp_path: Path) -> None:
+def test_gossip_section_errors_name_the_directive(tmp_path: Path) -> None:
     path = tmp_path / "t.conf"
     path.write_text(conf(tmp_path, "a"))
     assert reader.read(str(path)).records["gossip"].timing.probe_interval == 0.2
@@ -101,14 +101,14 @@
     return sorted(m["name"] for m in control.query(str(path))["members"] if m["state"] == "alive")
 
 
-def until(holds: Any) -> None:
+def until(condition: Any) -> None:
     end = time.monotonic() + LIMIT
-    while not holds():
-        assert time.monotonic() < end, "it did not come to pass"
+    while not condition():
+        assert time.monotonic() < end, f"condition not met in {LIMIT:g} s"
         time.sleep(0.05)
 
 
-def test_two_programs_find_each_other_and_a_restart_restores_members(tmp_path: Path) -> None:
+def test_gateways_find_each_other_and_restart_restores_members(tmp_path: Path) -> None:
     first = start(tmp_path / "1", conf(tmp_path, "a"))
     port = first.wait_for("gossip_started")["address"][1]
     second = start(tmp_path / "2", conf(tmp_path, "b", seed=port))
@@ -122,9 +122,9 @@
     second.terminate()
     second.process.wait(timeout=LIMIT)
     until(lambda: live(tmp_path / "a.sock") == [])
-    again = start(tmp_path / "3", conf(tmp_path, "b"))  # without a seed: the file knows
+    again = start(tmp_path / "3", conf(tmp_path, "b"))  # without a seed: the state file has the members
     until(lambda: live(tmp_path / "a.sock") == ["b"])
-    first.conf.write_text(conf(tmp_path, "a", "a"))  # the other's key is taken back
+    first.conf.write_text(conf(tmp_path, "a", "a"))  # b's key is revoked
     first.reload(first.path.read_text())
     until(lambda: live(tmp_path / "a.sock") == [])
     assert control.query(str(tmp_path / "a.sock"))["rejected"]["signature"] > 0
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("wrong", ["forbidden", "other key", "no key", "taken"])
-def test_gossip_that_can_not_start_ends_the_start(tmp_path: Path, wrong: str) -> None:
+def test_gateway_exits_if_gossip_cannot_start(tmp_path: Path, wrong: str) -> None:
     text, settings_ = conf(tmp_path, "a"), PEERS
     taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     taken.bind(("127.0.0.1", 0))
@@ -150,14 +150,15 @@
     taken.close()
 
 
-def test_members_without_an_instance_is_an_error(tmp_path: Path) -> None:
+def test_members_command_fails_without_instance(tmp_path: Path) -> None:
     call = [sys.executable, "-m", "tealwing", "gossip", "members", "--control", str(tmp_path / "none")]
     done = subprocess.run(call, cwd=Path(__file__).parent.parent, capture_output=True, text=True)
     assert done.returncode == 1 and "no instance answers" in done.stderr
 
 
-def test_an_invalid_file_leaves_gossip_as_it_is(tmp_path: Path) -> None:
-    # guards "a good file in whole": levels that name no class of the platform must not end gossip half way
+def test_invalid_operators_file_leaves_gossip_unchanged(tmp_path: Path) -> None:
+    # An operators' file is applied whole or not at all: levels with a class that the platform doesn't have must not
+    # stop gossip halfway.
     program = start(tmp_path / "1", conf(tmp_path, "a"))
     program.wait_for("gossip_started")
     levels = "levels\n  level x\n    enter when fleet.load > 2 for 1s\n    exit when fleet.load < 1 for 5s\n"
