--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""The gateway's peers, played by hand over sockets (client, engine, coordinator), and the program."""
+"""Test doubles for the gateway's counterparts over sockets (client, engine, coordinator), and its process."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tealwing.resp import messages
 from tests.test_wire import FACTS
 
-LIMIT = 30.0  # s after which a test gives up: nothing here waits for a time to pass
+LIMIT = 30.0  # s after which a wait fails; no test here waits for a fixed time
 ROOT = Path(__file__).parent.parent
 DEPLOYED = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 RUN = DEPLOYED.replace(".venv/bin/python -O", sys.executable).replace("TEALWING_CONF=deploy/tealwing.conf ", "")
@@ -36,7 +36,7 @@
 
 
 class Peer:
-    """A listener whose connections' lines or messages come into one queue, with their sockets."""
+    """A listener that puts the messages of all its connections into one queue, each with its socket."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -71,7 +71,7 @@
 
 
 class Coordinator(Peer):
-    """A coordinator; each line comes as its words."""
+    """A coordinator, which receives each line as a list of its words."""
 
     def parser(self) -> Any:
         class Words:
@@ -86,14 +86,14 @@
 
 
 def answer_next(engine: Peer, page: bytes) -> None:
-    """Serve the next attempt that comes to the engine, with one page."""
+    """Answer the engine's next attempt with one page."""
     sock, parts = engine.next(b"want")
     say(sock, parts[1], b"200", b"sheets=1", page)
 
 
 def member(name: str, address: str, **changes: Any) -> dict[str, Any]:
-    plain = {"id": name, "host_port": address, "locality": "z", "flavor": "k", "cell": 0, "phase": "up"}
-    return plain | {"size": 1, "up_since_ms": 0} | changes
+    defaults = {"id": name, "host_port": address, "locality": "z", "flavor": "k", "cell": 0, "phase": "up"}
+    return defaults | {"size": 1, "up_since_ms": 0} | changes
 
 
 def event(index: int, *members: dict[str, Any]) -> dict[str, Any]:
@@ -101,7 +101,7 @@
 
 
 class Program:
-    """The gateway's process, as it is deployed but with its asserts."""
+    """The gateway's process, run as it is deployed except that asserts are enabled."""
 
     def __init__(
         self, folder: Path, engine: str, coordinator: str = "127.0.0.1:1", conf: str = "", **changes: Any
@@ -122,13 +122,13 @@
         )
 
     def wait_for(self, name: str) -> dict[str, Any]:
-        """The log up to an event."""
+        """Read the log up to an event of that name, and return the event."""
         assert self.process.stdout is not None
         for line in self.process.stdout:
             found: dict[str, Any] = json.loads(line)
             if found["event"] == name:
                 return found
-        raise AssertionError(f"the log ends without {name}")
+        raise AssertionError(f"the log ends without the event {name}")
 
     def address(self) -> tuple[str, int]:
         self.started = self.wait_for("started")
@@ -143,13 +143,13 @@
         self.process.send_signal(signal.SIGHUP)
 
     def end(self) -> str:
-        """End it if it still runs; what it wrote to standard error."""
+        """Kill the process if it still runs; return what it wrote to standard error."""
         self.process.kill()
         return self.process.communicate(timeout=LIMIT)[1]
 
 
 class Client:
-    """A MySQL client that writes its login, and whatever else, before it has read the greeting."""
+    """A MySQL client that sends its login, and optional further bytes, before it reads the greeting."""
 
     def __init__(self, address: tuple[str, int], user: bytes = b"app", also: bytes = b"") -> None:
         self.sock = socket.create_connection(address, LIMIT)
@@ -174,7 +174,7 @@
         self.send(3, request(**fields))
 
     def rows(self) -> list[bytes]:
-        """The payloads of a result set's rows."""
+        """Read a result set, and return the payloads of its rows."""
         assert self.read() == b"\x03"
         while self.read() != packets.eof():
             pass
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""The peer link: frames, who is heard, bounded queues, and peers that send garbage, half a frame or nothing."""
+"""The peer link: frames, peer states, queues, control calls, and connections with invalid or incomplete input."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 QUICK = LinkTimes(heartbeat=0.05, suspect_after=0.3, dead_after=0.6, idle_timeout=1.0, hello_timeout=0.5)
 
 
-def until(holds: Callable[[], bool]) -> None:
+def until(condition: Callable[[], bool]) -> None:
     end = time.monotonic() + LIMIT
-    while not holds():
-        assert time.monotonic() < end, "it never came to hold"
+    while not condition():
+        assert time.monotonic() < end, f"condition not met in {LIMIT:g} s"
         time.sleep(0.01)
 
 
 @settings(derandomize=True, max_examples=200)
 @given(st.lists(st.binary(max_size=300), max_size=6), st.lists(st.integers(1, 40), max_size=60))
-def test_frames_come_out_whole_however_they_are_cut(payloads: list[bytes], cuts: list[int]) -> None:
+def test_parser_returns_whole_payloads_for_any_chunks(payloads: list[bytes], cuts: list[int]) -> None:
     data, parser, found = b"".join(map(frames.encode, payloads)), frames.Parser(), []
     at = 0
     for cut in cuts:
@@ -50,51 +50,54 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(st.binary(min_size=1, max_size=60), st.integers(0, 75), st.integers(1, 255))
-def test_no_changed_byte_passes(payload: bytes, place: int, change: int) -> None:
+def test_frame_with_changed_byte_is_rejected(payload: bytes, place: int, change: int) -> None:
     data = bytearray(frames.encode(payload))
     data[place % len(data)] ^= change
     with contextlib.suppress(frames.FrameError):
-        assert frames.Parser().feed(bytes(data)) == []  # a length that grew: the rest is still awaited
+        assert frames.Parser().feed(bytes(data)) == []  # the length has grown: the parser waits for the rest
 
 
 @settings(derandomize=True, max_examples=300)
 @given(st.binary(max_size=120))
-def test_garbage_is_a_fault_of_the_frame_never_a_crash(data: bytes) -> None:
+def test_garbage_raises_only_frame_error(data: bytes) -> None:
     for read in (messages.decode, frames.Parser().feed):
         with contextlib.suppress(frames.FrameError):
             read(data)
 
 
-def test_a_peer_is_doubted_lost_and_heard_again_and_no_copy_is_taken() -> None:
-    book = PeerTable(["b"], QUICK, 0.0)
-    peer = book.get("b")
+def test_peer_table_tracks_states_and_rejects_repeated_messages() -> None:
+    table = PeerTable(["b"], QUICK, 0.0)
+    peer = table.get("b")
     assert peer is not None and peer.state is State.DEAD
-    welcome, change = book.accept_hello("b", 5, 1.0)
-    assert welcome and change is not None and change.state is State.ALIVE
-    assert not book.accept_hello("stranger", 9, 1.0)[0]
-    assert book.accept_message("b", 5, 1) and not book.accept_message("b", 5, 1) and not book.accept_message("b", 4, 2)
-    assert [c.state for c in book.check_timeouts(1.4)] == [State.SUSPECT] and [
-        c.state for c in book.check_timeouts(1.7)
+    is_member, change = table.accept_hello("b", 5, 1.0)
+    assert is_member and change is not None and change.state is State.ALIVE
+    assert not table.accept_hello("stranger", 9, 1.0)[0]
+    assert (
+        table.accept_message("b", 5, 1) and not table.accept_message("b", 5, 1) and not table.accept_message("b", 4, 2)
+    )
+    assert [c.state for c in table.check_timeouts(1.4)] == [State.SUSPECT] and [
+        c.state for c in table.check_timeouts(1.7)
     ] == [State.DEAD]
-    assert book.accept_hello("b", 6, 2.0)[0] and book.accept_message("b", 6, 1)  # a new start: its numbers begin anew
+    # the sequence numbers of a new incarnation start again
+    assert table.accept_hello("b", 6, 2.0)[0] and table.accept_message("b", 6, 1)
     assert peer.duplicates == 2
-    book.set_members(["c"], 3.0)
-    assert book.names() == ["c"] and book.record_contact("b", 3.0) is None
+    table.set_members(["c"], 3.0)
+    assert table.names() == ["c"] and table.record_contact("b", 3.0) is None
 
 
-def test_the_oldest_is_dropped_and_counted() -> None:
-    box = SendQueue(3, 100)
+def test_full_peer_queue_drops_and_counts_oldest() -> None:
+    queue = SendQueue(3, 100)
     for number in range(5):
-        box.put(b"%d" % number)
-    assert box.dropped == 2 and box.get(0.0, 2) == [b"2", b"3"] and box.get(0.0, 2) == [b"4"]
-    box.put(bytes(90))
-    box.put(bytes(90))
-    assert len(box) == 1 and box.dropped == 3
-    box.close()
-    assert box.get(5.0, 1) is None
+        queue.put(b"%d" % number)
+    assert queue.dropped == 2 and queue.get(0.0, 2) == [b"2", b"3"] and queue.get(0.0, 2) == [b"4"]
+    queue.put(bytes(90))
+    queue.put(bytes(90))
+    assert len(queue) == 1 and queue.dropped == 3
+    queue.close()
+    assert queue.get(5.0, 1) is None
 
 
-def test_a_skewed_clock_steps_and_drifts() -> None:
+def test_skewed_clock_steps_and_drifts() -> None:
     clock = Clock()
     before = clock.now()
     clock.skew(100.0, 2.0)
@@ -103,29 +106,29 @@
 
 @pytest.fixture
 def pair() -> Iterator[tuple[Link, Link, SimpleQueue[tuple[str, bytes]]]]:
-    """Two links in this process; what b hears on channel 2."""
+    """Two links in this process, and the messages that b receives on channel 2."""
     from tealwing.lab.rig.ports import free_port
 
     members = tuple((name, ("127.0.0.1", free_port())) for name in "ab")
     a, b = (Link(Plan("f", name, members, QUICK, queue=16), incarnation=1) for name in "ab")
-    heard: SimpleQueue[tuple[str, bytes]] = SimpleQueue()
-    b.on(2, lambda name, body: heard.put((name, body)))
-    yield a, b, heard
+    received: SimpleQueue[tuple[str, bytes]] = SimpleQueue()
+    b.on(2, lambda name, body: received.put((name, body)))
+    yield a, b, received
     a.stop()
     b.stop()
 
 
-def test_peers_hear_each_other_lose_each_other_and_come_back(
+def test_links_connect_detect_death_and_reconnect(
     pair: tuple[Link, Link, SimpleQueue[tuple[str, bytes]]],
 ) -> None:
-    a, b, heard = pair
+    a, b, received = pair
     echo = PingService(a)
     PingService(b)
     a.start()
     b.start()
     until(lambda: a.live() == ["b"] and b.live() == ["a"])
     a.send("b", 2, b"x")
-    assert heard.get(timeout=LIMIT) == ("a", b"x")
+    assert received.get(timeout=LIMIT) == ("a", b"x")
     answer = echo.ping("b", "hello", LIMIT)
     assert answer is not None and (answer.responder, answer.text) == ("b", "hello")
     assert not a.send("nobody", 2, b"x")
@@ -134,7 +137,7 @@
     again = Link(b.plan, incarnation=2)
     again.start()
     until(lambda: a.live() == ["b"] and again.live() == ["a"])
-    again.change({"b": b.plan.address("b") or ("", 0)})  # a is no member any more
+    again.change({"b": b.plan.address("b") or ("", 0)})  # a is no longer a member
     until(lambda: again.status() == [])
     until(lambda: a.status()[0]["connected"] is False or a.status()[0]["dials"] > 2)
     again.stop()
@@ -144,12 +147,12 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "sent",
     [
         b"garbage that is no frame at all",
         HELLO[:9],  # half a frame
         b"",  # nothing
-        HELLO,  # and then nothing
+        HELLO,  # a hello, then nothing
         HELLO + HELLO,
         frames.encode(messages.encode(messages.Heartbeat(1))),  # before the hello
         frames.encode(messages.encode(messages.Hello("other", "a", "b", 1))),
@@ -157,21 +160,21 @@
         HELLO + frames.encode(b"\x93\x01"),
     ],
 )
-def test_a_peer_that_says_what_it_must_not_is_closed(
-    pair: tuple[Link, Link, SimpleQueue[tuple[str, bytes]]], said: bytes
+def test_invalid_peer_connection_is_closed(
+    pair: tuple[Link, Link, SimpleQueue[tuple[str, bytes]]], sent: bytes
 ) -> None:
     _, b, _ = pair
     b.start()
     before = len(threads_now())
-    strangers = [socket.create_connection(b.address, LIMIT) for _ in range(4)]
-    for sock in strangers:
-        sock.sendall(said)
-    for sock in strangers:
+    connections = [socket.create_connection(b.address, LIMIT) for _ in range(4)]
+    for sock in connections:
+        sock.sendall(sent)
+    for sock in connections:
         sock.settimeout(LIMIT)
         with contextlib.suppress(ConnectionResetError):
-            assert sock.recv(1) == b""  # closed: at once, or when its time is over
+            assert sock.recv(1) == b""  # closed, at once or after its timeout
         sock.close()
-    assert len(threads_now()) <= before  # none of them has cost a thread
+    assert len(threads_now()) <= before  # no connection has a thread of its own
     until(lambda: not b._listener.connections)
 
 
@@ -181,7 +184,7 @@
     return [thread.name for thread in threading.enumerate() if thread.name.startswith(("peer", "control"))]
 
 
-def test_strangers_have_few_places(pair: tuple[Link, Link, SimpleQueue[tuple[str, bytes]]]) -> None:
+def test_unidentified_connections_are_limited(pair: tuple[Link, Link, SimpleQueue[tuple[str, bytes]]]) -> None:
     _, b, _ = pair
     b.start()
     socks = [socket.create_connection(b.address, LIMIT) for _ in range(3 * inbound.SPARE_INBOUND)]
@@ -190,15 +193,15 @@
         sock.close()
 
 
-def test_the_control_address_answers_right_and_wrong_calls(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_control_server_answers_valid_and_rejects_invalid_calls(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(control, "MAX_CONNECTIONS", 3)
     monkeypatch.setattr(control, "FRAME_TIMEOUT", 0.2)
-    served = ControlServer(("127.0.0.1", 0))
-    served.serve("twice", lambda fields: {"is": 2 * control.field(fields, "of", int)})
-    served.serve("broken", lambda fields: {"is": 1 // 0})
-    served.start()
-    caller = ControlClient(served.address)
-    assert caller.call("twice", of=4) == {"is": 8}
+    server = ControlServer(("127.0.0.1", 0))
+    server.serve("twice", lambda fields: {"is": 2 * control.field(fields, "of", int)})
+    server.serve("broken", lambda fields: {"is": 1 // 0})
+    server.start()
+    client = ControlClient(server.address)
+    assert client.call("twice", of=4) == {"is": 8}
     wrong: list[tuple[str, dict[str, Any], str]] = [
         ("twice", {}, "of: missing"),
         ("twice", {"of": "x"}, "of: Expected `int`"),
@@ -207,19 +210,19 @@
     ]
     for call, fields, why in wrong:
         with pytest.raises(RemoteCallError, match=why):
-            caller.call(call, **fields)
-    half, garbage = (socket.create_connection(served.address, LIMIT) for _ in range(2))
-    until(lambda: len(served._connections) == 3)
+            client.call(call, **fields)
+    half, garbage = (socket.create_connection(server.address, LIMIT) for _ in range(2))
+    until(lambda: len(server._connections) == 3)
     with pytest.raises(RemoteCallError, match="3 connections are open already"):
-        ControlClient(served.address).call("twice", of=1)
+        ControlClient(server.address).call("twice", of=1)
     half.sendall(frames.encode(b"xx")[:5])
     garbage.sendall(b"garbage!" * 4)
     for sock in (half, garbage):
         sock.settimeout(LIMIT)
         assert sock.recv(64) == b""
-    assert caller.call("twice", of=1) == {"is": 2}
-    caller.close()
-    served.stop()
+    assert client.call("twice", of=1) == {"is": 2}
+    client.close()
+    server.stop()
 
 
 GOOD = """peers
@@ -244,7 +247,7 @@
         (GOOD + "".join(f"    member m{n} 127.0.0.1:{7003 + n}\n" for n in range(63)), "at most 64; more can be"),
     ],
 )
-def test_a_bad_section_names_its_key(tmp_path: Path, wrong: str, what: str) -> None:
+def test_peers_section_errors_name_the_directive(tmp_path: Path, wrong: str, what: str) -> None:
     path = tmp_path / "x.conf"
     path.write_text(GOOD)
     plan = reader.read(str(path)).records["peers"]
