--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""What keeps the load of a large fleet's voters bounded: heartbeats, news for learners, repeats, idle ticks."""
+"""Limits on the load of a large fleet's voters: heartbeats, descriptors, entries for learners, retries."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 # Heartbeats of the link
 
 
-def test_up_to_four_hundred_members_keep_the_times_that_the_file_says() -> None:
+def test_up_to_400_members_keep_configured_link_times() -> None:
     assert LinkTimes().scaled_for(400) == LinkTimes()
     assert LinkTimes(heartbeat=0.5, suspect_after=2.5).scaled_for(1000) == LinkTimes(
         heartbeat=0.5, suspect_after=2.5, dead_after=5.0, idle_timeout=25.0
@@ -35,10 +35,10 @@
 
 @given(st.integers(1, 5000), st.floats(0.05, 2.0))
 @hypothesis_settings(derandomize=True, deadline=None)
-def test_a_voter_takes_in_no_more_heartbeats_a_second_than_it_can(members: int, beat: float) -> None:
-    times = LinkTimes(heartbeat=beat).scaled_for(members)
-    assert members / times.heartbeat <= max(MAX_HEARTBEAT_RATE, members / beat) * 1.000001
-    assert times.heartbeat >= beat and times.suspect_after >= 3 * times.heartbeat
+def test_scaled_heartbeats_of_voter_stay_within_rate_limit(members: int, interval: float) -> None:
+    times = LinkTimes(heartbeat=interval).scaled_for(members)
+    assert members / times.heartbeat <= max(MAX_HEARTBEAT_RATE, members / interval) * 1.000001
+    assert times.heartbeat >= interval and times.suspect_after >= 3 * times.heartbeat
     assert times.heartbeat < times.suspect_after < times.dead_after < times.idle_timeout
 
 
@@ -51,16 +51,16 @@
     return Plan("fleet", names[-1] if learner else "n0", addresses, learners=tuple(names[5:]))
 
 
-def test_a_voter_of_many_members_wants_descriptors_for_all_of_them_and_a_learner_does_not() -> None:
+def test_voter_needs_descriptors_for_all_members_but_learner_does_not() -> None:
     inbound.check_descriptors(plan(256, learner=False), 1024)
-    with pytest.raises(LinkError, match="ulimit -n") as fault:
+    with pytest.raises(LinkError, match="ulimit -n") as error:
         inbound.check_descriptors(plan(1105, learner=False), 1024)
-    assert "4416 or more" in str(fault.value)
+    assert "4416 or more" in str(error.value)
     inbound.check_descriptors(plan(1105, learner=False), 4416)
     inbound.check_descriptors(plan(700, learner=True), 1500)
 
 
-def test_the_section_takes_as_many_members_as_were_measured_and_no_more(tmp_path: Path) -> None:
+def test_peers_section_accepts_at_most_1100_members(tmp_path: Path) -> None:
     lines = ["peers", "    name n0"]
     lines += [f"    member n{k} 127.0.0.1:{10_000 + k}" + (" learner" if k >= 5 else "") for k in range(1101)]
     (tmp_path / "fits.conf").write_text("\n".join(lines[:-1]) + "\n")
@@ -69,15 +69,15 @@
     assert section.MAX_MEMBERS == 1100
 
 
-# News for learners
+# Entries for learners
 
 
 class Cluster:
-    """One voter, which leads, and learners; all messages arrive at once."""
+    """One voter, which leads, and learners; messages arrive without delay."""
 
-    def __init__(self, learners: int, news_rate: float) -> None:
+    def __init__(self, learners: int, message_rate: float) -> None:
         names = tuple(f"l{number}" for number in range(learners))
-        options = Options(learner_message_rate=news_rate)
+        options = Options(learner_message_rate=message_rate)
         self.cores = {
             name: Raft(name, ("a",), 0.0, 1, number, options, learners=names)
             for number, name in enumerate(("a", *names), 1)
@@ -94,13 +94,13 @@
         return self.cores["a"]
 
     def round(self) -> None:
-        """A tenth of a second passes."""
+        """Advance the time by 0.1 s."""
         self.now += 0.1
         self.leader.tick(self.now)
         self.deliver()
 
     def deliver(self) -> None:
-        """Do what all want until nobody wants anything."""
+        """Handle all messages and saves until no member has any."""
         while busy := [core for core in self.cores.values() if core.has_ready()]:
             for core in busy:
                 ready = core.ready()
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize(("rate", "least", "most"), [(100.0, 300, 500), (1e9, 2000, 2100)])
-def test_entries_that_trickle_in_reach_learners_in_paced_rounds(rate: float, least: int, most: int) -> None:
+def test_entries_reach_learners_in_paced_rounds(rate: float, least: int, most: int) -> None:
     cluster = Cluster(50, rate)
     for _ in range(40):  # 4 s, an entry and a round each 0.1 s
         cluster.leader.propose(cluster.now, b"x")
@@ -124,12 +124,12 @@
     assert {core.commit for core in cluster.cores.values()} == {cluster.leader.last_index}
 
 
-def test_what_is_hurried_does_not_wait_for_a_paced_round() -> None:
-    cluster = Cluster(50, 1.0)  # 50 s between two rounds with news
+def test_broadcast_commit_does_not_wait_for_paced_round() -> None:
+    cluster = Cluster(50, 1.0)  # 50 s between two rounds with entries for learners
     for _ in range(600):
         cluster.round()
     cluster.leader.propose(cluster.now, b"x")
-    cluster.round()  # this one has the news for all; the next has none for 50 s, but where a learner's own beat is due
+    cluster.round()  # sends the entry to all; for 50 s none follows, except where a learner's heartbeat is due
     before = cluster.sent
     cluster.leader.propose(cluster.now, b"y")
     cluster.deliver()
@@ -139,10 +139,10 @@
     assert cluster.sent == before + 50
 
 
-# Repeats
+# Retries
 
 
-def test_members_of_a_large_fleet_repeat_less_often_and_those_of_a_small_one_as_before() -> None:
+def test_retries_become_rarer_in_large_fleets_only() -> None:
     few, many = retry.Retry(1), retry.Retry(1)
     assert few.ready(0.0, "x", 200) and many.ready(0.0, "x", 4000)
     ((_, due),) = few.due()
@@ -152,24 +152,27 @@
     assert not many.ready(later - 0.01, "x", 4000) and many.ready(later, "x", 4000)
 
 
-def test_a_member_that_starts_among_many_repeats_its_begin_less_often() -> None:
-    # guards the start of a large fleet: 1,100 members that knew no table yet said Begin ever again, and none got in
-    nothing = View(0, 0, None, None)
+def test_starting_member_of_large_fleet_repeats_begin_less_often() -> None:
+    # Guards the start of a large fleet: 1,100 members without a table kept repeating Begin, and none was admitted.
+    empty_view = View(0, 0, None, None)
     few, many = Machine("g1", "serve", 1, seed=1, peers=5), Machine("g1", "serve", 1, seed=1, peers=4000)
     moments = [tenth / 10 for tenth in range(40)]
-    said_by_few = [action for now in moments for action in few.step(now, nothing) if isinstance(action, SubmitCommand)]
-    said_by_many = [
-        action for now in moments for action in many.step(now, nothing) if isinstance(action, SubmitCommand)
+    commands_of_few = [
+        action for now in moments for action in few.step(now, empty_view) if isinstance(action, SubmitCommand)
     ]
-    assert len(said_by_many) == 1 < len(said_by_few)
+    commands_of_many = [
+        action for now in moments for action in many.step(now, empty_view) if isinstance(action, SubmitCommand)
+    ]
+    assert len(commands_of_many) == 1 < len(commands_of_few)
 
 
-# All of it
+# A whole fleet
 
 
-def test_the_leader_of_many_says_little_more_to_each_than_that_of_few() -> None:
-    # guards against the collapse at size: rounds with news for all, one after another, left a leader no time to take
-    # in what members said, so that they said it again; at 1,100 it sent 20 messages to each for a change, at 200 three
+def test_leader_messages_per_member_grow_little_with_fleet() -> None:
+    # Guards against an overload of the leader: successive rounds with entries for all left it no time to handle the
+    # members' messages, so they repeated them. For one change it sent 20 messages to each of 1,100 members, and three
+    # to each of 200.
     few, _ = trials.sized(trials.shape(1, 60, "serve"), 2, 3, loss=0.0)
     many, _ = trials.sized(trials.shape(1, 300, "serve"), 2, 3, loss=0.0)
     assert few.wrong == many.wrong == [] and few.failed == many.failed == 0
