--- a/tealwing/gossip/service.py
+++ b/tealwing/gossip/service.py
@@ -108,9 +108,7 @@
         """
         for field, name in FIXED_FIELDS.items():
             if getattr(config, field) != getattr(self.config, field):
-                raise GossipConfigError(
-                    f"gossip: {name} changed; allowed: changes of key and peer only, others at a restart"
-                )
+                raise GossipConfigError(f"gossip: {name} changed; allowed without a restart: changes of key and peer")
         local_key = _read_local_key(config)
         with self.lock:
             self._keyring.replace(config.allowed_keys)
--- a/tealwing/peers/plan.py
+++ b/tealwing/peers/plan.py
@@ -6,7 +6,7 @@
 
 Address = tuple[str, int]
 FULL_QUEUE_MEMBERS = 64  # members up to which each peer's queue has the configured size
-MAX_HEARTBEAT_RATE = 2000.0  # a second that a voter receives, and sends, at most: a fifth of a core at 100 us each
+MAX_HEARTBEAT_RATE = 2000.0  # heartbeats a second of one voter, received and sent: a fifth of a core at 100 us each
 # Each default of `LinkTimes` as a multiple of the one before.
 SUSPECT_AFTER_HEARTBEATS, DEAD_AFTER_MULTIPLE, IDLE_TIMEOUT_MULTIPLE = 5.0, 2.0, 5.0
 MAX_QUEUED_BYTES = 512 << 20  # bytes queued for all peers together in larger fleets
