--- a/tealwing/rules/affected.py
+++ b/tealwing/rules/affected.py
@@ -1,7 +1,7 @@
-"""Which requests a change of the rules affects, and which must therefore wait while it closes; pure.
+"""Which requests a change of the rules affects, and which must therefore wait while the gate is closed for it; pure.
 
-In doubt, all of them: a needless wait costs milliseconds, while a request decided under the old version after the new
-one is in force violates the guarantee.
+In doubt, all requests are affected: a needless wait costs milliseconds, while a request decided under the old version
+after the new one is in force violates the guarantee.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AffectedRequests:
-    """Requests of these classes, and those for these table groups; or all requests.
+    """The affected requests: those of these classes and those for these table groups; or all requests.
 
-    No tenant is affected alone: service levels admit each by its quota relative to all others.
+    No tenant is affected alone: service levels admit each tenant by its quota relative to all others.
     """
 
     everything: bool = False
@@ -41,9 +41,8 @@
     classes = set()
     for name in old.classes.keys() | new.classes.keys():
         before, after = old.classes.get(name, NO_OVERRIDE), new.classes.get(name, NO_OVERRIDE)
-        if (
-            before.priority_weight != after.priority_weight
-        ):  # classes are ranked by their weights relative to each other
+        # classes are ranked by their weights relative to each other
+        if before.priority_weight != after.priority_weight:
             return ALL_REQUESTS
         if before != after:
             classes.add(name)
--- a/tealwing/rules/bundle.py
+++ b/tealwing/rules/bundle.py
@@ -26,11 +26,11 @@
 
 
 class _Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """Base class of a bundle's tables."""
+    """Base class of a bundle's TOML tables: keys in kebab case, unknown keys rejected."""
 
 
 class Attempts(_Table, frozen=True):
-    """Limit on attempts of a request."""
+    """Limit on the attempts of one request."""
 
     max_attempts: Annotated[int, msgspec.Meta(ge=1, le=100)] | None = msgspec.field(default=None, name="most")
 
@@ -59,18 +59,17 @@
 
 
 class Bundle(_Table, frozen=True):
-    """A whole bundle; what is absent is left to the platform's settings and the operators' files."""
+    """A whole bundle; an absent key leaves the platform's settings and the operators' files as they are."""
 
-    levels: Annotated[str, msgspec.Meta(max_length=MAX_BUNDLE_BYTES)] = (
-        ""  # a section `levels` in the operators' grammar
-    )
+    # a section `levels` in the operators' grammar
+    levels: Annotated[str, msgspec.Meta(max_length=MAX_BUNDLE_BYTES)] = ""
     attempts: Attempts = Attempts()
     classes: Annotated[dict[Name, Class], msgspec.Meta(max_length=256)] = {}
     tenants: Annotated[dict[Name, Tenant], msgspec.Meta(max_length=1024)] = {}
     routes: Annotated[tuple[GroupRange, ...], msgspec.Meta(max_length=MAX_ROUTES)] = ()
 
 
-EMPTY = Bundle()  # in force before the first version
+EMPTY = Bundle()  # the bundle in force before the first version
 
 
 def parse(text: bytes) -> Bundle:
@@ -80,14 +79,14 @@
     try:
         data = tomllib.loads(text.decode())
     except RecursionError:
-        raise TomlError("the bundle", "too many brackets within one another") from None
-    except ValueError as error:  # no TOML, no UTF-8, or an integer of thousands of digits
+        raise TomlError("the bundle", "too many nested brackets") from None
+    except ValueError as error:  # invalid TOML, invalid UTF-8, or an integer of thousands of digits
         raise TomlError("the bundle", str(error)[:200]) from None
     found = typed.read(Bundle, data)
     for fault in validate.find_faults(table(found).routes):
         raise InvalidRoutesError(fault.place, f"{fault.what}; {fault.remedy}")
     if found.levels:
-        from tealwing.rules import levels_section  # imported only if needed: the grammar takes memory
+        from tealwing.rules import levels_section  # imported only if needed, to save the grammar's memory
 
         levels_section.parse_levels(found.levels)
     return found
--- a/tealwing/rules/check.py
+++ b/tealwing/rules/check.py
@@ -1,4 +1,4 @@
-"""Check whether a running gateway could activate a version; each reason against it names its remedy; pure."""
+"""Check whether a running gateway can activate a version; each reason against it names its remedy; pure."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
     UnknownSiteError,
 )
 
-BUILD = 1  # compared with a version's min_build
+BUILD = 1  # of this program; compared with a version's min_build
 Reason = RulesError
-ROUTE_BYTES = 1100  # upper bound of the memory per route while parsing
-MEMORY_SHARE = 1 / 16  # of a gateway's memory, for routes
-MAX_REPORTED_ROUTES = 5  # hundreds usually have one cause
+ROUTE_BYTES = 1100  # upper bound of the memory that one route takes while it is parsed
+MEMORY_SHARE = 1 / 16  # share of a gateway's memory that routes may take
+MAX_REPORTED_ROUTES = 5  # hundreds of invalid routes usually have one cause
 
 
 @dataclass(frozen=True, slots=True)
 class Running:
-    """The running gateway as the check sees it."""
+    """What the check needs to know of the running gateway."""
 
     settings: interface.Settings  # the platform's, without any bundle
-    active: Bundle | None = None  # in force here
-    sites: frozenset[str] | None = None  # that have engines in the engine list; None: it is not known yet
-    memory: float = 0.0  # bytes that it may take; 0: no limit is known
-    levels: bool = False  # its operators' file has a section `levels`
-    gossip: bool = False  # and a section `gossip`
+    active: Bundle | None = None  # the bundle in force at this gateway
+    sites: frozenset[str] | None = None  # sites with engines in the engine list; None: the list is not known yet
+    memory: float = 0.0  # bytes that the gateway may use; 0: no limit is known
+    levels: bool = False  # the gateway's operators' file has a section `levels`
+    gossip: bool = False  # the gateway's operators' file has a section `gossip`
     build: int = BUILD
 
 
 def check_text(text: bytes, running: Running, min_build: int = 1) -> list[Reason]:
-    """Return all reasons against a bundle's text, which may fail to parse."""
+    """Return all reasons against activating a bundle's text; a text that can't be parsed gives one."""
     try:
         return check(bundles.parse(text), running, min_build)
     except RulesError as error:
@@ -48,10 +48,10 @@
 
 
 def check(bundle: Bundle, running: Running, min_build: int = 1) -> list[Reason]:
-    """Return all reasons against a parsed bundle; an empty list: it can be activated here."""
+    """Return all reasons against activating a parsed bundle at this gateway; empty if there are none."""
     found: list[Reason] = []
     if min_build > running.build:
-        found.append(BuildTooOldError("needs", f"build {min_build}; this is {running.build}"))
+        found.append(BuildTooOldError("needs", f"build {min_build}; this gateway has build {running.build}"))
     try:
         settings = overlay.apply(bundle, running.settings)
         found += _restart_errors(bundle, running, settings)
@@ -62,24 +62,26 @@
     route_bytes, max_bytes = len(bundle.routes) * ROUTE_BYTES, running.memory * MEMORY_SHARE
     if running.memory and route_bytes > max_bytes:
         found.append(
-            MemoryLimitError("routes", f"{route_bytes} bytes for {len(bundle.routes)}; allowed: {max_bytes:.0f}")
+            MemoryLimitError(
+                "routes", f"{route_bytes} bytes for {len(bundle.routes)} routes; allowed: {max_bytes:.0f} bytes"
+            )
         )
     return found + _route_errors(bundle, running)
 
 
 def _restart_errors(bundle: Bundle, running: Running, settings: interface.Settings) -> list[Reason]:
-    """Return reasons that need a restart: levels and gossip use the settings of their start."""
+    """Return the changes that need a restart: running levels and gossip keep the settings that they started with."""
     found: list[Reason] = []
     if bundle.levels and running.levels:
-        found.append(RestartRequiredError("levels", "this gateway's operators' file has a section levels of its own"))
+        found.append(RestartRequiredError("levels", "this gateway's operators' file has its own section levels"))
     try:
         before = overlay.apply(running.active or bundles.EMPTY, running.settings)
-    except RulesError:  # the platform's settings have changed since: what is in force here is theirs
+    except RulesError:  # the platform's settings changed since, and the active bundle no longer fits them
         before = running.settings
     if settings != before:
         for name, is_on in (("gossip", running.gossip), ("levels", running.levels)):
             if is_on:
-                found.append(RestartRequiredError("the settings", f"they change, and the section {name} is on here"))
+                found.append(RestartRequiredError("the settings", f"changed while the section {name} is on here"))
     return found
 
 
@@ -94,7 +96,10 @@
 
 
 def _route_errors(bundle: Bundle, running: Running) -> list[Reason]:
-    """Return routes that no engine could serve; only changed ones, so that another site's fault blocks no change."""
+    """Return errors of changed routes that no engine could serve.
+
+    Unchanged routes are skipped, so that the failure of one site blocks no change of others.
+    """
     found: list[Reason] = []
     known = set(running.settings.zones)
     changed = changed_groups(bundles.table(running.active or bundles.EMPTY), bundles.table(bundle))
@@ -104,11 +109,14 @@
         where, sites = f"routes[{place}].sites", ", ".join(route.sites[:8])
         if not known & set(route.sites):
             found.append(
-                UnknownSiteError(where, f"{sites}: none is known here; allowed: {', '.join(sorted(known)[:20])}")
+                UnknownSiteError(
+                    where,
+                    f"{sites}: none is a site of the platform's settings; allowed: {', '.join(sorted(known)[:20])}",
+                )
             )
         elif running.sites is not None and not running.sites & set(route.sites):
             listed = ", ".join(sorted(running.sites)[:20]) or "none"
-            found.append(UnknownSiteError(where, f"{sites}: without engines; sites with engines: {listed}"))
+            found.append(UnknownSiteError(where, f"{sites}: sites without engines; sites with engines: {listed}"))
         if len(found) == MAX_REPORTED_ROUTES:
             break
     return found
--- a/tealwing/rules/coverage.py
+++ b/tealwing/rules/coverage.py
@@ -1,6 +1,6 @@
 """Coverage of a change: whether any member may still decide under the old version; pure.
 
-A member is covered once it has closed in its present start, or once its permits have surely expired.
+A member is covered once it has closed in its present start, or once its permits are confirmed to have expired.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from tealwing.rules.records import Member, Phase, Version
 from tealwing.rules.registry_state import Tables, in_flight, members, set_phase
 
-MIN_CONFIRMATIONS = 2  # members whose clocks must confirm an expiry, where there are so many
+MIN_CONFIRMATIONS = 2  # members whose clocks must confirm an expiry, if the fleet has as many other members
 
 
 def uncovered(tables: Tables, number: int) -> list[str]:
@@ -24,17 +24,17 @@
 
 
 def confirmations_needed(tables: Tables, name: str) -> int:
-    """Return how many members must confirm this member's expiry: a single stepped clock must not decide it.
+    """Return how many members must confirm this member's expiry, so that no single wrong clock decides it.
 
-    Others whose own expiry is unconfirmed count too: else a leader with a wrong clock could expire all but itself and
-    be the only one left to ask.
+    Members whose own expiry is unconfirmed count too: otherwise a leader with a wrong clock could expire all other
+    members and remain the only one to confirm.
     """
     others = sum(1 for other, member in members(tables).items() if other != name and not _is_expired(member))
     return max(1, min(MIN_CONFIRMATIONS, others))
 
 
 def unanswered(tables: Tables, found: Version) -> list[str]:
-    """Return the names of the members without a verdict in their present start; expired members are not asked."""
+    """Return the names of the members without a verdict in their present start; expired members need none."""
     return sorted(
         name
         for name, member in members(tables).items()
@@ -43,7 +43,7 @@
 
 
 def update_phase(tables: Tables, index: int) -> None:
-    """Set the phase of the version in flight from its members' reports; call it after any of them has changed."""
+    """Set the phase of the version in flight from the members' reports; call it after any report has changed."""
     found = in_flight(tables)
     if found is None:
         return
--- a/tealwing/rules/levels_section.py
+++ b/tealwing/rules/levels_section.py
@@ -1,6 +1,6 @@
 """Parse the service levels of a bundle: a section in the grammar of the operators' file; pure.
 
-It may not include files, as those could differ between gateways.
+The section may not include files, as those could differ between gateways.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 
 def parse_levels(text: str) -> Plan:
-    """Parse the section's name and the lines indented below it. Raises InvalidLevelsError for the first fault."""
+    """Parse the line `levels` and the lines indented below it. Raises InvalidLevelsError for the first fault."""
     report = Report()
     tops = _nested(text, report)
     _raise_first_problem(report)
     if len(tops) != 1 or tops[0].name != SECTION.name or tops[0].arguments:
         raise InvalidLevelsError(
-            f"{FILE}:1", f"{len(tops)} lines at the margin; allowed: the line `levels`, the rest below it"
+            f"{FILE}:1", f"{len(tops)} top-level lines; allowed: only `levels`, with the rest indented below it"
         )
     block = check(SECTION.specs, tops[0].children, tops[0].place, SECTION.name, report)
     _raise_first_problem(report)
@@ -31,9 +31,9 @@
 
 
 def _nested(text: str, report: Report) -> list[Directive]:
-    """Return the top-level lines with the indented ones as their children."""
+    """Return the top-level lines with the lines indented below them as their children."""
     top: list[Directive] = []
-    outer: list[Directive] = []  # by depth
+    outer: list[Directive] = []  # the enclosing lines, by depth
     for number, raw in enumerate(text.splitlines(), 1):
         found = parse_line(raw, Place(FILE, number))
         if found is None:
--- a/tealwing/rules/overlay.py
+++ b/tealwing/rules/overlay.py
@@ -14,22 +14,22 @@
     """Return the settings with a bundle's overrides. Raises UnknownNameError or PlatformLimitError."""
     for name in bundle.classes:
         if all(cls.name != name for cls in settings.classes):
-            _unknown(f"classes.{name}", "class", [cls.name for cls in settings.classes])
+            _raise_unknown(f"classes.{name}", "class", [cls.name for cls in settings.classes])
     for name in bundle.tenants:
-        if all(account.name != name for account in settings.tenant_quotas):
-            _unknown(f"tenants.{name}", "account", [account.name for account in settings.tenant_quotas])
+        if all(quota.name != name for quota in settings.tenant_quotas):
+            _raise_unknown(f"tenants.{name}", "tenant", [quota.name for quota in settings.tenant_quotas])
     limits, max_attempts = settings.limits, bundle.attempts.max_attempts
     if max_attempts is not None and max_attempts > limits.max_attempts:
         raise PlatformLimitError("attempts.most", f"{max_attempts}; allowed: 1 to {limits.max_attempts}")
     return replace(
         settings,
-        classes=tuple(_class(cls, bundle) for cls in settings.classes),
-        tenant_quotas=tuple(_account(account, bundle) for account in settings.tenant_quotas),
+        classes=tuple(_override_class(cls, bundle) for cls in settings.classes),
+        tenant_quotas=tuple(_override_quota(quota, bundle) for quota in settings.tenant_quotas),
         limits=limits if max_attempts is None else replace(limits, max_attempts=max_attempts),
     )
 
 
-def _class(cls: interface.RequestClass, bundle: Bundle) -> interface.RequestClass:
+def _override_class(cls: interface.RequestClass, bundle: Bundle) -> interface.RequestClass:
     override = bundle.classes.get(cls.name)
     if override is None:
         return cls
@@ -44,11 +44,11 @@
     )
 
 
-def _account(account: interface.TenantQuota, bundle: Bundle) -> interface.TenantQuota:
-    override = bundle.tenants.get(account.name)
-    return account if override is None or override.share is None else replace(account, share=override.share)
+def _override_quota(quota: interface.TenantQuota, bundle: Bundle) -> interface.TenantQuota:
+    override = bundle.tenants.get(quota.name)
+    return quota if override is None or override.share is None else replace(quota, share=override.share)
 
 
-def _unknown(where: str, what: str, known: list[str]) -> NoReturn:
+def _raise_unknown(where: str, what: str, known: list[str]) -> NoReturn:
     shown = ", ".join(known[:20]) + (f" and {len(known) - 20} more" if len(known) > 20 else "")
-    raise UnknownNameError(where, f"no such {what}; allowed: {shown or 'none: the platform tells none'}")
+    raise UnknownNameError(where, f"no such {what}; allowed: {shown or 'none, as the platform lists none'}")
--- a/tealwing/rules/records.py
+++ b/tealwing/rules/records.py
@@ -28,7 +28,7 @@
 
 
 class Propose(Record, tag="rules.propose", frozen=True):
-    """Propose a version with that parent; number 0: the next one, else the federation's number."""
+    """Propose a version made from `parent`; number: as the federation assigned it, 0: the registry assigns the next."""
 
     parent: UnsignedInt63
     digest: Name  # digest() of the text
@@ -38,11 +38,11 @@
     reason: Text = ""
     number: UnsignedInt63 = 0
     federated: bool = False  # its outcome is decided in the federation's log
-    min_build: UnsignedInt63 = 1  # that can activate it
+    min_build: UnsignedInt63 = 1  # lowest build that can activate it
 
 
 class Verdict(Record, tag="rules.verdict", frozen=True):
-    """A member's verdict on a proposed version, from that start of the member."""
+    """A member's verdict on a proposed version, given in one start of the member."""
 
     number: UnsignedInt63
     member: Name
@@ -52,13 +52,13 @@
 
 
 class Close(Record, tag="rules.close", frozen=True):
-    """Start the close phase: members stop deciding affected requests as they apply this."""
+    """Start the close phase: each member stops deciding affected requests as it applies this command."""
 
     number: UnsignedInt63
 
 
 class Closed(Record, tag="rules.closed", frozen=True):
-    """A member has closed in that start and has persisted that."""
+    """Report that a member has closed in its present start, and has persisted its marker."""
 
     number: UnsignedInt63
     member: Name
@@ -72,10 +72,10 @@
 
 
 class Activate(Record, tag="rules.activate", frozen=True):
-    """Put a version in force; rejected if it is not covered."""
+    """Put a version in force; rejected unless every member is covered."""
 
     number: UnsignedInt63
-    federation_index: UnsignedInt63 = 0  # of a federated version: the index in the federation's log
+    federation_index: UnsignedInt63 = 0  # of a federated version: index of the deciding entry in the federation's log
 
 
 class Abort(Record, tag="rules.abort", frozen=True):
@@ -95,9 +95,10 @@
 
 
 class Begin(Record, tag="rules.begin", frozen=True):
-    """Register a member's present start, and the member with it.
+    """Register a member's present start, and the member if it is new.
 
-    It names the start that it replaces, so that a late one of an ended process can't replace its successor's.
+    The command names the start that it replaces, so that a delayed one of an ended process can't replace the start of
+    its successor.
     """
 
     member: Name
@@ -105,18 +106,18 @@
     partition_mode: PartitionMode
     build: UnsignedInt63 = 1
     permit: UnsignedInt63 = 0  # ms that its permits last (hold)
-    replaces: UnsignedInt63 = 0  # the start in the table; 0: none
+    replaces: UnsignedInt63 = 0  # the member's start in the table; 0: none
 
 
 class ExpirePermit(Record, tag="rules.lapse", frozen=True):
-    """Give no more permits of that start (hold only)."""
+    """Expire a member's permits: give no more for that start (`hold` only)."""
 
     member: Name
     start: UnsignedInt63
 
 
 class ConfirmExpiry(Record, tag="rules.witness", frozen=True):
-    """By a member's own clock, all permits given before an ExpirePermit must have expired."""
+    """Confirm an expiry: by another member's clock, all permits given before an ExpirePermit have expired."""
 
     member: Name
     expiry_index: UnsignedInt63  # index of the ExpirePermit
@@ -159,7 +160,7 @@
     ExpirePermit: "lapse",
     ConfirmExpiry: "witness",
     Forget: "forget",
-}  # as log events name a command
+}  # names of the commands in log events
 
 
 # Stored records
@@ -201,17 +202,17 @@
     build: UnsignedInt63 = 1
     permit: UnsignedInt63 = 0  # ms
     begin_index: UnsignedInt63 = 0  # index of its Begin
-    closed_for: UnsignedInt63 = 0  # number of the version, in this start
+    closed_for: UnsignedInt63 = 0  # number of the version that it has closed for in this start; 0: none
     expiry_index: UnsignedInt63 = 0  # index of its ExpirePermit; 0: none
     confirmed_by: tuple[str, ...] = ()
-    expiry_confirmed: bool = False  # all permits given before have expired
-    leaving: bool = False  # removed once that is confirmed
+    expiry_confirmed: bool = False  # all permits given before that entry have expired
+    leaving: bool = False  # removed once its expiry is confirmed
 
 
 class Facts(Record, frozen=True):
     """Facts that concern all versions."""
 
-    last_number: UnsignedInt63 = 0  # assigned last
+    last_number: UnsignedInt63 = 0  # highest number assigned so far
     active_number: UnsignedInt63 = 0  # number of the version in force; 0: none yet
 
 
--- a/tealwing/rules/registry.py
+++ b/tealwing/rules/registry.py
@@ -1,8 +1,8 @@
 """The state machine of versions in the replicated log: applies each command to the three tables; pure.
 
 proposed -> checked -> preparing -> agreed -> active -> superseded; or rejected, aborted, withdrawn. A member that
-restarts may take checked back to proposed, and agreed back to preparing. Safety does not depend on the leader: every
-member rejects the activation of a version that is not covered (see coverage).
+restarts may return a version from checked to proposed, or from agreed to preparing. Safety does not depend on the
+leader: every member rejects the activation of a version that is not covered (see coverage).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def apply(tables: Tables, index: int, body: records.Body) -> CommandResult:
-    """Apply a command at its index of the log; the result says what was done, or why it was rejected."""
+    """Apply the command at a log index; the result says what was done, or why the command was rejected."""
     return _HANDLERS[type(body)](tables, index, body)
 
 
--- a/tealwing/rules/registry_state.py
+++ b/tealwing/rules/registry_state.py
@@ -11,9 +11,9 @@
 from tealwing.rules.records import FACTS_KEY, IN_FLIGHT, Facts, Member, Phase, Version
 
 Tables = dict[str, dict[str, Any]]
-MAX_VERSIONS = 32  # that the registry holds
+MAX_VERSIONS = 32  # kept in the registry
 _EPOCH = datetime(1970, 1, 1)
-_LAST_MS = 250_000_000_000_000  # of the calendar that datetime knows
+_LAST_MS = 250_000_000_000_000  # in the year 9892; datetime ends with 9999
 
 
 def facts(tables: Tables) -> Facts:
@@ -34,7 +34,7 @@
 
 
 def in_flight(tables: Tables) -> Version | None:
-    """Return the version whose outcome is open; there is at most one."""
+    """Return the version whose outcome is open, of which there is at most one; None without one."""
     return next((found for found in tables["rules"].values() if found.phase in IN_FLIGHT), None)
 
 
@@ -51,7 +51,7 @@
 def set_phase(
     tables: Tables, index: int, found: Version, phase: Phase, outcome: str = "", federation_index: int = 0
 ) -> None:
-    """Store a version in a new phase, which the entry at that index gave it."""
+    """Store a version in a new phase, set by the entry at `index`."""
     put(
         tables,
         replace(
@@ -83,7 +83,7 @@
 
 
 def trim(tables: Tables) -> None:
-    """Delete the oldest versions above the limit; never the active one, its parent (the way back) or one in flight."""
+    """Delete the oldest versions above the limit; never the active one, its parent (to roll back) or one in flight."""
     table: dict[str, Version] = tables["rules"]
     now = active(tables)
     protected = {now.number, now.parent} if now is not None else set()
--- a/tealwing/rules/transitions/closing.py
+++ b/tealwing/rules/transitions/closing.py
@@ -13,7 +13,7 @@
 
 
 def close(tables: Tables, index: int, body: Close) -> CommandResult:
-    """Start the close phase: each member closes as it applies this entry."""
+    """Start the close phase of a checked version: each member closes as it applies this entry."""
     found = registry_state.version(tables, body.number)
     if found is None or found.phase != "checked":
         return reject(index, _wrong_phase(body.number, found.phase if found else "unknown", "checked"), body.number)
@@ -23,7 +23,7 @@
 
 
 def closed(tables: Tables, index: int, body: Closed) -> CommandResult:
-    """Record that a member has closed and has persisted that."""
+    """Record that a member has closed for a version and has persisted its marker."""
     found = registry_state.version(tables, body.number)
     if found is None or found.phase not in ("preparing", "agreed"):
         return reject(index, _wrong_phase(body.number, found.phase if found else "unknown", "preparing"), body.number)
@@ -36,7 +36,7 @@
 
 
 def expire_permit(tables: Tables, index: int, body: ExpirePermit) -> CommandResult:
-    """Give no permit of that start after this entry; those given before expire."""
+    """Expire a member's permits: none is given for its start after this entry, and earlier ones run out."""
     member = registry_state.members(tables).get(body.member)
     if member is None or member.start != body.start or member.expiry_index:
         return reject(index, f"{body.member} has not begun in that start, or it has lapsed already")
@@ -50,7 +50,7 @@
 
 
 def confirm_expiry(tables: Tables, index: int, body: ConfirmExpiry) -> CommandResult:
-    """Record that permits have expired by another member's clock; two members must confirm, where there are two."""
+    """Record that a member's permits have expired by another member's clock; see coverage.confirmations_needed."""
     table = registry_state.members(tables)
     member, other = table.get(body.member), table.get(body.confirmed_by)
     if member is None or not member.expiry_index or member.expiry_index != body.expiry_index:
--- a/tealwing/rules/transitions/concluding.py
+++ b/tealwing/rules/transitions/concluding.py
@@ -1,4 +1,4 @@
-"""The outcome of a version: active, aborted or withdrawn; pure. The state checks each, whoever proposed it."""
+"""The outcome of a version: active, aborted or withdrawn; pure. Each is checked, whoever proposed it."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def activate(tables: Tables, index: int, body: Activate) -> CommandResult:
-    """Put a version in force; rejected while any member may still decide under the old one."""
+    """Put an agreed version in force; rejected while any member may still decide under an older one."""
     found = registry_state.version(tables, body.number)
     if found is None or found.phase != "agreed":
         return reject(index, f"version {body.number} is {found.phase if found else 'unknown'}, not agreed", body.number)
     missing = uncovered(tables, body.number)
-    check_invariant(not missing, "an agreed version is covered")
+    check_invariant(not missing, "every member is covered once a version is agreed")
     if missing:
         return reject(index, f"version {body.number} is not closed for at {', '.join(missing)}", body.number)
     if found.federated and not body.federation_index:
--- a/tealwing/rules/transitions/membership.py
+++ b/tealwing/rules/transitions/membership.py
@@ -14,15 +14,15 @@
 
 
 def begin(tables: Tables, index: int, body: Begin) -> CommandResult:
-    """Record a member's new start; reports of the previous start no longer count.
+    """Record a member's new start; reports of its previous start no longer count.
 
-    The member reports anew that it has closed, in both modes: this entry may be late and come from a process that has
+    In both modes the member must report again that it has closed: this entry may arrive late from a process that has
     ended, while its successor holds a permit given earlier.
     """
     table = registry_state.members(tables)
     before = table.get(body.member)
     present = before.start if before else 0
-    if before is not None and present == body.start:  # a duplicate
+    if before is not None and present == body.start:  # a duplicate command
         return (
             reject(index, "that start has lapsed: begin with another", present)
             if before.expiry_index
@@ -36,9 +36,8 @@
         return reject(index, f"{MAX_MEMBERS} members already; forget those that are gone")
     in_flight = registry_state.in_flight(tables)
     for found in (registry_state.active(tables), in_flight):
-        if (
-            found is not None and found.phase != "proposed" and found.min_build > body.build
-        ):  # it rejects a proposed one by its verdict
+        # a version that is only proposed is rejected by the member's verdict
+        if found is not None and found.phase != "proposed" and found.min_build > body.build:
             return reject(
                 index,
                 f"version {found.number} of the rules needs build {found.min_build}, and {body.member} is"
--- a/tealwing/rules/transitions/proposing.py
+++ b/tealwing/rules/transitions/proposing.py
@@ -12,7 +12,7 @@
 
 
 def propose(tables: Tables, index: int, body: Propose) -> CommandResult:
-    """Accept a new version; rejected if another is in flight or its parent is not the version in force."""
+    """Store a new version; rejected if another is in flight or its parent is not the version in force."""
     now = registry_state.facts(tables)
     if digest(body.text) != body.digest:
         return reject(index, f"the text's digest is not {body.digest}: it was changed on its way; propose it again")
@@ -56,9 +56,9 @@
 
 
 def _is_retried(tables: Tables, body: Propose) -> bool:
-    """Return whether this is a federation's version that a member here rejected: elsewhere it may be in force.
+    """Return whether this repeats a federated version that a member of this site rejected.
 
-    It is proposed again with the same text once that member can accept it.
+    Other sites may have it in force; it is proposed again with the same text until that member accepts it.
     """
     before = registry_state.version(tables, body.number)
     return (
@@ -71,7 +71,7 @@
 
 
 def verdict(tables: Tables, index: int, body: Verdict) -> CommandResult:
-    """Record a member's verdict: one rejection ends the version; once all accept, it is checked."""
+    """Record a member's verdict: one rejection ends the version; it is checked once all members accept."""
     found = registry_state.version(tables, body.number)
     if found is None:
         return reject(index, f"there is no version {body.number}")
--- a/tealwing/rules/typed.py
+++ b/tealwing/rules/typed.py
@@ -33,7 +33,7 @@
 
 
 def _convert(kind: Any, data: Any, where: str) -> Any:
-    if get_origin(kind) in (Union, UnionType):  # an optional key
+    if get_origin(kind) in (Union, UnionType):  # an optional key: its type without None
         kind = get_args(kind)[0]
     bare, max_length = kind, None
     if get_origin(kind) is Annotated:
@@ -53,7 +53,7 @@
             raise InvalidValueError(where, f"{_format_value(data)}; allowed: a list")
         _check_length(data, max_length, where)
         try:
-            return msgspec.convert(data, kind)  # lists can be long and are traversed only to locate a fault
+            return msgspec.convert(data, kind)  # a list can be long: it is traversed only to locate a fault
         except msgspec.ValidationError:
             pass
         return tuple(_convert(get_args(bare)[0], value, f"{where}[{place}]") for place, value in enumerate(data))
@@ -78,7 +78,7 @@
 
 def _check_length(found: Any, max_length: int | None, where: str) -> None:
     if max_length is not None and len(found) > max_length:
-        raise TooLargeError(where, f"{len(found)} of them; allowed: {max_length}")
+        raise TooLargeError(where, f"{len(found)} entries; allowed: {max_length}")
 
 
 def _describe_allowed(kind: inspect.Type) -> str:
@@ -92,7 +92,7 @@
             return " or ".join(map(str, kind.values))
         case inspect.StrType():
             return f"text of {kind.min_length or 0} to {kind.max_length} characters"
-    return "another kind of value"
+    return "a value of another type"
 
 
 def _child_path(where: str, key: str) -> str:
--- a/tests/test_rules_bundle.py
+++ b/tests/test_rules_bundle.py
@@ -103,10 +103,10 @@
             "rutes: no such key; allowed: levels, attempts, classes, tenants, routes",
         ),
         ("a = ", errors.TomlError, "(at end of document)"),
-        ("a = " + "[" * 100_000, errors.TomlError, "too many brackets"),
+        ("a = " + "[" * 100_000, errors.TomlError, "too many nested brackets"),
         ("a = " + "9" * 5000, errors.TomlError, "digits"),
         ("levels = 'levels'", errors.InvalidLevelsError, "levels:1: levels: found no level"),
-        ("levels = 'include x'", errors.InvalidLevelsError, "the line `levels`, the rest below it"),
+        ("levels = 'include x'", errors.InvalidLevelsError, "only `levels`, with the rest indented below it"),
         (
             "levels = '''levels\n  window 9d'''",
             errors.InvalidLevelsError,
