--- a/tealwing/rules/errors.py
+++ b/tealwing/rules/errors.py
@@ -8,7 +8,7 @@
 class RulesError(ValueError):
     """Base class: `place` is the key, `finding` says what was found there and what is allowed."""
 
-    remedy: ClassVar[str] = "look at what it names, mend that, and propose the bundle anew"
+    remedy: ClassVar[str] = "correct the named key and propose the bundle again"
 
     def __init__(self, where: str, what: str) -> None:
         super().__init__(f"{where}: {what}; {self.remedy}")
@@ -22,37 +22,37 @@
 class TooLargeError(BundleError):
     """Something exceeds its maximum size."""
 
-    remedy = "take out what is not used any more, and join ranges of groups that have the same sites"
+    remedy = "remove what is no longer used, and join ranges of groups that have the same sites"
 
 
 class TomlError(BundleError):
     """The text is not TOML in UTF-8."""
 
-    remedy = "mend the file at the place that is named; any checker of TOML 1.0 shows the same"
+    remedy = "correct the file at the named place; any TOML 1.0 checker shows the same fault"
 
 
 class UnknownKeyError(BundleError):
     """A key is unknown, or a required one is missing."""
 
-    remedy = "write the key as docs/operating/rules.md has it, or leave it out"
+    remedy = "spell the key as in docs/operating/rules.md, or leave it out"
 
 
 class InvalidValueError(BundleError):
     """A value has the wrong type or is out of range."""
 
-    remedy = "give a value within what is allowed, in the unit that the key's name ends with"
+    remedy = "give an allowed value, in the unit that the key's name ends with"
 
 
 class InvalidLevelsError(BundleError):
     """The section of service levels is invalid."""
 
-    remedy = "mend the line; `tealwing check` on a file with the same section tells all of them"
+    remedy = "correct the line; `tealwing check` on a file with the same section reports all faults"
 
 
 class InvalidRoutesError(BundleError):
     """Routes overlap or are invalid."""
 
-    remedy = "mend the route that is named, so that each group of tables stands in one route at most"
+    remedy = "correct the named route, so that each table group is in one route at most"
 
 
 class IncompatibleError(RulesError):
@@ -62,7 +62,7 @@
 class UnknownNameError(IncompatibleError):
     """The platform's settings have no class, tenant or level of that name."""
 
-    remedy = "name what the platform's settings have, or have the platform's settings changed first"
+    remedy = "use a name from the platform's settings, or have those changed first"
 
 
 class PlatformLimitError(IncompatibleError):
@@ -80,7 +80,7 @@
 class RestartRequiredError(IncompatibleError):
     """A running gateway can't apply the change."""
 
-    remedy = "take that section out of this gateway's operators' file and start it again, then propose anew"
+    remedy = "remove that section from this gateway's operators' file and restart the gateway, then propose again"
 
 
 class MemoryLimitError(IncompatibleError):
@@ -92,4 +92,4 @@
 class BuildTooOldError(IncompatibleError):
     """The version needs a newer build."""
 
-    remedy = "install the newer build at this gateway and start it again, then propose anew"
+    remedy = "install the newer build at this gateway and restart it, then propose again"
