--- a/tealwing/rollout/admission/gate.py
+++ b/tealwing/rollout/admission/gate.py
@@ -1,7 +1,7 @@
-"""Admission gate before the decisions: open, closed for the requests that a change affects, or shut.
+"""Admission gate in front of the decision module: open, closed for the requests that a change affects, or shut.
 
-It has no thread. Admission through the open gate takes no lock: it reads single attributes, and a request that has read
-them began before their next change.
+The gate has no thread. Admission through the open gate takes no lock: it reads single attributes, and a request that
+has read them began before their next change. Denial reasons also name a metric of readiness: keep their wording.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GateMetrics:
-    """Counts of requests held so far, rejected, and waiting now; the longest wait in s."""
+    """Counts of requests held and rejected so far, and waiting now; the longest wait in s."""
 
     held: int
     rejected: int
@@ -58,12 +58,12 @@
 
 
 class Gate:
-    """One gateway's gate, initially shut. Thread-safe; only `admit` blocks."""
+    """The gate of one gateway, initially shut. Thread-safe; only `admit` blocks."""
 
     def __init__(self, queue: int, pushback: float, clock: Callable[[], float] = time.monotonic, seed: int = 0) -> None:
-        """Limit waiting requests to queue; others are rejected with a Retry-After around pushback (s).
+        """Limit the waiting requests to `queue`; others are rejected with a Retry-After of about `pushback` s.
 
-        clock measures only the permit; waits use time.monotonic.
+        `clock` measures only the permit; waits use time.monotonic.
         """
         self._queue, self._pushback, self._clock, self._random = queue, pushback, clock, Random(seed)
         self._changed = threading.Condition(threading.Lock())
@@ -74,15 +74,15 @@
         self._max_wait = 0.0
 
     def open(self) -> None:
-        """Admit all requests while the permit is valid, waiting ones too."""
+        """Admit all requests while the permit is valid, including those that wait."""
         self._set(_Open())
 
     def close(self, affected: RequestFilter) -> None:
-        """Hold affected requests from now on; others pass. Does not block."""
+        """Hold affected requests from now on, and admit others. Does not block."""
         self._set(_Closed(affected))
 
     def shut(self, reason: str, pushback: float | None = None) -> None:
-        """Reject all requests, waiting ones too; pushback in s, None: the default."""
+        """Reject all requests, including those that wait; pushback in s, None: the default."""
         self._set(_Shut(reason, self._pushback if pushback is None else pushback))
 
     def permit(self, until: float) -> None:
@@ -146,13 +146,13 @@
         with self._changed:
             if self._waiting >= self._queue:
                 self._rejected += 1
-                return self._reject(self._pushback, "too many requests wait for the change")
+                return self._reject(self._pushback, "too many requests are waiting for the change")
             self._waiting, self._held = self._waiting + 1, self._held + 1
             try:
                 while (found := self._decide(cls, tenant, group, ADMITTED_AFTER_WAIT)) is None:
                     left = until - time.monotonic()
                     if left <= 0:
-                        found = self._reject(self._pushback, "the change took longer than the request had time")
+                        found = self._reject(self._pushback, "the change took longer than the request could wait")
                         break
                     self._changed.wait(left)
             finally:
--- a/tealwing/rollout/admission/gate_control.py
+++ b/tealwing/rollout/admission/gate_control.py
@@ -1,4 +1,7 @@
-"""Control of the gate: it follows the state machine, and opens only once the version is active locally."""
+"""Control of the gate, which follows the state machine and opens only once the version is active at this gateway.
+
+The reasons of `current` also name a metric of readiness: keep their wording.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class AllRequests:
-    """Filter of a change whose affected requests are unknown."""
+    """Filter for a change whose affected requests are unknown: all."""
 
     def includes(self, cls: str, tenant: str, group: int) -> bool:
         """Return True."""
@@ -27,31 +30,30 @@
     """What the rollout needs of a gateway; texts are bundles, empty if no version is active."""
 
     def faults(self, text: bytes) -> list[str]:
-        """Return the faults of a bundle at any gateway."""
+        """Return the faults that make a bundle invalid at every gateway."""
 
     def verdict(self, before: bytes, text: bytes, min_build: int) -> tuple[bool, str]:
-        """Return whether this gateway can activate the text after the one before, and why not."""
+        """Return whether this gateway can replace the bundle `before` by `text`, and the reasons if not."""
 
     def affected_requests(self, before: bytes, after: bytes) -> gates.RequestFilter:
         """Return the requests that a change affects."""
 
     def put_in_force(self, number: int, text: bytes) -> None:
-        """Decide new requests under it. Raises ValueError, with nothing changed, if that is impossible."""
+        """Decide new requests under a version. Raises ValueError, with nothing changed, if it does not fit here."""
 
 
 class GateControl:
-    """Applies gate states; called under the runtime's lock on any thread, and never blocks."""
+    """Applies the machine's gate states; called under the runtime's lock on any thread, and never blocks."""
 
     def __init__(self, gate: gates.Gate, partition_mode: PartitionMode) -> None:
         self.gate, self._holds = gate, partition_mode == "hold"
-        self.in_force = 0  # number of the locally active version; 0: the configuration
-        self.followed: GateState | None = None  # the last gate state
-        self.unusable = ""  # why the wanted version can't be activated here
+        self.in_force = 0  # number of the version active at this gateway; 0: the configured settings
+        self.followed: GateState | None = None  # the gate state applied last
+        self.unusable = ""  # why the version to activate can't be activated at this gateway
         self._state: tuple[object, ...] = ()
-        self._closed: tuple[int, float] | None = None  # the change whose outcome is open, and since when
-        self._affected: dict[
-            tuple[int, int], gates.RequestFilter
-        ] = {}  # by versions before and after; of the one in flight
+        self._closed: tuple[int, float] | None = None  # the version that the gate is closed for, and since when
+        # affected requests of the change in flight, by the versions before and after it
+        self._affected: dict[tuple[int, int], gates.RequestFilter] = {}
 
     @property
     def is_open(self) -> bool:
@@ -69,7 +71,7 @@
 
     @property
     def closed_for(self) -> float:
-        """Seconds since it closed for an open outcome; 0 if it has not."""
+        """Seconds since the gate closed for a version whose outcome is open; 0 if there is none."""
         return time.monotonic() - self._closed[1] if self._closed else 0.0
 
     def knows_affected(self, before: int, after: int) -> bool:
@@ -91,12 +93,12 @@
             self._set(("shut", target.reason), lambda: self.gate.shut(target.reason))
         elif target.number != self.in_force and self.unusable:
             self._set(("shut", self.unusable), lambda: self.gate.shut(self.unusable))
-        elif target.number != self.in_force:  # requests wait until it is active
+        elif target.number != self.in_force:  # requests wait until the version is active
             self._set(("closed", ALL_REQUESTS), lambda: self.gate.close(ALL_REQUESTS))
         elif target.mode == "closed":
             affected = self._affected.get((target.number, target.closing), ALL_REQUESTS)
             self._set(("closed", affected), lambda: self.gate.close(affected))
-            self.gate.permit(target.until)  # only after it has closed
+            self.gate.permit(target.until)  # only after the gate has closed
         else:
             if not target.closing:
                 self._log_opened(phase)
--- a/tealwing/rollout/agent/__init__.py
+++ b/tealwing/rollout/agent/__init__.py
@@ -1,1 +1,1 @@
-"""Decide what one gateway does in a rollout; pure. Read view, actions, retry, permit, then machine."""
+"""What one gateway does in a rollout; pure. Read view, actions, retry, permit, then machine."""
--- a/tealwing/rollout/agent/actions.py
+++ b/tealwing/rollout/agent/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a member's state machine requests of the runtime; pure."""
+"""Actions that a member's state machine requests of the runtime, and the gate state that it sets; pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tealwing.rules.records import Body
 
 Mode = Literal["open", "closed", "shut"]
-# the mark of `hold`: no version's outcome is known, so that nothing of this disk is served from
+# the marker in mode `hold`: it names no version, so that nothing is decided from this disk before the log is read
 HOLD_MARKER = 2**63 - 1
 FOREVER = float("inf")
 
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """The machine has taken this new start number."""
+    """Report that the machine has taken a new start number."""
 
     start: int
 
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadToken:
-    """A read that was sent: when by the local clock, in which start, of which log."""
+    """A read that was sent: when by the local clock, in which start of the member, and to which log."""
 
     serial: int
     sent_at: float
@@ -63,10 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GateState:
-    """Which requests may be decided here now."""
+    """Which requests this gateway may decide now."""
 
-    mode: Mode  # closed: none that the change to `closing` affects; shut: none
+    mode: Mode  # closed: all but those that the version `closing` affects; shut: none
     number: int  # the version under which requests are decided
     closing: int = 0  # 0: none
     reason: str = ""  # for readiness; empty when open
-    until: float = FOREVER  # by the local clock: invalid from then on
+    until: float = FOREVER  # by the local clock: the state is invalid from then on
--- a/tealwing/rollout/agent/machine.py
+++ b/tealwing/rollout/agent/machine.py
@@ -1,8 +1,9 @@
-"""State machine of one gateway in a rollout: when it may decide, and under which version; pure.
+"""State machine of one gateway in a rollout: when it may decide requests, and under which version; pure.
 
-It closes as it applies `Close`, reports that once the marker is on disk, and opens only on a known outcome. In mode
-`serve` its disk suffices at a start; in mode `hold` it decides nothing until its Begin is applied here and a permit
-shows that the fleet has not gone on without it. The proof is in docs/rules.md.
+The member closes as it applies `Close`, reports that once the marker is on disk, and opens only on a known outcome. In
+mode `serve` its disk suffices at a start; in mode `hold` it decides nothing until its Begin is applied here and a
+permit shows that the fleet has not gone on without it. The proof is in docs/rules.md. The reasons of gate states also
+name a metric of readiness: keep their wording.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class Machine:
-    """Called by the runtime after every applied entry and on a tick; it never blocks."""
+    """The state machine; the runtime steps it after every applied entry and on a tick, and it never blocks."""
 
     def __init__(  # noqa: PLR0913 -- facts known before the start; callers name them
         self, name: str, partition_mode: PartitionMode, start: int, permit: float = 2.0,
@@ -40,11 +41,11 @@
         sabotage: frozenset[str] = frozenset(), disk: View | None = None, federated: bool = False,
         disk_federated: FederatedView | None = None, peers: int = 0,
     ) -> None:  # fmt: skip
-        """Set the state from disk; permit is in s, marker the number on disk (0: none).
+        """Set the state from disk; permit is in s, marker is the number on disk (0: none).
 
-        disk is the view of the local state at the start, before any entry came from others; None, or one without this
-        member, proves nothing. peers is the number of members in the section `peers`, as the log is not known yet.
-        federated: this site is part of a federation, and disk_federated the view of its log on this disk.
+        disk is the view of the local state at the start, before any entry came from others; None, or a view without
+        this member, proves nothing. peers is the number of members in the section `peers`, as the log is not known yet.
+        federated: this site is part of a federation, and disk_federated is the view of its log on this disk.
         """
         self.name, self.partition_mode, self.start, self.marker = name, partition_mode, start, marker
         self._permit, self._build, self._sabotage, self._federated = permit, build, sabotage, federated
@@ -89,22 +90,22 @@
         return ReadToken(self._serial, now, self.start, federation)
 
     def read_completed(self, now: float, token: ReadToken, index: int) -> None:
-        """Record a read's index: all that was committed when it was sent lies at or before it."""
+        """Record the index that a read returned: all that was committed when the read was sent is at or before it."""
         (self._federation_permit if token.federation else self._site_permit).read_completed(token, index)
         self._apply_reads()
 
     def read_would_extend(self, federation: bool = False) -> bool:
-        """Return whether a read of that log could extend its permit, for the model check."""
+        """Return whether a read of a log could extend its permit, for the model check."""
         return (self._federation_permit if federation else self._site_permit).until < FOREVER
 
     def read_failed(self, now: float, token: ReadToken) -> None:
-        """Record that a read got no answer."""
+        """Record that a read got no answer, and schedule another."""
         (self._federation_permit if token.federation else self._site_permit).read_failed(
             now, min(MAX_BACKOFF, 0.1 * self._permit)
         )
 
     def clone(self) -> Machine:
-        """Return an independent copy that shares the retries, for the model check."""
+        """Return an independent copy, except that it shares the retries, for the model check."""
         twin = copy.copy(self)
         twin._site_permit = self._site_permit.clone()  # noqa: SLF001 -- a copy of its own class
         twin._federation_permit = self._federation_permit.clone()  # noqa: SLF001
@@ -127,7 +128,7 @@
     # Actions
 
     def step(self, now: float, view: View, federated: FederatedView | None = None) -> list[Action]:
-        """Return the actions that are due at that state."""
+        """Apply a view of the log, and of the federation's, and return the actions that are due."""
         self._view, self._federated_view = view, federated or self._federated_view
         found: list[Action] = []
         me, renewed = view.local_member, False
@@ -149,7 +150,7 @@
     def _pending_actions(self, view: View) -> list[tuple[Hashable, Action]]:
         me, holds = view.local_member, self.partition_mode == "hold"
         if holds and self.marker != HOLD_MARKER:
-            # before the log may have this member as `hold`: started as `serve` later, it must not trust its disk
+            # before the log can show this member as `hold`: if it starts as `serve` later, it must not trust its disk
             return [("mark", PersistMarker(HOLD_MARKER))]
         if me is None or me.start != self.start or me.partition_mode != self.partition_mode:
             replaces = me.start if me is not None else 0
@@ -222,7 +223,7 @@
     # Admission
 
     def gate_state(self, now: float) -> GateState:
-        """Return what may be decided now; call it again after every step, and once `until` has passed."""
+        """Return which requests may be decided now; call it again after every step, and once `until` has passed."""
         view = self._view
         if view is None:
             return GateState("shut", 0, 0, "nothing is known yet of the versions of the rules")
@@ -247,7 +248,7 @@
         )
 
     def _denial(self, now: float, view: View) -> tuple[str, float]:
-        """Return why nothing may be decided (empty: it may), and until when that is valid."""
+        """Return why no request may be decided (empty if some may), and until when that is valid."""
         if "start-from-disk" in self._sabotage and self._from_disk and self.partition_mode == "hold":
             return "", FOREVER
         me, until = view.local_member, self._site_permit.until
--- a/tealwing/rollout/agent/permit.py
+++ b/tealwing/rollout/agent/permit.py
@@ -1,4 +1,4 @@
-"""Permit from reads of a log: for `hold` it expires, for `serve` it only shows that the member has caught up; pure."""
+"""Permit from reads of a log: in `hold` it expires, in `serve` it only shows that the member has caught up; pure."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from tealwing.rollout.agent.actions import FOREVER, ReadToken
 from tealwing.rollout.agent.view import View
 
-READ_LOST_AFTER = 5.0  # s without an answer
+READ_LOST_AFTER = 5.0  # s without an answer, after which a read counts as lost
 
 
 class Permit:
-    """Reads of one log, and until when the last one is valid."""
+    """The permit that reads of one log give, and until when it is valid."""
 
     def __init__(self, duration: float, bounds: LeaseBounds, expires: bool) -> None:
-        """Duration is in s; without expires one successful read is valid forever."""
+        """Duration is in s; unless it expires, one successful read makes the permit valid forever."""
         self._duration, self._bounds, self._expires = duration, bounds, expires
         self.until = 0.0  # by the local clock
         self._renew_at = 0.0
         self._requested_at: float | None = None  # time of the outstanding read
-        self._pending: list[tuple[ReadToken, int]] = []  # answered, index not yet applied here
+        self._pending: list[tuple[ReadToken, int]] = []  # answered reads whose index is not yet applied here
 
     def valid(self, now: float) -> bool:
         """Return whether the permit is valid now."""
         return now < self.until
 
     def grant_forever(self) -> None:
-        """Make it valid forever, without a read."""
+        """Make the permit valid forever, without a read."""
         self.until = self._renew_at = FOREVER
 
     def should_read(self, now: float) -> bool:
@@ -43,21 +43,24 @@
         return True
 
     def read_completed(self, token: ReadToken, index: int) -> None:
-        """Record a read's index."""
+        """Record the index that a read returned."""
         self._requested_at = None
         self._pending.append((token, index))
         del self._pending[:-4]
 
     def read_failed(self, now: float, wait: float) -> None:
-        """Schedule another read after a wait in s."""
+        """Schedule another read after `wait` s."""
         self._requested_at, self._renew_at = None, now + wait
 
-    def apply_reads(self, view: View, start: int, duration: float, member: int) -> None:
-        """Use reads whose index is applied; member is the unexpired start that the table must show for this member."""
+    def apply_reads(self, view: View, start: int, duration: float, registered_start: int) -> None:
+        """Extend the permit by the reads of `start` whose index is applied.
+
+        The table must show registered_start as the start of the local member, and its permits as not expired.
+        """
         for token, index in [pair for pair in self._pending if pair[1] <= view.index]:
             self._pending.remove((token, index))
             me = view.local_member
-            if token.start != start or me is None or me.expiry_index or me.start != member:
+            if token.start != start or me is None or me.expiry_index or me.start != registered_start:
                 continue
             until = token.sent_at + self._bounds.holder_duration(min(duration, self._duration))
             if not self._expires:
@@ -66,7 +69,7 @@
                 self.until, self._renew_at = until, token.sent_at + RENEW_FRACTION * min(duration, self._duration)
 
     def revoke(self) -> None:
-        """Invalidate all earlier reads."""
+        """End the permit, and discard all earlier reads."""
         self.until, self._renew_at, self._requested_at = 0.0, 0.0, None
         self._pending.clear()
 
--- a/tealwing/rollout/agent/retry.py
+++ b/tealwing/rollout/agent/retry.py
@@ -6,23 +6,20 @@
 
 from tealwing.coordinator.backoff import Backoff
 
-MIN_BACKOFF, MAX_BACKOFF = (
-    0.1,
-    1.0,
-)  # s; above the time in which 200 members' reports get applied
-REPEAT_RATE = 1000.0  # retries per second of all members together, to spare the leader
-MIN_BACKOFF_RATIO = 4.0  # of the maximum backoff to the minimum, at least
+MIN_BACKOFF, MAX_BACKOFF = 0.1, 1.0  # s; longer than it takes to apply the reports of 200 members
+REPEAT_RATE = 1000.0  # retries per s of all members together, to limit the leader's load
+MIN_BACKOFF_RATIO = 4.0  # least ratio of the maximum backoff to the minimum
 
 
 class Retry:
-    """Schedule of actions that are retried until the state shows their effect; bounded by the keys in use."""
+    """Schedule of actions that are retried until the state shows their effect; it holds only the keys in use."""
 
     def __init__(self, seed: int, max_backoff: float = MAX_BACKOFF) -> None:
         self._seed, self._max_backoff = seed, max_backoff
         self._due: dict[Hashable, tuple[float, Backoff]] = {}
 
     def ready(self, now: float, key: Hashable, members: int = 0) -> bool:
-        """Return whether to try now, and if so schedule the retry; members is how many share the leader."""
+        """Return whether to try now, and if so schedule the retry; members is the number that share the leader."""
         found = self._due.get(key)
         if found is not None and now < found[0]:
             return False
--- a/tealwing/rollout/agent/view.py
+++ b/tealwing/rollout/agent/view.py
@@ -1,4 +1,4 @@
-"""The applied registry as one member reads it; pure."""
+"""View of the applied registry for one member; pure."""
 
 from __future__ import annotations
 
@@ -13,17 +13,16 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """The registry at one index, as one member reads it."""
+    """The registry at one index, as far as one member needs it."""
 
-    index: int  # applied
+    index: int  # of the last applied entry
     active: int  # number of the version in force; 0: none yet
     in_flight: Version | None  # the version whose outcome is open
-    local_member: Member | None  # its row of rule_members; None: not registered
-    last_number: int = 0  # assigned last
+    local_member: Member | None  # this member's row of rule_members; None: not registered
+    last_number: int = 0  # highest number assigned so far
     phases: Mapping[int, Phase] = field(default_factory=dict)
-    federation_index: int = (
-        0  # of the active version: the index in the federation's log that decided it; 0: decided here
-    )
+    # index of the entry of the federation's log that decided the active version; 0: this log decided it
+    federation_index: int = 0
     member_count: int = 0
 
     def phase_of(self, number: int) -> Phase | None:
@@ -41,7 +40,7 @@
 
     @property
     def closing_for(self) -> int:
-        """Number of the version that members close for; 0: none."""
+        """Number of the version in flight that members close for; 0: none."""
         return self.in_flight.number if self.in_flight is not None and self.in_flight.phase in CLOSING else 0
 
     def is_up_to(self, federated: FederatedView) -> bool:
@@ -69,7 +68,11 @@
 
 
 def federation_denial(mode: PartitionMode, site: View, fed: FederatedView | None, has_permit: bool) -> str:
-    """Return why the federation allows no decisions at this site; empty: it does. has_permit: for its log, now."""
+    """Return why the federation allows no decisions at this site; empty if it does.
+
+    has_permit: whether the permit from the federation's log is valid now. The reasons also name a metric of readiness:
+    keep their wording.
+    """
     if fed is None or fed.local_member is None:
         return "its site is not in the federation's table yet"
     if mode == "serve" and fed.local_member.partition_mode == "hold":
--- a/tealwing/rollout/control_calls.py
+++ b/tealwing/rollout/control_calls.py
@@ -1,4 +1,4 @@
-"""ControlServer calls `rules.*`."""
+"""Handlers of the control calls `rules.*`, and of `replica.settings`, which they replace."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from tealwing.rollout.status import version_status
 from tealwing.rules import records
 
-WAIT = 5.0  # s, the default timeout of a call
+DEFAULT_TIMEOUT = 5.0  # s, of a call
 APPLIED_POLL_INTERVAL = 0.005  # s
 REMOVAL_POLL_INTERVAL = 0.05  # s
 
 
 class ControlCalls:
-    """Handlers of one gateway."""
+    """The handlers of one gateway."""
 
     def __init__(self, runtime: Runtime, replica: Replica, control: ControlServer) -> None:
         self._runtime, self._replica = runtime, replica
-        # the log that decides versions
+        # the log that decides versions: the federation's, if the site is part of one
         self._deciding_log = runtime.federation.replica if runtime.federation is not None else replica
         self._lock, self._sequence = threading.Lock(), 0
         calls: dict[str, Callable[[Fields], Fields]] = {
@@ -41,7 +41,7 @@
             control.serve(name, call)
 
     def _propose(self, fields: Fields) -> Fields:
-        """Propose a bundle, unless the local check finds faults."""
+        """Propose a bundle, unless it is invalid; wait until the local state shows it."""
         text, who = field(fields, "text", bytes), field(fields, "who", records.Name)
         why = field(fields, "why", records.Text, "")
         parent = field(fields, "parent", UnsignedInt63) if "parent" in fields else None
@@ -53,15 +53,14 @@
 
         def propose(wait: float) -> Fields:
             end = time.monotonic() + wait
-            made_from = parent
-            if made_from is None:
+            parent_number = parent
+            if parent_number is None:
                 self._deciding_log.read_index(wait)
-                made_from = self._deciding_state().facts.active_number
-            body = records.Propose(made_from, records.digest(text), text, who, int(time.time() * 1e3), why)
+                parent_number = self._deciding_state().facts.active_number
+            body = records.Propose(parent_number, records.digest(text), text, who, int(time.time() * 1e3), why)
             result = self._write(self._deciding_log, body, max(0.0, end - time.monotonic()))
-            while (
-                self._deciding_state().index < result["index"] and time.monotonic() < end
-            ):  # so that a following status call shows it
+            # so that a following status call shows the version
+            while self._deciding_state().index < result["index"] and time.monotonic() < end:
                 time.sleep(APPLIED_POLL_INTERVAL)
             return result | {"number": result.pop("version")}
 
@@ -87,23 +86,23 @@
         return self._outcome(lambda wait: self._write(self._deciding_log, body, wait), fields)
 
     def _forget(self, fields: Fields) -> Fields:
-        """Remove a member, or a federation's site; wait until all its permits have expired."""
+        """Remove a member, or a site of the federation; wait until its permits have expired and it is removed."""
         body = records.Forget(field(fields, "member", records.Name), bool(field(fields, "off", bool, False)))
 
         federation = self._runtime.federation
         is_site = federation is not None and body.member in federation.state.members
-        where, state = (
+        log, state = (
             (self._deciding_log, self._deciding_state) if is_site else (self._replica, lambda: self._runtime.observed)
         )
 
         def forget(wait: float) -> Fields:
             end = time.monotonic() + wait
-            result = self._write(where, body, wait)
+            result = self._write(log, body, wait)
             while result["word"] == "ok" and body.member in state().members:
                 if time.monotonic() >= end:
                     return result | {
                         "word": "unknown",
-                        "why": f"{body.member} goes once its permits are over: ask again",
+                        "why": f"{body.member} is removed once its permits have expired: call again",
                     }
                 time.sleep(REMOVAL_POLL_INTERVAL)
             return result
@@ -111,27 +110,27 @@
         return self._outcome(forget, fields)
 
     def _deciding_state(self) -> ObservedState:
-        """Return the registry that decides versions: the federation's, if the site is part of one."""
+        """Return the state of the log that decides versions."""
         return self._runtime.federation.state if self._runtime.federation is not None else self._runtime.observed
 
-    def _write(self, where: Replica, body: records.Body, wait: float) -> dict[str, Any]:
-        """Write a command so that it is applied at most once, however often it is sent."""
+    def _write(self, log: Replica, body: records.Body, wait: float) -> dict[str, Any]:
+        """Write a command with a client id and sequence, so that it is applied at most once even if it is resent."""
         with self._lock:
             self._sequence += 1
             number = self._sequence
-        turn = number % MAX_CONNECTIONS  # calls are concurrent, and a client id allows one at a time
-        client = f"{where.core.local_id}/{where.incarnation}/rules/{turn}"
-        result = where.write(c.Command(client, number, body), wait)
+        slot = number % MAX_CONNECTIONS  # calls are concurrent, and a client id allows one command at a time
+        client = f"{log.core.local_id}/{log.incarnation}/rules/{slot}"
+        result = log.write(c.Command(client, number, body), wait)
         outcome = "ok" if result.ok else "refused"
         return {"word": outcome, "index": result.index, "version": result.version, "why": result.reason}
 
     def _outcome(self, run: Callable[[float], Fields], fields: Fields) -> Fields:
-        """Run a call; the key `word` is ok, refused (by the state), unavailable (surely not done) or unknown."""
+        """Run a call; its `word` is ok, refused (by the registry), unavailable (nothing was done) or unknown."""
         try:
-            return {"word": "ok"} | run(wait_seconds(fields, WAIT))
+            return {"word": "ok"} | run(wait_seconds(fields, DEFAULT_TIMEOUT))
         except UnavailableError as error:
-            return {"word": "unavailable", "why": f"{error}; nothing was changed: try again, or at another gateway"}
+            return {"word": "unavailable", "why": f"{error}; nothing was changed: retry, here or at another gateway"}
         except OutcomeUnknownError as error:
-            return {"word": "unknown", "why": f"{error}; see rules.status for whether it was taken"}
+            return {"word": "unknown", "why": f"{error}; rules.status shows whether the command was applied"}
         except ValueError as error:
             raise CallRejectedError(str(error)) from None
--- a/tealwing/rollout/effects/__init__.py
+++ b/tealwing/rollout/effects/__init__.py
@@ -1,1 +1,1 @@
-"""Carry out what the agent asks for: disk, checks, activation, log. Read persisted_marker, executor, log_client."""
+"""Execute the agent's actions: disk, checks, activation, log. Read persisted_marker, executor, log_client."""
--- a/tealwing/rollout/effects/executor.py
+++ b/tealwing/rollout/effects/executor.py
@@ -1,4 +1,4 @@
-"""Execute effects for the state machine: marker, check, activation. On one thread, outside the lock."""
+"""Execute the state machine's actions on marker, checks and activation, on one thread and outside the lock."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def read_marker(marker: PersistedMarker) -> int:
-    """Return the number on disk, HOLD_MARKER if it is damaged. Raises OSError if it can't be read."""
+    """Return the marker's number on disk, HOLD_MARKER if the file is damaged. Raises OSError if it can't be read."""
     try:
         return marker.read()
     except MarkerDamagedError as error:
@@ -28,7 +28,7 @@
 
 
 class EffectExecutor:
-    """Executor; lock guards the machine and the gate control, and follow, called under it, updates the gate."""
+    """The executor; `lock` guards the machine and the gate control, and `follow`, called under it, updates the gate."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._marker_failed = False
 
     def persist_marker(self, number: int) -> None:
-        """Write the marker; after a failure nothing is reported, and the machine requests it again."""
+        """Write the marker; after a failure the close is not reported, and the machine requests the write again."""
         try:
             self._marker.write(number)
         except OSError as error:
@@ -58,13 +58,13 @@
             self._machine.marker_written(number)
 
     def check(self, state: ObservedState, number: int) -> None:
-        """Check a version and record the verdict."""
+        """Check a version's bundle and record the verdict in the machine."""
         found = state.version(number)
         if found is None:
             return
         try:
             accepted, reason = self._rules.verdict(state.text(state.facts.active_number), found.text, found.min_build)
-        except Exception as error:  # what can't be parsed can't be activated
+        except Exception as error:  # a bundle that makes the check fail can't be activated
             accepted, reason = False, f"{type(error).__name__}: {error}"[:MAX_REASON_LENGTH]
         log.event("rules_verdict", number=number, yes=accepted, reason=reason)
         with self._lock:
@@ -76,7 +76,9 @@
             self._follow()
             control = self._gate_control
             target = control.followed.number if control.followed is not None else 0
-            log.check_invariant(target == control.in_force or not control.is_open, "nobody is let in meanwhile")
+            log.check_invariant(
+                target == control.in_force or not control.is_open, "the gate is closed until the version is active"
+            )
         if target == control.in_force or time.monotonic() < self._next_try:
             return
         try:
@@ -84,8 +86,8 @@
         except Exception as error:  # the gateway must not open under another version
             reason = f"version {target} of the rules can't be put in force here: {error}"
             if reason != control.unusable:
-                log.event("rules_unusable", number=target, error=str(error), remedy="install the build that took it, or"
-                          " propose a version that this gateway can put in force")  # fmt: skip
+                log.event("rules_unusable", number=target, error=str(error), remedy="install the build that accepted"
+                          " the version, or propose one that this gateway can activate")  # fmt: skip
             self._next_try = time.monotonic() + self._retry_backoff.next()
             with self._lock:
                 control.unusable = reason
@@ -97,13 +99,13 @@
             self._follow()
 
     def update_affected(self, state: ObservedState) -> None:
-        """Compute the affected requests once a version is proposed, so that only those wait."""
+        """Compute the affected requests once a version is proposed, so that only those wait when the gate closes."""
         active, flight = state.facts.active_number, state.view.in_flight
         if flight is None or self._gate_control.knows_affected(active, flight.number):
             return
         try:
             affected = self._rules.affected_requests(state.text(active), flight.text)
-        except Exception as error:  # perhaps another build's format: all requests wait
+        except Exception as error:  # such as the format of another build: all requests wait
             log.event("rules_affected_unknown", number=flight.number, error=str(error))
             affected = ALL_REQUESTS
         with self._lock:
--- a/tealwing/rollout/effects/log_client.py
+++ b/tealwing/rollout/effects/log_client.py
@@ -1,7 +1,7 @@
-"""Client of the replicated logs: submits commands and read indexes for the state machine, on threads of its own.
+"""Client of the replicated logs: submits commands and reads indexes for the state machine, on threads of its own.
 
-Delivery is best effort: the machine requests a command again until the state shows it, and the registry tolerates
-duplicates.
+Delivery is best effort: the machine requests a command again until the state shows its effect, and the registry
+tolerates duplicates.
 """
 
 from __future__ import annotations
@@ -20,17 +20,14 @@
 from tealwing.rollout.agent.machine import Machine
 from tealwing.rules import records
 
-MAX_QUEUED = 16  # tasks; more are rejected, and requested again when due
+MAX_QUEUED = 16  # tasks of a worker; more are rejected, and the machine requests them again
 SUBMIT_TIMEOUT = 1.0  # s
-FORWARDED = (records.Verdict, records.Closed, records.ConfirmExpiry)
-READ_TIMEOUT, READ_TIMEOUT_SHARE = (
-    1.0,
-    0.25,
-)  # s, and share of a permit: one lost frame must not cost it
+FORWARDED = (records.Verdict, records.Closed, records.ConfirmExpiry)  # submitted without waiting for an answer
+READ_TIMEOUT, READ_TIMEOUT_SHARE = 1.0, 0.25  # s, and share of a permit, so that one lost frame doesn't end the permit
 
 
 class Log(Protocol):
-    """What is needed of a replicated log."""
+    """What the client needs of a replicated log."""
 
     def write(self, command: c.Command, wait: float) -> c.CommandResult:
         """Propose a command and wait until it is applied."""
@@ -50,7 +47,7 @@
         self._queue: SimpleQueue[Callable[[], None] | None] = SimpleQueue()
 
     def start(self) -> None:
-        """Start the threads. Raises threads.NoThread if the system has none."""
+        """Start the thread. Raises threads.NoThread if the system has none."""
         threads.start(self._run, self._name)
 
     def stop(self) -> None:
@@ -68,27 +65,27 @@
         while (task := self._queue.get()) is not None:
             try:
                 task()
-            except Exception:  # the machine requests it again
+            except Exception:  # the machine requests the action again
                 log.event("rules_task_failed", thread=self._name, trace=traceback.format_exc(limit=-3))
 
 
 class LogClient:
-    """One thread for commands, one for reads of each log: a read must not wait for a command."""
+    """Client with one thread for commands and one for reads of each log, as a read must not wait for a command."""
 
     def __init__(
         self, machine: Machine, clock: Clock, site: Log, lock: threading.Lock, changed: Callable[[], None],
         federation: Log | None = None, permit: float = READ_TIMEOUT / READ_TIMEOUT_SHARE,
     ) -> None:  # fmt: skip
-        """Set up the threads; permit is its duration in s, and lock guards the machine.
+        """Set up the threads; permit is the duration of a permit in s, and lock guards the machine.
 
-        changed is called, without the lock, after each answer.
+        changed is called, without the lock, after each answer of a log.
         """
         self._machine, self._clock, self._site, self._lock, self._changed = machine, clock, site, lock, changed
         self._federation, self._read_timeout = federation, min(READ_TIMEOUT, READ_TIMEOUT_SHARE * permit)
         self._submissions, self._reads = BackgroundWorker("rules-words"), BackgroundWorker("rules-reads")
         self._federation_reads = BackgroundWorker("rules-reads-federation") if federation is not None else None
         self._queued: set[records.Body] = set()
-        self.last_rejection = ""  # reason of the log's last rejection
+        self.last_rejection = ""  # reason of the site's log for its last rejection; empty after a success
 
     def start(self) -> None:
         """Start the threads. Raises threads.NoThread if the system has none."""
@@ -115,7 +112,7 @@
             self._queued.add(action.body)
 
     def read(self, action: ReadIndex) -> None:
-        """Queue a read index; the machine requests one at a time."""
+        """Queue a read of a log's index; the machine requests one at a time."""
         log_, worker = (self._federation, self._federation_reads) if action.federation else (self._site, self._reads)
         if log_ is None or worker is None or not worker.submit(lambda: self._read(log_, action)):
             with self._lock:
@@ -124,7 +121,7 @@
 
     def _send(self, action: SubmitCommand) -> None:
         ok = False
-        self._queued.discard(action.body)  # a request during the call queues it again
+        self._queued.discard(action.body)  # if the machine requests it during the call, it is queued again
         try:
             result = self._site.write(c.Command("", 0, action.body), SUBMIT_TIMEOUT)
         except (OutcomeUnknownError, UnavailableError):
--- a/tealwing/rollout/effects/persisted_marker.py
+++ b/tealwing/rollout/effects/persisted_marker.py
@@ -1,4 +1,4 @@
-"""The persisted marker: the number of the version that this gateway has closed for, on disk before it is reported.
+"""The persisted marker: the number of the version that this gateway has closed for, on disk before that is reported.
 
 After a start the gateway must know the outcome of that version before it decides anything. The marker is never deleted,
 only replaced by later ones.
@@ -13,16 +13,16 @@
 
 from tealwing.replica.storage.disk import Disk
 
-FILE_NAME = "rules-mark"  # beside the replicated log: both get lost together
-MAX_FILE_BYTES = 200  # bytes of the file
+FILE_NAME = "rules-mark"  # in the folder of the replicated log, so that both are lost together
+MAX_FILE_BYTES = 200  # more than a marker takes
 
 
 class MarkerDamagedError(RuntimeError):
-    """The file exists and its content is not what was written."""
+    """The marker's file exists, and its content is not what was written."""
 
     remedy = (
-        "nothing is to be done if the fleet's quorum is there: the gateway holds all requests until the log has told"
-        " which changes it may have closed for, and then writes the file anew"
+        "no action is needed while the fleet has a quorum: the gateway holds all requests until the log shows"
+        " which changes it may have closed for, then rewrites the file"
     )
 
     def __init__(self, path: Path) -> None:
@@ -38,7 +38,7 @@
         self.number = 0
 
     def read(self) -> int:
-        """Return the number; 0 if none was ever written. Raises MarkerDamagedError or OSError."""
+        """Return the number on disk; 0 if none was ever written. Raises MarkerDamagedError or OSError."""
         try:
             with self._path.open("rb") as file:
                 data = file.read(MAX_FILE_BYTES)
@@ -52,7 +52,7 @@
         return self.number
 
     def write(self, number: int) -> None:
-        """Write the number durably. Raises OSError: it may or may not be on disk, and a retry is safe."""
+        """Write the number durably. After an OSError the number may or may not be on disk, and a retry is safe."""
         head = b"closed-for %d" % number
         part = self._path.with_suffix(".part")
         try:
--- a/tealwing/rollout/leader/coordinator.py
+++ b/tealwing/rollout/leader/coordinator.py
@@ -1,6 +1,6 @@
 """Rollout duties of the log's leader: which commands to propose, and when; pure.
 
-Only progress depends on it: the registry rejects the activation of a version that is not covered.
+Only progress depends on these duties: the registry rejects the activation of a version that is not covered.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class RolloutCoordinator:
-    """Proposes the next command of a rollout; its timeouts restart with each leader."""
+    """Proposes the next command of a rollout; its timeouts start again with each leader."""
 
     def __init__(
         self, name: str, limit: float, patience: float, bounds: LeaseBounds = DEFAULT_BOUNDS, seed: int = 0
     ) -> None:
-        """Name is the local member; limit and patience are in s."""
+        """Name is the local member; limit and patience are in s, as in the plan."""
         self.name, self._limit, self._patience, self._seed = name, limit, patience, seed
         self._leads = False
         self.set_leading(0.0, False)
@@ -30,11 +30,11 @@
         if leads and self._leads:
             return
         self._leads, self._retry = leads, Retry(self._seed)
-        self._stage: tuple[int, bool, float] | None = None  # version, whether it is closing, since when
-        self._silent: dict[str, float] = {}  # since when
+        self._stage: tuple[int, bool, float] | None = None  # version in flight, whether it is closing, since when
+        self._silent: dict[str, float] = {}  # silent members, and since when
 
     def step(self, now: float, tables: Mapping[str, Mapping[str, Any]], silent: Collection[str]) -> list[Body]:
-        """Return the commands to propose now; silent are the members that are unreachable."""
+        """Return the commands to propose now; silent holds the names of the unreachable members."""
         self._silent = {
             name: self._silent.get(name, now) for name in silent if name != self.name and name in tables["rule_members"]
         }
@@ -82,6 +82,6 @@
                 continue
             if member.closed_for != number if closing else name not in verdicts or verdicts[name].start != member.start:
                 missing.append(f"{name} (silent)" if name in self._silent else name)
-        what = "closed for it" if closing else "said that it can put it in force"
+        what = "closed for it" if closing else "accepted it"
         shown = ", ".join(missing[:8]) + (f" and {len(missing) - 8} more" if len(missing) > 8 else "")
-        return f"within {self._limit:g} s not every member had {what}: {shown or 'a lapse is not over'}"
+        return f"within {self._limit:g} s not every member had {what}: {shown or 'an expiry is unconfirmed'}"
--- a/tealwing/rollout/leader/duties.py
+++ b/tealwing/rollout/leader/duties.py
@@ -1,4 +1,4 @@
-"""A gateway's duties in rollouts beside its own part: as the log's leader, and as observer of permit expiry."""
+"""Duties of a gateway in rollouts beyond its own member: as the log's leader, and as observer of permit expiry."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from tealwing.rules import records
 
 SILENT_HEARTBEATS = 2.0  # heartbeats without a message after which a peer counts as silent
+# commands that all members wait for: their commit is broadcast at once
 EXPEDITED = (
     records.Propose,
     records.Close,
     records.Activate,
     records.Abort,
     records.Withdraw,
-)  # commands that members wait for
+)
 
 
 class LeaderDuties:
@@ -38,7 +39,7 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether an expiry is unconfirmed."""
+        """Whether the expiry of some member is unconfirmed."""
         return self._expiry_observer.is_waiting
 
     def due_confirmations(self, now: float, state: ObservedState) -> list[records.ConfirmExpiry]:
--- a/tealwing/rollout/local_gateway.py
+++ b/tealwing/rollout/local_gateway.py
@@ -1,4 +1,4 @@
-"""Adapter between the rollout and the local gateway: parse, check and activate versions of the rules."""
+"""Adapter of the local gateway for the rollout: parses, checks and activates versions of the rules."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from tealwing.levels.plan import Plan
 
-MAX_REASON_LENGTH = 1900  # characters; the log stores each
+MAX_REASON_LENGTH = 1900  # characters; the replicated log stores each reason
 
 
 class Gateway(Protocol):
@@ -25,7 +25,7 @@
 
     @property
     def engine_list(self) -> tuple[api.EngineListEntry, ...]:
-        """The last engine list."""
+        """The latest engine list."""
 
     @property
     def sections(self) -> frozenset[str]:
@@ -34,7 +34,7 @@
     def put_in_force(
         self, settings: api.Settings | None, table: Table | None, levels: Plan | None, version: int
     ) -> None:
-        """Decide new requests under a version. Raises ValueError, with nothing changed, if it does not fit."""
+        """Decide new requests under a version. Raises ValueError, with nothing changed, if it does not fit here."""
 
 
 class LocalGateway:
@@ -44,7 +44,7 @@
         self._gateway = gateway
 
     def faults(self, text: bytes) -> list[str]:
-        """Return the faults of a bundle at any gateway."""
+        """Return the faults that make a bundle invalid at every gateway."""
         try:
             bundle.parse(text)
         except RulesError as error:
@@ -52,7 +52,7 @@
         return []
 
     def verdict(self, before: bytes, text: bytes, min_build: int) -> tuple[bool, str]:
-        """Return whether this gateway can activate the text after the one before, and why not."""
+        """Return whether this gateway can replace the bundle `before` by `text`, and the reasons if not."""
         reasons = check.check_text(text, self._running(before), min_build)
         return not reasons, "; ".join(map(str, reasons))[:MAX_REASON_LENGTH]
 
@@ -61,7 +61,7 @@
         return affected.affected_requests(_read(before), bundle.parse(after))
 
     def put_in_force(self, number: int, text: bytes) -> None:
-        """Decide new requests under it. Raises ValueError, with nothing changed, if that is impossible."""
+        """Decide new requests under a version. Raises ValueError, with nothing changed, if it does not fit here."""
         found = _read(text)
         table, levels = bundle.table(found), None
         if found.levels:
--- a/tealwing/rollout/observed_state.py
+++ b/tealwing/rollout/observed_state.py
@@ -1,4 +1,4 @@
-"""Snapshot of the registry's tables after one entry: copied as it is applied, read by any thread."""
+"""Snapshot of the registry's tables after an applied entry, for any thread; with the federation's log as seen here."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedState:
-    """The registry as applied here. Records are immutable, so shallow copies of the tables suffice."""
+    """The registry at the last applied entry. Records are immutable, so shallow copies of the tables suffice."""
 
     index: int
     tables: dict[str, dict[str, Any]]
@@ -50,7 +50,7 @@
         return self.view.phase_of(number) or "unknown"
 
     def waits_for(self) -> list[str]:
-        """Return the members whose report the version in flight waits for."""
+        """Return the members whose reports the version in flight waits for."""
         flight = self.view.in_flight
         if flight is None:
             return []
@@ -58,24 +58,24 @@
 
 
 class FederationLog(Protocol):
-    """What is needed of the federation's log, where the site is part of one."""
+    """What the rollout needs of the federation's log, if the site is part of a federation."""
 
     @property
     def state(self) -> ObservedState:
-        """Its registry as applied here."""
+        """The federation's registry at the last applied entry."""
 
     @property
     def replica(self) -> Replica:
-        """Its replica."""
+        """This gateway's replica of the federation's log."""
 
     def on_change(self, changed: Callable[[], None]) -> None:
-        """Call changed on the log's thread whenever versions or sites have changed there."""
+        """Call `changed`, on the thread of that log, whenever its versions or sites have changed."""
 
     def status(self) -> dict[str, Any]:
-        """Return its status for operators."""
+        """Return the federation's status for operators."""
 
 
 def observe(state: State, name: str) -> ObservedState:
-    """Return a snapshot for the member of that name; call it on the thread that applies entries."""
+    """Return a snapshot for the member `name`; call it on the thread that applies entries."""
     tables = {table: dict(state.tables[table]) for table in TABLES}
     return ObservedState(state.applied, tables, view_of(tables, state.applied, name))
--- a/tealwing/rollout/runtime.py
+++ b/tealwing/rollout/runtime.py
@@ -1,7 +1,7 @@
 """Runtime around the state machine and the leader's duties: threads, log, disk and gate.
 
-The gate closes on the replica's thread as an entry is applied, before that is reported. Whatever may block runs
-elsewhere: disk, checks and activation on one thread, commands to the log on a second, reads on a third.
+The gate closes on the replica's thread as a Close is applied, before the close is reported. Blocking work runs on other
+threads: disk, checks and activation on one, commands to the log on a second, reads on a third.
 """
 
 from __future__ import annotations
@@ -41,10 +41,10 @@
 
 TICK = 0.02  # s between steps while a change, an expiry or a start is under way
 IDLE_TICK = 0.25  # s between steps otherwise; events wake the thread
-IDLE_SHARE = 0.05  # of a permit, if less, so that it is renewed in time
-MAX_STEPS = 3  # in a row: one step's effects may enable the next
-FAULT_PAUSE = 0.1  # s
-UNREADY_AFTER = 1.0  # s closed after which readiness fails
+IDLE_SHARE = 0.05  # of a permit's duration, if that is shorter, so that the permit is renewed in time
+MAX_STEPS = 3  # in one run of the thread: the effects of a step may enable the next
+FAULT_PAUSE = 0.1  # s after a fault of the thread
+UNREADY_AFTER = 1.0  # s for which the gate is closed before readiness fails
 
 
 class Runtime:
@@ -59,9 +59,9 @@
         gate_: gate.Gate,
         federation: FederationLog | None = None,
     ) -> None:
-        """Create it before the replica starts. Raises OSError if the marker can't be read (damage is handled).
+        """Create the runtime before the replica starts; federation is the log of the site's federation, if it has one.
 
-        federation: its log, if the site is part of one.
+        Raises OSError if the marker can't be read; a damaged one counts as HOLD_MARKER.
         """
         self.plan, self._replica, self._rules, self.federation = plan, replica, rules, federation
         self.name, self._clock = link.plan.name, replica.clock
@@ -85,14 +85,14 @@
         self._executor = executor.EffectExecutor(
             self._machine, marker, rules, self.gate_control, self._lock, self._follow
         )
-        self._fault = ""  # trace of the last run
-        self._due: list[Action] = []  # requested and not yet executed
+        self._fault = ""  # trace of the thread's last run; empty if it succeeded
+        self._due: list[Action] = []  # actions requested and not yet executed
         self.outcomes = status.RolloutStatus(self._observed)
         replica.on_applied(self._applied)
         replica.on_state_replaced(self._installed)
         replica.on_leadership(self._leadership_changed)
         if federation is not None:
-            federation.on_change(self.notice)
+            federation.on_change(self.step_and_wake)
 
     # Start and stop
 
@@ -115,15 +115,15 @@
 
     # Public interface
 
-    def notice(self) -> None:
-        """Step after a change outside the log, as of the federation; does not block."""
+    def step_and_wake(self) -> None:
+        """Step after a change that is no entry of the site's log, such as one of the federation; does not block."""
         with self._lock:
             self._step()
         self._wake.set()
 
     @property
     def observed(self) -> ObservedState:
-        """The registry as applied here."""
+        """The registry at the last applied entry."""
         return self._observed
 
     @property
@@ -137,7 +137,7 @@
         return self._rules
 
     def readiness(self) -> str:
-        """Return why this gateway is not ready for clients; empty if it is."""
+        """Return why this gateway is not ready for clients; empty if it is. The text also names a metric."""
         mode, reason = self.gate_control.current()
         if mode == "shut" or (mode == "closed" and self.gate_control.closed_for > UNREADY_AFTER):
             return reason
@@ -172,8 +172,8 @@
     def _applied(self, index: int, command: c.Command | None, result: c.CommandResult | None) -> None:
         body = command.body if command is not None else None
         if not isinstance(body, records.Body):
-            me = replace(self._observed.view, index=index)
-            self._observed = replace(self._observed, index=index, view=me)
+            view = replace(self._observed.view, index=index)
+            self._observed = replace(self._observed, index=index, view=view)
             return
         self._observed = observe(self._replica.state, self.name)
         with self._lock:
@@ -184,7 +184,7 @@
 
     def _installed(self) -> None:
         self._observed = observe(self._replica.state, self.name)
-        self.notice()
+        self.step_and_wake()
         self.outcomes.update(self._observed)
 
     def _leadership_changed(self, leads: bool) -> None:
@@ -214,7 +214,7 @@
             try:
                 self._run_once()
                 self._fault = ""
-            except Exception:  # the gate keeps its state; the machine requests again
+            except Exception:  # the gate keeps its state, and the machine requests the actions again
                 trace = traceback.format_exc(limit=-4)
                 if trace != self._fault:
                     log.event("rules_fault", trace=trace)
--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -1,4 +1,4 @@
-"""Schema of the section `rules` of the operators' file."""
+"""Schema of the section `rules` of the operators' file, and its checks against other sections."""
 
 from __future__ import annotations
 
@@ -46,12 +46,14 @@
 
 
 def across(records: Mapping[str, Any], blocks: Mapping[str, Block], report: Report) -> None:
-    """Report contradictions with other sections, which are valid by themselves."""
+    """Report contradictions between this section and other sections that are each valid alone."""
     block, plan = blocks["rules"], records.get("rules")
     place = next((entries[0].place for entries in block.entries.values()), Place("", 0))
     for other in ("peers", "replica"):
         if other not in blocks:
-            report.add(place, "rules", f"no section {other}", f"a section {other}: versions are kept in its log")
+            report.add(
+                place, "rules", f"no section {other}", f"a section {other}: versions are kept in the replicated log"
+            )
     peers, replica = records.get("peers"), records.get("replica")
     if plan is None or peers is None or replica is None:
         return
@@ -60,11 +62,11 @@
             block.place("lost-touch", place),
             "lost-touch",
             f"serve, with stale {replica.max_stale_disks} in the section replica",
-            "hold; or stale 0: a gateway that serves on what its disk says can't come back with an older disk",
+            "hold; or stale 0: with serve a gateway decides by its disk, and must not start with an older one",
         )
     if plan.sabotage and not peers.faults:
         report.add(block.place("sabotage", place), "sabotage", plan.sabotage,
-                   "none; or `faults on` in the section peers, in a laboratory")  # fmt: skip
+                   "none; or, in a trial, `faults on` in the section peers")  # fmt: skip
 
 
 SECTION = Section(
--- a/tealwing/rollout/setup.py
+++ b/tealwing/rollout/setup.py
@@ -1,4 +1,4 @@
-"""Assemble a gateway's part in rollouts."""
+"""Assemble the parts with which a gateway takes part in rollouts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tealwing.rollout.plan import Plan
 from tealwing.rollout.runtime import Runtime
 
-PUSHBACK = 0.2  # s of Retry-After; a change takes less
+PUSHBACK = 0.2  # s of Retry-After; longer than a change takes
 
 
 def join_rollout(
@@ -23,7 +23,7 @@
     control: ControlServer | None,
     federation: FederationLog | None = None,
 ) -> Runtime:
-    """Create the runtime before the replica starts; the version on disk is active and the gate set on return.
+    """Create the runtime, before the replica starts; on return the version on disk is active and the gate is set.
 
     Raises OSError if the marker can't be read.
     """
--- a/tealwing/rollout/status.py
+++ b/tealwing/rollout/status.py
@@ -1,4 +1,4 @@
-"""Status of versions as this gateway applies them: log events, and answers for operators."""
+"""Status of versions at this gateway: log events of their outcomes, and answers to operators."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
     def __init__(self, state: ObservedState) -> None:
         self._lock = threading.Lock()
         self._active = state.facts.active_number
-        self._in_flight: tuple[int, str, float] | None = None  # number, phase, since when
+        # number and phase of the version in flight, and since when it is in that phase
+        self._in_flight: tuple[int, str, float] | None = None
         self.update(state)
 
     def update(self, state: ObservedState) -> None:
-        """Log outcomes after an applied entry."""
+        """Log the outcomes that an applied entry brought."""
         before, flight = self._in_flight, state.view.in_flight
         now = time.monotonic()
         with self._lock:
@@ -42,7 +43,7 @@
                 )
 
     def status(self, state: ObservedState) -> dict[str, Any]:
-        """Return versions and members as applied here."""
+        """Return the versions and members for operators, as applied at this gateway."""
         with self._lock:
             since = self._in_flight
         flight = state.view.in_flight
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -67,5 +67,5 @@
 def test_a_damaged_mark_is_told_with_its_remedy(damage: bytes, tmp_path: Path) -> None:
     PersistedMarker(tmp_path, Disk()).write(7)
     (tmp_path / FILE_NAME).write_bytes(damage)
-    with pytest.raises(MarkerDamagedError, match="holds all requests until the log has told"):
+    with pytest.raises(MarkerDamagedError, match="holds all requests until the log shows"):
         PersistedMarker(tmp_path, Disk()).read()
