--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -12,19 +12,22 @@
 from tealwing.rollout.plan import SABOTAGES, Plan
 
 SPECS = (
-    Spec("lost-touch", "serve|hold", "What this gateway does when it is cut off: go on serving, and a change that it"
-         " has not closed for waits or is aborted; or hold once its permit is over, and a change goes on without it.",
+    Spec("lost-touch", "serve|hold", "What this gateway does while it is cut off from the fleet. `serve`: it goes on"
+         " deciding requests, and a change that it has not closed for waits or is aborted. `hold`: it decides none once"
+         " its permit has expired, and a change goes on without it.",
          values.choice("serve", "hold"), "serve"),
-    Spec("permit", "DURATION", "hold: how long a permit lasts, and with it how long a change may wait for a gateway"
-         " that was lost.", values.durations(MIN_TTL, 60.0), "2s"),
-    Spec("limit", "DURATION", "A change that not every gateway has closed for by then is aborted; longer than"
+    Spec("permit", "DURATION", "`hold`: how long a permit lasts, and thus how long a change may wait for a lost"
+         " gateway.", values.durations(MIN_TTL, 60.0), "2s"),
+    Spec("limit", "DURATION", "Time after which a change that not every gateway has closed for is aborted; longer than"
          " patience.", values.durations(0.5, 120.0), "5s"),
-    Spec("patience", "DURATION", "Silence of a gateway that holds after which a change goes on without it.",
+    Spec("patience", "DURATION", "`hold`: silence of a gateway after which its permits are left to expire, so that a"
+         " change goes on without it.",
          values.durations(0.1, 30.0), "500ms"),
-    Spec("queue", "COUNT", "Requests that may wait while a change is closed; more are refused and may come again.",
+    Spec("queue", "COUNT", "Requests that may wait while the gate is closed for a change; more are rejected with a"
+         " Retry-After.",
          values.integers(1, 4096), "64"),
-    Spec("sabotage", "WORD", "Broken on purpose, so that a trial's judges can be seen to find it; needs `faults on` in"
-         " the section peers. Never in service.", values.choice(*SABOTAGES)),
+    Spec("sabotage", "WORD", "Fault injected into this gateway, to test that a trial's judges find it; needs `faults"
+         " on` in the section peers. Never in production.", values.choice(*SABOTAGES)),
 )  # fmt: skip
 
 
@@ -71,8 +74,8 @@
 
 SECTION = Section(
     "rules",
-    "Changes of the rules that take hold on every gateway or on none; needs the sections `peers` and `replica`; see"
-    " docs/operating/rules.md. Absent: none.",
+    "Changes of the rules that take effect at every gateway or at none; needs the sections `peers` and `replica`; see"
+    " docs/operating/rules.md. Absent: no such changes.",
     SPECS,
     build,
     across,
