--- a/tealwing/federation/__init__.py
+++ b/tealwing/federation/__init__.py
@@ -1,5 +1,5 @@
-"""Several sites that change their rules together; docs/federation.md has the protocol.
+"""Federation: several sites change their rules together; docs/federation.md describes the protocol.
 
 Read in this order: `plan` and `section` (the settings), `site_delegate` (a site's proposals, pure), `service` (the
-thread that runs them and the federation's coordinator), `joining` (puts the parts together).
+thread of the site delegate and of the federation's coordinator), `joining` (assembles the parts).
 """
--- a/tealwing/federation/joining.py
+++ b/tealwing/federation/joining.py
@@ -1,4 +1,4 @@
-"""Assembles a gateway's part in the federation's log."""
+"""Assemble the parts with which a gateway takes part in the federation's log."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 def join(
     plan: Plan, site: Replica, site_plan: ReplicaPlan, link: Link, control: ControlServer | None, silence_timeout: float
 ) -> Federation:
-    """Assemble the federation's replica, loaded from its disk, and the service; before either log's member starts.
+    """Assemble the federation's replica, loaded from its disk, and the service; call it before either replica starts.
 
-    silence_timeout is s of a site's silence. StorageError or OSError where the disk can't be trusted or read,
-    ValueError where the plan does not match the section `peers`.
+    silence_timeout is the silence in s after which a site's permits are expired. Raises StorageError or OSError if the
+    disk can't be trusted or read, and ValueError if the plan does not match the section `peers`.
     """
     check_members(plan, link)
     group = dataclasses.replace(
@@ -40,10 +40,14 @@
 
 
 def check_members(plan: Plan, link: Link) -> None:
-    """Raise ValueError where the sites' gateways are not those of the section `peers`."""
+    """Raise ValueError unless the gateways of all sites are the members of the section `peers`."""
     peers = {name for name, _ in link.plan.members}
     assigned = {name for _, members in plan.sites for name in members}
     if unassigned := sorted(peers - assigned):
-        raise ValueError(f"{', '.join(unassigned)} of the section peers has no site; allowed: a site for each")
+        raise ValueError(
+            f"members of the section peers without a site: {', '.join(unassigned)}; allowed: one site for each"
+        )
     if unknown := sorted(assigned - peers):
-        raise ValueError(f"{', '.join(unknown)} has no member line in the section peers; allowed: one for each")
+        raise ValueError(
+            f"gateways without a member line in the section peers: {', '.join(unknown)}; allowed: one for each"
+        )
--- a/tealwing/federation/plan.py
+++ b/tealwing/federation/plan.py
@@ -1,4 +1,4 @@
-"""The settings of the section `federation`, as one record; pure."""
+"""The parsed section `federation` of the operators' file; pure."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One gateway's part of a federation of sites, each a fleet with a replicated log of its own."""
+    """A federation of sites, each a fleet with its own replicated log. Durations are in seconds."""
 
     directory: str  # of the federation's log and snapshots
-    sites: tuple[tuple[str, tuple[str, ...]], ...]  # name, and its gateways' names in the section `peers`
-    agreement_timeout: float = 8.0  # s within which all sites must agree; otherwise the change is aborted
-    voters_per_site: int = 3  # gateways of one site that vote in the federation's log, at most; its others learn
+    sites: tuple[tuple[str, tuple[str, ...]], ...]  # each: its name, and its gateways' names in the section `peers`
+    agreement_timeout: float = 8.0  # within which all sites must agree; otherwise the change is aborted
+    voters_per_site: int = 3  # at most so many gateways of a site vote in the federation's log; its others are learners
     heartbeat: float = 0.1
     election_timeout: float = 1.0
 
     def site_of(self, gateway: str) -> str:
-        """Return the site of a gateway; empty where it has none."""
+        """Return the site of a gateway; empty if it has none."""
         return next((site for site, members in self.sites if gateway in members), "")
 
     def gateways(self, site: str) -> tuple[str, ...]:
@@ -25,7 +25,7 @@
         return next((members for name, members in self.sites if name == site), ())
 
     def initial_voters(self) -> tuple[str, ...]:
-        """Return the initial voters of the federation's log: so many of each site that none has a majority."""
+        """Return the initial voters of the federation's log: few enough of each site that none has a majority."""
         return tuple(sorted(name for _, members in self.sites for name in members[: self.voters_per_site]))
 
     def initial_learners(self) -> tuple[str, ...]:
--- a/tealwing/federation/section.py
+++ b/tealwing/federation/section.py
@@ -1,4 +1,4 @@
-"""The section `federation` of the operators' file."""
+"""Schema of the section `federation` of the operators' file."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from tealwing.conf.schema import Block, Entry, Report, Section, Spec
 from tealwing.federation.plan import Plan
 
-MIN_SITES = 3  # with two, the loss of one leaves no majority of the federation's log
-MAX_SITES = 32  # each has voters in one log, whose leader writes to all
+MIN_SITES = 3  # with two sites, the loss of one leaves no majority of the federation's log
+MAX_SITES = 32  # each has voters in the federation's log, whose leader sends every entry to all of them
 
 
 def _site(arguments: values.Arguments) -> tuple[str, tuple[str, ...]]:
     if len(arguments) < 2:
         raise values.InvalidValueError(
-            "the site's name, as the engine list says it, and its gateways, as bloemfontein n0 n1 n2"
+            "the site's name as in the engine list, then its gateways, such as: bloemfontein n0 n1 n2"
         )
     name = values.instance(arguments[:1])
     return name, tuple(values.instance((argument,)) for argument in arguments[1:])
@@ -36,22 +36,24 @@
 
 
 def build(block: Block, report: Report) -> Plan:
-    """Return the plan of a checked section; problems go to the report."""
+    """Build the plan of a checked section; problems go to the report."""
     sites: list[Entry] = [entry for entry in block.all("site") if entry.value is not None]
     seen: dict[str, Entry] = {}
     home: dict[str, str] = {}
     for entry in sites:
         name, members = entry.value
         if name in seen:
-            report.add(entry.place, "site", f"a second site {name}", f"one, and {seen[name].place} has it")
+            report.add(entry.place, "site", f"a second site {name}", f"each site once; {seen[name].place} has it")
         seen[name] = entry
         for member in members:
             if member in home:
-                report.add(entry.place, "site", f"{member}, which is of {home[member]}", "a gateway of one site")
+                report.add(
+                    entry.place, "site", f"{member}, which is a gateway of {home[member]}", "each gateway in one site"
+                )
             home[member] = name
     first = sites[0].place if sites else block.entries["site"][0].place
     if len(seen) < MIN_SITES:
-        report.add(first, "site", f"{len(seen)} sites", f"{MIN_SITES} or more: two do not bear the loss of one")
+        report.add(first, "site", f"{len(seen)} sites", f"{MIN_SITES} or more, as two do not tolerate the loss of one")
     if len(seen) > MAX_SITES:
         report.add(first, "site", f"{len(seen)} sites", f"at most {MAX_SITES}")
     heartbeat, election_timeout = block.one("beat"), block.one("election")
--- a/tealwing/federation/site_delegate.py
+++ b/tealwing/federation/site_delegate.py
@@ -1,7 +1,7 @@
-"""The site delegate: what the leader of a site's log proposes for it in the federation's log and in its own; pure.
+"""The site delegate: what the leader of a site's log proposes in the federation's log and in the site's; pure.
 
-In the federation's registry the members are sites. All proposals follow from committed entries of either log and from
-nothing else: so those of two delegates of one site, or of a former one, are correct too.
+In the federation's registry the members are sites. All proposals follow only from committed entries of the two logs, so
+those of two concurrent delegates of one site, or of a former one, are correct too.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 Tables = Mapping[str, Mapping[str, Any]]
 Proposals = tuple[list[Body], list[Body]]  # for the site's log, and for the federation's
-REJECTED_RETRY_INTERVAL = 30.0  # s; max between proposals of a version that this site rejects
+REJECTED_RETRY_INTERVAL = 30.0  # s; maximum between two proposals of a version that this site rejects
 
 
 def required_proposals(site: str, site_tables: Tables, fed_tables: Tables, fed_index: int) -> Proposals:
-    """Return what to propose in the site's log, and what in the federation's, by both states as applied here.
+    """Return what to propose in the site's log and what in the federation's, from both states as applied here.
 
-    The federation's state is that at fed_index. Each proposal is idempotent.
+    fed_index is the index of the federation's state. Each proposal is idempotent.
     """
     site_view, federation_view = view_of(site_tables, 0, site), view_of(fed_tables, fed_index, site)
     gateways: Mapping[str, Member] = site_tables["rule_members"]
@@ -62,11 +62,13 @@
     flight = site_view.in_flight
     if flight is not None:
         if not flight.federated:
-            return []  # from before the site joined: its own log ends it
+            return []  # proposed before the site joined the federation: the site's log decides it
         number, federation_version = flight.number, versions.get(str(flight.number))
-        if federation_version is None:  # not applied here yet, or over so long ago that its record is gone
+        if federation_version is None:  # not applied here yet, or trimmed there since its outcome
             expired = federation_view.phase_of(number) is not None
-            return [Abort(number, "it is long over in the federation", fed_index)] if expired else []
+            return (
+                [Abort(number, "the federation decided it long ago and has trimmed it", fed_index)] if expired else []
+            )
         if federation_version.phase in ("rejected", "aborted", "withdrawn"):
             return [Abort(number, federation_version.outcome, federation_version.phase_index)]
         in_force = federation_version.phase in ("active", "superseded")
@@ -103,10 +105,10 @@
 def _membership_proposals(
     site: str, site_view: View, federation_view: View, gateways: Mapping[str, Member]
 ) -> list[Body]:
-    """Return the site's `Begin`, due when it has the version in force and its earlier permits have expired.
+    """Return the site's `Begin`, due once it has the version in force and its earlier permits have expired.
 
-    The start number of a site, unlike that of a gateway, is of no process: its gateways may still hold permits of an
-    earlier one.
+    The start of a site, unlike that of a gateway, is not tied to a process: its gateways may still hold permits of an
+    earlier start.
     """
     me = federation_view.local_member
     serves = any(member.partition_mode == "serve" for member in gateways.values())
@@ -129,20 +131,20 @@
         return True, ""
     if phase in ("rejected", "aborted", "withdrawn"):
         recorded: Version | None = site_tables["rules"].get(str(number))
-        return False, recorded.outcome if recorded is not None else f"number {number} was given at this site already"
+        return False, recorded.outcome if recorded is not None else f"this site has already assigned number {number}"
     if (phase is None and 0 < number <= site_view.last_number) or phase == "superseded":
-        return False, f"number {number} was given at this site already"
+        return False, f"this site has already assigned number {number}"
     return None
 
 
 class SiteDelegate:
-    """The required proposals, each repeated no sooner than its backoff allows."""
+    """The delegate of one site: its required proposals, each repeated only after its backoff."""
 
     def __init__(self, site: str, seed: int = 0) -> None:
         self.site, self._retry, self._proposals = site, Retry(seed), Retry(seed + 1, REJECTED_RETRY_INTERVAL)
 
     def due_proposals(self, now: float, site_tables: Tables, fed_tables: Tables, fed_index: int) -> Proposals:
-        """Return what to propose now in the site's log and in the federation's, as the leader of the site's."""
+        """Return what to propose now in the site's log and in the federation's; for the leader of the site's log."""
         site_proposals, federation_proposals = required_proposals(self.site, site_tables, fed_tables, fed_index)
         keyed: list[tuple[Hashable, Body]] = [(_key(body), body) for body in (*site_proposals, *federation_proposals)]
         self._retry.retain([key for key, body in keyed if not isinstance(body, Propose)])
@@ -154,7 +156,7 @@
     def _is_due(self, now: float, key: Hashable, body: Body) -> bool:
         if not isinstance(body, Propose):
             return self._retry.ready(now, key)
-        self._proposals.retain([key])  # kept while it is in flight: a rejected one is repeated seldom
+        self._proposals.retain([key])  # kept, so that the backoff grows while a site rejects the version
         return self._proposals.ready(now, key)
 
 
--- a/tealwing/fleet/__init__.py
+++ b/tealwing/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Assembles what a gateway runs among its peers: link, control address, replica, leases, rules (peering.py)."""
+"""The parts of a gateway that work with its peers: link, control server, replica, leases and rules; see peering."""
--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -1,4 +1,4 @@
-"""Assembles what a gateway runs among its peers: the link, the control address, the replicated state."""
+"""Assemble the parts of a gateway that work with its peers: link, control server, replica, leases and rules."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from tealwing.replica.service.state_feed import StateFeed
 from tealwing.replica.storage.records import StorageError
 
-if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
+if TYPE_CHECKING:  # at run time only the parts that the operators' file switches on are imported
     from tealwing.federation.plan import Plan as FederationPlan
     from tealwing.federation.service import Federation
     from tealwing.rollout.admission.gate import Gate
@@ -35,11 +35,11 @@
     from tealwing.rollout.plan import Plan as RulesPlan
     from tealwing.rollout.runtime import Runtime
 
-MAX_CLOCK_RATE, MIN_CLOCK_RATE = 2.0, 0.5  # multiples of the real rate, of an injected clock fault
+MAX_CLOCK_RATE, MIN_CLOCK_RATE = 2.0, 0.5  # bounds of an injected clock fault, as multiples of the real rate
 
 
 class Peering:
-    """One gateway's side of the fleet."""
+    """The parts of one gateway that work with its peers."""
 
     def __init__(
         self,
@@ -50,8 +50,8 @@
     ) -> None:
         """Assemble the parts that the plans enable, and load the replicated state from its disk.
 
-        on_settings is called with the last good version of the settings on the disk, and with each that the fleet
-        agrees on later. LinkError where an address is not available, or a disk can't be trusted.
+        on_settings is called with the number and text of the last valid version of the settings on disk, and of each
+        that the fleet agrees on later. Raises LinkError if an address is not available or a disk can't be trusted.
         """
         self.plan, self.replica_plan = plan, replica
         self.rules_plan: RulesPlan | None = None
@@ -73,7 +73,7 @@
         if self.replica is not None:
             self.replica.on_applied(self._applied)
             self.replica.on_state_replaced(self._apply_last_good)
-            self._apply_last_good()  # it serves at once, before the fleet answers
+            self._apply_last_good()  # so that this gateway decides requests before the fleet answers
         if self.replica is not None and replica is not None and replica.replace_after:
             Promotion(self.replica, next_change, replica.replace_after, len(SITE.initial_members(plan)[0]))
         self.lease_manager: LeaseManager | None = None
@@ -82,7 +82,7 @@
         self.control = self._control_server(plan.control) if plan.control is not None else None
 
     def _control_server(self, address: Address) -> ControlServer:
-        """Return the control server with the calls of all parts, not yet started."""
+        """Return the control server, not yet started, with the calls of all parts."""
         try:
             control = ControlServer(address)
         except OSError as error:
@@ -102,19 +102,21 @@
         return control
 
     def follow_rules(self, plan: RulesPlan, gateway: Gateway) -> Gate:
-        """Take part in changes of the rules; before the start. Return the gate that requests must pass.
+        """Take part in changes of the rules, and return the gate that requests must pass; call it before the start.
 
-        LinkError where the persisted marker of changes can't be read, or the federation can't be joined.
+        Raises LinkError if the persisted marker can't be read or the federation can't be joined.
         """
-        from tealwing.rollout import setup  # only where it is on
+        from tealwing.rollout import setup  # imported only if the section is present
 
-        assert self.replica is not None and self.replica_plan is not None  # the section needs it
+        assert (
+            self.replica is not None and self.replica_plan is not None
+        )  # the section `rules` requires the section `replica`
         self.rules_plan = plan
         if self.federation_plan is not None:
-            from tealwing.federation import joining as outside
+            from tealwing.federation import joining
 
             try:
-                self.federation = outside.join(
+                self.federation = joining.join(
                     self.federation_plan, self.replica, self.replica_plan, self.link, self.control, plan.patience
                 )
             except (StorageError, OSError, ValueError) as error:
@@ -124,12 +126,12 @@
             self.rules = setup.join_rollout(plan, self.replica, self.link, gateway, self.control, self.federation)
         except OSError as error:
             self.stop()
-            raise LinkError(f"rules: {error}; allowed: a folder of the section replica that can be read") from None
+            raise LinkError(f"rules: {error}; allowed: a readable folder in the section replica") from None
         return self.rules.gate
 
     @property
     def plans(self) -> tuple[Plan, ReplicaPlan | None, RulesPlan | None, FederationPlan | None]:
-        """The plans that this was assembled from: a change of one needs a restart."""
+        """The plans that the parts were assembled from; a change of any needs a restart."""
         return self.plan, self.replica_plan, self.rules_plan, self.federation_plan
 
     def _group(self) -> Group:
@@ -160,7 +162,7 @@
         if self.plan.faults:
             log.event(
                 "fault_injection_enabled",
-                why="the operators' file lets the control address take the laboratory's faults",
+                why="the section peers of the operators' file has `faults on`: control calls can inject faults",
             )
 
     def stop(self) -> None:
@@ -181,9 +183,9 @@
         self.link.stop()
 
     def _apply_last_good(self) -> None:
-        """Pass on the last good version of the settings in the replicated state."""
-        if self.replica is not None and (best := self.replica.state.last_good()):
-            self._on_settings(best, self.replica.state.tables["settings"][str(best)].text)
+        """Call on_settings with the last valid version of the settings in the replicated state."""
+        if self.replica is not None and (version := self.replica.state.last_good()):
+            self._on_settings(version, self.replica.state.tables["settings"][str(version)].text)
 
     def _applied(self, index: int, command: Command | None, result: CommandResult | None) -> None:
         body = command.body if command is not None else None
@@ -191,16 +193,19 @@
             self._on_settings(body.version, body.text)
 
     def readiness(self) -> tuple[bool, str, int]:
-        """Return whether clients may be sent here, why not, and the recovery phase as a number (0: no replica)."""
+        """Return whether the gateway is ready for clients, why not, and the recovery phase as a number (0: no replica).
+
+        The reason also names a metric.
+        """
         if self.replica is None:
             return True, "", 0
-        back = self.replica.recovery
-        if back.ready and self.rules is not None and (why := self.rules.readiness()):
-            return False, why, list(Phase).index(back.phase) + 1
-        return back.ready, back.reason(self.replica.observe()), list(Phase).index(back.phase) + 1
+        recovery = self.replica.recovery
+        if recovery.ready and self.rules is not None and (why := self.rules.readiness()):
+            return False, why, list(Phase).index(recovery.phase) + 1
+        return recovery.ready, recovery.reason(self.replica.observe()), list(Phase).index(recovery.phase) + 1
 
     def status(self) -> dict[str, Any]:
-        """Return the answer of the call `status`: the peers, and the replica's own status."""
+        """Return the answer to the control call `status`: the peers, and the replica's status."""
         status = {
             "name": self.plan.name,
             "fleet": self.plan.fleet,
@@ -211,7 +216,7 @@
         return status | (self.replica.status() if self.replica is not None else {})
 
     def _skew_clock(self, fields: Fields) -> Fields:
-        """Inject a clock fault: a step, or another rate."""
+        """Inject a clock fault: a step in s, a rate relative to the real one, or both."""
         step, rate = float(field(fields, "step_s", float, 0.0)), float(field(fields, "rate", float, 1.0))
         if not MIN_CLOCK_RATE <= rate <= MAX_CLOCK_RATE:
             raise CallRejectedError(f"rate: {rate:g}; allowed: {MIN_CLOCK_RATE:g} to {MAX_CLOCK_RATE:g}")
@@ -220,14 +225,16 @@
         return {"now": self.clock.now()}
 
     def _corrupt_replies(self, fields: Fields) -> Fields:
-        """Inject a fault of ping replies."""
+        """Start or stop corrupting the replies to pings."""
         self.ping.corrupts_replies = bool(field(fields, "lie", bool, False))
         return {}
 
     def _fail_disk(self, fields: Fields) -> Fields:
-        """Inject faults of the next writes of the storage."""
+        """Inject a fault into the next `count` writes of the replica's storage."""
         if self.replica is None:
-            raise CallRejectedError("there is no replicated state here, and no disk")
+            raise CallRejectedError(
+                "fault.disk: this gateway has no replica; its operators' file needs a section replica"
+            )
         fault, count = str(field(fields, "fault", str)), int(field(fields, "count", int, 1))
         if fault not in ("fsync", "short", "full", "none"):
             raise CallRejectedError(f"fault: {fault!r}; allowed: fsync, short, full or none")
