--- a/tealwing/federation/section.py
+++ b/tealwing/federation/section.py
@@ -20,18 +20,18 @@
 
 
 SPECS = (
-    Spec("folder", "PATH", "Where the federation's log and snapshots are kept; not the folder of `replica`.",
+    Spec("folder", "PATH", "Folder of the federation's log and snapshots; not the folder of the section `replica`.",
          values.text, needed=True),
-    Spec("site", "NAME GATEWAY...", "A site, by the name that engines have as their locality, and its gateways by"
-         " their names in the section peers.", _site, many=True, needed=True),
-    Spec("limit", "DURATION", "Time in which all sites must have agreed on a change; then it is aborted.",
+    Spec("site", "NAME GATEWAY...", "A site, under the name that its engines have as their locality, and its gateways,"
+         " under their names in the section peers.", _site, many=True, needed=True),
+    Spec("limit", "DURATION", "Time within which all sites must agree on a change; otherwise it is aborted.",
          values.durations(0.5, 600.0), "8s"),
-    Spec("voters", "COUNT", "Gateways of one site that vote in the federation's log, at most; its others follow it.",
+    Spec("voters", "COUNT", "Maximum of a site's gateways that vote in the federation's log; its others are learners.",
          values.integers(1, 7), "3"),
-    Spec("beat", "DURATION", "Between two words of the federation's leader that has nothing else to say.",
+    Spec("beat", "DURATION", "Interval between heartbeats of the federation's leader.",
          values.durations(0.02, 5.0), "100ms"),
-    Spec("election", "DURATION", "Silence of that leader after which another is elected; a few round trips between"
-         " the farthest sites and three beats, at least.", values.durations(0.1, 60.0), "1s"),
+    Spec("election", "DURATION", "Silence of the federation's leader after which another is elected; at least three"
+         " beats, and a few round trips between the farthest sites.", values.durations(0.1, 60.0), "1s"),
 )  # fmt: skip
 
 
