--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -24,7 +24,7 @@
     return found
 
 
-def test_the_section_has_its_defaults(tmp_path: Path) -> None:
+def test_rules_section_has_defaults(tmp_path: Path) -> None:
     assert read(tmp_path, PEERS + REPLICA + "rules\n    lost-touch serve\n") == Plan()
 
 
@@ -41,14 +41,12 @@
         (PEERS + REPLICA + "rules\n    lost-touch hold\n    permit 5s\n", "a permit's end"),
     ],
 )
-def test_a_section_that_contradicts_itself_or_others_is_refused_with_what_is_allowed(
-    text: str, says: str, tmp_path: Path
-) -> None:
+def test_contradictory_rules_section_is_rejected_with_allowed_values(text: str, says: str, tmp_path: Path) -> None:
     with pytest.raises(ConfError, match=says):
         read(tmp_path, text)
 
 
-def test_a_mark_outlives_its_writer_and_a_write_that_failed(tmp_path: Path) -> None:
+def test_marker_survives_restart_and_failed_writes(tmp_path: Path) -> None:
     disk = Disk()
     mark = PersistedMarker(tmp_path, disk)
     assert mark.read() == 0
@@ -64,7 +62,7 @@
 
 
 @pytest.mark.parametrize("damage", [b"", b"closed-for 8", b"\x00" * 60])
-def test_a_damaged_mark_is_told_with_its_remedy(damage: bytes, tmp_path: Path) -> None:
+def test_damaged_marker_is_reported_with_remedy(damage: bytes, tmp_path: Path) -> None:
     PersistedMarker(tmp_path, Disk()).write(7)
     (tmp_path / FILE_NAME).write_bytes(damage)
     with pytest.raises(MarkerDamagedError, match="holds all requests until the log shows"):
--- a/tests/test_rollout_cores.py
+++ b/tests/test_rollout_cores.py
@@ -51,7 +51,7 @@
         return view_of(self.tables, self.index, name)
 
 
-def test_a_member_closes_at_once_says_so_once_its_mark_is_on_disk_and_opens_on_the_outcome() -> None:
+def test_member_reports_close_after_marker_and_opens_on_outcome() -> None:
     log = Log(("a", "serve"), ("b", "serve"))
     machine = Machine("a", "serve", 1, disk=log.view("a"))
     assert machine.gate_state(0.0).mode == "open"
@@ -73,7 +73,7 @@
     assert (machine.gate_state(11.0).mode, machine.gate_state(11.0).number) == ("open", 1)
 
 
-def test_at_a_start_a_serving_members_disk_is_enough_but_for_a_change_that_its_mark_names() -> None:
+def test_serve_member_starts_from_disk_unless_marker_names_an_open_change() -> None:
     log = Log(("a", "serve"), ("b", "serve"))
     assert Machine("a", "serve", 2, disk=log.view("a"), marker=0).gate_state(0.0).mode == "open"
     assert (
@@ -89,7 +89,7 @@
     assert Machine("a", "serve", 1).gate_state(0.0).mode == "shut"
 
 
-def test_an_empty_folder_serves_once_a_read_is_applied_even_if_its_start_number_was_used_before() -> None:
+def test_member_with_empty_folder_opens_once_a_read_is_applied() -> None:
     log = Log(("a", "serve"), ("b", "serve"))
     old = log.view("a")
     log.checked()
@@ -103,7 +103,7 @@
     assert (machine.gate_state(0.3).mode, machine.gate_state(0.3).number) == ("open", 1)
 
 
-def test_hold_decides_under_a_permit_alone_counted_from_when_it_was_asked_for() -> None:
+def test_hold_member_opens_only_for_a_permit_counted_from_the_read() -> None:
     log = Log(("b", "serve"))
     machine = Machine("a", "hold", 7)
     assert machine.step(0.0, log.view("a")) == [PersistMarker(HOLD_MARKER)]  # before the log may ever have it as `hold`
@@ -130,7 +130,7 @@
     assert machine.gate_state(11.4).mode == "shut"
 
 
-def test_the_conductor_lapses_the_silent_before_anyone_closes_and_aborts_at_the_limit() -> None:
+def test_coordinator_expires_silent_members_before_closing_and_aborts_at_limit() -> None:
     log = Log(("a", "serve"), ("b", "hold"), ("c", "serve"))
     log.checked()
     conductor = RolloutCoordinator("a", 5.0, 0.5)
@@ -153,7 +153,7 @@
     assert conductor.step(8.3, log.tables, []) == [r.Activate(1)]
 
 
-def test_witnesses_wait_their_whole_time_and_few_of_many_speak_at_first() -> None:
+def test_few_members_confirm_an_expiry_after_the_full_delay() -> None:
     names = [f"m{place}" for place in range(20)]
     log = Log(*[(name, "hold") for name in ("x", *names)])
     watches = {name: ExpiryObserver(name) for name in ("x", *names)}
@@ -170,7 +170,7 @@
     assert late.due(9.0, log.tables) == [] and late.due(9.01 + waits, log.tables)
 
 
-def test_a_site_follows_the_federation_through_a_change_and_says_only_what_its_log_has() -> None:
+def test_site_delegate_follows_the_federation_through_a_change() -> None:
     fed, site = Log(("B", "serve")), Log(("a", "serve"), ("b", "hold"))
 
     def step() -> tuple[list[r.Body], list[r.Body]]:
@@ -202,7 +202,7 @@
     assert step() == ([], [])
 
 
-def test_a_lapsed_site_begins_anew_only_when_its_permits_are_over_and_it_has_what_is_in_force() -> None:
+def test_expired_site_begins_again_after_its_permits_end_and_it_has_the_active_version() -> None:
     fed, site = Log(("A", "hold"), ("B", "hold"), ("C", "hold")), Log(("a", "hold"))
     fed.checked()
     fed.do(r.Close(1), r.Closed(1, "B", 1), r.Closed(1, "C", 1), r.ExpirePermit("A", 1))
@@ -216,7 +216,7 @@
     assert required_proposals("A", site.tables, fed.tables, fed.index) == ([], [r.Begin("A", 2, "hold", 1, 2000, 1)])
 
 
-def test_a_gateway_of_a_federated_site_is_shut_where_the_federation_has_gone_on_without_it() -> None:
+def test_gateway_is_shut_after_the_federation_expires_its_site() -> None:
     fed, site = Log(("A", "hold"), ("B", "hold"), ("C", "hold")), Log(("a", "hold"))
     machine = Machine("a", "hold", 1, marker=HOLD_MARKER, federated=True)
     assert machine.step(0.0, site.view("a"), fed.view("A")) == [ReadIndex(), ReadIndex(True)]
--- a/tests/test_rollout_model.py
+++ b/tests/test_rollout_model.py
@@ -28,7 +28,7 @@
         (lambda: Federation("hhh", Budget(), begin=closing("b", "c", lapse="A")), 3, 300),
     ],
 )
-def test_nobody_decides_under_older_rules_than_anybody_did_in_all_interleavings_of_a_few_steps(
+def test_no_member_decides_under_older_rules_in_any_short_interleaving(
     model: Callable[[], Rollout], depth: int, states: int
 ) -> None:
     found = explore(model(), depth)
@@ -36,13 +36,13 @@
 
 
 @pytest.mark.parametrize("modes", ["sss", "hhh", "shh"])
-def test_nor_in_long_walks_through_crashes_old_disks_changed_modes_and_several_versions(modes: str) -> None:
+def test_no_member_decides_under_older_rules_in_random_walks_with_faults(modes: str) -> None:
     for model, walks in ((Rollout(modes, FAULTS), 15), (Federation(modes, FAULTS), 8)):
         found = wander(model, walks, 160, 11, likely)
         assert found.broken == "" and found.steps > 500
 
 
-def test_nor_in_walks_of_sites_that_hold_through_several_versions() -> None:
+def test_no_hold_site_decides_under_older_rules_in_random_walks() -> None:
     found = wander(Federation("hhh", GENTLE), 10, 160, 11, patient)
     assert found.broken == "" and found.steps > 1_000
 
@@ -54,6 +54,6 @@
         ("one-clock", 6), ("site-early", 4), ("begin-counts", 3), ("mode-forgotten", 2), ("empty-trusted", 2),
     ],
 )  # fmt: skip
-def test_known_faults_of_a_change_are_found_with_short_stories(name: str, steps: int) -> None:
+def test_model_check_finds_known_faults_with_short_traces(name: str, steps: int) -> None:
     found = explore(MUTATIONS[name](), 10)
     assert "decide" in found.broken and len(found.trace) == steps
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -87,7 +87,7 @@
     return [e for e in trial.processes[name].events() if e["event"] == event]
 
 
-def test_operators_change_the_rules_of_running_processes_on_all_or_on_none(tmp_path: Path) -> None:
+def test_operator_commands_change_rules_at_all_gateways_or_none(tmp_path: Path) -> None:
     good, bad, misfit, long = (tmp_path / name for name in ("good.toml", "bad.toml", "misfit.toml", "long.toml"))
     good.write_text(AIM.format(700))
     bad.write_text("[classes.lookup]\naim-seconds = 1\n")
@@ -128,7 +128,7 @@
         assert call(trial, "n0", "rules.forget", member="n9", off=True)["word"] == "refused"
 
 
-def test_of_two_operators_at_once_one_is_told_whose_change_goes_before(tmp_path: Path) -> None:
+def test_second_of_two_concurrent_proposals_is_refused_with_the_first_author(tmp_path: Path) -> None:
     with fleet("serve") as trial:
         told: dict[str, dict[str, Any]] = {}
         asking = [threading.Thread(target=lambda n=n: told.update({n: propose(trial, n, 650, parent=0)}))
@@ -144,7 +144,7 @@
         until(lambda: in_force(trial, 1))
 
 
-def test_where_one_serves_on_unseen_a_change_is_aborted_and_it_comes_back_to_the_same_rules() -> None:
+def test_change_is_aborted_while_a_serve_member_is_down() -> None:
     with fleet("serve") as trial:
         assert propose(trial, "n0", 650)["word"] == "ok"
         until(lambda: in_force(trial, 1))
@@ -171,7 +171,7 @@
         until(lambda: in_force(trial, number + 2))
 
 
-def test_a_change_goes_on_without_who_holds_and_that_one_decides_nothing_until_it_knows() -> None:
+def test_change_goes_on_without_a_cut_off_hold_member() -> None:
     with fleet("hold") as trial:
         lost = next(name for name in trial.names if name not in ("n0", trial.leader()))
         with trial.proxy.lock:
@@ -196,7 +196,7 @@
         assert [m["name"] for m in call(trial, "n0", "rules.status")["members"]] == others
 
 
-def test_one_whose_disk_fails_is_gone_on_without_though_it_is_heard_and_refuses_once_its_permit_is_over() -> None:
+def test_change_goes_on_without_a_hold_member_whose_disk_fails() -> None:
     with fleet("hold") as trial:
         lost = next(name for name in trial.names if name not in ("n0", trial.leader()))
         call(trial, lost, "fault.disk", fault="fsync", count=10**6)
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize("lost_touch", ["serve", "hold"])
-def test_all_killed_between_the_close_and_the_outcome_come_back_to_one_outcome(lost_touch: str) -> None:
+def test_members_killed_between_close_and_outcome_agree_after_restart(lost_touch: str) -> None:
     with fleet(lost_touch) as trial:
         assert propose(trial, "n0", 650)["word"] == "ok"
         until(lambda: in_force(trial, 1))
--- a/tests/test_rollout_scale.py
+++ b/tests/test_rollout_scale.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("mode", ["serve", "hold"])
-def test_a_fleet_of_twenty_changes_as_quickly_as_one_of_five_and_says_little_more(mode: PartitionMode) -> None:
+def test_fleet_of_twenty_changes_as_quickly_as_fleet_of_five(mode: PartitionMode) -> None:
     few, _ = trials.sized(trials.shape(1, 5, mode), 5, 3, loss=0.0)
     many, fleet = trials.sized(trials.shape(1, 20, mode), 5, 3, loss=0.0)
     for found in (few, many):
@@ -26,13 +26,13 @@
 
 
 @pytest.mark.parametrize("mode", ["serve", "hold"])
-def test_three_sites_change_together_though_messages_are_lost(mode: PartitionMode) -> None:
+def test_three_sites_change_together_despite_message_loss(mode: PartitionMode) -> None:
     found, _ = trials.sized(trials.shape(3, 3, mode), 4, 3)
     assert found.wrong == [] and found.failed == 0
     assert share(found.gaps, 0.5) < 0.25  # seven times the 20 ms between sites, and what is done at each
 
 
-def test_a_gateway_that_is_cut_off_ends_a_change_of_those_that_serve_and_delays_one_of_those_that_hold() -> None:
+def test_cut_off_gateway_aborts_change_in_serve_and_delays_it_in_hold() -> None:
     serve = trials.cut_off(trials.shape(1, 6, "serve"), 1, 3)
     hold = trials.cut_off(trials.shape(1, 6, "hold"), 1, 3)
     assert serve.wrong == hold.wrong == []
@@ -40,13 +40,13 @@
     assert hold.ended == ["active"] and 2.24 < hold.took[0] < 4.0  # the permits given before must be over
 
 
-def test_a_member_that_opens_early_is_found() -> None:
+def test_judge_finds_member_that_opens_early() -> None:
     found, _ = trials.sized(trials.shape(1, 20, "serve", "early-open"), 5, 20)
     assert any("was answered" in wrong for wrong in found.wrong)  # by clients
     assert any("an older one until" in wrong for wrong in found.wrong)  # and by spans
 
 
-def test_words_that_come_together_are_one_entry_and_do_what_each_would() -> None:
+def test_batched_reports_have_the_effect_of_single_ones() -> None:
     names = [f"g{number}" for number in range(9)]
     before: list[Body] = [Begin(name, 1, "serve") for name in names]
     before.append(Propose(0, digest(b"x"), b"x", "lerato", 1))
--- a/tests/test_rollout_shell.py
+++ b/tests/test_rollout_shell.py
@@ -130,7 +130,7 @@
         each.shell.stop()
 
 
-def test_a_version_is_put_in_force_before_anybody_passes_and_others_are_hurried(made: Any) -> None:
+def test_version_is_activated_before_the_gate_opens(made: Any) -> None:
     one = made()
     until(one.passes)
     number = one.propose(b"x")
@@ -138,7 +138,7 @@
     assert one.place.forced == [number] and one.log.hurried >= 3
 
 
-def test_a_disk_that_does_not_take_the_mark_keeps_the_gate_closed_and_all_quiet(made: Any, tmp_path: Path) -> None:
+def test_gate_stays_closed_while_the_marker_cannot_be_written(made: Any, tmp_path: Path) -> None:
     one = made()
     until(one.passes)
     one.log.disk.inject_fault("fsync", 10**6)
@@ -151,7 +151,7 @@
     assert f"closed-for {number} ".encode() in (tmp_path / FILE_NAME).read_bytes()
 
 
-def test_a_bundle_that_makes_the_check_fall_over_is_a_no_with_the_reason(made: Any) -> None:
+def test_bundle_that_crashes_the_check_is_rejected_with_the_reason(made: Any) -> None:
     one = made()
     until(one.passes)
     number = one.propose(b"garbage")
@@ -159,7 +159,7 @@
     assert "RecursionError: too deep" in one.shell.observed.version(number).outcome and one.passes()
 
 
-def test_nobody_passes_where_a_version_can_not_be_put_in_force_until_it_can(made: Any) -> None:
+def test_gate_is_shut_while_the_version_cannot_be_activated(made: Any) -> None:
     one = made()
     until(one.passes)
     one.place.broken = True
@@ -173,7 +173,7 @@
     assert one.place.forced == [number] and one.shell.readiness() == ""
 
 
-def test_between_the_deciding_entry_and_the_look_at_it_only_untouched_classes_pass(
+def test_only_unaffected_classes_pass_until_the_gate_follows_the_deciding_entry(
     made: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # seen once beside load: the entry can be read before the gate has followed it, and a class that the change does not
@@ -199,7 +199,9 @@
 
 
 @pytest.mark.parametrize("damage", [False, True])
-def test_after_a_start_a_mark_holds_until_the_log_knows_the_outcome(made: Any, damage: bool, tmp_path: Path) -> None:
+def test_restarted_gateway_opens_from_disk_unless_the_marker_is_damaged(
+    made: Any, damage: bool, tmp_path: Path
+) -> None:
     before = made()
     until(before.passes)
     number = before.propose(b"x")
--- a/tests/test_rules_bundle.py
+++ b/tests/test_rules_bundle.py
@@ -56,7 +56,7 @@
     return "".join(parts).encode()
 
 
-def test_a_bundle_takes_the_place_of_what_it_names_in_the_platforms_settings_and_of_nothing_else() -> None:
+def test_bundle_overrides_only_the_settings_that_it_names() -> None:
     bundle, before = parse(WHOLE.encode()), platform()
     after = overlay.apply(bundle, before)
     look = after.classes[0]
@@ -125,9 +125,7 @@
         ("#" * (256 * 1024 + 1), errors.TooLargeError, "allowed: 262144"),
     ],
 )
-def test_what_is_wrong_with_a_bundle_is_told_with_its_key_what_was_found_and_what_is_allowed(
-    text: str, kind: type[errors.RulesError], told: str
-) -> None:
+def test_bundle_error_names_key_value_and_allowed_values(text: str, kind: type[errors.RulesError], told: str) -> None:
     with pytest.raises(kind) as caught:
         parse(text.encode())
     assert told in str(caught.value) and str(caught.value).endswith(kind.remedy)
@@ -160,7 +158,7 @@
     return {of}.union(*map(kinds, of.__subclasses__()))
 
 
-def test_every_error_is_met_and_its_remedy_stands_in_the_manual_word_for_word() -> None:
+def test_every_error_occurs_and_its_remedy_is_in_the_manual() -> None:
     met = {type(fault) for fault in faults()} | {
         errors.InvalidValueError,
         errors.UnknownKeyError,
@@ -175,7 +173,7 @@
         assert remedy in manual
 
 
-def test_a_site_in_trouble_does_not_stop_a_change_that_leaves_its_groups_alone() -> None:
+def test_failed_site_does_not_block_changes_of_other_groups() -> None:
     old = routes((0, 5, "upington"), (6, 9, "bloemfontein"))
     down = check.Running(platform(), parse(old), frozenset({"bloemfontein"}))
     assert check.check_text(old + b"[classes.look]\naim-ms = 5\n", down) == []
@@ -183,7 +181,7 @@
     assert len(check.check_text(routes((0, 9, "upington")), down)) == 1
 
 
-def test_a_change_that_gossip_need_not_hear_of_passes_while_gossip_is_on() -> None:
+def test_routes_can_change_while_gossip_is_on() -> None:
     active = parse(b"classes.look.aim-ms = 7")
     running = check.Running(platform(), active, gossip=True)
     assert check.check_text(b"classes.look.aim-ms = 7\n" + routes((0, 5, "upington")), running) == []
@@ -203,7 +201,7 @@
         (WHOLE.encode(), True, set()),
     ],
 )
-def test_a_change_touches_the_class_it_is_about_or_everything(text: bytes, everything: bool, classes: set[str]) -> None:
+def test_change_affects_its_class_or_all_requests(text: bytes, everything: bool, classes: set[str]) -> None:
     for touch in (affected_requests(None, parse(text)), affected_requests(parse(text), EMPTY)):
         assert (touch.everything, set(touch.classes)) == (everything, classes)
         assert touch.includes("look", "wol", 3) == (everything or "look" in classes)
@@ -218,7 +216,7 @@
 
 
 @given(LISTS, LISTS)
-def test_a_change_of_routes_touches_just_the_groups_whose_sites_differ(
+def test_route_change_affects_only_groups_with_different_sites(
     old: list[tuple[int, int, str]], new: list[tuple[int, int, str]]
 ) -> None:
     def laid(steps: list[tuple[int, int, str]]) -> tuple[Bundle, dict[int, str]]:
--- a/tests/test_rules_judges.py
+++ b/tests/test_rules_judges.py
@@ -44,17 +44,17 @@
     return [violation.rule for violation in found]
 
 
-def test_what_was_begun_before_a_newer_answer_may_still_be_decided_by_the_older_version() -> None:
+def test_older_version_may_decide_queries_begun_before_a_newer_answer() -> None:
     assert ORDER(GOOD, 9.0) == [] and AGREED(GOOD, 9.0) == []  # the third began at 1.9 s, and y answered at 2.0 s
 
 
 @pytest.mark.parametrize("late", [query(5, 2.05, 2.6, "x"), query(5, 2.05, 2.6, "x", process="b")])
-def test_an_older_version_that_decides_after_a_newer_one_had_answered_is_found(late: list[Event]) -> None:
+def test_older_version_after_a_newer_answer_is_a_violation(late: list[Event]) -> None:
     found = ORDER([*GOOD, *late], 9.0)
     assert rules(found) == ["late-old"] and "version 1 says; version 2 had answered" in found[0].what
 
 
-def test_an_older_version_is_found_by_the_engine_that_a_query_reached_though_no_client_was_answered() -> None:
+def test_older_version_is_found_by_the_engine_that_a_query_reached() -> None:
     refused = query(5, 2.05, 2.6, "")
     assert ORDER([*GOOD, *refused, seen(5, 2.1, "y")], 9.0) == []
     assert rules(ORDER([*GOOD, *refused, seen(5, 2.1, "x")], 9.0)) == ["late-old"]
@@ -62,18 +62,18 @@
     assert rules(ORDER([*GOOD, *unanswered], 9.0)) == ["late-old"]
 
 
-def test_a_site_that_comes_again_is_taken_for_the_newer_version_only_once_that_was_proposed() -> None:
+def test_site_of_two_versions_counts_for_the_newer_one_once_proposed() -> None:
     fourth = [*change(4, 4.0), version(4, "active")]
     assert ORDER([*GOOD, *fourth, *query(5, 4.1, 4.5, "x")], 9.0) == []
     assert rules(ORDER([*GOOD, *fourth, *query(5, 3.1, 3.9, "x")], 9.0)) == ["late-old"]
 
 
-def test_queries_of_groups_that_no_change_moves_show_no_version() -> None:
+def test_queries_of_unmoved_groups_are_ignored() -> None:
     assert ORDER([*GOOD, *query(5, 2.05, 2.6, "x", moves=False)], 9.0) == []
 
 
 @pytest.mark.parametrize("phase", ["aborted", "rejected", "withdrawn", "preparing"])
-def test_a_version_that_never_was_in_force_must_decide_nothing(phase: str) -> None:
+def test_answer_under_a_version_never_in_force_is_a_violation(phase: str) -> None:
     events = [*CHAIN[:-1], version(3, phase), *query(1, 0.5, 0.6, "x"), *query(2, 3.5, 3.6, "z")]
     assert rules(AGREED(events, 9.0)) == ["unagreed"]
     assert AGREED(events[:-2], 9.0) == []
@@ -83,7 +83,7 @@
     return {"t": 8.0, "kind": "gate", "process": process, "what": what, "number": number, "at": at}
 
 
-def test_an_answer_under_a_version_before_all_have_closed_for_it_is_found() -> None:
+def test_answer_under_a_version_before_all_gates_closed_is_a_violation() -> None:
     closed = [gate("a", "closed", 2, 1.2), gate("b", "closed", 2, 1.9)]
     assert AGREED([*GOOD, *closed], 9.0) == []
     late = [gate("a", "closed", 2, 1.2), gate("b", "closed", 2, 2.1), gate("b", "closed", 2, 4.0)]
@@ -100,7 +100,7 @@
 ENDED = [*GOOD, last("a"), last("b")]
 
 
-def test_versions_that_are_the_same_everywhere_and_decided_are_good() -> None:
+def test_identical_decided_versions_pass() -> None:
     assert rules_versions.check(ENDED, 9.0) == []
     assert rules(rules_versions.check(GOOD, 9.0)) == ["divergent", "lost", "lost", "lost"]  # nobody told its end
 
@@ -119,11 +119,11 @@
         ([version(3, "active", mark="other")], "lost"),
     ],
 )
-def test_versions_that_change_differ_are_lost_or_left_open_are_found(more: list[Event], rule: str) -> None:
+def test_changed_divergent_lost_or_undecided_versions_are_violations(more: list[Event], rule: str) -> None:
     assert rule in rules(rules_versions.check([*ENDED, *more], 9.0))
 
 
-def test_only_the_no_of_a_lost_sites_own_log_may_come_after_a_federation_went_on_without_it() -> None:
+def test_only_a_rejection_in_an_expired_sites_own_log_may_diverge() -> None:
     late = version(2, "rejected", "c", log="elsewhere")
     assert "divergent" in rules(rules_versions.check([*ENDED, late], 9.0))
     hold = [event | {"lost_touch": "hold"} if event is RULES else event for event in ENDED]
@@ -132,19 +132,19 @@
     assert "divergent" in rules(rules_versions.check([*hold, late | {"phase": "aborted"}], 9.0))
 
 
-def test_a_change_that_was_acknowledged_and_is_gone_is_lost() -> None:
+def test_missing_acknowledged_change_is_lost() -> None:
     back = [*GOOD, last("a", active=2, in_force=2), last("b", active=2, in_force=2)]
     assert rules(rules_versions.check(back, 9.0)) == ["lost"]
 
 
-def test_copies_of_different_sites_logs_are_not_compared() -> None:
+def test_copies_of_different_sites_are_not_compared() -> None:
     two = [{"t": 1.0, "kind": "digest", "process": p, "applied": 7, "digest": p, "log": p} for p in "ab"]
     assert copies.check(two, 2.0) == []
     assert rules(copies.check([*two, two[1] | {"log": "a"}], 2.0)) == ["divergent"]
     assert rules(copies.check([*two, {"t": 1.5, "kind": "copies-differ"}], 2.0)) == ["divergent"]
 
 
-def test_the_figures_count_what_the_judges_find_and_how_long_gates_were_closed() -> None:
+def test_summary_counts_violations_and_gate_closures() -> None:
     gates = [gate("a", "closed", 2, 1.2), gate("a", "opened", 2, 1.25), gate("b", "closed", 2, 1.2)]
     gates += [gate("b", "started", 0, 1.5), gate("b", "opened", 2, 1.6)]  # ended while it was closed
     others = [*query(6, 2.0, 2.1, "x", moves=False), *query(7, 2.0, 2.1, "", moves=False)]
@@ -154,7 +154,7 @@
     assert found["gap_ms_p50"] == pytest.approx(50.0)
 
 
-def test_a_trials_bundle_tells_its_mark_and_its_site() -> None:
+def test_trial_bundle_contains_its_mark_and_site() -> None:
     text = bundles.bundle("first 1-7", "upington", "bloemfontein", 3, bad=True)
     assert bundles.read(text.decode()) == ("first 1-7", "upington")
     assert bundles.read("# nothing") == bundles.read("[") == ("", "")
--- a/tests/test_rules_registry.py
+++ b/tests/test_rules_registry.py
@@ -81,7 +81,7 @@
     return r.Propose(parent, digest(text), text, who, 1_790_000_000_000, **more)
 
 
-def test_a_version_goes_from_proposal_to_force_and_the_one_before_is_superseded() -> None:
+def test_activated_version_supersedes_the_previous_one() -> None:
     log = Log(("a", "serve"), ("b", "hold"))
     first = log.to_active()
     second = log.to_preparing(text=b"# other\n")
@@ -97,7 +97,7 @@
     assert twin.digest() == log.state.digest()
 
 
-def test_of_two_operators_at_once_the_later_one_is_told_whose_was_first() -> None:
+def test_second_proposal_is_rejected_naming_the_first_author() -> None:
     log = Log(("a", "serve"))
     log.propose(who="lerato")
     log.refused(propose(who="andries"), "version 1 by lerato of 2026-09-21")
@@ -107,7 +107,7 @@
     log.refused(r.Propose(2, "0" * 32, TEXT, "andries", 0), "digest")
 
 
-def test_one_no_rejects_a_version_and_says_who_and_why() -> None:
+def test_one_negative_verdict_rejects_the_version_with_its_reason() -> None:
     log = Log(("a", "serve"), ("b", "serve"))
     log.propose()
     log.ok(r.Verdict(1, "a", 1, True))
@@ -117,7 +117,7 @@
     log.refused(r.Verdict(1, "a", 1, True), "rejected")
 
 
-def test_an_old_leaders_activation_is_refused_after_a_member_came_that_has_not_closed() -> None:
+def test_late_activation_is_rejected_after_a_member_has_restarted() -> None:
     log = Log(("a", "serve"), ("b", "serve"))
     number = log.to_preparing()
     log.ok(r.Closed(number, "a", 1))
@@ -131,7 +131,7 @@
     log.refused(r.Activate(number), "active")
 
 
-def test_a_begin_that_comes_late_does_not_take_the_place_of_the_start_that_decides() -> None:
+def test_late_begin_does_not_replace_the_present_start() -> None:
     log = Log(("a", "hold"), ("b", "hold"))
     number = log.to_preparing()
     log.ok(r.Closed(number, "a", 1))
@@ -141,7 +141,7 @@
     assert log.do(r.Begin("b", 1, "hold")).ok and log.member("b").closed_for == 0  # sent twice: nothing changes
 
 
-def test_a_member_that_begins_while_a_change_closes_has_not_closed_in_that_start_whatever_its_mode() -> None:
+def test_member_that_begins_in_the_close_phase_is_uncovered() -> None:
     log = Log(("a", "hold"), ("b", "serve"))
     number = log.to_preparing()
     log.ok(r.Begin("a", 2, "hold", replaces=1))
@@ -150,7 +150,7 @@
     assert registry.uncovered(log.state.tables, number) == ["a", "b", "c"]
 
 
-def test_one_clock_alone_can_not_end_a_lapse() -> None:
+def test_one_clock_alone_cannot_confirm_an_expiry() -> None:
     log = Log(("a", "hold"), ("b", "hold"), ("c", "hold"), ("d", "serve"))
     number = log.to_preparing()
     log.refused(r.ExpirePermit("d", 1), "serves on")
@@ -166,7 +166,7 @@
     assert log.member("c").expiry_confirmed and log.phase(number) == "agreed"
 
 
-def test_a_leader_with_a_wild_clock_can_not_lapse_all_others_and_be_the_only_witness() -> None:
+def test_one_member_cannot_confirm_the_expiry_of_all_others() -> None:
     log = Log(("a", "hold"), ("b", "hold"), ("c", "hold"))
     for name in ("b", "c"):
         lapse = log.ok(r.ExpirePermit(name, 1)).index
@@ -175,7 +175,7 @@
     assert not log.member("b").expiry_confirmed and not log.member("c").expiry_confirmed
 
 
-def test_with_two_members_the_other_one_ends_a_lapse() -> None:
+def test_with_two_members_the_other_one_confirms_an_expiry() -> None:
     log = Log(("a", "hold"), ("b", "hold"))
     lapse = log.ok(r.ExpirePermit("b", 1)).index
     log.ok(r.ConfirmExpiry("b", lapse, "a"))
@@ -185,7 +185,7 @@
     assert not log.member("b").expiry_index
 
 
-def test_a_federated_version_is_not_decided_here() -> None:
+def test_federated_version_is_decided_only_by_the_federation() -> None:
     log = Log(("a", "serve"))
     log.refused(propose(federated=True), "a number is given by the federation")
     log.refused(propose(number=4), "a number is given by the federation")
@@ -199,7 +199,7 @@
     log.refused(propose(4, number=3, federated=True), "number 3 was given already")
 
 
-def test_a_federations_version_that_was_rejected_here_may_come_up_again_with_the_same_text_only() -> None:
+def test_rejected_federated_version_can_be_repeated_only_with_the_same_text() -> None:
     log = Log(("a", "serve"))
     log.propose(number=4, federated=True)
     log.refused(r.Withdraw(4, "lerato"), "decided in the federation's log")
@@ -209,7 +209,7 @@
     assert log.phase(4) == "proposed" and not log.version(4).verdicts
 
 
-def test_forgetting_a_serve_member_needs_the_operators_word_and_a_hold_member_goes_when_it_is_over() -> None:
+def test_serve_member_is_forgotten_on_confirmation_and_hold_member_after_expiry() -> None:
     log = Log(("a", "serve"), ("b", "hold"), ("c", "serve"))
     number = log.to_preparing()
     log.ok(r.Closed(number, "c", 1))
@@ -224,7 +224,7 @@
     assert log.phase(number) == "agreed"
 
 
-def test_a_member_whose_build_is_too_old_is_refused_or_rejects_what_it_can_not_put_in_force() -> None:
+def test_member_with_a_too_old_build_cannot_accept_or_join() -> None:
     log = Log(("a", "serve"), build=3)
     number = log.propose(min_build=3)
     log.ok(r.Begin("b", 1, "serve", 2))
@@ -235,7 +235,7 @@
     log.refused(r.Begin("b", 1, "serve", 2), "install that one or a newer one")
 
 
-def test_a_state_without_rules_has_the_bytes_and_the_digest_that_it_had_before() -> None:
+def test_state_without_rules_keeps_its_bytes_and_digest() -> None:
     state = State()
     state.apply(1, c.encode(c.Command("x", 1, c.Put("k", b"v"))))
     state.apply(2, c.encode(c.Command("x", 2, c.Acquire("lease", "me", 2000))))
@@ -263,7 +263,7 @@
         raw("x", 1, ["del", "k"], ["lease", 3, "more"]),
     ],
 )
-def test_a_newer_builds_entry_stops_a_member_and_is_not_taken_as_applied(data: bytes) -> None:
+def test_entry_of_a_newer_build_is_not_applied(data: bytes) -> None:
     state = State()
     state.apply(1, c.encode(c.Command("x", 0, c.Put("k", b"v"))))
     before = state.digest()
@@ -279,19 +279,19 @@
         raw("x", 1, ["put", 5, b"v", None, "more"]), raw("x", 1, ["put", "k"]), raw("x", 1, "put"), raw(3, 1, ["new"]),
     ],
 )  # fmt: skip
-def test_bytes_that_are_nobodys_command_are_refused_alike_everywhere(data: bytes) -> None:
+def test_malformed_command_is_rejected_deterministically(data: bytes) -> None:
     state = State()
     result = state.apply(3, data)
     assert not result.ok and result.reason.startswith("no command") and state.applied == 3
 
 
-def test_a_snapshot_of_a_newer_build_is_not_loaded_in_part() -> None:
+def test_snapshot_of_a_newer_build_is_not_loaded() -> None:
     item = msgspec.msgpack.encode(("rule_books", "k", b"\x01"))
     with pytest.raises(c.NewerEntryError, match="a table rule_books"):
         State().load(3, [len(item).to_bytes(4, "big") + item])
 
 
-def test_a_replica_that_meets_a_newer_builds_entry_is_out_of_order_with_the_remedy(tmp_path: Path) -> None:
+def test_replica_is_broken_with_remedy_by_an_entry_of_a_newer_build(tmp_path: Path) -> None:
     alone = SimpleNamespace(name="a", members=(("a", ("127.0.0.1", 1)),), learners=())
     silent = dict.fromkeys(("on", "send", "reach"), lambda *_: None)
     link: Any = SimpleNamespace(plan=alone, live=lambda: [], **silent)
@@ -308,7 +308,7 @@
     assert replica.broken == f"an entry of a newer build: a command rules.merge; {c.NewerEntryError.remedy}"
 
 
-def test_the_history_is_bounded_and_keeps_what_is_in_force_and_the_way_back() -> None:
+def test_history_is_bounded_and_keeps_the_active_version_and_its_parent() -> None:
     log = Log(("a", "serve"))
     first, second = log.to_active(), log.to_active()
     for _ in range(MAX_VERSIONS + 10):
--- a/tests/test_rules_trials.py
+++ b/tests/test_rules_trials.py
@@ -44,14 +44,14 @@
     assert found.summary["activated"] >= 3 and found.summary["served"] > 100 and found.summary["faults"] >= 4
 
 
-def test_members_that_only_learn_change_their_rules_with_the_others() -> None:
+def test_learners_change_rules_with_the_voters() -> None:
     found = attempt("rules-change", 6, 12.0, "hold", learners=3)
     assert [str(violation) for violation in found.violations] == []
     assert {key: found.summary[key] for key in NONE} == dict.fromkeys(NONE, 0)
     assert found.summary["activated"] >= 2 and found.summary["served"] > 100
 
 
-def test_sites_of_a_federation_change_together_or_not_at_all() -> None:
+def test_federation_sites_change_together_or_not_at_all() -> None:
     found = attempt("federation-switch", 9, 18.0, "serve", sites=3)
     assert [str(violation) for violation in found.violations] == []
     assert {key: found.summary[key] for key in NONE} == dict.fromkeys(NONE, 0)
@@ -68,7 +68,7 @@
         ("site-early", "federation-switch", "serve", {"late-old", "early-site"}),
     ],
 )
-def test_a_gateway_that_is_broken_on_purpose_is_found(word: str, name: str, mode: str, rules: set[str]) -> None:
+def test_judges_find_a_sabotaged_gateway(word: str, name: str, mode: str, rules: set[str]) -> None:
     procs, sites = (9, 3) if name == "federation-switch" else (4, 0)
     found = attempt(name, procs, 14.0, mode, sabotage=word, sites=sites)
     assert rules & {violation.rule for violation in found.violations}, found.summary
@@ -84,7 +84,7 @@
         ("site-early", "serve"),
     ],
 )
-def test_a_whole_gateway_in_the_moments_that_find_a_broken_one_is_not_found(moment: str, mode: str) -> None:
+def test_judges_find_nothing_at_an_intact_gateway(moment: str, mode: str) -> None:
     name, procs, sites = ("federation-calm", 9, 3) if moment == "site-early" else ("rules-calm", 4, 0)
     found = attempt(name, procs, 2.0, mode, sites=sites, injection_point=moment)
     assert [str(violation) for violation in found.violations] == []
