--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""A change of the rules takes hold everywhere or nowhere: the section, the mark on disk, and processes."""
+"""The section `rules` of the operators' file, and the persisted marker of a rollout."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("rules\n    lost-touch serve\n", "no section peers"),
         (PEERS + "rules\n    lost-touch serve\n", "no section replica"),
@@ -41,22 +41,22 @@
         (PEERS + REPLICA + "rules\n    lost-touch hold\n    permit 5s\n", "a permit's end"),
     ],
 )
-def test_contradictory_rules_section_is_rejected_with_allowed_values(text: str, says: str, tmp_path: Path) -> None:
-    with pytest.raises(ConfError, match=says):
+def test_contradictory_rules_section_is_rejected_with_allowed_values(text: str, message: str, tmp_path: Path) -> None:
+    with pytest.raises(ConfError, match=message):
         read(tmp_path, text)
 
 
 def test_marker_survives_restart_and_failed_writes(tmp_path: Path) -> None:
     disk = Disk()
-    mark = PersistedMarker(tmp_path, disk)
-    assert mark.read() == 0
-    mark.write(7)
+    marker = PersistedMarker(tmp_path, disk)
+    assert marker.read() == 0
+    marker.write(7)
     for fault in ("fsync", "short", "full"):
         disk.inject_fault(fault, 1)
         with pytest.raises(OSError):
-            mark.write(8)
+            marker.write(8)
         assert PersistedMarker(tmp_path, disk).read() == 7
-    mark.write(8)
+    marker.write(8)
     assert PersistedMarker(tmp_path, disk).read() == 8
     assert [path.name for path in tmp_path.iterdir()] == [FILE_NAME]
 
--- a/tests/test_rollout_model.py
+++ b/tests/test_rollout_model.py
@@ -1,4 +1,4 @@
-"""The model of a change of rules, of one site and of a federation: it holds, and known faults are found."""
+"""Model check of rollouts, in one site and in a federation: the guarantee holds, and known faults are found."""
 
 from __future__ import annotations
 
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -1,4 +1,4 @@
-"""Changes of the rules among real processes: on every gateway or on none, whatever is killed meanwhile."""
+"""Changes of the rules in real processes: at every gateway or at none, whichever processes are killed meanwhile."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @contextmanager
 def fleet(lost_touch: str, procs: int = 3, more: str = "") -> Iterator[Trial]:
-    """Processes whose gates are all open, and each of whom all others have in their table."""
+    """Run processes; yield once all gates are open and each process has all members in its table."""
     layout = Layout(sections=RULES.format(lost_touch) + more, stale=0)
     with Trial(scenario.load("crash-loop"), procs, 5.0, 1, layout=layout) as trial:
         trial.start()
@@ -50,7 +50,7 @@
 
 
 def statuses(trial: Trial) -> list[dict[str, Any]]:
-    """Of all that run and answer; an empty one for who does not yet."""
+    """Return the status of each running process; a placeholder for one that does not answer yet."""
     found = []
     for name, process in trial.processes.items():
         if process.running:
@@ -78,7 +78,7 @@
 
 
 def in_force(trial: Trial, number: int) -> bool:
-    """Whether every process that runs decides under that version, and is open."""
+    """Return whether every running process decides under that version, with an open gate."""
     found = statuses(trial)
     return all(s["in_force"] == s["active"] == number and s["gate"]["mode"] == "open" for s in found)
 
@@ -106,22 +106,22 @@
         assert code == 1 and "NO" in text and "classes.nothing" in text and "what to do" in text
         code, text = run(trial, "n2", "propose", str(good), "--why", "x", "--parent", "9")
         assert code == 1 and "refused: made from version 9" in text and "by ops-a" in text
-        for path, says in ((long, "at most"), (tmp_path / "none.toml", "No such file")):
+        for path, message in ((long, "at most"), (tmp_path / "none.toml", "No such file")):
             code, text = run(trial, "n0", "propose", str(path), "--why", "x")
-            assert code == 1 and says in text
+            assert code == 1 and message in text
         code, text = run(trial, "n0", "withdraw", "1", "--who", "ops-a")
         assert code == 1 and "version 1 is active" in text
         code, text = run(trial, "n0", "withdraw", "77", "--who", "ops-a")
         assert code == 1 and "version 77 is unknown" in text
         code, text = run(trial, "n0", "status", "--json")
-        told = json.loads(text)
-        assert code == 0 and told["active"] == 1 and told["last"] == 2 and told["in_flight"] is None
+        status = json.loads(text)
+        assert code == 0 and status["active"] == 1 and status["last"] == 2 and status["in_flight"] is None
         assert "version 1 is in force, 1 here; gate open" in run(trial, "n0", "status")[1]
         with pytest.raises(RemoteCallError, match="allowed: 1, 2"):
             call(trial, "n0", "rules.show", number=5)
         with pytest.raises(RemoteCallError, match="propose a version"):
             call(trial, "n0", "replica.settings", text=b"{}")
-        with pytest.raises(RemoteCallError, match="allowed: the calls rules"):  # nobody says a member's word for it
+        with pytest.raises(RemoteCallError, match="allowed: the calls rules"):  # no caller can report for a member
             call(trial, "n0", "replica.do", body=msgspec.msgpack.encode(records.Closed(2, "n1", 1)))
         with pytest.raises(RemoteCallError, match="member"):
             call(trial, "n0", "rules.forget", off=True)
@@ -130,16 +130,16 @@
 
 def test_second_of_two_concurrent_proposals_is_refused_with_the_first_author(tmp_path: Path) -> None:
     with fleet("serve") as trial:
-        told: dict[str, dict[str, Any]] = {}
-        asking = [threading.Thread(target=lambda n=n: told.update({n: propose(trial, n, 650, parent=0)}))
-                  for n in ("n0", "n2")]  # fmt: skip
-        for thread in asking:
+        replies: dict[str, dict[str, Any]] = {}
+        proposers = [threading.Thread(target=lambda n=n: replies.update({n: propose(trial, n, 650, parent=0)}))
+                     for n in ("n0", "n2")]  # fmt: skip
+        for thread in proposers:
             thread.start()
-        for thread in asking:
+        for thread in proposers:
             thread.join(20.0)
-        assert sorted(each["word"] for each in told.values()) == ["ok", "refused"]
-        winner = next(name for name, each in told.items() if each["word"] == "ok")
-        loser = next(each for each in told.values() if each["word"] == "refused")
+        assert sorted(reply["word"] for reply in replies.values()) == ["ok", "refused"]
+        winner = next(name for name, reply in replies.items() if reply["word"] == "ok")
+        loser = next(reply for reply in replies.values() if reply["word"] == "refused")
         assert f"op-{winner}" in loser["why"]
         until(lambda: in_force(trial, 1))
 
@@ -161,7 +161,7 @@
         trial.processes[lost].start()
         trial.processes[lost].ready()
         started = events(trial, lost, "rules_in_force")[-1]
-        assert started["version"] == 1  # from its own disk, before anybody was asked
+        assert started["version"] == 1  # activated from its own disk, before any member answered
         assert propose(trial, lost, 680)["word"] == "ok"
         until(lambda: in_force(trial, number + 1))
         trial.processes[lost].kill()
@@ -214,7 +214,7 @@
         until(lambda: in_force(trial, 1))
         leader = trial.leader()
         late = next(name for name in trial.names if name != leader)
-        with trial.proxy.lock:  # its words are on their way for long enough to end everybody meanwhile
+        with trial.proxy.lock:  # its reports are delayed, so that all processes can be killed before the outcome
             trial.conditions.change_all([(late, name) for name in trial.names if name != late], delay=0.5)
         assert propose(trial, leader, 660)["word"] == "ok"
         until(lambda: [e["number"] for e in events(trial, leader, "rules_closed")] == [1, 2])
