--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -108,9 +108,8 @@
         """
         from tealwing.rollout import setup  # imported only if the section is present
 
-        assert (
-            self.replica is not None and self.replica_plan is not None
-        )  # the section `rules` requires the section `replica`
+        # the section `rules` requires the section `replica`
+        assert self.replica is not None and self.replica_plan is not None
         self.rules_plan = plan
         if self.federation_plan is not None:
             from tealwing.federation import joining
