--- a/tealwing/rollout/agent/machine.py
+++ b/tealwing/rollout/agent/machine.py
@@ -106,10 +106,10 @@
 
     def clone(self) -> Machine:
         """Return an independent copy, except that it shares the retries, for the model check."""
-        twin = copy.copy(self)
-        twin._site_permit = self._site_permit.clone()  # noqa: SLF001 -- a copy of its own class
-        twin._federation_permit = self._federation_permit.clone()  # noqa: SLF001
-        return twin
+        duplicate = copy.copy(self)
+        duplicate._site_permit = self._site_permit.clone()  # noqa: SLF001 -- a copy of its own class
+        duplicate._federation_permit = self._federation_permit.clone()  # noqa: SLF001
+        return duplicate
 
     def key(self) -> tuple[Hashable, ...]:
         """Return the state that determines later behaviour, except views and retries, for the model check."""
--- a/tealwing/rollout/agent/permit.py
+++ b/tealwing/rollout/agent/permit.py
@@ -75,9 +75,9 @@
 
     def clone(self) -> Permit:
         """Return an independent copy, for the model check."""
-        twin = copy.copy(self)
-        twin._pending = list(self._pending)  # noqa: SLF001 -- a copy of its own class
-        return twin
+        duplicate = copy.copy(self)
+        duplicate._pending = list(self._pending)  # noqa: SLF001 -- a copy of its own class
+        return duplicate
 
     def key(self) -> tuple[Hashable, ...]:
         """Return the state that determines later behaviour, for the model check."""
--- a/tealwing/rollout/observed_state.py
+++ b/tealwing/rollout/observed_state.py
@@ -1,4 +1,4 @@
-"""Snapshot of the registry's tables after an applied entry, for any thread; with the federation's log as seen here."""
+"""Snapshot of the registry's tables after an applied entry, for any thread; and the interface of a federation's log."""
 
 from __future__ import annotations
 
--- a/tealwing/rules/registry_state.py
+++ b/tealwing/rules/registry_state.py
@@ -61,7 +61,7 @@
 
 
 def reject(index: int, reason: str, number: int = 0) -> CommandResult:
-    """Return the result of a command that is rejected."""
+    """Return the result of a rejected command; sessions store its reason in the replicated state: keep the wording."""
     return CommandResult(False, index, number, reason)
 
 
--- a/tealwing/rules/transitions/proposing.py
+++ b/tealwing/rules/transitions/proposing.py
@@ -18,8 +18,8 @@
         return reject(index, f"the text's digest is not {body.digest}: it was changed on its way; propose it again")
     if body.parent != now.active_number:
         active = registry_state.active(tables)
-        whose = registry_state.describe(active) if active else "none"
-        return reject(index, f"made from version {body.parent}, but in force is {whose}; look at it, and propose"
+        description = registry_state.describe(active) if active else "none"
+        return reject(index, f"made from version {body.parent}, but in force is {description}; look at it, and propose"
                          " what you want with that as the parent", now.active_number)  # fmt: skip
     in_flight = registry_state.in_flight(tables)
     if in_flight is not None:
--- a/tests/test_rules_registry.py
+++ b/tests/test_rules_registry.py
@@ -92,9 +92,9 @@
     log.accept(r.Activate(second))
     assert (log.phase(first), log.phase(second)) == ("superseded", "active")
     assert registry.active(log.state.tables) == log.version(second)
-    twin = State()
-    twin.load(log.state.applied, log.state.dump())
-    assert twin.digest() == log.state.digest()
+    loaded = State()
+    loaded.load(log.state.applied, log.state.dump())
+    assert loaded.digest() == log.state.digest()
 
 
 def test_second_proposal_is_rejected_naming_the_first_author() -> None:
@@ -245,9 +245,9 @@
         "c30000001193a666656e636573a56c65617365c401020000001593a873657373696f6e73a178c407920294c30202a0"
     )  # the snapshot as a build without rules wrote it
     assert b"".join(state.dump()) == old
-    twin = State()
-    twin.load(2, [old])
-    assert twin.digest() == state.digest()
+    loaded = State()
+    loaded.load(2, [old])
+    assert loaded.digest() == state.digest()
 
 
 def raw(*parts: Any) -> bytes:
@@ -292,9 +292,9 @@
 
 
 def test_replica_is_broken_with_remedy_by_an_entry_of_a_newer_build(tmp_path: Path) -> None:
-    alone = SimpleNamespace(name="a", members=(("a", ("127.0.0.1", 1)),), learners=())
+    plan = SimpleNamespace(name="a", members=(("a", ("127.0.0.1", 1)),), learners=())
     silent = dict.fromkeys(("on", "send", "reach"), lambda *_: None)
-    link: Any = SimpleNamespace(plan=alone, live=lambda: [], **silent)
+    link: Any = SimpleNamespace(plan=plan, live=lambda: [], **silent)
     replica = Replica(ReplicaPlan(str(tmp_path), heartbeat_interval=0.02, election_timeout=0.1), link, Clock())
     replica.start()
     try:
