--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -1,4 +1,4 @@
-"""Schema of the section `rules` of the operators' file."""
+"""Schema of the section `rules` of the operators' file, and its checks against other sections."""
 
 from __future__ import annotations
 
@@ -12,19 +12,22 @@
 from tealwing.rollout.plan import SABOTAGES, Plan
 
 SPECS = (
-    Spec("lost-touch", "serve|hold", "What this gateway does when it is cut off: go on serving, and a change that it"
-         " has not closed for waits or is aborted; or hold once its permit is over, and a change goes on without it.",
+    Spec("lost-touch", "serve|hold", "What this gateway does while it is cut off from the fleet. `serve`: it goes on"
+         " deciding requests, and a change that it has not closed for waits or is aborted. `hold`: it decides none once"
+         " its permit has expired, and a change goes on without it.",
          values.choice("serve", "hold"), "serve"),
-    Spec("permit", "DURATION", "hold: how long a permit lasts, and with it how long a change may wait for a gateway"
-         " that was lost.", values.durations(MIN_TTL, 60.0), "2s"),
-    Spec("limit", "DURATION", "A change that not every gateway has closed for by then is aborted; longer than"
+    Spec("permit", "DURATION", "`hold`: how long a permit lasts, and thus how long a change may wait for a lost"
+         " gateway.", values.durations(MIN_TTL, 60.0), "2s"),
+    Spec("limit", "DURATION", "Time after which a change that not every gateway has closed for is aborted; longer than"
          " patience.", values.durations(0.5, 120.0), "5s"),
-    Spec("patience", "DURATION", "Silence of a gateway that holds after which a change goes on without it.",
+    Spec("patience", "DURATION", "`hold`: silence of a gateway after which its permits are left to expire, so that a"
+         " change goes on without it.",
          values.durations(0.1, 30.0), "500ms"),
-    Spec("queue", "COUNT", "Requests that may wait while a change is closed; more are refused and may come again.",
+    Spec("queue", "COUNT", "Requests that may wait while the gate is closed for a change; more are rejected with a"
+         " Retry-After.",
          values.integers(1, 4096), "64"),
-    Spec("sabotage", "WORD", "Broken on purpose, so that a trial's judges can be seen to find it; needs `faults on` in"
-         " the section peers. Never in service.", values.choice(*SABOTAGES)),
+    Spec("sabotage", "WORD", "Fault injected into this gateway, to test that a trial's judges find it; needs `faults"
+         " on` in the section peers. Never in production.", values.choice(*SABOTAGES)),
 )  # fmt: skip
 
 
@@ -46,12 +49,14 @@
 
 
 def across(records: Mapping[str, Any], blocks: Mapping[str, Block], report: Report) -> None:
-    """Report contradictions with other sections, which are valid by themselves."""
+    """Report contradictions between this section and other sections that are each valid alone."""
     block, plan = blocks["rules"], records.get("rules")
     place = next((entries[0].place for entries in block.entries.values()), Place("", 0))
     for other in ("peers", "replica"):
         if other not in blocks:
-            report.add(place, "rules", f"no section {other}", f"a section {other}: versions are kept in its log")
+            report.add(
+                place, "rules", f"no section {other}", f"a section {other}: versions are kept in the replicated log"
+            )
     peers, replica = records.get("peers"), records.get("replica")
     if plan is None or peers is None or replica is None:
         return
@@ -60,17 +65,17 @@
             block.place("lost-touch", place),
             "lost-touch",
             f"serve, with stale {replica.max_stale_disks} in the section replica",
-            "hold; or stale 0: a gateway that serves on what its disk says can't come back with an older disk",
+            "hold; or stale 0: with serve a gateway decides by its disk, and must not start with an older one",
         )
     if plan.sabotage and not peers.faults:
         report.add(block.place("sabotage", place), "sabotage", plan.sabotage,
-                   "none; or `faults on` in the section peers, in a laboratory")  # fmt: skip
+                   "none; or, in a trial, `faults on` in the section peers")  # fmt: skip
 
 
 SECTION = Section(
     "rules",
-    "Changes of the rules that take hold on every gateway or on none; needs the sections `peers` and `replica`; see"
-    " docs/operating/rules.md. Absent: none.",
+    "Changes of the rules that take effect at every gateway or at none; needs the sections `peers` and `replica`; see"
+    " docs/operating/rules.md. Absent: no such changes.",
     SPECS,
     build,
     across,
--- a/tests/test_rules_bundle.py
+++ b/tests/test_rules_bundle.py
@@ -1,4 +1,4 @@
-"""Bundles: what they may say, what is wrong with them and told how, and what a change from one to another touches."""
+"""Bundles: their keys, the errors of invalid ones, and which requests a change affects."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     return "".join(parts).encode()
 
 
-def test_a_bundle_takes_the_place_of_what_it_names_in_the_platforms_settings_and_of_nothing_else() -> None:
+def test_bundle_overrides_only_the_settings_that_it_names() -> None:
     bundle, before = parse(WHOLE.encode()), platform()
     after = overlay.apply(bundle, before)
     look = after.classes[0]
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "kind", "told"),
+    ("text", "kind", "message"),
     [
         ("classes.lookup.aim-ms = 0", errors.InvalidValueError, "classes.lookup.aim-ms: 0; allowed: 1 to 3600000"),
         ("classes.lookup.aim-ms = true", errors.InvalidValueError, "aim-ms: True; allowed: 1 to"),
@@ -103,10 +103,10 @@
             "rutes: no such key; allowed: levels, attempts, classes, tenants, routes",
         ),
         ("a = ", errors.TomlError, "(at end of document)"),
-        ("a = " + "[" * 100_000, errors.TomlError, "too many brackets"),
+        ("a = " + "[" * 100_000, errors.TomlError, "too many nested brackets"),
         ("a = " + "9" * 5000, errors.TomlError, "digits"),
         ("levels = 'levels'", errors.InvalidLevelsError, "levels:1: levels: found no level"),
-        ("levels = 'include x'", errors.InvalidLevelsError, "the line `levels`, the rest below it"),
+        ("levels = 'include x'", errors.InvalidLevelsError, "only `levels`, with the rest indented below it"),
         (
             "levels = '''levels\n  window 9d'''",
             errors.InvalidLevelsError,
@@ -125,18 +125,18 @@
         ("#" * (256 * 1024 + 1), errors.TooLargeError, "allowed: 262144"),
     ],
 )
-def test_what_is_wrong_with_a_bundle_is_told_with_its_key_what_was_found_and_what_is_allowed(
-    text: str, kind: type[errors.RulesError], told: str
+def test_bundle_error_names_key_value_and_allowed_values(
+    text: str, kind: type[errors.RulesError], message: str
 ) -> None:
     with pytest.raises(kind) as caught:
         parse(text.encode())
-    assert told in str(caught.value) and str(caught.value).endswith(kind.remedy)
+    assert message in str(caught.value) and str(caught.value).endswith(kind.remedy)
 
 
 def faults() -> Iterator[errors.RulesError]:
-    """One of each kind that only shows at a gateway, or in routes."""
+    """Yield errors of every kind that `test_bundle_error_names_key_value_and_allowed_values` does not cover."""
     running = check.Running(platform())
-    for text, now in [
+    for text, state in [
         (b"\xff", running),
         (routes((0, 5, "upington"), (5, 9, "upington")), running),
         (routes(*[(n, n, "upington") for n in range(MAX_ROUTES + 1)]), running),
@@ -150,40 +150,40 @@
         (WHOLE.encode(), check.Running(platform(), levels=True)),
         (routes((0, 5, "upington")), check.Running(platform(), memory=1000.0)),
     ]:
-        reasons = check.check_text(text, now)
+        reasons = check.check_text(text, state)
         assert reasons, text[:40]
         yield from reasons
     yield from check.check_text(b"", running, min_build=check.BUILD + 1)
 
 
-def kinds(of: type[errors.RulesError] = errors.RulesError) -> set[type[errors.RulesError]]:
-    return {of}.union(*map(kinds, of.__subclasses__()))
+def subclasses(of: type[errors.RulesError] = errors.RulesError) -> set[type[errors.RulesError]]:
+    return {of}.union(*map(subclasses, of.__subclasses__()))
 
 
-def test_every_error_is_met_and_its_remedy_stands_in_the_manual_word_for_word() -> None:
-    met = {type(fault) for fault in faults()} | {
+def test_every_error_occurs_and_its_remedy_is_in_the_manual() -> None:
+    found = {type(fault) for fault in faults()} | {
         errors.InvalidValueError,
         errors.UnknownKeyError,
         errors.InvalidLevelsError,
     }
     bases = {errors.RulesError, errors.BundleError, errors.IncompatibleError}
-    ours = {kind for kind in kinds() if kind.__module__ == errors.__name__}
-    assert met == ours - bases
+    defined = {kind for kind in subclasses() if kind.__module__ == errors.__name__}
+    assert found == defined - bases
     pages = [Path(__file__).parent.parent / "docs" / "operating" / f"{name}.md" for name in ("rules", "federation")]
     manual = "\n".join(page.read_text() for page in pages if page.exists())
-    for remedy in [kind.remedy for kind in kinds() - bases] + [NewerEntryError.remedy]:
+    for remedy in [kind.remedy for kind in subclasses() - bases] + [NewerEntryError.remedy]:
         assert remedy in manual
 
 
-def test_a_site_in_trouble_does_not_stop_a_change_that_leaves_its_groups_alone() -> None:
+def test_failed_site_does_not_block_changes_of_other_groups() -> None:
     old = routes((0, 5, "upington"), (6, 9, "bloemfontein"))
-    down = check.Running(platform(), parse(old), frozenset({"bloemfontein"}))
-    assert check.check_text(old + b"[classes.look]\naim-ms = 5\n", down) == []
-    assert check.check_text(routes((0, 9, "bloemfontein")), down) == []
-    assert len(check.check_text(routes((0, 9, "upington")), down)) == 1
+    one_site_down = check.Running(platform(), parse(old), frozenset({"bloemfontein"}))
+    assert check.check_text(old + b"[classes.look]\naim-ms = 5\n", one_site_down) == []
+    assert check.check_text(routes((0, 9, "bloemfontein")), one_site_down) == []
+    assert len(check.check_text(routes((0, 9, "upington")), one_site_down)) == 1
 
 
-def test_a_change_that_gossip_need_not_hear_of_passes_while_gossip_is_on() -> None:
+def test_routes_can_change_while_gossip_is_on() -> None:
     active = parse(b"classes.look.aim-ms = 7")
     running = check.Running(platform(), active, gossip=True)
     assert check.check_text(b"classes.look.aim-ms = 7\n" + routes((0, 5, "upington")), running) == []
@@ -193,7 +193,7 @@
 @pytest.mark.parametrize(
     ("text", "everything", "classes"),
     [
-        (b"# words only\n[classes.look]\n", False, set()),
+        (b"# a comment only\n[classes.look]\n", False, set()),
         (b"classes.look.aim-ms = 5", False, {"look"}),
         (b"classes.look.effect = 'unsafe'", False, {"look"}),
         (b"classes.look.worth = 5", True, set()),
@@ -203,11 +203,11 @@
         (WHOLE.encode(), True, set()),
     ],
 )
-def test_a_change_touches_the_class_it_is_about_or_everything(text: bytes, everything: bool, classes: set[str]) -> None:
-    for touch in (affected_requests(None, parse(text)), affected_requests(parse(text), EMPTY)):
-        assert (touch.everything, set(touch.classes)) == (everything, classes)
-        assert touch.includes("look", "wol", 3) == (everything or "look" in classes)
-        assert touch.includes("load", "wol", 3) == everything
+def test_change_affects_its_class_or_all_requests(text: bytes, everything: bool, classes: set[str]) -> None:
+    for affected in (affected_requests(None, parse(text)), affected_requests(parse(text), EMPTY)):
+        assert (affected.everything, set(affected.classes)) == (everything, classes)
+        assert affected.includes("look", "wol", 3) == (everything or "look" in classes)
+        assert affected.includes("load", "wol", 3) == everything
     assert (
         ALL_REQUESTS.includes("any", "any", 0)
         and not affected_requests(parse(text), parse(text + b"\n# more")).everything
@@ -218,18 +218,19 @@
 
 
 @given(LISTS, LISTS)
-def test_a_change_of_routes_touches_just_the_groups_whose_sites_differ(
+def test_route_change_affects_only_groups_with_different_sites(
     old: list[tuple[int, int, str]], new: list[tuple[int, int, str]]
 ) -> None:
-    def laid(steps: list[tuple[int, int, str]]) -> tuple[Bundle, dict[int, str]]:
-        ranges, at, plain = [], 0, dict[int, str]()
+    def lay_out(steps: list[tuple[int, int, str]]) -> tuple[Bundle, dict[int, str]]:
+        ranges, start, sites_by_group = [], 0, dict[int, str]()
         for gap, length, sites in steps:
-            ranges.append((at + gap, at + gap + length, sites))
-            plain |= dict.fromkeys(range(at + gap, at + gap + length + 1), sites)
-            at += gap + length + 1
-        return parse(routes(*reversed(ranges))), plain
-
-    (before, was), (after, will) = laid(old), laid(new)
-    touch = affected_requests(before, after)
+            first, last = start + gap, start + gap + length
+            ranges.append((first, last, sites))
+            sites_by_group |= dict.fromkeys(range(first, last + 1), sites)
+            start = last + 1
+        return parse(routes(*reversed(ranges))), sites_by_group
+
+    (before, old_sites), (after, new_sites) = lay_out(old), lay_out(new)
+    affected = affected_requests(before, after)
     for group in range(60):
-        assert touch.includes("look", "wol", group) == (was.get(group) != will.get(group))
+        assert affected.includes("look", "wol", group) == (old_sites.get(group) != new_sites.get(group))
