--- a/tealwing/lab/rig/__init__.py
+++ b/tealwing/lab/rig/__init__.py
@@ -1,1 +1,4 @@
-"""Trials of real processes; read history, process, trial, samples, ledger, acts, director, loads, runs, report."""
+"""Trials of real processes under faults.
+
+Read history, process, trial, samples, fault_log, process_faults, director, loads, runs and report, in this order.
+"""
--- a/tealwing/lab/rig/configuration.py
+++ b/tealwing/lab/rig/configuration.py
@@ -1,4 +1,4 @@
-"""What each process of a trial is told: the platform's file and the operators'."""
+"""Builds the platform's file and the operators' file of each process of a trial."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
 from tealwing.lab import demo
 from tealwing.peers.plan import Address
 
-MIN_ATTEMPTS = 2  # that the tightest process is allowed
+MIN_ATTEMPTS = 2  # attempts allowed to the process with the tightest limits
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Where engines and processes stand, and what the processes' files have beside the section `peers`."""
+    """The sites of engines and processes, and the sections of the processes' files besides `peers`."""
 
-    sections: str = ""  # of each process's operators' file; DATA, NAME, STALE and SABOTAGE in it are filled in
-    engines: int = 0  # stand-ins for clients' queries; without them clients are refused
-    zones: tuple[str, ...] = ()  # the engines' sites, in turn; rows name them. None: one place, which they don't name
-    sites: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # of a federation: a site's processes
-    lost_touch: str = "serve"  # what gateways of the load `rules` do when they are cut off
-    stale: int = 1  # members that may come back with an older disk
+    sections: str = ""  # of each operators' file; the placeholders DATA, NAME, STALE and SABOTAGE are filled in
+    engines: int = 0  # stand-in engines for clients' queries; with none, clients are refused
+    # sites assigned to the engines in turn, and named in result rows; if empty, all engines are at one unnamed site
+    zones: tuple[str, ...] = ()
+    sites: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # processes of each site of a federation
+    lost_touch: str = "serve"  # what gateways of the load `rules` do while they are cut off
+    stale: int = 1  # members that may restart with an older disk
     learners: frozenset[str] = frozenset()  # processes that follow the log without a vote
-    tight: str = ""  # a process whose platform allows fewer attempts than others'
-    sabotage: str = ""  # a line of the section rules, for those who are told
-    saboteurs: frozenset[str] = frozenset()
+    tight: str = ""  # the process whose platform allows only MIN_ATTEMPTS attempts
+    sabotage: str = ""  # argument of the directive `sabotage` in the section `rules`
+    saboteurs: frozenset[str] = frozenset()  # processes whose files have that directive
 
     def site_of(self, name: str) -> str:
-        """The site of a process; empty where there are none."""
+        """Return the site of a process; empty if the process has none."""
         return next((site for site, members in self.sites.items() if name in members), "")
 
     def text(self, name: str, data: str) -> str:
-        """The further sections of a process."""
+        """Return the sections of a process's operators' file besides `peers`, with the placeholders filled in."""
         directive = f"    sabotage {self.sabotage}\n" if self.sabotage and name in self.saboteurs else ""
         filled = self.sections.replace("SABOTAGE\n", directive).replace("DATA", data).replace("NAME", name)
         return filled.replace("STALE", str(self.stale))
@@ -41,7 +42,7 @@
 def platform_file(
     names: Sequence[str], number: int, seed: int, coordinator: str, known: Any, layout: Layout
 ) -> dict[str, Any]:
-    """The platform's file of the process with that number."""
+    """Return the platform's file of the process `names[number]`."""
     settings, name = demo.facts(len(names), number), names[number]
     settings["Allowed"] = settings["Allowed"] | {"Peers": True}
     if layout.zones:
@@ -59,7 +60,7 @@
 def operators_file(
     name: str, dial: dict[str, Address], control: Address, heartbeat_ms: int, layout: Layout, data: str
 ) -> str:
-    """The operators' file of a process; dial: where it listens itself, and where it reaches each other."""
+    """Return the operators' file of a process; dial has its own listen address and those it dials, as from `dials`."""
     lines = ["peers", f"    name {name}", "    fleet trial", f"    control 127.0.0.1:{control[1]}", "    faults on"]
     lines += [f"    beat {heartbeat_ms}ms"]
     for other, (host, port) in dial.items():
@@ -68,5 +69,5 @@
 
 
 def dials(name: str, names: Sequence[str], own: Address, proxied: Callable[[str, str], Address]) -> dict[str, Address]:
-    """Where a process listens, and the proxy's listener for each other."""
+    """Return the listen address of a process under its own name, and the proxy's listener for each peer."""
     return {other: own if other == name else proxied(name, other) for other in names}
--- a/tealwing/lab/rig/director.py
+++ b/tealwing/lab/rig/director.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: each step when it is due, to whoever is meant at that moment."""
+"""Runs the steps of a scenario, each when it is due, on the processes that its selectors mean at that time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from tealwing.lab.rig.trial import Trial
 
 
-# Of the answers to clients, those that a step waits for
+# The outcomes of queries that a step's condition counts
 OUTCOMES: dict[str, frozenset[str]] = {
     "answered": frozenset(("served", "refused", "failed")),
     "served": frozenset(("served",)),
@@ -25,15 +25,15 @@
 
 
 class FaultDirector:
-    """The steps of a scenario, in one trial."""
+    """Runs the steps of one scenario in one trial."""
 
     def __init__(self, trial: Trial, scenario: Scenario, must_come: bool = False) -> None:
-        """must_come: a phase that does not come in its time is a problem of the rig: the trial shows nothing then."""
+        """must_come: a condition that is not met in time is reported as a problem of the rig, which voids the trial."""
         self._trial, self._scenario, self._must_come = trial, scenario, must_come
         self._targets = TargetResolver(trial)
 
     def play(self) -> None:
-        """The scenario's steps, each when it is due."""
+        """Run all steps, each when it is due, until the trial allows no further faults."""
         trial = self._trial
         due = trial.begun
         for step in self._scenario.step:
@@ -46,14 +46,18 @@
                 while (left := due - time.monotonic()) > 0:
                     if trial.calm.wait(left):
                         return
-                step_now = self._awaited(step)
+                step_now = self._wait_for_condition(step)
                 if trial.calm.is_set():
                     return
                 self._apply(step_now)
                 due = max(due, time.monotonic())
 
-    def _awaited(self, step: Step) -> Step:
-        """The step, once what it waits for holds or its time for that is over; whom a phase is watched at is fixed."""
+    def _wait_for_condition(self, step: Step) -> Step:
+        """Wait until the step's condition holds or its time is over, and return the step.
+
+        A condition on a phase is watched at the processes that the step's selector means now; if that is one process,
+        the returned step names it.
+        """
         trial, when = self._trial, step.when or ""
         if when == "leader" and trial.samples.replicated:
             self._until(lambda: bool(trial.leader()), step.within)
@@ -66,7 +70,7 @@
             if not self._until(
                 lambda: completed_queries(trial.history.events, names, begun, outcomes) >= step.queries, step.within
             ):
-                self._missed(when, names, step.within)
+                self._record_missed(when, names, step.within)
         elif when.startswith("phase:"):
             watched: Sequence[str] = trial.names
             if step.target and step.target != "all":
@@ -76,17 +80,19 @@
                 watched = self._targets.names(step.who)
                 step = msgspec.structs.replace(step, who=watched[0]) if len(watched) == 1 else step
             if not phases.wait(trial, when.removeprefix("phase:"), watched, step.within):
-                self._missed(when, watched, step.within)
+                self._record_missed(when, watched, step.within)
         return step
 
-    def _missed(self, when: str, watched: Sequence[str], within: float) -> None:
-        """What a step waits for did not come."""
+    def _record_missed(self, when: str, watched: Sequence[str], within: float) -> None:
+        """Record that a step's condition was not met in time."""
         self._trial.history.add("phase-missed", phase=when, watched=list(watched))
         if self._must_come:
-            self._trial.problems.append(f"{self._scenario.title}: {when} did not come within {within:g} s")
+            self._trial.problems.append(
+                f"{self._scenario.title}: condition {when!r} was not met at {', '.join(watched)} within {within:g} s"
+            )
 
     def _until(self, holds: Callable[[], bool], seconds: float) -> bool:
-        """Wait for something to hold, for that time at most, and no longer than faults are begun; whether it does."""
+        """Wait for the condition until the time is over or no further faults are allowed; return whether it holds."""
         self._trial.wait(lambda: holds() or self._trial.calm.is_set(), seconds)
         return holds()
 
@@ -97,18 +103,18 @@
             case "partition":
                 groups = self._targets.groups(step)
                 self._change(lambda: trial.conditions.partition(groups))
-                self._cut("partition", groups=groups)
+                self._record_cut("partition", groups=groups)
             case "isolate":
                 rest = [name for name in trial.names if name not in names]
                 pairs = [(a, b) for a in names for b in rest]
                 self._change(lambda: trial.conditions.change_all([*pairs, *((b, a) for a, b in pairs)], cut=True))
-                self._cut("isolate", who=names[0] if len(names) == 1 else names)
+                self._record_cut("isolate", who=names[0] if len(names) == 1 else names)
             case "cut":
                 source, target, pairs = self._targets.directions(step)
                 self._change(lambda: trial.conditions.change_all(pairs, cut=True))
-                self._cut("cut", source=source, target=target)
+                self._record_cut("cut", source=source, target=target)
             case "link":
-                self._link(step)
+                self._degrade_links(step)
             case "heal":
                 self._change(trial.conditions.heal)
                 ledger.end_link_intervals()
@@ -119,7 +125,7 @@
             case "hold-changes":
                 trial.changes(False)
                 if not phases.wait_idle(trial, trial.names, step.within):
-                    self._missed("no change under way", trial.names, step.within)
+                    self._record_missed("no change under way", trial.names, step.within)
             case "release-changes":
                 trial.changes(True)
             case "restart":
@@ -130,10 +136,10 @@
                     acts.start(name, step.disk)
             case _:
                 for name in names:
-                    self._one(step, name)
+                    self._apply_to_process(step, name)
 
-    def _one(self, step: Step, name: str) -> None:
-        """What is done to one process."""
+    def _apply_to_process(self, step: Step, name: str) -> None:
+        """Apply a step that concerns one process to that process."""
         acts = self._trial.process_faults
         match step.do:
             case "kill":
@@ -156,12 +162,12 @@
         with self._trial.proxy.lock:
             how()
 
-    def _cut(self, what: str, **fields: object) -> None:
-        """A cut that lasts, with all directions that are cut now."""
+    def _record_cut(self, what: str, **fields: object) -> None:
+        """Record a lasting cut with all directions that are cut now; it replaces the previous one."""
         self._trial.fault_log.end_intervals("cut")
         self._trial.fault_log.begin_interval("cut", what, **fields, cuts=sorted(self._trial.conditions.cuts()))
 
-    def _link(self, step: Step) -> None:
+    def _degrade_links(self, step: Step) -> None:
         source, target, pairs = self._targets.directions(step)
         fields = {"drop": step.drop, "delay": step.delay_ms / 1e3, "jitter": step.jitter_ms / 1e3,
                   "duplicate": step.duplicate, "reorder": step.reorder}  # fmt: skip
@@ -170,7 +176,7 @@
 
 
 def completed_queries(events: Sequence[Event], names: Sequence[str], since: float, outcomes: Collection[str]) -> int:
-    """Queries that began at one of the processes since a time of the history, and were answered with such a word."""
+    """Count the queries that began at these processes since that time and ended with one of these outcomes."""
     begun = {event["id"] for event in events if event["kind"] == "invoke" and event["op"] == "query"
              and event["process"] in names and event["t"] >= since}  # fmt: skip
     return sum(1 for event in events if event["kind"] == "ok" and event["id"] in begun and event["word"] in outcomes)
--- a/tealwing/lab/rig/engines.py
+++ b/tealwing/lab/rig/engines.py
@@ -1,4 +1,4 @@
-"""The stand-in engines of a trial, so that clients' queries are served while the fleet has its troubles."""
+"""The stand-in engines of a trial, which serve clients' queries while the fleet is under faults."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from tealwing.lab.realtime import RealClock
 from tealwing.lab.standins.engine import Engine, Keys
 
-HOME = "bloemfontein"  # where they stand without sites
-SMALL = 0.02  # of the brief's work that a query takes here: it is whether they are served that counts
+DEFAULT_SITE = "bloemfontein"  # locality of engines in a trial without sites
+WORK_SCALE = 0.02  # work and memory of a query relative to BRIEF; trials check whether queries are served, not speed
 
 
 class Engines:
-    """Some engines on sockets, all well; in turn one for each site."""
+    """Healthy stand-in engines on sockets, assigned to the sites in turn."""
 
     def __init__(
         self,
@@ -27,9 +27,9 @@
         sites: Sequence[str] = (),
         seen: Callable[[str, str], object] | None = None,
     ) -> None:
-        """sites: their localities; rows name them. Without sites all stand at one place, which rows don't name.
+        """sites: localities of the engines, which result rows name; if empty, all have one that rows don't name.
 
-        seen is told the id of each query that reaches an engine, and the engine's site.
+        seen is called with the id of each query that reaches an engine, and with the engine's site.
         """
         self._site: dict[str, str] = {}
         self._clock = RealClock() if count else None
@@ -38,18 +38,20 @@
         if self._clock is None:
             return
         settings, keys = site.settings(gateways), Keys(self._clock)
-        mix = tuple(arrivals.Mix(m.share, m.work * SMALL, m.spread, m.io, m.memory * SMALL) for m in arrivals.BRIEF)
+        mix = tuple(
+            arrivals.Mix(m.share, m.work * WORK_SCALE, m.spread, m.io, m.memory * WORK_SCALE) for m in arrivals.BRIEF
+        )
         for number, draw in enumerate(site.draws(np.random.default_rng((seed, 51)), count)):
             name = f"s-{number}"
             site_ = sites[number % len(sites)] if sites else ""
             self._engines[name] = Engine(
                 settings, draw, self._clock, keys, seed + number, mix=mix, site=site_, seen=seen
             )  # fmt: skip
-            self._site[name] = site_ or HOME
+            self._site[name] = site_ or DEFAULT_SITE
             self._cores[name] = draw.cores
 
     def members(self) -> list[dict[str, Any]]:
-        """As the coordinator tells them."""
+        """Return the engine list as the coordinator serves it."""
         return [
             {"id": name, "host_port": engine.address, "locality": self._site[name],
              "flavor": f"{self._cores[name]}-core",
@@ -58,7 +60,7 @@
         ]  # fmt: skip
 
     def stop(self) -> None:
-        """End them."""
+        """Stop all engines and their clock."""
         for engine in self._engines.values():
             with contextlib.suppress(OSError):
                 engine.crash()
--- a/tealwing/lab/rig/fault_log.py
+++ b/tealwing/lab/rig/fault_log.py
@@ -1,4 +1,4 @@
-"""What the faults of a trial were: each noted in the history, those that last with their end."""
+"""Records the faults of a trial in its history: instant faults once, lasting ones with their begin and end."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FaultLog:
-    """Counts faults and notes them. A fault that lasts has a key, and ends by it."""
+    """Counts and records faults; a lasting fault is identified by a key."""
 
     def __init__(self, history: History, leader: Callable[[], str]) -> None:
         self.count = 0
@@ -17,27 +17,27 @@
         self._open_intervals: dict[Any, bool] = {}
 
     def fault(self, what: str, **fields: Any) -> None:
-        """A fault, with who led at that time."""
+        """Record a fault with the current leader."""
         self.count += 1
         self._history.add("fault", what=what, leader=self._leader(), **fields)
 
     def begin_interval(self, key: Any, what: str, **fields: Any) -> None:
-        """A fault that lasts, from now on; one of the same key ends."""
+        """Record the begin of a lasting fault; a fault open under the same key ends first."""
         self.end_intervals(key)
         self._open_intervals[key] = True
         self.fault(what, span=str(key), **fields)
 
     def end_intervals(self, *keys: Any) -> None:
-        """Those end, where they last."""
+        """Record the end of the lasting faults with these keys; keys that are not open are ignored."""
         for key in list(keys):
             if self._open_intervals.pop(key, None):
                 self.count += 1
                 self._history.add("fault", what="over", span=str(key), over=True)
 
     def end_link_intervals(self) -> None:
-        """All cuts and bad links end."""
+        """Record the end of all cuts and degraded links."""
         self.end_intervals("cut", *(key for key in self._open_intervals if isinstance(key, tuple) and key[0] == "link"))
 
     def end_all_intervals(self) -> None:
-        """Everything ends."""
+        """Record the end of all lasting faults."""
         self.end_intervals(*list(self._open_intervals))
