--- a/tealwing/lab/rig/loads/__init__.py
+++ b/tealwing/lab/rig/loads/__init__.py
@@ -1,1 +1,1 @@
-"""What clients do during a trial; read base, figures, echo, register, lease, queries, power."""
+"""The loads of a trial: what its clients do; read base, metrics, echo, register, lease, queries and power in order."""
--- a/tealwing/lab/rig/loads/rules/__init__.py
+++ b/tealwing/lab/rig/loads/rules/__init__.py
@@ -1,1 +1,1 @@
-"""The load of changes of the rules; read bundles, watch, operators, traffic, figures, load."""
+"""The load of changes of the rules; read bundles, watch, operators, traffic, metrics and load in order."""
--- a/tealwing/lab/rig/loads/rules/metrics.py
+++ b/tealwing/lab/rig/loads/rules/metrics.py
@@ -1,4 +1,4 @@
-"""What came of a trial's changes; pure, on the history alone."""
+"""Figures about the changes of the rules in a trial, computed from its history; pure."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def gaps_ms(events: Sequence[Event]) -> list[float]:
-    """For each change at each process: ms from when it closed until it opened again, as its log tells, sorted."""
+    """Return, for each change at each process, the ms from closing to opening its gate by its log; sorted."""
     found, open_ = [], dict[str, tuple[int, float]]()
     for event in sorted((e for e in events if e["kind"] == "gate"), key=lambda e: e["at"]):
         name = event["process"]
         if event["what"] == "closed":
             open_[name] = event["number"], event["at"]
-        elif event["what"] == "started":  # what a process that ended had closed is no gap
+        elif event["what"] == "started":  # a gate closed by a process that has ended since counts as no gap
             open_.pop(name, None)
         elif event["what"] == "opened" and name in open_:
             number, at = open_.pop(name)
@@ -29,7 +29,7 @@
 
 
 def undisturbed(events: Sequence[Event], queries: Sequence[Operation]) -> list[Operation]:
-    """The queries whose gateway neither was down nor stood still meanwhile, and that had an end."""
+    """Return the queries that ended, and during which their gateway was neither down nor stopped."""
     down: dict[str, list[tuple[float, float]]] = {}
     for what, fields, begin, end in intervals(events, float("inf")):
         if what in ("kill", "stop"):
@@ -41,12 +41,12 @@
 
 
 def served(query: Operation) -> bool:
-    """Whether the client has its rows."""
+    """Return whether the client received its rows."""
     return query.word == "ok" and bool(query.result["word"] == "served")
 
 
 def summary(events: Sequence[Event]) -> dict[str, Any]:
-    """The figures of the load `rules`."""
+    """Return the figures of the load `rules`."""
     queries, changes = operations(events, "query"), operations(events, "change")
     broken = Counter(
         violation.rule for checker in (rules_order.check, rules_versions.check, rules_agreement.check)
