--- a/tealwing/lab/rig/director.py
+++ b/tealwing/lab/rig/director.py
@@ -27,9 +27,9 @@
 class FaultDirector:
     """Runs the steps of one scenario in one trial."""
 
-    def __init__(self, trial: Trial, scenario: Scenario, must_come: bool = False) -> None:
-        """must_come: a condition that is not met in time is reported as a problem of the rig, which voids the trial."""
-        self._trial, self._scenario, self._must_come = trial, scenario, must_come
+    def __init__(self, trial: Trial, scenario: Scenario, conditions_required: bool = False) -> None:
+        """conditions_required: a condition not met in time is a problem of the rig, which makes the trial worthless."""
+        self._trial, self._scenario, self._conditions_required = trial, scenario, conditions_required
         self._targets = TargetResolver(trial)
 
     def play(self) -> None:
@@ -44,10 +44,10 @@
                 if turn:
                     due += step.every
                 while (left := due - time.monotonic()) > 0:
-                    if trial.calm.wait(left):
+                    if trial.faults_over.wait(left):
                         return
                 step_now = self._wait_for_condition(step)
-                if trial.calm.is_set():
+                if trial.faults_over.is_set():
                     return
                 self._apply(step_now)
                 due = max(due, time.monotonic())
@@ -86,18 +86,18 @@
     def _record_missed(self, when: str, watched: Sequence[str], within: float) -> None:
         """Record that a step's condition was not met in time."""
         self._trial.history.add("phase-missed", phase=when, watched=list(watched))
-        if self._must_come:
+        if self._conditions_required:
             self._trial.problems.append(
                 f"{self._scenario.title}: condition {when!r} was not met at {', '.join(watched)} within {within:g} s"
             )
 
     def _until(self, holds: Callable[[], bool], seconds: float) -> bool:
         """Wait for the condition until the time is over or no further faults are allowed; return whether it holds."""
-        self._trial.wait(lambda: holds() or self._trial.calm.is_set(), seconds)
+        self._trial.wait(lambda: holds() or self._trial.faults_over.is_set(), seconds)
         return holds()
 
     def _apply(self, step: Step) -> None:
-        trial, acts, ledger = self._trial, self._trial.process_faults, self._trial.fault_log
+        trial, process_faults = self._trial, self._trial.process_faults
         names = self._targets.names(step.who) if step.who else []
         match step.do:
             case "partition":
@@ -117,43 +117,43 @@
                 self._degrade_links(step)
             case "heal":
                 self._change(trial.conditions.heal)
-                ledger.end_link_intervals()
+                trial.fault_log.end_link_intervals()
             case "power-loss":
-                acts.power_loss(step)
+                process_faults.power_loss(step)
             case "wait":
                 pass
             case "hold-changes":
-                trial.changes(False)
+                trial.allow_changes(False)
                 if not phases.wait_idle(trial, trial.names, step.within):
                     self._record_missed("no change under way", trial.names, step.within)
             case "release-changes":
-                trial.changes(True)
+                trial.allow_changes(True)
             case "restart":
                 for name in names:
-                    acts.kill(name, step.gently)
-                trial.calm.wait(step.pause)
+                    process_faults.kill(name, step.gently)
+                trial.faults_over.wait(step.pause)
                 for name in names:
-                    acts.start(name, step.disk)
+                    process_faults.start(name, step.disk)
             case _:
                 for name in names:
                     self._apply_to_process(step, name)
 
     def _apply_to_process(self, step: Step, name: str) -> None:
         """Apply a step that concerns one process to that process."""
-        acts = self._trial.process_faults
+        process_faults = self._trial.process_faults
         match step.do:
             case "kill":
-                acts.kill(name)
+                process_faults.kill(name)
             case "start":
-                acts.start(name, step.disk)
+                process_faults.start(name, step.disk)
             case "stop":
-                acts.stop(name)
+                process_faults.stop(name)
             case "cont":
-                acts.cont(name)
+                process_faults.resume(name)
             case "clock":
-                acts.inject_fault(name, "fault.clock", step_s=step.step_s, rate=step.rate)
+                process_faults.inject_fault(name, "fault.clock", step_s=step.step_s, rate=step.rate)
             case "disk":
-                acts.inject_fault(name, "fault.disk", fault=step.fault, count=step.count)
+                process_faults.inject_fault(name, "fault.disk", fault=step.fault, count=step.count)
             case "save-disk":
                 self._trial.processes[name].save_disk()
                 self._trial.history.add("disk-saved", who=name)
--- a/tealwing/lab/rig/phases.py
+++ b/tealwing/lab/rig/phases.py
@@ -1,4 +1,4 @@
-"""Waits for a change of the rules to be at some point of its way, so that a fault can meet it there."""
+"""Waits until a change of the rules is in a given phase, so that a fault can be injected there."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
 
-LOOK = 0.001  # s between two looks: a phase lasts some ms where links are quick
-IDLE_LOOK = 0.02  # s between two looks whether changes are under way
-LIMIT = 0.25  # s that a look waits for its answer
+PHASE_POLL = 0.001  # s between two checks for a phase: one lasts only some ms on fast links
+IDLE_POLL = 0.02  # s between two checks for changes under way
+LIMIT = 0.25  # s that a call waits for its answer
 
 
 def wait_idle(trial: Trial, names: Sequence[str], within: float) -> bool:
-    """Wait until no change is under way at any of the processes, and all have one version in force; whether so."""
+    """Wait until no process has a change under way and all have one version in force; return whether so."""
     end = time.monotonic() + within
-    while time.monotonic() < end and not trial.calm.is_set():
+    while time.monotonic() < end and not trial.faults_over.is_set():
         found = []
         for name in names:
             caller = trial.caller(name, LIMIT)
@@ -32,20 +32,20 @@
         versions = {(status["active"], status["in_force"]) for status in found}
         if len(found) == len(names) and len(versions) == 1 and not any(status["in_flight"] for status in found):
             return True
-        time.sleep(IDLE_LOOK)
+        time.sleep(IDLE_POLL)
     return False
 
 
 def wait(trial: Trial, phase: str, names: Sequence[str], within: float) -> bool:
-    """Wait until one of the processes says that a change is in that phase; whether one did in time.
+    """Wait until one of the processes reports a change in that phase; return whether one did in time.
 
-    `active` waits for a version that was not in force at that process as the wait began.
+    The phase `active` means a version that was not yet in force at that process when the wait began.
     """
     callers: dict[str, ControlClient] = {}
     before: dict[str, int] = {}
     end = time.monotonic() + within
     try:
-        while time.monotonic() < end and not trial.calm.is_set():
+        while time.monotonic() < end and not trial.faults_over.is_set():
             for name in names:
                 if not trial.processes[name].running or trial.processes[name].stopped:
                     continue
@@ -61,7 +61,7 @@
                 flight = found["in_flight"]
                 if (flight and flight["phase"] == phase) or (phase == "active" and found["active"] > first):
                     return True
-            time.sleep(LOOK)
+            time.sleep(PHASE_POLL)
         return False
     finally:
         for caller in callers.values():
--- a/tealwing/lab/rig/process.py
+++ b/tealwing/lab/rig/process.py
@@ -1,4 +1,4 @@
-"""One real process of the program in a trial: its folder, its start, its signals, its end by its id."""
+"""One real process of the program in a trial: its data folder, start, signals and end."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 import tealwing
 from tealwing.peers.plan import Address
 
-READY = 30.0  # s for a process to say that it has started
+START_LIMIT = 30.0  # s for a process to log the event `started`
 SOURCE = str(Path(tealwing.__file__).parent.parent)
 FAULT_EVENTS = ("must_hold_broken", "control_call_failed", "decision_failed", "watch_update_in_parts")
 
 
 class ProcessStartError(RuntimeError):
-    """A process did not start; the text has the end of its log."""
+    """A process did not start; the message holds the end of its log."""
 
 
 class Process:
-    """A gateway of the trial. Its data folder stays over restarts; its log goes on."""
+    """A gateway process of the trial; its data folder and its log persist over restarts."""
 
     def __init__(self, name: str, directory: Path, config: dict[str, Any], conf: str, control: Address) -> None:
         self.name, self.directory, self.control = name, directory, control
@@ -37,22 +37,22 @@
         (directory / "tealwing.conf").write_text(conf)
         self._process: subprocess.Popen[bytes] | None = None
         self.starts = 0
-        self.stopped = False  # by SIGSTOP
+        self.stopped = False  # whether it is stopped by SIGSTOP
         self._read_from = 0
         self.started: dict[str, Any] = {}
 
     @property
     def running(self) -> bool:
-        """Whether it lives, stopped or not."""
+        """Whether the process exists, stopped or not."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def pid(self) -> int | None:
-        """Its id while it lives."""
+        """The process id; None if the process does not run."""
         return self._process.pid if self._process is not None and self.running else None
 
     def start(self) -> None:
-        """Start it; `ready` waits until it serves."""
+        """Start the process if it does not run; `ready` waits until it serves."""
         if self.running:
             return
         self._read_from = self.log.stat().st_size if self.log.exists() else 0
@@ -69,8 +69,8 @@
         self.starts += 1
         self.stopped, self.started = False, {}
 
-    def ready(self, seconds: float = READY) -> dict[str, Any]:
-        """Its event `started`: where it listens."""
+    def ready(self, seconds: float = START_LIMIT) -> dict[str, Any]:
+        """Wait for the event `started` of this start, which holds the listen addresses, and return it."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             for event in self.events(self._read_from):
@@ -80,15 +80,18 @@
             if not self.running:
                 break
             time.sleep(0.02)
-        raise ProcessStartError(f"{self.name}: {self.log.read_text(errors='replace')[-800:]}")
+        what = f"logged no event `started` within {seconds:g} s" if self.running else "ended before it had started"
+        raise ProcessStartError(
+            f"process {self.name} {what}; end of its log: {self.log.read_text(errors='replace')[-800:]}"
+        )
 
     def address(self, key: str) -> Address | None:
-        """Where it listens for clients (`listen`) or operators (`admin`), as it said at this start."""
+        """Return the address for clients (`listen`) or operators (`admin`) of this start; None if there is none."""
         found = self.started.get(key)
         return (found[0], found[1]) if found and self.running else None
 
     def events(self, since: int = 0) -> list[dict[str, Any]]:
-        """The events of its log, from a place on."""
+        """Return the events of the log from a byte offset on."""
         found = []
         with contextlib.suppress(OSError), self.log.open("rb") as log:
             log.seek(since)
@@ -100,7 +103,7 @@
         return found
 
     def fault_lines(self) -> list[str]:
-        """What its log says that must never be said: broken checks, tracebacks."""
+        """Return what the log holds that no log may hold: events of broken checks, and tracebacks."""
         found = [json.dumps(event)[:400] for event in self.events() if event.get("event") in FAULT_EVENTS]
         text = self.log.read_text(errors="replace") if self.log.exists() else ""
         if "Traceback (most recent call last)" in text.replace("\\n", "\n") and not found:
@@ -108,7 +111,7 @@
         return found
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, to this process alone."""
+        """Send a signal to this process."""
         if self._process is not None and self.running:
             self._process.send_signal(number)
             if number == signal.SIGSTOP:
@@ -117,14 +120,14 @@
                 self.stopped = False
 
     def kill(self) -> None:
-        """SIGKILL, and wait for its end."""
+        """Send SIGKILL and wait for the process to end."""
         if self._process is not None:
             self._process.kill()
             self._process.wait(10.0)
         self.stopped = False
 
     def terminate(self, seconds: float = 10.0) -> None:
-        """SIGTERM, and SIGKILL where that does not end it."""
+        """Send SIGTERM, then SIGKILL if the process does not end within that time."""
         if self._process is None or not self.running:
             return
         self.signal(signal.SIGCONT)
@@ -135,19 +138,19 @@
             self.kill()
 
     def save_disk(self) -> None:
-        """Keep a copy of the data folder as it is at one moment: the process stands still for it."""
-        stood = self.stopped
-        if self.running and not stood:
+        """Copy the data folder as of one moment: the process is stopped during the copy."""
+        was_stopped = self.stopped
+        if self.running and not was_stopped:
             self.signal(signal.SIGSTOP)
         try:
             shutil.rmtree(self.old, ignore_errors=True)
             shutil.copytree(self.data, self.old)
         finally:
-            if self.running and not stood:
+            if self.running and not was_stopped:
                 self.signal(signal.SIGCONT)
 
     def bring_disk(self, which: str) -> None:
-        """What the next start finds: the disk as it was kept, an older copy of it, or nothing."""
+        """Prepare the data folder for the next start: `kept` as it is, `old` from the saved copy, or `none`, empty."""
         assert not self.running
         if which == "old" and self.old.exists():
             shutil.rmtree(self.data)
--- a/tealwing/lab/rig/process_faults.py
+++ b/tealwing/lab/rig/process_faults.py
@@ -1,4 +1,4 @@
-"""What is done to the processes of a trial: ended, started, told faults of their own, all at once without power."""
+"""Faults of the processes of a trial: kills, starts, stops, injected clock and disk faults, and a power loss of all."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 
 
 class ProcessFaults:
-    """The faults of processes; each is noted in the ledger."""
+    """Applies faults to processes and records each in the fault log."""
 
     def __init__(self, trial: Trial, stale: int) -> None:
-        """stale: how many may come back with an older disk from a power loss."""
+        """stale: most processes that come back from a power loss with an older disk."""
         self._trial, self._stale = trial, stale
-        self._ledger, self._history = trial.fault_log, trial.history
-        self.failing: set[str] = set()  # processes whose disk failed, and which have not been ended since
+        self._fault_log, self._history = trial.fault_log, trial.history
+        self.failing: set[str] = set()  # processes with an injected disk fault that were not killed since
 
     def kill(self, name: str, gently: bool = False) -> None:
-        """End it, by SIGTERM first if gently."""
-        self._ledger.end_intervals(("stop", name))
+        """End a process by SIGKILL; gently: by SIGTERM first."""
+        self._fault_log.end_intervals(("stop", name))
         process = self._trial.processes[name]
         self.failing.discard(name)
         if process.running:
-            self._ledger.begin_interval(("down", name), "kill", who=name, gently=gently)
+            self._fault_log.begin_interval(("down", name), "kill", who=name, gently=gently)
             if gently:
                 process.terminate()
             process.kill()
 
     def start(self, name: str, disk: str) -> None:
-        """Start it if it does not run; `disk` is what it finds: kept, old or none."""
+        """Start a process if it does not run; disk: the data folder that it finds, as for `Process.bring_disk`."""
         process = self._trial.processes[name]
         if process.running:
             return
         process.bring_disk(disk)
-        self._history.add("starting", who=name)  # it may speak from here on, and is ready later
+        self._history.add("starting", who=name)  # from here on it may send; `ready` is recorded later
         process.start()
         if disk != "kept":
-            self._ledger.fault("disk", who=name, disk=disk)
+            self._fault_log.fault("disk", who=name, disk=disk)
         self._trial.spawn(lambda: self._await_ready(name), f"ready-{name}")
 
     def _await_ready(self, name: str) -> None:
@@ -51,42 +51,45 @@
         try:
             process.ready()
         except Exception:
-            if self._trial.stopping.is_set() or not process.running:  # killed again meanwhile
+            if self._trial.stopping.is_set() or not process.running:  # the process was killed again meanwhile
                 return
             raise
-        self._ledger.end_intervals(("down", name))
+        self._fault_log.end_intervals(("down", name))
         self._history.add("ready", process=name, start=process.starts)
 
     def stop(self, name: str) -> None:
-        """It stands still, and does not know it."""
+        """Stop a process by SIGSTOP, which it can't notice."""
         self._trial.processes[name].signal(signal.SIGSTOP)
-        self._ledger.begin_interval(("stop", name), "stop", who=name)
+        self._fault_log.begin_interval(("stop", name), "stop", who=name)
 
-    def cont(self, name: str) -> None:
-        """It goes on."""
+    def resume(self, name: str) -> None:
+        """Resume a stopped process by SIGCONT."""
         self._trial.processes[name].signal(signal.SIGCONT)
-        self._ledger.end_intervals(("stop", name))
+        self._fault_log.end_intervals(("stop", name))
 
     def inject_fault(self, name: str, call: str, **fields: Any) -> None:
-        """A fault within a process, through its control address."""
+        """Inject a fault within a process through its control address."""
         try:
             caller = self._trial.caller(name)
             try:
                 caller.call(call, CALL_TIMEOUT, **fields)
             finally:
                 caller.close()
-            self._ledger.fault(call.removeprefix("fault."), who=name, **fields)
+            self._fault_log.fault(call.removeprefix("fault."), who=name, **fields)
             if call == "fault.disk":
                 self.failing.add(name)
         except (OSError, RemoteCallError) as error:
             self._history.add("fault-not-taken", who=name, call=call, why=str(error))
 
     def power_loss(self, step: Step) -> None:
-        """All at once, and back in any order: some late, some with an older disk, over links that lose frames."""
+        """Kill all processes at once, and start them in random order as the step says.
+
+        One may come back late, some with an older disk, and links may lose frames meanwhile.
+        """
         trial, random = self._trial, self._trial.random
         names = [name for name in trial.names if trial.processes[name].running]
         for name in names:
-            self._ledger.begin_interval(("down", name), "kill", who=name)
+            self._fault_log.begin_interval(("down", name), "kill", who=name)
             trial.processes[name].signal(signal.SIGKILL)
         for name in names:
             trial.processes[name].kill()
@@ -101,12 +104,12 @@
                     for b in trial.names:
                         if a != b and random.random() < 0.25:
                             trial.conditions.change(a, b, drop=step.drop_on_return)
-            self._ledger.begin_interval(
+            self._fault_log.begin_interval(
                 ("link", "power", ""), "link", source="some", target="some", drop=step.drop_on_return
             )
         lost = time.monotonic()
         for name in sorted(waits, key=lambda name: waits[name]):
-            if trial.calm.wait(max(0.0, lost + waits[name] - time.monotonic())):
+            if trial.faults_over.wait(max(0.0, lost + waits[name] - time.monotonic())):
                 return
             self._history.add("power", what="back", who=[name], old=name in old)
             self.start(name, "old" if name in old else "kept")
--- a/tealwing/lab/rig/report.py
+++ b/tealwing/lab/rig/report.py
@@ -1,4 +1,4 @@
-"""A trial's report: one HTML page with a picture, the figures, the violations and the faults."""
+"""The report of a trial: one HTML page with a chart, the figures, the violations and the faults."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from tealwing.lab.judges.verdict import Violation
 from tealwing.lab.rig.history import Event, intervals, operations
 
-MAX_SHOWN = 60  # violations and faults on the page; the history has all
+MAX_SHOWN = 60  # violations, and faults, that the page lists; the history holds all
 COLOURS = {"ok": "#2a7f4f", "fail": "#c9a227", "unknown": "#b23a48"}
 BANDS = {"kill": "#444444", "stop": "#8e6bbf"}
 
 
 def draw(events: Sequence[Event], names: Sequence[str], end: float) -> bytes:
-    """The picture, PNG: a lane a process, faults as bands, operations as dots, who led or held as lines."""
+    """Return the chart as PNG: one lane per process with operations, faults, leaders and lease holders over time."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -53,13 +53,15 @@
     top.set_yticks(range(len(names)), names)
     top.set_ylim(-0.6, len(names) + 0.2)
     top.legend(loc="upper right", fontsize=7, markerscale=3)
-    top.set_title("dots: operations by their end; red squares: led; blue lines: held; bands: faults", fontsize=8)
+    top.set_title(
+        "dots: operations by outcome; red squares: leader; blue lines: lease holder; bands: faults", fontsize=8
+    )
     ends = [op.end for op in operations(events) if op.word == "ok"]
     ends += [act["t"] for act in events if act["kind"] == "act" and act["accepted"]]
     if ends:
         bottom.hist(ends, bins=[second / 2 for second in range(int(2 * end) + 2)], color=COLOURS["ok"])
-    bottom.set_ylabel("done in 0.5 s", fontsize=8)
-    bottom.set_xlabel("seconds of the trial")
+    bottom.set_ylabel("completed per 0.5 s", fontsize=8)
+    bottom.set_xlabel("seconds since the trial began")
     figure.tight_layout()
     out = io.BytesIO()
     figure.savefig(out, format="png", dpi=110)
@@ -69,7 +71,7 @@
 
 def page(title: str, about: str, summary: dict[str, Any], violations: Sequence[Violation], events: Sequence[Event],
          names: Sequence[str], end: float) -> str:  # fmt: skip
-    """The whole page."""
+    """Return the page as HTML."""
     picture = base64.b64encode(draw(events, names, end)).decode()
     rows = "".join(
         f"<tr><td>{html.escape(name)}</td><td>{html.escape(str(value))}</td></tr>" for name, value in summary.items()
@@ -89,7 +91,7 @@
 <h2>Figures</h2><table>{rows}</table>
 <h2>Violations: {len(violations)}</h2><ul>{bad}</ul>
 <h2>Faults</h2><ul>{faults}</ul>
-<p>All of it is in history.jsonl beside this page.</p></body></html>
+<p>The complete history is in history.jsonl beside this page.</p></body></html>
 """
 
 
@@ -98,5 +100,5 @@
 
 
 def write(path: Path, *of: Any) -> None:
-    """Write the page."""
+    """Write the page to a file; `of` are the arguments of `page`."""
     path.write_text(page(*of))
--- a/tealwing/lab/rig/runs.py
+++ b/tealwing/lab/rig/runs.py
@@ -1,4 +1,4 @@
-"""One trial from its scenario to its figures: what `tealwing fleet try` and the tests run."""
+"""Runs one trial from its scenario to its figures, for `tealwing fleet try` and the tests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 
 from tealwing.lab.faults.scenario import Scenario
-from tealwing.lab.faults.scenario import injection_point as load_moment
+from tealwing.lab.faults.scenario import injection_point as load_injection_point
 from tealwing.lab.judges.verdict import Violation
 from tealwing.lab.rig import layouts, report
 from tealwing.lab.rig.history import Event
@@ -27,18 +27,18 @@
     "power": PowerLoad,
     "rules": RulesLoad,
 }
-# Broken on purpose, so that a judge can be seen to find it: what is done to the trial before its load begins
+# Deliberate defects that a judge must find, built into the trial before its load begins
 SABOTAGES = {
-    "leaky-cut": "the proxy lets frames pass a cut",
-    "lying-echo": "one process says another text than it was asked to",
-    "careless": "tasks go on when their lease is lost: the resource has to refuse them",
-    "no-fence": "the same, and the resource takes whatever comes",
+    "leaky-cut": "the proxy forwards frames through a cut",
+    "lying-echo": "one process echoes another text than it was sent",
+    "careless": "tasks go on after their lease is lost, and the resource has to reject their actions",
+    "no-fence": "tasks go on after their lease is lost, and the resource accepts any action",
     **layouts.RULES_SABOTAGES,
 }
 
 
 class TrialResult:
-    """What a trial gave."""
+    """The figures, violations and events of one trial."""
 
     def __init__(self, summary: dict[str, Any], violations: list[Violation], events: list[Event]) -> None:
         self.summary, self.violations, self.events = summary, violations, events
@@ -56,19 +56,19 @@
     learners: int = 0,
     injection_point: str = "",
 ) -> TrialResult:
-    """Run the trial; out is a folder for history, logs and report (none is kept if None).
+    """Run the trial; out: folder for history, logs and report, None to keep none.
 
     injection_point: the sabotage whose injection point is forced, also on an unchanged program; that of `sabotage`
     itself is forced in any case.
 
-    lost_touch: what gateways of the load `rules` do when they are cut off. sites: of a federation; 0: none.
-    learners: how many of the processes follow the log without a vote.
+    lost_touch: what gateways of the load `rules` do while they are cut off. sites: number of sites of the federation;
+    0 for none. learners: number of processes that follow the log without a vote.
     """
-    _check(scenario, procs, sites, sabotage)
+    _check_options(scenario, procs, sites, sabotage)
     if learners and (sites or scenario.workload == "echo" or procs - learners < 3):
         raise ValueError(
-            f"--learners: {learners}; allowed: as many as leave three that vote, with a load that has a"
-            " replicated log and without --sites"
+            f"--learners: {learners}; allowed: up to --procs - 3, so that three processes vote, for a load with a"
+            " replicated log (not echo) and without --sites"
         )
     begun = time.monotonic()
     load = LOADS[scenario.workload]()
@@ -79,17 +79,17 @@
     names = [f"n{number}" for number in range(procs)]
     layout = layouts.layout(scenario.workload, names, lost_touch, sites, sabotage, learners)
     injection_point = injection_point or (sabotage if sabotage in layouts.RULES_SABOTAGES else "")
-    forced = load_moment(injection_point) if injection_point else None
+    forced = load_injection_point(injection_point) if injection_point else None
     with Trial(scenario, procs, seconds, seed, out, layout, injection_point=forced) as trial:
         trial.start()
-        _break(trial, sabotage)
+        _apply_sabotage(trial, sabotage)
         trial.run(load)
         events, end = trial.history.events, trial.ended
         violations = [violation for checker in load.checkers for violation in checker(events, end)]
         violations += [Violation("log", end, what) for what in trial.fault_lines()]
         violations += [Violation("rig", end, what) for what in trial.problems]
         violations += [
-            Violation("settled", e["t"], "the processes were never in touch again after all was healed")
+            Violation("settled", e["t"], "the processes did not all reconnect after all faults were healed")
             for e in events
             if e["kind"] == "never-settled"
         ]
@@ -115,21 +115,23 @@
         return TrialResult(summary, violations, events)
 
 
-def _check(scenario: Scenario, procs: int, sites: int, sabotage: str) -> None:
+def _check_options(scenario: Scenario, procs: int, sites: int, sabotage: str) -> None:
     if procs < scenario.least_procs:
-        raise ValueError(f"--procs: {procs}; this scenario needs {scenario.least_procs} or more")
+        raise ValueError(f"--procs: {procs}; the scenario needs {scenario.least_procs} or more")
     if sites and (scenario.workload != "rules" or not 3 <= sites <= len(layouts.ZONES) or procs < 3 * sites):
-        raise ValueError(f"--sites: {sites}; allowed: 3 to {len(layouts.ZONES)}, each with three processes or more,"
-                         " of a scenario with the load rules; 0 for none")  # fmt: skip
+        raise ValueError(f"--sites: {sites}; allowed: 0 for none, or 3 to {len(layouts.ZONES)} with three processes or"
+                         " more per site and a scenario with the load rules")  # fmt: skip
     if sites < scenario.least_sites:
-        raise ValueError(f"--sites: {sites}; this scenario needs {scenario.least_sites} or more")
+        raise ValueError(f"--sites: {sites}; the scenario needs {scenario.least_sites} or more")
     if sabotage and sabotage not in SABOTAGES:
         raise ValueError(f"--sabotage: {sabotage!r}; allowed: {', '.join(sorted(SABOTAGES))}")
     if sabotage in layouts.RULES_SABOTAGES and scenario.workload != "rules":
-        raise ValueError(f"--sabotage: {sabotage} needs a scenario with the load rules")
+        raise ValueError(
+            f"--sabotage: {sabotage} needs a scenario with the load rules; this one has {scenario.workload}"
+        )
 
 
-def _break(trial: Trial, sabotage: str) -> None:
+def _apply_sabotage(trial: Trial, sabotage: str) -> None:
     if sabotage == "leaky-cut":
         trial.proxy.leaky = True
     elif sabotage == "lying-echo":
--- a/tealwing/lab/rig/samples.py
+++ b/tealwing/lab/rig/samples.py
@@ -1,4 +1,4 @@
-"""Looks at the processes of a trial, again and again: what each says of itself and of its peers."""
+"""Samples the status of each process of a trial at intervals: its own state and how it sees its peers."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from tealwing.lab.rig.process import Process
 from tealwing.peers.control import ControlClient, RemoteCallError
 
-SAMPLE = 0.25  # s between two looks at each process
-CALL_TIMEOUT = 1.0  # s that a look waits for its answer
-SAMPLED_FIELDS = ("role", "term", "leader", "commit", "applied", "unsure", "phase")  # of a status, where it has them
+SAMPLE_INTERVAL = 0.25  # s between two samples of each process
+CALL_TIMEOUT = 1.0  # s that a call waits for its answer
+SAMPLED_FIELDS = ("role", "term", "leader", "commit", "applied", "unsure", "phase")  # kept if the status has them
 
 
 class Samples:
-    """The last look at each process that runs; all looks are in the history."""
+    """Keeps the last sample of each running process, and records every sample in the history."""
 
     def __init__(self, processes: Mapping[str, Process], history: History, caller: Callable[[str], ControlClient],
                  site_of: Callable[[str], str]) -> None:  # fmt: skip
-        """site_of gives a process's site in a federation, where each site has a log of its own; else empty."""
+        """site_of: returns the site of a process in a federation, where each site has its own log; else empty."""
         self.last: dict[str, dict[str, Any]] = {}
         self._processes, self._history, self._caller, self._site_of = processes, history, caller, site_of
 
     def run(self, stopping: threading.Event) -> None:
-        """Look until the trial stops."""
+        """Sample all processes until the trial stops."""
         callers: dict[str, ControlClient] = {}
         while not stopping.is_set():
             for name, process in self._processes.items():
@@ -43,7 +43,7 @@
                     self.last.pop(name, None)
                     continue
                 self._keep(name, begun, found)
-            stopping.wait(SAMPLE)
+            stopping.wait(SAMPLE_INTERVAL)
         for caller in callers.values():
             caller.close()
 
@@ -59,28 +59,28 @@
         self._history.add("sample", **sample)
 
     def is_connected(self) -> bool:
-        """Whether every process that runs hears all others that run, and is led if it is replicated."""
+        """Return whether every running process hears all other running ones, and knows a leader if it is replicated."""
         running = {name for name, process in self._processes.items() if process.running and not process.stopped}
         for name in running:
             sample = self.last.get(name)
             if sample is None:
                 return False
-            # two that only learn have no link to one another, and say so
+            # learners have no links to one another, and report each other as unlinked
             reachable = {peer for peer, state in sample["peers"].items() if state in ("alive", "unlinked")}
             if not running - {name} <= reachable or sample.get("leader") == "":
                 return False
         return True
 
     def leader(self) -> str:
-        """Who leads, as the samples say: the leader of the highest term; empty where none is known."""
+        """Return the leader of the highest term among the samples; empty if none is known."""
         led = [(s.get("term", 0), name) for name, s in list(self.last.items()) if s.get("role") == "leader"]
         return max(led)[1] if led else ""
 
     def leaders(self) -> list[str]:
-        """All that say they lead: of a federation, those of the sites' logs."""
+        """Return all processes that report the role leader: in a federation, one per site's log."""
         return [name for name, sample in list(self.last.items()) if sample.get("role") == "leader"]
 
     @property
     def replicated(self) -> bool:
-        """Whether any process says that it keeps the replicated state."""
+        """Whether any process reports a role in a replicated log."""
         return any("role" in sample for sample in list(self.last.values()))
--- a/tealwing/lab/rig/targets.py
+++ b/tealwing/lab/rig/targets.py
@@ -1,4 +1,4 @@
-"""Finds out whom a step of a scenario means at that moment."""
+"""Resolves the selectors of a scenario's step to processes at the time of the step."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 if TYPE_CHECKING:
     from tealwing.lab.rig.trial import Trial
 
-ASIDE = "same"  # whoever the step before was about
-SITE, SITES = "site:", "sites"  # all of a site, by name or `any`; all links between sites
+SAME = "same"  # selector: the processes of the previous selector
+SITE, SITES = "site:", "sites"  # prefix: all processes of the named site, or of `any`; all links between sites
 Pairs = list[tuple[str, str]]
 
 
 class TargetResolver:
-    """The processes behind a scenario's words; remembers those of the last step."""
+    """Resolves selectors to processes, and remembers those of the last selector for `same`."""
 
     def __init__(self, trial: Trial) -> None:
         self._trial = trial
         self._last: list[str] = []
 
     def names(self, selector: str) -> list[str]:
-        """The processes that a word means, at least one."""
+        """Return the processes that a selector means, at least one."""
         if selector == "all":
             return list(self._trial.names)
-        if selector == ASIDE and self._last:
+        if selector == SAME and self._last:
             return self._last
         if selector.startswith(SITE):
             self._last = self._site(selector.removeprefix(SITE))
@@ -55,7 +55,7 @@
         return trial.random.choice(followers if selector == "follower" else running or trial.names)
 
     def directions(self, step: Step) -> tuple[str, str, Pairs]:
-        """A step's source and target as they are told, and all directions from the one to the other."""
+        """Return a step's source and target as the history names them, and all directions from one to the other."""
         trial = self._trial
         if SITES in (step.source, step.target):
             site_of = trial.layout.site_of
@@ -63,7 +63,7 @@
         sources, targets = self.names(step.source), self.names(step.target)
         if sources == targets and len(sources) == 1:
             targets = [next(name for name in trial.names if name != sources[0])]
-        within = SITE in step.source + step.target  # a site and all: what is within the site stays as it is
+        within = SITE in step.source + step.target  # between a site and `all`: links within the site are unaffected
         pairs = [(a, b) for a in sources for b in targets
                  if a != b and not (within and trial.layout.site_of(a) == trial.layout.site_of(b))]  # fmt: skip
         source, target = (names[0] if len(names) == 1 else selector
@@ -71,7 +71,7 @@
         return source, target, pairs
 
     def groups(self, step: Step) -> list[list[str]]:
-        """The groups of a partition."""
+        """Return the groups of a partition."""
         trial = self._trial
         if isinstance(step.groups, list):
             return step.groups
--- a/tealwing/lab/rig/trial.py
+++ b/tealwing/lab/rig/trial.py
@@ -1,4 +1,4 @@
-"""A trial: processes of the program, a proxy on every peer link, a scenario, a load, and a history of it all."""
+"""A trial: processes of the program, a proxy on every peer link, a scenario, a load and the history."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 from tealwing.peers.control import ControlClient
 from tealwing.peers.plan import Address
 
-SETTLE = 15.0  # s for all to be ready and in touch before the load begins
-POLL = 0.05  # s between two looks while something is waited for
+CONNECT_LIMIT = 15.0  # s for all processes to connect, before the load begins and after faults are healed
+POLL = 0.05  # s between two checks of a condition that is waited for
 
 
 class Trial:
-    """Everything of one trial; used as a context, it ends all that it started."""
+    """All parts of one trial; as a context manager it ends all that it started."""
 
     def __init__(
         self,
@@ -47,12 +47,12 @@
         heartbeat_ms: int = 200,
         injection_point: Scenario | None = None,
     ) -> None:
-        """Without a folder it has one of its own, which goes with it.
+        """directory: None for a temporary one, removed on close. injection_point: a scenario to run before the trial's.
 
-        injection_point: played under load before the scenario and its seconds begin, while only plain changes are made.
+        The injection point runs under load, with plain changes only, before the scenario and its seconds begin.
         """
         self.injection_point = injection_point
-        self._load: Any = None  # under way
+        self._load: Any = None  # the running load
         self.layout = layout
         self.scenario, self.seconds, self.seed = scenario, seconds, seed
         self._own = tempfile.TemporaryDirectory(prefix="tealwing-fleet-") if directory is None else None
@@ -63,18 +63,18 @@
         self.names = [f"n{number}" for number in range(procs)]
         self.conditions = NetworkConditions(self.names, seed)
         self.proxy = Proxy(self.conditions, free_port)
-        self.engines = Engines(layout.engines, procs, seed, layout.zones, self._reached)
+        self.engines = Engines(layout.engines, procs, seed, layout.zones, self._record_reached_engine)
         self.coordinator = Coordinator(self.engines.members())
         self.processes: dict[str, Process] = {}
         self.stopping = threading.Event()
-        self.calm = threading.Event()  # no fault is begun any more
+        self.faults_over = threading.Event()  # set when no further faults may begin
         self.samples = Samples(self.processes, self.history, self.caller, layout.site_of)
         self.fault_log = FaultLog(self.history, self.leader)
         self.process_faults = ProcessFaults(self, layout.stale)
-        self.holder = ""  # who held the lease, as the load last saw it
+        self.holder = ""  # last known holder of the lease, set by the load
         self._threads: list[threading.Thread] = []
         self.begun = self.ended = 0.0
-        self.problems: list[str] = []  # of the rig itself: the trial then shows nothing
+        self.problems: list[str] = []  # faults of the rig itself, with which the trial proves nothing
         for name in self.names:
             self.proxy.set_target(name, ("127.0.0.1", free_port()))
         for number, name in enumerate(self.names):
@@ -89,17 +89,15 @@
             )
             self.processes[name] = Process(name, self.directory / name, configuration_file, conf, control)
 
-    def _reached(self, call: str, site: str) -> None:
-        """A query came to an engine; kept where engines have sites, as there it shows who decided."""
+    def _record_reached_engine(self, call: str, site: str) -> None:
+        """Record that a query reached an engine; only if engines have sites, which show the version that decided."""
         if site:
             self.history.add("seen", call=call, site=site)
 
     def peer_address(self, name: str) -> Address:
-        """Where a process's peer link really listens."""
+        """Return the address on which a process's peer link listens, behind the proxy."""
         return self.proxy.target(name)
 
-    # The context
-
     def __enter__(self) -> Trial:
         return self
 
@@ -107,14 +105,14 @@
         self.close()
 
     def close(self) -> None:
-        """End every process, thread and listener that this trial started, and its folder if it is its own."""
+        """End every process, thread and listener that this trial started, and remove its temporary folder."""
         self.stopping.set()
-        self.calm.set()
+        self.faults_over.set()
         for process in self.processes.values():
             process.kill()
         for thread in self._threads:
             thread.join(15.0)
-        for process in self.processes.values():  # one that the scenario was just about to start
+        for process in self.processes.values():  # the scenario may have started another one meanwhile
             process.kill()
         self.proxy.stop()
         self.coordinator.stop()
@@ -124,7 +122,7 @@
             self._own.cleanup()
 
     def spawn(self, run: Any, name: str) -> threading.Thread:
-        """A thread of the trial, started; what it raises is a problem of the rig."""
+        """Start a thread of the trial and return it; an exception in it is a problem of the rig."""
 
         def work() -> None:
             try:
@@ -138,18 +136,20 @@
         return thread
 
     def start(self) -> None:
-        """Start all, and wait until each hears all others."""
+        """Start all processes, and wait until each hears all others."""
         self.proxy.start()
         for process in self.processes.values():
             process.start()
         for process in self.processes.values():
             process.ready()
         self.spawn(lambda: self.samples.run(self.stopping), "samples")
-        if not self.wait(self.is_connected, SETTLE):
-            raise RuntimeError(f"the processes did not hear each other within {SETTLE:g} s: {self.samples.last}")
+        if not self.wait(self.is_connected, CONNECT_LIMIT):
+            raise RuntimeError(
+                f"the processes did not all connect within {CONNECT_LIMIT:g} s; last samples: {self.samples.last}"
+            )
 
     def wait(self, holds: Any, seconds: float) -> bool:
-        """Wait for something to hold; whether it did in time."""
+        """Wait until the condition holds; return whether it did in time."""
         end = time.monotonic() + seconds
         while not holds():
             if time.monotonic() > end or self.stopping.is_set():
@@ -158,21 +158,19 @@
         return True
 
     def is_connected(self) -> bool:
-        """Whether every process that runs hears all others that run, and is led if it is replicated."""
+        """Return whether every running process hears all other running ones, and knows a leader if it is replicated."""
         return self.samples.is_connected()
 
     def leader(self) -> str:
-        """Who leads, as the samples say; empty where none is known."""
+        """Return the leader according to the samples; empty if none is known."""
         return self.samples.leader()
 
     def caller(self, name: str, limit: float = 1.0) -> ControlClient:
-        """A connection to a process's control address."""
+        """Return a client of a process's control address."""
         return ControlClient(self.processes[name].control, limit)
 
-    # The whole
-
     def run(self, load: Any) -> None:
-        """Load and scenario together, then everything healed, and what the load still looks at in the end."""
+        """Run load and scenario together, heal all faults, wait for reconnection, and record the load's final state."""
         self.begun = time.monotonic()
         self.history.add("begin", procs=len(self.names), seconds=self.seconds, scenario=self.scenario.title)
         self._load = load
@@ -180,30 +178,29 @@
             load.keep_plain(True)
         load.start(self)
         if self.injection_point is not None:
-            FaultDirector(self, self.injection_point, must_come=True).play()
+            FaultDirector(self, self.injection_point, conditions_required=True).play()
             load.keep_plain(False)
             self.begun = time.monotonic()
         director = self.spawn(FaultDirector(self, self.scenario).play, "scenario")
         self.stopping.wait(self.seconds)
-        self.calm.set()
+        self.faults_over.set()
         load.stop()
-        director.join(30.0)  # what it had begun
+        director.join(30.0)  # s for the step under way to end
         self.history.add("load-over")
         with self.proxy.lock:
             self.conditions.heal()
         self.fault_log.end_all_intervals()
         for name, process in self.processes.items():
             process.signal(signal.SIGCONT)
-            if (
-                name in self.process_faults.failing and process.running
-            ):  # its scenario ended before it had it started anew
+            # the scenario ended before it restarted a process whose disk failed
+            if name in self.process_faults.failing and process.running:
                 self.process_faults.kill(name)
             if not process.running:
                 self.process_faults.start(name, "kept")
         for process in self.processes.values():
             process.ready()
         healed = time.monotonic()
-        if not self.wait(self.is_connected, SETTLE):
+        if not self.wait(self.is_connected, CONNECT_LIMIT):
             self.history.add("never-settled", samples=self.samples.last)
         self.history.add("settled", after=round(time.monotonic() - healed, 3))
         load.finish(self)
@@ -211,15 +208,15 @@
         self.history.add("end")
         self.stopping.set()
 
-    def changes(self, going_on: bool) -> None:
-        """Have the operators of the load make changes, or begin none."""
-        self._load.hold_changes(not going_on)
+    def allow_changes(self, allowed: bool) -> None:
+        """Let the operators of the load begin changes, or hold them."""
+        self._load.hold_changes(not allowed)
 
     def fault_lines(self) -> list[str]:
-        """What the processes' logs say that must never be said."""
+        """Return what the processes' logs hold that no log may hold, each with the process's name."""
         return [f"{name}: {what}" for name, process in self.processes.items() for what in process.fault_lines()]
 
 
 def write_json(path: Path, data: Any) -> None:
-    """A file of JSON, whole."""
+    """Write the data to a file as indented JSON."""
     path.write_text(json.dumps(data, indent=1) + "\n")
