--- a/tealwing/lab/faults/__init__.py
+++ b/tealwing/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults on purpose: what happens to frames between processes, and to the processes themselves, by a scenario."""
+"""Fault injection by scenario: network conditions between processes, and faults of the processes themselves."""
--- a/tealwing/lab/faults/network_conditions.py
+++ b/tealwing/lab/faults/network_conditions.py
@@ -1,7 +1,7 @@
-"""What happens to each frame on its way from one process to another; pure, and the same for the same seed.
+"""Decides how each frame between two processes is delivered; pure, and deterministic for a seed.
 
-Each direction of each pair has a rule of its own and a random source of its own, so that what one link draws does not
-depend on how the frames of others fall in time.
+Each direction of each pair has its own conditions and its own random generator, so that the draws of one link do not
+depend on the timing of frames on other links.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 import xxhash
 
-REORDERED = 0.05  # s by which a frame that is overtaken comes late, at most
+MAX_REORDER_DELAY = 0.05  # s of further delay of a reordered frame or a duplicate, at most
 
 
 @dataclass(frozen=True, slots=True)
 class LinkConditions:
-    """One direction: shares from 0 to 1, times in seconds."""
+    """The conditions of one direction: shares of frames from 0 to 1, times in seconds."""
 
     drop: float = 0.0
     delay: float = 0.0
-    jitter: float = 0.0  # further delay, uniform from 0 to this
+    jitter: float = 0.0  # upper bound of a further delay, drawn uniformly from 0
     duplicate: float = 0.0
     reorder: float = 0.0
     cut: bool = False
 
     @property
     def is_faultless(self) -> bool:
-        """Whether nothing happens there."""
+        """Whether the direction delivers every frame at once."""
         return self == FAULTLESS
 
 
@@ -37,21 +37,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """What becomes of one frame: after how many seconds each copy of it arrives; none where it is lost."""
+    """The delivery of one frame: the delay of each of its copies in seconds; empty if the frame is lost."""
 
     arrivals: tuple[float, ...]
-    in_order: bool = True  # else it may be overtaken by, or overtake, its neighbours
+    in_order: bool = True  # if not, the frame may overtake earlier frames or be overtaken by later ones
 
 
 LOST = Delivery(())
 
 
 class NetworkConditions:
-    """The rules of all directions among the names."""
+    """The conditions of all directions between the named processes."""
 
     def __init__(self, names: Iterable[str], seed: int) -> None:
         self.names = tuple(names)
-        self._rules: dict[tuple[str, str], LinkConditions] = {}
+        self._conditions: dict[tuple[str, str], LinkConditions] = {}
         self._random = {
             (a, b): random.Random(xxhash.xxh3_64_intdigest(f"{seed}/{a}/{b}".encode()))
             for a in self.names
@@ -59,54 +59,56 @@
             if a != b
         }
 
-    def rule(self, source: str, target: str) -> LinkConditions:
-        """The rule of a direction."""
-        return self._rules.get((source, target), FAULTLESS)
+    def link(self, source: str, target: str) -> LinkConditions:
+        """Return the conditions of a direction."""
+        return self._conditions.get((source, target), FAULTLESS)
 
     def change(self, source: str, target: str, **fields: float | bool) -> None:
-        """Other values in the rule of a direction."""
+        """Change some conditions of a direction."""
         if (source, target) not in self._random:
-            raise ValueError(f"no direction from {source!r} to {target!r}")
-        self._rules[source, target] = replace(self.rule(source, target), **fields)  # type: ignore[arg-type]
+            raise ValueError(
+                f"no direction from {source!r} to {target!r}; expected two different names of {', '.join(self.names)}"
+            )
+        self._conditions[source, target] = replace(self.link(source, target), **fields)  # type: ignore[arg-type]
 
     def change_all(self, pairs: Iterable[tuple[str, str]], **fields: float | bool) -> None:
-        """The same for some directions."""
+        """Make the same change to several directions."""
         for source, target in pairs:
             self.change(source, target, **fields)
 
     def partition(self, groups: Iterable[Iterable[str]]) -> None:
-        """Cut all directions between two groups, and only those; a name in no group is cut from everyone."""
+        """Cut all directions between different groups, and only those; a name in no group is cut from all others."""
         group = {name: number for number, names in enumerate(groups) for name in names}
         for a, b in self._random:
             apart = a not in group or b not in group or group[a] != group[b]
             self.change(a, b, cut=apart)
 
     def isolate(self, name: str) -> None:
-        """Cut one from all others, both ways."""
+        """Cut both directions between one process and all others."""
         for other in self.names:
             if other != name:
                 self.change(name, other, cut=True)
                 self.change(other, name, cut=True)
 
     def heal(self) -> None:
-        """Fair weather everywhere."""
-        self._rules.clear()
+        """Reset all directions to faultless conditions."""
+        self._conditions.clear()
 
     def cuts(self) -> frozenset[tuple[str, str]]:
-        """The directions on which nothing passes."""
-        return frozenset(pair for pair, rule in self._rules.items() if rule.cut)
+        """Return the directions that are cut."""
+        return frozenset(pair for pair, conditions in self._conditions.items() if conditions.cut)
 
     def delivery(self, source: str, target: str) -> Delivery:
-        """What becomes of the next frame of a direction."""
-        rule = self.rule(source, target)
-        if rule.is_faultless:
+        """Return the delivery of the next frame of a direction."""
+        conditions = self.link(source, target)
+        if conditions.is_faultless:
             return Delivery((0.0,))
         rng = self._random[source, target]
-        if rule.cut or (rule.drop and rng.random() < rule.drop):
+        if conditions.cut or (conditions.drop and rng.random() < conditions.drop):
             return LOST
-        after = rule.delay + (rng.uniform(0.0, rule.jitter) if rule.jitter else 0.0)
-        if rule.duplicate and rng.random() < rule.duplicate:
-            return Delivery((after, after + rng.uniform(0.0, REORDERED)), in_order=False)
-        if rule.reorder and rng.random() < rule.reorder:
-            return Delivery((after + rng.uniform(0.0, REORDERED),), in_order=False)
+        after = conditions.delay + (rng.uniform(0.0, conditions.jitter) if conditions.jitter else 0.0)
+        if conditions.duplicate and rng.random() < conditions.duplicate:
+            return Delivery((after, after + rng.uniform(0.0, MAX_REORDER_DELAY)), in_order=False)
+        if conditions.reorder and rng.random() < conditions.reorder:
+            return Delivery((after + rng.uniform(0.0, MAX_REORDER_DELAY),), in_order=False)
         return Delivery((after,))
--- a/tealwing/lab/faults/proxy.py
+++ b/tealwing/lab/faults/proxy.py
@@ -1,8 +1,8 @@
-"""The proxy through which every peer link of a trial goes: one thread, one listener for each direction of each pair.
+"""The fault proxy of a trial, which forwards all peer links: one thread, one listener per direction of each pair.
 
-It cuts the stream into frames by the link's own parser and lets the weather decide on each. A direction that is cut
-is silent, as a network's is: connections stay open and what is sent is gone, and new ones come up and carry nothing.
-Only the hello of a connection is kept until the cut heals; without it nothing after it could be read.
+It splits the stream into frames with the link's own parser, and the network conditions decide on each frame. A cut
+direction drops frames silently, as a network does: connections stay open, and new ones are accepted but carry nothing.
+Only the hello of a connection is kept until the cut heals, since a receiver can't read a connection without it.
 """
 
 from __future__ import annotations
@@ -24,36 +24,37 @@
 from tealwing.peers import frames
 from tealwing.peers.plan import Address
 
-READ = 64 * 1024  # bytes of a read
-MAX_WAITING = 32 << 20  # bytes that wait for a target that takes nothing (a stopped process): then it is cut off
-IDLE = 0.05  # s between two looks where nothing is due
+READ_SIZE = 64 * 1024  # bytes
+# bytes buffered for a target that does not read, such as a stopped process, past which the connection is closed
+MAX_WAITING = 32 << 20
+IDLE_POLL = 0.05  # s that the proxy waits for events at most
 
 
 @dataclass(eq=False, slots=True)
 class Pipe:
-    """One connection of a direction, and the connection to its target."""
+    """An accepted connection of one direction, and the connection to its target."""
 
     source: str
     target: str
-    inner: socket.socket
-    outer: socket.socket | None = None
+    inner: socket.socket  # to the source
+    outer: socket.socket | None = None  # to the target
     parser: frames.Parser = field(default_factory=frames.Parser)
-    hello: bytes | None = None  # that has not been passed on yet
-    greeted: bool = False
-    last: float = 0.0  # monotonic, when the last frame in order arrives
-    waiting: bytearray = field(default_factory=bytearray)
+    hello: bytes | None = None  # the first frame, until it is forwarded
+    hello_forwarded: bool = False
+    last: float = 0.0  # monotonic time at which the last frame in order is due
+    waiting: bytearray = field(default_factory=bytearray)  # bytes due that the target has not accepted yet
     closed: bool = False
 
 
 class Proxy:
-    """All directions among some processes, whose real addresses are told once they are known."""
+    """Forwards all directions between the processes; `set_target` gives the address of each process."""
 
     def __init__(self, conditions: NetworkConditions, pick: Callable[[], int]) -> None:
-        """Prepare all directions; `pick` returns a free port for each listener."""
+        """Open the listeners of all directions; `pick` returns a free port for each."""
         self.conditions = conditions
-        self.lock = threading.Lock()  # round the weather
+        self.lock = threading.Lock()  # guards `conditions`
         self.counts: Counter[str] = Counter()
-        self.leaky = False  # on purpose, to see a checker find it: a cut lets frames pass
+        self.leaky = False  # deliberate defect that a checker must find: frames pass a cut
         self._targets: dict[str, Address] = {}
         self._selector = selectors.DefaultSelector()
         self._listeners: dict[tuple[str, str], socket.socket] = {}
@@ -69,24 +70,24 @@
         self._thread = threading.Thread(target=self._run, name="fault-proxy", daemon=True)
 
     def address(self, source: str, target: str) -> Address:
-        """Where the source dials to reach the target."""
+        """Return the address that the source dials to reach the target."""
         host, port = self._listeners[source, target].getsockname()
         return host, port
 
     def set_target(self, name: str, address: Address) -> None:
-        """Where a process really listens."""
+        """Set the address on which a process listens."""
         self._targets[name] = address
 
     def target(self, name: str) -> Address:
-        """Where a process really listens."""
+        """Return the address on which a process listens."""
         return self._targets[name]
 
     def start(self) -> None:
-        """Pass frames on from now on."""
+        """Start forwarding frames."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End all connections and listeners."""
+        """Stop the thread, and close all connections and listeners."""
         self._stopped.set()
         self._thread.join(5.0)
         for pipe in list(self._pipes):
@@ -97,7 +98,7 @@
 
     def _run(self) -> None:
         while not self._stopped.is_set():
-            wait = min(IDLE, max(0.0, self._due[0][0] - time.monotonic())) if self._due else IDLE
+            wait = min(IDLE_POLL, max(0.0, self._due[0][0] - time.monotonic())) if self._due else IDLE_POLL
             try:
                 for key, mask in self._selector.select(wait):
                     if isinstance(key.data, Pipe):
@@ -105,11 +106,11 @@
                     else:
                         self._accept(key.data)
                 self._deliver()
-                self._greet()
-            except Exception:  # a fault of ours must not stop a whole trial unseen
+                self._forward_hellos()
+            except Exception:  # a fault of the proxy must not silently stop all links of the trial
                 self.counts["proxy_faults"] += 1
                 log.event("proxy_failed", trace=traceback.format_exc(limit=-3))
-                time.sleep(IDLE)
+                time.sleep(IDLE_POLL)
 
     def _accept(self, pair: tuple[str, str]) -> None:
         try:
@@ -127,11 +128,11 @@
         if which is pipe.outer:
             if mask & selectors.EVENT_WRITE:
                 self._flush(pipe)
-            if mask & selectors.EVENT_READ and not pipe.closed:  # a target never speaks: this is its end
+            if mask & selectors.EVENT_READ and not pipe.closed:  # a target never sends: it has closed
                 self._close(pipe)
             return
         try:
-            data = pipe.inner.recv(READ)
+            data = pipe.inner.recv(READ_SIZE)
             if not data:
                 raise EOFError
             for payload in pipe.parser.feed(data):
@@ -142,7 +143,7 @@
             self._close(pipe)
 
     def _frame(self, pipe: Pipe, data: bytes) -> None:
-        if not pipe.greeted and pipe.hello is None:  # the first: kept while the direction is cut
+        if not pipe.hello_forwarded and pipe.hello is None:  # the first frame is kept while the direction is cut
             pipe.hello = data
             return
         with self.lock:
@@ -150,7 +151,7 @@
             if self.leaky and not delivery.arrivals:
                 delivery = type(delivery)((0.0,))
         self.counts["frames"] += 1
-        if not delivery.arrivals or not pipe.greeted:
+        if not delivery.arrivals or not pipe.hello_forwarded:
             self.counts["dropped"] += 1
             return
         if len(delivery.arrivals) > 1:
@@ -167,22 +168,22 @@
             else:
                 heapq.heappush(self._due, (at, next(self._numbers), pipe, data))
 
-    def _greet(self) -> None:
-        """Pass the hellos on of directions that are open."""
+    def _forward_hellos(self) -> None:
+        """Forward the kept hellos of directions that are not cut."""
         for pipe in [pipe for pipe in self._pipes if pipe.hello is not None]:
             with self.lock:
-                cut = self.conditions.rule(pipe.source, pipe.target).cut and not self.leaky
+                cut = self.conditions.link(pipe.source, pipe.target).cut and not self.leaky
             target = self._targets.get(pipe.target)
             if cut or target is None or pipe.hello is None:
                 continue
             try:
-                outer = socket.create_connection(target, 0.2)  # on loopback: at once, or refused
+                outer = socket.create_connection(target, 0.2)  # s; on loopback it connects or fails at once
             except OSError:
                 self._close(pipe)
                 continue
             outer.setblocking(False)
             outer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            pipe.outer, hello, pipe.hello, pipe.greeted = outer, pipe.hello, None, True
+            pipe.outer, hello, pipe.hello, pipe.hello_forwarded = outer, pipe.hello, None, True
             self._selector.register(outer, selectors.EVENT_READ, pipe)
             self._send(pipe, hello)
 
@@ -191,8 +192,8 @@
         while self._due and self._due[0][0] <= now:
             _, _, pipe, data = heapq.heappop(self._due)
             with self.lock:
-                cut = self.conditions.rule(pipe.source, pipe.target).cut and not self.leaky
-            if cut:  # it was under way when the cable was cut
+                cut = self.conditions.link(pipe.source, pipe.target).cut and not self.leaky
+            if cut:  # the frame was in transit when the direction was cut
                 self.counts["dropped"] += 1
             else:
                 self._send(pipe, data)
--- a/tealwing/lab/faults/scenario.py
+++ b/tealwing/lab/faults/scenario.py
@@ -1,8 +1,8 @@
-"""Scenarios: which faults come when, in a file of TOML; pure. What is wrong in a file is told with its key.
+"""Scenarios: TOML files that say which faults are injected and when; pure. An error in a file names its key.
 
-Times are shares of the trial's length, so that one file serves runs of any length. Who is meant may be said by name
-(`n2`) or by what it is at that moment (`leader`, `holder`, `follower`, `random`; of a federation `delegate`, who leads
-some site's log, and `site:NAME` or `site:any`, all of a site); the rig finds out who that is.
+Times are shares of the trial's length, so that one file serves trials of any length. A selector is a process's name
+(`n2`) or its role at the time of the step (`leader`, `holder`, `follower`, `random`; in a federation also `delegate`,
+the leader of some site's log, and `site:NAME` or `site:any`, all processes of a site); the rig resolves it.
 """
 
 from __future__ import annotations
@@ -44,57 +44,57 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario that can't be used; the text names the key."""
+    """A scenario is not valid; the message names the key."""
 
 
 class Step(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """One fault: when, what, to whom."""
+    """One step of a scenario: a fault, its time, its condition and its targets."""
 
     do: What
-    at: Share | None = None  # of the trial's length; else after the step before
-    after: Seconds = 0.0  # s after `at`, or after the step before
-    # wait for that too, for `within` seconds at most; phase: of a change of the rules; answered, served: `who` has
-    # answered, or served, queries that clients began meanwhile, `queries` of them
+    at: Share | None = None  # time as a share of the trial's length; None: after the previous step
+    after: Seconds = 0.0  # s after `at`, or after the previous step
+    # Condition to wait for as well, at most `within` s. phase: a change of the rules is in that phase; answered,
+    # served: `who` has answered, or served, `queries` queries that clients began since the wait began
     when: When | None = None
     queries: Times = 20
     within: Seconds = 5.0
     who: str = ""
     source: str = ""
     target: str = ""
-    groups: str | list[list[str]] = ""  # "halves", "leader-minority", or lists of names
+    groups: str | list[list[str]] = ""  # "halves", "leader-minority", "sites", or lists of names
     drop: Share = 0.0
     delay_ms: Annotated[float, msgspec.Meta(ge=0.0, le=60_000.0)] = 0.0
     jitter_ms: Annotated[float, msgspec.Meta(ge=0.0, le=60_000.0)] = 0.0
     duplicate: Share = 0.0
     reorder: Share = 0.0
     gently: bool = False  # a restart by SIGTERM instead of SIGKILL
-    pause: Seconds = 0.5  # s between kill and start of a restart, and at most of a power loss
-    disk: Literal["kept", "old", "none"] = "kept"  # what a start finds
+    pause: Seconds = 0.5  # s between kill and start in a restart; in a power loss, the most that is drawn
+    disk: Literal["kept", "old", "none"] = "kept"  # the disk that a start finds: as it was, an older copy, or empty
     step_s: Annotated[float, msgspec.Meta(ge=-60.0, le=60.0)] = 0.0
     rate: Annotated[float, msgspec.Meta(ge=0.5, le=2.0)] = 1.0
     fault: Literal["", "fsync", "short", "full", "none"] = ""
-    count: Times = 1  # of disk operations that fail
-    old: Share = 0.0  # of the processes of a power loss that come back with an older disk
-    late: Seconds = 0.0  # s after which one of them comes back last
-    drop_on_return: Share = 0.0  # of frames on one link in four while they come back
-    times: Times = 1  # so often, each so long after the one before
-    every: Seconds = 1.0
-    lost_touch: Literal["serve", "hold"] | None = None  # only where gateways that are cut off do that
+    count: Times = 1  # number of disk operations that fail
+    old: Share = 0.0  # share of the processes that come back from a power loss with an older disk
+    late: Seconds = 0.0  # s after a power loss at which one process comes back; 0: none is late
+    drop_on_return: Share = 0.0  # share of frames lost on one link in four while processes come back
+    times: Times = 1  # number of repetitions
+    every: Seconds = 1.0  # s between two repetitions
+    lost_touch: Literal["serve", "hold"] | None = None  # run the step only in trials with this mode; None: in all
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """A trial's faults, and the load that they meet."""
+    """The faults of a trial and the load under which they are injected."""
 
     title: Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
     about: str
     workload: Literal["echo", "register", "lease", "power", "rules"]
     step: Annotated[list[Step], msgspec.Meta(min_length=1, max_length=200)]
     least_procs: Annotated[int, msgspec.Meta(ge=2, le=64)] = 3
-    least_sites: Annotated[int, msgspec.Meta(ge=0, le=16)] = 0  # of a federation; 0: it needs none
+    least_sites: Annotated[int, msgspec.Meta(ge=0, le=16)] = 0  # least sites of the federation; 0: it needs none
 
 
 def parse(text: str, name: str) -> Scenario:
-    """The scenario of a file's text."""
+    """Return the scenario in a file's text; name: the file's name for errors."""
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -114,13 +114,15 @@
                 " names"
             )
         if step.at is not None and step.at < last:
-            raise ScenarioError(f"{name}: step[{number}].at: {step.at:g} comes before the step above, at {last:g}")
+            raise ScenarioError(
+                f"{name}: step[{number}].at: {step.at:g} comes before the previous step; allowed: {last:g} or more"
+            )
         last = step.at if step.at is not None else last
     return found
 
 
 def load(name: str) -> Scenario:
-    """The scenario that comes along under a name, or that of a file whose path is given."""
+    """Return the built-in scenario of that name, or the scenario in the .toml file at that path."""
     if name.endswith(".toml") or "/" in name:
         try:
             return parse(Path(name).read_text(), name)
@@ -133,12 +135,12 @@
 
 
 def injection_point(name: str) -> Scenario:
-    """The forced moment in which a gateway that is broken on purpose, as named, does harm."""
+    """Return the scenario that forces the situation in which the named sabotage causes a violation."""
     found = resources.files("tealwing.lab.faults").joinpath("moments", f"{name}.toml")
     return parse(found.read_text(), name)
 
 
 def names() -> list[str]:
-    """The scenarios that come along."""
+    """Return the names of the built-in scenarios, sorted."""
     directory = resources.files("tealwing.lab.faults").joinpath("scenarios")
     return sorted(entry.name.removesuffix(".toml") for entry in directory.iterdir() if entry.name.endswith(".toml"))
