--- a/tealwing/lab/hollow/fleet.py
+++ b/tealwing/lab/hollow/fleet.py
@@ -1,4 +1,4 @@
-"""Starts a fleet of hollow gateways, asks it for figures, changes its rules, and ends it by its process ids."""
+"""Starts a fleet of hollow gateways, reads its metrics, changes its rules and ends its processes."""
 
 from __future__ import annotations
 
@@ -24,29 +24,29 @@
 
 SOURCE = str(Path(tealwing.__file__).parent.parent)
 MEMBERS_A_HOST = 50
-START_LIMIT = 60.0  # s for a host's members to start
-POLL = 0.1  # s between two looks at what is waited for
-CALL_TIMEOUT = 10.0  # s for an operator's call
-END_LIMIT = 60.0  # s for a process to end after it was killed: a busy machine takes its time for hundreds of threads
+START_LIMIT = 60.0  # s for all gates to open after the start
+POLL = 0.1  # s between two checks of a condition that is waited for
+CALL_TIMEOUT = 10.0  # s that an operator's call waits for its answer
+END_LIMIT = 60.0  # s for a killed process to end: a busy machine is slow to end hundreds of threads
 
 
 Answer = TypeVar("Answer", Ready, HostMetrics)
 
 
 class HollowFleetError(RuntimeError):
-    """The fleet did not start, or a host process ended; the text has the end of what it said."""
+    """The fleet did not start, a host process ended or a proposal failed; the message holds the cause."""
 
 
 @dataclass
 class HostProcess:
-    """One host process."""
+    """One host process and its folder."""
 
     specification: Host
     directory: Path
     process: subprocess.Popen[str] | None = None
 
     def start(self) -> None:
-        """Start it; `ready` waits until its members have started."""
+        """Start the process; `ready` waits until its members have started."""
         path = self.directory / "host.json"
         path.write_bytes(msgspec.json.encode(self.specification))
         with (self.directory / "errors.log").open("ab") as errors:
@@ -57,11 +57,11 @@
             )  # fmt: skip
 
     def ready(self) -> None:
-        """Wait until its members have started."""
+        """Wait until the process's members have started."""
         self._read(Ready)
 
     def read_metrics(self) -> HostMetrics:
-        """Ask it for its figures."""
+        """Return the current metrics of the process."""
         assert self.process is not None and self.process.stdin is not None
         try:
             self.process.stdin.write("figures\n")
@@ -71,11 +71,11 @@
         return self._read(HostMetrics)
 
     def faults(self) -> str:
-        """What it has written to standard error."""
+        """Return what the process has written to standard error."""
         return (self.directory / "errors.log").read_text(errors="replace")
 
     def kill(self) -> None:
-        """End it, by its id, and wait for that."""
+        """Kill the process, and wait for its end."""
         process, self.process = self.process, None
         if process is None:
             return
@@ -83,37 +83,39 @@
         process.wait(END_LIMIT)
         for stream in (process.stdin, process.stdout):
             if stream is not None:
-                with contextlib.suppress(OSError):  # what was still to be written to it is of no use
+                with contextlib.suppress(OSError):  # closing flushes, and the process reads no more
                     stream.close()
 
     def _read(self, kind: type[Answer]) -> Answer:
         assert self.process is not None and self.process.stdout is not None
         line = self.process.stdout.readline()
         if not line:
-            raise self._fault("it has ended")
+            raise self._fault("the process has ended")
         return msgspec.json.decode(line, type=kind)
 
     def _fault(self, why: str) -> HollowFleetError:
-        return HollowFleetError(f"a host of {len(self.specification.here)} members: {why}: {self.faults()[-600:]}")
+        return HollowFleetError(
+            f"host process of {len(self.specification.here)} members: {why}; end of its log: {self.faults()[-600:]}"
+        )
 
 
 @dataclass(frozen=True)
 class FleetMetrics:
-    """Of the whole fleet at one moment."""
+    """The metrics of all host processes at one moment."""
 
-    at: float  # monotonic
+    at: float  # monotonic time
     hosts: list[HostMetrics] = field(default_factory=list)
 
     def members(self) -> dict[str, MemberMetrics]:
-        """By name."""
+        """Return the metrics of all members by name."""
         return {member.name: member for host in self.hosts for member in host.members}
 
     def leader(self) -> str:
-        """Who leads; empty: nobody says so."""
+        """Return a member that reports the role leader; empty if none does."""
         return next((name for name, member in self.members().items() if member.role == "leader"), "")
 
     def in_force(self, version: int) -> dict[str, float]:
-        """When the version came in force at each member that has it; monotonic time."""
+        """Return the monotonic time at which the version came into force, for each member where it has."""
         found = {}
         for host in self.hosts:
             for name, versions in host.in_force.items():
@@ -123,15 +125,15 @@
 
 
 class HollowFleet:
-    """Used as a context, it ends all that it started."""
+    """A fleet of hollow gateways; as a context manager it ends all that it started."""
 
     def __init__(
         self, count: int, voters: int = 5, lost_touch: str = "serve", members_a_host: int = MEMBERS_A_HOST,
         limit: float = 5.0, heartbeat: float = 0.2, singles: int = 0,
     ) -> None:  # fmt: skip
-        """Start `count` members, of whom the first `voters` vote; `singles` learners have a process of their own.
+        """Prepare `count` members, of which the first `voters` vote; `singles` learners get a process of their own.
 
-        requirements.TooLarge where the machine can't carry them.
+        Raises requirements.FleetTooLargeError if they exceed the machine's resources.
         """
         names = tuple(f"g{number:04}" for number in range(count))
         ports = tuple(free_port() for _ in names)
@@ -161,7 +163,10 @@
         self.close()
 
     def start(self, settle: float = START_LIMIT) -> float:
-        """Start all, and wait until all gates are open: the seconds that took. HollowFault past so many."""
+        """Start all members, and return the seconds until all gates were open.
+
+        Raises HollowFleetError if that takes more than `settle` seconds.
+        """
         begun = time.monotonic()
         for host in self.hosts:
             host.start()
@@ -175,47 +180,47 @@
                 return time.monotonic() - begun
             if time.monotonic() - begun > settle:
                 raise HollowFleetError(
-                    f"after {settle:g} s {open_gates} of {len(self.fleet.members)} gates are open, and"
-                    f" {found.leader() or 'nobody'} leads: {self.faults()[:600]}"
+                    f"{open_gates} of {len(self.fleet.members)} gates are open after {settle:g} s, and the leader is"
+                    f" {found.leader() or 'unknown'}; faults: {self.faults()[:600] or 'none'}"
                 )
             time.sleep(POLL)
 
     def close(self) -> None:
-        """End every process that was started, and its folder."""
+        """Kill every host process, and remove the fleet's folder."""
         with ThreadPoolExecutor(8) as pool:
             list(pool.map(HostProcess.kill, self.hosts))
         self._directory.cleanup()
 
     def metrics(self) -> FleetMetrics:
-        """Of all hosts that run."""
+        """Return the metrics of all running hosts."""
         running = [host for host in self.hosts if host.process is not None]
         with ThreadPoolExecutor(min(32, len(running))) as pool:
             return FleetMetrics(time.monotonic(), list(pool.map(HostProcess.read_metrics, running)))
 
     def host_of(self, name: str) -> HostProcess:
-        """The host of a member."""
+        """Return the host process of a member."""
         return next(host for host in self.hosts if name in host.specification.here)
 
     def faults(self) -> str:
-        """What the hosts have written to standard error."""
+        """Return what all hosts have written to standard error."""
         return "".join(host.faults() for host in self.hosts)
 
     def call(self, what: str, at: str = "", **fields: Any) -> dict[str, Any]:
-        """An operator's call, at that voter, or the first one that runs."""
+        """Make an operator's call at the voter `at`, or else at the first running one."""
         running = [name for name in self._controls if self.host_of(name).process is not None]
         name = at or running[0]
         return call_control(("127.0.0.1", self._controls[name]), what, CALL_TIMEOUT, **fields)
 
     def propose(self, text: bytes, why: str) -> int:
-        """Propose a version of the rules; its number. HollowFault where it is not taken."""
+        """Propose a version of the rules and return its number; raise HollowFleetError if it is not accepted."""
         try:
             reply = self.call("rules.propose", text=text, who="operator", why=why, wait_s=CALL_TIMEOUT / 2)
         except (OSError, RemoteCallError) as error:
-            raise HollowFleetError(f"the proposal was not taken: {error}") from None
+            raise HollowFleetError(f"the proposal was not accepted: {error}") from None
         if reply["word"] != "ok":
-            raise HollowFleetError(f"the proposal was not taken: {reply}")
+            raise HollowFleetError(f"the proposal was not accepted: {reply}")
         return int(reply["number"])
 
     def phase(self, version: int) -> str:
-        """The phase of a version as a voter sees it."""
+        """Return the phase of a version as seen by the first running voter."""
         return str(self.call("rules.show", number=version)["phase"])
--- a/tealwing/lab/hollow/host.py
+++ b/tealwing/lab/hollow/host.py
@@ -1,7 +1,7 @@
 """A process that hosts hollow gateways: `python -m tealwing.lab.hollow.host FILE`.
 
-FILE is a `specification.Host` as JSON. It answers each line on its standard input with one line: `figures` with
-`records.HostFigures`, `stop` ends it, and so does the end of the input.
+FILE is a `specification.Host` as JSON. The process answers each line on its standard input, such as `figures`, with
+`records.HostMetrics` as one line of JSON. The line `stop` ends the process, and so does the end of the input.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from tealwing.lab.hollow.records import HostMetrics, MemberMetrics, Ready
 from tealwing.lab.hollow.specification import Host
 
-STACK = 256 * 1024  # bytes a thread, as in a gateway
-SWITCH = 0.1  # s between switches of threads, as in a gateway
+STACK_SIZE = 256 * 1024  # bytes per thread, as in a gateway
+SWITCH_INTERVAL = 0.1  # s between switches of threads, as in a gateway
 
 
 class HeldTimes(logging.Handler):
-    """Keeps how long gates were closed, and passes faults on to standard error; other events are dropped."""
+    """Collects how long gates were closed, and prints faults to standard error; other events are dropped."""
 
     FAULTS = frozenset({"must_hold_broken", "rules_fault", "replica_broken", "rules_unusable", "thread_refused"})
 
@@ -34,7 +34,7 @@
         self.held_ms: list[float] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take in one event."""
+        """Handle one log event."""
         fields = getattr(record, "fields", {})
         if record.msg == "rules_opened":
             self.held_ms.append(float(fields["held_ms"]))
@@ -43,7 +43,7 @@
 
 
 def host_metrics(members: list[HollowMember], held: HeldTimes) -> HostMetrics:
-    """What there is to tell now."""
+    """Return the current metrics of this process and its members."""
     status = Path("/proc/self/status").read_text()
     tasks = list(Path("/proc/self/task").iterdir())
     return HostMetrics(
@@ -71,8 +71,8 @@
 def main() -> int:
     """Host the members until the input ends."""
     host = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Host)
-    threading.stack_size(STACK)
-    sys.setswitchinterval(SWITCH)
+    threading.stack_size(STACK_SIZE)
+    sys.setswitchinterval(SWITCH_INTERVAL)
     held = HeldTimes()
     log.logger.handlers[:] = [held]
     members = [HollowMember(host, name) for name in host.here]
@@ -83,7 +83,7 @@
         if line.strip() == "stop":
             break
         print(msgspec.json.encode(host_metrics(members, held)).decode(), flush=True)
-    os._exit(0)  # its threads hold nothing that outlives the process: disks are scratch folders
+    os._exit(0)  # threads need no orderly end: the members' disks are scratch folders
 
 
 if __name__ == "__main__":
--- a/tealwing/lab/hollow/member.py
+++ b/tealwing/lab/hollow/member.py
@@ -1,4 +1,4 @@
-"""One hollow gateway: the real control side, with a record in place of the gateway's decisions."""
+"""One hollow gateway: the real control plane, with a recorder in place of the gateway's decisions."""
 
 from __future__ import annotations
 
@@ -19,40 +19,40 @@
 
 
 class RecordingGateway:
-    """Stands for the gateway's decisions, and records when each version came in force."""
+    """Stands in for the gateway's decisions, and records when each version came into force."""
 
     def __init__(self, members: int) -> None:
         settings = site.settings(members)
         self._settings = dataclasses.replace(settings, limits=dataclasses.replace(settings.limits, peer_messages=True))
-        self.in_force: dict[int, float] = {}  # monotonic time by version; the system's clock, the same in all processes
+        self.in_force: dict[int, float] = {}  # monotonic time by version, comparable between processes of one machine
 
     @property
     def platform_settings(self) -> api.Settings:
-        """What the configuration would say."""
+        """The settings that the platform's configuration would hold."""
         return self._settings
 
     @property
     def engine_list(self) -> tuple[api.EngineListEntry, ...]:
-        """No engines."""
+        """The engine list, which is empty."""
         return ()
 
     @property
     def sections(self) -> frozenset[str]:
-        """Sections of the operators' file that are on."""
+        """The sections of the operators' file that are enabled."""
         return frozenset({"peers", "replica", "rules"})
 
     def put_in_force(
         self, settings: api.Settings | None, table: Table | None, levels: Plan | None, version: int
     ) -> None:
-        """Note the time."""
+        """Record the time at which the version came into force."""
         self.in_force[version] = time.monotonic()
 
 
 class HollowMember:
-    """One member of the fleet."""
+    """One hollow gateway as a member of the fleet."""
 
     def __init__(self, host: Host, name: str) -> None:
-        """peers.errors.LinkError where its address can't be had or its disk can't be trusted."""
+        """Raises peers.errors.LinkError if the address can't be bound or the disk can't be trusted."""
         self.name = name
         directory = Path(host.folder) / name
         directory.mkdir(parents=True, exist_ok=True)
@@ -62,9 +62,9 @@
         self.peering.follow_rules(specification.rules_plan(host.fleet), self.gateway)
 
     def start(self) -> None:
-        """Take part from now on; threads.NoThread where the system has none."""
+        """Start the member's threads; raises ThreadUnavailableError if the system refuses one."""
         self.peering.start()
 
     def stop(self) -> None:
-        """Take part no more."""
+        """Stop the member's threads."""
         self.peering.stop()
--- a/tealwing/lab/hollow/records.py
+++ b/tealwing/lab/hollow/records.py
@@ -1,4 +1,4 @@
-"""What a host process tells of its members: typed messages, one JSON line each."""
+"""The messages of a host process about its members, one JSON line each."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class MemberMetrics(msgspec.Struct, frozen=True):
-    """One member: its role, its traffic so far, and what it has applied."""
+    """Metrics of one member: its role, its traffic so far, its applied index and its version in force."""
 
     name: str
     role: str
     applied: int
-    version: int  # in force
+    version: int  # version of the rules in force
     gate_open: bool
     sent: int
     sent_bytes: int
@@ -20,18 +20,18 @@
 
 
 class HostMetrics(msgspec.Struct, frozen=True):
-    """One host process, all its threads together."""
+    """Metrics of one host process, over all its threads, and of its members."""
 
     processor_s: float
     resident_kb: int
     threads: int
     descriptors: int
     members: tuple[MemberMetrics, ...]
-    in_force: dict[str, dict[str, float]]  # monotonic time by version and member
-    held_ms: tuple[float, ...]  # of each change and member: how long its gate was closed
+    in_force: dict[str, dict[str, float]]  # by member and version: monotonic time at which it came into force
+    held_ms: tuple[float, ...]  # how long a gate was closed, for each change and member
 
 
 class Ready(msgspec.Struct, frozen=True):
-    """All members of the host have started."""
+    """All members of the host process have started."""
 
-    ready: int
+    ready: int  # number of members
--- a/tealwing/lab/hollow/requirements.py
+++ b/tealwing/lab/hollow/requirements.py
@@ -1,4 +1,4 @@
-"""What a hollow fleet takes of the machine, worked out before anything starts; pure but for reading the limits."""
+"""Estimates the resources that a hollow fleet needs before it starts; pure except for reading the machine's limits."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 from tealwing.lab.hollow.specification import Fleet
 
-# Measured by `benchmarks/capacity/control.py` (20 hollow members on one machine); see docs/CAPACITY.md
-THREADS_A_LEARNER = 9  # beside one for each voter
+# `benchmarks/capacity/control.py` reports these for 20 hollow members on one machine; see docs/CAPACITY.md
+THREADS_A_LEARNER = 9  # besides one for each voter
 THREADS_A_HOST = 2
-DESCRIPTORS_A_LEARNER = 12  # beside two for each voter: its log, its listener, its epoll set
+DESCRIPTORS_A_LEARNER = 12  # log, listener, epoll set and others, besides two for each voter
 DESCRIPTORS_A_HOST = 16
-MEMORY_A_MEMBER_KB = 2600  # its threads' stacks and buffers
-MEMORY_A_LINK_KB = 24  # one direction to one peer: a thread's stack, an outbox
+MEMORY_A_MEMBER_KB = 2600  # stacks and buffers of its threads
+MEMORY_A_LINK_KB = 24  # per direction to a peer: a thread's stack and an outbox
 MEMORY_A_HOST_KB = 40_000  # interpreter and modules
-PROCESSOR_A_LEARNER = 0.0105  # cores at rest
-PROCESSOR_A_LINK = 0.0009  # cores of a voter, for each member that it is linked to
-PROCESSOR_SHARE = 0.75  # of the machine's processors: 1,105 members on 8, which had none left, elected nobody
-MEMORY_SHARE = 0.5  # of the machine's memory that a fleet may take
+PROCESSOR_A_LEARNER = 0.0105  # cores of an idle learner
+PROCESSOR_A_LINK = 0.0009  # cores of an idle voter, for each member that it is linked to
+PROCESSOR_SHARE = 0.75  # share of the machine's processors: 1,105 members elected no leader on 8 that had none left
+MEMORY_SHARE = 0.5  # share of the machine's memory that a fleet may use
 MAX_PROCESSES = 300
-TASK_SHARE = 0.75  # of the table of tasks
+TASK_SHARE = 0.75  # share of the kernel's limit of tasks
 
 
 class FleetTooLargeError(ValueError):
-    """The machine can't carry the fleet; the text says which limit it is, and the remedy."""
+    """The fleet exceeds the machine's resources; the message names the limit and the remedy."""
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """What a fleet takes in all; descriptors are those of the process that has most."""
+    """The resources that a fleet needs in total; descriptors are those of the process that needs most."""
 
     processes: int
     threads: int
@@ -41,14 +41,14 @@
 
     def __str__(self) -> str:
         return (
-            f"{self.processes} processes, {self.threads} threads, {self.descriptors} descriptors in the largest of"
-            f" them, {self.memory_mb} MB, {self.processors:.1f} processors at rest"
+            f"{self.processes} processes, {self.threads} threads, {self.descriptors} descriptors in the largest"
+            f" process, {self.memory_mb} MB, {self.processors:.1f} processors when idle"
         )
 
 
 @dataclass(frozen=True, slots=True)
 class AvailableResources:
-    """What the machine lets a fleet have."""
+    """The resources of the machine that a fleet may use."""
 
     processes: int
     threads: int
@@ -58,7 +58,7 @@
 
 
 def need(fleet: Fleet, members_a_host: int, singles: int = 0) -> Need:
-    """Each voter has a process of its own, and so have singles of the learners; so many of the others share one."""
+    """Return a fleet's need: voters and `singles` learners have a process each, `members_a_host` others share one."""
     learners = len(fleet.learners)
     hosts = singles + -(-(learners - singles) // members_a_host)
     others = len(fleet.members) - 1
@@ -79,7 +79,7 @@
 
 
 def available_resources() -> AvailableResources:
-    """This machine's limits, of which a fleet may take a part."""
+    """Return the part of this machine's limits that a fleet may use."""
     fields = dict(line.split(":") for line in Path("/proc/meminfo").read_text().splitlines())
     total_kb = int(fields["MemTotal"].split()[0])
     tasks = min(int(Path(f"/proc/sys/kernel/{name}").read_text()) for name in ("pid_max", "threads-max"))
@@ -91,16 +91,16 @@
 
 
 def check(needed: Need, there: AvailableResources) -> None:
-    """TooLarge where it does not fit."""
+    """Raise FleetTooLargeError if a need exceeds what is available."""
     for what, remedy in (
-        ("processes", "put more members into a host"),
-        ("threads", "have fewer members, or raise kernel.pid_max"),
-        ("descriptors", "put fewer members into a host, or raise the limit of open files"),
-        ("memory_mb", "have fewer members, or a machine with more memory"),
-        ("processors", "have fewer members, or a machine with more processors"),
+        ("processes", "run more members per host process"),
+        ("threads", "run fewer members, or raise kernel.pid_max and kernel.threads-max"),
+        ("descriptors", "run fewer members per host process, or raise the limit of open files"),
+        ("memory_mb", "run fewer members, or use a machine with more memory"),
+        ("processors", "run fewer members, or use a machine with more processors"),
     ):
         required, available = getattr(needed, what), getattr(there, what)
         if required > available:
             raise FleetTooLargeError(
-                f"the fleet needs {required} {what.replace('_', ' ')}, and {available} may be used: {remedy}"
+                f"the fleet needs {required} {what.replace('_', ' ')}, and at most {available} may be used: {remedy}"
             )
--- a/tealwing/lab/hollow/specification.py
+++ b/tealwing/lab/hollow/specification.py
@@ -1,4 +1,4 @@
-"""What a fleet of hollow gateways consists of, and what each host process of it is told; pure."""
+"""The specification of a fleet of hollow gateways and of each of its host processes; pure."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """All members and how they are set; the same for every host process."""
+    """All members of the fleet and their settings, the same for every host process."""
 
     members: tuple[str, ...]
-    ports: tuple[int, ...]  # of their peer links on 127.0.0.1, by the place of the member
-    voters: int  # the first so many of the members vote, the others learn
+    ports: tuple[int, ...]  # ports of the members' peer links on 127.0.0.1, in the order of members
+    voters: int  # number of members that vote, the first ones; the others are learners
     lost_touch: LostTouch = "serve"
-    beat: float = 0.2  # s between two signs of life on a link
+    beat: float = 0.2  # s between two heartbeats on a link
     limit: float = 5.0  # s after which a change that is not covered is aborted
 
     @property
     def learners(self) -> tuple[str, ...]:
-        """Members that follow the log without a vote."""
+        """The members that follow the log without a vote."""
         return self.members[self.voters :]
 
 
 class Host(msgspec.Struct, frozen=True):
-    """One host process: which members of the fleet live here, their folder, and their control addresses."""
+    """One host process: the members of the fleet that it hosts, their folder and their control ports."""
 
     fleet: Fleet
     here: tuple[str, ...]
     folder: str
-    control_ports: dict[str, int] = {}  # of members that take operators' calls
+    control_ports: dict[str, int] = {}  # by member, for those that accept operators' calls
 
 
 def peers_plan(fleet: Fleet, name: str, control_port: int | None) -> Plan:
-    """A member's section `peers`."""
+    """Return the settings of a member's section `peers`."""
     addresses: list[tuple[str, Address]] = [
         (member, ("127.0.0.1", port)) for member, port in zip(fleet.members, fleet.ports, strict=True)
     ]
@@ -51,10 +51,10 @@
 
 
 def replica_plan(directory: Path) -> ReplicaPlan:
-    """A member's section `replica`: disks are trusted."""
+    """Return the settings of a member's section `replica`, which trust every disk."""
     return ReplicaPlan(str(directory), max_stale_disks=0)
 
 
 def rules_plan(fleet: Fleet) -> RulesPlan:
-    """A member's section `rules`."""
+    """Return the settings of a member's section `rules`."""
     return RulesPlan(partition_mode=fleet.lost_touch, limit=fleet.limit)
