--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults on purpose: weather that repeats itself, scenarios whose errors name the key, judges that can fail."""
+"""Tests of fault injection: deterministic network conditions, scenario errors, selectors and the checkers."""
 
 from __future__ import annotations
 
@@ -18,35 +18,36 @@
 NAMES = ("a", "b", "c")
 
 
-def test_the_weather_is_the_same_for_the_same_seed_whatever_other_links_carry() -> None:
-    def fates(seed: int, other: int) -> list[Any]:
-        weather = NetworkConditions(NAMES, seed)
+def test_deliveries_depend_only_on_the_seed_and_the_link() -> None:
+    def deliveries(seed: int, others: int) -> list[Any]:
+        """The deliveries of a to b, with `others` frames from b to c between each two."""
+        conditions = NetworkConditions(NAMES, seed)
         for pair in (("a", "b"), ("b", "c")):
-            weather.change(*pair, drop=0.3, jitter=0.1, duplicate=0.2, reorder=0.2)
+            conditions.change(*pair, drop=0.3, jitter=0.1, duplicate=0.2, reorder=0.2)
         found = []
         for _ in range(50):
-            found.append(weather.delivery("a", "b"))
-            for _ in range(other):
-                weather.delivery("b", "c")
+            found.append(conditions.delivery("a", "b"))
+            for _ in range(others):
+                conditions.delivery("b", "c")
         return found
 
-    assert fates(1, 0) == fates(1, 3) != fates(2, 0)
-    assert {len(fate.arrivals) for fate in fates(1, 0)} == {0, 1, 2}
+    assert deliveries(1, 0) == deliveries(1, 3) != deliveries(2, 0)
+    assert {len(delivery.arrivals) for delivery in deliveries(1, 0)} == {0, 1, 2}
 
 
-def test_partitions_cut_what_is_between_groups_and_nothing_else() -> None:
-    weather = NetworkConditions(NAMES, 1)
-    weather.partition([["a", "b"], ["c"]])
-    assert weather.cuts() == {("a", "c"), ("c", "a"), ("b", "c"), ("c", "b")}
-    assert weather.delivery("a", "c").arrivals == () and weather.delivery("a", "b").arrivals == (0.0,)
-    weather.heal()
-    weather.isolate("b")
-    assert weather.cuts() == {("a", "b"), ("b", "a"), ("c", "b"), ("b", "c")}
+def test_partition_cuts_only_links_between_groups() -> None:
+    conditions = NetworkConditions(NAMES, 1)
+    conditions.partition([["a", "b"], ["c"]])
+    assert conditions.cuts() == {("a", "c"), ("c", "a"), ("b", "c"), ("c", "b")}
+    assert conditions.delivery("a", "c").arrivals == () and conditions.delivery("a", "b").arrivals == (0.0,)
+    conditions.heal()
+    conditions.isolate("b")
+    assert conditions.cuts() == {("a", "b"), ("b", "a"), ("c", "b"), ("b", "c")}
     with pytest.raises(ValueError, match="no direction"):
-        weather.change("a", "z", cut=True)
+        conditions.change("a", "z", cut=True)
 
 
-def test_the_scenarios_that_come_along_are_good() -> None:
+def test_built_in_scenarios_are_valid() -> None:
     assert len(scenario.names()) >= 10
     for name in scenario.names():
         assert scenario.load(name).step
@@ -69,21 +70,22 @@
         ("title = ", "not TOML"),
     ],
 )
-def test_a_bad_scenario_names_its_key(text: str, what: str) -> None:
+def test_scenario_error_names_the_key(text: str, what: str) -> None:
     with pytest.raises(scenario.ScenarioError, match=what):
         scenario.parse(text, "x.toml")
     with pytest.raises(scenario.ScenarioError, match="no scenario 'nowhere'; there are: "):
         scenario.load("nowhere")
 
 
-def test_words_of_a_scenario_mean_whole_sites_of_a_federation() -> None:
+def test_selectors_resolve_to_whole_sites() -> None:
     names = [f"n{number}" for number in range(9)]
     layout = layouts.layout("rules", names, "hold", 3, "site-early")
     assert layout.sites["upington"] == ("n1", "n4", "n7") and layout.site_of("n5") == "kimberley"
     text = layout.text("n4", "/data")
     assert "    site upington n1 n4 n7\n" in text and "    sabotage site-early\n" in text and "    stale 1\n" in text
-    fair = layouts.layout("rules", names).text("n4", "/data")
-    assert "sabotage" not in fair.lower() and "    lost-touch serve\n" in fair and "    stale 0\n" in fair
+    unsabotaged = layouts.layout("rules", names).text("n4", "/data")
+    assert "sabotage" not in unsabotaged.lower()
+    assert "    lost-touch serve\n" in unsabotaged and "    stale 0\n" in unsabotaged
     samples = SimpleNamespace(leaders=lambda: ["n3"])
     trial = SimpleNamespace(
         names=names,
@@ -115,7 +117,7 @@
 ]
 
 
-def test_the_judge_of_answers_can_fail() -> None:
+def test_echo_checker_detects_each_violation() -> None:
     assert echo.check([*ping(1, 1.0, 1.1), *CUT, *ping(2, 1.9, 2.5), *ping(3, 6.1, 6.2)], 10.0) == []
     assert [v.rule for v in echo.check(ping(1, 1.0, 1.1, by="c"), 10.0)] == ["echo-by"]
     assert [v.rule for v in echo.check(ping(1, 1.0, 1.1, text="y"), 10.0)] == ["echo-text"]
@@ -126,13 +128,13 @@
     return {"t": at, "kind": "sample", "process": "a", "asked": at, "peers": {"b": state}}
 
 
-def test_the_judge_of_views_can_fail() -> None:
+def test_views_checker_detects_stale_views() -> None:
     assert views.check([*CUT, sample(3.0, "alive"), sample(5.9, "dead"), sample(15.0, "dead")], 20.0) == []
-    assert len(views.check([*CUT, sample(5.9, "alive")], 20.0)) == 1  # silent for 3.9 s
-    assert len(views.check([*CUT, sample(16.5, "dead")], 20.0)) == 1  # healed for 10.5 s
-    assert views.check([sample(2.0, "dead")], 20.0) == []  # it has only begun
+    assert len(views.check([*CUT, sample(5.9, "alive")], 20.0)) == 1  # alive after 3.9 s of silence
+    assert len(views.check([*CUT, sample(16.5, "dead")], 20.0)) == 1  # dead 10.5 s after the cut healed
+    assert views.check([sample(2.0, "dead")], 20.0) == []  # the trial began only 2 s ago
 
 
-def test_an_operation_that_never_ended_stays_open() -> None:
+def test_operation_without_end_stays_open() -> None:
     (open_,) = operations(ping(1, 1.0, 1.1)[:1])
     assert open_.word == "unknown" and open_.end == float("inf")
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow gateways: real members of a fleet, many to a process; what they take is worked out beforehand."""
+"""Tests of the hollow fleet: rule changes, a leader's loss, and the estimate of the resources that a fleet needs."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return Fleet(names, tuple(range(20_000, 20_000 + members)), voters)
 
 
-def test_a_fleet_of_hollow_gateways_changes_its_rules_everywhere_and_ends_whole() -> None:
+def test_hollow_fleet_applies_a_change_at_every_member() -> None:
     with HollowFleet(9, members_a_host=4) as fleet:
         assert str(fleet.need).startswith("6 processes, ")
         fleet.start(OPEN_LIMIT)
@@ -40,7 +40,7 @@
         assert after.leader() in fleet.fleet.members[:5]
         rows = control.roles(fleet, before, after)
         assert all(rows[role][0] > 0 and rows[role][1] > 0 for role in control.ROLES)
-        # what the leader sends and what comes in elsewhere are counted at either end
+        # bytes are counted by the sender and by the receiver, so both totals must roughly agree
         then, now = before.members(), after.members()
         sent = sum(now[name].sent_bytes - then[name].sent_bytes for name in now)
         received = sum(now[name].received_bytes - then[name].received_bytes for name in now)
@@ -52,7 +52,7 @@
             os.kill(pid, 0)
 
 
-def test_a_member_that_is_killed_and_the_leader_that_is_killed_leave_a_fleet_that_goes_on() -> None:
+def test_hollow_fleet_elects_a_new_leader_after_a_kill() -> None:
     with HollowFleet(7, members_a_host=1) as fleet:
         fleet.start(OPEN_LIMIT)
         leader = fleet.metrics().leader()
@@ -63,19 +63,19 @@
             time.sleep(0.05)
 
 
-def test_what_a_fleet_takes_is_told_and_what_does_not_fit_is_turned_down() -> None:
+def test_fleet_larger_than_the_machine_is_rejected() -> None:
     needed = requirements.need(specification(1105), 15)
     assert needed.processes == 5 + 74
     assert needed.threads > 1100 * 10 and needed.descriptors > 2 * 1104
-    room = requirements.AvailableResources(300, 50_000, 20_000, 16_000, 32.0)
-    requirements.check(needed, room)
+    available = requirements.AvailableResources(300, 50_000, 20_000, 16_000, 32.0)
+    requirements.check(needed, available)
     too_small = {"processes": 70, "threads": 900, "descriptors": 1000, "memory_mb": 100, "processors": 6}
     for what, least in too_small.items():
         with pytest.raises(requirements.FleetTooLargeError, match=f"{what.replace('_', ' ')}.*:"):
-            requirements.check(needed, dataclasses.replace(room, **{what: least}))
+            requirements.check(needed, dataclasses.replace(available, **{what: least}))
 
 
-def test_members_link_as_real_gateways_do() -> None:
+def test_hollow_members_link_like_real_gateways() -> None:
     fleet = specification(8)
     assert peers_plan(fleet, "g0007", None).linked_members() == set(fleet.members[:5])
     assert peers_plan(fleet, "g0000", 7000).linked_members() == set(fleet.members[1:])
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -1,4 +1,4 @@
-"""Several real processes of the program with faults between them, judged by what the history shows."""
+"""Trials of several real processes under faults, judged by their histories."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(("name", "procs"), [("partition-halves", 5), ("slow-peer", 3)])
-def test_a_fleet_under_faults_keeps_its_promises(name: str, procs: int, tmp_path: Path) -> None:
+def test_echo_trial_under_faults_has_no_violations(name: str, procs: int, tmp_path: Path) -> None:
     found = runs.run_trial(scenario.load(name), procs, 8.0, 1, tmp_path / "out")
     assert [str(violation) for violation in found.violations] == []
     assert found.summary["faults"] >= 4 and found.summary["answered"] > 50
@@ -40,7 +40,7 @@
     ("name", "procs", "seconds"),
     [("replica-under-faults", 5, 20.0), ("stale-disk", 3, 10.0), ("paused-peer", 3, 8.0), ("crash-loop", 3, 10.0)],
 )
-def test_what_was_acknowledged_stays_and_all_copies_agree(name: str, procs: int, seconds: float) -> None:
+def test_acknowledged_writes_survive_faults_and_copies_agree(name: str, procs: int, seconds: float) -> None:
     found = runs.run_trial(scenario.load(name), procs, seconds, 1)
     assert [str(violation) for violation in found.violations] == []
     figures = found.summary
@@ -48,7 +48,7 @@
     assert figures["acknowledged"] > 50 and figures["faults"] >= 4
 
 
-def test_no_two_holders_act_while_the_holder_is_paused_cut_off_and_killed(tmp_path: Path) -> None:
+def test_lease_holders_never_overlap_under_faults(tmp_path: Path) -> None:
     found = runs.run_trial(scenario.load("lease-under-faults"), 5, 20.0, 1, tmp_path / "out")
     assert [str(violation) for violation in found.violations] == []
     assert (found.summary["overlaps"], found.summary["stale_accepted"]) == (0, 0)
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(("sabotage", "rules"), [("careless", set[str]()), ("no-fence", {"stale-accepted", "overlap"})])
-def test_who_goes_on_with_a_lost_lease_is_refused_by_its_token(sabotage: str, rules: set[str]) -> None:
+def test_only_fencing_rejects_actions_of_a_lost_lease(sabotage: str, rules: set[str]) -> None:
     found = runs.run_trial(scenario.load("lease-under-faults"), 3, 24.0, 2, sabotage=sabotage)
     assert {violation.rule for violation in found.violations} >= rules
     if sabotage == "careless":
@@ -75,7 +75,7 @@
     return found.exit_code, found.output
 
 
-def test_operators_see_and_change_the_members_of_running_processes() -> None:
+def test_operator_commands_manage_members_and_leases() -> None:
     with Trial(scenario.load("stale-disk"), 4, 5.0, 1, layout=Layout(layouts.SECTIONS["lease"])) as trial:
         trial.start()
         host, port = trial.processes["n0"].control
@@ -101,7 +101,9 @@
         until(lambda: "sweep-drains" in run("lease", "list", *control)[1])
         until(lambda: "held by n" in run("lease", "show", *control, "sweep-drains")[1])
         holder = next(n for n in trial.names if f"held by {n}/" in run("lease", "show", *control, "sweep-drains")[1])
-        trial.processes[holder].terminate()  # it gives its lease back: nobody has to wait until it runs out
+        trial.processes[
+            holder
+        ].terminate()  # on SIGTERM the holder releases its lease, so the next one need not wait for the expiry
         left = next(name for name in trial.names if name != holder)
         control = ("--control", "{}:{}".format(*trial.processes[left].control))
         until(lambda: "held by n" in (said := run("lease", "show", *control, "sweep-drains")[1]) and holder not in said)
@@ -113,12 +115,12 @@
 
 
 @pytest.mark.parametrize(("sabotage", "rule"), [("leaky-cut", "cut"), ("lying-echo", "echo-text")])
-def test_a_broken_target_is_found(sabotage: str, rule: str) -> None:
+def test_checker_detects_sabotage(sabotage: str, rule: str) -> None:
     found = runs.run_trial(scenario.load("partition-halves"), 3, 5.0, 1, sabotage=sabotage)
     assert rule in {violation.rule for violation in found.violations}
 
 
-def test_a_process_that_is_sent_garbage_serves_on_and_a_trial_ends_all_that_it_started() -> None:
+def test_process_survives_garbage_and_ends_with_the_trial() -> None:
     with Trial(scenario.load("flapping-link"), 3, 5.0, 1) as trial:
         trial.start()
         pids = [process.pid for process in trial.processes.values()]
