--- a/tealwing/lab/hollow/requirements.py
+++ b/tealwing/lab/hollow/requirements.py
@@ -90,7 +90,7 @@
     return AvailableResources(MAX_PROCESSES, int(TASK_SHARE * tasks) - used, descriptors, memory_mb, processors)
 
 
-def check(needed: Need, there: AvailableResources) -> None:
+def check(needed: Need, resources: AvailableResources) -> None:
     """Raise FleetTooLargeError if a need exceeds what is available."""
     for what, remedy in (
         ("processes", "run more members per host process"),
@@ -99,7 +99,7 @@
         ("memory_mb", "run fewer members, or use a machine with more memory"),
         ("processors", "run fewer members, or use a machine with more processors"),
     ):
-        required, available = getattr(needed, what), getattr(there, what)
+        required, available = getattr(needed, what), getattr(resources, what)
         if required > available:
             raise FleetTooLargeError(
                 f"the fleet needs {required} {what.replace('_', ' ')}, and at most {available} may be used: {remedy}"
