--- a/tealwing/replica/commands.py
+++ b/tealwing/replica/commands.py
@@ -18,7 +18,7 @@
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 Text = Annotated[str, msgspec.Meta(max_length=4096)]
-Ms = UnsignedInt63  # ms of the Unix clock of the proposer; no command is decided by it
+Ms = UnsignedInt63  # Unix time in ms by the proposer's clock; the result of a command never depends on it
 MAX_COMMAND_BYTES = 512 * 1024  # bytes of one command
 
 
@@ -37,15 +37,15 @@
 
 
 class Settings(Record, tag="settings", frozen=True):
-    """Add a version of the operators' settings; refused unless its number is the last one plus 1."""
+    """Add a version of the operators' settings; rejected unless its number is the last one plus 1."""
 
     version: UnsignedInt63
     text: bytes
-    valid: bool = True  # checked by the proposer; an invalid version is kept on record and is never the last good one
+    valid: bool = True  # checked by the proposer; an invalid version is stored, but is never the last good one
 
 
 class Drain(Record, tag="drain", frozen=True):
-    """Record that an engine started at a time drains until a cut-off; removed deletes the record."""
+    """Record that an engine, given by number and start time, drains until a cut-off; `removed` deletes the record."""
 
     engine: UnsignedInt63
     started: Ms
@@ -55,7 +55,7 @@
 
 
 class Note(Record, tag="note", frozen=True):
-    """Record a condition of a started engine since a time, `cold` or `aside`; removed deletes the record."""
+    """Record a condition of an engine since a time, `cold` or `aside`; `removed` deletes the record."""
 
     engine: UnsignedInt63
     started: Ms
@@ -65,7 +65,7 @@
 
 
 class Level(Record, tag="level", frozen=True):
-    """Record a service level in force and the reason; removed deletes the record."""
+    """Record a service level in force and its reason; `removed` deletes the record."""
 
     name: Name
     reason: Text = ""
@@ -74,7 +74,7 @@
 
 
 class Acquire(Record, tag="acquire", frozen=True):
-    """Grant a lease for ttl ms if no other client holds it; the fencing token is the index of the grant."""
+    """Grant a lease for `ttl` ms if no other client holds it; the fencing token is the index of the grant."""
 
     name: Name
     holder: Name
@@ -89,14 +89,14 @@
 
 
 class Release(Record, tag="release", frozen=True):
-    """Release a lease."""
+    """Release a lease, if the token is that of its current grant."""
 
     name: Name
     token: UnsignedInt63
 
 
 class Expire(Record, tag="expire", frozen=True):
-    """Expire a lease that has run out by the leader's clock, unless it was renewed since the entry at index renewed."""
+    """Expire a lease that has run out by the leader's clock, unless it was renewed after the entry at `renewed`."""
 
     name: Name
     token: UnsignedInt63
@@ -114,10 +114,10 @@
 
 
 class Command(Record, frozen=True):
-    """The data of a log entry."""
+    """The data of a log entry of kind DATA: a command, its client and sequence number, and its fence."""
 
     client: Annotated[str, msgspec.Meta(max_length=100)]
-    sequence: UnsignedInt63  # 0: no session, the command is not retried
+    sequence: UnsignedInt63  # 0: the command has no session and is not retried
     body: Body
     fence: Fence | None = None
 
@@ -129,8 +129,8 @@
     """
 
     remedy = (
-        "install the build that the other gateways run, and start this one again; nothing is lost: the entry stays"
-        " in the log"
+        "install the build that the other gateways run and restart this gateway; the entry stays in the log, so"
+        " nothing is lost"
     )
 
     def __init__(self, what: str) -> None:
@@ -160,14 +160,14 @@
     """Return a command as the data of a log entry. Raises ValueError if it is too large."""
     data = _encode(command)
     if len(data) > MAX_COMMAND_BYTES:
-        raise ValueError(f"a command of {len(data)} bytes; allowed: {MAX_COMMAND_BYTES}")
+        raise ValueError(f"the command has {len(data)} bytes; allowed: {MAX_COMMAND_BYTES} or fewer")
     return data
 
 
 def decode(data: bytes) -> Command:
     """Return the command in the data of a log entry.
 
-    Raises NewerEntryError if a newer build wrote it, ValueError if it is no command.
+    Raises NewerEntryError if a newer build wrote it, ValueError if the data is not a valid command.
     """
     try:
         return _decoder.decode(data)
@@ -179,7 +179,7 @@
 
 
 def _newer_content(data: bytes) -> str:
-    """Return what is unknown here in a newer build's command: its kind, or additional fields.
+    """Return what this build does not know in a command of a newer build: its kind, or additional fields.
 
     Returns an empty string if the known parts are invalid too, as no build writes such a command.
     """
@@ -195,11 +195,11 @@
     if kind is None:
         body, what = _PLACEHOLDER_BODY, f"a command {tag}"
     elif len(body) > 1 + len(kind.__struct_fields__):
-        body, what = body[: 1 + len(kind.__struct_fields__)], f"more in {tag} than is known here"
+        body, what = body[: 1 + len(kind.__struct_fields__)], f"a command {tag} with unknown fields in its body"
     if fence is not None and len(fence) > len(Fence.__struct_fields__):
         fence, more = fence[: len(Fence.__struct_fields__)], True
     if more:
-        what = what or f"more round {tag} than is known here"
+        what = what or f"a command {tag} with unknown fields around its body"
     try:
         _decoder.decode(_encode((found.client, found.sequence, body, fence)))
     except msgspec.DecodeError:
@@ -213,8 +213,8 @@
 
 
 def decode_result(data: bytes) -> CommandResult:
-    """Return a decoded result. Raises ValueError if the data is no result."""
+    """Return a decoded result. Raises ValueError if the data is not a valid result."""
     try:
         return _results.decode(data)
     except msgspec.DecodeError as error:
-        raise ValueError(f"no result: {error}") from None
+        raise ValueError(f"not a valid command result: {error}") from None
--- a/tealwing/replica/errors.py
+++ b/tealwing/replica/errors.py
@@ -1,7 +1,7 @@
-"""Base class of the errors of this package."""
+"""Base class of the errors of the replicated log."""
 
 from __future__ import annotations
 
 
 class ReplicaError(RuntimeError):
-    """An operation that failed or data that can't be trusted; the message has the remedy, if there is one."""
+    """An operation failed or stored data can't be trusted; the message names the remedy, if there is one."""
--- a/tealwing/replica/group.py
+++ b/tealwing/replica/group.py
@@ -1,4 +1,4 @@
-"""Raft groups: a process may be a member of two over one link, each with channels of its own."""
+"""Raft groups: one process may be a member of two groups over the same peer link, each with its own channels."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """A Raft group: its name, its channels of the link, and its initial members."""
+    """A Raft group: its name, its channels on the peer link, and its initial members."""
 
     name: str
     channel: int  # for Raft messages
@@ -19,18 +19,18 @@
     learners: tuple[str, ...] = ()  # initial learners; if empty and members is None, those of the link's plan
 
     def initial_members(self, peers: PeersPlan) -> tuple[tuple[str, ...], tuple[str, ...]]:
-        """Return voters and learners for a log without a configuration entry, each sorted."""
+        """Return the sorted voters and learners that apply while the log has no configuration entry."""
         learners = set(self.learners) or (set(peers.learners) if self.members is None else set())
         names = {name for name, _ in peers.members} if self.members is None else set(self.members)
         return tuple(sorted(names - learners)), tuple(sorted(learners))
 
     @property
     def log_fields(self) -> dict[str, str]:
-        """Additional fields of log events: the group's name, or none for the site group."""
+        """Additional fields of log events: the group's name; empty for the site group."""
         return {} if self.name == SITE.name else {"group": self.name}
 
     def thread_name(self, name: str) -> str:
-        """Return the name of a thread of this group."""
+        """Return the name for a thread of this group: with the group's name as a suffix, except in the site group."""
         return name if self.name == SITE.name else f"{name}-{self.name}"
 
 
--- a/tealwing/replica/messages.py
+++ b/tealwing/replica/messages.py
@@ -19,11 +19,11 @@
 
     NOOP = 0  # first entry of a leader's term: committing it commits all earlier entries
     DATA = 1  # command for the state machine
-    MEMBERS = 2  # configuration from this entry on: see `members_data`
+    MEMBERS = 2  # cluster configuration that applies from this entry on: see `members_data`
 
 
 class Entry(Record, frozen=True):
-    """Log entry."""
+    """An entry of the replicated log."""
 
     index: UnsignedInt63
     term: UnsignedInt63
@@ -49,7 +49,7 @@
     pre_vote: bool
     granted: bool
     incarnation: UnsignedInt63  # of the sender: see the raft package
-    unconfirmed: bool
+    unconfirmed: bool  # whether the sender's incarnation is not yet confirmed by a leader
 
 
 class AppendEntries(Record, tag=3, frozen=True):
@@ -164,7 +164,7 @@
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError as error:
-        raise ValueError(f"no message of the replicated log: {error}") from None
+        raise ValueError(f"not a valid Raft message: {error}") from None
 
 
 def members_data(voters: tuple[str, ...], learners: tuple[str, ...] = ()) -> bytes:
--- a/tealwing/replica/state.py
+++ b/tealwing/replica/state.py
@@ -1,6 +1,6 @@
-"""The replicated state machine: deterministic, so that members with the same applied entries are equal; pure.
+"""The replicated state machine: deterministic, so that members that applied the same entries have equal states; pure.
 
-No clock is read here: times in commands come from the proposer, and the expiry of a lease is an entry of its own.
+It reads no clock: times in commands come from the proposer, and the expiry of a lease is an entry of its own.
 Values are immutable, so that a shallow copy of the tables is a consistent state from which a snapshot is written.
 """
 
@@ -16,15 +16,15 @@
 from tealwing.replica.messages import Record
 from tealwing.rules import records, registry
 
-MAX_SESSIONS = 1024  # client sessions kept; the least recently used by index is evicted
-RETAINED_SETTINGS = 16  # versions of settings kept, in addition to the last good one
-DUMP_PIECE_BYTES = 64 * 1024  # size at which dump yields a piece
+MAX_SESSIONS = 1024  # client sessions kept; the session whose last command is oldest in the log is evicted
+RETAINED_SETTINGS = 16  # newest versions of the settings kept; the last good one is kept in addition
+DUMP_PIECE_BYTES = 64 * 1024  # bytes at which `dump` yields a piece
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class Value(Record, frozen=True):
-    """A value and its version, the index of the entry that put it."""
+    """A value and its version, which is the index of the entry that put it."""
 
     value: bytes
     version: int
@@ -38,17 +38,17 @@
 
 
 class Lease(Record, frozen=True):
-    """The current grant of a lease: holder, duration, fencing token, and the index of the last renewal."""
+    """The newest grant of a lease: holder, duration, fencing token and last renewal."""
 
     holder: str
     ttl: int  # ms
     token: int
-    renewed: int
-    held: bool = True
+    renewed: int  # index of the entry that granted or last renewed it
+    held: bool = True  # False once it was released or has expired
 
 
 class SettingsVersion(Record, frozen=True):
-    """One version of the settings."""
+    """One version of the operators' settings, and the index of its entry."""
 
     text: bytes
     valid: bool
@@ -85,12 +85,12 @@
 
 
 class State:
-    """The tables and the applied index."""
+    """State of one member: the tables and the applied index."""
 
     def __init__(self) -> None:
         self.applied = 0
         self.tables: dict[str, dict[str, Any]] = {name: {} for name in TABLES}
-        self.rejected_stale = 0  # fenced commands with a stale token: a metric, not part of the state
+        self.rejected_stale = 0  # fenced commands rejected for their token: a metric, not replicated
 
     # Commands
 
@@ -103,7 +103,7 @@
             command = c.decode(data)
         except c.NewerEntryError:
             raise
-        except ValueError as error:  # deterministic: every member refuses it
+        except ValueError as error:  # deterministic: every member rejects it
             self.applied = index
             return c.CommandResult(False, index, reason=str(error))
         self.applied = index
@@ -137,15 +137,15 @@
             case c.Put(key, value, expect):
                 return self._put(index, key, value, expect)
             case c.Delete(key):
-                gone = self.tables["values"].pop(key, None)
-                return c.CommandResult(gone is not None, index, reason="" if gone else f"no value under {key}")
-            case c.Settings(version, text, good):
-                return self._settings(index, version, text, good)
+                deleted = self.tables["values"].pop(key, None)
+                return c.CommandResult(deleted is not None, index, reason="" if deleted else f"no value under {key}")
+            case c.Settings(version, text, valid):
+                return self._settings(index, version, text, valid)
             case c.Drain(engine, started):
                 return self._put_or_remove(index, "drains", f"{engine}/{started}", body, body.removed, keep_first=True)
-            case c.Note(engine, started, what):
+            case c.Note(engine, started, kind):
                 return self._put_or_remove(
-                    index, "notes", f"{engine}/{started}/{what}", body, body.removed, keep_first=True
+                    index, "notes", f"{engine}/{started}/{kind}", body, body.removed, keep_first=True
                 )
             case c.Level(name):
                 return self._put_or_remove(index, "levels", name, body, body.removed)
@@ -171,15 +171,15 @@
         self.tables["values"][key] = Value(value, index)
         return c.CommandResult(True, index, index)
 
-    def _settings(self, index: int, version: int, text: bytes, good: bool) -> c.CommandResult:
+    def _settings(self, index: int, version: int, text: bytes, valid: bool) -> c.CommandResult:
         table = self.tables["settings"]
         last = max(map(int, table), default=0)
         if version != last + 1:
             return c.CommandResult(False, index, last, f"version {version} after {last}")
-        table[str(version)] = SettingsVersion(text, good, index)
-        best = self.last_good()
+        table[str(version)] = SettingsVersion(text, valid, index)
+        last_good = self.last_good()
         for number in sorted(map(int, table))[:-RETAINED_SETTINGS]:
-            if number != best:
+            if number != last_good:
                 del table[str(number)]
         return c.CommandResult(True, index, version)
 
@@ -192,11 +192,11 @@
     ) -> c.CommandResult:
         """Put or remove a record.
 
-        With keep_first an existing record stays, as a drain's cut-off counts from its first announcement.
+        With `keep_first` an existing record stays: a drain's cut-off counts from its first announcement.
         """
         if removed:
-            gone = self.tables[table].pop(key, None)
-            return c.CommandResult(gone is not None, index, reason="" if gone else f"no {key} in {table}")
+            deleted = self.tables[table].pop(key, None)
+            return c.CommandResult(deleted is not None, index, reason="" if deleted else f"no {key} in {table}")
         if keep_first and key in self.tables[table]:
             return c.CommandResult(True, index, reason="known already")
         self.tables[table][key] = value
@@ -206,7 +206,7 @@
 
     def _acquire(self, index: int, name: str, holder: str, ttl: int) -> c.CommandResult:
         lease: Lease | None = self.tables["leases"].get(name)
-        if lease is not None and lease.held and lease.holder == holder:  # the reply was lost: same grant, renewed
+        if lease is not None and lease.held and lease.holder == holder:  # its reply was lost: renew the grant
             self.tables["leases"][name] = msgspec.structs.replace(lease, ttl=ttl, renewed=index)
             return c.CommandResult(True, index, lease.token)
         if lease is not None and lease.held:
@@ -233,10 +233,10 @@
 
     def copy(self) -> State:
         """Return a copy of the state that later commands do not change."""
-        twin = State()
-        twin.applied = self.applied
-        twin.tables = {name: dict(table) for name, table in self.tables.items()}
-        return twin
+        duplicate = State()
+        duplicate.applied = self.applied
+        duplicate.tables = {name: dict(table) for name, table in self.tables.items()}
+        return duplicate
 
     def dump(self) -> Iterator[bytes]:
         """Yield the body of a snapshot in pieces: length-prefixed items, in the order of the tables."""
@@ -254,7 +254,7 @@
     def load(self, applied: int, pieces: Iterable[bytes]) -> None:
         """Replace the state by the body of a snapshot.
 
-        Raises ValueError if the body is invalid, c.NewerEntryError if it has an unknown table.
+        Raises ValueError if the body is invalid, c.NewerEntryError if it has a table that this build does not know.
         """
         fresh: dict[str, dict[str, Any]] = {name: {} for name in TABLES}
         data = bytearray()
@@ -271,21 +271,21 @@
                         raise c.NewerEntryError(f"a snapshot with a table {item.table[:40]}")
                     fresh[item.table][item.key] = _decoders[item.table].decode(item.value)
                 except msgspec.DecodeError as error:
-                    raise ValueError(f"an item that can't be read: {error}") from None
+                    raise ValueError(f"the snapshot has an item that can't be decoded: {error}") from None
                 at = end
             del data[:at]
         if data:
-            raise ValueError("a body that ends within an item")
+            raise ValueError(f"the snapshot ends within an item: {len(data)} bytes are left over")
         self.tables, self.applied = fresh, applied
 
     def digest(self) -> str:
-        """Return a hash of all tables, whatever the order of keys; equal at members with the same applied entries."""
-        found = xxhash.xxh3_64()
+        """Return a hash of all tables, independent of key order; equal at members that applied the same entries."""
+        hasher = xxhash.xxh3_64()
         for name, table in self.tables.items():
             for key in sorted(table):
-                found.update(_encode((name, key)))
-                found.update(_encode(table[key]))
-        return found.hexdigest()
+                hasher.update(_encode((name, key)))
+                hasher.update(_encode(table[key]))
+        return hasher.hexdigest()
 
     def counts(self) -> dict[str, int]:
         """Return the number of records in each table."""
