--- a/tealwing/replica/raft/commit.py
+++ b/tealwing/replica/raft/commit.py
@@ -11,7 +11,7 @@
     """Leader logic that depends on the progress of the followers."""
 
     def read(self, now: float, number: int) -> None:
-        """Start a linearizable read (read-index), which `ready` returns under `number` when confirmed.
+        """Start a linearizable read (read-index); `ready` returns it under `number` once a quorum has confirmed it.
 
         Raises NotLeaderError if this member is not the leader.
         """
@@ -27,34 +27,35 @@
     def _answer_reads(self) -> None:
         if not self._reads:
             return
-        left = []
+        unanswered = []
         for number, round_ in self._reads:
-            answered = [name for name, progress in self._voting() if progress.acked_round >= round_]
-            if round_ and self.is_quorum([self.local_id, *answered]):
+            acknowledged = [name for name, progress in self._voting() if progress.acked_round >= round_]
+            if round_ and self.is_quorum([self.local_id, *acknowledged]):
                 self._done_reads.append((number, self.commit))
             else:
-                left.append((number, round_))
-        self._reads = left
+                unanswered.append((number, round_))
+        self._reads = unanswered
 
     def entries_saved(self, now: float, index: int, term: int) -> None:
         """Record that the log is durable up to an index, whose entry had the given term when written."""
-        if self.term_at(index) == term and index > self.stable:  # otherwise it was truncated meanwhile
+        if self.term_at(index) == term and index > self.stable:  # otherwise the entry was truncated during the write
             self.stable = index
             if self.role is Role.LEADER:
                 self._advance_commit(now)
 
     def _advance_commit(self, now: float) -> None:
         """Advance the commit index to the highest entry of the current term that a quorum has on disk."""
-        marks = sorted({p.match for _, p in self._voting()} | {self.stable}, reverse=True)
-        for mark in marks:
-            if mark <= self.commit or not self._may_commit(mark):
+        match_indexes = sorted({p.match for _, p in self._voting()} | {self.stable}, reverse=True)
+        for index in match_indexes:
+            if index <= self.commit or not self._may_commit(index):
                 continue
-            if self._is_replicated(mark):
-                self.commit = mark
+            if self._is_replicated(index):
+                self.commit = index
                 self._commit_advanced(now)
                 return
 
     def _may_commit(self, index: int) -> bool:
+        """Return whether the entry at an index is of the current term: a leader commits no other directly."""
         return self.term_at(index) == self.term
 
     def _is_replicated(self, index: int) -> bool:
@@ -67,7 +68,7 @@
             # a quorum elected this incarnation, so no committed entry can be missing here
             self.unconfirmed = False
         if self.local_id not in self.members and self.commit >= self._members_index():
-            self._become_follower(now, self.term, "")  # our removal is committed
+            self._become_follower(now, self.term, "")  # this member's removal is committed
             return
         waiting = [number for number, round_ in self._reads if not round_]
         if waiting and self.commit >= self.term_start_index:
--- a/tealwing/replica/raft/core.py
+++ b/tealwing/replica/raft/core.py
@@ -1,4 +1,4 @@
-"""Interface of the core to its shell: events in, Ready out."""
+"""Interface of the Raft core to its shell: the shell passes events in and gets a Ready with the work to do."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         match message:
             case RequestVote():
                 self._handle_request_vote(now, source, message)
-            case ConfirmVote():  # not a vote request: its term is not adopted
+            case ConfirmVote():  # requests no vote, so its term is not adopted
                 self._send(source, VoteConfirmation(self.term, self.incarnation))
             case RequestVoteReply():
                 if message.term > self.term and not message.pre_vote:
@@ -64,6 +64,7 @@
                 self._handle_follower_reply(now, source, message)
 
     def _handle_follower_reply(self, now: float, source: str, reply: AppendEntriesReply | InstallSnapshotReply) -> None:
+        """Process a follower's reply; ignore it if this member no longer leads the term of the reply."""
         progress = self.progress.get(source)
         if self.role is not Role.LEADER or reply.term != self.term or progress is None:
             return
@@ -90,11 +91,11 @@
     def ready(self) -> Ready:
         """Return the pending work and mark it as taken.
 
-        Log entries are returned again until `entries_saved` reports them durable, all else only once.
+        Log entries are returned again until `entries_saved` reports them durable, everything else only once.
         """
-        hard = (self.term, self.vote) if self._hard_state_changed else None
+        hard_state = (self.term, self.vote) if self._hard_state_changed else None
         entries = self.entries(self.stable + 1, self.last_index)
-        out, self._outgoing = self._outgoing, []
+        messages, self._outgoing = self._outgoing, []
         chunk, self._pending_chunk = self._pending_chunk, None
         committed = self.entries(self.applied + 1, min(self.commit, self.stable))
         if committed:
@@ -102,7 +103,7 @@
         reads, self._done_reads = self._done_reads, []
         failed, self._failed_reads = self._failed_reads, []
         self._hard_state_changed = False
-        return Ready(hard, entries, chunk, out, committed, reads, failed)
+        return Ready(hard_state, entries, chunk, messages, committed, reads, failed)
 
     def has_ready(self) -> bool:
         """Return whether `ready` has pending work."""
@@ -113,13 +114,13 @@
 
     def clone(self) -> Raft:
         """Return an independent copy, for the model check."""
-        twin = copy.copy(self)
+        duplicate = copy.copy(self)
         for name in ("log", "_outgoing", "_reads", "_done_reads", "_failed_reads"):
-            setattr(twin, name, list(getattr(self, name)))
-        twin.votes, twin.voter_incarnations, twin.vote_confirmations = (
+            setattr(duplicate, name, list(getattr(self, name)))
+        duplicate.votes, duplicate.voter_incarnations, duplicate.vote_confirmations = (
             dict(self.votes),
             dict(self.voter_incarnations),
             set(self.vote_confirmations),
         )
-        twin.progress = {name: progress.clone() for name, progress in self.progress.items()}
-        return twin
+        duplicate.progress = {name: progress.clone() for name, progress in self.progress.items()}
+        return duplicate
--- a/tealwing/replica/raft/election.py
+++ b/tealwing/replica/raft/election.py
@@ -8,16 +8,16 @@
 
 
 class Election(Leader):
-    """Leader election; a learner never stands (see Membership).
+    """Leader election; a learner never becomes a candidate (see Membership).
 
     If disks may be stale, votes are confirmed: a candidate with a quorum of votes sends ConfirmVote to its voters, and
     becomes leader once a quorum has replied in the term and the incarnation in which they voted. At the time of the
-    request all of these held their votes, so a voter that has lost its vote restarted after all the others had voted.
+    request all of these still knew their votes, so a voter that has lost its vote restarted after all others had voted.
     See docs/replication.md for the proof that depends on it.
     """
 
     def campaign(self, now: float) -> None:
-        """Start an election, with a pre-vote first if enabled; a member that is not a voter only resets its timer."""
+        """Start an election, with a pre-vote first if enabled; on a member that is not a voter only reset the timer."""
         self._reset_election_deadline(now)
         if self.local_id not in self.members:
             return
@@ -35,16 +35,16 @@
         """
         if self.role is not Role.LEADER:
             return ""
-        ready = [
+        eligible = [
             (progress.match, name)
             for name, progress in self.progress.items()
             if name in self.members
             and not progress.unconfirmed
             and now - progress.last_contact < self.options.election_timeout
         ]
-        if not ready or max(ready)[0] < self.commit:
+        if not eligible or max(eligible)[0] < self.commit:
             return ""
-        name = max(ready)[1]
+        name = max(eligible)[1]
         self._send(name, TimeoutNow(self.term))
         return name
 
@@ -108,18 +108,20 @@
         self._begin_round(now)
 
     def _handle_request_vote(self, now: float, source: str, request: RequestVote) -> None:
-        led = self.role is Role.LEADER or (
+        leader_alive = self.role is Role.LEADER or (
             self.leader and now - self.last_leader_contact < self.options.election_timeout
         )
-        if self.options.check_quorum and led and self.leader != source and not request.leadership_transfer:
-            return  # a member back from a partition must not depose a live leader
-        newer = (request.last_term, request.last_index) >= (self.last_term, self.last_index)
+        if self.options.check_quorum and leader_alive and self.leader != source and not request.leadership_transfer:
+            return  # a member that returns from a partition must not depose a live leader
+        up_to_date = (request.last_term, request.last_index) >= (self.last_term, self.last_index)
         if request.pre_vote:
-            granted = request.term > self.term and newer
+            granted = request.term > self.term and up_to_date
         else:
             if request.term > self.term:
                 self._become_follower(now, request.term, "")
-            granted = request.term == self.term and newer and self.vote in ("", source) and self.role is Role.FOLLOWER
+            granted = (
+                request.term == self.term and up_to_date and self.vote in ("", source) and self.role is Role.FOLLOWER
+            )
             if granted:
                 self.vote, self._hard_state_changed = source, True
                 self._reset_election_deadline(now)
@@ -139,6 +141,6 @@
             self._become_follower(now, reply.term, "")
             return
         if self.vote_confirmations:
-            return  # it may have voted after ConfirmVote was sent to the others
+            return  # this vote may have been granted after ConfirmVote was sent to the other voters
         self.votes[source] = reply.granted, reply.incarnation, reply.unconfirmed
         self._count_votes(now)
--- a/tealwing/replica/raft/follower.py
+++ b/tealwing/replica/raft/follower.py
@@ -19,12 +19,12 @@
             self._reads.clear()
             self.progress.clear()
             self._reset_election_deadline(now)
-        # others keep their deadline: a candidate that cannot win must not delay their elections
+        # a member that did not lead keeps its deadline: a candidate that cannot win must not delay other elections
         self.role, self.leader = Role.FOLLOWER, leader
         self.votes, self.vote_confirmations = {}, set()
 
     def _recognize_leader(self, now: float, source: str) -> None:
-        log.check_invariant(self.role is not Role.LEADER, "one leader in a term")
+        log.check_invariant(self.role is not Role.LEADER, "a term has at most one leader")
         self._become_follower(now, self.term, source)
         self.last_leader_contact = now
         self._reset_election_deadline(now)
@@ -35,7 +35,7 @@
             return
         self._recognize_leader(now, source)
         last = append.prev_index + len(append.entries)
-        if append.prev_index < self.commit and last >= self.commit:  # committed entries match: check the rest only
+        if append.prev_index < self.commit and last >= self.commit:  # committed entries match: compare the rest
             entries = append.entries[self.commit - append.prev_index :]
         elif append.prev_index < self.commit:
             self._send(source, self._append_reply(True, self.commit, append.round))
@@ -49,7 +49,7 @@
             local_term = self.term_at(entry.index)
             if local_term == entry.term:
                 continue
-            if local_term is not None:  # conflict: the leader's entries replace ours from here
+            if local_term is not None:  # conflict: the leader's entries replace the local ones from here
                 self._truncate(entry.index)
             self.log += entries[place:]
             if any(later.kind is Kind.MEMBERS for later in entries[place:]):
@@ -62,7 +62,7 @@
         return AppendEntriesReply(self.term, ok, match, hint, hint_term, round_, self.incarnation, self.unconfirmed)
 
     def _reject_append(self, source: str, round_: int, prev: int) -> None:
-        """Reject with a hint: the last index that can match, before all entries of the conflicting term."""
+        """Reject AppendEntries with a hint: the last index that can match, before any entry of the conflicting term."""
         hint = min(prev, self.last_index)
         conflict = self.term_at(hint)
         if hint == prev and conflict is not None:
@@ -81,16 +81,16 @@
         if snap.index <= self.commit:
             self._send_snapshot_reply(source, snap, snap.total, True)
             return
-        index, term, have = self._incoming_snapshot
+        index, term, received = self._incoming_snapshot
         if (index, term) != (snap.index, snap.index_term):
-            have = 0
-        if snap.offset != have or self._pending_chunk is not None:
-            self._send_snapshot_reply(source, snap, have, False)
+            received = 0
+        if snap.offset != received or self._pending_chunk is not None:
+            self._send_snapshot_reply(source, snap, received, False)
             return
-        have += len(snap.data)
-        self._incoming_snapshot = (snap.index, snap.index_term, have)
+        received += len(snap.data)
+        self._incoming_snapshot = (snap.index, snap.index_term, received)
         self._pending_chunk = snap
-        self._send_snapshot_reply(source, snap, have, have >= snap.total)
+        self._send_snapshot_reply(source, snap, received, received >= snap.total)
 
     def _send_snapshot_reply(self, source: str, snap: InstallSnapshot, offset: int, done: bool) -> None:
         self._send(
@@ -107,5 +107,5 @@
         self._refresh_members()
 
     def snapshot_rejected(self) -> None:
-        """Discard a received snapshot that was damaged; it is transferred again."""
+        """Discard a received snapshot that was damaged; the leader transfers it again."""
         self._incoming_snapshot = (0, 0, 0)
--- a/tealwing/replica/raft/leader.py
+++ b/tealwing/replica/raft/leader.py
@@ -20,14 +20,16 @@
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
         if self.last_index - self.commit >= self.options.max_uncommitted:
-            raise BusyError(f"{self.options.max_uncommitted} entries wait to be committed")
+            raise BusyError(
+                f"{self.options.max_uncommitted} entries are uncommitted, which is the maximum; retry later"
+            )
         entry = self._append(Kind.DATA, data)
         if not defer_send:
             self._replicate(now)
         return entry.index, entry.term
 
     def send_deferred(self, now: float) -> None:
-        """Send deferred proposals; do nothing if no longer leader."""
+        """Send deferred proposals; do nothing if this member no longer leads."""
         if self.role is Role.LEADER:
             self._replicate(now)
 
@@ -44,15 +46,14 @@
             self._begin_round(now)
 
     def _observe_incarnation(self, progress: Progress, now: float, incarnation: int, unconfirmed: bool) -> None:
+        """Record contact with a follower; after its restart discard what it acknowledged, which may be lost."""
         progress.last_contact = now
-        if (
-            incarnation != progress.incarnation
-        ):  # it restarted and may have lost state: discard what it acknowledged before
+        if incarnation != progress.incarnation:
             if progress.incarnation:
                 progress.match, progress.snapshot_offset, progress.known_commit = 0, 0, 0
                 progress.inflight.clear()
                 progress.unanswered_since, progress.mode = 0.0, Mode.PROBE
-                progress.next = min(progress.next, self.last_index + 1)  # a guess, corrected by its reply
+                progress.next = min(progress.next, self.last_index + 1)  # an estimate, corrected by its reply
             progress.incarnation, progress.acked_round, progress.incarnation_round = incarnation, 0, self.round
         progress.unconfirmed = unconfirmed
 
@@ -75,7 +76,7 @@
             self._advance_commit(now)
         elif not self._back_off_next(progress, reply):
             self._answer_reads()
-            return  # nothing new to try before the next heartbeat
+            return  # `next` is unchanged: retried with the next heartbeat
         self._answer_reads()
         self._send_to(now, name, progress)
 
@@ -87,7 +88,7 @@
         progress.mode = Mode.PROBE
         place = min(reply.hint_index, self.last_index)
         while place > progress.match and (self.term_at(place) or 0) > reply.hint_term:
-            place -= 1  # our term here is above that of the hint, so it cannot match
+            place -= 1  # the local term here is above that of the hint, so the entry cannot match
         progress.next = max(progress.match + 1, min(place + 1, progress.next))
         return progress.next != before
 
--- a/tealwing/replica/raft/membership.py
+++ b/tealwing/replica/raft/membership.py
@@ -38,7 +38,7 @@
         """Append a new configuration and return index and term of its entry.
 
         Only a single change is allowed: add or remove a learner, promote a learner, or demote a voter. If `learners`
-        is None, one voter is added or removed, and the learners stay, except one that becomes a voter.
+        is None, one voter is added or removed; the learners stay, except for one that becomes a voter.
 
         Raises NotLeaderError if this member is not the leader, BusyError if a change is pending or a learner is not yet
         promotable (retry later), and ValueError if the change is not allowed.
@@ -48,10 +48,12 @@
         learners = self._checked_learners(members, learners)
         pending = any(entry.kind is Kind.MEMBERS for entry in self.entries(self.commit + 1, self.last_index))
         if pending or self.commit < self.term_start_index:  # otherwise two changes could have disjoint majorities
-            raise BusyError("another change of members, or the leader's first entry, is not committed yet")
+            raise BusyError(
+                "a previous membership change or the first entry of the term is not committed yet; retry later"
+            )
         for name in set(self.learners) & set(members):
             if why := self.promotion_blocked_by(now, name):
-                self._send_to(now, name, self.progress[name], heartbeat=True)  # its reply may be all that is missing
+                self._send_to(now, name, self.progress[name], heartbeat=True)  # its reply may be the only thing missing
                 raise BusyError(why)
         entry = self._append(Kind.MEMBERS, members_data(members, learners))
         self._update_progress(now)
@@ -62,42 +64,51 @@
         """Return why the leader cannot promote a learner yet, or an empty string if it can."""
         progress = self.progress.get(name)
         if name not in self.learners or progress is None:
-            return f"{name} is no learner of ours"
+            return f"{name} is not a learner of this group"
         if progress.match < self.learner_commit:  # later commits are sent with the next round
-            return f"{name} is behind: it has {progress.match} of the {self.learner_commit} entries that were committed"
+            return f"{name} is behind: its match index is {progress.match}, the commit index {self.learner_commit}"
         if now - progress.last_contact >= self.options.election_timeout:
-            return f"{name} was not heard for {now - progress.last_contact:.1f} s"
+            return f"no reply from {name} for {now - progress.last_contact:.1f} s"
         if progress.unconfirmed:
-            return f"{name} has started anew, and it is not shown yet that it has all that it may have forgotten"
+            return f"{name} has restarted and is not confirmed yet to hold everything that its disk may have lost"
         return ""
 
     def _checked_learners(self, voters: tuple[str, ...], learners: tuple[str, ...] | None) -> tuple[str, ...]:
-        """Return the learners after a change.
+        """Return the learners after a membership change.
 
         Raises ValueError if it is not a single allowed change.
         """
-        other = set(voters) ^ set(self.members)
+        changed = set(voters) ^ set(self.members)
         if learners is None:
-            if len(other) != 1 or not voters:
-                raise ValueError("one member more or one fewer at a time, and one at least")
+            if len(changed) != 1 or not voters:
+                raise ValueError(
+                    f"voters {', '.join(voters) or 'none'}: add or remove one voter at a time, and keep at least one;"
+                    f" the voters are {', '.join(self.members)}"
+                )
             learners = tuple(name for name in self.learners if name not in voters)
         else:
             moved = set(learners) ^ set(self.learners)
-            if len(moved) != 1 or other not in (set(), moved) or not voters:
+            if len(moved) != 1 or changed not in (set(), moved) or not voters:
                 raise ValueError(
-                    "one change at a time: one learner more or fewer, one learner that votes from now on, or one voter "
-                    "that only learns from now on; and one voter at least"
+                    f"voters {', '.join(voters) or 'none'}; learners {', '.join(learners) or 'none'}: make one change at"
+                    " a time (add or remove a learner, promote a learner, or demote a voter), and keep at least one"
+                    " voter"
                 )
-            # with fewer voters, quorums cannot tolerate s stale disks
+            # with fewer voters, quorums cannot tolerate that many stale disks
             min_voters = 2 * self.options.max_stale_disks + 1
             if set(voters) < set(self.members) and len(voters) < min_voters:
-                raise ValueError(f"with stale {self.options.max_stale_disks} there must be {min_voters} voters left")
+                raise ValueError(
+                    f"{len(voters)} voters: with stale {self.options.max_stale_disks} keep at least {min_voters} voters"
+                )
         if len({*voters, *learners}) != len(voters) + len(learners):
-            raise ValueError("each member is named once, as a voter or as a learner")
+            raise ValueError(
+                f"voters {', '.join(voters) or 'none'}; learners {', '.join(learners) or 'none'}: name each member"
+                " once, as a voter or as a learner"
+            )
         return learners
 
     def _update_progress(self, now: float) -> None:
-        """Add and remove progress to match the configuration; spread the heartbeats of learners evenly."""
+        """Add and remove Progress records to match the configuration; spread the heartbeats of learners evenly."""
         for name in self.members:
             if name != self.local_id and name not in self.progress:
                 self.progress[name] = Progress(self.last_index, last_contact=now)
--- a/tealwing/replica/raft/quorum.py
+++ b/tealwing/replica/raft/quorum.py
@@ -18,18 +18,18 @@
     def is_quorum(self, names: Iterable[str]) -> bool:
         """Return whether the given members are a quorum.
 
-        That is a majority plus one for each unconfirmed member, up to `max_stale_disks`, but never more than all
-        members (see the package).
+        A quorum is a majority, plus one member for each unconfirmed member among those given, up to `max_stale_disks`,
+        but never more than all members (see the docstring of the package).
         """
-        there = {name for name in names if name in self.members}
-        spare = min(self.options.max_stale_disks, (len(self.members) - 1) // 2)
-        unconfirmed = sum(1 for name in there if self._is_unconfirmed(name))
-        return len(there) >= len(self.members) // 2 + 1 + min(spare, unconfirmed)
+        present = {name for name in names if name in self.members}
+        max_margin = min(self.options.max_stale_disks, (len(self.members) - 1) // 2)
+        unconfirmed = sum(1 for name in present if self._is_unconfirmed(name))
+        return len(present) >= len(self.members) // 2 + 1 + min(max_margin, unconfirmed)
 
     def _is_unconfirmed(self, name: str) -> bool:
         if name == self.local_id:
             return self.unconfirmed
         if self.role is Role.LEADER:
-            known = self.progress.get(name)
-            return known is not None and known.unconfirmed
+            progress = self.progress.get(name)
+            return progress is not None and progress.unconfirmed
         return name in self.votes and self.votes[name][2]
--- a/tealwing/replica/raft/records.py
+++ b/tealwing/replica/raft/records.py
@@ -33,19 +33,17 @@
 
     heartbeat_interval: float = 0.1  # s between rounds of an idle leader
     learner_heartbeat_interval: float = 0.5  # s between heartbeats to an idle learner: see Replication
-    learner_message_rate: float = (
-        4000.0  # maximum update messages to learners per s, `broadcast_commit` excepted: see Replication
-    )
-    election_timeout: float = 0.6  # minimum s without a leader before an election; randomized up to twice that
+    # maximum update messages to learners per s, except those of `broadcast_commit`: see Replication
+    learner_message_rate: float = 4000.0
+    election_timeout: float = 0.6  # minimum s without a leader before an election; randomized up to twice as long
     resend_timeout: float = 0.5  # s without a reply after which messages in flight count as lost
     max_batch_bytes: int = 64 * 1024  # maximum bytes of entries in one message, which has at least one entry
     max_batch_entries: int = 256  # maximum entries in one message
     max_inflight: int = 8  # maximum messages in flight to one follower
-    max_uncommitted: int = 4096  # uncommitted entries at which proposals are refused
+    max_uncommitted: int = 4096  # uncommitted entries at which proposals are rejected
     max_snapshot_transfers: int = 2  # concurrent snapshot transfers, to bound the load when many members return
-    uncommitted_to_learners: bool = (
-        False  # send uncommitted entries to learners: for the model check, which then covers more states
-    )
+    # send uncommitted entries to learners: for the model check, which then covers more states
+    uncommitted_to_learners: bool = False
     max_stale_disks: int = 0  # maximum members with a stale disk at one time
     pre_vote: bool = True
     check_quorum: bool = True
@@ -55,7 +53,7 @@
     """This member is not the leader; `leader` is the presumed leader, empty if unknown."""
 
     def __init__(self, leader: str) -> None:
-        super().__init__(f"not the leader; {leader or 'nobody'} may be")
+        super().__init__(f"this member is not the leader; last known leader: {leader or 'none'}")
         self.leader = leader
 
 
@@ -78,16 +76,16 @@
 class Progress:
     """Replication progress of one follower, as known to the leader."""
 
-    next: int
-    match: int = 0
+    next: int  # index of the next entry to send
+    match: int = 0  # highest index known to be replicated
     mode: Mode = Mode.PROBE
     inflight: deque[int] = field(default_factory=deque)  # last index of each message in flight
-    unanswered_since: float = 0.0  # time since when a reply is awaited, 0 if none is
-    last_contact: float = 0.0
+    unanswered_since: float = 0.0  # time since which a reply is awaited, 0 if none is
+    last_contact: float = 0.0  # time of the last reply, or of the start of replication to it
     acked_round: int = 0  # highest round acknowledged
     incarnation: int = 0  # last reported incarnation
-    unconfirmed: bool = False
-    incarnation_round: int = 0  # our round when this incarnation was first seen
+    unconfirmed: bool = False  # whether that incarnation is not yet confirmed
+    incarnation_round: int = 0  # the leader's round when this incarnation was first seen
     snapshot_offset: int = 0  # bytes of the snapshot already received
     next_heartbeat: float = 0.0  # time of the next heartbeat to a learner
     known_commit: int = 0  # highest commit index sent
--- a/tealwing/replica/raft/replication.py
+++ b/tealwing/replica/raft/replication.py
@@ -9,7 +9,7 @@
 
 
 class Replication(Follower):
-    """Message sending of a leader.
+    """The sending of entries, heartbeats and snapshots by a leader.
 
     Voters get entries at once. As there may be many learners, an idle leader sends them few messages: each has its own
     heartbeats, `learner_heartbeat_interval` apart and spread evenly, so that of n learners n * heartbeat_interval /
@@ -56,8 +56,9 @@
         return True
 
     def _is_unreachable_learner(self, now: float, name: str, progress: Progress) -> bool:
-        silent = max(self.options.election_timeout, 2 * self.options.learner_heartbeat_interval)
-        return now - progress.last_contact >= silent and name not in self.members
+        """Return whether a member is a learner that has been silent for too long to get entries."""
+        silence_limit = max(self.options.election_timeout, 2 * self.options.learner_heartbeat_interval)
+        return now - progress.last_contact >= silence_limit and name not in self.members
 
     def _replicate(self, now: float) -> None:
         for name, progress in self.progress.items():
@@ -97,7 +98,9 @@
         prev = progress.next - 1
         term = self.term_at(prev)
         if term is None:
-            log.check_invariant(False, "what a follower needs is in the log, or in the snapshot")
+            log.check_invariant(
+                False, "the entry before a follower's next index is in the log or is the last of the snapshot"
+            )
             return
         self._send(name, AppendEntries(self.term, prev, term, tuple(entries), self.commit, self.round))
         progress.known_commit = max(progress.known_commit, min(self.commit, prev + len(entries)))
@@ -110,17 +113,18 @@
         self._send(name, AppendEntries(self.term, self.last_index, self.last_term, (), self.commit, self.round))
 
     def _next_batch(self, first: int, last: int) -> list[Entry]:
-        found: list[Entry] = []
+        """Return the entries of one message, from `first` on and up to `last` at most."""
+        batch: list[Entry] = []
         size = 0
         for entry in self.entries(first, min(last, first + self.options.max_batch_entries - 1)):
-            if found and size + len(entry.data) > self.options.max_batch_bytes:
+            if batch and size + len(entry.data) > self.options.max_batch_bytes:
                 break
-            found.append(entry)
+            batch.append(entry)
             size += len(entry.data)
-        return found
+        return batch
 
     def _send_snapshot_chunk(self, now: float, name: str, progress: Progress, heartbeat: bool) -> None:
-        """Send one snapshot chunk at a time, again after a timeout; the shell fills in the data."""
+        """Send the next snapshot chunk, one at a time and again after a timeout; the shell fills in the data."""
         transfers = sum(1 for other in self.progress.values() if other.mode is Mode.SNAPSHOT and other.inflight)
         if progress.mode is not Mode.SNAPSHOT:
             progress.mode, progress.snapshot_offset = Mode.SNAPSHOT, 0
@@ -138,8 +142,8 @@
         )
 
     def _restart_probing(self, progress: Progress) -> None:
-        """Treat messages in flight as lost, and probe for the match index again."""
+        """Treat the messages in flight to a follower as lost, and probe for its match index again."""
         progress.inflight.clear()
         progress.unanswered_since = 0.0
-        if progress.mode is Mode.REPLICATE:  # in other modes `next` is still a guess, which is kept
+        if progress.mode is Mode.REPLICATE:  # in other modes `next` is an estimate already, which is kept
             progress.mode, progress.next = Mode.PROBE, progress.match + 1
--- a/tealwing/replica/raft/state.py
+++ b/tealwing/replica/raft/state.py
@@ -13,7 +13,7 @@
 class RaftState:
     """Persistent and volatile state of a member, with the operations on its log."""
 
-    def __init__(  # noqa: PLR0913 - all that a disk may have, each by its name
+    def __init__(  # noqa: PLR0913 - one parameter for each recovered value
         self,
         local_id: str,
         members: tuple[str, ...],
@@ -45,29 +45,28 @@
         self.members, self.learners = self.members_at(self.last_index)  # voters and learners
         self.applied = snapshot.index
         self.commit = max(snapshot.index, min(commit, self.last_index))
-        self.unconfirmed = options.max_stale_disks > 0 and self.members != (
-            local_id,
-        )  # learners too: they may have voted, or become voters
+        # learners start unconfirmed too: they may have voted before, or may become voters
+        self.unconfirmed = options.max_stale_disks > 0 and self.members != (local_id,)
         self.role, self.leader = Role.FOLLOWER, ""
         self.last_leader_contact = now - 2 * options.election_timeout  # time of the last message from the leader
         self.election_deadline = 0.0
         self.votes: dict[str, tuple[bool, int, bool]] = {}  # granted, incarnation and unconfirmed, by member
-        # voters that confirmed their vote for us; empty before confirmation is requested
+        # voters that confirmed their votes for this member; empty before confirmation is requested
         self.vote_confirmations: set[str] = set()
-        self.voter_incarnations: dict[str, int] = {}  # incarnations that elected us
+        self.voter_incarnations: dict[str, int] = {}  # incarnations of the voters that elected this member
         self.progress: dict[str, Progress] = {}
         self.round = 0
         self.last_round_at = 0.0  # start time of the last round
         self.learner_commit = 0  # commit index last announced to learners
-        self.next_learner_round = 0.0  # earliest time of the next announcement
-        self.term_start_index = 0  # index of the first entry of our term as leader
+        self.next_learner_round = 0.0  # earliest time of the next announcement to learners
+        self.term_start_index = 0  # index of the first entry of this member's term as leader
         self.stable = self.last_index  # index of the last durable entry
         self._hard_state_changed = False  # term or vote not yet written to disk
         self._outgoing: list[tuple[str, Message]] = []
         self._pending_chunk: InstallSnapshot | None = None
         self._incoming_snapshot = incoming_snapshot
-        self._reads: list[tuple[int, int]] = []  # read number and the round it needs; 0 if not begun
-        self._done_reads: list[tuple[int, int]] = []
+        self._reads: list[tuple[int, int]] = []  # read number and the round that confirms it; 0 if not started
+        self._done_reads: list[tuple[int, int]] = []  # read number and read index
         self._failed_reads: list[int] = []
         self._reset_election_deadline(now)
 
@@ -107,6 +106,7 @@
         self.members, self.learners = self.members_at(self.last_index)
 
     def _members_index(self) -> int:
+        """Return the index of the latest configuration: its entry, or the snapshot."""
         for entry in reversed(self.log):
             if entry.kind is Kind.MEMBERS:
                 return entry.index
@@ -121,7 +121,7 @@
 
     def _truncate(self, index: int) -> None:
         """Remove the entries from an index on, which must be uncommitted."""
-        log.check_invariant(index > self.commit, "what is committed is never cut")
+        log.check_invariant(index > self.commit, "committed entries are never truncated")
         del self.log[index - self.log_base[0] - 1 :]
         self.stable = min(self.stable, index - 1)
         self._refresh_members()
@@ -129,7 +129,7 @@
     def compact(self, meta: SnapshotMeta, retained_entries: int = 0) -> None:
         """Discard the log up to a local snapshot that is durable, except its last `retained_entries` entries.
 
-        With these a follower that is slightly behind needs no snapshot.
+        With the retained entries a follower that is slightly behind needs no snapshot.
         """
         if meta.index <= self.snapshot.index:
             return
--- a/tests/test_learners.py
+++ b/tests/test_learners.py
@@ -84,7 +84,7 @@
         (ABC, ("d", "e")), (ABC, ()), (("a", "b", "c", "d", "e"), ()), (("a", "b", "c", "d"), ("d", "e")),
         (("a", "b"), ("d", "e")), (("a", "b", "c", "x"), ("d", "e")), (("a", "b", "d"), ("c", "e")), ((), ("d", "e")),
     ):  # fmt: skip
-        with pytest.raises(ValueError, match=r"one change at a time|named once"):
+        with pytest.raises(ValueError, match=r"one change at a time|name each member once"):
             leader.change_members(fleet.now, voters, learners)
     fleet.isolate("d")
     fleet.propose(leader, b"missed")
@@ -95,7 +95,7 @@
     fleet.run(1.5)
     fleet.isolate("d")
     fleet.run(0.7)
-    with pytest.raises(BusyError, match=r"d was not heard for 0\.\d s"):
+    with pytest.raises(BusyError, match=r"no reply from d for 0\.\d s"):
         leader.change_members(fleet.now, (*ABC, "d"), ("e",))
     fleet.cut = set()
     fleet.run(1.0)
@@ -129,12 +129,12 @@
     fleet.settle(leader.local_id)
     fleet.pass_on()  # it has all now, and no voter has confirmed since that we lead
     assert leader.progress["d"].match == leader.commit and fleet.members["d"].unconfirmed
-    with pytest.raises(BusyError, match=r"d has started anew"):
+    with pytest.raises(BusyError, match=r"d has restarted"):
         leader.change_members(fleet.now, (*ABC, "d"), ())
     fleet.cut = set()
     fleet.run(1.5)
     assert not fleet.members["d"].unconfirmed
-    with pytest.raises(ValueError, match="3 voters left"):  # of two none could have forgotten
+    with pytest.raises(ValueError, match="at least 3 voters"):  # of two none could have forgotten
         leader.change_members(fleet.now, ("a", "b"), ("c", "d"))
     fleet.change(leader, (*ABC, "d"), ())
     fleet.members["d"] = Raft("d", ABC, fleet.now, 9, 3, fleet.options, leader.term)  # it forgot that it votes
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -345,7 +345,7 @@
     leader = fleet.leader()
     fleet.propose(leader, b"before")
     fleet.add("d")
-    with pytest.raises(ValueError, match="one member more or one fewer"):
+    with pytest.raises(ValueError, match="voters a, d: add or remove one voter at a time"):
         leader.change_members(fleet.now, ("a", "b"[:0] or "d"))
     leader.change_members(fleet.now, ("a", "b", "c", "d"))
     with pytest.raises(BusyError):
