--- a/tealwing/replica/forwarding/__init__.py
+++ b/tealwing/replica/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forwarding of proposals and reads from other threads and members to the leader, and the pending replies.
+"""Forwarding of proposals and reads from other threads and members to the leader, and the calls pending there.
 
-Read protocol, pending and reads, then batching and client.
+Read in this order: protocol, pending, reads, batching, client.
 """
--- a/tealwing/replica/forwarding/batching.py
+++ b/tealwing/replica/forwarding/batching.py
@@ -9,34 +9,35 @@
 from tealwing.replica import commands as c
 from tealwing.rules.records import Closed, Reports, Verdict
 
-MAX_BATCH_REPORTS = 256  # reports in one entry
-MAX_BATCH_BYTES = 48 * 1024  # size of the commands in one entry: several entries fit into one message
+MAX_BATCH_REPORTS = 256  # maximum reports in one entry
+MAX_BATCH_BYTES = 48 * 1024  # maximum bytes of commands in one entry: several entries fit into one message
 
 
 def batched(commands: list[bytes]) -> list[bytes]:
-    """Return the commands with their reports merged into as few entries as possible; no caller may wait for them.
+    """Return the commands with their reports merged into as few entries as possible.
 
-    A report may move before an earlier command, as on the network; the result does not depend on their order.
+    No caller may be waiting for any of these commands. A report may move to another place among them, as it may on the
+    network; the resulting state does not depend on the order.
     """
-    found: list[bytes] = []
+    merged: list[bytes] = []
     reports: list[Verdict | Closed] = []
     size = 0
     for data in commands:
         report = _report_of(data) if len(commands) > 1 else None
         if report is None:
-            found.append(data)
+            merged.append(data)
             continue
         if len(reports) >= MAX_BATCH_REPORTS or size + len(data) > MAX_BATCH_BYTES:
-            found.append(_encoded_batch(reports))
+            merged.append(_encoded_batch(reports))
             reports, size = [], 0
         if report not in reports[-8:]:
             reports.append(report)
             size += len(data)
-    return [*found, _encoded_batch(reports)] if reports else found
+    return [*merged, _encoded_batch(reports)] if reports else merged
 
 
 def _report_of(data: bytes) -> Verdict | Closed | None:
-    """Return the report in a command, or None for another command or one with a client, sequence or fence."""
+    """Return the report in a command; None if it holds no report, or has a client, sequence or fence."""
     try:
         command = c.decode(data)
     except ValueError:
--- a/tealwing/replica/forwarding/pending.py
+++ b/tealwing/replica/forwarding/pending.py
@@ -1,4 +1,7 @@
-"""Pending calls at a member: proposals until they are applied, and reads until an index is; not thread-safe."""
+"""Pending calls at a member: proposals until their entries are applied, and reads until an index is applied.
+
+Not thread-safe.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +11,10 @@
 
 
 class PendingProposals:
-    """Pending calls of one member; confined to its thread."""
+    """Pending proposals and reads of one member; confined to its thread."""
 
     def __init__(self) -> None:
-        self._proposed: dict[int, Pending] = {}  # by index
+        self._proposed: dict[int, Pending] = {}  # by index of the entry
         self._at_index: list[tuple[int, Pending]] = []  # reads that wait for an applied index
 
     def __len__(self) -> int:
@@ -28,7 +31,7 @@
         """Complete the proposal of an applied entry."""
         pending = self._proposed.pop(entry.index, None)
         if pending is not None:
-            # another term: the proposed entry was overwritten, so its outcome is not known here
+            # another term: the proposed entry was overwritten, so its outcome is unknown at this member
             pending.set(
                 (result or CommandResult(True, entry.index), entry.index) if pending.term == entry.term else None
             )
@@ -38,7 +41,7 @@
         self._at_index.append((index, pending))
 
     def index_reached(self, applied: int) -> None:
-        """Complete the reads that wait for an index up to the applied one."""
+        """Complete the reads that wait for an index up to the applied index."""
         waiting, self._at_index = self._at_index, []
         for index, pending in waiting:
             if applied >= index:
@@ -47,7 +50,7 @@
                 self._at_index.append((index, pending))
 
     def fail_all(self) -> None:
-        """Fail all pending proposals, as the member stops or is out of order."""
+        """Fail all pending proposals, as the member stops or goes out of service."""
         for pending in self._proposed.values():
             pending.set(None)
         self._proposed.clear()
--- a/tealwing/replica/forwarding/protocol.py
+++ b/tealwing/replica/forwarding/protocol.py
@@ -1,4 +1,4 @@
-"""Pending calls, the messages between follower and leader, and the errors of both."""
+"""Forwarding protocol: messages between a member and the leader, pending calls, and the errors for callers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tealwing.replica.commands import CommandResult
 from tealwing.replica.errors import ReplicaError
 
-MAX_PENDING = 1024  # limit of pending proposals and reads
+MAX_PENDING = 1024  # maximum pending proposals and reads of one member
 
 
 class OutcomeUnknownError(ReplicaError):
@@ -20,11 +20,11 @@
 
 
 class UnavailableError(ReplicaError):
-    """The command was not applied: no leader was reached, or this member is out of order."""
+    """The command was not applied: no leader could be reached, or this member is out of service."""
 
 
 class Pending:
-    """A pending call: an event and its outcome."""
+    """A pending call: an event that is set on completion, and the outcome."""
 
     __slots__ = ("done", "outcome", "term")
 
@@ -34,22 +34,22 @@
         self.term = 0
 
     def set(self, outcome: Any) -> None:
-        """Set the outcome and wake the caller."""
+        """Set the outcome of the call and wake the caller."""
         self.outcome = outcome
         self.done.set()
 
 
 class ForwardRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Request to the leader: a command or members to propose, or else a request for the read index."""
+    """Request to the leader: propose a command or a membership change, or return the read index if neither is given."""
 
     number: int
     command: bytes
-    voters: list[str] | None = None  # None: no membership change
+    voters: list[str] | None = None  # after a membership change; None: no change
     learners: list[str] | None = None  # None: unchanged
 
 
 class ForwardReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Reply of the leader: a status, and a result or an index."""
+    """Reply of the leader: a status, and the result and index if it is ok."""
 
     number: int
     status: str  # ok, not-leader, busy, lost, refused
@@ -64,15 +64,15 @@
 
 
 def decode(body: bytes) -> ForwardRequest | ForwardReply:
-    """Return a decoded request or reply. Raises ValueError if the body is neither."""
+    """Return the decoded request or reply. Raises ValueError if the body is neither."""
     try:
         return _decoder.decode(body)
     except msgspec.DecodeError as error:
-        raise ValueError(str(error)) from None
+        raise ValueError(f"not a valid request to the leader or reply of it: {error}") from None
 
 
 class CallbackPending(Pending):
-    """A pending call that passes its outcome to a callback."""
+    """A pending call that passes its outcome to a callback as a ForwardReply."""
 
     __slots__ = ("number", "reply")
 
@@ -81,7 +81,7 @@
         self.number, self.reply = number, reply
 
     def set(self, outcome: tuple[CommandResult, int] | None) -> None:
-        """Send the reply; None means that another entry took the index in the log."""
+        """Pass the reply to the callback; an outcome of None means that the outcome is not known at this member."""
         if outcome is None:
             self.reply(ForwardReply(self.number, "lost", b"", 0))
         else:
--- a/tealwing/replica/forwarding/reads.py
+++ b/tealwing/replica/forwarding/reads.py
@@ -13,25 +13,25 @@
 from tealwing.replica.forwarding.protocol import CallbackPending, ForwardReply
 from tealwing.replica.raft import NotLeaderError, Raft, Role
 
-MIN_ROUND_INTERVAL = 0.01  # s between two rounds: the most that a read waits for one to start, and only under load
+MIN_ROUND_INTERVAL = 0.01  # s between two rounds: the maximum wait of a read for its round, and only under load
 
 
 class ReadBatcher:
-    """Pending reads of one member; confined to its thread."""
+    """Pending read index requests of one member; confined to its thread."""
 
     def __init__(self, core: Raft) -> None:
         self._core = core
         self._numbers = itertools.count(1)
-        self._waiting: list[CallbackPending] = []  # their round is not started yet
-        self._begun: dict[int, list[CallbackPending]] = {}  # by the number of the round at the core
-        self._last = float("-inf")  # start of the last round
+        self._waiting: list[CallbackPending] = []  # reads whose round is not started yet
+        self._begun: dict[int, list[CallbackPending]] = {}  # reads of each started round, by its number at the core
+        self._last = float("-inf")  # start time of the last round
         self.requested = self.rounds = 0
 
     def __len__(self) -> int:
         return len(self._waiting) + sum(map(len, self._begun.values()))
 
     def add(self, pending: CallbackPending) -> None:
-        """Queue a read for the next round. Raises raft.NotLeaderError if this member does not lead."""
+        """Queue a read for the next round. Raises raft.NotLeaderError if this member is not the leader."""
         if self._core.role is not Role.LEADER:
             raise NotLeaderError(self._core.leader)
         self.requested += 1
@@ -43,7 +43,7 @@
 
     def begin(self, now: float) -> None:
         """Start one round for all waiting reads, if it is due."""
-        # a clock that was stepped back must not delay reads
+        # a backward step of the clock must not delay reads
         if not self._waiting or self._last <= now < self._last + MIN_ROUND_INTERVAL:
             return
         number, batch = next(self._numbers), self._waiting
@@ -64,12 +64,12 @@
             pending.set((CommandResult(True, index), index))
 
     def failed(self, number: int) -> None:
-        """Fail the reads of a round, as leadership was lost; the callers may retry."""
+        """Fail the reads of a round, because leadership was lost; the callers may retry."""
         for pending in self._begun.pop(number):
             pending.set(None)
 
     def fail_all(self) -> None:
-        """Fail all reads, as the member stops or is out of order."""
+        """Fail all reads, as the member stops or goes out of service."""
         for pending in [*self._waiting, *itertools.chain(*self._begun.values())]:
             pending.set(None)
         self._waiting.clear()
--- a/tealwing/replica/membership/__init__.py
+++ b/tealwing/replica/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership changes: voter_plan decides on the next one, promotion proposes it, changes passes it to the core."""
+"""Membership changes: voter_plan chooses the next one, promotion proposes it, changes passes it to the Raft core."""
--- a/tealwing/replica/membership/promotion.py
+++ b/tealwing/replica/membership/promotion.py
@@ -46,13 +46,13 @@
 
 
 class Promotion:
-    """Proposer of the planned membership changes while this member leads; confined to its thread."""
+    """Proposes the planned membership changes while this member leads; confined to its thread."""
 
     def __init__(self, replica: Replica, next_change: NextChange, silence_limit: float, desired_voters: int) -> None:
         """Register for leader ticks.
 
-        silence_limit is the silence in s after which a voter counts as lost; desired_voters is the wanted number of
-        voters.
+        `silence_limit` is the silence in s after which a voter counts as lost, `desired_voters` the number of voters to
+        restore.
         """
         self._replica, self._next_change, self._silence_limit, self._desired_voters = (
             replica,
@@ -61,13 +61,13 @@
             desired_voters,
         )
         self._checked_at = float("-inf")
-        self._under_way = False
-        self._logged: ProposedChange | None = None  # last change logged: a rejected one is proposed repeatedly
+        self._in_progress = False
+        self._logged: ProposedChange | None = None  # last change logged, as a rejected change is proposed repeatedly
         replica.on_leader_tick(self.check)
 
     def check(self, now: float) -> None:
-        """Propose the next change, if there is one and none is in progress."""
-        if self._under_way or self._checked_at <= now < self._checked_at + CHECK_INTERVAL:
+        """Propose the next membership change, if there is one and no other is in progress."""
+        if self._in_progress or self._checked_at <= now < self._checked_at + CHECK_INTERVAL:
             return
         self._checked_at = now
         core = self._replica.core
@@ -90,11 +90,11 @@
                 "replica_replaces", voters=change.voters, learners=change.learners, why=change.reason,
                 **self._replica.group.log_fields,
             )  # fmt: skip
-        self._under_way = True
+        self._in_progress = True
         self._replica.change_members_if_leader(list(change.voters), list(change.learners), self._on_reply)
 
     def _on_reply(self, reply: ForwardReply) -> None:
-        self._under_way = False
+        self._in_progress = False
         if reply.status == "ok":
             self._logged = None
         if reply.status != "busy":  # busy: the next check proposes it again
--- a/tealwing/replica/membership/voter_plan.py
+++ b/tealwing/replica/membership/voter_plan.py
@@ -39,30 +39,30 @@
     silence_limit: float,
     desired_voters: int,
 ) -> MembershipChange | None:
-    """Return the next change, or None; deterministic, whatever the order within the collections.
+    """Return the next membership change, or None; independent of the order within the collections.
 
-    last_contact has the time in s of the last message of each member, the leader included; a member that is missing was
-    never heard. ready has the learners that may be promoted (`Raft.promotion_blocked_by` is empty). silence_limit is
-    the silence in s after which a voter counts as lost. desired_voters is the wanted number of voters: a lost voter is
-    demoted only while there are more, that is after a learner was promoted in its place.
+    `last_contact` has the time in s of the last message of each member, the leader included; a member that is missing
+    has sent none. `ready` has the learners that may be promoted (`Raft.promotion_blocked_by` is empty). `silence_limit`
+    is the silence in s after which a voter counts as lost. `desired_voters` is the number of voters to restore: a lost
+    voter is demoted only while there are more, that is after a learner was promoted in its place.
     """
     live = {name for name in {*voters, *learners} if name in last_contact and now - last_contact[name] < silence_limit}
     lost = sorted(set(voters) - live)
     if len(set(voters) & live) < len(set(voters)) // 2 + 1:
-        return None  # nothing can be committed: a minority must not decide that the others are lost
+        return None  # nothing can be committed; a minority must not decide that the majority is lost
     if lost and len(set(voters)) > desired_voters:
         lost_voter = lost[0]
         rest = tuple(sorted(set(voters) - {lost_voter}))
-        why = f"{lost_voter} was not heard for {silence_limit:g} s, and another votes in its place"
+        why = f"no message from {lost_voter} for {silence_limit:g} s, and a learner was promoted in its place"
         return MembershipChange(rest, tuple(sorted({*learners, lost_voter})), why)
     if lost or len(set(voters)) < desired_voters:
         candidates = sorted(name for name in set(learners) & live if name in ready)
         if candidates:
             promoted = candidates[0]
             why = (
-                f"{promoted} votes in the place of {lost[0]}"
+                f"{promoted} is promoted in place of {lost[0]}"
                 if lost
-                else f"{promoted} votes: {desired_voters} voters are wanted"
+                else f"{promoted} is promoted to restore {desired_voters} voters"
             )
             return MembershipChange(tuple(sorted({*voters, promoted})), tuple(sorted(set(learners) - {promoted})), why)
     return None
