--- a/tealwing/replica/raft/membership.py
+++ b/tealwing/replica/raft/membership.py
@@ -90,8 +90,8 @@
             moved = set(learners) ^ set(self.learners)
             if len(moved) != 1 or changed not in (set(), moved) or not voters:
                 raise ValueError(
-                    f"voters {', '.join(voters) or 'none'}; learners {', '.join(learners) or 'none'}: make one change at"
-                    " a time (add or remove a learner, promote a learner, or demote a voter), and keep at least one"
+                    f"voters {', '.join(voters) or 'none'}; learners {', '.join(learners) or 'none'}: make one change"
+                    " at a time (add or remove a learner, promote a learner, or demote a voter), and keep at least one"
                     " voter"
                 )
             # with fewer voters, quorums cannot tolerate that many stale disks
--- a/tealwing/replica/service/__init__.py
+++ b/tealwing/replica/service/__init__.py
@@ -1,4 +1,4 @@
 """Runtime of a Raft member: its thread, the I/O that the core requests, and the API for operators and gateways.
 
-Read bootstrap, snapshots, recovery and listeners, then member, status and node, then control and state_feed.
+Read in this order: bootstrap, snapshots, recovery, listeners, member, status, node, control, state_feed.
 """
--- a/tealwing/replica/service/bootstrap.py
+++ b/tealwing/replica/service/bootstrap.py
@@ -23,18 +23,20 @@
     return state
 
 
-def make_core(plan: ReplicaPlan, peers: PeersPlan, group: Group, found: StoredState, now: float, start: int) -> Raft:
+def make_core(
+    plan: ReplicaPlan, peers: PeersPlan, group: Group, found: StoredState, now: float, incarnation: int
+) -> Raft:
     """Return a Raft core restored from storage.
 
-    start is the incarnation number; no earlier start of this member may have used it.
+    `incarnation` is the incarnation number; no earlier start of this member may have used it.
     """
     voters, learners = group.initial_members(peers)
     return Raft(
         peers.name,
         () if plan.join else voters,
         now,
-        seed=start,
-        incarnation=start,
+        seed=incarnation,
+        incarnation=incarnation,
         options=Options(
             heartbeat_interval=plan.heartbeat_interval,
             election_timeout=plan.election_timeout,
@@ -51,7 +53,7 @@
 
 
 def catch_up(core: Raft, state: State) -> None:
-    """Apply the log up to the stored commit index; committed entries need no leader to be applied."""
+    """Apply the log up to the stored commit index; applying committed entries needs no leader."""
     for entry in core.ready().committed:
         if entry.kind is Kind.DATA:
             state.apply(entry.index, entry.data)
--- a/tealwing/replica/service/control.py
+++ b/tealwing/replica/service/control.py
@@ -1,4 +1,4 @@
-"""Control calls for the replicated state."""
+"""Control calls for the replicated state: status, verification, membership, settings, commands and reads."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from tealwing.replica.storage.store import verify
 from tealwing.rules import records
 
-DEFAULT_TIMEOUT = 5.0  # s that a call waits if it gives no timeout
+DEFAULT_TIMEOUT = 5.0  # s for a call that gives no timeout
 
 
 class ReplicaControl:
-    """Handlers of the control calls for one member."""
+    """Handlers of the control calls for one member of the replicated log."""
 
     def __init__(self, replica: Replica, control: ControlServer, prefix: str = "replica") -> None:
         """Register the handlers.
 
-        prefix is prepended to the names of the calls, so that one process can serve two groups.
+        `prefix` is prepended to the names of the calls, so that one process can serve two groups.
         """
         self._replica = replica
         calls: dict[str, Callable[[Fields], Fields]] = {
@@ -45,7 +45,7 @@
         return {"applied": applied, "digest": digest}
 
     def _verify(self, _: Fields) -> Fields:
-        """Check the files in the storage directory and return the findings."""
+        """Check the files in the storage directory and return the problems found."""
         return {"folder": self._replica.plan.directory, "found": verify(self._replica.storage.directory)}
 
     def _snapshot(self, _: Fields) -> Fields:
@@ -58,22 +58,22 @@
         voters, learners = set(self._replica.core.members), set(self._replica.core.learners)
         if change not in ("add", "learn", "remove"):
             raise CallRejectedError(f"change: {change!r}; allowed: add, learn or remove")
-        where = {"add": voters, "learn": learners, "remove": voters | learners}[change]
-        if (name in where) == (change != "remove"):
+        current = {"add": voters, "learn": learners, "remove": voters | learners}[change]
+        if (name in current) == (change != "remove"):
             raise CallRejectedError(f"name: {name} is {'no member' if change == 'remove' else 'a member already'}")
         if change != "remove" and self._replica.plan_address(name) is None:
             raise CallRejectedError(f"name: {name} has no member line in the section peers here")
-        voting, following = voters - {name}, learners - {name}
-        {"add": voting, "learn": following}.get(change, set()).add(name)
-        # no learners before or after: the request as older builds send it
-        changed_learners = sorted(following) if following or learners else None
+        new_voters, new_learners = voters - {name}, learners - {name}
+        {"add": new_voters, "learn": new_learners}.get(change, set()).add(name)
+        # without learners before and after the change, the request has the form that older builds send
+        changed_learners = sorted(new_learners) if new_learners or learners else None
         outcome = self._outcome(
-            lambda wait: {"index": self._replica.change_members(sorted(voting), wait, changed_learners)}, fields
+            lambda wait: {"index": self._replica.change_members(sorted(new_voters), wait, changed_learners)}, fields
         )
-        return outcome | {"members": sorted(voting), "learners": sorted(following)}
+        return outcome | {"members": sorted(new_voters), "learners": sorted(new_learners)}
 
     def _settings(self, fields: Fields) -> Fields:
-        """Validate and propose the next version of the settings; unavailable until this gateway has caught up."""
+        """Validate and propose the next version of the settings; `unavailable` until this gateway has caught up."""
         text = field(fields, "text", bytes)
         if not self._replica.recovery.may_change:
             return {"word": "unavailable", "why": self._replica.recovery.reason(self._replica.observe())}
@@ -95,14 +95,14 @@
             body = msgspec.msgpack.decode(field(fields, "body", bytes), type=c.Body)
         except msgspec.DecodeError as error:
             raise CallRejectedError(f"body: {error}") from None
-        if isinstance(body, records.Body):  # only the reporting member itself may propose these
-            raise CallRejectedError("body: a command on versions of the rules; allowed: the calls rules.*")
+        if isinstance(body, records.Body):  # only the reporting member itself may propose commands for rules versions
+            raise CallRejectedError("body: a command for rules versions is not accepted here; use the calls rules.*")
         fence = None
         if "token" in fields:
             fence = c.Fence(field(fields, "lease", str), field(fields, "token", int))
         command = c.Command(field(fields, "client", str, ""), field(fields, "sequence", int, 0), body, fence)
         if command.sequence and not command.client:
-            raise CallRejectedError("client: missing, where there is a sequence")
+            raise CallRejectedError(f"client: missing; required with the sequence {command.sequence}")
         return self._outcome(lambda wait: _result_fields(self._replica.write(command, wait)), fields)
 
     def _get(self, fields: Fields) -> Fields:
@@ -124,7 +124,7 @@
         return self._outcome(get, fields)
 
     def _outcome(self, run: Callable[[float], Fields], fields: Fields) -> Fields:
-        """Run a call and return its status: ok, refused (by the state), unavailable (not applied) or unknown."""
+        """Run a call and return its fields with the status: ok, refused (by the state), unavailable or unknown."""
         try:
             return {"word": "ok"} | run(wait_seconds(fields, DEFAULT_TIMEOUT))
         except UnavailableError as error:
--- a/tealwing/replica/service/listeners.py
+++ b/tealwing/replica/service/listeners.py
@@ -11,7 +11,7 @@
 
 
 class Listeners:
-    """Registry of listeners; they are registered before the start, run on the member's thread and must not block."""
+    """Registry of listeners: registered before the member's start, called on its thread, and not allowed to block."""
 
     def __init__(self) -> None:
         self._on_applied: list[AppliedListener] = []
@@ -19,18 +19,18 @@
         self._on_leader_tick: list[Callable[[float], None]] = []
         self._on_state_replaced: list[Callable[[], None]] = []
 
-    def on_applied(self, watch: AppliedListener) -> None:
-        """Register a listener for every applied entry, called on the member's thread; only before the start."""
-        self._on_applied.append(watch)
+    def on_applied(self, listener: AppliedListener) -> None:
+        """Register a listener for every applied entry; only before the member's start."""
+        self._on_applied.append(listener)
 
-    def on_leadership(self, led: LeadershipListener) -> None:
-        """Register a listener for leadership changes, called on the member's thread; only before the start."""
-        self._on_leadership.append(led)
+    def on_leadership(self, listener: LeadershipListener) -> None:
+        """Register a listener for the gain and loss of leadership; only before the member's start."""
+        self._on_leadership.append(listener)
 
-    def on_leader_tick(self, ticked: Callable[[float], None]) -> None:
-        """Register a listener for ticks while this member leads, called on its thread; only before the start."""
-        self._on_leader_tick.append(ticked)
+    def on_leader_tick(self, listener: Callable[[float], None]) -> None:
+        """Register a listener for ticks while this member leads; only before the member's start."""
+        self._on_leader_tick.append(listener)
 
-    def on_state_replaced(self, installed: Callable[[], None]) -> None:
-        """Register a listener for installed snapshots, called on the member's thread; only before the start."""
-        self._on_state_replaced.append(installed)
+    def on_state_replaced(self, listener: Callable[[], None]) -> None:
+        """Register a listener for states replaced by an installed snapshot; only before the member's start."""
+        self._on_state_replaced.append(listener)
--- a/tealwing/replica/service/member.py
+++ b/tealwing/replica/service/member.py
@@ -29,7 +29,7 @@
 from tealwing.replica.storage.disk import Disk
 from tealwing.replica.storage.store import Storage
 
-COMMIT_SAVE_INTERVAL = 0.25  # s between two writes of the commit index when nothing else is written
+COMMIT_SAVE_INTERVAL = 0.25  # s between two writes of the commit index while nothing else is written
 
 
 class Member(Listeners):
@@ -38,13 +38,13 @@
     def __init__(
         self, plan: ReplicaPlan, link: Link, clock: Clock, disk: Disk | None = None, group: Group = SITE
     ) -> None:
-        """Restore the member from storage. Raises storage.StorageError if the files can't be trusted."""
+        """Restore the member from storage. Raises storage.StorageError if its files are damaged or inconsistent."""
         super().__init__()
         self.plan, self._link, self.clock, self.group = plan, link, clock, group
         self.disk = disk or Disk()
         self.storage = Storage(Path(plan.directory), self.disk)
         self.recovery = Recovery(time.monotonic())
-        self.lock = threading.Lock()  # guards the state and the fields that status reads
+        self.lock = threading.Lock()  # guards the state and the fields that the status reads
         self.stored = self.storage.open()
         self.state = bootstrap.read_state(self.storage, self.stored)  # other threads read it under the lock
         self.incarnation = random.SystemRandom().randrange(1, 2**53)
@@ -57,21 +57,21 @@
         self._pending, self._reads = PendingProposals(), ReadBatcher(self.core)
         self.broken = ""
         self._leading = False
-        self._connected: set[str] = set()  # members that the link is connected to for this group
+        self._connected: set[str] = set()  # members that the link connects to for this group
         self.leaders_by_term: dict[int, str] = {}  # leader by term, as observed by this member
         self._commit_saved_at = 0.0  # monotonic time of the last write of the commit index
         self.slowest_save = 0.0  # s, longest write and sync so far
 
     def _reopen(self) -> None:
-        """Rebuild the core from storage after a disk fault, as a start does.
+        """Rebuild the core from storage after a disk fault, as at a start of the process.
 
-        The state is kept: all applied entries were committed, and those that the log delivers again are skipped.
-        Raises OSError or storage.StorageError if the storage is still not usable.
+        The state machine is kept: all applied entries were committed, and entries that the log delivers again are
+        skipped. Raises OSError or storage.StorageError if the storage is still unusable.
         """
         self.stored = self.storage.reopen(allow_loss=self.plan.max_stale_disks > 0)
         incarnation = random.SystemRandom().randrange(1, 2**53)
         core = bootstrap.make_core(self.plan, self._link.plan, self.group, self.stored, self.clock.now(), incarnation)
-        if not self.stored.lost_acknowledged:  # unlike a new process, this one knows what it has acknowledged
+        if not self.stored.lost_acknowledged:  # unlike a new process, this one still knows what it has acknowledged
             core.unconfirmed = self.core.unconfirmed
         self.core = core
         self.snapshots.restart(self.core)
@@ -111,7 +111,7 @@
             return False
         took = time.monotonic() - begun
         self.slowest_save = max(self.slowest_save, took)
-        if took >= self.plan.election_timeout / 2:  # no message is answered meanwhile: an election may follow
+        if took >= self.plan.election_timeout / 2:  # no message is answered during the write, so an election may follow
             log.event("replica_disk_slow", took=round(took, 3), entries=len(ready.entries), **self.group.log_fields)
         return True
 
@@ -119,12 +119,13 @@
         if isinstance(message, InstallSnapshot):  # the core selects the chunk, storage has the bytes
             filled = self.snapshots.fill_chunk(message)
             if filled is None:
-                return  # compacted away: the next heartbeat starts the newer snapshot
+                return  # the snapshot was replaced: the next heartbeat starts the transfer of the newer one
             message = filled
         self._link.send(name, self.group.channel, messages.encode(message))
 
     def _apply(self, entry: messages.Entry) -> None:
-        if entry.index <= self.state.applied:  # after a reopen the state is ahead of the log
+        """Apply a committed entry, and notify the listeners and the caller that proposed it."""
+        if entry.index <= self.state.applied:  # after `_reopen` the state is ahead of the log
             return
         command = result = None
         self.snapshots.bytes += len(entry.data)
@@ -138,8 +139,8 @@
                 command = commands.decode(entry.data)
             except ValueError:
                 command = None
-        for watch in self._on_applied:
-            watch(entry.index, command, result)
+        for listener in self._on_applied:
+            listener(entry.index, command, result)
         self._pending.entry_applied(entry, result)
 
     def _replace_state(self, fresh: State) -> None:
@@ -149,12 +150,12 @@
         with self.lock:
             fresh.rejected_stale = self.state.rejected_stale
             self.state = fresh
-        for notify in self._on_state_replaced:
-            notify()
+        for listener in self._on_state_replaced:
+            listener()
         self._pending.index_reached(fresh.applied)
 
     def _save_commit(self) -> None:
-        """Persist the commit index periodically, so that a restart can apply committed entries without a leader."""
+        """Persist the commit index periodically: a restarted member applies committed entries without a leader."""
         commit, now = min(self.core.commit, self.core.stable), time.monotonic()
         if self.storage.commit >= commit or now - self._commit_saved_at < COMMIT_SAVE_INTERVAL:
             return
@@ -165,17 +166,17 @@
             self.broken = str(error)
 
     def plan_address(self, name: str) -> tuple[str, int] | None:
-        """Return the address of a gateway's link by the section `peers`, or None if it is not listed."""
+        """Return the link address of a gateway by the section `peers`, or None if the gateway is not listed."""
         return self._link.plan.address(name)
 
     def digest(self) -> tuple[int, str]:
         """Return the applied index and the hash of the state."""
         with self.lock:
-            twin = self.state.copy()
-        return twin.applied, twin.digest()
+            state = self.state.copy()
+        return state.applied, state.digest()
 
     def _connect_members(self) -> None:
-        """Connect the link to the current members of the log, as the configuration file may be outdated."""
+        """Connect the link to the members by the log's configuration, as the configuration file may be outdated."""
         core = self.core
         names = {*core.members, *core.learners} if core.local_id in core.members else {*core.members, core.leader}
         if names != self._connected:
@@ -184,21 +185,21 @@
 
     def _set_leading(self, leads: bool) -> None:
         self._leading = leads
-        for led in self._on_leadership:
-            led(leads)
+        for listener in self._on_leadership:
+            listener(leads)
 
     def propose_if_leader(self, data: bytes) -> None:
         """Propose a command if this member leads; the outcome is discarded."""
-        self._queue.put(("ask", ForwardRequest(0, data), lambda told: None))
+        self._queue.put(("ask", ForwardRequest(0, data), lambda reply: None))
 
     def change_members_if_leader(
         self, voters: list[str], learners: list[str], reply: Callable[[ForwardReply], None]
     ) -> None:
-        """Propose a membership change if this member leads; reply is called with the outcome on the member's thread."""
+        """Propose a membership change if this member leads; `reply` gets the outcome, on the member's thread."""
         self._queue.put(("ask", ForwardRequest(0, b"", voters, learners), reply))
 
     def broadcast_commit(self) -> None:
-        """Send the commit index to the followers at once instead of with the next heartbeat, if this member leads."""
+        """Send the commit index to the followers at once, not with the next heartbeat, if this member leads."""
         self._queue.put(("hurry",))
 
     def snapshot(self) -> None:
--- a/tealwing/replica/service/node.py
+++ b/tealwing/replica/service/node.py
@@ -36,23 +36,23 @@
 from tealwing.replica.storage.durability import ReopenBackoff
 from tealwing.replica.storage.records import StorageError
 
-MAX_TICK = 0.05  # s, longest wait for the queue, whatever the deadlines: the clock may be stepped
-MAX_QUEUE_BATCH = 256  # items taken from the queue before one write to disk
-LEADERSHIP_TRANSFER_TIMEOUT = 0.5  # s, of a transfer at the stop
-LEADERSHIP_TRANSFER_POLL = 0.01  # s
+MAX_TICK = 0.05  # s, maximum wait for the queue whatever the deadlines, as the clock may be stepped
+MAX_QUEUE_BATCH = 256  # maximum items taken from the queue before a write to disk
+LEADERSHIP_TRANSFER_TIMEOUT = 0.5  # s for the transfer of leadership when the member stops
+LEADERSHIP_TRANSFER_POLL = 0.01  # s between two checks whether the transfer is done
 
 
 class Replica(Member):
-    """A member of a replicated log with its thread."""
+    """A member of a replicated log, with its thread and the calls for other threads."""
 
     def __init__(
         self, plan: ReplicaPlan, link: Link, clock: Clock, disk: Disk | None = None, group: Group = SITE
     ) -> None:
-        """Restore the member from storage. Raises storage.StorageError if the files can't be trusted."""
+        """Restore the member from storage. Raises storage.StorageError if its files are damaged or inconsistent."""
         super().__init__(plan, link, clock, disk, group)
         self._stopped = threading.Event()
-        self._proposed = False  # whether proposals of this iteration are not sent yet
-        self._forwarded: list[bytes] = []  # commands of this iteration without a waiting caller
+        self._proposed = False  # whether this iteration has proposals that are not sent yet
+        self._forwarded: list[bytes] = []  # commands received in this iteration for which no caller waits
         self._leader_client = LeaderClient(
             link.plan.name, self._queue, lambda name, body: self._link.send(name, group.forward_channel, body),
             lambda: self.core.leader, lambda: self.broken,
@@ -82,7 +82,7 @@
     def write(self, command: Command, timeout: float) -> CommandResult:
         """Propose a command to the leader and return its result once it is applied.
 
-        A command with a sequence is retried for timeout seconds, as the session applies it only once. Raises
+        A command with a sequence is retried for `timeout` seconds, as its session applies it only once. Raises
         OutcomeUnknownError if it may have been applied, UnavailableError if it was not.
         """
         data = commands.encode(command)
@@ -90,7 +90,7 @@
         return commands.decode_result(reply.result)
 
     def change_members(self, voters: list[str], timeout: float, learners: list[str] | None = None) -> int:
-        """Change the members and return the index of the configuration entry; learners None leaves them unchanged.
+        """Change the members and return the index of the configuration entry; `learners` None leaves them unchanged.
 
         Raises OutcomeUnknownError if the change may have been made, UnavailableError if it was not.
         """
@@ -100,7 +100,7 @@
     def read_index(self, timeout: float) -> int:
         """Return the read index, once the local state has applied it (Raft thesis, section 6.4).
 
-        Raises UnavailableError if that fails or takes more than timeout seconds.
+        Raises UnavailableError if that fails or takes more than `timeout` seconds.
         """
         return self._leader_client.read_index(timeout)
 
@@ -119,7 +119,7 @@
     # Called on the link's reader thread
 
     def _on_message(self, name: str, body: bytes) -> None:
-        if self.broken or self._stopped.is_set():  # out of order or stopping: the queue is not read
+        if self.broken or self._stopped.is_set():  # out of service or stopping: the queue is not read
             return
         self._queue.put(("message", name, messages.decode(body)))
 
@@ -129,7 +129,7 @@
             self._leader_client.handle_reply(forwarded)
         elif not self.broken and not self._stopped.is_set():
             channel = self.group.forward_channel
-            self._queue.put(("ask", forwarded, lambda told: self._link.send(name, channel, protocol.encode(told))))
+            self._queue.put(("ask", forwarded, lambda reply: self._link.send(name, channel, protocol.encode(reply))))
 
     # Called on the member's thread
 
@@ -142,8 +142,8 @@
         except commands.NewerEntryError as error:
             self.broken = str(error)
         except Exception:
-            self.broken = f"a fault of ours: {traceback.format_exc(limit=-3)}"
-            log.check_invariant(False, f"the replica goes on: {self.broken}")
+            self.broken = f"internal error: {traceback.format_exc(limit=-3)}"
+            log.check_invariant(False, f"the replica's thread runs without an unexpected error: {self.broken}")
         finally:
             self._withdraw()
             self.storage.close()
@@ -151,7 +151,7 @@
                 log.event("replica_broken", why=self.broken, **self.group.log_fields)
 
     def _withdraw(self) -> None:
-        """Fail pending proposals and read rounds after a disk fault, and report the loss of leadership."""
+        """Fail the pending proposals and reads as the member goes out of service, and report the loss of leadership."""
         self._pending.fail_all()
         self._reads.fail_all()
         self._forwarded, self._proposed = [], False
@@ -173,7 +173,7 @@
                 if str(error) != why:
                     why = str(error)
                     log.event("replica_still_out", why=why, **self.group.log_fields)
-                self.broken = f"{why}; it comes back by itself once its folder can be read and written"
+                self.broken = f"{why}; the member resumes by itself once its directory can be read and written"
                 self._requeue(written)
                 continue
             self._requeue(written)
@@ -184,7 +184,7 @@
             return
 
     def _drop_queue(self) -> list[tuple[Any, ...]]:
-        """Drop the items queued for the discarded core and fail their callers; return those of written snapshots."""
+        """Drop the items queued for the discarded core and fail their callers; return those about written snapshots."""
         written = []
         with contextlib.suppress(Empty):
             while True:
@@ -202,6 +202,7 @@
             self._queue.put(item)
 
     def _run_once(self) -> None:
+        """Run one iteration: process queued items and timers, then persist, send, apply and reply."""
         due = min(self.core.next_deadline(), self._reads.next_round_at())
         wait = min(MAX_TICK, max(0.0, due - self.clock.now()))
         try:
@@ -220,8 +221,8 @@
         if leads != self._leading:
             self._set_leading(leads)
         if leads:
-            for ticked in self._on_leader_tick:
-                ticked(self.clock.now())
+            for listener in self._on_leader_tick:
+                listener(self.clock.now())
         self._update_recovery()
         self._connect_members()
         status.note_leader(self)
@@ -237,7 +238,7 @@
             for data in batching.batched(forwarded):
                 self.core.propose(now, data, defer_send=True)
                 self._proposed = True
-        except (NotLeaderError, BusyError):  # the sender repeats it until the state shows it
+        except (NotLeaderError, BusyError):  # the sender repeats the command until the state shows its effect
             pass
         if self._proposed:
             self._proposed = False
@@ -245,10 +246,10 @@
 
     def _update_recovery(self) -> None:
         before = self.recovery.phase
-        seen = self.observe()
-        if self.recovery.update(time.monotonic(), seen) is not before:
+        view = self.observe()
+        if self.recovery.update(time.monotonic(), view) is not before:
             log.event(
-                "recovery", phase=self.recovery.phase.value, why=self.recovery.reason(seen), **self.group.log_fields
+                "recovery", phase=self.recovery.phase.value, why=self.recovery.reason(view), **self.group.log_fields
             )
 
     def _handle_item(self, item: tuple[Any, ...]) -> None:
--- a/tealwing/replica/service/snapshots.py
+++ b/tealwing/replica/service/snapshots.py
@@ -17,12 +17,10 @@
 from tealwing.replica.state import State
 from tealwing.replica.storage.store import Storage
 
-RETAINED_ENTRIES, RETAINED_BYTES = 2000, 8 << 20  # log kept before a snapshot, for followers that lag slightly
-INTERVAL_JITTER = (
-    0.75,
-    1.25,
-)  # random factor of the interval: members apply the same entries and would write in step
-MAX_LOG_BYTES = 32 << 20  # size at which a snapshot is due, however few the entries: the log is in memory too
+RETAINED_ENTRIES, RETAINED_BYTES = 2000, 8 << 20  # maximum log kept before a snapshot, for slightly lagging followers
+# random factor of the interval: members apply the same entries and would otherwise write snapshots at the same time
+INTERVAL_JITTER = (0.75, 1.25)
+MAX_LOG_BYTES = 32 << 20  # log size at which a snapshot is due, however few the entries, as memory holds the log too
 
 
 class SnapshotManager:
@@ -32,16 +30,16 @@
         self, plan: ReplicaPlan, storage: Storage, core: Raft, queue: SimpleQueue[tuple[Any, ...]],
         replace: Callable[[State], None], group: Group,
     ) -> None:  # fmt: skip
-        """Set up the manager; replace is called with the state of an installed snapshot."""
+        """Set up the manager; `replace` is called with the state of an installed snapshot."""
         self._group = group
         self._plan, self._storage, self._core, self._queue, self._replace = plan, storage, core, queue, replace
-        self._writing = self._requested = False  # a write is in progress; one was requested
+        self._writing = self._requested = False  # whether a write is in progress, and whether one was requested
         self._next_interval = random_interval(plan)  # entries until the next snapshot
-        self.bytes = sum(len(entry.data) for entry in core.log)  # of entries since the last snapshot
-        self.count = 0  # written
+        self.bytes = sum(len(entry.data) for entry in core.log)  # size of the entries since the last snapshot
+        self.count = 0  # snapshots written
 
     def restart(self, core: Raft) -> None:
-        """Use a core that was rebuilt from storage; a snapshot write in progress continues."""
+        """Switch to a core that was rebuilt from storage; a snapshot write in progress continues."""
         self._core = core
         self.bytes = sum(len(entry.data) for entry in core.log)
 
@@ -68,11 +66,11 @@
             self._core.snapshot_rejected()
             log.event("replica_snapshot_refused", index=chunk.index, **self._group.log_fields)
             return False
-        fresh = State()
-        fresh.load(meta.index, self._storage.snapshot_files.body(meta))
+        installed = State()
+        installed.load(meta.index, self._storage.snapshot_files.body(meta))
         self._core.snapshot_installed(meta)
         log.event("replica_snapshot_installed", index=meta.index, size=meta.size, **self._group.log_fields)
-        self._replace(fresh)
+        self._replace(installed)
         return True
 
     def maybe_write(self, state: State) -> None:
@@ -85,13 +83,13 @@
         term = self._core.term_at(index)
         if index <= self._core.snapshot.index or term is None:
             return
-        twin, (voters, learners) = state.copy(), self._core.members_at(index)
+        copied_state, (voters, learners) = state.copy(), self._core.members_at(index)
         self._writing, self.bytes, self._next_interval = True, 0, random_interval(self._plan)
 
         def write() -> None:
             try:
                 meta: SnapshotMeta | None = self._storage.snapshot_files.write(
-                    index, term, voters, twin.dump(), learners
+                    index, term, voters, copied_state.dump(), learners
                 )
             except OSError as error:
                 log.event("replica_snapshot_not_written", index=index, error=str(error), **self._group.log_fields)
@@ -109,13 +107,13 @@
         if meta is None or meta.index <= self._core.snapshot.index:
             return
         self._storage.adopt_snapshot(meta)
-        trail = size = 0
+        retained = size = 0
         for entry in reversed(self._core.entries(meta.index - RETAINED_ENTRIES + 1, meta.index)):
             size += len(entry.data)
             if size > RETAINED_BYTES:
                 break
-            trail += 1
-        self._core.compact(meta, trail)
+            retained += 1
+        self._core.compact(meta, retained)
         self.count += 1
         log.event("replica_snapshot", index=meta.index, size=meta.size, **self._group.log_fields)
 
--- a/tealwing/replica/service/status.py
+++ b/tealwing/replica/service/status.py
@@ -1,4 +1,4 @@
-"""Status of a member for operators, and its view of the fleet."""
+"""Status of a member for operators, its view of the fleet, and the log events of its start and its leaders."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tealwing.replica.service.member import Member
 from tealwing.replica.service.recovery import FleetView
 
-RECENT_TERMS = 64  # terms whose leaders are kept for the status
+RECENT_TERMS = 64  # latest terms whose leaders are kept for the status
 
 
 def status(replica: Member) -> dict[str, Any]:
-    """Return the status for operators."""
+    """Return a member's status for operators."""
     core = replica.core
     role = "out" if replica.broken else core.role.value
     with replica.lock:
@@ -41,19 +41,21 @@
 
 
 def observe(replica: Member, live: list[str]) -> FleetView:
-    """Return the member's view of the fleet, for the recovery phases; live names the reachable peers."""
+    """Return a member's view of the fleet, for the recovery phases; `live` names the reachable peers."""
     core = replica.core
-    heard = 1 + sum(1 for name in live if name in core.members)
+    reachable = 1 + sum(1 for name in live if name in core.members)
     leader = "" if replica.broken else core.leader
-    return FleetView(leader, core.term, core.unconfirmed, core.commit, replica.state.applied, heard, len(core.members))
+    return FleetView(
+        leader, core.term, core.unconfirmed, core.commit, replica.state.applied, reachable, len(core.members)
+    )
 
 
 def note_leader(replica: Member) -> None:
-    """Record and log the leader of the current term, once."""
+    """Record and log the leader of the current term, once per term."""
     core, terms = replica.core, replica.leaders_by_term
     if not core.leader or terms.get(core.term) == core.leader:
         return
-    log.check_invariant(core.term not in terms, "one leader in a term")
+    log.check_invariant(core.term not in terms, "a term has at most one leader")
     terms[core.term] = core.leader
     if len(terms) > RECENT_TERMS:
         del terms[min(terms)]
@@ -61,7 +63,7 @@
 
 
 def log_start(replica: Member) -> None:
-    """Log what was restored from storage, and how far each item of it is trusted."""
+    """Log what was restored from storage, and the degree of trust in each item of it."""
     found, core = replica.stored, replica.core
     log.event(
         "replica_started", term=found.term, snapshot=found.snapshot.index, last=core.last_index,
--- a/tealwing/replica/storage/__init__.py
+++ b/tealwing/replica/storage/__init__.py
@@ -1,4 +1,4 @@
 """Persistent storage of one member: log segments, snapshots and recovery at startup.
 
-Read records, snapshot_files, disk and durability, then store.
+Read in this order: records, snapshot_files, disk, durability, store.
 """
--- a/tealwing/replica/storage/disk.py
+++ b/tealwing/replica/storage/disk.py
@@ -1,6 +1,6 @@
-"""Disk operations of the storage layer, in one class to allow fault injection by the laboratory.
+"""Disk operations of the storage layer, in one class that tests can make fail.
 
-The contents of a file are durable once `sync` has returned, its name once `sync_directory` has.
+The contents of a file are durable once `sync` has returned, and its name once `sync_directory` has returned.
 """
 
 from __future__ import annotations
@@ -16,15 +16,16 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._fault, self._left = "", 0
-        self.failed = 0
+        self._fault, self._left = "", 0  # the injected fault, and how many operations it still affects
+        self.failed = 0  # operations that failed by an injected fault
 
     def inject_fault(self, fault: str, count: int) -> None:
-        """Make the next `count` operations fail with `fsync`, `short` (a partial write) or `full`; `none` stops it."""
+        """Make the next `count` operations fail with `fsync`, `short` (a partial write) or `full`; `none` ends it."""
         with self._lock:
             self._fault, self._left = ("", 0) if fault == "none" else (fault, count)
 
     def _take_fault(self, *faults: str) -> str:
+        """Return the injected fault and count one operation against it, if it is one of `faults`; otherwise ""."""
         with self._lock:
             if not self._left or self._fault not in faults:
                 return ""
@@ -41,9 +42,9 @@
         if fault == "short":
             file.write(data[: len(data) // 2])
             file.flush()
-            raise OSError(5, "Input/output error (a write cut short by the laboratory)")
+            raise OSError(5, "Input/output error (injected fault: partial write)")
         if fault == "full":
-            raise OSError(28, "No space left on device (the laboratory)")
+            raise OSError(28, "No space left on device (injected fault)")
         file.write(data)
         file.flush()
 
@@ -53,7 +54,7 @@
         Raises OSError if the sync fails.
         """
         if self._take_fault("fsync"):
-            raise OSError(5, "Input/output error (an fsync that failed by the laboratory)")
+            raise OSError(5, "Input/output error (injected fault: failed fsync)")
         os.fdatasync(file.fileno())
 
     def rename(self, source: Path, target: Path) -> None:
--- a/tealwing/replica/storage/durability.py
+++ b/tealwing/replica/storage/durability.py
@@ -13,9 +13,9 @@
 
 from tealwing.replica.storage.records import StoredState
 
-MIN_PAUSE = 0.05  # s before the first reopen
-MAX_PAUSE = 5.0  # maximum s between two attempts: each attempt reads the whole directory
-JITTER = (0.5, 1.0)  # range of the random factor: members that share a disk should not retry together
+MIN_PAUSE = 0.05  # s before the first attempt to reopen
+MAX_PAUSE = 5.0  # maximum s between two attempts, as each attempt reads the whole directory
+JITTER = (0.5, 1.0)  # range of the random factor, so that members that share a disk do not retry together
 
 
 @dataclass(frozen=True, slots=True)
--- a/tealwing/replica/storage/records.py
+++ b/tealwing/replica/storage/records.py
@@ -16,21 +16,21 @@
 
 RECORD_MAGIC = b"\xa7TW1"
 RECORD_HEADER = struct.Struct(">4sIQ")  # magic, payload length, xxh3_64 of the payload
-MAX_RECORD_BYTES = 16 << 20  # maximum bytes of a record: an entry holds one command
+MAX_RECORD_BYTES = 16 << 20  # maximum bytes of a record, which holds at most one command
 WRITE_BATCH_BYTES = 1 << 20  # bytes encoded at a time when the whole log is rewritten
 
 
 class StorageError(ReplicaError):
-    """The files on disk are damaged or inconsistent; the message names file and position."""
+    """The files on disk are damaged or inconsistent; the message names the file and the position."""
 
 
 class AcknowledgedDataLostError(StorageError):
-    """The directory lacks acknowledged state; the message names the options of the operator."""
+    """The directory lacks acknowledged state; the message names what the operator can do."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(
-            f"{folder}: it lacks what this member has acknowledged, and `stale` is 0; give it back its folder as it"
-            " was, or remove the member and add it under another name"
+            f"{folder}: votes or entries that this member has acknowledged are missing, and `stale` is 0; restore the"
+            " directory as it was, or remove the member and add it under another name"
         )
 
 
@@ -73,9 +73,9 @@
     snapshot: SnapshotMeta = field(default_factory=SnapshotMeta)
     log: list[Entry] = field(default_factory=list)
     truncated_bytes: int = 0  # bytes of a torn tail that were truncated
-    fresh: bool = True  # the directory had no log and no snapshot
+    fresh: bool = True  # whether the directory had no log and no snapshot
     incoming: tuple[int, int, int] = (0, 0, 0)  # index, term and bytes so far of a partly received snapshot
-    lost_acknowledged: bool = False  # set by `reopen` if acknowledged state is missing
+    lost_acknowledged: bool = False  # whether acknowledged state is missing; set by `reopen`
 
 
 def decode(payload: bytes) -> LogRecord:
@@ -107,8 +107,8 @@
     """Return the payload of the record at offset `at`, or None if there is no valid record."""
     if len(data) - at < RECORD_HEADER.size:
         return None
-    mark, length, digest = RECORD_HEADER.unpack_from(data, at)
-    if mark != RECORD_MAGIC or length > MAX_RECORD_BYTES or len(data) - at - RECORD_HEADER.size < length:
+    magic, length, digest = RECORD_HEADER.unpack_from(data, at)
+    if magic != RECORD_MAGIC or length > MAX_RECORD_BYTES or len(data) - at - RECORD_HEADER.size < length:
         return None
     payload = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + length]
     return payload if xxhash.xxh3_64_intdigest(payload) == digest else None
--- a/tealwing/replica/storage/snapshot_files.py
+++ b/tealwing/replica/storage/snapshot_files.py
@@ -38,7 +38,7 @@
     def newest(self) -> SnapshotMeta:
         """Return the newest snapshot and delete older ones.
 
-        Raises StorageError if the checksum of the newest snapshot does not match.
+        Raises StorageError if the newest snapshot is damaged.
         """
         newest = SnapshotMeta()
         for path in sorted(self.directory.glob("snapshot-*.snap"), reverse=True):
@@ -48,20 +48,20 @@
             elif newest.index:
                 path.unlink()
             else:
-                raise StorageError(f"{path}: a snapshot whose checksum does not match")
+                raise StorageError(f"{path}: the newest snapshot is damaged: its checksum does not match its contents")
         return newest
 
     def incoming(self, newest: SnapshotMeta) -> tuple[int, int, int]:
-        """Return index, term and bytes so far of a partly received snapshot, or zeros; delete outdated ones."""
+        """Return index, term and bytes so far of a partly received snapshot, or zeros if none; delete outdated ones."""
         for path in self.directory.glob("incoming-*.part"):
-            index, term = (int(word) for word in path.stem.removeprefix("incoming-").split("-"))
+            index, term = (int(part) for part in path.stem.removeprefix("incoming-").split("-"))
             if index > newest.index:
                 return index, term, path.stat().st_size
             path.unlink()
         return 0, 0, 0
 
     def delete_incoming(self) -> None:
-        """Delete partly received snapshots: their last chunk may not be durable."""
+        """Delete partly received snapshots, as their last chunk may not be durable."""
         for path in self.directory.glob("incoming-*.part"):
             path.unlink()
 
@@ -75,18 +75,18 @@
         """
         path = self.path(index, term)
         part = path.with_suffix(".tmp")
-        names = (list(members), list(learners)) if learners else (list(members),)  # compatible with older files
-        described = encode((index, term, *names))
-        digest, size = xxhash.xxh3_64(described), 0
+        names = (list(members), list(learners)) if learners else (list(members),)  # without learners as in older files
+        description = encode((index, term, *names))
+        hasher, size = xxhash.xxh3_64(description), 0
         try:
             with part.open("wb") as file:
-                file.write(SNAPSHOT_HEADER.pack(SNAPSHOT_MAGIC, len(described), 0, 0) + described)
+                file.write(SNAPSHOT_HEADER.pack(SNAPSHOT_MAGIC, len(description), 0, 0) + description)
                 for piece in body:
                     self.disk.write(file, piece)
-                    digest.update(piece)
+                    hasher.update(piece)
                     size += len(piece)
                 file.seek(0)
-                self.disk.write(file, SNAPSHOT_HEADER.pack(SNAPSHOT_MAGIC, len(described), size, digest.intdigest()))
+                self.disk.write(file, SNAPSHOT_HEADER.pack(SNAPSHOT_MAGIC, len(description), size, hasher.intdigest()))
                 self.disk.sync(file)
             self.disk.rename(part, path)
             self.disk.sync_directory(self.directory)
@@ -97,11 +97,11 @@
         return SnapshotMeta(index, term, members, path.stat().st_size, learners)
 
     def delete_others(self, meta: SnapshotMeta) -> None:
-        """Delete all snapshots but the given one, ignoring errors."""
+        """Delete all snapshots except the given one, ignoring errors."""
         keep = self.path(meta.index, meta.term)
         for path in self.directory.glob("snapshot-*.snap"):
             if path != keep:
-                with contextlib.suppress(OSError):  # deleted at the next start
+                with contextlib.suppress(OSError):  # it is deleted at the next start
                     path.unlink()
 
     def read_chunk(self, meta: SnapshotMeta, offset: int) -> bytes | None:
@@ -148,20 +148,26 @@
             head = file.read(SNAPSHOT_HEADER.size)
             if len(head) < SNAPSHOT_HEADER.size:
                 return None
-            mark, length, size, digest = SNAPSHOT_HEADER.unpack(head)
-            if mark != SNAPSHOT_MAGIC or length > MAX_RECORD_BYTES:
+            magic, length, size, digest = SNAPSHOT_HEADER.unpack(head)
+            if magic != SNAPSHOT_MAGIC or length > MAX_RECORD_BYTES:
                 return None
-            described = file.read(length)
-            found, got = xxhash.xxh3_64(described), 0
+            encoded = file.read(length)
+            hasher, read = xxhash.xxh3_64(encoded), 0
             while piece := file.read(SNAPSHOT_CHUNK_BYTES):
-                found.update(piece)
-                got += len(piece)
+                hasher.update(piece)
+                read += len(piece)
     except FileNotFoundError:
         return None
-    if got != size or found.intdigest() != digest:
+    if read != size or hasher.intdigest() != digest:
         return None
     try:
-        what = msgspec.msgpack.decode(described, type=SnapshotDescription)
+        description = msgspec.msgpack.decode(encoded, type=SnapshotDescription)
     except msgspec.DecodeError:
         return None
-    return SnapshotMeta(what.index, what.term, tuple(what.members), path.stat().st_size, tuple(what.learners))
+    return SnapshotMeta(
+        description.index,
+        description.term,
+        tuple(description.members),
+        path.stat().st_size,
+        tuple(description.learners),
+    )
--- a/tealwing/replica/storage/store.py
+++ b/tealwing/replica/storage/store.py
@@ -1,13 +1,13 @@
 """Persistent log and snapshots of one member.
 
 The log consists of segment files of records, each with a magic number, its length and a checksum. A record is durable
-before any message that depends on it is sent. Of several records for one index the last is valid, and it truncates all
+before any message that depends on it is sent. Of several records for one index the last is valid, and it removes all
 entries after that index. An incomplete record at the end of the last segment is a torn write and is truncated at
 startup. An invalid record followed by valid ones is damage: startup fails, as truncating there could lose acknowledged
 state.
 
-Snapshots are written to a temporary file, synced, renamed, and their directory synced; the name contains index and
-term. The file begins with a header that has the size and a checksum of all that follows.
+A snapshot is written to a temporary file, which is synced and renamed, and the directory is synced. Its name contains
+index and term. The file begins with a header that has the size and a checksum of everything after it.
 
 After a failed operation nothing more is written until `reopen` has read the directory again: see durability.py.
 """
@@ -43,7 +43,7 @@
 )  # fmt: skip
 from tealwing.replica.storage.snapshot_files import SnapshotFiles, check_snapshot
 
-SEGMENT_BYTES = 8 << 20  # size at which a new segment is started
+SEGMENT_BYTES = 8 << 20  # bytes at which a new segment is started
 
 
 class Storage:
@@ -54,13 +54,13 @@
         self.snapshot_files = SnapshotFiles(self.directory, self.disk)
         self._file: BinaryIO | None = None
         self._segments: dict[Path, int] = {}  # highest index that each segment may contain
-        self._path_written: Path | None = None  # current segment, even if creating it failed
+        self._path_written: Path | None = None  # the current segment, even if its creation failed
         self._size = 0  # bytes of the current segment known to be durable
-        self._number = 0
+        self._number = 0  # number of the newest segment
         self._last = self._last_term = 0  # index and term of the last entry written
         self._hard_state = HardState(0, "")
         self.snapshot = SnapshotMeta()
-        self.broken = ""  # why writes are refused until `reopen`; empty if they are not
+        self.broken = ""  # why writes are rejected until `reopen`; empty if they are accepted
 
     # Recovery
 
@@ -78,7 +78,7 @@
         log, as pages of the old file may be lost even if a later sync of it reports success. With `allow_loss` a
         directory that lacks acknowledged state is accepted, for a core that restarts as unconfirmed.
 
-        Raises OSError or StorageError if recovery failed; it may be retried.
+        Raises OSError or StorageError if the recovery failed; the call may be repeated.
         """
         self.close()
         acknowledged = self.acknowledged
@@ -94,25 +94,25 @@
 
     @property
     def acknowledged(self) -> Acknowledged:
-        """State that may have been acknowledged to others."""
+        """State that this member may have acknowledged to others."""
         return Acknowledged(self._hard_state.term, self._hard_state.vote, self._last, self._last_term)
 
     def _restore_acknowledged(self, acknowledged: Acknowledged) -> None:
-        """Keep the acknowledged state for the next attempt, as the directory had less."""
+        """Keep the acknowledged state for the next `reopen`, as the directory lacks a part of it."""
         self._hard_state = HardState(acknowledged.term, acknowledged.vote, self._hard_state.commit)
         self._last, self._last_term = acknowledged.last_index, acknowledged.last_term
 
     def _replace_log(self, found: StoredState) -> None:
         """Write the hard state and all entries to a new file that replaces the current segment."""
         path = self._path_written or self._next_path()
-        part = path.with_suffix(".tmp")
+        temporary = path.with_suffix(".tmp")
         size = 0
-        with part.open("wb") as file:
+        with temporary.open("wb") as file:
             for data in batches([self._hard_state, *map(EntryRecord, found.log)]):
                 self.disk.write(file, data)
                 size += len(data)
             self.disk.sync(file)
-        self.disk.rename(part, path)
+        self.disk.rename(temporary, path)
         self.disk.sync_directory(self.directory)
         self._file, self._path_written, self._size = path.open("ab"), path, size
         self._segments[path] = self._last
@@ -120,8 +120,8 @@
     def _load(self, unconfirmed_file: Path | None = None) -> StoredState:
         """Return the state in the directory; of `unconfirmed_file` read only the bytes known to be durable."""
         found = StoredState()
-        for part in self.directory.glob("*.tmp"):
-            part.unlink()
+        for temporary in self.directory.glob("*.tmp"):
+            temporary.unlink()
         self._segments = {}
         self.snapshot = found.snapshot = self.snapshot_files.newest()
         entries: dict[int, Entry] = {}
@@ -143,7 +143,7 @@
                     continue
                 entry = record.entry
                 for index in range(entry.index + 1, last + 1):
-                    entries.pop(index, None)  # overwritten by a later leader's entries
+                    entries.pop(index, None)  # overwritten by the entries of a later leader
                 entries[entry.index], last = entry, entry.index
                 highest = max(highest, entry.index)
             self._segments[path] = highest
@@ -154,14 +154,16 @@
             index += 1
         beyond = [i for i in entries if i >= index]
         if beyond:
-            raise StorageError(f"{self.directory}: the log has entry {min(beyond)} and not entry {index}")
+            raise StorageError(
+                f"{self.directory}: the log has entry {min(beyond)}, but entry {index} before it is missing"
+            )
         self._last = index - 1
         self._last_term = found.log[-1].term if found.log else found.snapshot.term
         found.incoming = self.snapshot_files.incoming(self.snapshot)
         return found
 
     def _records(self, path: Path, last: bool, found: StoredState, limit: int | None = None) -> Iterator[LogRecord]:
-        """Yield the records of a file; with a `limit` in bytes read only so many, and truncate no tail.
+        """Yield the records of a segment; with a `limit` read only that many bytes, and truncate no torn tail.
 
         Raises StorageError if a record is damaged and is not a torn tail of the last segment.
         """
@@ -171,7 +173,9 @@
             payload = payload_at(data, at)
             if payload is None:
                 if not last or limit is not None or has_later_record(data, at + 1):
-                    raise StorageError(f"{path}: a damaged record at byte {at}, with good ones after it")
+                    raise StorageError(
+                        f"{path}: a damaged record at byte {at}, which is not a torn write at the log's end"
+                    )
                 found.truncated_bytes = len(data) - at
                 with path.open("r+b") as file:
                     file.truncate(at)
@@ -180,7 +184,7 @@
             try:
                 yield decode(payload)
             except msgspec.DecodeError as error:
-                raise StorageError(f"{path}: a record at byte {at} that is none: {error}") from None
+                raise StorageError(f"{path}: the record at byte {at} can't be decoded: {error}") from None
             at += RECORD_HEADER.size + len(payload)
 
     # The log
@@ -193,9 +197,9 @@
     def save(self, hard: tuple[int, str] | None, entries: Iterable[Entry], commit: int = 0) -> None:
         """Append hard state (term and vote) and entries, durable on return.
 
-        A higher commit index is written with them, or alone if neither is given.
+        A commit index above the stored one is written with them, or alone if neither is given.
 
-        Raises OSError if the write failed, or an earlier one did; what is on disk is then unknown until `reopen`.
+        Raises OSError if this write or an earlier one failed; the contents of the disk are then unknown until `reopen`.
         """
         if self.broken:
             raise OSError(5, self.broken)
@@ -218,14 +222,14 @@
             self._roll()
 
     def _append(self, records: Iterable[LogRecord]) -> None:
-        """Append records, durable on return. Raises OSError if the write failed; the disk's content is then unknown."""
+        """Append records, durable on return. Raises OSError if the write failed; the file is then in an unknown state."""
         data = b"".join(frame(encode(record)) for record in records)
         assert self._file is not None
         try:
             self.disk.write(self._file, data)
             self.disk.sync(self._file)
         except OSError as error:
-            self.broken = f"a write failed, and what the disk has is not known: {error}"
+            self.broken = f"a write failed, and the contents of the disk are unknown: {error}"
             raise
         self._size += len(data)
 
@@ -234,7 +238,7 @@
         return self.directory / f"log-{self._number:012d}.wal"
 
     def _roll(self) -> None:
-        """Start a new segment with the hard state as its first record, as older segments may be deleted."""
+        """Start a new segment with the hard state as its first record, as the older segments may be deleted."""
         self.close()
         path = self._next_path()
         self._path_written, self._size = path, 0
@@ -244,7 +248,7 @@
             self._append([self._hard_state])
             self.disk.sync_directory(self.directory)
         except OSError as error:
-            self.broken = f"a new log file could not be begun: {error}"
+            self.broken = f"a new log segment could not be created: {error}"
             raise
 
     # Snapshots
@@ -261,13 +265,13 @@
 
     def install_snapshot(self, index: int, term: int) -> SnapshotMeta | None:
         """Install a completely received snapshot and return its metadata, or None if it is damaged."""
-        part = self.directory / f"incoming-{index}-{term}.part"
-        meta = check_snapshot(part)
+        received = self.directory / f"incoming-{index}-{term}.part"
+        meta = check_snapshot(received)
         if meta is None or (meta.index, meta.term) != (index, term):
-            part.unlink()
+            received.unlink()
             return None
         self._append([SnapshotInstalled(index, term)])
-        self.disk.rename(part, self.snapshot_files.path(index, term))
+        self.disk.rename(received, self.snapshot_files.path(index, term))
         self.disk.sync_directory(self.directory)
         if index >= self._last:
             self._last, self._last_term = index, term
@@ -282,7 +286,7 @@
 
 
 def verify(directory: Path) -> list[str]:
-    """Return the problems found in a directory, which is not changed; a torn tail is listed, but is not damage."""
+    """Return the problems found in a directory without changing it; a torn tail is listed, but is not damage."""
     problems = []
     for path in sorted(directory.glob("snapshot-*.snap")):
         if check_snapshot(path) is None:
--- a/tests/test_disk_returns.py
+++ b/tests/test_disk_returns.py
@@ -216,7 +216,7 @@
     for name, data in older.items() if what != "all" else ():
         (tmp_path / "replica" / name).write_bytes(data)
     for _ in range(2):  # what was acknowledged is remembered from try to try
-        with pytest.raises(AcknowledgedDataLostError, match="give it back its folder"):
+        with pytest.raises(AcknowledgedDataLostError, match="restore the directory"):
             storage.reopen(allow_loss=False)
     found = storage.reopen(allow_loss=True)
     assert [one.index for one in found.log] == ([] if what == "all" else [1])
@@ -366,13 +366,13 @@
         while not broken.broken:
             assert time.monotonic() < until
             time.sleep(0.02)
-        with pytest.raises(UnavailableError, match="out of order"):
+        with pytest.raises(UnavailableError, match="out of service"):
             broken.read_index(WAIT)
         assert broken.status()["role"] == "out" and led == [False]
         another = next(name for name in members.replicas if name != leader)
         members.until_put("3", another)  # the others go on meanwhile
         until = time.monotonic() + BACK
-        while "comes back by itself" not in broken.broken:
+        while "resumes by itself" not in broken.broken:
             assert time.monotonic() < until, broken.broken
             time.sleep(0.02)
         broken.disk.inject_fault("none", 0)
@@ -422,7 +422,7 @@
         for call in range(20):
             assert Session(listen).query(text % call, 5.0).outcome == "served"
         told = callers["n0"].call("replica.get", key="k", wait_s=0.5)
-        assert told["word"] == "unavailable" and "comes back by itself" in told["why"]
+        assert told["word"] == "unavailable" and "resumes by itself" in told["why"]
         for name in ("n0", "n1"):
             callers[name].call("fault.disk", fault="none", count=0)
         # two of three that count as having forgotten would wait for each other's word, as long as the third leads
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -107,7 +107,7 @@
     back.disk_read(0.2)
     assert back.update(0.3, seen()) is Phase.QUERYING_PEERS and not back.ready and not back.may_change
     assert back.update(0.2 + PEER_QUERY_TIMEOUT, seen()) is Phase.STANDALONE and back.ready and not back.may_change
-    assert "2 of 3 members are heard" in back.reason(seen())
+    assert "2 of 3 members are reachable" in back.reason(seen())
     assert back.update(3.0, seen("b", commit=20)) is Phase.STANDALONE  # what was committed when it was first heard
     assert back.update(3.1, seen("b", commit=30, applied=19)) is Phase.STANDALONE
     assert back.update(3.2, seen("b", commit=30, applied=20, unsure=True)) is Phase.STANDALONE
@@ -193,7 +193,7 @@
         assert listen is not None and admin is not None
         text = b"/* op=lookup,call=00000000000000aa,ttl=3000,org=graan-koop,work=2.0,heap_mb=4 */ SELECT a FROM s_1.t"
         assert Session(listen).query(text, 5.0).outcome == "served"  # whatever readiness says
-        until(lambda: readiness(admin).startswith("ready: no leader is known; 1 of 3 members are heard"))
+        until(lambda: readiness(admin).startswith("ready: no leader is known; 1 of 3 members are reachable"))
         caller = trial.caller("n0")
         told = caller.call("replica.settings", text=b"{}")
         assert told["word"] == "unavailable" and "no leader is known" in told["why"]
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -110,7 +110,7 @@
         storage.save((1, ""), [entry(1)])
         disk.inject_fault(fault, 1)
         for _ in range(2):
-            with pytest.raises(OSError, match=r"laboratory|not known"):
+            with pytest.raises(OSError, match=r"injected fault|are unknown"):
                 storage.save(None, [entry(2)])
         storage.close()
         assert [e.index for e in Storage(folder).open().log][:1] == [1]
@@ -130,7 +130,7 @@
     failing = Storage(tmp_path, disk)
     failing.open()
     disk.inject_fault("full", 1)
-    with pytest.raises(OSError, match="laboratory"):
+    with pytest.raises(OSError, match="injected fault"):
         failing.snapshot_files.write(5, 2, ("a",), [b"x"])
     assert Storage(tmp_path).open().snapshot == meta
     (path,) = tmp_path.glob("*.snap")
