--- a/tealwing/leases/__init__.py
+++ b/tealwing/leases/__init__.py
@@ -1,5 +1,5 @@
-"""Leases for tasks that one gateway does for the fleet; docs/leases.md has the safety argument.
+"""Leases for tasks that one gateway runs for the whole fleet; docs/leases.md has the safety argument.
 
-Read in this order: `bounds` (trust in clocks), `holder` and `expiry` (both ends of a lease, pure), `manager` (threads
-and the replicated state), `service` (control calls), `sweep` (the first such task).
+Read in this order: `tealwing.lease_bounds` (bounds on clock errors), `holder` and `expiry` (the holder's and the
+leader's side, pure), `manager` (threads and the replicated state), `service` (control calls), `sweep` (a task).
 """
--- a/tealwing/leases/expiry.py
+++ b/tealwing/leases/expiry.py
@@ -1,7 +1,7 @@
-"""The leader's side: which leases have expired by its clock; pure.
+"""The leader's side of leases: which have expired by the leader's clock; pure.
 
-The time of a grant counts from when this leader applied it or was elected, whichever is later: so it never ends before
-the holder's own time, which began when the holder sent the request.
+The duration of a grant counts from when this leader applied it or was elected, whichever is later. It therefore never
+ends before the holder's duration, which began when the holder sent the request.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 from tealwing.lease_bounds import DEFAULT_BOUNDS, LeaseBounds
 
-REPROPOSE_INTERVAL = 1.0  # s after which an expiry that was proposed and not applied is proposed again
+REPROPOSE_INTERVAL = 1.0  # s after which a proposed expiry that is not applied yet is proposed again
 
 
 @dataclass(slots=True)
 class WatchedGrant:
-    """One grant: its token, the index of the entry that renewed it last, and when it expires."""
+    """A grant that the leader watches: its token, the index of its last renewal, and when it expires."""
 
     token: int
     renewed: int
@@ -23,7 +23,7 @@
 
 
 class LeaseExpiry:
-    """The current grants, by the entries applied."""
+    """Expiry of the current grants, which are known from the applied entries."""
 
     def __init__(self, bounds: LeaseBounds = DEFAULT_BOUNDS) -> None:
         self._bounds = bounds
@@ -32,7 +32,7 @@
         self._watched: dict[str, WatchedGrant] = {}
 
     def set_leading(self, now: float, leads: bool) -> None:
-        """Record whether this member leads from now on."""
+        """Record whether this member leads from now on; a new leader restarts the duration of each grant."""
         self._leading = leads
         self._watched = {}
         if leads:
@@ -40,34 +40,34 @@
                 self._watched[name] = WatchedGrant(token, renewed, now + self._bounds.expiry_delay(ttl))
 
     def granted(self, now: float, name: str, token: int, renewed: int, ttl: float) -> None:
-        """Record an applied grant or renewal; ttl in s."""
+        """Record an applied grant or renewal; `ttl` is in s."""
         self._grants[name] = token, renewed, ttl
         if self._leading:
             self._watched[name] = WatchedGrant(token, renewed, now + self._bounds.expiry_delay(ttl))
 
     def replace(self, now: float, grants: dict[str, tuple[int, int, float]]) -> None:
-        """Replace all grants by those of a snapshot: token, renewal and TTL by name."""
+        """Replace all grants by those of a snapshot: token, index of the last renewal and TTL in s, by name."""
         self._grants = dict(grants)
         self.set_leading(now, self._leading)
 
     def ended(self, name: str) -> None:
-        """Record an applied release or expiry."""
+        """Record an applied release or expiry of a lease."""
         self._grants.pop(name, None)
         self._watched.pop(name, None)
 
     def clone(self) -> LeaseExpiry:
         """Return an independent copy, for the model checker."""
-        twin = LeaseExpiry(self._bounds)
-        twin._leading, twin._grants = self._leading, dict(self._grants)
-        twin._watched = {name: replace(watched) for name, watched in self._watched.items()}
-        return twin
+        duplicate = LeaseExpiry(self._bounds)
+        duplicate._leading, duplicate._grants = self._leading, dict(self._grants)
+        duplicate._watched = {name: replace(watched) for name, watched in self._watched.items()}
+        return duplicate
 
     def deadlines(self) -> tuple[tuple[str, int, int, float], ...]:
-        """Return the watched grants: name, token, renewal and deadline."""
+        """Return the watched grants: name, token, index of the last renewal, and deadline."""
         return tuple((name, w.token, w.renewed, w.expires_at) for name, w in sorted(self._watched.items()))
 
     def expired(self, now: float) -> list[tuple[str, int, int]]:
-        """Return the expired grants: name, token, and the index of the entry that renewed them last."""
+        """Return the expired grants: name, token and index of the last renewal; the caller proposes their expiry."""
         expired = []
         for name, watched in self._watched.items():
             if now >= watched.expires_at:
--- a/tealwing/leases/manager.py
+++ b/tealwing/leases/manager.py
@@ -1,11 +1,11 @@
 """The lease manager: acquires and renews the leases of this gateway's tasks in the replicated state.
 
-    with manager.lease("sweep-drains", ttl=5.0) as held:   # waits until it is granted
+    with manager.lease("sweep-drains", ttl=5.0) as held:   # waits until the lease is granted
         while held.valid():
             act(held.token)
 
 or `manager.task(name, ttl, gained, lost)`: `gained(held)` is called on a thread of the task's own and should return
-when `held` is no longer valid; `lost` is called before the lease expires, even where the fleet can't be reached.
+when `held` is no longer valid. `lost` is called before the lease expires, even if the fleet can't be reached.
 """
 
 from __future__ import annotations
@@ -24,24 +24,24 @@
 from tealwing.replica import commands as c
 from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 
-TICK = 0.02  # s between two looks at the clock
-MAX_LEASES = 16  # per gateway: each has a thread for its requests
-RELEASE_TIMEOUT = 0.5  # s; without a release the lease expires by itself
+TICK = 0.02  # s between two checks of the leases' deadlines
+MAX_LEASES = 16  # maximum leases per gateway, as each has a thread for its requests
+RELEASE_TIMEOUT = 0.5  # s for the release of a lease, which otherwise expires by itself
 
 
 class HeldLease:
-    """A lease as its task sees it."""
+    """A granted lease, as passed to its task."""
 
     def __init__(self, manager: LeaseManager, holder: Holder, token: int) -> None:
         self._manager, self._holder, self.token = manager, holder, token
 
     def valid(self) -> bool:
-        """Whether the task may act now, by this gateway's clock."""
+        """Whether the lease is held and the task may act, by this gateway's clock."""
         with self._manager.lock:
             return self._holder.token == self.token and self._holder.valid(self._manager.clock.now())
 
     def wait(self, seconds: float) -> bool:
-        """Wait so many seconds while the lease is valid; return whether it still is."""
+        """Wait for a number of seconds, or until the lease is no longer valid; return whether it still is."""
         end = time.monotonic() + seconds
         while self.valid():
             left = end - time.monotonic()
@@ -51,7 +51,7 @@
         return False
 
     def fence(self) -> c.Fence:
-        """Return the fencing token for commands that must apply under this grant alone."""
+        """Return the fence for commands that may be applied only while this grant is the newest."""
         return c.Fence(self._holder.name, self.token)
 
 
@@ -59,25 +59,25 @@
 
 
 class ManagedLease:
-    """One lease that a task of this gateway wants."""
+    """A lease that a task of this gateway wants to hold, with its callbacks and its next request."""
 
     def __init__(self, holder: Holder, gained: GainedCallback, lost: Callable[[], None]) -> None:
         self.holder, self.on_gained, self.on_lost = holder, gained, lost
-        self.request_pending = threading.Event()  # next_request is to be sent
+        self.request_pending = threading.Event()  # set when `next_request` is to be sent
         self.next_request = Action.ACQUIRE
         self.dropped = False
-        self.token = 0  # of the grant that the task was notified of
+        self.token = 0  # fencing token of the last grant that the task was notified of
 
 
 class LeaseManager:
-    """All leases that this gateway wants and, while it leads, the expiry of all members' leases."""
+    """Manager of the leases that this gateway wants and, while it leads, of the expiry of all members' leases."""
 
     def __init__(self, replica: Replica, clock: Clock) -> None:
         self._replica, self.clock = replica, clock
-        self.lock = threading.Lock()  # round the holders
+        self.lock = threading.Lock()  # guards the holders
         self.stopped = threading.Event()
         self._leases: dict[str, ManagedLease] = {}
-        self._expiry = LeaseExpiry()  # the replica's thread alone
+        self._expiry = LeaseExpiry()  # confined to the replica's thread
         self._sequence, self._client = 0, f"{replica.core.local_id}/{replica.incarnation}"
         replica.on_applied(self._applied)
         replica.on_leadership(lambda leads: self._expiry.set_leading(clock.now(), leads))
@@ -86,66 +86,66 @@
         self._reload()
 
     def start(self) -> None:
-        """Start to acquire and renew leases."""
+        """Start the thread that acquires and renews the leases."""
         threads.start(self._tick_loop, "lease-watch")
 
     def stop(self) -> None:
-        """Release all leases, as far as that succeeds in time."""
+        """Stop acquiring and renewing, and release all leases as far as that succeeds within RELEASE_TIMEOUT each."""
         self.stopped.set()
         with self.lock:
             leases = list(self._leases.values())
         for lease in leases:
             lease.request_pending.set()
-            self._give_up(lease)
+            self._release(lease)
 
     def task(self, name: str, ttl: float, gained: GainedCallback, lost: Callable[[], None] = lambda: None) -> None:
-        """Hold a lease whenever possible; call `gained` and `lost` each time. ttl in s.
+        """Hold a lease whenever possible; call `gained` and `lost` each time. `ttl` is in s.
 
-        ValueError for a TTL that is too short, a name that is in use here, or too many leases.
+        Raises ValueError if the TTL is too short, the name is already in use here, or there are too many leases.
         """
         if ttl < MIN_TTL:
-            raise ValueError(f"a lease of {ttl:g} s; allowed: {MIN_TTL:g} s or more")
+            raise ValueError(f"lease {name}: a TTL of {ttl:g} s; allowed: {MIN_TTL:g} s or more")
         lease = ManagedLease(Holder(name, ttl, acquire_at=self.clock.now()), gained, lost)
         with self.lock:
             if name in self._leases:
-                raise ValueError(f"a task here wants {name} already")
+                raise ValueError(f"lease {name}: another task of this gateway already wants it")
             if len(self._leases) >= MAX_LEASES:
-                raise ValueError(f"{MAX_LEASES} leases are wanted here already")
+                raise ValueError(f"lease {name}: this gateway already has {MAX_LEASES} leases, which is the maximum")
             self._leases[name] = lease
         threads.start(lambda: self._request_loop(lease), f"lease-{name}")
 
     def drop(self, name: str) -> None:
-        """Stop to acquire a lease, and release it."""
+        """Stop acquiring and renewing a lease, and release it."""
         with self.lock:
             lease = self._leases.pop(name, None)
         if lease is not None:
             lease.dropped = True
             lease.request_pending.set()
-            self._give_up(lease)
+            self._release(lease)
 
     @contextlib.contextmanager
     def lease(self, name: str, ttl: float, wait: float = 60.0) -> Iterator[HeldLease]:
-        """Hold a lease for the block, which should end when it is no longer valid.
+        """Hold a lease during the block, which should end when the lease is no longer valid.
 
-        TimeoutError if it is not granted in `wait` seconds; ValueError as of `task`.
+        Raises TimeoutError if the lease is not granted within `wait` seconds, ValueError as `task` does.
         """
-        leases: list[HeldLease] = []
+        grants: list[HeldLease] = []
         granted = threading.Event()
 
         def gained(held: HeldLease) -> None:
-            leases.append(held)
+            grants.append(held)
             granted.set()
 
         self.task(name, ttl, gained)
         try:
             if not granted.wait(wait):
-                raise TimeoutError(f"the lease {name} was not granted in {wait:g} s")
-            yield leases[-1]
+                raise TimeoutError(f"lease {name}: not granted within {wait:g} s")
+            yield grants[-1]
         finally:
             self.drop(name)
 
     def status(self) -> dict[str, Any]:
-        """Return the leases of this gateway, and the replicated state's of all."""
+        """Return the leases that this gateway wants, and all leases in the replicated state."""
         now = self.clock.now()
         with self.lock:
             local = [
@@ -163,7 +163,7 @@
             applied, refused = state.applied, state.rejected_stale
         return {"here": local, "leases": leases, "applied": applied, "refused_stale": refused}
 
-    # The tick thread: it never blocks, so that a task is notified of a loss in time
+    # Called on the tick thread, which never blocks, so that a task is notified of a loss in time
 
     def _tick_loop(self) -> None:
         while not self.stopped.wait(self.clock.real(TICK)):
@@ -187,10 +187,10 @@
                 log.event("lease_acquired", name=lease.holder.name, token=lease.token)
                 try:
                     threads.start(lambda held=held: lease.on_gained(held), f"task-{lease.holder.name}")  # type: ignore[misc]
-                except threads.ThreadUnavailableError:  # no task acts; the lease is renewed, or expires
+                except threads.ThreadUnavailableError:  # the task does not run; the lease is renewed or expires
                     continue
 
-    # The request threads: one a lease, as a call may block
+    # Called on the request threads: one per lease, as a request may block
 
     def _request_loop(self, lease: ManagedLease) -> None:
         holder = lease.holder
@@ -220,10 +220,10 @@
     def _command(self, body: c.Body) -> c.Command:
         with self.lock:
             self._sequence += 1
-            # each request has a session of its own: several leases' requests run at the same time
+            # concurrent requests of several leases need separate sessions
             return c.Command(f"{self._client}/{self._sequence % MAX_LEASES}", self._sequence, body)
 
-    def _give_up(self, lease: ManagedLease) -> None:
+    def _release(self, lease: ManagedLease) -> None:
         """Notify the task of the loss of its lease, and release it."""
         with self.lock:
             token, lease.holder.token = lease.holder.token, 0
@@ -233,7 +233,7 @@
         with contextlib.suppress(OutcomeUnknownError, UnavailableError):
             self._replica.write(c.Command("", 0, c.Release(lease.holder.name, token)), RELEASE_TIMEOUT)
 
-    # The replica's thread
+    # Called on the replica's thread
 
     def _applied(self, index: int, command: c.Command | None, result: c.CommandResult | None) -> None:
         if command is None or result is None or not result.ok:
@@ -250,12 +250,13 @@
                         self._leases[name].holder.released(now)
 
     def _reload(self) -> None:
-        """Take all grants from the state, which was loaded from the disk or a snapshot."""
+        """Take all grants from the state, which was loaded from disk or from a snapshot."""
         leases = self._replica.state.tables["leases"].items()
-        held = {name: (lease.token, lease.renewed, lease.ttl / 1e3) for name, lease in leases if lease.held}
-        self._expiry.replace(self.clock.now(), held)
+        grants = {name: (lease.token, lease.renewed, lease.ttl / 1e3) for name, lease in leases if lease.held}
+        self._expiry.replace(self.clock.now(), grants)
 
     def _expire(self, now: float) -> None:
+        """Propose the expiry of the leases that have expired by this leader's clock."""
         for name, token, renewed in self._expiry.expired(now):
             log.event("lease_expired", name=name, token=token)
             self._replica.propose_if_leader(c.encode(c.Command("", 0, c.Expire(name, token, renewed))))
--- a/tealwing/leases/service.py
+++ b/tealwing/leases/service.py
@@ -1,4 +1,4 @@
-"""Control calls about leases, and the task with which the test cluster exercises them."""
+"""Control calls about leases, and a task with which the test cluster exercises them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from tealwing.peers.control import CallRejectedError, ControlClient, ControlServer, Fields, RemoteCallError, field
 
 ACTION_INTERVAL = 0.02  # s between two actions of the test task
-ACTION_TIMEOUT = 1.0  # s for one action on the resource
+ACTION_TIMEOUT = 1.0  # s for one action of the test task on its resource
 
 
 class Service:
-    """The control calls of one gateway; with fault injection also those of the test cluster."""
+    """The control calls about leases of one gateway; with `faults` also the call that the test cluster uses."""
 
     def __init__(self, manager: LeaseManager, control: ControlServer, faults: bool) -> None:
         self._manager = manager
@@ -29,13 +29,16 @@
         granted = [lease for lease in status["leases"] if lease["name"] == name]
         local = [lease for lease in status["here"] if lease["name"] == name]
         if not granted and not local:
-            raise CallRejectedError(f"name: no lease {name!r} has been granted or is wanted here")
+            raise CallRejectedError(
+                f"name: no lease {name!r} was ever granted, and this gateway wants none of that name"
+            )
         return {"name": name, "lease": granted[0] if granted else None, "here": local[0] if local else None}
 
     def _run(self, fields: Fields) -> Fields:
-        """Acquire a lease, and act on a resource of the test cluster while it is held.
+        """Acquire a lease, and act on a resource of the test cluster while the lease is held.
 
-        `careless`: continue after its loss, as a program without the check would; the resource must reject that.
+        With `careless` the task continues after the loss of the lease, as a program that does not check it would; the
+        resource must reject these actions.
         """
         name, ttl = field(fields, "name", str), float(field(fields, "ttl_s", float, 2.0))
         careless = bool(field(fields, "careless", bool, False))
@@ -49,19 +52,19 @@
 
 
 class _FencedTask:
-    """Acts on the resource repeatedly while the lease is valid."""
+    """Test task that acts on a resource repeatedly while its lease is valid."""
 
     def __init__(self, name: str, address: tuple[str, int], careless: bool) -> None:
         self._name, self._address, self._careless = name, address, careless
 
     def act(self, held: HeldLease) -> None:
-        """Act until the lease is lost, or the resource has seen a newer token."""
+        """Act until the lease is lost, or the resource rejects an action because it has seen a newer token."""
         client: ControlClient | None = None
         while held.valid() or self._careless:
             try:
                 client = client or ControlClient(self._address)
-                begun = time.monotonic()  # the machine's clock, which the resource shares
-                if not held.valid() and not self._careless:  # connecting took time
+                begun = time.monotonic()  # the machine's clock, which the resource uses too
+                if not held.valid() and not self._careless:  # the lease may have ended during the connect
                     break
                 answer = client.call("act", ACTION_TIMEOUT, name=self._name, token=held.token, begun=begun)
             except (RemoteCallError, OSError):
--- a/tealwing/leases/sweep.py
+++ b/tealwing/leases/sweep.py
@@ -1,4 +1,4 @@
-"""A fleet-wide task: the lease holder removes the records of drains whose cut-off has long passed."""
+"""Removal of old drain records, a fleet-wide task: the lease holder removes those whose cut-off has long passed."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 
 LEASE_NAME = "sweep-drains"
-LEASE_TTL = 5.0  # s: a sweep may be late by that much
+LEASE_TTL = 5.0  # s; a sweep may be late by that much
 SWEEP_INTERVAL = 1.0  # s between two sweeps
-RETENTION_MS = 60_000  # ms after its cut-off: longer than any notification of it is late
-COMMAND_TIMEOUT = 2.0  # s for one command
+RETENTION_MS = 60_000  # ms for which a record is kept after its cut-off: no notification of a drain is later
+COMMAND_TIMEOUT = 2.0  # s for the command that removes one record
 
 
 class DrainAges:
-    """The age of each drain's record by the monotonic clock: a step of the wall clock ends none early; pure."""
+    """Ages of the drain records by the monotonic clock, so that a step of the wall clock ends none early; pure."""
 
     def __init__(self) -> None:
-        self._first_seen: dict[str, float] = {}  # monotonic s, by the drain's key
+        self._first_seen: dict[str, float] = {}  # monotonic time in s at which a record was first seen, by its key
 
     def expired(self, drains: Mapping[str, c.Drain], now: float) -> list[c.Drain]:
-        """Return the drains first seen longer than their grace and RETENTION_MS ago; now in monotonic seconds."""
+        """Return the drains that were first seen longer ago than their grace time plus RETENTION_MS."""
         self._first_seen = {key: self._first_seen.get(key, now) for key in drains}
         return [
             drain
@@ -34,7 +34,7 @@
 
 
 def start_sweep(manager: LeaseManager, replica: Replica) -> None:
-    """Acquire the task's lease, and sweep while it is held; every command is fenced by its token."""
+    """Acquire the task's lease, and sweep while it is held; every command is fenced by the lease's token."""
 
     def sweep(held: HeldLease) -> None:
         ages = DrainAges()
--- a/tealwing/replica/storage/store.py
+++ b/tealwing/replica/storage/store.py
@@ -222,7 +222,7 @@
             self._roll()
 
     def _append(self, records: Iterable[LogRecord]) -> None:
-        """Append records, durable on return. Raises OSError if the write failed; the file is then in an unknown state."""
+        """Append records, durable on return. Raises OSError if the write failed; the file's state is then unknown."""
         data = b"".join(frame(encode(record)) for record in records)
         assert self._file is not None
         try:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -121,7 +121,7 @@
         assert held.valid()
         fenced = replica.write(c.Command("", 0, c.Put("k", b"v"), held.fence()), 5.0)
         assert fenced.ok
-        with pytest.raises(ValueError, match="wants t already"):
+        with pytest.raises(ValueError, match="lease t: another task of this gateway already wants it"):
             manager.task("t", 2.0, lambda held: None)
         assert held.wait(1.2)  # it has been renewed meanwhile: two seconds would be over soon
     assert not held.valid()
@@ -130,7 +130,7 @@
         assert again.token > held.token
         late = replica.write(c.Command("", 0, c.Put("k", b"old"), held.fence()), 5.0)
         assert not late.ok and "stale token" in late.reason
-    with pytest.raises(ValueError, match="allowed: 1 s or more"):
+    with pytest.raises(ValueError, match=r"lease u: a TTL of 0\.5 s; allowed: 1 s or more"):
         manager.task("u", 0.5, lambda held: None)
 
 
