--- a/tests/lossy_disk.py
+++ b/tests/lossy_disk.py
@@ -1,7 +1,7 @@
-"""A disk whose n-th operation fails, and what of a folder would be there after a power loss.
+"""A disk that fails at chosen operations, and that shows the contents of a directory after a power loss.
 
-It behaves as file systems do after a failed sync: what was dirty is lost, though it can still be read, and later syncs
-of the same file report success without it. Names are there after a power loss as of the last sync of their folder.
+It behaves as file systems do after a failed sync: the dirty data is lost, though it can still be read, and later syncs
+of the same file report success without writing it. A power loss leaves the names as of the directory's last sync.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 
 
 class LossyDisk(Disk):
-    """Counts its operations; from the first that is to fail, so many fail one after the other."""
+    """Disk that counts its operations, makes a range of them fail, and tracks which data is durable."""
 
     def __init__(self) -> None:
         super().__init__()
         self.operations = 0
         self._first, self._count, self._written = 0, 0, 0.0
-        self._durable: dict[int, bytes] = {}  # by inode: what a power loss leaves
-        self._lost: dict[int, list[tuple[int, int]]] = {}  # by inode: ranges that no later sync writes
-        self._names: dict[str, int] = {}  # by name, as of the last sync of the folder: its inode
-        self._held: dict[int, int] = {}  # descriptors, so that no inode is used for a second file
+        self._durable: dict[int, bytes] = {}  # durable contents by inode
+        self._lost: dict[int, list[tuple[int, int]]] = {}  # byte ranges lost in a failed sync, by inode
+        self._names: dict[str, int] = {}  # inode by durable name
+        self._held: dict[int, int] = {}  # open descriptors by inode, so that no inode is reused
 
     def fail_at(self, first: int, count: int = 1, written: float = 0.0) -> None:
-        """Have operations first to first + count - 1 fail; a write after so large a share of its bytes."""
+        """Make `count` operations from `first` on fail; a failing write writes the share `written` of its bytes."""
         self._first, self._count, self._written = first, count, written
 
     def is_failing(self) -> bool:
-        """Count one operation; whether it is to fail."""
+        """Count one operation and return whether it must fail."""
         self.operations += 1
         return self._first <= self.operations < self._first + self._count
 
@@ -68,7 +68,7 @@
         self._names = {path.name: path.stat().st_ino for path in folder.iterdir()}
 
     def after_power_loss(self, folder: Path) -> Path:
-        """Write what would be left to a folder, which is new."""
+        """Create a directory with the contents that a power loss would leave."""
         folder.mkdir()
         for name, inode in self._names.items():
             (folder / name).write_bytes(self._durable.get(inode, b""))
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""A folder that fails for a while under a running member: what was acknowledged stays, and the member comes back."""
+"""Disk faults under a running member: acknowledged writes are kept, and the member returns to service."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from tealwing.replica.service.node import OutcomeUnknownError, Replica, UnavailableError
 
 WAIT = 2.0  # s for one command
-BACK = 5.0  # s within which a member whose disk is well again takes commands
+RECOVERY_TIME = 5.0  # s within which a member whose disk works again accepts commands
 
 
-def begin(folder: Path) -> tuple[Replica, Link]:
-    """A fleet of one, which leads itself."""
+def start_member(folder: Path) -> tuple[Replica, Link]:
+    """Start a fleet of one member, which becomes the leader."""
     link = Link(PeersPlan("f", "a", (("a", ("127.0.0.1", free_port())),)))
     replica = Replica(ReplicaPlan(str(folder), heartbeat_interval=0.02, election_timeout=0.1), link, Clock())
     replica.start()
@@ -30,14 +30,14 @@
 
 @pytest.fixture
 def member(tmp_path: Path) -> Iterator[Replica]:
-    replica, link = begin(tmp_path / "replica")
+    replica, link = start_member(tmp_path / "replica")
     yield replica
     replica.stop()
     link.stop()
 
 
 def put(replica: Replica, key: str) -> bool:
-    """Whether a write was acknowledged."""
+    """Write a value and return whether the write was acknowledged."""
     try:
         return replica.write(c.Command("", 0, c.Put(key, b"v")), WAIT).ok
     except (UnavailableError, OutcomeUnknownError):
@@ -45,14 +45,14 @@
 
 
 @pytest.mark.parametrize("fault", ["full", "short", "fsync"])
-def test_what_was_acknowledged_before_a_fault_is_there_after_a_start(fault: str, tmp_path: Path) -> None:
-    replica, link = begin(tmp_path / "replica")
+def test_acknowledged_writes_survive_disk_fault_and_restart(fault: str, tmp_path: Path) -> None:
+    replica, link = start_member(tmp_path / "replica")
     assert put(replica, "before")
     replica.disk.inject_fault(fault, 1)
-    put(replica, "amid")  # may be there or not: nobody was told that it is
+    put(replica, "during")  # not acknowledged, so it may be lost or kept
     replica.stop()
     link.stop()
-    replica, link = begin(tmp_path / "replica")
+    replica, link = start_member(tmp_path / "replica")
     assert put(replica, "after")
     with replica.lock:
         kept = set(replica.state.tables["values"])
@@ -61,10 +61,10 @@
     link.stop()
 
 
-def test_a_member_whose_disk_is_well_again_takes_commands(member: Replica) -> None:
+def test_member_accepts_commands_after_disk_recovers(member: Replica) -> None:
     assert put(member, "before")
     member.disk.inject_fault("full", 3)
-    put(member, "amid")
-    until = time.monotonic() + BACK
+    put(member, "during")
+    deadline = time.monotonic() + RECOVERY_TIME
     while not put(member, "after"):
-        assert time.monotonic() < until, member.broken
+        assert time.monotonic() < deadline, member.broken
--- a/tests/test_disk_returns.py
+++ b/tests/test_disk_returns.py
@@ -1,9 +1,8 @@
-"""A folder that fails at any operation and is well again: all that was acknowledged is there, also after a power loss.
+"""Return of a member to service after disk faults, without loss of acknowledged state, also after a power loss.
 
-What happened: a write or a sync of a member's log failed once, and the member took no part until its process ended.
-Why: nobody knows what the disk has after that, so the member wrote nothing more, and there was no way back.
-Shown by the log: `replica_broken` with `a write failed, and what the disk has is not known`, then nothing of the
-replica until the next start, while `fault.disk` told that the disk had failed once.
+The tests guard against a member that stays out of service until its process ends: after one failed write or sync of its
+log the contents of the disk are unknown, so the member wrote nothing more and had no way to return. The log then showed
+`replica_broken` with the failed write, and no event of the replica until the next start.
 """
 
 from __future__ import annotations
@@ -45,9 +44,10 @@
 from tests.lossy_disk import LossyDisk
 from tests.test_peers import until
 
-BACK = 10.0  # s within which a fleet whose disks are well again takes commands, a long pause between tries included
+# s within which a fleet whose disks work again accepts commands, with a long pause between two attempts to reopen
+RECOVERY_TIME = 10.0
 WAIT = 2.0  # s for one command
-OPERATIONS = 56  # of the disk in the script below, and some more
+OPERATIONS = 56  # disk operations of Script, and a few more
 
 
 def entry(index: int, term: int = 1) -> Entry:
@@ -56,7 +56,7 @@
 
 @dataclass
 class Script:
-    """A member's life at its storage: votes, entries, new files, snapshots of its own and of another."""
+    """Storage operations of a member: votes, entries, new segments, local snapshots and a received snapshot."""
 
     storage: Storage
     disk: LossyDisk
@@ -69,7 +69,7 @@
         self.until_done(self.open, Acknowledged())
         for index in range(1, 9):
             self.save((1, "a"), [entry(index)], index - 1)
-        self.save((2, "b"), [entry(7, 2)])  # a new leader's, in the place of two
+        self.save((2, "b"), [entry(7, 2)])  # of a new leader; replaces two entries
         self.snapshot(5)
         self.save((2, "b"), [entry(8, 2), entry(9, 2)])
         self.receive(12, 2)
@@ -77,40 +77,40 @@
         self.storage.close()
 
     def open(self) -> None:
-        """As a process does: a start that fails ends it, and another one begins."""
+        """Open the storage anew, as each start of a process does."""
         self.storage = Storage(self.folder / "replica", self.disk)
         self.storage.open()
 
     def save(self, hard: tuple[int, str], entries: list[Entry], commit: int = 0) -> None:
-        self.entries |= {one.index: one for one in entries}
-        becomes = Acknowledged(*hard, entries[-1].index, entries[-1].term)
-        self.until_done(lambda: self.storage.save(hard, entries, commit), becomes)
+        self.entries |= {saved.index: saved for saved in entries}
+        target = Acknowledged(*hard, entries[-1].index, entries[-1].term)
+        self.until_done(lambda: self.storage.save(hard, entries, commit), target)
 
-    def until_done(self, action: Callable[[], object], becomes: Acknowledged) -> None:
-        """Do it, again after a fault and the return; a power loss at any moment keeps what was acknowledged."""
+    def until_done(self, action: Callable[[], object], target: Acknowledged) -> None:
+        """Repeat an action until it succeeds, reopening after each fault; check what a power loss would leave."""
         for _ in range(20):
             try:
                 action()
             except OSError:
-                self.check(becomes)
+                self.check(target)
                 if action != self.open:
-                    self.come_back(becomes)
+                    self.reopen(target)
             else:
-                self.acknowledged = becomes
-                self.check(becomes)
+                self.acknowledged = target
+                self.check(target)
                 return
-        raise AssertionError("it never succeeds")
+        raise AssertionError("the action failed 20 times")
 
-    def come_back(self, becomes: Acknowledged) -> None:
+    def reopen(self, target: Acknowledged) -> None:
         for _ in range(20):
             try:
                 self.storage.reopen(allow_loss=False)
             except OSError:
-                self.check(becomes)
+                self.check(target)
             else:
-                self.check(becomes)
+                self.check(target)
                 return
-        raise AssertionError("it never comes back")
+        raise AssertionError("reopening the storage failed 20 times")
 
     def snapshot(self, index: int) -> None:
         meta = None
@@ -122,7 +122,7 @@
         self.storage.adopt_snapshot(meta)
 
     def receive(self, index: int, term: int) -> None:
-        """Another's snapshot, in two pieces."""
+        """Receive and install a snapshot of another member in two chunks."""
         source = Storage(self.folder / "source")
         source.open()
         meta = source.snapshot_files.write(index, term, ("a", "b"), [b"body of another" * 10])
@@ -130,25 +130,25 @@
         assert data is not None
         half = len(data) // 2
 
-        def take() -> None:
+        def install() -> None:
             self.storage.snapshot_files.write_chunk(index, term, 0, data[:half])
             self.storage.snapshot_files.write_chunk(index, term, half, data[half:])
             assert self.storage.install_snapshot(index, term) is not None
 
-        self.until_done(take, Acknowledged(2, "b", index, term))
+        self.until_done(install, Acknowledged(2, "b", index, term))
 
-    def check(self, becomes: Acknowledged) -> None:
-        """What a start after a power loss finds now: what was acknowledged, or what is under way."""
+    def check(self, target: Acknowledged) -> None:
+        """Check that a start after a power loss now finds the acknowledged state, or that of the action in progress."""
         self.losses += 1
         found = Storage(self.disk.after_power_loss(self.folder / f"loss-{self.losses}")).open()
-        assert self.acknowledged.is_covered_by(found) or becomes.is_covered_by(found), (
+        assert self.acknowledged.is_covered_by(found) or target.is_covered_by(found), (
             self.acknowledged,
-            becomes,
+            target,
             found,
         )
-        for one in found.log:
-            if one.index <= self.acknowledged.last_index and self.acknowledged == becomes:
-                assert one == self.entries[one.index]
+        for stored_entry in found.log:
+            if stored_entry.index <= self.acknowledged.last_index and self.acknowledged == target:
+                assert stored_entry == self.entries[stored_entry.index]
 
 
 @pytest.fixture
@@ -157,7 +157,7 @@
     monkeypatch.setattr(records, "WRITE_BATCH_BYTES", 100)
 
 
-def play(tmp_path: Path, first: int, count: int, written: float) -> LossyDisk:
+def run_script(tmp_path: Path, first: int, count: int, written: float) -> LossyDisk:
     disk = LossyDisk()
     disk.fail_at(first, count, written)
     script = Script(Storage(tmp_path / "replica", disk), disk, tmp_path)
@@ -173,23 +173,23 @@
 @pytest.mark.usefixtures("small_files")
 @pytest.mark.parametrize("written", [0.0, 0.5, 1.0])
 @pytest.mark.parametrize("first", range(1, OPERATIONS + 1))
-def test_nothing_acknowledged_is_lost_whichever_operation_fails(first: int, written: float, tmp_path: Path) -> None:
-    play(tmp_path, first, 1, written)
+def test_acknowledged_state_survives_failure_of_any_disk_operation(first: int, written: float, tmp_path: Path) -> None:
+    run_script(tmp_path, first, 1, written)
 
 
 @pytest.mark.usefixtures("small_files")
 @pytest.mark.parametrize("first", range(1, OPERATIONS + 1, 3))
-def test_nothing_acknowledged_is_lost_where_the_return_fails_too(first: int, tmp_path: Path) -> None:
-    play(tmp_path, first, 4, 0.5)
+def test_acknowledged_state_survives_failures_during_reopen(first: int, tmp_path: Path) -> None:
+    run_script(tmp_path, first, 4, 0.5)
 
 
 @pytest.mark.usefixtures("small_files")
-def test_each_operation_of_the_script_is_among_those_that_fail(tmp_path: Path) -> None:
-    assert play(tmp_path, 0, 0, 0.0).operations <= OPERATIONS
+def test_injected_failures_cover_all_operations_of_the_script(tmp_path: Path) -> None:
+    assert run_script(tmp_path, 0, 0, 0.0).operations <= OPERATIONS
 
 
-def test_a_sync_that_is_only_tried_again_loses_what_it_reports(tmp_path: Path) -> None:
-    # the stand-in behaves as its source says: without this the tests above could not fail
+def test_lossy_disk_loses_data_if_failed_sync_is_only_retried(tmp_path: Path) -> None:
+    # shows that LossyDisk loses data as documented, as the tests above depend on it to be able to fail
     disk = LossyDisk()
     with (tmp_path / "file").open("wb") as file:
         disk.write(file, b"x" * 10)
@@ -203,9 +203,7 @@
 
 
 @pytest.mark.parametrize("what", ["vote", "entries", "all"])
-def test_a_folder_that_lacks_what_was_acknowledged_is_taken_only_where_members_may_forget(
-    what: str, tmp_path: Path
-) -> None:
+def test_reopen_accepts_missing_acknowledged_state_only_if_loss_is_allowed(what: str, tmp_path: Path) -> None:
     storage = Storage(tmp_path / "replica")
     storage.open()
     storage.save((1, ""), [entry(1)])
@@ -215,14 +213,14 @@
         path.unlink()
     for name, data in older.items() if what != "all" else ():
         (tmp_path / "replica" / name).write_bytes(data)
-    for _ in range(2):  # what was acknowledged is remembered from try to try
+    for _ in range(2):  # the acknowledged state is kept between attempts
         with pytest.raises(AcknowledgedDataLostError, match="restore the directory"):
             storage.reopen(allow_loss=False)
     found = storage.reopen(allow_loss=True)
-    assert [one.index for one in found.log] == ([] if what == "all" else [1])
+    assert [found_entry.index for found_entry in found.log] == ([] if what == "all" else [1])
 
 
-def test_a_folder_that_is_gone_is_not_made_anew(tmp_path: Path) -> None:
+def test_reopen_does_not_recreate_missing_directory(tmp_path: Path) -> None:
     storage = Storage(tmp_path / "replica")
     storage.open()
     storage.save((1, "a"), [entry(1)])
@@ -233,7 +231,7 @@
     assert storage.reopen(allow_loss=False).log == [entry(1)]
 
 
-def test_a_damaged_log_is_not_cut_where_it_was_whole(tmp_path: Path) -> None:
+def test_reopen_does_not_truncate_damaged_durable_records(tmp_path: Path) -> None:
     storage = Storage(tmp_path)
     storage.open()
     storage.save((1, "a"), [entry(1)])
@@ -245,46 +243,48 @@
     assert path.read_bytes() == data[:-1] + b"?"
 
 
-def test_acknowledged_is_held_by_later_terms_and_snapshots() -> None:
-    promise = Acknowledged(2, "b", 5, 2)
-    assert promise.is_covered_by(StoredState(term=3, snapshot=SnapshotMeta(6, 2)))
-    assert not promise.is_covered_by(StoredState(term=2, vote="c", snapshot=SnapshotMeta(6, 2)))
-    assert not promise.is_covered_by(StoredState(term=2, vote="b", snapshot=SnapshotMeta(4, 2), log=[entry(5, 1)]))
-    assert promise.is_covered_by(StoredState(term=2, vote="b", snapshot=SnapshotMeta(4, 2), log=[entry(5, 2)]))
+def test_acknowledged_state_is_covered_by_later_terms_and_snapshots() -> None:
+    acknowledged = Acknowledged(2, "b", 5, 2)
+    assert acknowledged.is_covered_by(StoredState(term=3, snapshot=SnapshotMeta(6, 2)))
+    assert not acknowledged.is_covered_by(StoredState(term=2, vote="c", snapshot=SnapshotMeta(6, 2)))
+    assert not acknowledged.is_covered_by(StoredState(term=2, vote="b", snapshot=SnapshotMeta(4, 2), log=[entry(5, 1)]))
+    assert acknowledged.is_covered_by(StoredState(term=2, vote="b", snapshot=SnapshotMeta(4, 2), log=[entry(5, 2)]))
 
 
-def test_pauses_grow_to_their_bound() -> None:
+def test_reopen_backoff_grows_to_its_maximum() -> None:
     backoff = ReopenBackoff(random.Random(1))
     pauses = [backoff.next_pause() for _ in range(20)]
     assert pauses[0] < pauses[3] < pauses[6] and max(pauses) <= MAX_PAUSE and min(pauses[10:]) >= MAX_PAUSE / 2
 
 
 class Fleet:
-    """Members in one process, each with a disk that can fail."""
+    """Members in one process, each with a disk in which faults can be injected."""
 
     def __init__(self, folder: Path, names: str, stale: int = 0, learners: str = "") -> None:
         addresses = tuple((name, ("127.0.0.1", free_port())) for name in names + learners)
         self.replicas: dict[str, Replica] = {}
         self.links: dict[str, Link] = {}
-        self.applied: dict[str, list[int]] = {name: [] for name in names + learners}  # indices, as listeners hear
+        self.applied: dict[str, list[int]] = {
+            name: [] for name in names + learners
+        }  # applied indices, as reported to listeners
         for name in names + learners:
             peers = PeersPlan("f", name, addresses, learners=tuple(learners))
             link = self.links[name] = Link(peers)
             plan = ReplicaPlan(str(folder / name), heartbeat_interval=0.05, election_timeout=0.3, max_stale_disks=stale)
             self.replicas[name] = Replica(plan, link, Clock(), Disk())
         for name, replica in self.replicas.items():
-            replica.on_applied(lambda index, _, __, heard=self.applied[name]: heard.append(index))  # type: ignore[misc]
+            replica.on_applied(lambda index, _, __, indices=self.applied[name]: indices.append(index))  # type: ignore[misc]
             replica.start()
             self.links[name].start()
 
     def leader(self) -> str:
-        until = time.monotonic() + BACK
-        while time.monotonic() < until:
+        deadline = time.monotonic() + RECOVERY_TIME
+        while time.monotonic() < deadline:
             for name, replica in self.replicas.items():
                 if replica.core.role is Role.LEADER and not replica.broken:
                     return name
             time.sleep(0.02)
-        raise AssertionError("nobody leads")
+        raise AssertionError(f"no member became leader within {RECOVERY_TIME:g} s")
 
     def put(self, key: str, at: str) -> bool:
         try:
@@ -293,14 +293,14 @@
             return False
 
     def until_put(self, key: str, at: str) -> None:
-        until = time.monotonic() + BACK
+        deadline = time.monotonic() + RECOVERY_TIME
         while not self.put(key, at):
-            assert time.monotonic() < until, {name: one.broken for name, one in self.replicas.items()}
+            assert time.monotonic() < deadline, {name: member.broken for name, member in self.replicas.items()}
 
     def until_same(self) -> None:
-        until = time.monotonic() + BACK
+        deadline = time.monotonic() + RECOVERY_TIME
         while len({replica.digest() for replica in self.replicas.values()}) > 1:
-            assert time.monotonic() < until, {name: one.status() for name, one in self.replicas.items()}
+            assert time.monotonic() < deadline, {name: member.status() for name, member in self.replicas.items()}
             time.sleep(0.05)
 
     def stop(self) -> None:
@@ -322,7 +322,7 @@
 @pytest.mark.parametrize("stale", [0, 1])
 @pytest.mark.parametrize("who", ["leader", "follower", "majority", "all"])
 @pytest.mark.parametrize("fault", ["full", "short", "fsync"])
-def test_a_fleet_goes_on_and_its_members_come_back(fault: str, who: str, stale: int, tmp_path: Path) -> None:
+def test_fleet_and_members_recover_from_disk_faults(fault: str, who: str, stale: int, tmp_path: Path) -> None:
     with fleet(tmp_path, stale=stale) as members:
         leader = members.leader()
         others = [name for name in members.replicas if name != leader]
@@ -336,13 +336,13 @@
             assert members.replicas[name].disk.failed >= 1
             members.until_put("6" if name == hit[0] else "7", name)
         members.until_same()
-        for heard in members.applied.values():
-            assert heard == sorted(set(heard))  # no entry is applied twice
+        for indices in members.applied.values():
+            assert indices == sorted(set(indices))  # no entry is applied twice
         kept = members.replicas[leader].state.tables["values"]
         assert {str(number) for number in range(1, 7)} <= set(kept)
 
 
-def test_a_learner_comes_back(tmp_path: Path) -> None:
+def test_learner_recovers_from_disk_fault(tmp_path: Path) -> None:
     with fleet(tmp_path, learners="d") as members:
         members.until_put("1", members.leader())
         members.until_same()
@@ -353,35 +353,35 @@
         assert members.replicas["d"].disk.failed == 3
 
 
-def test_while_it_is_out_it_leads_nobody_and_says_what_to_do(tmp_path: Path) -> None:
+def test_member_out_of_service_loses_leadership_and_reports_remedy(tmp_path: Path) -> None:
     with fleet(tmp_path) as members:
         leader = members.leader()
         members.until_put("1", leader)
-        led: list[bool] = []
+        leadership_changes: list[bool] = []
         broken = members.replicas[leader]
-        broken.on_leadership(led.append)
+        broken.on_leadership(leadership_changes.append)
         broken.disk.inject_fault("full", 1_000_000)
         members.put("2", leader)
-        until = time.monotonic() + BACK
+        deadline = time.monotonic() + RECOVERY_TIME
         while not broken.broken:
-            assert time.monotonic() < until
+            assert time.monotonic() < deadline
             time.sleep(0.02)
         with pytest.raises(UnavailableError, match="out of service"):
             broken.read_index(WAIT)
-        assert broken.status()["role"] == "out" and led == [False]
+        assert broken.status()["role"] == "out" and leadership_changes == [False]
         another = next(name for name in members.replicas if name != leader)
-        members.until_put("3", another)  # the others go on meanwhile
-        until = time.monotonic() + BACK
+        members.until_put("3", another)  # the other members still accept commands
+        deadline = time.monotonic() + RECOVERY_TIME
         while "resumes by itself" not in broken.broken:
-            assert time.monotonic() < until, broken.broken
+            assert time.monotonic() < deadline, broken.broken
             time.sleep(0.02)
         broken.disk.inject_fault("none", 0)
         members.until_put("4", leader)
         members.until_same()
 
 
-class SpeaksAnyway(Consensus):
-    """A mutation of the shell: what rests on a write that failed is said all the same."""
+class SendsAfterFailedWrite(Consensus):
+    """A mutation of the shell: messages that depend on a failed write are sent all the same."""
 
     def fail(self, world: World, name: str, ready: Ready) -> World:
         world.fault = None
@@ -389,7 +389,7 @@
         return self._settle(world, name)
 
 
-def test_the_core_holds_in_all_interleavings_with_a_write_that_fails() -> None:
+def test_core_is_safe_in_exhaustive_exploration_with_failed_writes() -> None:
     found = explore(Consensus(Budget(timeouts=2, beats=1, proposals=1, crashes=0, faults=1, twice=0)), 6)
     assert found.is_exhaustive and found.broken == "" and found.states > 5_000
     twice = Budget(timeouts=2, beats=0, proposals=0, crashes=1, faults=2, twice=0)
@@ -397,19 +397,19 @@
     assert found.is_exhaustive and found.broken == "" and found.states > 2_000
 
 
-def test_a_word_that_rests_on_a_write_that_failed_is_found() -> None:
-    found = explore(SpeaksAnyway(Budget(timeouts=2, beats=0, proposals=0, crashes=1, faults=1, twice=0)), 7)
-    assert "both lead term 1" in found.broken and any("its write fails" in word for word in found.trace)
+def test_model_check_finds_messages_sent_after_failed_write() -> None:
+    found = explore(SendsAfterFailedWrite(Budget(timeouts=2, beats=0, proposals=0, crashes=1, faults=1, twice=0)), 7)
+    assert "both lead term 1" in found.broken and any("its write fails" in step for step in found.trace)
 
 
-def test_long_walks_with_writes_that_fail_break_nothing() -> None:
+def test_core_is_safe_in_random_walks_with_failed_writes() -> None:
     walks = Budget(timeouts=12, beats=30, proposals=8, crashes=2, faults=6, twice=3, hands=2)
     found = wander(Consensus(walks, names="abc"), 60, 120, 1)
     assert found.broken == "" and found.steps > 4_000
 
 
 @pytest.mark.trial
-def test_statements_are_served_while_the_disks_of_a_majority_fail_and_the_members_come_back() -> None:
+def test_statements_are_served_while_disks_of_a_majority_fail() -> None:
     text = b"/* op=lookup,call=%016x,ttl=3000,org=graan-koop,work=2.0,heap_mb=4 */ SELECT a FROM s_1.t"
     with Trial(scenario.load("power-loss"), 3, 5.0, 1, layout=Layout(layouts.SECTIONS["power"], 2)) as trial:
         trial.start()
@@ -421,20 +421,18 @@
         assert listen is not None
         for call in range(20):
             assert Session(listen).query(text % call, 5.0).outcome == "served"
-        told = callers["n0"].call("replica.get", key="k", wait_s=0.5)
-        assert told["word"] == "unavailable" and "resumes by itself" in told["why"]
+        reply = callers["n0"].call("replica.get", key="k", wait_s=0.5)
+        assert reply["word"] == "unavailable" and "resumes by itself" in reply["why"]
         for name in ("n0", "n1"):
             callers[name].call("fault.disk", fault="none", count=0)
-        # two of three that count as having forgotten would wait for each other's word, as long as the third leads
+        # if both counted as unconfirmed after their return, they would wait for each other while the third member leads
         until(lambda: all(caller.call("replica.recovery")["phase"] == "member" for caller in callers.values()))
         assert not any(caller.call("replica.status")["broken"] for caller in callers.values())
         assert trial.fault_lines() == []
 
 
 @pytest.mark.parametrize("operation", range(1, 4))
-def test_a_start_on_a_disk_that_fails_ends_with_its_reason_and_the_next_one_is_whole(
-    operation: int, tmp_path: Path
-) -> None:
+def test_storage_opens_completely_after_failed_open(operation: int, tmp_path: Path) -> None:
     disk = LossyDisk()
     storage = Storage(tmp_path / "replica", disk)
     storage.open()
@@ -448,25 +446,25 @@
     disk.close()
 
 
-def test_a_start_whose_folder_can_not_be_made_names_it(tmp_path: Path) -> None:
-    (tmp_path / "file").write_text("no folder")
+def test_start_error_names_directory_that_cannot_be_created(tmp_path: Path) -> None:
+    (tmp_path / "file").write_text("not a directory")
     addresses = (("a", ("127.0.0.1", free_port())),)
     plan = ReplicaPlan(str(tmp_path / "file" / "replica"))
     with pytest.raises(LinkError, match="file/replica: .*Not a directory"):
         Peering(PeersPlan("f", "a", addresses), plan, lambda version, settings: None)
 
 
-def test_a_mark_whose_rename_or_folder_sync_failed_is_there_once_it_is_told(tmp_path: Path) -> None:
+def test_marker_write_is_durable_once_reported_after_failed_attempts(tmp_path: Path) -> None:
     for number in range(1, 5):
         disk = LossyDisk()
         folder = tmp_path / f"{number}"
         folder.mkdir()
-        mark = PersistedMarker(folder, disk)
-        mark.write(1)
+        marker = PersistedMarker(folder, disk)
+        marker.write(1)
         disk.fail_at(disk.operations + number)
         with pytest.raises(OSError, match=r"No space|Input/output|Read-only"):
-            mark.write(2)
-        assert mark.number == 1  # nobody is told of the other
-        mark.write(2)
+            marker.write(2)
+        assert marker.number == 1  # the failed write is not reported
+        marker.write(2)
         assert PersistedMarker(disk.after_power_loss(tmp_path / f"loss-{number}"), Disk()).read() == 2
         disk.close()
--- a/tests/test_learners.py
+++ b/tests/test_learners.py
@@ -1,4 +1,4 @@
-"""Members that replicate and do not vote: what they may, who may come to vote, and who takes a lost voter's place."""
+"""Learners: replication without a vote, promotion, and the replacement of lost voters."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 ABC = ("a", "b", "c")
 
 
-class Learning(Fleet):
-    """A fleet of voters that has learners from the first."""
+class FleetWithLearners(Fleet):
+    """A fleet whose initial configuration has learners."""
 
     def __init__(self, names: str, learners: tuple[str, ...], **options: Any) -> None:
         super().__init__(names, **options)
@@ -32,21 +32,20 @@
 
     def change(self, leader: Raft, voters: tuple[str, ...], learners: tuple[str, ...] | None) -> None:
         leader.change_members(self.now, voters, learners)
-        self.settle(leader.local_id)
-        self.pass_on()
+        self.process_ready(leader.local_id)
+        self.deliver_all()
 
 
-def test_an_old_list_of_names_is_all_voters_and_is_still_written_so(tmp_path: Path) -> None:
+def test_configuration_without_learners_keeps_the_old_encoding(tmp_path: Path) -> None:
     assert members_data(ABC) == b"\x93\xa1a\xa1b\xa1c"
-    both = Entry(1, 1, Kind.MEMBERS, members_data(ABC, ("d",)))
+    with_learner = Entry(1, 1, Kind.MEMBERS, members_data(ABC, ("d",)))
     old = Entry(1, 1, Kind.MEMBERS, b"\x93\xa1a\xa1b\xa1c")
-    assert [(voters_of(e), learners_of(e)) for e in (both, old)] == [(ABC, ("d",)), (ABC, ())]
+    assert [(voters_of(e), learners_of(e)) for e in (with_learner, old)] == [(ABC, ("d",)), (ABC, ())]
     storage = Storage(tmp_path)
     storage.open()
     plain = storage.snapshot_files.write(4, 2, ABC, [b"x"])
-    assert b"\x93\x04\x02\x93\xa1a\xa1b\xa1c" in (
-        storage.snapshot_files.read_chunk(plain, 0) or b""
-    )  # the header as it always was
+    # without learners the description has the form of older builds
+    assert b"\x93\x04\x02\x93\xa1a\xa1b\xa1c" in (storage.snapshot_files.read_chunk(plain, 0) or b"")
     meta = storage.snapshot_files.write(5, 2, ABC, [b"x"], ("d",))
     found = Storage(tmp_path).open().snapshot
     assert found == meta and found.learners == ("d",)
@@ -54,16 +53,16 @@
     assert (core.members, core.learners) == (ABC, ("d",))
 
 
-def test_a_learner_has_all_and_counts_for_nothing() -> None:
-    fleet = Learning("abc", ("d", "e"), check_quorum=False, uncommitted_to_learners=True)
+def test_learner_replicates_entries_without_counting_in_quorums() -> None:
+    fleet = FleetWithLearners("abc", ("d", "e"), check_quorum=False, uncommitted_to_learners=True)
     leader = fleet.leader()
     fleet.propose(leader, b"before")
     fleet.run(0.2)
     assert fleet.applied["d"] == fleet.applied["e"] == [(2, b"before")]
     others = [name for name in "abc" if name != leader.local_id]
-    fleet.cut = {(a, b) for n in others for m in fleet.members for a, b in ((n, m), (m, n))}
+    fleet.blocked = {(a, b) for n in others for m in fleet.members for a, b in ((n, m), (m, n))}
     before = leader.commit
-    fleet.propose(leader, b"held by three disks of five, and one voter")
+    fleet.propose(leader, b"on three disks of five, but at one voter only")
     leader.read(fleet.now, 7)
     fleet.run(3.0)
     assert (
@@ -72,13 +71,13 @@
     fleet.isolate(leader.local_id)
     fleet.members["d"].campaign(fleet.now)
     assert fleet.members["d"].role is Role.FOLLOWER and not fleet.members["d"].has_ready()
-    fleet.cut = set()
-    again = fleet.leader()
-    assert again.transfer_leadership(fleet.now) in ABC
+    fleet.blocked = set()
+    new_leader = fleet.leader()
+    assert new_leader.transfer_leadership(fleet.now) in ABC
 
 
-def test_changes_of_members_are_one_at_a_time_and_a_learner_that_is_behind_waits() -> None:
-    fleet = Learning("abc", ("d", "e"))
+def test_membership_change_is_single_and_waits_for_lagging_learner() -> None:
+    fleet = FleetWithLearners("abc", ("d", "e"))
     leader = fleet.leader()
     for voters, learners in (
         (ABC, ("d", "e")), (ABC, ()), (("a", "b", "c", "d", "e"), ()), (("a", "b", "c", "d"), ("d", "e")),
@@ -91,19 +90,19 @@
     leader.broadcast_commit(fleet.now)
     with pytest.raises(BusyError, match=r"d is behind"):
         leader.change_members(fleet.now, (*ABC, "d"), ("e",))
-    fleet.cut = set()
+    fleet.blocked = set()
     fleet.run(1.5)
     fleet.isolate("d")
     fleet.run(0.7)
     with pytest.raises(BusyError, match=r"no reply from d for 0\.\d s"):
         leader.change_members(fleet.now, (*ABC, "d"), ("e",))
-    fleet.cut = set()
+    fleet.blocked = set()
     fleet.run(1.0)
     fleet.change(leader, (*ABC, "d"), ("e",))
     fleet.run(0.2)
     assert {m.members for m in fleet.members.values()} == {(*ABC, "d")}
     fleet.change(leader, tuple(n for n in (*ABC, "d") if n != leader.local_id), tuple(sorted((leader.local_id, "e"))))
-    new = fleet.leader()  # it demoted itself, and the others go on
+    new = fleet.leader()  # the old leader demoted itself, and the others elect another
     assert leader.role is Role.FOLLOWER and new.local_id != leader.local_id and leader.local_id in new.learners
     fleet.propose(new, b"after")
     fleet.run(0.3)
@@ -112,42 +111,42 @@
     assert "e" not in new.progress
 
 
-def test_a_learner_is_unsure_until_the_leader_says_so_and_does_not_vote_before() -> None:
-    # guards acknowledged entries: it may have voted once, and its disk may be older since
-    fleet = Learning("abc", ("d",), max_stale_disks=1)
+def test_learner_is_promoted_only_after_its_incarnation_is_confirmed() -> None:
+    # guards against the loss of acknowledged entries: a learner may have voted before, and its disk may be stale since
+    fleet = FleetWithLearners("abc", ("d",), max_stale_disks=1)
     for member in fleet.members.values():
         member.unconfirmed = False
     leader = fleet.leader()
     fleet.propose(leader, b"x")
-    fleet.members["d"] = Raft("d", (), fleet.now, 9, 2, fleet.options)  # with no disk at all, that knows no members
+    fleet.members["d"] = Raft("d", (), fleet.now, 9, 2, fleet.options)  # with an empty disk, which knows no members
     assert fleet.members["d"].unconfirmed
     fleet.run(0.06)
-    fleet.cut = {(a, b) for a in fleet.members for b in fleet.members if a in ABC and b in ABC}
+    fleet.blocked = {(a, b) for a in fleet.members for b in fleet.members if a in ABC and b in ABC}
     leader._begin_round(fleet.now)
     leader.progress["d"].next_heartbeat = 0.0
     leader._begin_round(fleet.now)
-    fleet.settle(leader.local_id)
-    fleet.pass_on()  # it has all now, and no voter has confirmed since that we lead
+    fleet.process_ready(leader.local_id)
+    fleet.deliver_all()  # d has all entries, but no voter has acknowledged a round since its start
     assert leader.progress["d"].match == leader.commit and fleet.members["d"].unconfirmed
     with pytest.raises(BusyError, match=r"d has restarted"):
         leader.change_members(fleet.now, (*ABC, "d"), ())
-    fleet.cut = set()
+    fleet.blocked = set()
     fleet.run(1.5)
     assert not fleet.members["d"].unconfirmed
-    with pytest.raises(ValueError, match="at least 3 voters"):  # of two none could have forgotten
+    with pytest.raises(ValueError, match="at least 3 voters"):  # quorums of two voters tolerate no stale disk
         leader.change_members(fleet.now, ("a", "b"), ("c", "d"))
     fleet.change(leader, (*ABC, "d"), ())
-    fleet.members["d"] = Raft("d", ABC, fleet.now, 9, 3, fleet.options, leader.term)  # it forgot that it votes
+    # d restarts without the entry that promoted it
+    fleet.members["d"] = Raft("d", ABC, fleet.now, 9, 3, fleet.options, leader.term)
     leader.step(fleet.now, "d", fleet.members["d"]._append_reply(False, 0, 0))
-    assert not leader.is_quorum(
-        [leader.local_id, "d", *[n for n in ABC if n != leader.local_id][:1]]
-    )  # three of four, one unsure
+    another = next(n for n in ABC if n != leader.local_id)
+    assert not leader.is_quorum([leader.local_id, "d", another])  # three of four voters, one of them unconfirmed
     assert leader.is_quorum(["a", "b", "c"])
 
 
-def test_many_learners_cost_a_leader_little_and_hear_what_is_new_at_once() -> None:
+def test_leader_spreads_learner_heartbeats_and_broadcasts_commits() -> None:
     learners = tuple(f"l{number:03}" for number in range(200))
-    fleet = Learning("abc", learners)
+    fleet = FleetWithLearners("abc", learners)
     leader = fleet.leader()
     fleet.run(3.0)
     counts = []
@@ -157,33 +156,32 @@
         out = leader.ready().messages
         counts.append(sum(1 for name, _ in out if name in learners))
         fleet.sent += [(leader.local_id, name, message) for name, message in out]
-        fleet.pass_on()
-    assert max(counts) <= 60 and min(counts) >= 20 and 780 <= sum(counts) <= 820  # 40 a round, and not 200
+        fleet.deliver_all()
+    assert max(counts) <= 60 and min(counts) >= 20 and 780 <= sum(counts) <= 820  # 40 per round, not 200
     fleet.propose(leader, b"new")
     fleet.propose(leader, b"newer")
     assert leader.commit == leader.last_index
     assert {fleet.members[name].last_index for name in learners} == {leader.last_index - 2}
     assert leader.broadcast_commit(fleet.now)
-    out = leader.ready().messages  # to each one message, with what is new and the word that it is committed
+    out = leader.ready().messages  # one message to each learner, with the new entries and the commit index
     assert sorted(name for name, _ in out if name in learners) == list(learners)
     fleet.sent += [(leader.local_id, name, message) for name, message in out]
-    fleet.pass_on()
+    fleet.deliver_all()
     assert {fleet.members[name].commit for name in (*ABC, *learners)} == {leader.commit}
-    assert (
-        not leader.broadcast_commit(fleet.now) and not leader.has_ready()
-    )  # nothing was committed since: no second round
+    # nothing was committed since, so no second round is started
+    assert not leader.broadcast_commit(fleet.now) and not leader.has_ready()
     assert not fleet.members["l000"].broadcast_commit(fleet.now)
 
 
-def test_learners_that_are_gone_do_not_take_the_places_of_those_that_wait_for_a_snapshot() -> None:
-    fleet = Learning("abc", ("d", "e", "f", "g"))
+def test_unreachable_learners_do_not_occupy_snapshot_transfers() -> None:
+    fleet = FleetWithLearners("abc", ("d", "e", "f", "g"))
     leader = fleet.leader()
-    fleet.cut = {(a, b) for a in fleet.members for b in fleet.members if a not in ABC or b not in ABC}
+    fleet.blocked = {(a, b) for a in fleet.members for b in fleet.members if a not in ABC or b not in ABC}
     fleet.propose(leader, b"x")
     fleet.run(2.0)
     fleet.snapshots[leader.local_id] = bytes(range(100))
     leader.compact(SnapshotMeta(leader.commit, leader.term, ABC, 100, leader.learners))
-    fleet.cut = {(a, b) for a in fleet.members for b in fleet.members if a in ("d", "e") or b in ("d", "e")}
+    fleet.blocked = {(a, b) for a in fleet.members for b in fleet.members if a in ("d", "e") or b in ("d", "e")}
     fleet.run(3.0)
     assert leader.progress["g"].match == leader.commit and leader.progress["d"].match < leader.commit
     leader.progress["d"].next_heartbeat = fleet.now
@@ -192,19 +190,20 @@
     assert len(sent) == 1 and isinstance(sent[0], AppendEntries) and not sent[0].entries
 
 
-# Who votes
+# Choice of the voters
 
 
-def test_a_lost_voter_is_replaced_by_a_live_learner_that_has_caught_up_one_change_at_a_time() -> None:
-    heard = {"a": 100.0, "b": 99.0, "c": 10.0, "d": 99.5, "e": 99.5}
-    first = next_change(ABC, ("e", "d"), heard, ("d", "e"), 100.0, 60.0, 3)
+def test_next_change_promotes_learner_then_demotes_lost_voter() -> None:
+    last_contact = {"a": 100.0, "b": 99.0, "c": 10.0, "d": 99.5, "e": 99.5}
+    first = next_change(ABC, ("e", "d"), last_contact, ("d", "e"), 100.0, 60.0, 3)
     assert first is not None and (first.voters, first.learners) == (("a", "b", "c", "d"), ("e",))
-    second = next_change(first.voters, first.learners, heard, ("e",), 101.0, 60.0, 3)
+    second = next_change(first.voters, first.learners, last_contact, ("e",), 101.0, 60.0, 3)
     assert second is not None and "c" in second.reason
     assert (second.voters, second.learners) == (("a", "b", "d"), ("c", "e"))
-    assert next_change(second.voters, second.learners, heard, ("e",), 102.0, 60.0, 3) is None
-    assert next_change(ABC, ("d", "e"), heard, (), 100.0, 60.0, 3) is None  # nobody has caught up
-    assert next_change(ABC, ("d", "e"), heard | {"b": 1.0}, ("d", "e"), 100.0, 60.0, 3) is None  # no majority to say so
+    assert next_change(second.voters, second.learners, last_contact, ("e",), 102.0, 60.0, 3) is None
+    assert next_change(ABC, ("d", "e"), last_contact, (), 100.0, 60.0, 3) is None  # no learner has caught up
+    # only a minority of the voters is live
+    assert next_change(ABC, ("d", "e"), last_contact | {"b": 1.0}, ("d", "e"), 100.0, 60.0, 3) is None
 
 
 NAMES = st.lists(st.sampled_from("abcdefghij"), unique=True, min_size=1, max_size=10)
@@ -212,33 +211,33 @@
 
 @given(
     names=NAMES, split=st.integers(1, 5), silent=st.sets(st.sampled_from("abcdefghij")),
-    able=st.sets(st.sampled_from("abcdefghij")), wanted=st.integers(1, 5), order=st.randoms(),
+    ready=st.sets(st.sampled_from("abcdefghij")), desired=st.integers(1, 5), order=st.randoms(),
 )  # fmt: skip
-def test_each_change_keeps_a_live_majority_and_they_end(
-    names: list[str], split: int, silent: set[str], able: set[str], wanted: int, order: Any
+def test_planned_changes_keep_live_majority_and_terminate(
+    names: list[str], split: int, silent: set[str], ready: set[str], desired: int, order: Any
 ) -> None:
     voters, learners = tuple(names[:split]), tuple(names[split:])
-    heard = {name: 0.0 if name in silent else 99.0 for name in names}
-    begun = len(set(voters) - silent)
+    last_contact = {name: 0.0 if name in silent else 99.0 for name in names}
+    live_at_start = len(set(voters) - silent)
     for _ in range(12):
-        change = next_change(voters, learners, heard, able, 100.0, 50.0, wanted)
-        mixed = order.sample(voters, len(voters)), order.sample(learners, len(learners))
-        assert next_change(*mixed, heard, able, 100.0, 50.0, wanted) == change
+        change = next_change(voters, learners, last_contact, ready, 100.0, 50.0, desired)
+        shuffled = order.sample(voters, len(voters)), order.sample(learners, len(learners))
+        assert next_change(*shuffled, last_contact, ready, 100.0, 50.0, desired) == change
         if change is None:
             break
         moved = set(change.voters) ^ set(voters)
         assert len(moved) == 1 and moved == set(change.learners) ^ set(learners)
-        assert len(set(change.voters) - silent) >= max(begun, len(change.voters) // 2 + 1)
-        assert moved <= silent or moved <= able - silent
+        assert len(set(change.voters) - silent) >= max(live_at_start, len(change.voters) // 2 + 1)
+        assert moved <= silent or moved <= ready - silent
         voters, learners = change.voters, change.learners
     else:
-        raise AssertionError("changes without end")
+        raise AssertionError("further changes are planned after 12 of them")
 
 
 # The model check
 
 
-def test_learners_and_their_promotion_hold_in_all_interleavings_of_a_few_steps() -> None:
+def test_learner_promotion_is_safe_in_exhaustive_exploration() -> None:
     found = explore(Consensus(Budget(2, 1, 1, 1, 0, 0), learners="d"), 5)
     assert found.is_exhaustive and found.broken == ""
     promoted = Budget(1, 0, 0, 1, 0, 0, promotions=1)
@@ -247,13 +246,13 @@
         assert found.is_exhaustive and found.broken == "" and found.states > 1_000
 
 
-def test_an_acknowledgement_of_a_learner_that_counts_is_found() -> None:
+def test_model_check_finds_counted_learner_acknowledgement() -> None:
     found = explore(Consensus(Budget(2, 0, 0, 0, 0, 0), "count-learners", learners="d"), 8)
     assert "without the entry 1 that is committed" in found.broken and len(found.trace) == 8
 
 
 @pytest.mark.parametrize("stale", [0, 1])
-def test_long_walks_with_promotions_and_demotions_break_nothing(stale: int) -> None:
+def test_promotions_and_demotions_are_safe_in_random_walks(stale: int) -> None:
     budget = Budget(12, 30, 8, 3, 6 * stale, 5, 3, promotions=6, demotions=6)
     found = wander(Consensus(budget, stale=stale, learners="de", early=not stale), 100, 160, 1, likely)
     assert found.broken == "" and found.steps > 10_000
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a gateway that comes back believes, in which order service returns, and that no herd comes back at once."""
+"""Recovery of a gateway: trust in its stored state, phases up to readiness, and limited snapshot transfers."""
 
 from __future__ import annotations
 
@@ -29,106 +29,110 @@
 )
 from tealwing.replica.service.state_feed import missing_commands
 from tealwing.replica.state import State
-from tests.test_replica import Fleet, do
+from tests.test_replica import Fleet, apply_body
 from tests.test_trials import run
 
 NOW = 1_800_000_000_000  # ms
 
 
-def believed(state: State, last: int = 0) -> dict[tuple[str, str], TrustedItem]:
-    return {(belief.kind, belief.key): belief for belief in assess_trust(state, last or state.applied, NOW)}
+def trusted_items(state: State, last: int = 0) -> dict[tuple[str, str], TrustedItem]:
+    return {(item.kind, item.key): item for item in assess_trust(state, last or state.applied, NOW)}
 
 
-def test_the_last_good_settings_serve_at_once_and_a_bad_one_never() -> None:
+def test_last_good_settings_are_trusted_and_invalid_ones_never() -> None:
     state = State()
-    do(state, 1, c.Settings(1, b"old"))
-    do(state, 2, c.Settings(2, b"good"))
-    do(state, 3, c.Settings(3, b"bad", valid=False))
-    found = believed(state)
+    apply_body(state, 1, c.Settings(1, b"old"))
+    apply_body(state, 2, c.Settings(2, b"good"))
+    apply_body(state, 3, c.Settings(3, b"bad", valid=False))
+    found = trusted_items(state)
     assert found["settings", "2"].trust is Trust.TRUSTED and found["settings", "3"].trust is Trust.NEVER
     assert ("settings", "1") not in found
 
 
-def test_a_lease_held_before_is_never_trusted_and_waited_out() -> None:
+def test_lease_held_before_restart_is_not_trusted() -> None:
     state = State()
-    do(state, 1, c.Acquire("sweep", "me/1", 5000))
-    do(state, 2, c.Acquire("free", "me/1", 5000))
-    do(state, 3, c.Release("free", 2))
-    found = believed(state)
+    apply_body(state, 1, c.Acquire("sweep", "me/1", 5000))
+    apply_body(state, 2, c.Acquire("free", "me/1", 5000))
+    apply_body(state, 3, c.Release("free", 2))
+    found = trusted_items(state)
     assert found["lease", "sweep"].trust is Trust.WAITS and ("lease", "free") not in found
     assert found["lease", "sweep"].until_ms == NOW + round(DEFAULT_BOUNDS.expiry_delay(5.0) * 1e3)
 
 
-def test_a_drain_goes_on_under_its_first_cutoff_and_what_has_no_age_is_marked() -> None:
+def test_drain_keeps_first_cutoff_and_items_of_unknown_age_are_marked() -> None:
     state = State()
-    do(state, 1, c.Drain(7, 0, NOW - 3000, NOW - 2000))
-    do(state, 2, c.Drain(7, 0, NOW - 1000, NOW))  # told again, later
-    do(state, 3, c.Drain(8, 0, NOW + 60_000, NOW + 61_000))  # by a clock that was ahead, or ours is behind
-    do(state, 4, c.Note(7, 0, "cold", NOW - 1000))
-    do(state, 5, c.Note(7, 0, "aside"))
-    do(state, 6, c.Level("few", "load", NOW - MAX_AGE_MS - 1))
-    found = believed(state, last=9)
+    apply_body(state, 1, c.Drain(7, 0, NOW - 3000, NOW - 2000))
+    apply_body(state, 2, c.Drain(7, 0, NOW - 1000, NOW))  # announced again later
+    apply_body(state, 3, c.Drain(8, 0, NOW + 60_000, NOW + 61_000))  # ahead of the local clock
+    apply_body(state, 4, c.Note(7, 0, "cold", NOW - 1000))
+    apply_body(state, 5, c.Note(7, 0, "aside"))
+    apply_body(state, 6, c.Level("few", "load", NOW - MAX_AGE_MS - 1))
+    found = trusted_items(state, last=9)
     assert found["drain", "7/0"].until_ms == NOW - 2000 and found["drain", "7/0"].trust is Trust.TRUSTED
     assert found["drain", "8/0"].trust is Trust.MARKED and found["drain", "8/0"].until_ms == NOW
     assert found["notes", "7/0/cold"].trust is Trust.TRUSTED and found["notes", "7/0/aside"].trust is Trust.MARKED
     assert found["levels", "few"].trust is Trust.MARKED and found["log", "7..9"].trust is Trust.MARKED
 
 
-def test_only_what_the_state_does_not_have_is_told() -> None:
+def test_missing_commands_omit_what_the_state_has() -> None:
     state = State()
     draining, ready = api.Health.DRAINING, api.Health.READY
-    told = [
+    entries = [
         api.EngineListEntry(7, 0, 0, 0, draining, 1.0, 0.0),
         api.EngineListEntry(8, 0, 0, 0, ready, 1.0, NOW / 1e3 - 2),
     ]
-    first = missing_commands(told, state, NOW, 1000, 13_000)
+    first = missing_commands(entries, state, NOW, 1000, 13_000)
     assert first == [c.Drain(7, 0, NOW, NOW + 1000), c.Note(8, NOW - 2000, "cold", NOW - 2000)]
     for index, body in enumerate(first, 1):
-        do(state, index, body)
-    assert missing_commands(told, state, NOW + 500, 1000, 13_000) == []
-    again = [
+        apply_body(state, index, body)
+    assert missing_commands(entries, state, NOW + 500, 1000, 13_000) == []
+    later_entries = [
         api.EngineListEntry(7, 0, 0, 0, ready, 1.0, 0.0),
         api.EngineListEntry(8, 0, 0, 0, api.Health.GONE, 1.0, 0.0),
     ]
-    over = missing_commands(again, state, NOW + 900, 1000, 13_000)
-    assert over == [c.Drain(7, 0, removed=True), c.Note(8, NOW - 2000, "cold", removed=True)]
-    for index, body in enumerate(over, 3):
-        assert do(state, index, body).ok
+    removals = missing_commands(later_entries, state, NOW + 900, 1000, 13_000)
+    assert removals == [c.Drain(7, 0, removed=True), c.Note(8, NOW - 2000, "cold", removed=True)]
+    for index, body in enumerate(removals, 3):
+        assert apply_body(state, index, body).ok
     assert state.counts()["drains"] == state.counts()["notes"] == 0
 
 
-def seen(leader: str = "", commit: int = 10, applied: int = 10, unsure: bool = False, term: int = 3) -> FleetView:
-    return FleetView(leader, term, unsure, commit, applied, 2, 3)
+def view(leader: str = "", commit: int = 10, applied: int = 10, unconfirmed: bool = False, term: int = 3) -> FleetView:
+    return FleetView(leader, term, unconfirmed, commit, applied, 2, 3)
 
 
-def test_service_returns_in_its_order_and_never_waits_for_a_quorum() -> None:
-    back = Recovery(0.0)
-    assert back.update(0.1, seen("b")) is Phase.DISK and not back.ready
-    back.disk_read(0.2)
-    assert back.update(0.3, seen()) is Phase.QUERYING_PEERS and not back.ready and not back.may_change
-    assert back.update(0.2 + PEER_QUERY_TIMEOUT, seen()) is Phase.STANDALONE and back.ready and not back.may_change
-    assert "2 of 3 members are reachable" in back.reason(seen())
-    assert back.update(3.0, seen("b", commit=20)) is Phase.STANDALONE  # what was committed when it was first heard
-    assert back.update(3.1, seen("b", commit=30, applied=19)) is Phase.STANDALONE
-    assert back.update(3.2, seen("b", commit=30, applied=20, unsure=True)) is Phase.STANDALONE
-    assert back.update(3.3, seen("b", commit=30, applied=20)) is Phase.MEMBER and back.may_change
+def test_recovery_becomes_ready_without_quorum() -> None:
+    recovery = Recovery(0.0)
+    assert recovery.update(0.1, view("b")) is Phase.DISK and not recovery.ready
+    recovery.disk_read(0.2)
+    assert recovery.update(0.3, view()) is Phase.QUERYING_PEERS and not recovery.ready and not recovery.may_change
     assert (
-        back.update(4.0, seen()) is Phase.STANDALONE and back.ready and not back.may_change
-    )  # the majority is gone again
-    assert back.report(seen(), [])["member_after_s"] == 3.3
-
-
-def test_a_gateway_that_finds_its_fleet_at_once_is_a_member_at_once() -> None:
-    back = Recovery(0.0)
-    back.disk_read(0.1)
-    assert back.update(0.2, seen("a")) is Phase.MEMBER and back.ready
-
-
-def test_snapshots_go_to_two_members_at_a_time_when_all_come_back() -> None:
-    # guards the leader's disk and link against a whole fleet that wants all of the state at one moment
+        recovery.update(0.2 + PEER_QUERY_TIMEOUT, view()) is Phase.STANDALONE
+        and recovery.ready
+        and not recovery.may_change
+    )
+    assert "2 of 3 members are reachable" in recovery.reason(view())
+    # the catch-up target is the commit index at the first contact with the leader
+    assert recovery.update(3.0, view("b", commit=20)) is Phase.STANDALONE
+    assert recovery.update(3.1, view("b", commit=30, applied=19)) is Phase.STANDALONE
+    assert recovery.update(3.2, view("b", commit=30, applied=20, unconfirmed=True)) is Phase.STANDALONE
+    assert recovery.update(3.3, view("b", commit=30, applied=20)) is Phase.MEMBER and recovery.may_change
+    # the quorum is lost again
+    assert recovery.update(4.0, view()) is Phase.STANDALONE and recovery.ready and not recovery.may_change
+    assert recovery.report(view(), [])["member_after_s"] == 3.3
+
+
+def test_recovery_becomes_member_as_soon_as_caught_up() -> None:
+    recovery = Recovery(0.0)
+    recovery.disk_read(0.1)
+    assert recovery.update(0.2, view("a")) is Phase.MEMBER and recovery.ready
+
+
+def test_leader_limits_concurrent_snapshot_transfers() -> None:
+    # guards the leader's disk and link against overload when all members need a snapshot at the same time
     fleet = Fleet("abcdefg")
     leader = fleet.leader()
-    fleet.cut = {(leader.local_id, name) for name in "abcdefg"} | {(name, leader.local_id) for name in "abcdefg"}
+    fleet.blocked = {(leader.local_id, name) for name in "abcdefg"} | {(name, leader.local_id) for name in "abcdefg"}
     others = [name for name in "abcdefg" if name != leader.local_id]
     for name in others:
         leader.progress[name].match, leader.progress[name].next, leader.progress[name].mode = 0, 1, Mode.PROBE
@@ -139,29 +143,29 @@
     fleet.sent.clear()
     leader._begin_round(fleet.now)
     assert len([message for _, message in leader.ready().messages if isinstance(message, InstallSnapshot)]) == 2
-    fleet.cut = set()
+    fleet.blocked = set()
     fleet.run(8.0)
     assert {m.commit for m in fleet.members.values()} == {leader.commit} and leader.commit > 0
 
 
-def query(number: int, begin: float, end: float, word: str = "served") -> list[dict[str, Any]]:
-    asked = {"t": begin, "kind": "invoke", "id": number, "op": "query", "process": "a"}
-    return [asked, {"t": end, "kind": "ok", "id": number, "word": word, "text": ""}]
+def query(number: int, begin: float, end: float, outcome: str = "served") -> list[dict[str, Any]]:
+    invocation = {"t": begin, "kind": "invoke", "id": number, "op": "query", "process": "a"}
+    return [invocation, {"t": end, "kind": "ok", "id": number, "word": outcome, "text": ""}]
 
 
-def test_the_judge_of_clients_can_fail() -> None:
+def test_client_judge_reports_refusal_outside_faults() -> None:
     down = [
         {"t": 2.0, "kind": "fault", "what": "kill", "span": "a", "who": "a"},
         {"t": 4.0, "kind": "fault", "what": "over", "span": "a", "over": True},
     ]
-    crossed = {"t": 2.1, "kind": "unknown", "id": 2, "why": "closed"}
-    events = [*query(1, 1.0, 1.1), *query(2, 1.9, 2.1)[:1], *down, crossed, *query(3, 4.5, 4.6)]
+    cut_off = {"t": 2.1, "kind": "unknown", "id": 2, "why": "closed"}
+    events = [*query(1, 1.0, 1.1), *query(2, 1.9, 2.1)[:1], *down, cut_off, *query(3, 4.5, 4.6)]
     assert clients.check(events, 10.0) == []
     assert len(clients.check([*events, *query(4, 5.0, 5.1, "refused")], 10.0)) == 1
 
 
 @pytest.mark.trial
-def test_a_whole_fleet_comes_back_from_a_power_loss(tmp_path: Path) -> None:
+def test_fleet_recovers_from_power_loss(tmp_path: Path) -> None:
     found = runs.run_trial(scenario.load("power-loss"), 5, 20.0, 1, tmp_path / "out")
     assert [str(violation) for violation in found.violations] == []
     figures = found.summary
@@ -170,7 +174,7 @@
 
 
 @pytest.mark.trial
-def test_one_gateway_of_three_serves_alone_takes_no_settings_and_says_why() -> None:
+def test_single_gateway_of_three_serves_but_rejects_settings() -> None:
     from tealwing.lab.client import Session
     from tealwing.lab.rig.loads.queries import readiness
     from tests.test_peers import until
@@ -181,9 +185,10 @@
         engine = trial.engines.members()[1] | {"phase": "draining"}
         trial.coordinator.publish([engine])
         caller = trial.caller("n0")
-        until(lambda: caller.call("replica.status")["held"]["drains"] == 1)  # told by all three, and kept once
+        # all three gateways record the drain, which is stored once
+        until(lambda: caller.call("replica.status")["held"]["drains"] == 1)
         applied = caller.call("replica.status")["applied"]
-        until(lambda: caller.call("replica.status")["kept"] >= applied)  # its disk knows that it is committed
+        until(lambda: caller.call("replica.status")["kept"] >= applied)  # the commit index is on its disk
         caller.close()
         for process in trial.processes.values():
             process.kill()
@@ -192,20 +197,22 @@
         listen, admin = one.address("listen"), one.address("admin")
         assert listen is not None and admin is not None
         text = b"/* op=lookup,call=00000000000000aa,ttl=3000,org=graan-koop,work=2.0,heap_mb=4 */ SELECT a FROM s_1.t"
-        assert Session(listen).query(text, 5.0).outcome == "served"  # whatever readiness says
+        assert Session(listen).query(text, 5.0).outcome == "served"  # even while the gateway is not ready
         until(lambda: readiness(admin).startswith("ready: no leader is known; 1 of 3 members are reachable"))
         caller = trial.caller("n0")
-        told = caller.call("replica.settings", text=b"{}")
-        assert told["word"] == "unavailable" and "no leader is known" in told["why"]
-        back = caller.call("replica.recovery")
-        assert back["phase"] == "alone"
-        assert [(b["trust"], b["until_ms"] > 0) for b in back["beliefs"] if b["what"] == "drain"] == [("held", True)]
+        reply = caller.call("replica.settings", text=b"{}")
+        assert reply["word"] == "unavailable" and "no leader is known" in reply["why"]
+        recovery = caller.call("replica.recovery")
+        assert recovery["phase"] == "alone"
+        assert [(b["trust"], b["until_ms"] > 0) for b in recovery["beliefs"] if b["what"] == "drain"] == [
+            ("held", True)
+        ]
         assert not any(lease["valid"] for lease in caller.call("lease.list")["here"])
         for name in ("n1", "n2"):
             trial.processes[name].start()
         until(lambda: readiness(admin).startswith("ready: caught up"))
         with pytest.raises(Exception, match="text: "):
             caller.call("replica.settings", text=b"{}")
-        code, said = run("replica", "status", "--control", "{}:{}".format(*one.control))
-        assert code == 0 and "members n0, n1, n2" in said
+        code, output = run("replica", "status", "--control", "{}:{}".format(*one.control))
+        assert code == 0 and "members n0, n1, n2" in output
         assert trial.fault_lines() == []
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""The replicated state: its disk, its commands, its core under lost messages and cuts, and the judges of registers."""
+"""The replicated log: storage, state machine, Raft core, the model check of the core, and the judges of histories."""
 
 from __future__ import annotations
 
@@ -43,12 +43,12 @@
     return c.encode(c.Command(client, sequence, c.Put(key, value), **more))
 
 
-# The disk
+# Storage
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(cut=st.integers(1, 400), seed=st.integers(0, 10**6))
-def test_a_torn_tail_is_cut_and_what_came_before_it_stays(cut: int, seed: int, tmp_path_factory: Any) -> None:
+def test_storage_truncates_torn_tail_and_keeps_earlier_entries(cut: int, seed: int, tmp_path_factory: Any) -> None:
     folder = tmp_path_factory.mktemp("torn")
     rng = random.Random(seed)
     storage = Storage(folder)
@@ -66,8 +66,8 @@
     assert Storage(folder).open().log[-1].data == b"new" and verify(folder) == []
 
 
-def test_a_damaged_record_before_good_ones_ends_the_start(tmp_path: Path) -> None:
-    # guards acknowledged entries: cutting there would forget them without a word
+def test_storage_open_fails_on_damaged_record_before_valid_ones(tmp_path: Path) -> None:
+    # guards against the silent loss of acknowledged entries, which truncation at the damaged record would cause
     storage = Storage(tmp_path)
     storage.open()
     storage.save((1, ""), [entry(1, 1, b"first")])
@@ -79,7 +79,7 @@
     assert "damaged" in verify(tmp_path)[0]
 
 
-def test_a_later_record_takes_the_place_of_all_from_its_index_on(tmp_path: Path) -> None:
+def test_later_record_replaces_entries_from_its_index_on(tmp_path: Path) -> None:
     storage = Storage(tmp_path)
     storage.open()
     storage.save((1, "a"), [entry(1), entry(2), entry(3)])
@@ -88,20 +88,21 @@
     assert [(e.index, e.term) for e in found.log] == [(1, 1), (2, 2)] and (found.term, found.vote) == (2, "")
 
 
-def test_a_start_knows_what_was_committed_though_nobody_leads(tmp_path: Path) -> None:
-    # guards settings and drains after a power loss: what stood only in the log was no more until a leader was back
+def test_restart_applies_committed_entries_without_leader(tmp_path: Path) -> None:
+    # guards settings and drains after a power loss: committed entries that no snapshot held were not applied until a
+    # leader was elected
     storage = Storage(tmp_path)
     storage.open()
-    storage.save((1, "a"), [entry(1, 1, put("k", b"known")), entry(2, 1, put("k", b"not known"))])
+    storage.save((1, "a"), [entry(1, 1, put("k", b"committed")), entry(2, 1, put("k", b"not committed"))])
     storage.save(None, (), 1)
-    storage.save((2, ""), ())  # a later term and vote keep it
+    storage.save((2, ""), ())  # a write of a later term and vote keeps the commit index
     found = Storage(tmp_path).open()
     assert (found.term, found.commit) == (2, 1)
     core = Raft("a", ("a", "b", "c"), 0.0, term=2, log=found.log, commit=found.commit)
     assert [e.index for e in core.ready().committed] == [1] and core.commit == 1
 
 
-def test_after_a_failed_sync_nothing_more_is_written(tmp_path: Path) -> None:
+def test_storage_rejects_writes_after_disk_fault(tmp_path: Path) -> None:
     for number, fault in enumerate(("fsync", "short", "full")):
         folder = tmp_path / str(number)
         disk = Disk()
@@ -116,7 +117,7 @@
         assert [e.index for e in Storage(folder).open().log][:1] == [1]
 
 
-def test_snapshots_come_whole_or_not_and_the_log_before_them_goes(tmp_path: Path) -> None:
+def test_snapshot_write_is_atomic_and_replaces_the_log_before_it(tmp_path: Path) -> None:
     storage = Storage(tmp_path)
     storage.open()
     storage.save((2, ""), [entry(index, 2) for index in range(1, 6)])
@@ -139,7 +140,7 @@
         Storage(tmp_path).open()
 
 
-def test_a_received_snapshot_goes_on_where_it_was_cut_and_drops_what_disagrees(tmp_path: Path) -> None:
+def test_snapshot_transfer_resumes_and_discards_conflicting_entries(tmp_path: Path) -> None:
     source = Storage(tmp_path / "from")
     source.open()
     source.save((3, ""), [entry(index, 3) for index in range(1, 8)])
@@ -148,23 +149,23 @@
     assert whole is not None and len(whole) == meta.size
     target = Storage(tmp_path / "to")
     target.open()
-    target.save((2, ""), [entry(index, 2) for index in range(1, 10)])  # 8 and 9 are of a leader that is no more
+    target.save((2, ""), [entry(index, 2) for index in range(1, 10)])  # conflicts with the snapshot in its term
     target.snapshot_files.write_chunk(7, 3, 0, whole[:20])
     target.close()
     again = Storage(tmp_path / "to")
     assert again.open().incoming == (7, 3, 20)
     again.snapshot_files.write_chunk(7, 3, 20, whole[20:-1] + b"?")
-    assert again.install_snapshot(7, 3) is None  # its checksum is wrong
+    assert again.install_snapshot(7, 3) is None  # the checksum does not match
     again.snapshot_files.write_chunk(7, 3, 0, whole)
     assert again.install_snapshot(7, 3) == meta
     found = Storage(tmp_path / "to").open()
     assert found.snapshot == meta and found.log == []
 
 
-# The state
+# The state machine
 
 
-def test_a_command_sent_again_is_applied_once() -> None:
+def test_session_applies_retried_command_once() -> None:
     state = State()
     first = state.apply(1, put("k", b"1", "me", 1))
     state.apply(2, put("k", b"2", "you", 1))
@@ -177,37 +178,40 @@
     assert len(state.tables["sessions"]) == MAX_SESSIONS and "me" not in state.tables["sessions"]
 
 
-def do(state: State, index: int, body: c.Body, fence: c.Fence | None = None) -> c.CommandResult:
+def apply_body(state: State, index: int, body: c.Body, fence: c.Fence | None = None) -> c.CommandResult:
     return state.apply(index, c.encode(c.Command("", 0, body, fence)))
 
 
-def test_settings_drains_and_leases_keep_their_rules() -> None:
+def test_state_enforces_settings_order_first_cutoff_and_lease_fencing() -> None:
     state = State()
-    assert not do(state, 1, c.Settings(2, b"late")).ok and do(state, 2, c.Settings(1, b"good")).ok
-    assert do(state, 3, c.Settings(2, b"bad", valid=False)).ok and state.last_good() == 1
+    assert not apply_body(state, 1, c.Settings(2, b"late")).ok and apply_body(state, 2, c.Settings(1, b"good")).ok
+    assert apply_body(state, 3, c.Settings(2, b"bad", valid=False)).ok and state.last_good() == 1
     for version in range(3, 30):
-        do(state, version + 1, c.Settings(version, b"bad", valid=False))
-    assert "1" in state.tables["settings"] and len(state.tables["settings"]) == 17  # the last good one stays
-    do(state, 40, c.Drain(7, 0, 1000, 2000))
-    do(state, 41, c.Drain(7, 0, 1500, 2500))
-    assert state.tables["drains"]["7/0"].cutoff == 2000  # it counts from when it was first told
-    assert do(state, 42, c.Drain(7, 0, removed=True)).ok and not do(state, 43, c.Drain(7, 0, removed=True)).ok
-    granted = do(state, 50, c.Acquire("sweep", "a", 1000))
-    assert granted.version == 50 and not do(state, 51, c.Acquire("sweep", "b", 1000)).ok
-    assert do(state, 52, c.Renew("sweep", 50)).ok
-    assert not do(state, 53, c.Expire("sweep", 50, 50)).ok  # it was renewed meanwhile
-    assert do(state, 54, c.Expire("sweep", 50, 52)).ok and not do(state, 55, c.Renew("sweep", 50)).ok
-    assert do(state, 56, c.Acquire("sweep", "b", 1000)).version == 56
-    assert not do(state, 57, c.Put("k", b"old"), c.Fence("sweep", 50)).ok and state.rejected_stale == 1
-    assert not do(state, 58, c.Put("k", b"made up"), c.Fence("sweep", 99)).ok
-    assert do(state, 59, c.Put("k", b"new"), c.Fence("sweep", 56)).ok
-
-
-def test_a_snapshot_is_the_state_and_garbage_is_none() -> None:
+        apply_body(state, version + 1, c.Settings(version, b"bad", valid=False))
+    assert "1" in state.tables["settings"] and len(state.tables["settings"]) == 17  # the last good version is kept
+    apply_body(state, 40, c.Drain(7, 0, 1000, 2000))
+    apply_body(state, 41, c.Drain(7, 0, 1500, 2500))
+    assert state.tables["drains"]["7/0"].cutoff == 2000  # the cut-off of the first announcement is kept
+    assert (
+        apply_body(state, 42, c.Drain(7, 0, removed=True)).ok
+        and not apply_body(state, 43, c.Drain(7, 0, removed=True)).ok
+    )
+    granted = apply_body(state, 50, c.Acquire("sweep", "a", 1000))
+    assert granted.version == 50 and not apply_body(state, 51, c.Acquire("sweep", "b", 1000)).ok
+    assert apply_body(state, 52, c.Renew("sweep", 50)).ok
+    assert not apply_body(state, 53, c.Expire("sweep", 50, 50)).ok  # the lease was renewed after entry 50
+    assert apply_body(state, 54, c.Expire("sweep", 50, 52)).ok and not apply_body(state, 55, c.Renew("sweep", 50)).ok
+    assert apply_body(state, 56, c.Acquire("sweep", "b", 1000)).version == 56
+    assert not apply_body(state, 57, c.Put("k", b"old"), c.Fence("sweep", 50)).ok and state.rejected_stale == 1
+    assert not apply_body(state, 58, c.Put("k", b"never granted"), c.Fence("sweep", 99)).ok
+    assert apply_body(state, 59, c.Put("k", b"new"), c.Fence("sweep", 56)).ok
+
+
+def test_snapshot_restores_equal_state_and_rejects_invalid_body() -> None:
     state = State()
     for index in range(1, 400):
         state.apply(index, put(f"k{index % 37}", random.Random(index).randbytes(900), f"c{index % 9}", index))
-    do(state, 400, c.Acquire("sweep", "a", 1000))
+    apply_body(state, 400, c.Acquire("sweep", "a", 1000))
     other = State()
     other.load(400, state.copy().dump())
     assert other.digest() == state.digest() and other.counts() == state.counts()
@@ -218,15 +222,15 @@
             State().load(1, [wrong])
 
 
-# The core, in a fleet without sockets
+# The Raft core, in a simulated fleet without sockets
 
 
 class Fleet:
-    """Members whose messages go round at once, but over cuts; disks that keep all; time in the test's hand."""
+    """Raft cores with lossless disks; messages arrive at once except over blocked links, and the test sets the time."""
 
     def __init__(self, names: str = "abc", **options: Any) -> None:
         self.options = Options(**options)
-        self.now, self.cut = 100.0, set[tuple[str, str]]()
+        self.now, self.blocked = 100.0, set[tuple[str, str]]()
         self.members = {n: Raft(n, tuple(names), self.now, number, 1, self.options) for number, n in enumerate(names)}
         self.applied: dict[str, list[tuple[int, bytes]]] = {n: [] for n in names}
         self.sent: list[tuple[str, str, Message]] = []
@@ -242,20 +246,20 @@
             self.now += step
             for name in self.members:
                 self.members[name].tick(self.now)
-                self.settle(name)
-            self.pass_on()
+                self.process_ready(name)
+            self.deliver_all()
 
-    def pass_on(self) -> None:
+    def deliver_all(self) -> None:
         for _ in range(10_000):
             if not self.sent:
                 return
             source, target, message = self.sent.pop(0)
-            if (source, target) not in self.cut and target in self.members:
+            if (source, target) not in self.blocked and target in self.members:
                 self.members[target].step(self.now, source, message)
-                self.settle(target)
-        raise AssertionError("messages without end")
+                self.process_ready(target)
+        raise AssertionError("members still send messages after 10,000 deliveries")
 
-    def settle(self, name: str) -> None:
+    def process_ready(self, name: str) -> None:
         member = self.members[name]
         while member.has_ready():
             ready = member.ready()
@@ -276,57 +280,57 @@
 
     def leader(self) -> Raft:
         self.run(3.0)
-        led = [m for m in self.members.values() if m.role is Role.LEADER]
-        return max(led, key=lambda m: m.term)
+        leaders = [m for m in self.members.values() if m.role is Role.LEADER]
+        return max(leaders, key=lambda m: m.term)
 
     def propose(self, leader: Raft, data: bytes) -> None:
         leader.propose(self.now, data)
-        self.settle(leader.local_id)
-        self.pass_on()
+        self.process_ready(leader.local_id)
+        self.deliver_all()
 
     def isolate(self, name: str) -> None:
-        self.cut = {(a, b) for a in self.members for b in self.members if name in (a, b)}
+        self.blocked = {(a, b) for a in self.members for b in self.members if name in (a, b)}
 
 
-def test_an_isolated_leader_steps_down_and_its_own_entries_give_way() -> None:
+def test_isolated_leader_steps_down_and_its_uncommitted_entries_are_replaced() -> None:
     fleet = Fleet()
     old = fleet.leader()
     fleet.propose(old, b"kept")
     fleet.isolate(old.local_id)
     fleet.propose(old, b"never committed")
     fleet.run(2.0)
-    assert old.role is not Role.LEADER  # it can't reach a quorum, and says so
+    assert old.role is not Role.LEADER  # it can't reach a quorum
     new = next(m for m in fleet.members.values() if m.role is Role.LEADER)
-    fleet.propose(new, b"instead")
+    fleet.propose(new, b"replacement")
     term = new.term
-    fleet.cut = set()
+    fleet.blocked = set()
     fleet.run(1.0)
-    assert new.role is Role.LEADER and new.term == term  # pre-vote: who comes back unseats nobody
-    assert {tuple(found) for found in fleet.applied.values()} == {((2, b"kept"), (4, b"instead"))}
-    assert old.log == new.log  # the conflicting suffix was cut: the leader's log wins
+    assert new.role is Role.LEADER and new.term == term  # pre-vote: the returning member does not depose it
+    assert {tuple(found) for found in fleet.applied.values()} == {((2, b"kept"), (4, b"replacement"))}
+    assert old.log == new.log  # the conflicting suffix was replaced by the leader's entries
 
 
-def test_a_leader_that_goes_hands_over_and_nobody_waits_for_an_election() -> None:
+def test_leadership_transfer_elects_target_without_election_timeout() -> None:
     fleet = Fleet()
     old = fleet.leader()
     fleet.propose(old, b"before")
     fleet.run(0.2)
     begun, to = fleet.now, old.transfer_leadership(fleet.now)
-    fleet.settle(old.local_id)
-    fleet.pass_on()
+    fleet.process_ready(old.local_id)
+    fleet.deliver_all()
     new = fleet.members[to]
     assert new.role is Role.LEADER and old.role is Role.FOLLOWER and fleet.now == begun
     fleet.propose(new, b"after")
     fleet.run(0.2)
     assert {tuple(data for _, data in found) for found in fleet.applied.values()} == {(b"before", b"after")}
-    assert old.transfer_leadership(fleet.now) == ""  # only a leader has something to hand over
+    assert old.transfer_leadership(fleet.now) == ""  # only a leader can transfer leadership
     fleet.isolate(new.local_id)
     fleet.run(0.7)
-    assert new.transfer_leadership(fleet.now) == ""  # to nobody that it does not hear
+    assert new.transfer_leadership(fleet.now) == ""  # no eligible target: it has no recent contact
 
 
-def test_a_read_is_not_answered_by_a_leader_that_was_deposed() -> None:
-    fleet = Fleet(check_quorum=False)  # it still thinks that it leads
+def test_deposed_leader_does_not_answer_reads() -> None:
+    fleet = Fleet(check_quorum=False)  # the deposed leader does not step down by itself
     old = fleet.leader()
     fleet.isolate(old.local_id)
     old.read(fleet.now, 7)
@@ -340,13 +344,13 @@
         next(m for m in fleet.members.values() if m.role is Role.FOLLOWER).read(fleet.now, 9)
 
 
-def test_members_come_and_go_one_at_a_time() -> None:
+def test_membership_changes_one_voter_at_a_time() -> None:
     fleet = Fleet()
     leader = fleet.leader()
     fleet.propose(leader, b"before")
     fleet.add("d")
     with pytest.raises(ValueError, match="voters a, d: add or remove one voter at a time"):
-        leader.change_members(fleet.now, ("a", "b"[:0] or "d"))
+        leader.change_members(fleet.now, ("a", "d"))
     leader.change_members(fleet.now, ("a", "b", "c", "d"))
     with pytest.raises(BusyError):
         leader.change_members(fleet.now, ("a", "b", "c"))
@@ -354,16 +358,16 @@
     assert fleet.applied["d"] == [(2, b"before")] and fleet.members["d"].members == ("a", "b", "c", "d")
     rest = tuple(name for name in "abcd" if name != leader.local_id)
     leader.change_members(fleet.now, rest)
-    fleet.settle(leader.local_id)
+    fleet.process_ready(leader.local_id)
     fleet.run(3.0)
-    assert leader.role is not Role.LEADER  # it committed its own removal, and the others go on
+    assert leader.role is not Role.LEADER  # it committed its own removal, and the others elect a leader
     new = next(m for m in fleet.members.values() if m.role is Role.LEADER)
     fleet.propose(new, b"after")
-    fleet.run(0.3)  # the next beat tells what is committed
+    fleet.run(0.3)  # the next heartbeat carries the commit index
     assert new.members == rest and fleet.applied[rest[0]][-1][1] == b"after"
 
 
-def test_who_needs_more_than_the_log_has_gets_a_snapshot_in_pieces_over_a_cut() -> None:
+def test_lagging_follower_resumes_chunked_snapshot_after_partition() -> None:
     fleet = Fleet()
     leader = fleet.leader()
     behind = next(name for name in "abc" if name != leader.local_id)
@@ -372,22 +376,22 @@
         fleet.propose(leader, b"%d" % number)
     fleet.snapshots[leader.local_id] = bytes(range(100))
     leader.compact(SnapshotMeta(leader.commit, leader.term, tuple("abc"), 100), retained_entries=0)
-    fleet.cut = set()
-    for _ in range(200):  # some pieces get through, then the link is cut in their midst
+    fleet.blocked = set()
+    for _ in range(200):  # some chunks arrive, then the link is blocked during the transfer
         fleet.now += 0.02
         leader.tick(fleet.now)
-        fleet.settle(leader.local_id)
+        fleet.process_ready(leader.local_id)
         while fleet.sent and fleet.members[behind]._incoming_snapshot[2] < 40:
             source, target, message = fleet.sent.pop(0)
             fleet.members[target].step(fleet.now, source, message)
-            fleet.settle(target)
+            fleet.process_ready(target)
         if fleet.members[behind]._incoming_snapshot[2] >= 40:
             break
     fleet.isolate(behind)
     fleet.run(0.5)
-    at = fleet.members[behind]._incoming_snapshot[2]
-    assert at >= 40
-    fleet.cut = set()
+    received = fleet.members[behind]._incoming_snapshot[2]
+    assert received >= 40
+    fleet.blocked = set()
     offsets = []
     original = fleet.members[behind]._handle_install_snapshot
 
@@ -400,104 +404,106 @@
     fleet.propose(leader if leader.role is Role.LEADER else fleet.leader(), b"last")
     fleet.run(0.3)
     assert fleet.applied[behind][0][1] == b"snapshot" and fleet.applied[behind][-1][1] == b"last"
-    assert min(offsets) >= at - 10  # it went on where it was: the last piece again at most, whose answer was lost
+    assert min(offsets) >= received - 10  # it resumed: at most the last chunk, whose reply was lost, is sent again
 
 
-def test_a_refused_append_is_not_sent_again_and_again() -> None:
+def test_repeated_append_rejection_is_not_retried_at_once() -> None:
     fleet = Fleet()
     leader = fleet.leader()
     other = next(name for name in "abc" if name != leader.local_id)
     progress = leader.progress[other]
-    refusal = AppendEntriesReply(leader.term, False, 0, progress.match, 0, leader.round, progress.incarnation, False)
-    leader.step(fleet.now, other, refusal)
+    rejection = AppendEntriesReply(leader.term, False, 0, progress.match, 0, leader.round, progress.incarnation, False)
+    leader.step(fleet.now, other, rejection)
     leader.ready()
-    leader.step(fleet.now, other, refusal)  # the same again: nothing new to try
+    leader.step(fleet.now, other, rejection)  # the same rejection again changes nothing
     assert not any(isinstance(message, AppendEntries) for _, message in leader.ready().messages)
 
 
 @pytest.mark.parametrize("stale", [0, 1])
-def test_a_member_that_came_back_with_an_older_disk_decides_nothing_until_it_is_sure(stale: int) -> None:
-    # guards acknowledged entries: a disk that lost its last writes makes a member vote as though it remembered less
+def test_unconfirmed_member_cannot_elect_leader_without_acknowledged_entry(stale: int) -> None:
+    # guards against the loss of acknowledged entries: a member whose disk lost its last writes grants votes without
+    # them
     fleet = Fleet(max_stale_disks=stale, pre_vote=False, check_quorum=False)
     for member in fleet.members.values():
         member.unconfirmed = False
     leader = fleet.leader()
-    third, forgetful = (name for name in "abc" if name != leader.local_id)
+    third, restarted = (name for name in "abc" if name != leader.local_id)
     fleet.isolate(third)
     fleet.propose(leader, b"acknowledged")
     assert leader.commit == 2
-    fleet.members[forgetful] = Raft(forgetful, tuple("abc"), fleet.now, 5, 2, fleet.options)  # an empty disk
-    fleet.isolate(leader.local_id)  # the one that has the entry is away
+    fleet.members[restarted] = Raft(restarted, tuple("abc"), fleet.now, 5, 2, fleet.options)  # with an empty disk
+    fleet.isolate(leader.local_id)  # the only other member that has the entry is unreachable
     fleet.run(5.0)
-    led = [m.local_id for m in fleet.members.values() if m.role is Role.LEADER and m is not leader]
-    assert bool(led) is (stale == 0)  # plain Raft elects one without the entry
+    leaders = [m.local_id for m in fleet.members.values() if m.role is Role.LEADER and m is not leader]
+    assert bool(leaders) is (stale == 0)  # without protection (stale 0) a member without the entry is elected
     if stale:
-        fleet.cut = set()
+        fleet.blocked = set()
         fleet.run(20.0)
         assert fleet.applied[third] == [(2, b"acknowledged")]
-        assert not fleet.members[forgetful].unconfirmed and fleet.members[forgetful].commit >= 2
+        assert not fleet.members[restarted].unconfirmed and fleet.members[restarted].commit >= 2
 
 
-@pytest.mark.parametrize("careful", [False, True])
-def test_a_vote_that_was_forgotten_makes_no_second_leader_of_a_term(careful: bool) -> None:
-    # guards one leader a term: l votes for x, comes back without that, is told that it is sure, and votes for q
-    fleet = Fleet("lpqxy", max_stale_disks=1, pre_vote=careful, check_quorum=careful)
+@pytest.mark.parametrize("checks", [False, True])
+def test_lost_vote_does_not_elect_second_leader_in_term(checks: bool) -> None:
+    # guards against two leaders in one term: l votes for x, loses that vote in a restart, is confirmed by the old
+    # leader, and votes for q in the same term
+    fleet = Fleet("lpqxy", max_stale_disks=1, pre_vote=checks, check_quorum=checks)
     m = fleet.members
     for member in m.values():
-        member.unconfirmed, member.election_deadline = False, 1e9  # who stands, and when, is told below
+        member.unconfirmed, member.election_deadline = False, 1e9  # the test starts each election
 
-    def give(route: str) -> None:
-        """Each pair of names: all that is under way from one to the other arrives."""
+    def deliver(route: str) -> None:
+        """Deliver, for each pair of names, all messages in flight from the first to the second."""
         for pair in route.split():
             source, target = pair[0], pair[1]
-            due = [word for word in fleet.sent if word[:2] == (source, target)]
-            fleet.sent = [word for word in fleet.sent if word not in due]
+            due = [sent for sent in fleet.sent if sent[:2] == (source, target)]
+            fleet.sent = [sent for sent in fleet.sent if sent not in due]
             for _, _, message in due:
                 m[target].step(fleet.now, source, message)
-                fleet.settle(target)
+                fleet.process_ready(target)
 
-    def lose(names: str) -> None:
-        fleet.sent = [word for word in fleet.sent if word[0] not in names]
+    def drop_messages_of(names: str) -> None:
+        fleet.sent = [sent for sent in fleet.sent if sent[0] not in names]
 
-    def stand(name: str, asked: str) -> None:
+    def campaign(name: str, voters: str) -> None:
         m[name].campaign(fleet.now)
-        fleet.settle(name)
-        if careful:  # the votes before the vote
-            give(" ".join(f"{name}{other} {other}{name}" for other in asked))
+        fleet.process_ready(name)
+        if checks:  # the pre-vote
+            deliver(" ".join(f"{name}{other} {other}{name}" for other in voters))
             fleet.sent = [
-                w for w in fleet.sent if not (isinstance(w[2], RequestVote) and w[0] == name and w[2].pre_vote)
+                s for s in fleet.sent if not (isinstance(s[2], RequestVote) and s[0] == name and s[2].pre_vote)
             ]
 
     m["y"].campaign(fleet.now)
-    fleet.settle("y")
-    fleet.pass_on()
+    fleet.process_ready("y")
+    fleet.deliver_all()
     assert m["y"].role is Role.LEADER and m["y"].commit == 1
-    fleet.now += 0.61  # x, l and p have not heard y for an election time
+    fleet.now += 0.61  # x, l and p have had no contact with y for an election timeout
     before = m["l"].term, m["l"].vote, list(m["l"].log)
-    stand("x", "lp")
-    give("xl lx")
+    campaign("x", "lp")
+    deliver("xl lx")
     assert (m["x"].term, m["l"].vote) == (m["y"].term + 1, "x")
-    lost = m["l"]
+    old_l = m["l"]
     m["l"] = Raft("l", tuple("lpqxy"), fleet.now, 9, 2, fleet.options, *before[:2], log=before[2])
     m["l"].election_deadline = 1e9
     for route in ("yl ly", "yp py yq qy yl ly"):
         m["y"]._begin_round(fleet.now)
-        fleet.settle("y")
-        give(route)
-    give("py qy ly yl")
-    assert m["l"].term == m["y"].term < lost.term and not m["l"].unconfirmed
-    lose("y")
-    fleet.now += 0.61  # y is heard by nobody
-    assert fleet.now < m["x"].election_deadline or not careful
+        fleet.process_ready("y")
+        deliver(route)
+    deliver("py qy ly yl")
+    assert m["l"].term == m["y"].term < old_l.term and not m["l"].unconfirmed
+    drop_messages_of("y")
+    fleet.now += 0.61  # no message of y arrives
+    assert fleet.now < m["x"].election_deadline or not checks
     m["y"].tick(fleet.now)
-    fleet.settle("y")
-    lose("y")
-    give("xp px")
+    fleet.process_ready("y")
+    drop_messages_of("y")
+    deliver("xp px")
     assert m["p"].vote == "x"
-    stand("q", "yl")
-    give("qy yq ql lq")
+    campaign("q", "yl")
+    deliver("qy yq ql lq")
     assert (m["q"].term, m["l"].vote) == (m["x"].term, "q")
-    give("xl xp lx px ql qy lq yq")
+    deliver("xl xp lx px ql qy lq yq")
     assert [n for n in "xq" if m[n].role is Role.LEADER] == ["q"]
 
 
@@ -506,7 +512,7 @@
 WALKS = Budget(timeouts=12, beats=30, proposals=8, crashes=3, old=6, twice=5, hands=3)
 
 
-def test_the_core_holds_in_all_interleavings_of_a_few_steps() -> None:
+def test_core_is_safe_in_exhaustive_exploration() -> None:
     found = explore(Consensus(Budget(timeouts=2, beats=1, proposals=1, crashes=1, twice=1)), 6)
     assert found.is_exhaustive and found.broken == "" and found.states > 20_000
     found = explore(Consensus(Budget(2, 0, 0, 1, 0, 1), begin=figure_eight), 8)
@@ -515,17 +521,18 @@
     assert found.is_exhaustive and found.broken == ""
 
 
-def test_known_faults_are_found_with_their_shortest_stories() -> None:
+def test_model_check_finds_known_mutations_with_short_traces() -> None:
     old_terms = explore(Consensus(Budget(2, 0, 0, 0, 0, 0), "commit-old-terms", begin=figure_eight), 10)
-    assert "without the entry 1 that is committed" in old_terms.broken and len(old_terms.trace) == 9  # figure 8
+    # figure 8 of the Raft paper
+    assert "without the entry 1 that is committed" in old_terms.broken and len(old_terms.trace) == 9
     twice = explore(Consensus(Budget(2, 0, 0, 0, 0, 0), "vote-twice"), 8)
     assert "both lead term 1" in twice.broken
-    forgot = explore(Consensus(Budget(2, 0, 0, 0, 1, 0), "trust-old-disks", stale=1), 11)
-    assert "both lead term 1" in forgot.broken and any("older disk" in word for word in forgot.trace)
+    lost_vote = explore(Consensus(Budget(2, 0, 0, 0, 1, 0), "trust-old-disks", stale=1), 11)
+    assert "both lead term 1" in lost_vote.broken and any("older disk" in step for step in lost_vote.trace)
 
 
 @pytest.mark.parametrize("mutation", ["forgotten-votes", ""])
-def test_an_entry_that_who_forgot_its_vote_has_acknowledged_is_not_lost(mutation: str) -> None:
+def test_entry_acknowledged_by_member_that_lost_its_vote_stays_committed(mutation: str) -> None:
     model = Consensus(Budget(proposals=1), mutation, "abcde", 1, begin=sure)
     world = model.propose(model.initial(), "a")
     for source, target, kind in (
@@ -545,7 +552,7 @@
     assert (world.members["e"].role is Role.LEADER) is bool(mutation)
 
 
-def test_a_leader_by_a_vote_that_was_forgotten_is_found_and_with_votes_held_there_is_none() -> None:
+def test_model_check_finds_leader_elected_by_lost_vote() -> None:
     once = Budget(timeouts=1, beats=0, proposals=0, crashes=0, twice=0)
     found = explore(Consensus(once, "forgotten-votes", "abcde", 1, begin=sure), 7)
     assert found.broken == "e and b both lead term 2" and len(found.trace) == 7
@@ -558,30 +565,30 @@
 
 
 @pytest.mark.parametrize(("names", "stale"), [("abc", 1), ("abcde", 2)])
-def test_long_walks_at_random_break_nothing_though_disks_come_back_older(names: str, stale: int) -> None:
+def test_core_is_safe_in_random_walks_with_stale_disks(names: str, stale: int) -> None:
     found = wander(Consensus(WALKS, names=names, stale=stale), 150, 160, 1, likely)
     assert found.broken == "" and found.steps > 15_000
 
 
 @pytest.mark.parametrize("mutation", ["trust-old-disks", "sure-at-once"])
-def test_long_walks_lose_what_was_committed_where_older_disks_are_trusted(mutation: str) -> None:
+def test_random_walks_find_lost_entries_if_stale_disks_are_trusted(mutation: str) -> None:
     found = wander(Consensus(WALKS, mutation, stale=1), 600, 160, 8, likely)
     assert "that is committed" in found.broken or "both lead" in found.broken or "applied" in found.broken
 
 
-# The judges
+# The judges of recorded histories
 
 
 def history(*ops: tuple[str, float, float, str | None, str]) -> list[dict[str, Any]]:
-    """Operations as (op, begin, end, value, word); those that end last carry no end."""
+    """Return the events of operations (op, begin, end, value, outcome); without an outcome there is no end event."""
     events = []
-    for number, (op, begin, end, value, word) in enumerate(ops):
+    for number, (op, begin, end, value, outcome) in enumerate(ops):
         last = op == "last"
-        asked: dict[str, Any] = {"t": begin, "kind": "invoke", "id": number, "op": "put" if op == "put" else "get"}
-        asked |= {"process": "a", "key": "k", "last": last} | ({"value": value} if op == "put" else {})
-        events.append(asked)
-        if word:
-            events.append({"t": end, "kind": word, "id": number, "value": value})
+        invocation: dict[str, Any] = {"t": begin, "kind": "invoke", "id": number, "op": "put" if op == "put" else "get"}
+        invocation |= {"process": "a", "key": "k", "last": last} | ({"value": value} if op == "put" else {})
+        events.append(invocation)
+        if outcome:
+            events.append({"t": end, "kind": outcome, "id": number, "value": value})
     return events
 
 
@@ -592,8 +599,8 @@
     ("more", "rules"),
     [
         ([("get", 1.2, 1.3, "x", "ok"), ("get", 2.1, 2.2, "x", "ok"), ("get", 2.3, 2.4, "y", "ok")], []),
-        ([("get", 3.5, 3.6, "x", "ok")], ["stale"]),  # after y was acknowledged
-        ([("get", 2.1, 2.2, "y", "ok"), ("get", 2.3, 2.4, "x", "ok")], ["stale"]),  # seen, and gone again
+        ([("get", 3.5, 3.6, "x", "ok")], ["stale"]),  # read after y was acknowledged
+        ([("get", 2.1, 2.2, "y", "ok"), ("get", 2.3, 2.4, "x", "ok")], ["stale"]),  # y was read before x
         ([("get", 1.5, 1.6, None, "ok")], ["stale"]),
         ([("get", 4.0, 4.1, "z", "ok")], ["invented"]),
         ([("put", 4.0, 5.0, "z", "unknown"), ("get", 6.0, 6.1, "y", "ok"), ("get", 7.0, 7.1, "z", "ok")], []),
@@ -602,11 +609,11 @@
         ([("last", 9.0, 9.1, "x", "ok")], ["stale", "lost"]),
     ],
 )
-def test_the_judge_of_registers_can_fail(more: list[Any], rules: list[str]) -> None:
+def test_register_judge_reports_each_violation(more: list[Any], rules: list[str]) -> None:
     assert [v.rule for v in register.check(history(*PUTS, *more), 10.0)] == rules
 
 
-def test_the_judge_of_copies_can_fail() -> None:
+def test_copies_judge_reports_each_violation() -> None:
     same = [{"t": 1.0, "kind": "digest", "process": n, "applied": 5, "digest": "d"} for n in "ab"]
     led = {"t": 1.0, "kind": "sample", "boot": 1, "term": 3, "role": "leader", "applied": 5}
     assert copies.check([*same, led | {"process": "a"}], 2.0) == []
