--- a/tealwing/replica/raft/commit.py
+++ b/tealwing/replica/raft/commit.py
@@ -17,7 +17,7 @@
         """
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
-        if self.commit < self.term_start_index:  # the commit index is unknown until an entry of our term is committed
+        if self.commit < self.term_start_index:  # commit index unknown until an entry of this term is committed
             self._reads.append((number, 0))
             return
         self._begin_round(now)
--- a/tealwing/replica/raft/replication.py
+++ b/tealwing/replica/raft/replication.py
@@ -14,7 +14,7 @@
     Voters get entries at once. As there may be many learners, an idle leader sends them few messages: each has its own
     heartbeats, `learner_heartbeat_interval` apart and spread evenly, so that of n learners n * heartbeat_interval /
     learner_heartbeat_interval get one in a round (40 of 200). Updates do not wait for a heartbeat: committed entries
-    and the commit index go out together in the next round (begun at once by `broadcast_commit`), so that a round costs
+    and the commit index go out together in the next round (started at once by `broadcast_commit`), so that a round costs
     one message and one reply per learner. Uncommitted entries are not sent to learners, except unconfirmed ones. Rounds
     with updates for learners are spaced to stay within `learner_message_rate`: with 1,100 members acknowledgements
     arrive over many rounds, and a leader that announced commits in each round would have no time left to process them.
@@ -37,7 +37,7 @@
     def broadcast_commit(self, now: float) -> bool:
         """Start a round at once to announce the commit index; return whether one was started.
 
-        None is started if learners were already told the commit index, or this member is not the leader.
+        None is started if the commit index was already sent to learners, or this member is not the leader.
         """
         if self.role is not Role.LEADER or self.learner_commit >= self.commit:
             return False
--- a/tests/test_disk_returns.py
+++ b/tests/test_disk_returns.py
@@ -2,7 +2,8 @@
 
 The tests guard against a member that stays out of service until its process ends: after one failed write or sync of its
 log the contents of the disk are unknown, so the member wrote nothing more and had no way to return. The log then showed
-`replica_broken` with the failed write, and no event of the replica until the next start.
+`replica_broken` with the failed write and no event of the replica until the next start, while `fault.disk` reported
+that the disk had failed only once.
 """
 
 from __future__ import annotations
@@ -264,9 +265,8 @@
         addresses = tuple((name, ("127.0.0.1", free_port())) for name in names + learners)
         self.replicas: dict[str, Replica] = {}
         self.links: dict[str, Link] = {}
-        self.applied: dict[str, list[int]] = {
-            name: [] for name in names + learners
-        }  # applied indices, as reported to listeners
+        # applied indices, as reported to listeners
+        self.applied: dict[str, list[int]] = {name: [] for name in names + learners}
         for name in names + learners:
             peers = PeersPlan("f", name, addresses, learners=tuple(learners))
             link = self.links[name] = Link(peers)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -149,7 +149,7 @@
     assert whole is not None and len(whole) == meta.size
     target = Storage(tmp_path / "to")
     target.open()
-    target.save((2, ""), [entry(index, 2) for index in range(1, 10)])  # conflicts with the snapshot in its term
+    target.save((2, ""), [entry(index, 2) for index in range(1, 10)])  # of a former leader: conflicts with the snapshot
     target.snapshot_files.write_chunk(7, 3, 0, whole[:20])
     target.close()
     again = Storage(tmp_path / "to")
@@ -421,8 +421,8 @@
 
 @pytest.mark.parametrize("stale", [0, 1])
 def test_unconfirmed_member_cannot_elect_leader_without_acknowledged_entry(stale: int) -> None:
-    # guards against the loss of acknowledged entries: a member whose disk lost its last writes grants votes without
-    # them
+    # guards against the loss of acknowledged entries: a member whose disk lost its last writes votes for candidates
+    # that lack them
     fleet = Fleet(max_stale_disks=stale, pre_vote=False, check_quorum=False)
     for member in fleet.members.values():
         member.unconfirmed = False
