--- a/tealwing/lab/models/__init__.py
+++ b/tealwing/lab/models/__init__.py
@@ -1,1 +1,1 @@
-"""Explicit-state model checks: all interleavings of a few steps, on the very code that runs."""
+"""Explicit-state model checks of the production code: every interleaving of a bounded number of steps."""
--- a/tealwing/lab/models/consensus.py
+++ b/tealwing/lab/models/consensus.py
@@ -1,11 +1,13 @@
-"""The model of the replicated log: the core itself under all interleavings of a few steps of three members.
-
-What may happen: a member's election time is over, a leader begins a round, a client proposes, a message is delivered
-(in any order, or twice, or never), a member crashes and comes back with its disk, or with an older one, or a write of
-it fails and it begins anew from its disk, which may have it; where there are learners, a leader promotes one, or
-demotes a voter. Checked in every state: one leader a term, equal prefixes where
-index and term agree, every committed entry in the log of every later leader, and one entry at an index for all that
-ever applied it (Raft's figure 3).
+"""The model of the replicated log: the Raft core itself under all interleavings of a few steps of three members.
+
+Steps: a member's election timeout fires, a leader starts a heartbeat round, a client proposes a command, a message is
+delivered (in any order, twice or never), or a member crashes and restarts from its disk or from an older copy of it. A
+write can also fail: the member then restarts from its disk, which may or may not hold what was written. With learners,
+a leader can also promote a learner or demote a voter.
+
+Safety properties checked in every state (Raft's figure 3): at most one leader per term, equal prefixes of two logs
+that agree on the index and term of an entry, every committed entry in the log of every later leader, and the same
+entry applied at an index by all members.
 """
 
 from __future__ import annotations
@@ -28,27 +30,27 @@
 from tealwing.replica.raft import BusyError, Options, Raft, Ready, Role
 
 Disk = tuple[int, str, tuple[Entry, ...]]  # term, vote, log
-STEP = 1.0  # s that pass with each step: all that could be due is
+STEP = 1.0  # s of model time per step, long enough that every timer is due
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """How often each thing may happen."""
+    """The maximum number of each kind of step on one path."""
 
     timeouts: int = 3
     beats: int = 1
     proposals: int = 1
     crashes: int = 1
-    old: int = 0  # of the crashes, those that come back with an older disk
-    twice: int = 1  # messages delivered and still under way
-    hands: int = 0  # leaders that hand over
-    promotions: int = 0  # of learners
-    demotions: int = 0  # of voters
-    faults: int = 0  # writes that fail
+    old: int = 0  # crashes after which the member restarts from an older copy of its disk
+    twice: int = 1  # deliveries after which the message stays in flight (duplicates)
+    hands: int = 0  # leadership transfers
+    promotions: int = 0  # learners made voters
+    demotions: int = 0  # voters made learners
+    faults: int = 0  # failed disk writes
 
 
 class Fault(Enum):
-    """How a write fails."""
+    """What a failed write left on the disk."""
 
     LOST = "the disk does not have it"
     WRITTEN = "the disk has it all the same"
@@ -56,37 +58,37 @@
 
 @dataclass(slots=True)
 class World:
-    """One state."""
+    """One state of the model: the members, their disks and the messages in flight."""
 
     members: dict[str, Raft]
     network: frozenset[tuple[str, str, Message]]
-    disks: dict[str, tuple[Disk, ...]]  # all that each has had, the newest last
+    disks: dict[str, tuple[Disk, ...]]  # every disk state that a member has had, the newest last
     budget: Budget
-    at: int = 0  # steps so far, which are the clock
+    at: int = 0  # steps so far; model time is this number times STEP
     starts: int = 10
     leaders: dict[int, str] = field(default_factory=dict)
-    committed: dict[int, tuple[int, int, bytes]] = field(default_factory=dict)  # index: term, term then, data
-    wrong: str = ""
-    fault: Fault | None = None  # of the next write
+    # by index: the term of the entry, the term it was applied in, its data
+    committed: dict[int, tuple[int, int, bytes]] = field(default_factory=dict)
+    wrong: str = ""  # the safety violation found, empty if none
+    fault: Fault | None = None  # how the next write fails
 
 
 class Consensus:
-    """The model."""
+    """The model of the replicated log, to be explored."""
 
     def __init__(
         self, budget: Budget, mutation: str = "", names: str = "abc", stale: int = 0,
         begin: Callable[[Consensus, World], World] | None = None, learners: str = "",
         early: bool = True,
     ) -> None:  # fmt: skip
-        """Set up the model: `names` vote at first, learners do not.
-
-        `begin` leads from the empty fleet to where the exploration starts.
+        """Set up the model: members in `names` are voters at first, those in `learners` are not.
 
-        early: learners get entries before those are committed, as the core allows; False: as it is run.
+        begin: takes the initial state, with empty logs, to the state where the exploration starts.
+        early: whether learners get entries before they are committed. The core allows this; production disables it.
         """
         self._budget, self._core, self._names, self._begin = budget, MUTATIONS[mutation], tuple(names), begin
         self._learners = tuple(learners)
-        # elections come by `campaign`: so long a time that whoever was ever heard counts as heard
+        # `campaign` starts the elections, so the timeout is so long that it never fires and every contact stays recent
         self._options = Options(
             election_timeout=1e6,
             pre_vote=False,
@@ -100,12 +102,12 @@
         self._stale = stale
 
     def initial(self) -> World:
-        """No leader, empty logs."""
+        """Return the initial state: no leader and empty logs, taken on by `begin` if there is one."""
         names = self._names + self._learners
         members = {name: self._start(name, number + 1, (0, "", ())) for number, name in enumerate(names)}
         world = World(members, frozenset(), {name: ((0, "", ()),) for name in names}, self._budget)
         for member in members.values():
-            member.unconfirmed = False  # a first start has nothing to forget
+            member.unconfirmed = False  # a first start has no vote or entry to forget
         return self._begin(self, world) if self._begin is not None else world
 
     def _start(self, name: str, start: int, disk: Disk) -> Raft:
@@ -115,10 +117,10 @@
     # Steps
 
     def steps(self, world: World) -> Iterable[tuple[str, Callable[[], World]]]:
-        """All that can happen."""
+        """Yield every possible step: its description and a function that returns the state after it."""
         budget = world.budget
         for source, target, message in sorted(world.network, key=repr):
-            step = f"{target} hears of {source}: {describe(message)}"
+            step = f"{target} receives from {source}: {describe(message)}"
             yield step, lambda s=source, t=target, m=message: self.deliver(world, s, t, m, False)  # type: ignore[misc]
             if budget.twice:
                 yield (
@@ -132,29 +134,29 @@
                 yield f"{name} stands for election", lambda n=name: self.timeout(world, n)  # type: ignore[misc]
             if member.role is Role.LEADER:
                 if budget.hands:
-                    yield f"{name} hands over", lambda n=name: self.hand(world, n)  # type: ignore[misc]
+                    yield f"{name} transfers its leadership", lambda n=name: self.hand(world, n)  # type: ignore[misc]
                 if budget.beats:
                     yield f"{name} begins a round", lambda n=name: self.beat(world, n)  # type: ignore[misc]
                 if budget.proposals:
                     yield f"{name} takes a command", lambda n=name: self.propose(world, n)  # type: ignore[misc]
                 yield from self._changes(world, name, member)
             if budget.crashes:
-                yield f"{name} crashes and comes back", lambda n=name: self.crash(world, n, -1)  # type: ignore[misc]
+                yield f"{name} crashes and restarts", lambda n=name: self.crash(world, n, -1)  # type: ignore[misc]
             doubtful = sum(1 for other in world.members.values() if other.unconfirmed)
             if budget.old and doubtful < self._stale:
                 for place in range(len(world.disks[name]) - 1):
                     yield (
-                        f"{name} crashes and comes back with an older disk ({place})",
+                        f"{name} crashes and restarts with an older disk ({place})",
                         lambda n=name, p=place: self.crash(world, n, p),  # type: ignore[misc]
                     )
 
     def _faults(self, world: World) -> Iterable[tuple[str, Callable[[], World]]]:
-        """The steps that write, as the write fails."""
+        """Yield the steps that write to the disk, each with a write that fails."""
         for fault in Fault:
             failing = copy.copy(world)
             failing.fault, failing.budget = fault, replace(world.budget, faults=world.budget.faults - 1)
             for source, target, message in sorted(world.network, key=repr):
-                step = f"{target} hears of {source}: {describe(message)}, and its write fails: {fault.value}"
+                step = f"{target} receives from {source}: {describe(message)}, and its write fails: {fault.value}"
                 yield step, lambda w=failing, s=source, t=target, m=message: self.deliver(w, s, t, m, False)  # type: ignore[misc]
             for name, member in world.members.items():
                 if member.role is Role.LEADER and world.budget.proposals:
@@ -166,29 +168,29 @@
 
     def _changes(self, world: World, name: str, leader: Raft) -> Iterable[tuple[str, Callable[[], World]]]:
         for other in leader.learners if world.budget.promotions else ():
-            if self._may(world, leader, other):
+            if self._can_change(world, leader, other):
                 yield f"{name} promotes {other}", lambda o=other: self.change(world, name, o)  # type: ignore[misc]
         for other in leader.members if world.budget.demotions and len(leader.members) > 2 else ():
-            if self._may(world, leader, other):
+            if self._can_change(world, leader, other):
                 yield f"{name} demotes {other}", lambda o=other: self.change(world, name, o)  # type: ignore[misc]
 
-    def _may(self, world: World, leader: Raft, other: str) -> bool:
+    def _can_change(self, world: World, leader: Raft, other: str) -> bool:
         try:
-            leader.clone().change_members(world.at * STEP, *_changed(leader, other))
+            leader.clone().change_members(world.at * STEP, *_membership_after(leader, other))
         except (BusyError, ValueError):
             return False
         return True
 
     def change(self, world: World, name: str, other: str) -> World:
-        """A leader promotes a learner, or demotes a voter."""
+        """Have a leader promote a learner or demote a voter."""
         spent = {"promotions" if other in world.members[name].learners else "demotions": 1}
         after = self._after(world, name, **spent)
         leader = after.members[name]
-        leader.change_members(after.at * STEP, *_changed(leader, other))
+        leader.change_members(after.at * STEP, *_membership_after(leader, other))
         return self._settle(after, name)
 
     def deliver(self, world: World, source: str, target: str, message: Message, again: bool) -> World:
-        """A message arrives."""
+        """Deliver a message; with `again` it stays in flight and can be delivered once more."""
         after = self._after(world, target, twice=int(again))
         if not again:
             after.network = after.network - {(source, target, message)}
@@ -196,37 +198,40 @@
         return self._settle(after, target)
 
     def timeout(self, world: World, name: str) -> World:
-        """A member stands for election."""
+        """Have a member stand for election."""
         after = self._after(world, name, timeouts=1)
         after.members[name].campaign(after.at * STEP)
         return self._settle(after, name)
 
     def beat(self, world: World, name: str) -> World:
-        """A leader begins a round, and gives up what was under way."""
+        """Have a leader start a heartbeat round and treat its unanswered messages as lost."""
         after = self._after(world, name, beats=1)
         after.members[name].tick(after.at * STEP)
         return self._settle(after, name)
 
     def hand(self, world: World, name: str) -> World:
-        """A leader has another stand at once."""
+        """Have a leader ask another member to stand for election at once (leadership transfer)."""
         after = self._after(world, name, hands=1)
         after.members[name].transfer_leadership(after.at * STEP)
         return self._settle(after, name)
 
     def propose(self, world: World, name: str) -> World:
-        """A leader takes a command."""
+        """Have a leader append a command."""
         after = self._after(world, name, proposals=1)
         after.members[name].propose(after.at * STEP, b"x%d" % after.at)
         return self._settle(after, name)
 
     def crash(self, world: World, name: str, place: int) -> World:
-        """A member comes back with the disk that it had at a place of its history; what is sent to it is gone."""
+        """Restart a member from entry `place` of its disk history; -1 is the newest disk.
+
+        With a place of 0 or more, an older disk, the messages in flight from and to the member are lost.
+        """
         after = self._after(world, name, crashes=int(place < 0), old=int(place >= 0))
         disk = after.disks[name][place]
         after.starts += 1
         after.members[name] = self._start(name, after.starts, disk)
         after.disks[name] = after.disks[name] if place < 0 else (*after.disks[name], disk)
-        if place >= 0:  # the link gives nothing of an earlier start once the new one speaks, and nothing to it
+        if place >= 0:  # a link drops messages from and to an earlier incarnation once the new one connects
             after.network = frozenset(m for m in after.network if name not in m[:2])
         return self._settle(after, name)
 
@@ -241,7 +246,7 @@
         return after
 
     def _settle(self, world: World, name: str) -> World:
-        """What the shell does: disk, messages, commits; then what must hold."""
+        """Do what the shell does after a step (writes, messages, commits), then check the leader of the term."""
         member = world.members[name]
         while member.has_ready():
             ready = member.ready()
@@ -257,29 +262,29 @@
             for entry in ready.committed:
                 known = world.committed.setdefault(entry.index, (entry.term, member.term, entry.data))
                 if (known[0], known[2]) != (entry.term, entry.data):
-                    world.wrong = f"{name} applied another entry at {entry.index} than was applied before"
-        world.fault = None  # of a step that writes nothing
+                    world.wrong = f"{name} applied an entry at {entry.index} unlike the one applied there before"
+        world.fault = None  # the step wrote nothing
         if member.role is Role.LEADER:
             leader = world.leaders.setdefault(member.term, name)
             if leader != name:
                 world.wrong = f"{leader} and {name} both lead term {member.term}"
         elif member.leader and world.leaders.get(member.term) != member.leader:
-            world.wrong = f"{name} holds {member.leader} for the leader of term {member.term}, which it does not lead"
+            world.wrong = f"{name} takes {member.leader} for the leader of term {member.term}, wrongly"
         return world
 
     def fail(self, world: World, name: str, ready: Ready) -> World:
-        """A write has failed: nothing of what rests on it is said, and the member begins anew from its disk."""
+        """Fail a write: no message that depends on it is sent, and the member restarts from its disk."""
         world.fault = None
         world.starts += 1
         before = world.members[name]
         world.members[name] = self._start(name, world.starts, world.disks[name][-1])
-        world.members[name].unconfirmed = before.unconfirmed  # it knows that its disk has all that it acknowledged
+        world.members[name].unconfirmed = before.unconfirmed  # the disk still holds all that it has acknowledged
         return self._settle(world, name)
 
-    # What must hold
+    # Safety properties
 
     def broken(self, world: World) -> str:
-        """What does not."""
+        """Return the safety violation in this state, empty if there is none."""
         if world.wrong:
             return world.wrong
         for name, member in world.members.items():
@@ -294,11 +299,11 @@
                 for index in range(min(one.last_index, other.last_index), 0, -1):
                     agree = agree or one.term_at(index) == other.term_at(index)
                     if agree and one.entries(index, index) != other.entries(index, index):
-                        return f"{one.local_id} and {other.local_id} agree after {index} and not there"
+                        return f"{one.local_id} and {other.local_id} agree on a later entry but differ at {index}"
         return ""
 
     def key(self, world: World) -> Hashable:
-        """All but the clock, and what only the clock reads."""
+        """Return the identity of a state: everything except the clock and the values that only timers read."""
         rounds = self._stale > 0
         members = []
         for name, m in world.members.items():
@@ -331,9 +336,9 @@
             )
         network: frozenset[Any] = world.network
         if not rounds:
-            network = frozenset((s, t, _roundless(m)) for s, t, m in network)
+            network = frozenset((s, t, _without_round(m)) for s, t, m in network)
         old: tuple[Any, ...] = tuple(world.disks.items()) if world.budget.old else ()
-        if self._budget.faults:  # a disk may lack what its member has said, where the shell is mutated
+        if self._budget.faults:  # with a mutated shell, a disk may lack what its member has acknowledged
             old = (old, tuple(disks[-1] for disks in world.disks.values()))
         return (
             tuple(members), network, old, world.budget, tuple(sorted(world.committed.items())),
@@ -341,13 +346,13 @@
         )  # fmt: skip
 
 
-def _changed(leader: Raft, other: str) -> tuple[tuple[str, ...], tuple[str, ...]]:
-    """Voters and learners where one goes to the other side."""
+def _membership_after(leader: Raft, other: str) -> tuple[tuple[str, ...], tuple[str, ...]]:
+    """Return the voters and learners after `other` is promoted or demoted."""
     voters, learners = ({*names} ^ {other} for names in (leader.members, leader.learners))
     return tuple(sorted(voters)), tuple(sorted(learners))
 
 
-def _roundless(message: Message) -> Message | tuple[Any, ...]:
+def _without_round(message: Message) -> Message | tuple[Any, ...]:
     if isinstance(message, AppendEntries):
         return ("append", message.term, message.prev_index, message.prev_term, message.entries, message.commit)
     if isinstance(message, AppendEntriesReply):
--- a/tealwing/lab/models/explore.py
+++ b/tealwing/lab/models/explore.py
@@ -1,4 +1,4 @@
-"""A small explicit-state explorer: breadth first, so that the first counterexample found is a shortest one."""
+"""A small explicit-state model checker: breadth first, so the first counterexample it finds is a shortest one."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 
 
 class Model(Protocol):
-    """What is explored. States are never changed: a step gives a new one."""
+    """The interface of a model. States are immutable: a step returns a new one."""
 
     def initial(self) -> State:
-        """Where it begins."""
+        """Return the initial state."""
 
     def steps(self, state: State) -> Iterable[tuple[str, Callable[[], State]]]:
-        """What can happen next: a word for it, and how to get there."""
+        """Return every possible step: its description and a function that returns the state after it."""
 
     def broken(self, state: State) -> str:
-        """What must not be and is; empty if nothing."""
+        """Return the safety violation in a state, empty if there is none."""
 
     def key(self, state: State) -> Hashable:
-        """Equal for states that go on in the same way."""
+        """Return the identity of a state: equal for states that behave the same from here on."""
 
 
 @dataclass(slots=True)
 class Found:
-    """What an exploration gave."""
+    """The result of an exploration."""
 
     states: int
     steps: int
-    depth: int  # to which all was seen
+    depth: int  # the number of steps up to which every state was visited; for a violation, its number of steps
     seconds: float
-    is_exhaustive: bool  # nothing was left out within the depth
-    broken: str = ""
-    trace: tuple[str, ...] = ()
+    is_exhaustive: bool  # whether no state within the depth was left out
+    broken: str = ""  # the safety violation found, empty if none
+    trace: tuple[str, ...] = ()  # the steps that lead to it
 
     def text(self) -> str:
-        """In words."""
+        """Return the result as text, with the trace that leads to a violation."""
         text = f"{self.states} states, {self.steps} steps, depth {self.depth}, {self.seconds:.1f} s"
         if not self.broken:
-            return text + ("" if self.is_exhaustive else ", not all of them")
+            return text + ("" if self.is_exhaustive else ", not exhaustive")
         lines = "\n".join(f"  {number}. {word}" for number, word in enumerate(self.trace, 1))
         return f"{text}\n{self.broken}, after\n{lines}"
 
 
 def explore(model: Model, depth: int, max_states: int = 10**7) -> Found:
-    """Walk all states within a depth, up to so many; stop at the first that is broken."""
+    """Visit all states up to a depth and up to `max_states`; stop at the first that violates a property."""
     begun = time.monotonic()
     first = model.initial()
     seen: dict[Hashable, tuple[Hashable, str] | None] = {model.key(first): None}
@@ -87,7 +87,7 @@
 
 
 def wander(model: Model, walks: int, length: int, seed: int, weigh: Callable[[str], float] = lambda word: 1.0) -> Found:
-    """Walk at random, far beyond what can be seen in whole; weigh says how likely a step is against the others."""
+    """Take random walks, far longer than can be explored exhaustively; `weigh` gives a step its relative weight."""
     begun, rng = time.monotonic(), random.Random(seed)
     steps = 0
     for _ in range(walks):
--- a/tealwing/lab/models/federation.py
+++ b/tealwing/lab/models/federation.py
@@ -1,8 +1,8 @@
-"""The model of a federation: three sites of one gateway, each with a log of its own, and the federation's log.
+"""The model of a federation: sites of one gateway each, every site with its own log, and the federation's log.
 
-Every gateway leads its site's log, so that it is the site's delegate too; what it proposes may be applied late, again
-or never, in either log. A site's log and its gateway go together, as nobody else applies it. The rest is as in the
-model of one site: what must hold is asked of the gates of all gateways of all sites.
+Every gateway leads its site's log and so is also the site's delegate. A command that it proposes may be applied late,
+twice or never, in either log. A gateway applies its site's log without delay, as no other member applies that log. The
+rest is as in the model of one site; the safety properties cover the gates of all gateways of all sites.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 class Federation(Rollout):
-    """The model: a gateway a speaks for site A, and so on."""
+    """The model of a federation: gateway `a` is the delegate of site `A`, and so on."""
 
     top = TOP
 
     def logs_of(self, name: str) -> dict[str, str]:
-        """Its site's log, and the federation's, where it speaks as its site."""
+        """Return the logs that a gateway applies and its name in each: in the federation's log, its site's."""
         return {name.upper(): name, TOP: name.upper()}
 
     def _logs(self) -> dict[str, Log]:
@@ -40,13 +40,13 @@
         return self.flow(world, lambda body: isinstance(body, r.Propose | r.Verdict))
 
     def apply(self, world: World, log: str, body: r.Body) -> World:
-        """An entry is applied to a state; the gateway of a site's log comes to it at once."""
+        """Apply an entry to a log; an entry of a site's log is also applied by the site's gateway at once."""
         after = super().apply(world, log, body)
         if after is world or log == TOP:
             return after
         return self.catch_up(after, log.lower(), log, len(after.logs[log].states) - 1)
 
-    def _told(self, world: World, name: str) -> frozenset[tuple[str, r.Body]]:
+    def _site_commands(self, world: World, name: str) -> frozenset[tuple[str, r.Body]]:
         node, site = world.nodes[name], name.upper()
         here, there = world.logs[site].states[node.at[site]], world.logs[TOP].states[node.at[TOP]]
         ours, theirs = required_proposals(site, here, there, node.at[TOP])
@@ -54,9 +54,9 @@
 
 
 def closing(*sites: str, lapse: str = "") -> Callable[[Rollout, World], World]:
-    """Where the federation closes, those sites have said that they have, and one has lapsed unless it is empty.
+    """Start where the federation is closing for a version and `sites` have reported that they closed.
 
-    Gateways of sites that are not named have applied nothing of it.
+    Gateways of other sites have applied nothing of the closing. If `lapse` names a site, its permit has expired.
     """
 
     def begin(model: Rollout, world: World) -> World:
@@ -78,5 +78,5 @@
 
 
 def site_early() -> Federation:
-    """A site's gateway that switches when its site is agreed: where one is, and the others have not closed."""
+    """Return the mutated model in which a gateway switches once its own site has agreed, before other sites closed."""
     return Federation("sss", replace(Budget(), times=0, crashes=0, lapses=0, reads=0), "site-early")
--- a/tealwing/lab/models/leases.py
+++ b/tealwing/lab/models/leases.py
@@ -1,11 +1,11 @@
-"""The model of leases: the holders' machines, the leader's expiry and the state itself, on clocks that drift and step.
+"""The model of leases: the holders' state machines, the leader's expiry and the lease state, on clocks that drift.
 
-Consensus is taken as given (its own model is beside this one): a request is applied at any time after it was sent, or
-never, and its answer comes or is lost. Holders stand still for any time, as they only act when the explorer has them
-act; another leader may take over at any moment. Checked in every state: at most one holder's lease is valid by its own
-clock, and every action that the state takes carries the newest token granted.
+Consensus is assumed to be correct (models/consensus.py checks it): a request is applied at any time after it was sent,
+or never, and its answer arrives or is lost. A holder may pause for any time, since it acts only when the explorer
+picks one of its steps. Another leader may take over at any moment. Checked in every state: at most one holder's lease
+is valid by its own clock, and every action that the state accepts carries the newest token granted.
 
-The bounds are coarser than in service, so that what they cover shows within few steps of time.
+The lease bounds are coarser than in production, so that a violation shows within a few steps of time.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from tealwing.replica.state import Lease, State
 
 NAME, TTL = "task", 2.0  # s
-DT = 0.5  # s of a step of time
+DT = 0.5  # s of model time per time step
 COARSE = LeaseBounds(max_drift=0.25, max_step=0.0, loss_notice=0.01)
-IGNORED = LeaseBounds(max_drift=0.0, max_step=0.0, loss_notice=0.01)  # a mutation: clocks are taken to be right
-RATES = (0.75, 1.25)
+IGNORED = LeaseBounds(max_drift=0.0, max_step=0.0, loss_notice=0.01)  # a mutation: clock drift is ignored
+RATES = (0.75, 1.25)  # speeds of the slow and the fast clock, in s per s
 
 
 class RenewsForGood(State):
-    """A mutation: a renewal is taken whatever has become of the grant."""
+    """A mutation: a renewal is accepted even if the grant has expired or was replaced."""
 
     def _renew(self, index: int, name: str, token: int) -> c.CommandResult:
         lease: Lease | None = self.tables["leases"].get(name)
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A command that was sent and is not yet applied; of a holder, or the leader's own."""
+    """A command that was sent and not yet applied: a holder's, or the leader's own with an empty `holder`."""
 
     holder: str
     body: c.Body
@@ -55,44 +55,42 @@
 
 @dataclass(slots=True)
 class World:
-    """One state."""
+    """One state of the model: the holders, the lease state, and the requests, answers and actions in flight."""
 
-    at: int  # steps of time so far
+    at: int  # time steps so far
     holders: dict[str, Holder]
-    rates: dict[str, float]  # of the holders' clocks, and of the leader's
+    rates: dict[str, float]  # clock speeds of the holders and of the leader, in s per s
     state: State
     expiry: LeaseExpiry
     requests: frozenset[Request] = frozenset()
-    answers: dict[str, c.CommandResult] = field(
-        default_factory=dict
-    )  # under way, to the request that the holder waits for
-    waits: dict[str, int] = field(default_factory=dict)  # number of that request
-    actions: frozenset[tuple[str, int]] = frozenset()  # under way to the resource: holder and token
-    numbers: int = 0
-    leaders: int = 0
-    acts: int = 0
-    wrong: str = ""
+    answers: dict[str, c.CommandResult] = field(default_factory=dict)  # in flight, by holder, to its pending request
+    waits: dict[str, int] = field(default_factory=dict)  # the number of each holder's pending request
+    actions: frozenset[tuple[str, int]] = frozenset()  # in flight to the resource: holder and token
+    numbers: int = 0  # requests numbered so far
+    leaders: int = 0  # changes of leader so far
+    acts: int = 0  # actions started so far
+    wrong: str = ""  # the safety violation found, empty if none
 
     def clock(self, name: str) -> float:
-        """The time there."""
+        """Return the time on a member's clock, in s."""
         return self.at * DT * self.rates[name]
 
 
 class Leases:
-    """The model."""
+    """The model of leases, to be explored."""
 
     def __init__(
         self, times: int = 8, mutation: str = "", leaders: int = 1, acts: int = 1, renewing: bool = False
     ) -> None:
-        """Bound the model: steps of time, how often another member leads, how many actions are tried.
+        """Bound the model: time steps, changes of leader, actions that holders start.
 
-        renewing: begin where a holds the lease and has just sent a renewal.
+        renewing: start where holder a has the lease and has just sent a renewal.
         """
         self._times, self._leaders, self._acts, self._renewing = times, leaders, acts, renewing
         self._bounds, self._state = MUTATIONS[mutation]
 
     def initial(self) -> World:
-        """Nobody holds anything; the holders' clocks are slow and fast."""
+        """Return the initial state: no lease is held; holder a has a slow clock, b and the leader have a fast one."""
         holders = {name: Holder(NAME, TTL, bounds=self._bounds) for name in "ab"}
         expiry = LeaseExpiry(self._bounds)
         expiry.set_leading(0.0, True)
@@ -104,16 +102,16 @@
         return world
 
     def steps(self, world: World) -> Iterable[tuple[str, Callable[[], World]]]:
-        """All that can happen."""
+        """Yield every possible step: its description and a function that returns the state after it."""
         if world.at < self._times:
             yield f"{DT} s pass", lambda: self._pass(world)
         for name in world.holders:
             if world.holders[name].request_sent_at is None or world.holders[name].token:
-                yield f"{name} looks at its clock", lambda n=name: self._tick(world, n)  # type: ignore[misc]
+                yield f"{name} reads its clock", lambda n=name: self._tick(world, n)  # type: ignore[misc]
             if name in world.answers:
-                yield f"{name} hears {_told(world.answers[name])}", lambda n=name: self._hear(world, n)  # type: ignore[misc]
+                yield f"{name} receives {_describe_result(world.answers[name])}", lambda n=name: self._hear(world, n)  # type: ignore[misc]
             if world.holders[name].request_sent_at is not None:
-                yield f"{name} gives up waiting", lambda n=name: self._give_up(world, n)  # type: ignore[misc]
+                yield f"{name} times out waiting for the answer", lambda n=name: self._give_up(world, n)  # type: ignore[misc]
             if world.acts < self._acts and world.holders[name].valid(world.clock(name)):
                 yield f"{name} begins an action", lambda n=name: self._act(world, n)  # type: ignore[misc]
         for request in sorted(world.requests, key=lambda r: r.number):
@@ -123,7 +121,7 @@
         if any(due <= world.clock("leader") for _, _, _, due in world.expiry.deadlines()):
             yield "the leader finds the lease expired", lambda: self._expire(world)
         if world.leaders < self._leaders:
-            yield "another leads, with a slow clock", lambda: self._lead(world)
+            yield "another member becomes leader, with a slow clock", lambda: self._lead(world)
 
     def _after(self, world: World, **changes: Any) -> World:
         after = copy.copy(world)
@@ -195,7 +193,7 @@
         command = c.Command("", 0, c.Put("k", b"v"), c.Fence(NAME, action[1]))
         newest = after.state.tables["fences"].get(NAME, 0)
         if after.state.apply(after.state.applied + 1, c.encode(command)).ok and action[1] != newest:
-            after.wrong = f"an action under {action[1]} was taken, and {newest} is the newest grant"
+            after.wrong = f"an action with token {action[1]} was accepted, and {newest} is the newest token granted"
         return after
 
     def _expire(self, world: World) -> World:
@@ -213,14 +211,14 @@
         return after
 
     def broken(self, world: World) -> str:
-        """What must not be and is."""
+        """Return the safety violation in this state, empty if there is none."""
         valid = [name for name, holder in world.holders.items() if holder.valid(world.clock(name))]
         if len(valid) > 1:
             return f"{' and '.join(valid)} both may act at {world.at * DT:g} s"
         return world.wrong
 
     def key(self, world: World) -> Hashable:
-        """All of it; requests by what they ask."""
+        """Return the identity of a state: everything in it, with requests by content instead of number."""
         holders = tuple(
             (name, h.token, h.expires_at, h.renew_at, h.acquire_at, h.backoff, h.request_sent_at)
             for name, h in sorted(world.holders.items())
@@ -241,5 +239,5 @@
     return twin
 
 
-def _told(result: c.CommandResult) -> str:
+def _describe_result(result: c.CommandResult) -> str:
     return f"yes, token {result.version}" if result.ok else f"no: {result.reason}"
--- a/tealwing/lab/models/messages.py
+++ b/tealwing/lab/models/messages.py
@@ -1,4 +1,4 @@
-"""The words of a story that the model check of the replicated log tells."""
+"""Descriptions of Raft messages for the traces of the replicated log's model check."""
 
 from __future__ import annotations
 
@@ -18,24 +18,25 @@
 
 
 def describe(message: Message) -> str:
-    """A message as words."""
+    """Return the text for a message in a trace."""
     match message:
         case RequestVote(term, index, last):
-            return f"vote for me in term {term} (my log ends at {index} of term {last})"
+            return f"vote request for term {term} (last log entry {index} of term {last})"
         case RequestVoteReply(_, asked, _, granted):
-            return f"{'yes' if granted else 'no'} for term {asked}"
+            return f"vote {'granted' if granted else 'denied'} for term {asked}"
         case AppendEntries(term, prev, _, entries, commit):
-            what = ", ".join(f"{entry.index} of term {entry.term}" for entry in entries) or "nothing new"
-            return f"I lead term {term}: after {prev} comes {what}; {commit} is committed"
+            what = ", ".join(f"{entry.index} of term {entry.term}" for entry in entries) or "no entries"
+            return f"append in term {term}: after {prev}, {what}; commit index {commit}"
         case AppendEntriesReply(term, ok, match, hint):
-            return f"term {term}: {f'I have all up to {match}' if ok else f'that does not fit; try {hint}'}"
+            outcome = f"log matches up to {match}" if ok else f"log mismatch, retry from {hint}"
+            return f"append reply in term {term}: {outcome}"
         case InstallSnapshot() | InstallSnapshotReply():
-            return "a piece of a snapshot"
+            return "a snapshot chunk or its reply"
         case TimeoutNow(term):
-            return f"term {term}: stand at once"
+            return f"request to stand for election at once, term {term}"
         case ConfirmVote(term):
-            return f"do you hold your vote for me in term {term}?"
+            return f"request to confirm the vote for term {term}"
         case VoteConfirmation(term, _):
-            return f"I am in term {term}, as before"
+            return f"vote confirmed, still in term {term}"
         case ConfirmIncarnation(term, _):
-            return f"term {term}: you have caught up"
+            return f"incarnation confirmed, caught up in term {term}"
--- a/tealwing/lab/models/mutations.py
+++ b/tealwing/lab/models/mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of the replicated log's core: known faults, so that the model check can be seen to find them."""
+"""Mutations of the Raft core: versions with a known fault, to show that the model check detects it."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class CommitsOldTerms(Raft):
-    """A mutation: an entry of an earlier term counts as committed once a majority has it (Raft's figure 8)."""
+    """A mutation: an entry of an earlier term is committed as soon as a majority has it (Raft's figure 8)."""
 
     def _may_commit(self, index: int) -> bool:
         return True
 
 
 class VotesTwice(Raft):
-    """A mutation: the vote that was given is not looked at."""
+    """A mutation: a member grants a vote even if it has voted in that term already."""
 
     def _handle_request_vote(self, now: float, source: str, ask: RequestVote) -> None:
         self.vote = ""
@@ -22,14 +22,14 @@
 
 
 class TrustsOldDisks(Raft):
-    """A mutation: members that may have forgotten count as though they had not."""
+    """A mutation: members that may have forgotten a vote or an entry count as confirmed."""
 
     def _is_unconfirmed(self, name: str) -> bool:
         return False
 
 
 class SureAtOnce(Raft):
-    """A mutation: a member is told that it is sure as soon as it has what is committed, whoever has confirmed that."""
+    """A mutation: the leader confirms a member's incarnation once it has all committed entries, without a quorum."""
 
     def _confirm_incarnation(self, name: str, progress: Progress) -> None:
         if self.role is Role.LEADER and progress.unconfirmed and progress.match >= self.commit:
@@ -37,14 +37,14 @@
 
 
 class LeadsByForgottenVotes(Raft):
-    """A mutation: who has a quorum of votes leads, whoever of those that gave them has forgotten it since."""
+    """A mutation: a candidate leads with a quorum of votes even if some voters have forgotten theirs since."""
 
     def _votes_won(self, now: float) -> None:
         self._become_leader(now)
 
 
 class CountsLearners(Raft):
-    """A mutation: a learner's acknowledgement counts for what is committed."""
+    """A mutation: a learner's acknowledgement counts towards the commit quorum."""
 
     def _is_replicated(self, index: int) -> bool:
         there = [name for name, progress in self.progress.items() if progress.match >= index]
--- a/tealwing/lab/models/rollout.py
+++ b/tealwing/lab/models/rollout.py
@@ -1,15 +1,16 @@
-"""The model of a change of rules: the members' machines, the witnesses and the registry themselves.
+"""The model of a rollout of rules: the members' state machines, the expiry observers and the registry.
 
-The log is taken as given (its own model is beside this one): one order, reliable. Each member applies it at its own
-pace. What was ever proposed may be applied at any later moment, again, or never; what a leader proposes comes from any
-leader at any moment, in the right or not. Members crash and come back with what they had applied, with less, or empty,
-in this mode or another; permits run out on slow clocks, and are waited for on fast ones, of which one may run wild.
+The log is assumed to be correct (models/consensus.py checks it): one order, reliable. Each member applies it at its own
+pace. A proposed command may be applied at any later moment, twice or never. A leader's commands may come from any
+member at any moment, whether or not it still leads. Members crash and restart with all that they had applied, with
+less or empty, in the same partition mode or the other. Permits expire by slow clocks and their expiry is observed by
+fast ones; one member's clock may run far out of bounds.
 
-A request may be decided at any member at any moment its gate lets it. Checked in every state: no gate is open under a
-version older than one that some gate was ever open under; none is open under a version that was never in force; the
-outcome of a version never changes. A crash before the mark is written is the same as one before the entry was applied.
+A request may be decided at any member whenever its gate is open. Checked in every state: no gate is open under a
+version older than one that any gate was ever open under; no gate is open under a version that was never in force; the
+outcome of a version never changes. A crash before the marker is written equals a crash before the entry was applied.
 
-The bounds are coarser than in service, so that what they cover shows within few steps of time.
+The lease bounds are coarser than in production, so that a violation shows within a few steps of time.
 """
 
 from __future__ import annotations
@@ -54,29 +55,29 @@
 
 
 class Rollout:
-    """The model of one site."""
+    """The model of a rollout in one site, to be explored."""
 
     def __init__(
         self, modes: str, budget: Budget, sabotage: str = "", mutation: str = "", wild: str = "",
         begin: Callable[[Any, World], World] | None = None,
     ) -> None:  # fmt: skip
-        """Set up the model: `modes` has one letter a member, s or h.
+        """Set up the model: `modes` has one letter per member, s for serve or h for hold.
 
-        `wild` names a member whose clock runs far beyond the bound.
-
-        begin leads from where all have begun and a version is checked to where the exploration starts.
+        sabotage: a fault that the members' state machines have; mutation: one that the model or its registry has.
+        wild: the member whose clock runs far out of bounds.
+        begin: takes the state where all have begun and checked a version to the state where the exploration starts.
         """
         self._modes, self._budget, self._mutation, self._wild, self._begin = modes, budget, mutation, wild, begin
         self._sabotage = frozenset({sabotage} if sabotage else ())
         self._names = "abcdefgh"[: len(modes)]
-        self._applied: dict[Hashable, tuple[Tables, Tables | None]] = {}  # what was worked out before
+        self._applied: dict[Hashable, tuple[Tables, Tables | None]] = {}  # memo of `apply`: tables before and after
         self._seen: dict[tuple[int, str], tuple[Tables, View]] = {}
         self._interned: dict[Hashable, int] = {}
 
-    # Where it begins
+    # Initial state
 
     def initial(self) -> World:
-        """All have begun and applied it, and a version is checked."""
+        """Return the initial state: all have applied all Begins, and version 1 is checked; then `begin` takes it on."""
         nodes = {}
         for place, (name, mode) in enumerate(zip(self._names, self._modes, strict=True)):
             nodes[name] = self._node(name, mode, SLOW if place == 0 else FAST)
@@ -98,11 +99,11 @@
     def _node(self, name: str, mode: str, rate: float) -> Node:
         rate = WILD if name == self._wild else rate
         logs = self.logs_of(name)
-        nodes = {log: ExpiryObserver(who, COARSE) for log, who in logs.items()}
-        for watch in nodes.values():
-            watch._retry = EAGER
+        observers = {log: ExpiryObserver(who, COARSE) for log, who in logs.items()}
+        for observer in observers.values():
+            observer._retry = EAGER
         machine = self._machine(name, mode, 1, 0, None, None)
-        return Node(machine, rate, dict.fromkeys(logs, 0), dict.fromkeys(logs, 0), nodes)
+        return Node(machine, rate, dict.fromkeys(logs, 0), dict.fromkeys(logs, 0), observers)
 
     def _machine(self, name: str, mode: str, start: int, mark: int, disk: View | None, fed: View | None) -> Machine:
         touch: r.PartitionMode = "hold" if mode[0] == "h" else "serve"
@@ -114,7 +115,7 @@
         return machine
 
     def logs_of(self, name: str) -> dict[str, str]:
-        """The logs that a member applies, its site's first, and the name under which it speaks there."""
+        """Return the logs that a member applies, its site's first, each with the member's name in it."""
         return {LOG: name}
 
     def _set_up(self, world: World) -> World:
@@ -125,7 +126,7 @@
         return self.flow(world, lambda body: isinstance(body, r.Verdict))
 
     def flow(self, world: World, want: Callable[[r.Body], bool]) -> World:
-        """Apply all that is proposed and wanted, and have all apply it, until nothing more comes of it."""
+        """Append the proposed commands that `want` accepts and let all members catch up, until nothing changes."""
         while True:
             for name, node in world.nodes.items():
                 for log in node.at:
@@ -141,7 +142,7 @@
     # Steps
 
     def steps(self, world: World) -> Iterable[tuple[str, Callable[[], World]]]:
-        """All that can happen."""
+        """Yield every possible step: its description and a function that returns the state after it."""
         budget = world.budget
         for log, body in sorted((*world.requests, *self.leaders(world)), key=repr):
             if self._changes(world, log, body):
@@ -158,7 +159,7 @@
                 if budget.reads and self._may_read(world, node, log):
                     yield f"{name} reads the {log}", lambda n=name, o=log: self.read(world, n, o)  # type: ignore[misc]
             if budget.crashes:
-                step = f"{name} crashes and comes back"
+                step = f"{name} crashes and restarts"
                 yield step, lambda n=name, p=node.at: self.crash(world, n, p)  # type: ignore[misc]
                 yield from self._crashes(world, name, node)
         if budget.times:
@@ -169,21 +170,21 @@
             for log in node.at:
                 for at in range(node.disk[log], node.at[log]):
                     yield (
-                        f"{name} crashes and comes back with the {log} up to {at}",
+                        f"{name} crashes and restarts with the {log} up to {at}",
                         lambda n=name, p=node.at | {log: at}: self.crash(world, n, p, old=1),  # type: ignore[misc]
                     )
         if world.budget.empty:
             nothing = dict.fromkeys(node.at, 0)
-            yield f"{name} crashes and comes back empty", lambda: self.crash(world, name, nothing, empty=1)
+            yield f"{name} crashes and restarts empty", lambda: self.crash(world, name, nothing, empty=1)
         if world.budget.flips:
             for had in (node.disk, node.at):
                 yield (
-                    f"{name} crashes and comes back in the other mode with the logs up to {tuple(had.values())}",
+                    f"{name} crashes and restarts in the other mode with the logs up to {tuple(had.values())}",
                     lambda p=had: self.crash(world, name, p, flips=1),  # type: ignore[misc]
                 )
 
     def leaders(self, world: World) -> Iterable[tuple[str, r.Body]]:
-        """What any leader may propose now, or may have long ago."""
+        """Yield the commands that a current or former leader may propose."""
         for log, its in world.logs.items():
             tables = its.states[-1]
             flight = registry.in_flight(tables)
@@ -201,13 +202,13 @@
                     if member.partition_mode == "hold" and not member.expiry_index:
                         yield log, r.ExpirePermit(name, member.start)
 
-    top = LOG  # the log that decides
+    top = LOG  # the log that decides on versions
 
     def _may_read(self, world: World, node: Node, log: str) -> bool:
         return node.machine.partition_mode == "hold" or node.machine.read_would_extend(log != next(iter(node.at)))
 
     def apply(self, world: World, log: str, body: r.Body) -> World:
-        """An entry is applied to the state; members come to it later. The same world if it changes nothing."""
+        """Append an entry to a log; members apply it later. Return the same world if it leaves the tables unchanged."""
         states = world.logs[log].states
         known = id(states[-1]), len(states), body
         if known not in self._applied:
@@ -220,7 +221,7 @@
         kinds = {"lapses": r.ExpirePermit, "aborts": r.Abort, "proposals": r.Propose}
         spent = {key: int(isinstance(body, kind) and log == self.top) for key, kind in kinds.items()}
         after = self._after(world, spent)
-        keys = *world.logs[log].keys, self._small(message_key(tables))
+        keys = *world.logs[log].keys, self._intern(message_key(tables))
         after.logs = {**world.logs, log: Log((*states, tables), keys)}
         for number, before in states[-1]["rules"].items():
             now = tables["rules"].get(number)
@@ -233,7 +234,7 @@
         return self.apply(world, log, body) is not world
 
     def catch_up(self, world: World, name: str, log: str, to: int) -> World:
-        """A member applies a log up to an index, one entry after the other."""
+        """Have a member apply a log up to an index, entry by entry."""
         after = self._with(world, name)
         node = after.nodes[name]
         while node.at[log] < to:
@@ -242,7 +243,7 @@
         return after
 
     def read(self, world: World, name: str, log: str) -> World:
-        """A member asks for a read-index, and is answered with what was committed then: the least that may come."""
+        """Have a member send a ReadIndex and receive the commit index of that moment, the lowest answer allowed."""
         after = self._with(world, name, reads=1)
         node = after.nodes[name]
         token = node.machine.read_sent(self._clock(after, node), log != next(iter(node.at)))
@@ -250,7 +251,7 @@
         return self._settled(after, name)
 
     def crash(self, world: World, name: str, at: Mapping[str, int], **spent: int) -> World:
-        """A member comes back with its logs up to those indexes; with all of them at 0 it has no mark either."""
+        """Restart a member with its logs up to the indexes `at`; restarted empty, it has no marker either."""
         after = self._with(world, name, crashes=1, **spent)
         node = after.nodes[name]
         lost = "empty" in spent
@@ -273,7 +274,7 @@
         return self._settled(after, name)
 
     def passed(self, world: World) -> World:
-        """Time passes for all."""
+        """Advance the time by one step for all members."""
         after = self._after(world, {"times": 1})
         after.at += 1
         after.nodes = dict(world.nodes)
@@ -281,7 +282,7 @@
             after = self._settled(self._with(after, name), name)
         return after
 
-    # What comes of a step
+    # Effects of a step
 
     def _after(self, world: World, spent: Mapping[str, int]) -> World:
         after = copy.copy(world)
@@ -303,7 +304,7 @@
         return world.at * DT * node.rate
 
     def _settled(self, world: World, name: str) -> World:
-        """What the shell does: the machine looks, the mark is written, checks say yes, and all is proposed."""
+        """Do what the shell does: step the machine, write its marker, accept every check, submit its commands."""
         node = world.nodes[name]
         now, machine = self._clock(world, node), node.machine
         views = [self._view(world, log, node.at[log], who) for log, who in self.logs_of(name).items()]
@@ -325,33 +326,33 @@
                         again = True
         for log, watch in node.witnesses.items():
             said |= {(log, body) for body in watch.due(now, world.logs[log].states[node.at[log]])}
-        world.requests = world.requests | said | self._told(world, name)
+        world.requests = world.requests | said | self._site_commands(world, name)
         gate = machine.gate_state(now)
         if gate.mode == "open" and not world.wrong:
             if gate.number < world.newest:
-                world.wrong = f"{name} decides under version {gate.number}, and one was decided under {world.newest}"
+                world.wrong = f"{name} decides under version {gate.number} after version {world.newest} was in use"
             phase = self._view(world, self.top, len(world.logs[self.top].states) - 1, "").phase_of(gate.number)
             if gate.number and phase not in ("active", "superseded"):
-                world.wrong = f"{name} decides under version {gate.number}, which is {phase}"
+                world.wrong = f"{name} decides under version {gate.number}, which is {phase} and not in force"
             if gate.number > world.newest:
                 world.newest = gate.number
                 for other, its in world.nodes.items():
                     theirs = its.machine.gate_state(self._clock(world, its))
                     if theirs.mode == "open" and theirs.number < gate.number:
-                        world.wrong = f"{name} decides under version {gate.number}, and {other} under {theirs.number}"
+                        world.wrong = f"{name} decides under version {gate.number} while {other} uses {theirs.number}"
         return world
 
-    def _told(self, world: World, name: str) -> frozenset[tuple[str, r.Body]]:
+    def _site_commands(self, world: World, name: str) -> frozenset[tuple[str, r.Body]]:
         return frozenset()
 
-    # What must hold
+    # Safety properties
 
     def broken(self, world: World) -> str:
-        """What does not."""
+        """Return the safety violation in this state, empty if there is none."""
         return world.wrong
 
     def key(self, world: World) -> Hashable:
-        """All of it; of a log what some member has not passed yet, or may come back to."""
+        """Return the identity of a state: of each log only what a member has yet to apply or may restart from."""
         logs = []
         for name, log in world.logs.items():
             least = min(
@@ -360,13 +361,13 @@
             )  # fmt: skip
             logs.append((len(log.states), log.keys[least:]))
         nodes = tuple(
-            (self._small(node.machine.key()), tuple(node.at.values()), tuple(node.disk.values()),
+            (self._intern(node.machine.key()), tuple(node.at.values()), tuple(node.disk.values()),
              tuple(tuple(sorted(watch._observed_at.items())) for watch in node.witnesses.values()))
             for node in world.nodes.values()
         )  # fmt: skip
-        return tuple(logs), nodes, self._small(world.requests), world.budget, world.newest
+        return tuple(logs), nodes, self._intern(world.requests), world.budget, world.newest
 
-    def _small(self, thing: Hashable) -> int:
+    def _intern(self, thing: Hashable) -> int:
         return self._interned.setdefault(thing, len(self._interned))
 
     def _view(self, world: World, log: str, at: int, who: str) -> View:
--- a/tealwing/lab/models/rollout_faults.py
+++ b/tealwing/lab/models/rollout_faults.py
@@ -1,4 +1,4 @@
-"""Registries with a known fault, so that the model of a change of rules can be seen to find it."""
+"""Mutations of the registry: versions with a known fault, to show that the model of a rollout detects it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def applied(tables: Tables, index: int, body: r.Body, mutation: str) -> bool:
-    """Have the registry, or one with a known fault, apply a command; whether it does."""
+    """Apply a command to the registry, with the fault that `mutation` names; return whether it was accepted."""
     if mutation == "old-leader" and isinstance(body, r.Activate):
         found: r.Version | None = tables["rules"].get(str(body.number))
         if found is not None and found.phase == "preparing":
--- a/tealwing/lab/models/rollout_parts.py
+++ b/tealwing/lab/models/rollout_parts.py
@@ -1,4 +1,4 @@
-"""What the model of a change of rules is made of: logs, members, budgets, and words for commands."""
+"""Parts of the model of a rollout: logs, members, budgets and descriptions of commands."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from tealwing.rules import records as r
 from tealwing.rules.records import digest
 
-PERMIT, DT = 2.0, 1.0  # s: of a permit, of a step of time
+PERMIT, DT = 2.0, 1.0  # s: the lifetime of a permit, and model time per time step
 COARSE = LeaseBounds(max_drift=0.25, max_step=0.0, loss_notice=0.0)
-SLOW, FAST, WILD = 0.75, 1.25, 10.0
+SLOW, FAST, WILD = 0.75, 1.25, 10.0  # speeds of clocks, in s per s; WILD is far out of bounds
 LOG = "log"
 TEXT = b"[attempts]\nmost = 3\n"
 Tables = dict[str, dict[str, Any]]
 
 
 class Eager(Retry):
-    """All that is wanted is asked for at once: what is proposed may be applied late or never anyway."""
+    """A retry schedule without delays: the model may apply a proposed command late or never anyway."""
 
     def ready(self, now: float, key: Hashable, members: int = 0) -> bool:
-        """Always."""
+        """Return True: every action may be tried at once."""
         return True
 
     def retain(self, wanted: Iterable[Hashable]) -> None:
-        """Nothing is kept."""
+        """Do nothing, as this schedule stores no keys."""
 
 
 EAGER = Eager(0)
@@ -37,22 +37,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """How often each thing may happen."""
+    """The maximum number of each kind of step on one path."""
 
-    times: int = 3  # steps of time
+    times: int = 3  # time steps
     crashes: int = 1
-    old: int = 0  # of the crashes, those that come back with less than was applied
-    empty: int = 0  # those that come back with nothing
-    flips: int = 0  # those that come back in the other mode
-    lapses: int = 1
+    old: int = 0  # crashes after which the member restarts with less than it had applied
+    empty: int = 0  # crashes after which the member restarts without logs and marker
+    flips: int = 0  # crashes after which the member restarts in the other partition mode
+    lapses: int = 1  # expiries of permits that a leader proposes
     aborts: int = 0
     proposals: int = 0
-    reads: int = 3
+    reads: int = 3  # ReadIndex requests
 
 
 @dataclass(slots=True)
 class Log:
-    """Tables at each index, and what they come to for the key."""
+    """A log: the registry's tables at each index, and each one's part in the identity of a state."""
 
     states: tuple[Tables, ...]
     keys: tuple[Hashable, ...]
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """One member: its machine, how far it has applied each log, how far its disk surely has."""
+    """One member: its state machine, the applied index and the index surely on disk of each log, and its observers."""
 
     machine: Machine
     rate: float
@@ -71,30 +71,30 @@
 
 @dataclass(slots=True)
 class World:
-    """One state."""
+    """One state of the model: the members, the logs and the commands proposed so far."""
 
     nodes: dict[str, Node]
     logs: dict[str, Log]
     requests: frozenset[tuple[str, r.Body]]
     budget: Budget
-    at: int = 0  # steps of time so far
-    newest: int = 0  # version that some request was decided under
-    wrong: str = ""
+    at: int = 0  # time steps so far
+    newest: int = 0  # the newest version that any gate was open under
+    wrong: str = ""  # the safety violation found, empty if none
     gates: dict[str, Hashable] = field(default_factory=dict)
 
 
 def empty() -> Tables:
-    """The registry before the first entry."""
+    """Return the registry's tables before the first entry."""
     return {"rules": {}, "rule_members": {}, "rule_facts": {}}
 
 
 def propose(parent: int, number: int = 0) -> r.Propose:
-    """A version, made from another."""
+    """Return the proposal of a version based on version `parent`."""
     return r.Propose(parent, digest(TEXT), TEXT, "operator", 0, "", number, number > 0)
 
 
 def message_key(tables: Tables) -> Hashable:
-    """What of the tables decides anything later."""
+    """Return the part of the tables that later steps depend on."""
     found: list[r.Version] = list(tables["rules"].values())
     versions = tuple(
         (v.number, v.phase, tuple(sorted(v.verdicts.items())) if v.phase in r.IN_FLIGHT else (), v.federation_index)
@@ -104,20 +104,20 @@
 
 
 def describe(body: r.Body) -> str:
-    """A command in a few words."""
+    """Return the text for a command in a trace."""
     match body:
         case r.Propose(parent=parent, number=number):
-            return f"a version{f' {number}' if number else ''} made from {parent}"
+            return f"propose version{f' {number}' if number else ''} based on {parent}"
         case r.Verdict(number, member, start, yes):
-            return f"{member} (start {start}) says {'yes' if yes else 'no'} to {number}"
+            return f"{member} (start {start}) {'accepts' if yes else 'rejects'} version {number}"
         case r.Closed(number, member, start):
-            return f"{member} (start {start}) has closed for {number}"
+            return f"{member} (start {start}) has closed for version {number}"
         case r.Begin(member, start, touch):
             return f"{member} begins (start {start}, {touch})"
         case r.ExpirePermit(member, start):
-            return f"{member} (start {start}) lapses"
+            return f"permit of {member} (start {start}) lapses"
         case r.ConfirmExpiry(member, lapse, by):
-            return f"{by} says that the lapse {lapse} of {member} is over"
+            return f"{by} confirms the permit expiry {lapse} of {member}"
         case _:
             return f"{type(body).__name__} {body.number}" if hasattr(body, "number") else repr(body)
 
@@ -125,6 +125,6 @@
 LIKELY = (("crashes", 0.1), ("lapses", 0.3), ("Abort", 0.1), ("pass", 0.4), ("Close ", 2.0))
 
 
-def likely(message: str) -> float:
-    """For walks at random: entries are applied more often than anything breaks."""
-    return next((weight for part, weight in LIKELY if part in message), 1.0)
+def likely(step: str) -> float:
+    """Weigh a step of a random walk, so that entries are applied more often than faults occur."""
+    return next((weight for part, weight in LIKELY if part in step), 1.0)
--- a/tealwing/lab/models/rollout_starts.py
+++ b/tealwing/lab/models/rollout_starts.py
@@ -1,4 +1,4 @@
-"""Where explorations of a change of rules start that would else be too far away."""
+"""States of a rollout that are too many steps from the initial state, where explorations start instead."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def nearly_closed(model: Rollout, world: World) -> World:
-    """All but the first have closed, and the first has not applied that it should."""
+    """Start where all members but the first have closed and the first has not applied the Close."""
     world = model.apply(world, LOG, r.Close(1))
     for name in list(world.nodes)[1:]:
         world = model.catch_up(world, name, LOG, len(world.logs[LOG].states) - 1)
@@ -19,7 +19,7 @@
 
 
 def lapsed(model: Rollout, world: World) -> World:
-    """And the first has lapsed, as all others know."""
+    """Start from `nearly_closed`, where the first member's permit was expired and all others have applied that."""
     world = model.apply(nearly_closed(model, world), LOG, r.ExpirePermit(next(iter(world.nodes)), 1))
     for name in list(world.nodes)[1:]:
         world = model.catch_up(world, name, LOG, len(world.logs[LOG].states) - 1)
@@ -27,7 +27,7 @@
 
 
 def lapsed_for_good(model: Rollout, world: World) -> World:
-    """And that lapse is over, as two others have waited for and say; one of them has a new permit."""
+    """Start from `lapsed`: two others have waited for the expiry and confirmed it; one of them has a new permit."""
     world = model.passed(model.passed(lapsed(model, world)))
     name, *others = world.nodes
     lapse = len(world.logs[LOG].states) - 1
@@ -37,7 +37,10 @@
 
 
 def begun_twice(model: Rollout, world: World) -> World:
-    """The first came back, and came back empty under its old start number; it decides, and all others have closed."""
+    """Start where the first member restarted, then restarted empty with its old start number, and the others closed.
+
+    The first member decides requests.
+    """
     name = next(iter(world.nodes))
     last = world.nodes[name].at
     world = model.crash(world, name, last)
@@ -47,7 +50,7 @@
 
 
 def once_held(model: Rollout, world: World) -> World:
-    """The first served, holds now, lapsed, and the change was made without it."""
+    """Start where the first member went from serve to hold, its permit expired and a version came into force since."""
     name, *others = world.nodes
     world = model.crash(world, name, world.nodes[name].at, flips=1)
     world = model.apply(world, LOG, r.Begin(name, 2, "hold", 1, round(PERMIT * 1e3), 1))
@@ -62,7 +65,7 @@
 
 
 def made(model: Rollout, world: World) -> World:
-    """A change was made, and the second has applied it."""
+    """Start where a version came into force and the second member has applied that."""
     world = model.flow(model.apply(world, LOG, r.Close(1)), lambda body: isinstance(body, r.Closed))
     second = list(world.nodes)[1]
     return model.catch_up(model.apply(world, LOG, r.Activate(1)), second, LOG, len(world.logs[LOG].states))
--- a/tealwing/lab/models/starts.py
+++ b/tealwing/lab/models/starts.py
@@ -1,4 +1,4 @@
-"""Where explorations of the replicated log start that would else be too far away, and what walks at random do."""
+"""States of the replicated log too many steps from the initial one, where explorations start, and step weights."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 )  # fmt: skip
 
 
-def likely(message: str) -> float:
-    """For walks at random: messages come through more often than anything breaks."""
-    return next((weight for part, weight in LIKELY if part in message), 1.0)
+def likely(step: str) -> float:
+    """Weigh a step of a random walk, so that messages are delivered more often than faults occur."""
+    return next((weight for part, weight in LIKELY if part in step), 1.0)
 
 
 def message_between(world: World, source: str, target: str, kind: type) -> Message:
-    """The newest message of a kind under way between two."""
+    """Return the newest message of a type in flight from one member to another."""
     found = [m for s, t, m in world.network if (s, t) == (source, target) and isinstance(m, kind)]
     return max(found, key=lambda m: (m.term, repr(m)))
 
 
 def elect(model: Consensus, world: World, name: str, voter: str) -> World:
-    """A member comes back from a crash, stands until its term is new, and gets the vote of another."""
+    """Restart a member, have it stand for election until its term is the newest, and give it the vote of `voter`."""
     world = model.crash(world, name, -1)
     while world.members[name].term <= world.members[voter].term or world.members[name].role is Role.FOLLOWER:
         world = model.timeout(world, name)
@@ -44,9 +44,9 @@
 
 
 def figure_eight(model: Consensus, world: World) -> World:
-    """Raft's figure 8 (a) and (b) with three members, as a leads again.
+    """Start from figure 8 (a) and (b) of the Raft paper with three members, where a leads again.
 
-    a led term 1 and then c a later one, and each has an entry of its own that no other has; a is elected anew by b.
+    a led term 1 and then c led a later term; each has an entry that no other member has. b has elected a again.
     """
     budget = world.budget
     world.budget = replace(budget, timeouts=20, crashes=20)
@@ -59,7 +59,7 @@
 
 
 def led(model: Consensus, world: World) -> World:
-    """Begin where a leads term 1 by the vote of b, and its first entry is committed and known to learners."""
+    """Start where a leads term 1 by the vote of b, and the learners have its first entry, which is committed."""
     a, voters = "a", [name for name in world.members if name in world.members["a"].members]
     budget = world.budget
     world.budget = replace(budget, timeouts=1)
@@ -74,9 +74,9 @@
 
 
 def forgotten(model: Consensus, world: World) -> World:
-    """Begin where a leads term 1 of five, e stands for term 2 and has the vote of b, and b comes back without it.
+    """Start where a leads term 1 of five members, e has b's vote in term 2, and b restarted and forgot that vote.
 
-    Only what e asks of the others is under way, as long as e has not heard of b's new start.
+    Only e's requests to the others are in flight; e does not know that b restarted.
     """
     budget = world.budget
     world.budget = replace(budget, timeouts=9, beats=9, old=9)
@@ -102,7 +102,7 @@
 
 
 def sure(model: Consensus, world: World) -> World:
-    """From there: a has heard of b's new start, c and d have answered a round since, and b knows that it is sure."""
+    """Start from `forgotten`: a knows b's new incarnation, c and d have answered a round since, and b is confirmed."""
     world = forgotten(model, world)
     budget = world.budget
     world.budget = replace(budget, beats=9)
