--- a/tealwing/lab/judges/__init__.py
+++ b/tealwing/lab/judges/__init__.py
@@ -1,1 +1,1 @@
-"""Judges: each reads the history of a trial and names what must not have happened. Pure; no process is asked."""
+"""Judges: each checks the history of a trial and reports violations of its rules. Pure; no process is contacted."""
--- a/tealwing/lab/judges/clients.py
+++ b/tealwing/lab/judges/clients.py
@@ -1,4 +1,4 @@
-"""Judges what clients of the gateways heard: nobody is refused, failed or left alone for want of a quorum; pure."""
+"""Check the clients' queries: a gateway that stays up serves every query, with or without a quorum; pure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def rejected_queries(events: Sequence[Event]) -> list[Operation]:
-    """The queries that a gateway which lived all the while did not serve."""
+    """Return the queries that were not served although their gateway was up from begin to end."""
     down: dict[str, list[tuple[float, float]]] = {}
     for what, fields, begin, end in intervals(events, float("inf")):
         if what in ("kill", "stop"):
@@ -18,7 +18,7 @@
     for query in operations(events, "query"):
         if query.word == "ok" and query.result["word"] == "served":
             continue
-        if query.word == "unknown" and "t" not in query.result:  # it was open as the trial ended
+        if query.word == "unknown" and "t" not in query.result:  # the query was still open when the trial ended
             continue
         over = query.result["t"]
         if all(end < query.begin or begin > over for begin, end in down.get(query.process, ())):
@@ -27,10 +27,12 @@
 
 
 def check(events: Sequence[Event], end: float) -> list[Violation]:
-    """One violation for each."""
+    """Return one violation for each query that a running gateway did not serve."""
     found = []
     for query in rejected_queries(events):
         answer = query.result.get("word", query.word)
         why = query.result.get("text") or query.result.get("why")
-        found.append(Violation("clients", query.result["t"], f"{query.process} lived, and a query was {answer}: {why}"))
+        found.append(
+            Violation("clients", query.result["t"], f"{query.process} was up, and a query to it was {answer}: {why}")
+        )
     return found
--- a/tealwing/lab/judges/echo.py
+++ b/tealwing/lab/judges/echo.py
@@ -1,4 +1,4 @@
-"""Judges the answers of peers: the right peer says the right text, and nothing crosses a cut; pure."""
+"""Check the answers to pings: the right peer sends the right text, and no answer crosses a cut link; pure."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tealwing.lab.judges.verdict import Violation
 from tealwing.lab.rig.history import Event, operations
 
-UNDER_WAY = 0.1  # s after a cut within which what was written before it may still be read
+UNDER_WAY = 0.1  # s after a cut in which bytes written before it may still be read
 
 
 def check(events: Sequence[Event], end: float) -> list[Violation]:
-    """What must not have happened among the pings."""
+    """Return the violations: `echo-by`, `echo-text` and `cut`."""
     found = []
     reach = Reachability(events, end)
     for ping in operations(events, "ping"):
@@ -20,13 +20,21 @@
             continue
         source, target = ping.process, ping.fields["to"]
         if ping.result["by"] != target:
-            found.append(Violation("echo-by", ping.end, f"{source} asked {target}, and {ping.result['by']} answered"))
+            found.append(Violation("echo-by", ping.end, f"{source} pinged {target}, and {ping.result['by']} answered"))
         if ping.result["text"] != ping.fields["text"]:
             found.append(
-                Violation("echo-text", ping.end, f"{target} said {ping.result['text']!r} for {ping.fields['text']!r}")
+                Violation(
+                    "echo-text",
+                    ping.end,
+                    f"{target} answered {ping.result['text']!r}, expected {ping.fields['text']!r}",
+                )
             )
         begin = ping.begin - UNDER_WAY
         for a, b in ((source, target), (target, source)):
             if begin > 0 and reach.closed(a, b, begin, ping.end):
-                found.append(Violation("cut", ping.end, f"{source} had an answer of {target} while {a} to {b} was cut"))
+                found.append(
+                    Violation(
+                        "cut", ping.end, f"{source} got an answer from {target} while the link {a} to {b} was cut"
+                    )
+                )
     return found
--- a/tealwing/lab/judges/leases.py
+++ b/tealwing/lab/judges/leases.py
@@ -1,7 +1,7 @@
-"""Judges leases by what a resource saw: no two holders act at once, and no action under an older grant; pure.
+"""Check leases by the actions at a resource: no two holders act at once, and no action uses an older token; pure.
 
-An action's interval is from when its holder began it to when the resource took it. A token is one tenure: from the
-begin of its first action that was taken to the last.
+An action's interval is from when its holder began it to when the resource accepted it. The tenure of a token is from
+the begin of its first accepted action to the end of its last one.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Tenure:
-    """What one grant was used for."""
+    """The accepted actions under one token: when they began and ended (s of the trial), and their number."""
 
     name: str
     token: int
@@ -26,7 +26,7 @@
 
 
 def tenures(events: Sequence[Event]) -> list[Tenure]:
-    """The tenures by the begin of their first action that was taken."""
+    """Return the tenures, sorted by begin."""
     found: dict[tuple[str, int], Tenure] = {}
     for act in events:
         if act["kind"] != "act" or not act["accepted"]:
@@ -40,15 +40,15 @@
 
 
 def check(events: Sequence[Event], end: float) -> list[Violation]:
-    """What must not have happened to the leases."""
+    """Return the violations: `stale-accepted`, `overlap` and `token`."""
     found = []
     newest: dict[str, int] = {}
     for act in events:
         if act["kind"] == "act" and act["accepted"]:
             if act["token"] < newest.get(act["name"], 0):
                 found.append(
-                    Violation("stale-accepted", act["t"], f"{act['name']}: an action under {act['token']} was taken"
-                              f" after one under {newest[act['name']]}")
+                    Violation("stale-accepted", act["t"], f"{act['name']}: an action was accepted with token"
+                              f" {act['token']} after one with token {newest[act['name']]}")
                 )  # fmt: skip
             newest[act["name"]] = max(act["token"], newest.get(act["name"], 0))
     last: dict[str, Tenure] = {}
@@ -56,18 +56,22 @@
         before = last.get(tenure.name)
         if before is not None and tenure.begin < before.end:
             found.append(
-                Violation("overlap", tenure.begin, f"{tenure.name}: {tenure.token} acted from {tenure.begin:.3f} s,"
-                          f" and {before.token} until {before.end:.3f} s")
+                Violation("overlap", tenure.begin, f"{tenure.name}: token {tenure.token} was used from"
+                          f" {tenure.begin:.3f} s, and token {before.token} until {before.end:.3f} s")
             )  # fmt: skip
         if before is not None and tenure.token < before.token:
-            found.append(Violation("token", tenure.begin, f"{tenure.name}: {tenure.token} came after {before.token}"))
+            found.append(
+                Violation(
+                    "token", tenure.begin, f"{tenure.name}: token {tenure.token} was granted after {before.token}"
+                )
+            )
         if before is None or tenure.end > before.end:
             last[tenure.name] = tenure
     return found
 
 
 def idle(events: Sequence[Event], begin: float, end: float) -> list[float]:
-    """Gaps between tenures, and between actions of one: seconds in which nobody acted, the longest last."""
+    """Return the gaps between accepted actions of any holder in s, sorted, the longest last."""
     times = sorted((act["t"] - act["took"], act["t"]) for act in events if act["kind"] == "act" and act["accepted"])
     times = [span for span in times if begin <= span[1] <= end]
     gaps, until = [], begin
@@ -78,6 +82,6 @@
 
 
 def handovers(events: Sequence[Event]) -> list[float]:
-    """Seconds from the last action of a tenure to the first of the next."""
+    """Return the times from the last action of a tenure to the first of the next in s, sorted."""
     found = tenures(events)
     return sorted(max(0.0, b.begin - a.end) for a, b in itertools.pairwise(found) if a.name == b.name)
--- a/tealwing/lab/judges/reach.py
+++ b/tealwing/lab/judges/reach.py
@@ -1,4 +1,4 @@
-"""Which directions were open when, by the faults of a history; pure."""
+"""Network reachability over time, from the faults in a history: which link directions were open when; pure."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Reachability:
-    """For each direction, and for each process, when nothing passed and when all was well."""
+    """When each link direction was cut, and when each process was down or silent."""
 
     def __init__(self, events: Sequence[Event], end: float) -> None:
         self.cut: dict[tuple[str, str], list[Span]] = {}
         self.down: dict[str, list[Span]] = {}  # killed until ready again, or stopped
-        self.silenced: dict[str, list[Span]] = {}  # killed until started again, or stopped: nothing is said there
-        self.rough: list[Span] = []  # some link loses or delays frames
+        self.silenced: dict[str, list[Span]] = {}  # killed until started again, or stopped: the process sends nothing
+        self.rough: list[Span] = []  # when some link lost or delayed frames
         starts = [(event["who"], event["t"]) for event in events if event["kind"] == "starting"]
         for what, fields, begin, over in intervals(events, end):
             if "cuts" in fields:
@@ -31,16 +31,16 @@
                 self.rough.append((begin, over))
 
     def closed(self, source: str, target: str, begin: float, end: float) -> bool:
-        """Whether nothing could pass in that direction in all of a time."""
+        """Return whether the direction was cut for the whole interval."""
         return any(a <= begin and end <= b for a, b in self.cut.get((source, target), ()))
 
     def well(self, source: str, target: str, begin: float, end: float) -> bool:
-        """Whether the direction was open, and both processes ran, in all of a time."""
+        """Return whether the direction was open, both processes up and all links undisturbed for the whole interval."""
         bad = [*self.cut.get((source, target), ()), *self.down.get(source, ()), *self.down.get(target, ()), *self.rough]
         return all(b < begin or a > end for a, b in bad)
 
     def silent(self, source: str, target: str, at: float) -> float:
-        """For how many seconds nothing of the source can have reached the target, up to a time; 0 if it could."""
+        """Return for how many seconds before `at` no frame from the source could reach the target; 0 if one could."""
         since = inf
         for a, b in [*self.cut.get((source, target), ()), *self.silenced.get(source, ())]:
             if a <= at <= b:
--- a/tealwing/lab/judges/rules_agreement.py
+++ b/tealwing/lab/judges/rules_agreement.py
@@ -1,8 +1,8 @@
-"""Judges that a version decides nothing before all have agreed to it, and nothing at all if it never is in force; pure.
+"""Check agreement on versions: queries are decided only under a version that all have agreed to; pure.
 
-`unagreed`: a query was decided by a version that was rejected, aborted or withdrawn, or is still under way.
-`early-site`: one was decided by a version before some process had closed for it. That is looked at only where all must
-close (`lost-touch serve`): there the first answer under a version comes after the first closing of each process.
+`unagreed`: a query was decided under a version that never came into force: rejected, aborted, withdrawn or in flight.
+`early-site`: a query was decided under a version before some process had closed for it. This is checked only where all
+processes must close (`lost-touch serve`): there the first answer under a version follows every process's first closing.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from tealwing.lab.judges.versions import observed_versions
 from tealwing.lab.rig.history import Event
 
-SLACK = 0.01  # s by which the processes' logs may be off the history's clock
+SLACK = 0.01  # s by which times in the processes' logs may differ from the history's clock
 
 
 def closings(events: Sequence[Event]) -> dict[int, dict[str, float]]:
-    """By version and process: when it first said that it has closed, as its log tells (events `gate`)."""
+    """Return by version and process when the process first closed, according to its log (events `gate`)."""
     found: dict[int, dict[str, float]] = {}
     for event in events:
         if event["kind"] == "gate" and event["what"] == "closed":
@@ -28,7 +28,7 @@
 
 
 def check(events: Sequence[Event], end: float) -> list[Violation]:
-    """One violation for each query."""
+    """Return the violations, at most one of each kind for a query."""
     queries, chain = assigned(events)
     all_, closed = observed_versions(events), closings(events)
     serve = any(event["kind"] == "rules" and event["lost_touch"] == "serve" for event in events)
@@ -40,9 +40,9 @@
             under = [v.number for v in chain if v.site == site and v.proposed <= t]
             others = [n for n, v in all_.items() if n not in in_force and v.site == site and v.proposed <= t]
             if not under:
-                what = f"version {others[-1]}, which never was in force" if others else "no version"
-                found.append(Violation("unagreed", t, f"{one.query.process}: a query was decided by {site}, as {what}"
-                                       " says"))  # fmt: skip
+                what = f"version {others[-1]}, never in force, does" if others else "no version does"
+                found.append(Violation("unagreed", t, f"{one.query.process}: a query went to {site}, where no version"
+                                       f" in force sends it; {what}"))  # fmt: skip
                 break
         if serve and one.first and (waits := closed.get(one.first)):
             overdue = max(waits, key=lambda name: waits[name])
@@ -51,8 +51,8 @@
                     Violation(
                         "early-site",
                         one.until,
-                        f"{one.query.process} answered under version"
-                        f" {one.first}, for which {overdue} closed at {waits[overdue]:.3f} s",
+                        f"{one.query.process} answered a query under version"
+                        f" {one.first}, for which {overdue} closed only at {waits[overdue]:.3f} s",
                     )
                 )
     return found
--- a/tealwing/lab/judges/rules_order.py
+++ b/tealwing/lab/judges/rules_order.py
@@ -1,8 +1,8 @@
-"""Judges the order of versions in real time: once any client was answered under one, none older decides; pure.
+"""Check the real-time order of versions: after an answer under one, no later query is decided under an older one; pure.
 
-Each version sends the groups that move to a site of its own, so a site tells the version, save that sites come again
-after some versions. The earliest version that explains an answer is taken, not before any that was shown to be in
-force as the query began, nor one that had not been proposed yet: what is found is a violation however else it was.
+Each version sends the moving groups to a different site, so a site identifies the version, except that sites repeat
+after some versions. An answer counts for the earliest version that explains it: one that was proposed by then and is
+not older than a version known to be in force when the query began. So every violation found is certain.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 
 def explained(site: str, at: float, min_version: int, chain: Sequence[ObservedVersion]) -> int:
-    """The first version from `least` on that sends to that site and was proposed by then; 0: none."""
+    """Return the first version from `min_version` on that sends to the site and was proposed by `at`; 0: none."""
     return next((v.number for v in chain if v.number >= min_version and v.site == site and v.proposed <= at), 0)
 
 
 def assigned(events: Sequence[Event]) -> tuple[list[RoutedQuery], list[ObservedVersion]]:
-    """The queries, each with the version it must not be older than and the one that its answer shows; and the chain."""
+    """Return the queries, with their minimum version and the one that explains the answer; and versions in force."""
     chain = [version for version in observed_versions(events).values() if version.in_force]
     queries = routed_queries(events)
-    times, seen = list[float](), list[int]()  # from when on which version was known to be in force
+    times, seen = list[float](), list[int]()  # from times[i] on, version seen[i] is known to be in force
     for one in sorted(queries, key=lambda one: one.until):
         before = bisect_left(times, one.query.begin)
         one.min_version = seen[before - 1] if before else 0
@@ -38,12 +38,12 @@
 
 
 def older(site: str, at: float, min_version: int, chain: Sequence[ObservedVersion]) -> int:
-    """The last version before `least` that sends to that site; 0: none."""
+    """Return the last version before `min_version` that sends to the site and was proposed by `at`; 0: none."""
     return max((v.number for v in chain if v.number < min_version and v.site == site and v.proposed <= at), default=0)
 
 
 def check(events: Sequence[Event], end: float) -> list[Violation]:
-    """One `late-old` for each query that an older version decided, though a newer one had answered before it began."""
+    """Return a `late-old` for each query decided under an older version than one that had answered before it began."""
     queries, chain = assigned(events)
     found = []
     for one in queries:
@@ -52,7 +52,7 @@
         for t, site, how in at:
             if not explained(site, t, one.min_version, chain) and (was := older(site, t, one.min_version, chain)):
                 found.append(Violation(
-                    "late-old", t, f"{one.query.process}: a query of {one.query.begin:.3f} s {how} {site}, as"
+                    "late-old", t, f"{one.query.process}: a query begun at {one.query.begin:.3f} s {how} {site}, as"
                     f" version {was} says; version {one.min_version} had answered before it began"
                 ))  # fmt: skip
                 break
--- a/tealwing/lab/judges/verdict.py
+++ b/tealwing/lab/judges/verdict.py
@@ -1,4 +1,4 @@
-"""What a judge finds."""
+"""The violation that a judge reports."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One thing that must not have happened: which rule, when, and what was seen."""
+    """One violation in a trial: the rule, the time and what was observed."""
 
     rule: str
     at: float  # s of the trial
--- a/tealwing/lab/judges/versions.py
+++ b/tealwing/lab/judges/versions.py
@@ -1,4 +1,4 @@
-"""Which versions of the rules a history shows: what each says, when it was proposed, what became of it; pure."""
+"""The versions of the rules in a history: target site, time of the proposal, phases; pure."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 @dataclass(slots=True)
 class ObservedVersion:
-    """One version, as processes showed it."""
+    """One version of the rules, as the processes reported it."""
 
     number: int
-    site: str  # to which it sends the groups that move
-    proposed: float = 0.0  # s: not before this, as far as is known
-    phases: dict[str, set[str]] = field(default_factory=dict)  # with the processes that said so
+    site: str  # where the version sends the moving groups
+    proposed: float = 0.0  # s: earliest time of the proposal; 0 if unknown
+    phases: dict[str, set[str]] = field(default_factory=dict)  # by phase: the processes that reported it
 
     @property
     def in_force(self) -> bool:
-        """Whether anybody ever said that it is or was."""
+        """Return whether any process reported that the version is or was in force."""
         return any(phase in IN_FORCE for phase in self.phases)
 
 
 def observed_versions(events: Sequence[Event]) -> dict[int, ObservedVersion]:
-    """The versions by number: events `version` have process, number, digest, phase, site and mark (of the proposal)."""
+    """Return the versions by number. Events `version` have process, number, digest, phase, site and change mark."""
     begun = {change.fields["mark"]: change.begin for change in operations(events, "change")}
     found: dict[int, ObservedVersion] = {}
     for event in events:
@@ -42,22 +42,22 @@
 
 @dataclass(slots=True)
 class RoutedQuery:
-    """One query of a group that changes move, and what it shows: each engine's site with the time it was there."""
+    """One query of a moving group (changes alter its site), with the sites of the engines that it reached."""
 
     query: Operation
-    reached: list[tuple[float, str]] = field(default_factory=list)  # s, site: the query came to an engine
-    answered: str = ""  # the site whose rows the client has
-    min_version: int = 0  # of the versions in force, that it must be decided under or later
-    first: int = 0  # the earliest that explains its answer; 0: none does
+    reached: list[tuple[float, str]] = field(default_factory=list)  # s, site: when the query reached an engine of it
+    answered: str = ""  # the site whose rows the client received; empty: no answer
+    min_version: int = 0  # the oldest version that may decide it: the newest known to be in force when it began
+    first: int = 0  # the earliest version that explains its answer; 0: none
 
     @property
     def until(self) -> float:
-        """When the client had its answer."""
+        """Return when the client received its answer; inf if it received none."""
         return self.query.end if self.answered else inf
 
 
 def routed_queries(events: Sequence[Event]) -> list[RoutedQuery]:
-    """The queries of moving groups by their begin; an engine knows a query by its id, `call`."""
+    """Return the queries of moving groups; engines report the id `call` of each query that reaches them."""
     found = [RoutedQuery(query) for query in operations(events, "query") if query.fields.get("moves")]
     by_call = {one.query.fields["call"]: one for one in found}
     for one in found:
