--- a/tealwing/lab/rollout/__init__.py
+++ b/tealwing/lab/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""Changes of rules in virtual time, on the real cores.
+"""Simulation of rollouts in virtual time with the production state machines.
 
-Read costs, tasks, host, copies, logs, gate, part, sites, fleet, measure.
+Reading order: costs, tasks, host, copies, logs, gate, part, sites, fleet, measure.
 """
--- a/tealwing/lab/rollout/copies.py
+++ b/tealwing/lab/rollout/copies.py
@@ -1,6 +1,6 @@
-"""The state of one log at each index: the same at all members, so it is made once, by whoever is there first.
+"""The state of one log at each index, computed once, by the first member that applies the entry, and shared by all.
 
-That it is the same rests on their entries being the same, which is looked at for every entry at every member.
+All members have the same state because they apply the same entries; every entry is checked at every member.
 """
 
 from __future__ import annotations
@@ -15,46 +15,46 @@
 from tealwing.rollout.agent.view import View, view_of
 from tealwing.rollout.observed_state import TABLES
 
-MAX_SNAPSHOTS = 4096  # indices
+MAX_SNAPSHOTS = 4096  # of the newest indices
 
 
 @dataclass(frozen=True, slots=True)
 class StateSnapshot:
-    """The tables of the rules after one entry, and what came of it."""
+    """The tables of the rules after one entry, and the result of its command."""
 
     index: int
     entry: Entry | None
     command: c.Command | None
     result: c.CommandResult | None
     tables: dict[str, dict[str, Any]]
-    plain: View  # nobody's: without `me`
+    plain: View  # no member's: `local_member` is None
 
     def view(self, name: str) -> View:
-        """The state as a member of that name reads it."""
+        """Return the view of the member of that name."""
         v = self.plain
         return replace(v, local_member=self.tables["rule_members"].get(name))
 
 
 class StateHistory:
-    """All shots of one log."""
+    """The snapshots of one log by index, of which the newest are kept."""
 
     def __init__(self) -> None:
         self._state = State()
         tables: dict[str, dict[str, Any]] = {name: {} for name in TABLES}
         self.first = StateSnapshot(0, None, None, None, tables, view_of(tables, 0, ""))
-        self._shots = {0: self.first}
+        self._snapshots = {0: self.first}
 
     @property
     def last(self) -> StateSnapshot:
-        """After the last entry that any member has applied."""
-        return self._shots[self._state.applied]
+        """Return the snapshot after the last entry that any member has applied."""
+        return self._snapshots[self._state.applied]
 
     def apply(self, entry: Entry) -> StateSnapshot:
-        """A member applies an entry."""
+        """Return the snapshot after an entry that a member applies; the first member to apply it computes it."""
         if entry.index == self._state.applied + 1:
-            self._shots[entry.index] = self._make(entry)
-            self._shots.pop(entry.index - MAX_SNAPSHOTS, None)
-        snapshot = self._shots[entry.index]
+            self._snapshots[entry.index] = self._make(entry)
+            self._snapshots.pop(entry.index - MAX_SNAPSHOTS, None)
+        snapshot = self._snapshots[entry.index]
         check_invariant(snapshot.entry == entry, "members apply the same entries")
         return snapshot
 
--- a/tealwing/lab/rollout/fleet.py
+++ b/tealwing/lab/rollout/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet, or a federation of fleets, in virtual time; and changes made in it."""
+"""A simulated fleet, or a federation of fleets, in virtual time, and the rollouts in it."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 from tealwing.rules import records
 from tealwing.rules.records import digest
 
-ALL = "federation"
+ALL = "federation"  # the name of the federation's log
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """What there is: sites (more than one: a federation), gateways and voters of each, and the mode."""
+    """The size of a simulation: sites (more than one: a federation), gateways and voters per site, and the plan."""
 
     sites: int
     gateways: int
     voters: int
     plan: Plan
-    limit: float = 8.0  # s, of the federation
-    rate: float = 5.0  # clients a second, of each gateway
+    limit: float = 8.0  # s: the federation's `limit`
+    rate: float = 5.0  # requests per s and gateway
 
 
 class Fleet:
-    """All of it; the same for the same seed."""
+    """The simulated gateways, their logs and network; the same seed gives the same run."""
 
     def __init__(self, shape: Shape, seed: int, costs: Costs = Costs()) -> None:  # noqa: B008 - frozen
         self.shape, self.clock, self.checker = shape, Clock(), ServiceChecker()
         self.wires = Wires(self.clock, costs, seed)
         self.gateways = {f"s{i}": tuple(f"s{i}g{k:03}" for k in range(shape.gateways)) for i in range(shape.sites)}
-        self.copies: dict[str, StateHistory] = {}
+        self.copies: dict[str, StateHistory] = {}  # by log
         self.logs: dict[str, list[Log]] = {}  # by log
-        self.parts: dict[str, SimulatedMember] = {}
+        self.parts: dict[str, SimulatedMember] = {}  # by gateway
         federated = shape.sites > 1
         few = {site: names[: min(3, len(names))] for site, names in self.gateways.items()}
         voting = tuple(name for names in few.values() for name in names)
@@ -71,7 +71,7 @@
         return log
 
     def until(self, holds: Callable[[], bool], limit: float, step: float = 0.005) -> bool:
-        """Let time pass until something holds; False where it does not in so many seconds."""
+        """Advance the time until `holds` returns True; return False if it does not within `limit` s."""
         end = self.clock.now + limit
         while not holds():
             if self.clock.now >= end:
@@ -81,25 +81,25 @@
 
     @property
     def state(self) -> StateSnapshot:
-        """Of the log that decides, after the last entry that anybody has applied."""
+        """Return the state of the deciding log after the last entry that any member has applied."""
         return self.copies[self.deciding].last
 
     def leader(self, log: str) -> str:
-        """Who leads a log; empty: nobody."""
+        """Return the leader of a log, empty if there is none."""
         return next((member.host.name for member in self.logs[log] if member.leads), "")
 
     def begun(self) -> bool:
-        """Whether all gateways, and sites, are in their tables and decide."""
+        """Return whether all members are in the deciding log's table and the gates of all gateways are open."""
         expected = self.shape.sites if self.deciding == ALL else self.shape.gateways
         there = len(self.state.tables["rule_members"]) == expected
         return there and all(part.gate.version >= 0 for part in self.parts.values())
 
     def open_under(self, number: int) -> bool:
-        """Whether all gateways that are not cut off decide under that version."""
+        """Return whether all gateways that are not cut off decide under that version."""
         return all(part.gate.version == number for name, part in self.parts.items() if name not in self.wires.cut)
 
     def propose(self, text: bytes, at: str) -> None:
-        """An operator proposes a version at a gateway."""
+        """Have an operator propose a version at a gateway."""
         log = next(member for member in self.logs[self.deciding] if member.host.name == at)
         body = records.Propose(
             self.state.plain.active, digest(text), text, "operator", 1_800_000_000_000, "a change",
--- a/tealwing/lab/rollout/gate.py
+++ b/tealwing/lab/rollout/gate.py
@@ -1,7 +1,7 @@
-"""A gateway's gate in the laboratory, its clients, and what the judge knows of them.
+"""The simulated gate of a gateway, its clients, and the check that versions follow each other in real time.
 
-The rule in real time is judged twice: by clients, each answered the moment it is decided, and by the spans in which any
-gateway would have decided under each version, whether a client came then or not.
+The check is made twice: by the clients' requests, each answered the moment it is decided, and by the spans in which any
+gateway's gate was open under each version, whether or not a request arrived then.
 """
 
 from __future__ import annotations
@@ -12,67 +12,71 @@
 
 
 class ServiceChecker:
-    """Of all gateways: when each version was first and last decided under."""
+    """Checks for all gateways that no request is decided under an older version than an earlier one."""
 
     def __init__(self) -> None:
-        self.first: dict[int, float] = {}  # by version: when a gateway first might decide under it
-        self.until: dict[int, float] = {}  # when one last might
-        self.answered: dict[int, float] = {}  # when a client was first answered under it
-        self.wrong: list[str] = []
+        self.first: dict[int, float] = {}  # by version: when a gate was first open under it
+        self.until: dict[int, float] = {}  # by version: when a gate was last open under it
+        self.answered: dict[int, float] = {}  # by version: when a client was first answered under it
+        self.wrong: list[str] = []  # the violations found
 
     def span(self, name: str, version: int, begun: float, ended: float) -> None:
-        """A gateway decided under a version from then to then."""
+        """Record that a gate was open under a version from `begun` to `ended`."""
         if ended > begun:
             self.first[version] = min(self.first.get(version, begun), begun)
             self.until[version] = max(self.until.get(version, ended), ended)
 
     def decided(self, name: str, version: int, begun: float, now: float) -> None:
-        """A client's request that began then was decided now, and answered at once."""
+        """Record that a request that began at `begun` was decided and answered now."""
         newer = [number for number, at in self.answered.items() if number > version and at < begun]
         if newer:
-            self.wrong.append(f"{name} decided a request of {begun:.6f} under {version}: {max(newer)} was answered")
+            self.wrong.append(
+                f"{name} decided a request of {begun:.6f} under {version}: one was answered under {max(newer)} before"
+            )
         self.answered.setdefault(version, now)
         for number in [number for number in self.answered if number < version - 8]:
             del self.answered[number]
 
     def verdict(self) -> list[str]:
-        """What was wrong."""
+        """Return the violations of all requests and spans."""
         wrong = list(self.wrong)
         for version, begun in sorted(self.first.items()):
             overdue = max((at for other, at in self.until.items() if other < version), default=begun)
             if overdue > begun:
-                wrong.append(f"version {version} was decided under from {begun:.6f}, an older one until {overdue:.6f}")
+                wrong.append(
+                    f"a gate was open under version {version} from {begun:.6f}, under an older one until {overdue:.6f}"
+                )
         return wrong
 
 
 class SimulatedGate:
-    """Open under a version until a time, or not; every change touches all requests here."""
+    """A gate that is open under a version until a time, or closed; a rollout holds all requests while it closes."""
 
     def __init__(self, clock: Clock, name: str, checker: ServiceChecker, rate: float, seed: int) -> None:
-        """Draw clients at `rate` a second, each on its own."""
+        """Start the arrivals of requests: a Poisson process with `rate` per s."""
         self._clock, self.name, self._checker, self._rate = clock, name, checker, rate
         self._random = Random(f"{seed}/{name}/clients")
         self._open: tuple[int, float, float] | None = None  # version, since when, until when
-        self._closed: float | None = None  # since when by a change
-        self._held: list[float] = []  # when those came that wait
-        self.gaps: list[float] = []  # s for which it was closed, by change
-        self.waits: list[float] = []  # s that clients waited
+        self._closed: float | None = None  # since when a rollout holds requests; None: none does
+        self._held: list[float] = []  # arrival times of the held requests
+        self.gaps: list[float] = []  # s, of each rollout: how long the gate was closed
+        self.waits: list[float] = []  # s that held requests waited
         self.rejected = self.passed = 0
         if rate:
-            clock.after(self._random.expovariate(rate), self._come)
+            clock.after(self._random.expovariate(rate), self._on_arrival)
 
     @property
     def version(self) -> int:
-        """Under which it is open; -1: it is not."""
+        """Return the version under which the gate is open; -1 if it is closed."""
         return self._open[0] if self._open and self._clock.now < self._open[2] else -1
 
     def open(self, version: int, until: float) -> None:
-        """Decide under that version until then."""
+        """Open the gate under a version until a time, and decide the held requests."""
         now = self._clock.now
         if self._open is not None and self._open[0] == version and now < self._open[2]:
             self._open = version, self._open[1], until
             return
-        self._shut()
+        self._record_span()
         self._open = version, now, until
         if self._closed is not None:
             self.gaps.append(now - self._closed)
@@ -83,8 +87,8 @@
             self._pass(begun)
 
     def close(self, by_change: bool) -> None:
-        """Decide nothing; by a change: who comes waits."""
-        self._shut()
+        """Close the gate: for a rollout, hold new requests; otherwise reject held and new requests."""
+        self._record_span()
         if by_change and self._closed is None:
             self._closed = self._clock.now
         if not by_change:
@@ -93,10 +97,10 @@
             self._closed = None
 
     def end(self) -> None:
-        """The run is over."""
-        self._shut()
+        """End the run: record the last open span."""
+        self._record_span()
 
-    def _shut(self) -> None:
+    def _record_span(self) -> None:
         if self._open is not None:
             version, since, until = self._open
             self._checker.span(self.name, version, since, min(until, self._clock.now))
@@ -109,8 +113,8 @@
         else:
             self.rejected += 1
 
-    def _come(self) -> None:
-        self._clock.after(self._random.expovariate(self._rate), self._come)
+    def _on_arrival(self) -> None:
+        self._clock.after(self._random.expovariate(self._rate), self._on_arrival)
         if self._closed is not None:
             self._held.append(self._clock.now)
         else:
--- a/tealwing/lab/rollout/logs.py
+++ b/tealwing/lab/rollout/logs.py
@@ -1,4 +1,4 @@
-"""One member of a replicated log in virtual time: what the node, the member and the leader's client do on threads."""
+"""One member of a replicated log in virtual time: the work of the node's, member's and forwarding client's threads."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def message_count(entry: Entry) -> int:
-    """How many words are in one entry."""
+    """Return the number of commands in an entry: a Reports command holds several."""
     if entry.kind is not Kind.DATA:
         return 0
     body = c.decode(entry.data).body
@@ -32,99 +32,99 @@
 
 
 class _Reached(Pending):
-    """The state is at the index that a read waits for."""
+    """Sets a signal when the state reaches the index that a read waits for."""
 
     def __init__(self, signal: Signal) -> None:
         super().__init__()
         self._signal = signal
 
     def set(self, outcome: Any) -> None:
-        """It is."""
+        """Set the signal."""
         self._signal.set()
 
 
 class Log:
-    """A core, and the state that it has applied."""
+    """One member of a log: its Raft core and the state that it has applied."""
 
     def __init__(
         self, host: Host, name: str, voters: tuple[str, ...], learners: tuple[str, ...], copies: StateHistory,
         options: Options, seed: int,
     ) -> None:  # fmt: skip
-        """Join the log of that name; voters and learners are hosts' names, `seed` is that of the simulation."""
+        """Join the log of that name; voters and learners are names of hosts, `seed` is the simulation's."""
         self.host, self.name, self._clock = host, name, host.wires.clock
         number = Random(f"{seed}/{name}/{host.name}").randrange(1, 2**53)
         self.core = Raft(host.name, voters, self._clock.now, number, number, options, learners=learners)
         self.snapshot, self._copies = copies.first, copies
-        self.applied: list[Callable[[StateSnapshot], None]] = []  # told of each entry, as it is applied
-        self.led: list[Callable[[bool], None]] = []
+        self.applied: list[Callable[[StateSnapshot], None]] = []  # called with the state after each applied entry
+        self.led: list[Callable[[bool], None]] = []  # called when the member starts or stops leading
         self.leads = self._proposed = False
-        self._passed: list[bytes] = []
+        self._forwarded: list[bytes] = []
         self._random = Random(f"{seed}/{name}/{host.name}/asking")
         self._inbox: deque[tuple[Any, ...]] = deque()
-        self._turning, self._timer = False, float("inf")
+        self._scheduled, self._timer = False, float("inf")
         self._waiting, self._reading = PendingProposals(), ReadBatcher(self.core)
         self._requests: dict[int, tuple[Signal, list[ForwardReply]]] = {}
         self._numbers = itertools.count(1)
         host.handlers[name, "log"] = lambda source, message: self.put("message", source, message)
-        host.handlers[name, "forward"] = self._on_forwarded
-        self._due()
+        host.handlers[name, "forward"] = self._on_forward_message
+        self._schedule_tick()
 
-    # What others ask for; tasks
+    # Calls by other parts and by tasks
 
     def put(self, *item: Any) -> None:
-        """Have the member's thread do something."""
+        """Queue an item for the member's thread."""
         self._inbox.append(item)
-        if not self._turning:
-            self._turning = True
-            self._clock.at(self.host.free, self._turn)
+        if not self._scheduled:
+            self._scheduled = True
+            self._clock.at(self.host.free, self._run_batch)
 
     def propose_if_leader(self, body: Any) -> None:
-        """Propose if this member leads."""
-        self.put("ask", ForwardRequest(0, c.encode(c.Command("", 0, body))), lambda told: None)
+        """Propose a command if this member leads."""
+        self.put("ask", ForwardRequest(0, c.encode(c.Command("", 0, body))), lambda reply: None)
 
-    def pass_on(self, body: Any) -> None:
-        """Have whoever leads propose it."""
+    def forward(self, body: Any) -> None:
+        """Have the leader propose a command: this member or another."""
         if self.core.leader == self.host.name:
             self.propose_if_leader(body)
         elif self.core.leader:
             self.host.send(self.core.leader, self.name, "forward", ForwardRequest(0, c.encode(c.Command("", 0, body))))
 
     def flush_commit(self) -> None:
-        """If this member leads: say at once how far all is committed."""
+        """If this member leads, send its commit index to all members at once."""
         self.put("hurry")
 
     def write(self, command: c.Command, wait: float) -> Step:
-        """Have a command applied: its result, or None where that is not seen in time."""
-        told = yield from self._at_leader(ForwardRequest(0, c.encode(command)), wait, bool(command.sequence))
-        return c.decode_result(told.result) if told is not None else None
+        """Submit a command; return its result, or None if that does not arrive in time."""
+        reply = yield from self._call_leader(ForwardRequest(0, c.encode(command)), wait, bool(command.sequence))
+        return c.decode_result(reply.result) if reply is not None else None
 
     def read_index(self, wait: float) -> Step:
-        """Wait until the state here has all that was committed: the index, or None."""
+        """Wait until all that is committed now is applied here; return the index, or None on a timeout."""
         end = self._clock.now + wait
-        told = yield from self._at_leader(ForwardRequest(0, b""), wait, True)
-        if told is None:
+        reply = yield from self._call_leader(ForwardRequest(0, b""), wait, True)
+        if reply is None:
             return None
         reached = Signal(self._clock)
-        self.put("at", told.index, _Reached(reached))
+        self.put("at", reply.index, _Reached(reached))
         found = yield reached, max(0.0, end - self._clock.now)
-        return told.index if found else None
+        return reply.index if found else None
 
-    def _at_leader(self, request: ForwardRequest, wait: float, again: bool) -> Step:
+    def _call_leader(self, request: ForwardRequest, wait: float, again: bool) -> Step:
         end, pause = self._clock.now + wait, RETRY_BACKOFF[0]
         while (left := end - self._clock.now) > 1e-9:
             leader, sent = self.core.leader, False
             if leader:
-                told = yield from self._try(leader, request, min(left, ATTEMPT_TIMEOUT) if again else left, again)
-                if told is not None and told.status == "ok":
-                    return told
-                sent = told is None or told.status == "lost"
+                reply = yield from self._attempt(leader, request, min(left, ATTEMPT_TIMEOUT) if again else left, again)
+                if reply is not None and reply.status == "ok":
+                    return reply
+                sent = reply is None or reply.status == "lost"
             if sent and not again:
                 return None
             yield min(pause * self._random.uniform(0.5, 1.0), max(0.0, end - self._clock.now))
             pause = min(RETRY_BACKOFF[1], 2 * pause)
         return None
 
-    def _try(self, leader: str, request: ForwardRequest, wait: float, again: bool) -> Step:
+    def _attempt(self, leader: str, request: ForwardRequest, wait: float, again: bool) -> Step:
         number, signal = next(self._numbers), Signal(self._clock)
         found: list[ForwardReply] = []
         request = ForwardRequest(number, request.command)
@@ -141,22 +141,22 @@
         del self._requests[number]
         return found[0] if found else None
 
-    def _on_reply(self, told: ForwardReply) -> None:
-        if told.number in self._requests:
-            signal, found = self._requests[told.number]
-            found.append(told)
+    def _on_reply(self, reply: ForwardReply) -> None:
+        if reply.number in self._requests:
+            signal, found = self._requests[reply.number]
+            found.append(reply)
             signal.set()
 
-    def _on_forwarded(self, source: str, message: ForwardRequest | ForwardReply) -> None:
+    def _on_forward_message(self, source: str, message: ForwardRequest | ForwardReply) -> None:
         self.host.spend(self.host.wires.costs.message)
         if isinstance(message, ForwardReply):
             self._on_reply(message)
         else:
-            self.put("ask", message, lambda told: self.host.send(source, self.name, "forward", told))
+            self.put("ask", message, lambda reply: self.host.send(source, self.name, "forward", reply))
 
     # The member's thread
 
-    def _due(self) -> None:
+    def _schedule_tick(self) -> None:
         due = min(self.core.next_deadline(), self._reading.next_round_at())
         if due < self._timer - 1e-9:
             self._timer = due
@@ -167,22 +167,22 @@
             self._timer = float("inf")
             self.put("tick")
 
-    def _turn(self) -> None:
-        if self.host.free > self._clock.now:  # another thread of the process was first
-            self._clock.at(self.host.free, self._turn)
+    def _run_batch(self) -> None:
+        if self.host.free > self._clock.now:  # another thread of the process is running
+            self._clock.at(self.host.free, self._run_batch)
             return
         now = self._clock.now
         for _ in range(min(len(self._inbox), MAX_QUEUE_BATCH)):
-            self._take(now, self._inbox.popleft())
-        self._propose_passed(now)
+            self._process_item(now, self._inbox.popleft())
+        self._propose_forwarded(now)
         self.core.tick(now)
         self._reading.begin(now)
-        self._work()
+        self._process_ready()
 
-    def _propose_passed(self, now: float) -> None:
-        passed, self._passed = self._passed, []
+    def _propose_forwarded(self, now: float) -> None:
+        forwarded, self._forwarded = self._forwarded, []
         try:
-            for data in batched(passed):
+            for data in batched(forwarded):
                 self.core.propose(now, data, defer_send=True)
                 self._proposed = True
         except (NotLeaderError, BusyError):
@@ -191,7 +191,7 @@
             self._proposed = False
             self.core.send_deferred(now)
 
-    def _take(self, now: float, item: tuple[Any, ...]) -> None:
+    def _process_item(self, now: float, item: tuple[Any, ...]) -> None:
         match item[0]:
             case "message":
                 self.host.spend(self.host.wires.costs.message)
@@ -206,7 +206,7 @@
 
     def _request(self, now: float, request: ForwardRequest, answer: Callable[[ForwardReply], None]) -> None:
         if request.command and not request.number:
-            self._passed.append(request.command)
+            self._forwarded.append(request.command)
             return
         try:
             if request.command:
@@ -220,17 +220,17 @@
         except BusyError:
             answer(ForwardReply(request.number, "busy", b"", 0))
 
-    def _work(self) -> None:
-        """What the core wants, piece by piece; the disk before what rests on it."""
+    def _process_ready(self) -> None:
+        """Process what the core has ready, batch by batch: sync the disk before sending and applying."""
         if not self.core.has_ready():
-            self._end()
+            self._finish_batch()
             return
         ready = self.core.ready()
         wires = self.host.wires
         sync = wires.costs.disk(wires.random) if ready.hard_state or ready.entries else 0.0
-        self._clock.at(max(self.host.free, self._clock.now) + sync, self._done, ready)
+        self._clock.at(max(self.host.free, self._clock.now) + sync, self._on_synced, ready)
 
-    def _done(self, ready: Ready) -> None:
+    def _on_synced(self, ready: Ready) -> None:
         now = self._clock.now
         if ready.entries:
             self.core.entries_saved(now, ready.entries[-1].index, ready.entries[-1].term)
@@ -244,25 +244,25 @@
         for entry in ready.committed:
             self.snapshot = self._copies.apply(entry)
             self._waiting.entry_applied(entry, self.snapshot.result)
-            for told in self.applied:
-                told(self.snapshot)
+            for listener in self.applied:
+                listener(self.snapshot)
         if ready.committed:
             self._waiting.index_reached(self.snapshot.index)
         for number in ready.failed_reads:
             self._reading.failed(number)
         for number, index in ready.reads:
             self._reading.confirmed(number, index)
-        self._work()
+        self._process_ready()
 
-    def _end(self) -> None:
+    def _finish_batch(self) -> None:
         leads = self.core.role is Role.LEADER and self.core.commit >= self.core.term_start_index
         if leads != self.leads:
             self.leads = leads
-            for told in self.led:
-                told(leads)
-        self._turning = False
+            for listener in self.led:
+                listener(leads)
+        self._scheduled = False
         if self._inbox:
-            self._turning = True
-            self._clock.at(self.host.free, self._turn)
+            self._scheduled = True
+            self._clock.at(self.host.free, self._run_batch)
         else:
-            self._due()
+            self._schedule_tick()
--- a/tealwing/lab/rollout/measure.py
+++ b/tealwing/lab/rollout/measure.py
@@ -1,4 +1,4 @@
-"""What changes cost in a fleet of the laboratory: gaps, messages, times, entries."""
+"""The cost of rollouts in a simulated fleet: gaps in service, durations, messages and log entries."""
 
 from __future__ import annotations
 
@@ -6,43 +6,45 @@
 
 from tealwing.lab.rollout.fleet import Fleet
 
-PAUSE = 0.7  # s between two changes
-PATIENCE = 60.0  # s after which a change that is neither in force nor over is a fault
+PAUSE = 0.7  # s between two rollouts
+PATIENCE = 60.0  # s after which a rollout without an outcome is a failure
 
 
 @dataclass
 class Found:
-    """Of all changes of one run; times are seconds."""
+    """The results of all rollouts of one run; times are in s."""
 
     changes: int = 0
-    failed: int = 0  # that did not come in force
-    gaps: list[float] = field(default_factory=list)  # by change and gateway
-    decided: list[float] = field(default_factory=list)  # from the proposal to the entry that decides
-    opened: list[float] = field(default_factory=list)  # from the proposal until all decide under it
-    by_gateway: list[float] = field(default_factory=list)  # messages that one that leads nothing sent, by change
-    by_leader: list[float] = field(default_factory=list)  # that the leader of the deciding log sent
-    entries: list[float] = field(default_factory=list)  # of all logs
-    waits: list[float] = field(default_factory=list)  # of clients that were held
-    clients: int = 0
-    wrong: list[str] = field(default_factory=list)
+    failed: int = 0  # rollouts whose version did not come into force
+    gaps: list[float] = field(default_factory=list)  # for each rollout and gateway: how long the gate was closed
+    decided: list[float] = field(default_factory=list)  # from the proposal to the entry that decides the outcome
+    opened: list[float] = field(default_factory=list)  # from the proposal until all gateways decide under the version
+    by_gateway: list[float] = field(
+        default_factory=list
+    )  # for each rollout: messages sent by a gateway that leads no log, mean
+    by_leader: list[float] = field(default_factory=list)  # for each rollout: messages sent by the deciding log's leader
+    entries: list[float] = field(default_factory=list)  # for each rollout: entries of all logs
+    waits: list[float] = field(default_factory=list)  # how long requests were held
+    clients: int = 0  # requests decided
+    wrong: list[str] = field(default_factory=list)  # the violations found
 
 
 def share(values: list[float], part: float) -> float:
-    """The value below which that share of them lies; 0 where there are none."""
+    """Return the quantile of the values, `part` from 0 to 1; 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
 
 
 def changes(fleet: Fleet, count: int) -> Found:
-    """Make so many changes, one after the other, and look at each."""
+    """Run `count` rollouts, one after the other, and measure each."""
     found, clock = Found(), fleet.clock
     if not fleet.until(fleet.begun, 60.0, 0.05):
-        found.wrong.append("not all gateways decide after a minute")
+        found.wrong.append("some gateways decide nothing after 60 s")
         return found
     names = list(fleet.parts)
     for turn in range(count):
         clock.run(clock.now + PAUSE)
-        _one(fleet, found, turn, names[(7 * turn) % len(names)])
+        _measure_rollout(fleet, found, turn, names[(7 * turn) % len(names)])
     for part in fleet.parts.values():
         found.gaps += part.gate.gaps
         found.waits += part.gate.waits
@@ -52,7 +54,7 @@
     return found
 
 
-def _one(fleet: Fleet, found: Found, turn: int, at: str) -> None:
+def _measure_rollout(fleet: Fleet, found: Found, turn: int, at: str) -> None:
     clock, wires = fleet.clock, fleet.wires
     number = fleet.state.plain.last_number + 1
     sent = {name: host.sent for name, host in wires.hosts.items()}
@@ -66,7 +68,7 @@
         found.failed += 1
         return
     if not fleet.until(lambda: fleet.open_under(number), PATIENCE, 0.001):
-        found.wrong.append(f"not all decide under version {number}")
+        found.wrong.append(f"some gateways do not decide under version {number} after {PATIENCE:g} s")
         return
     found.decided.append(decided)
     found.opened.append(clock.now - begun)
--- a/tealwing/lab/rollout/part.py
+++ b/tealwing/lab/rollout/part.py
@@ -1,4 +1,4 @@
-"""One gateway's part in changes, as rollout/runtime.py, talk.py, leading.py and steering.py have it on threads."""
+"""One gateway's part in rollouts: the work of the threads of rollout/runtime.py, effects/ and leader/, as tasks."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from tealwing.rollout.runtime import MAX_STEPS, TICK
 from tealwing.rules.records import Body
 
-START = 1_800_000_000_000
+START = 1_800_000_000_000  # ms since the epoch: the start number of every member
 
 
 class SimulatedMember:
-    """The machine with its threads: rules, words, reads of each log."""
+    """One gateway's state machine and its tasks: runtime, publisher and the ReadIndex requests of each log."""
 
     def __init__(
         self, plan: Plan, log: Log, gate: SimulatedGate, seed: int, federation: Log | None = None, site: str = ""
     ) -> None:
-        """Take part in the changes of a log; `federation` is the federation's, where the site is in one."""
+        """Take part in the rollouts of a log; `federation` is the federation's log if the site is in a federation."""
         self.log, self.gate, self._federation, self._site = log, gate, federation, site
         self.host, self._clock = log.host, log.host.wires.clock
         number = log.core.incarnation
@@ -37,24 +37,24 @@
             log.host.name, plan.partition_mode, START, plan.permit, seed=number, federated=federation is not None,
             sabotage=frozenset({plan.sabotage} - {""}), peers=len(log.core.members) + len(log.core.learners),
         )  # fmt: skip
-        self._conductor = RolloutCoordinator(log.host.name, plan.limit, plan.patience, seed=number)
-        self._witnesses = ExpiryObserver(log.host.name, seed=number)
+        self._coordinator = RolloutCoordinator(log.host.name, plan.limit, plan.patience, seed=number)
+        self._expiry_observer = ExpiryObserver(log.host.name, seed=number)
         self.snapshot: StateSnapshot = log.snapshot
         self._due: list[Action] = []
         self._in_force = 0
         self.wake = Signal(self._clock)
         self._messages: deque[Body] = deque()
         self._published = Signal(self._clock)
-        self._wants = {False: Signal(self._clock), True: Signal(self._clock)}
+        self._read_wanted = {False: Signal(self._clock), True: Signal(self._clock)}
         log.applied.append(self._applied)
         log.led.append(lambda leads: self.wake.set())
         if federation is not None:
             federation.applied.append(lambda snapshot: self._on_federation_state(snapshot))
         Task(self._clock, self._run())
         Task(self._clock, self._run_publisher())
-        Task(self._clock, self._read(False))
+        Task(self._clock, self._run_reads(False))
         if federation is not None:
-            Task(self._clock, self._read(True))
+            Task(self._clock, self._run_reads(True))
 
     # On the log's thread
 
@@ -63,26 +63,26 @@
         if snapshot.command is None:
             return
         body = snapshot.command.body
-        self._look()
+        self._step_machine()
         if self.log.leads and snapshot.result is not None and snapshot.result.ok and isinstance(body, EXPEDITED):
             self.log.flush_commit()
         if isinstance(body, Body):
-            self._witnesses.applied(self._clock.now, snapshot.index, body)
+            self._expiry_observer.applied(self._clock.now, snapshot.index, body)
         self.wake.set()
 
     def _on_federation_state(self, snapshot: StateSnapshot) -> None:
         if snapshot.command is not None:
-            self._look()
+            self._step_machine()
             self.wake.set()
 
-    def _look(self) -> None:
+    def _step_machine(self) -> None:
         now = self._clock.now
         fed = self._federation.snapshot.view(self._site) if self._federation is not None else None
         found = self.machine.step(now, self.snapshot.view(self.host.name), fed)
         self._due += [action for action in found if action not in self._due]
-        self._follow()
+        self._update_gate()
 
-    def _follow(self) -> None:
+    def _update_gate(self) -> None:
         target = self.machine.gate_state(self._clock.now)
         if target.mode == "shut":
             self.gate.close(by_change=False)
@@ -91,45 +91,45 @@
         else:
             self.gate.open(target.number, target.until)
 
-    # The thread of the rules
+    # The runtime's thread
 
     def _run(self) -> Step:
         while True:
             yield self.wake, TICK
-            if self.host.free > self._clock.now:  # another thread runs
+            if self.host.free > self._clock.now:  # another thread of the process is running
                 yield self.host.free - self._clock.now
             self.wake.clear()
-            yield from self._turn()
+            yield from self._run_actions()
 
-    def _turn(self) -> Step:
+    def _run_actions(self) -> Step:
         for _ in range(MAX_STEPS):
             target = self.machine.gate_state(self._clock.now).number
             if target != self._in_force:
                 yield from self.host.use(self.host.wires.costs.enforce)
                 self._in_force = target
-                self._follow()
-            self._look()
+                self._update_gate()
+            self._step_machine()
             due, self._due = self._due, []
             if not due:
                 break
             for action in due:
-                yield from self._do(action)
-        for witness in self._witnesses.due(self._clock.now, self.snapshot.tables):
-            self._publish(witness)
-        self._conductor.set_leading(self._clock.now, self.log.leads)
+                yield from self._perform(action)
+        for confirmation in self._expiry_observer.due(self._clock.now, self.snapshot.tables):
+            self._publish(confirmation)
+        self._coordinator.set_leading(self._clock.now, self.log.leads)
         if self.log.leads:
             silent = self.host.wires.silent(self.host.name) if self.snapshot.plain.in_flight is not None else ()
             members = self.snapshot.tables["rule_members"]
-            for body in self._conductor.step(
+            for body in self._coordinator.step(
                 self._clock.now, self.snapshot.tables, [n for n in silent if n in members]
             ):
                 self.log.propose_if_leader(body)
 
-    def _do(self, action: Action) -> Step:
+    def _perform(self, action: Action) -> Step:
         wires = self.host.wires
         match action:
             case PersistMarker(number):
-                yield wires.costs.disk(wires.random) + wires.costs.disk(wires.random)  # the file, and its folder
+                yield wires.costs.disk(wires.random) + wires.costs.disk(wires.random)  # the file and its folder
                 self.machine.marker_written(number)
             case CheckBundle(number):
                 yield from self.host.use(wires.costs.check)
@@ -137,13 +137,13 @@
             case SubmitCommand(body):
                 self._publish(body)
             case ReadIndex(federation):
-                self._wants[federation].set()
+                self._read_wanted[federation].set()
 
-    # The threads that talk
+    # The threads of the log's clients
 
     def _publish(self, body: Body) -> None:
         if isinstance(body, FORWARDED):
-            self.log.pass_on(body)
+            self.log.forward(body)
         elif body not in self._messages and len(self._messages) < MAX_QUEUED:
             self._messages.append(body)
             self._published.set()
@@ -157,11 +157,11 @@
             yield from self.log.write(c.Command("", 0, body), SUBMIT_TIMEOUT)
             self.wake.set()
 
-    def _read(self, federation: bool) -> Step:
+    def _run_reads(self, federation: bool) -> Step:
         log = self._federation if federation and self._federation is not None else self.log
         while True:
-            yield self._wants[federation], None
-            self._wants[federation].clear()
+            yield self._read_wanted[federation], None
+            self._read_wanted[federation].clear()
             token = self.machine.read_sent(self._clock.now, federation)
             index = yield from log.read_index(READ_TIMEOUT)
             if index is None:
--- a/tealwing/lab/rollout/sites.py
+++ b/tealwing/lab/rollout/sites.py
@@ -1,4 +1,4 @@
-"""One gateway's part in the federation's log, as federation/service.py has it on a thread."""
+"""One gateway's part in the federation's log: the work of the thread of federation/service.py, as a task."""
 
 from __future__ import annotations
 
@@ -16,60 +16,66 @@
 
 
 class Federated:
-    """Speaks for its site where it leads that, decides where it leads all."""
+    """The site's delegate while the gateway leads the site's log; the coordinator while it leads the federation's."""
 
     def __init__(
-        self, site: Log, all_: Log, name: str, gateways: Mapping[str, tuple[str, ...]], limit: float, patience: float
+        self,
+        site: Log,
+        federation: Log,
+        name: str,
+        gateways: Mapping[str, tuple[str, ...]],
+        limit: float,
+        patience: float,
     ) -> None:
-        """Act for the site of that name; `gateways` has those of each site."""
-        self._site, self._all, self._name, self._gateways = site, all_, name, gateways
+        """Act for the site of that name; `gateways` has the names of the gateways of each site."""
+        self._site, self._federation, self._name, self._gateways = site, federation, name, gateways
         self._clock = site.host.wires.clock
-        number = all_.core.incarnation
+        number = federation.core.incarnation
         self._delegate = SiteDelegate(name, number)
-        self._conductor = RolloutCoordinator(name, limit, patience, seed=number)
-        self._witnesses = ExpiryObserver(name, seed=number)
-        self._lapses: list[tuple[int, Body]] = []
+        self._coordinator = RolloutCoordinator(name, limit, patience, seed=number)
+        self._expiry_observer = ExpiryObserver(name, seed=number)
+        self._expiries: list[tuple[int, Body]] = []
         self._wake = Signal(self._clock)
         site.applied.append(lambda _: self._wake.set())
         site.led.append(lambda leads: self._wake.set())
-        all_.applied.append(self._applied)
-        all_.led.append(lambda leads: self._wake.set())
+        federation.applied.append(self._applied)
+        federation.led.append(lambda leads: self._wake.set())
         Task(self._clock, self._run())
 
     def _applied(self, snapshot: StateSnapshot) -> None:
         if snapshot.command is not None and snapshot.result is not None:
             if isinstance(snapshot.command.body, ExpirePermit | Forget):
-                self._lapses.append((snapshot.index, snapshot.command.body))
-            if self._all.leads and snapshot.result.ok and isinstance(snapshot.command.body, EXPEDITED):
-                self._all.flush_commit()
+                self._expiries.append((snapshot.index, snapshot.command.body))
+            if self._federation.leads and snapshot.result.ok and isinstance(snapshot.command.body, EXPEDITED):
+                self._federation.flush_commit()
             self._wake.set()
 
     def _run(self) -> Step:
         while True:
             yield self._wake, TICK
             self._wake.clear()
-            self._look()
+            self._step()
 
-    def _look(self) -> None:
-        now, snapshot = self._clock.now, self._all.snapshot
-        lapses, self._lapses = self._lapses, []
-        for at, body in lapses:
-            self._witnesses.applied(now, at, body)
-        self._conductor.set_leading(now, self._all.leads)
-        if self._all.leads:
+    def _step(self) -> None:
+        now, snapshot = self._clock.now, self._federation.snapshot
+        expiries, self._expiries = self._expiries, []
+        for at, body in expiries:
+            self._expiry_observer.applied(now, at, body)
+        self._coordinator.set_leading(now, self._federation.leads)
+        if self._federation.leads:
             silent = [name for name in snapshot.tables["rule_members"] if not self._is_reachable(name)]
-            for message in self._conductor.step(now, snapshot.tables, silent):
-                self._all.propose_if_leader(message)
-        found = self._witnesses.due(now, snapshot.tables)
+            for message in self._coordinator.step(now, snapshot.tables, silent):
+                self._federation.propose_if_leader(message)
+        found = self._expiry_observer.due(now, snapshot.tables)
         if not self._site.leads:
             return
-        for witness in found:
-            self._all.pass_on(witness)
+        for confirmation in found:
+            self._federation.forward(confirmation)
         ours, theirs = self._delegate.due_proposals(now, self._site.snapshot.tables, snapshot.tables, snapshot.index)
         for published in ours:
             self._site.propose_if_leader(published)
         for published in theirs:
-            self._all.pass_on(published)
+            self._federation.forward(published)
 
     def _is_reachable(self, site: str) -> bool:
         silent = self._site.host.wires.silent(self._site.host.name)
--- a/tealwing/lab/rollout/tasks.py
+++ b/tealwing/lab/rollout/tasks.py
@@ -1,4 +1,4 @@
-"""Threads in virtual time: generators that say what they wait for."""
+"""Tasks, the threads of virtual time: generators that yield what they wait for."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
         self._waiting: list[_Waiter] = []
 
     def set(self) -> None:
-        """Wake all that wait."""
+        """Set the event and wake all tasks that wait for it."""
         self.is_set = True
         waiting, self._waiting = self._waiting, []
         for waiter in waiting:
             waiter.wake(True)
 
     def clear(self) -> None:
-        """As if it had not been."""
+        """Reset the event."""
         self.is_set = False
 
     def add(self, waiter: _Waiter) -> None:
-        """It waits from now on."""
+        """Add a waiter."""
         self._waiting.append(waiter)
 
     def drop(self, waiter: _Waiter) -> None:
-        """It waits no more."""
+        """Remove a waiter, if it is still there."""
         if waiter in self._waiting:
             self._waiting.remove(waiter)
 
 
 class _Waiter:
-    """One wait of one task."""
+    """One wait of a task, for a signal or a time; only its first wake-up counts."""
 
     __slots__ = ("_done", "_signal", "_task")
 
@@ -47,23 +47,23 @@
         self._task, self._signal, self._done = task, signal, False
 
     def wake(self, found: bool) -> None:
-        """Go on, once."""
+        """Resume the task unless this wait has ended already."""
         if not self._done:
             self._done = True
             if self._signal is not None and not found:
                 self._signal.drop(self)
-            self._task.go_on(found)
+            self._task.resume(found)
 
 
 class Task:
-    """Runs a generator; what it waits for it is told as True, a time that is over as False."""
+    """Runs a generator; each yield returns True if the signal was set, False if the time ran out."""
 
     def __init__(self, clock: Clock, steps: Step) -> None:
         self._clock, self._steps = clock, steps
-        clock.after(0.0, self.go_on, None)
+        clock.after(0.0, self.resume, None)
 
-    def go_on(self, found: bool | None) -> None:
-        """Run to the next wait."""
+    def resume(self, found: bool | None) -> None:
+        """Run the generator to its next wait."""
         try:
             awaited = self._steps.send(found)
         except StopIteration:
