--- a/tealwing/lab/standins/__init__.py
+++ b/tealwing/lab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on real sockets for what the gateway talks to: engines and a coordinator. Loopback only."""
+"""Fakes of the gateway's peers on real loopback sockets: engines, a coordinator and a fenced resource."""
--- a/tealwing/lab/standins/coordinator.py
+++ b/tealwing/lab/standins/coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator on a real socket: numbered events, a last number each second, and the ways in which it fails."""
+"""A fake coordinator on a real socket: numbered events, a heartbeat each second, and injected failures."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import threading
 from typing import Any
 
-HEARTBEAT_INTERVAL = 1.0  # s between two last numbers (the protocol's)
+HEARTBEAT_INTERVAL = 1.0  # s between heartbeats, which carry the last index (set by the protocol)
 
 
 class Coordinator:
-    """Keeps the events, and tells each follower what it lacks."""
+    """Keeps the events and sends each follower those that it lacks."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self._changed = threading.Condition()
@@ -27,20 +27,20 @@
 
     @property
     def known(self) -> dict[str, Any]:
-        """What a gateway is told at its start."""
+        """Return the events so far, which a gateway gets at its start."""
         with self._changed:
             return {"index": len(self._events), "updates": list(self._events)}
 
     def publish(self, members: list[dict[str, Any]], complete: bool = False) -> None:
-        """A further event."""
+        """Add an event with an update of the engine list; `complete` marks a full list."""
         with self._changed:
             number = len(self._events) + 1
-            points = {"revision": number, "complete": complete, "members": members}
-            self._events.append({"index": number, "endpoints": points})
+            endpoints = {"revision": number, "complete": complete, "members": members}
+            self._events.append({"index": number, "endpoints": endpoints})
             self._changed.notify_all()
 
     def break_off(self) -> None:
-        """End all connections in the middle of a line."""
+        """Close all connections in the middle of a line."""
         with self._changed:
             followers, self._followers = self._followers, set()
         for sock in followers:
@@ -49,7 +49,7 @@
                 sock.shutdown(socket.SHUT_RDWR)
 
     def stop(self) -> None:
-        """Accept no more, and end."""
+        """Close the listener and end all connections."""
         with self._changed:
             self._stopped = True
             self._changed.notify_all()
--- a/tealwing/lab/standins/engine.py
+++ b/tealwing/lab/standins/engine.py
@@ -1,7 +1,7 @@
-"""An engine on a real socket: the platform's RESP dialect, with the laboratory's model behind it.
+"""A fake engine on a real socket: the platform's RESP dialect, with the simulated engine behind it.
 
-What a query costs and returns follows from its id and a seed alone, so whoever knows both can check every answer.
-Where an engine has a site, its rows name that in their first column.
+The cost and the rows of a query follow from its id and a seed alone, so a test that knows both can check every answer.
+If the engine has a site, the first column of its rows names it.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from tealwing.lab.realtime import RealClock
 from tealwing.resp import messages
 
-PAGE = 6000  # bytes of a page at most (the protocol's)
-KEY_RETENTION = 25.0  # s for which a key's repeat is dropped (the operators' figure)
-MAX_KEYS = 100_000  # keys
-READ = 64 * 1024  # bytes of a read
-ROWS = (1, 400)  # of a result, drawn evenly
+PAGE = 6000  # maximum bytes of a page (set by the protocol)
+KEY_RETENTION = 25.0  # s for which a repeat of a key is dropped (set by the operators)
+MAX_KEYS = 100_000  # keys kept; the oldest are dropped
+READ_SIZE = 64 * 1024  # bytes
+ROWS = (1, 400)  # range of the number of rows of a result, uniform
 
 
 @dataclass(frozen=True, slots=True)
 class Truth:
-    """What a query is: its work in s of one thread, the share that reads, its memory in MB, and its pages."""
+    """The cost and the result of a query: work in s of one thread, the share of I/O, memory in MB, and pages."""
 
     work: float
     io: float
@@ -41,7 +41,7 @@
 
 
 def truth(seed: int, call: bytes, cls: int, mix: Sequence[arrivals.Mix] = arrivals.BRIEF, site: bytes = b"") -> Truth:
-    """The truth of the query with that id; its rows begin with the site, or with the id where that is empty."""
+    """Return the cost and result of the query `call`; its rows begin with the site, or with its id if that is empty."""
     rng = np.random.default_rng(int.from_bytes(hashlib.blake2b(call, digest_size=8).digest(), "big") ^ seed)
     kind = mix[cls]
     work = float(arrivals.lognormal(rng, kind.work, kind.spread, 1)[0])
@@ -57,15 +57,15 @@
 
 
 class Keys:
-    """Which keys have run, for all engines together: a repeat within their time is dropped, and answered at once."""
+    """The idempotency keys that ran on any engine: a repeat within KEY_RETENTION is dropped and answered at once."""
 
     def __init__(self, clock: RealClock) -> None:
         self._clock = clock
         self._seen: OrderedDict[bytes, float] = OrderedDict()
-        self.ran: dict[bytes, int] = {}  # how often each key's effect took place: the rule says once
+        self.ran: dict[bytes, int] = {}  # how often each key's effect took place; more than once is a violation
 
     def take(self, key: bytes) -> bool:
-        """Whether this is the first of its key, for as long as it is kept."""
+        """Return whether the key is new, or no longer kept, and keep it."""
         now = self._clock.now
         while self._seen and (next(iter(self._seen.values())) < now - KEY_RETENTION or len(self._seen) > MAX_KEYS):
             self._seen.popitem(last=False)
@@ -78,7 +78,7 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One query of one connection."""
+    """One query on one connection."""
 
     call: bytes
     sock: socket.socket
@@ -90,25 +90,25 @@
 
 @dataclass(slots=True)
 class Misbehaviour:
-    """How it misbehaves, by script; all may be changed while it runs."""
+    """The injected faults of an engine; all may be changed while it runs."""
 
-    silent: bool = False  # it takes everything and says nothing
-    spoil: float = 0.0  # share of answers that are noise
-    cut: float = 0.0  # share of answers broken off, with their connection
+    silent: bool = False  # it reads everything and sends nothing
+    spoil: float = 0.0  # share of answers that are random bytes
+    cut: float = 0.0  # share of answers cut off halfway, along with the connection
     copies: float = 0.0  # share of answers sent twice
-    answer_delay: float = 0.0  # s by which answers come later
+    answer_delay: float = 0.0  # s added before each answer
 
 
 @dataclass(slots=True)
 class EngineRecord:
-    """What an engine did, for judges."""
+    """The queries that an engine received and ended, for checks."""
 
-    wants: list[tuple[float, bytes, bytes]] = field(default_factory=list)  # when, id, class
-    ends: list[tuple[float, bytes, bytes]] = field(default_factory=list)  # when, id, word or `given up`
+    wants: list[tuple[float, bytes, bytes]] = field(default_factory=list)  # time, id, class
+    ends: list[tuple[float, bytes, bytes]] = field(default_factory=list)  # time, id, status or `given up`
 
 
 class Engine:
-    """One engine process on loopback."""
+    """One fake engine on loopback."""
 
     def __init__(
         self,
@@ -123,7 +123,7 @@
         site: str = "",
         seen: Callable[[str, str], object] | None = None,
     ) -> None:
-        """Listen; `seen` is called with the id of each query that arrives and the site, and must not block."""
+        """Start listening; `seen` is called with the id of each arriving query and the site, and must not block."""
         self._mix, self._site, self._seen = mix, site.encode(), seen
         self._settings, self._draw, self._clock, self._keys, self._seed = settings, draw, clock, keys, seed
         self._names = [cls.name.encode() for cls in settings.classes]
@@ -138,7 +138,7 @@
         threading.Thread(target=self._accept, name="standin-engine", daemon=True).start()
 
     def crash(self) -> None:
-        """The process dies: connections are reset, and new ones refused."""
+        """Act as a killed process: end all connections and refuse new ones."""
         with self._clock.lock:
             self.model.crash()
             socks = list(self._open)
@@ -149,7 +149,7 @@
             sock.close()
 
     def slow(self, times: float) -> None:
-        """Run so many times slower from now on."""
+        """Run `times` times slower from now on."""
         with self._clock.lock:
             self.model.set_slowdown(times)
 
@@ -167,12 +167,12 @@
     def _read(self, sock: socket.socket) -> None:
         parser = messages.Parser()
         try:
-            while data := sock.recv(READ):
+            while data := sock.recv(READ_SIZE):
                 for parts in parser.feed(data):
                     with self._clock.lock:
                         self._on_message(sock, parts)
         except (OSError, messages.RespError):
-            pass  # what can't be read ends the connection, as the platform's engines do
+            pass  # malformed input ends the connection, as the platform's engines do
         with self._clock.lock:
             for attempt in list(self._open.pop(sock, {}).values()):
                 self._cancel(attempt)
@@ -190,7 +190,7 @@
             self._on_query(sock, call, messages.fields(parts[2]), parts[3])
         elif attempt is None:
             if message == b"turn":
-                self._send(sock, call, b"500", b"-", b"")  # a page of a query that it no longer knows
+                self._send(sock, call, b"500", b"-", b"")  # a page of an unknown query was requested
         elif message == b"never_mind" or message == b"shut":
             self._cancel(attempt)
             del attempts[call]
@@ -209,21 +209,21 @@
             self._end(sock, call, b"500")
             return
         cls = self._names.index(lane)
-        what, kind = truth(self._seed, call, cls, self._mix, self._site), self._settings.classes[cls]
-        self.model.pressure(what.work)
+        query, kind = truth(self._seed, call, cls, self._mix, self._site), self._settings.classes[cls]
+        self.model.pressure(query.work)
         if not self.model.up:
             self._clock.at(now, self.crash)
             return
         if self.model.full():
             self._end(sock, call, b"503")
             return
-        attempt = self._open[sock][call] = Attempt(call, sock, cls, what.pages)
+        attempt = self._open[sock][call] = Attempt(call, sock, cls, query.pages)
         if kind.idempotency is api.Idempotency.KEYED and not self._keys.take(fields.get("dedupe", "").encode()):
-            self._clock.at(now, self._served, attempt)  # it ran already: the repeat is dropped
+            self._clock.at(now, self._served, attempt)  # the key ran already: the repeat is dropped
             return
         group = int.from_bytes(hashlib.blake2b(statement, digest_size=2).digest(), "big") % arrivals.GROUPS
         attempt.run = Run(
-            attempt, cls, what.work, kind.threads, what.io, group, what.need,
+            attempt, cls, query.work, kind.threads, query.io, group, query.need,
             messages.count(fields.get("urgency", "1"), 3), kind.locks_tables, kind.waits_for_locks,
             lambda run: self._served(run.key),
         )  # fmt: skip
@@ -241,18 +241,18 @@
     def _answer(self, attempt: Attempt) -> None:
         if attempt.over or attempt.sock not in self._open:
             return
-        attempt.over, ways, luck = True, self.misbehaviour, float(self._rng.random())
+        attempt.over, faults, drawn = True, self.misbehaviour, float(self._rng.random())
         queue, inflight = self.model.report()
         fields = b"sheets=%d,rep=queue:%g;inflight:%g" % (len(attempt.pages), queue, inflight)
-        if luck < ways.spoil:
+        if drawn < faults.spoil:
             self._write(attempt.sock, b"*4\r\n$16\r\n" + bytes(self._rng.integers(0, 256, 40, dtype=np.uint8)))
-        elif luck < ways.spoil + ways.cut:
+        elif drawn < faults.spoil + faults.cut:
             result = messages.encode(attempt.call, b"200", fields, attempt.pages[0])
             self._write(attempt.sock, result[: len(result) // 2])
             with contextlib.suppress(OSError):
                 attempt.sock.shutdown(socket.SHUT_RDWR)
         else:
-            for _ in range(1 + (float(self._rng.random()) < ways.copies)):
+            for _ in range(1 + (float(self._rng.random()) < faults.copies)):
                 self._send(attempt.sock, attempt.call, b"200", fields, attempt.pages[0])
         self.record.ends.append((self._clock.now, attempt.call, b"200"))
         if len(attempt.pages) == 1:
@@ -286,5 +286,5 @@
         self._write(sock, messages.encode(*parts))
 
     def _write(self, sock: socket.socket, data: bytes) -> None:
-        with contextlib.suppress(OSError):  # a peer that has gone is noticed by its reader
+        with contextlib.suppress(OSError):  # the reader thread notices a closed connection
             sock.sendall(data)
--- a/tealwing/lab/standins/resource.py
+++ b/tealwing/lab/standins/resource.py
@@ -1,4 +1,4 @@
-"""A resource on which fleet-wide tasks act: it takes an action only under the newest token that it has seen."""
+"""A resource that fleet-wide tasks act on: it rejects actions with an older token than it has seen."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class Resource:
-    """Answers actions over TCP, and tells each to whoever records them."""
+    """Serves actions over TCP and records each."""
 
     def __init__(self, record: Callable[..., Any], address: Address = ("127.0.0.1", 0)) -> None:
         self._record = record
         self._lock = threading.Lock()
-        self.newest: dict[str, int] = {}
-        self.fenced = True  # else it takes whatever comes: on purpose, to see a judge find it
+        self.newest: dict[str, int] = {}  # by lease name: the newest token
+        self.fenced = True  # False accepts every token, to show that a judge detects it
         self._control = ControlServer(address)
         self._control.serve("act", self._act)
 
     @property
     def address(self) -> str:
-        """HOST:PORT."""
+        """Return the address as HOST:PORT."""
         host, port = self._control.address
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Take actions from now on."""
+        """Start serving actions."""
         self._control.start()
 
     def stop(self) -> None:
-        """Take no more."""
+        """Stop serving actions."""
         self._control.stop()
 
     def _act(self, fields: Fields) -> Fields:
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins on sockets, with the gateway's program between them and a client."""
+"""The fake engines and coordinator on real sockets, with the gateway process between them and a client."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Site:
-    """Two engines, a coordinator, one gateway."""
+    """Two fake engines, a coordinator and one gateway process."""
 
     def __init__(self, folder: Path) -> None:
         self.clock = RealClock()
@@ -41,7 +41,7 @@
         self.address = self.program.address()
 
     def ask(self, number: int, op: str = "lookup", **fields: object) -> list[bytes]:
-        """A query's rows, as its engine would have them."""
+        """Send a query on a new connection; return the rows of its answer."""
         client = Client(self.address)
         client.ask(op=op, call=f"{number:016x}", **fields)
         rows = client.rows()
@@ -64,7 +64,7 @@
     assert errors == ""
 
 
-def due(number: int, cls: int = 0) -> list[bytes]:
+def expected_rows(number: int, cls: int = 0) -> list[bytes]:
     pages = truth(SEED, f"{number:016x}".encode(), cls, MIX).pages
     return [
         b"".join(bytes([len(cell)]) + cell for cell in line.split(b"\t"))
@@ -73,63 +73,63 @@
     ]
 
 
-def test_rows_are_those_of_the_query_over_all_pages(site: Site) -> None:
+def test_client_gets_all_rows_of_its_query_over_several_pages(site: Site) -> None:
     asked = range(1, 13)
     assert max(len(truth(SEED, f"{n:016x}".encode(), 0, MIX).pages) for n in asked) > 1
     for number in asked:
-        assert site.ask(number) == due(number)
+        assert site.ask(number) == expected_rows(number)
     ends = [word for engine in site.engines for _, _, word in engine.record.ends]
     assert ends == [b"200"] * len(asked) and site.wants() == len(asked)
 
 
-def test_a_repeat_under_the_same_key_runs_once(site: Site) -> None:
+def test_repeat_with_the_same_idempotency_key_runs_once(site: Site) -> None:
     for number in (1, 2, 3):
-        assert site.ask(number, "load", dedupe="k1") == due(number, 1)
+        assert site.ask(number, "load", dedupe="k1") == expected_rows(number, 1)
     assert site.ask(4, "load", dedupe="k2") and site.keys.ran == {b"k1": 1, b"k2": 1}
 
 
-def test_an_engine_that_dies_is_left_and_one_that_spoils_is_survived(site: Site) -> None:
+def test_gateway_survives_a_crashed_engine_and_garbled_answers(site: Site) -> None:
     site.engines[0].misbehaviour.spoil = 0.5
     site.engines[1].misbehaviour.copies = 1.0
     for number in range(1, 20):
-        assert site.ask(number) == due(number)
+        assert site.ask(number) == expected_rows(number)
     site.engines[0].crash()
     site.coordinator.publish([member("s-0", site.engines[0].address, phase="removed")])
     site.coordinator.break_off()
     begun = time.monotonic()
     for number in range(20, 30):
-        assert site.ask(number) == due(number)
+        assert site.ask(number) == expected_rows(number)
     assert time.monotonic() - begun < LIMIT
 
 
-def test_what_is_given_up_stops_and_what_is_unknown_is_said_so() -> None:
+def test_engine_stops_a_cancelled_query_and_rejects_unknown_requests() -> None:
     clock = RealClock()
     engine = Engine(CALM, Draw(cores=1, memory=1e6), clock, Keys(clock), SEED)
     host, _, port = engine.address.rpartition(":")
     with socket.create_connection((host, int(port)), LIMIT) as sock:
         parser = messages.Parser()
 
-        def hear() -> list[bytes]:
+        def receive() -> list[bytes]:
             while not (found := parser.feed(sock.recv(65536))):
                 pass
             return found[0]
 
         sock.sendall(messages.encode(b"want", b"1", b"lane=lookup,ttl=60000", b"SELECT 1 FROM a_1.t"))
         sock.sendall(messages.encode(b"there", b"t"))
-        assert hear()[:2] == [b"t", b"alive"]
+        assert receive()[:2] == [b"t", b"alive"]
         while not engine.model.inflight:
             time.sleep(0.01)
         sock.sendall(messages.encode(b"never_mind", b"1") + messages.encode(b"turn", b"1", b"1"))
-        assert hear()[:2] == [b"1", b"500"] and not engine.model.inflight
+        assert receive()[:2] == [b"1", b"500"] and not engine.model.inflight
         sock.sendall(messages.encode(b"want", b"2", b"lane=nothing", b"SELECT 1"))
-        assert hear()[:2] == [b"2", b"500"]
+        assert receive()[:2] == [b"2", b"500"]
         sock.sendall(b"$nonsense\r\n")
         assert sock.recv(1) == b""
     engine.crash()
     clock.stop()
 
 
-def test_the_load_tool_counts_from_the_due_time(site: Site) -> None:
+def test_load_tool_counts_every_request_from_its_due_time(site: Site) -> None:
     order = LoadSpecification(
         (site.address,), 60.0, 2.0, 32, 5, mix=MIX, names=("lookup", "load"), deadlines=(20.0, 20.0)
     )
@@ -141,13 +141,13 @@
     assert "lookup" in text(figures)
     site.engines[0].misbehaviour.silent = site.engines[1].misbehaviour.silent = True
     stalled = Load(replace(order, seconds=1.0, sessions=2, seed=6, deadlines=(0.4, 0.4))).run()
-    # two sessions for sixty requests of which none is answered: none is left out of the count, and the run is spoilt
+    # two sessions for sixty requests, none answered: the count includes all of them, and the run is reported as spoilt
     assert stalled["ends"].get("no answer in time", 0) > 20 and stalled["spoilt"]
     assert sum(stalled["ends"].values()) == stalled["asked"]
     assert "served" not in stalled["ends"] and "SPOILT" in text(stalled)
 
 
-def test_the_demo_runs_whole_and_adds_up() -> None:
+def test_demo_serves_queries_and_its_counts_add_up() -> None:
     call = [sys.executable, "-m", "tealwing", "demo", "--seconds", "6", "--plain"]
     done = subprocess.run(call, cwd=ROOT, capture_output=True, text=True, timeout=120)
     last = json.loads(done.stdout.splitlines()[-1])
