--- a/tealwing/lab/models/consensus.py
+++ b/tealwing/lab/models/consensus.py
@@ -131,12 +131,12 @@
             yield from self._faults(world)
         for name, member in world.members.items():
             if budget.timeouts and member.role is not Role.LEADER and name in member.members:
-                yield f"{name} stands for election", lambda n=name: self.timeout(world, n)  # type: ignore[misc]
+                yield f"{name} stands for election", lambda n=name: self.stand_for_election(world, n)  # type: ignore[misc]
             if member.role is Role.LEADER:
                 if budget.hands:
-                    yield f"{name} transfers its leadership", lambda n=name: self.hand(world, n)  # type: ignore[misc]
+                    yield f"{name} transfers its leadership", lambda n=name: self.transfer_leadership(world, n)  # type: ignore[misc]
                 if budget.beats:
-                    yield f"{name} begins a round", lambda n=name: self.beat(world, n)  # type: ignore[misc]
+                    yield f"{name} begins a round", lambda n=name: self.start_round(world, n)  # type: ignore[misc]
                 if budget.proposals:
                     yield f"{name} takes a command", lambda n=name: self.propose(world, n)  # type: ignore[misc]
                 yield from self._changes(world, name, member)
@@ -164,15 +164,15 @@
                     yield step, lambda w=failing, n=name: self.propose(w, n)  # type: ignore[misc]
                 elif member.role is not Role.LEADER and world.budget.timeouts and name in member.members:
                     step = f"{name} stands for election, and its write fails: {fault.value}"
-                    yield step, lambda w=failing, n=name: self.timeout(w, n)  # type: ignore[misc]
+                    yield step, lambda w=failing, n=name: self.stand_for_election(w, n)  # type: ignore[misc]
 
     def _changes(self, world: World, name: str, leader: Raft) -> Iterable[tuple[str, Callable[[], World]]]:
         for other in leader.learners if world.budget.promotions else ():
             if self._can_change(world, leader, other):
-                yield f"{name} promotes {other}", lambda o=other: self.change(world, name, o)  # type: ignore[misc]
+                yield f"{name} promotes {other}", lambda o=other: self.change_membership(world, name, o)  # type: ignore[misc]
         for other in leader.members if world.budget.demotions and len(leader.members) > 2 else ():
             if self._can_change(world, leader, other):
-                yield f"{name} demotes {other}", lambda o=other: self.change(world, name, o)  # type: ignore[misc]
+                yield f"{name} demotes {other}", lambda o=other: self.change_membership(world, name, o)  # type: ignore[misc]
 
     def _can_change(self, world: World, leader: Raft, other: str) -> bool:
         try:
@@ -181,7 +181,7 @@
             return False
         return True
 
-    def change(self, world: World, name: str, other: str) -> World:
+    def change_membership(self, world: World, name: str, other: str) -> World:
         """Have a leader promote a learner or demote a voter."""
         spent = {"promotions" if other in world.members[name].learners else "demotions": 1}
         after = self._after(world, name, **spent)
@@ -197,19 +197,19 @@
         after.members[target].step(after.at * STEP, source, message)
         return self._settle(after, target)
 
-    def timeout(self, world: World, name: str) -> World:
+    def stand_for_election(self, world: World, name: str) -> World:
         """Have a member stand for election."""
         after = self._after(world, name, timeouts=1)
         after.members[name].campaign(after.at * STEP)
         return self._settle(after, name)
 
-    def beat(self, world: World, name: str) -> World:
+    def start_round(self, world: World, name: str) -> World:
         """Have a leader start a heartbeat round and treat its unanswered messages as lost."""
         after = self._after(world, name, beats=1)
         after.members[name].tick(after.at * STEP)
         return self._settle(after, name)
 
-    def hand(self, world: World, name: str) -> World:
+    def transfer_leadership(self, world: World, name: str) -> World:
         """Have a leader ask another member to stand for election at once (leadership transfer)."""
         after = self._after(world, name, hands=1)
         after.members[name].transfer_leadership(after.at * STEP)
--- a/tealwing/lab/models/federation.py
+++ b/tealwing/lab/models/federation.py
@@ -32,12 +32,12 @@
         return {log: Log((empty(),), (None,)) for log in (*logs, TOP)}
 
     def _set_up(self, world: World) -> World:
-        world = self.flow(world, lambda body: isinstance(body, r.Begin))
+        world = self.apply_until_stable(world, lambda body: isinstance(body, r.Begin))
         for name in self._names:
             for log in self.logs_of(name):
                 world = self.read(world, name, log)
         world = self.apply(world, TOP, propose(0))
-        return self.flow(world, lambda body: isinstance(body, r.Propose | r.Verdict))
+        return self.apply_until_stable(world, lambda body: isinstance(body, r.Propose | r.Verdict))
 
     def apply(self, world: World, log: str, body: r.Body) -> World:
         """Apply an entry to a log; an entry of a site's log is also applied by the site's gateway at once."""
--- a/tealwing/lab/models/rollout.py
+++ b/tealwing/lab/models/rollout.py
@@ -20,12 +20,12 @@
 from dataclasses import replace
 from typing import Any
 
-from tealwing.lab.models.rollout_faults import applied
+from tealwing.lab.models.rollout_faults import apply_with_fault
 from tealwing.lab.models.rollout_parts import (
     COARSE,
     DT,
-    EAGER,
     FAST,
+    IMMEDIATE_RETRY,
     LOG,
     PERMIT,
     SLOW,
@@ -83,7 +83,7 @@
             nodes[name] = self._node(name, mode, SLOW if place == 0 else FAST)
         world = World(nodes, self._logs(), frozenset(), replace(self._budget, proposals=99))
         for name in self._names:
-            world = self._settled(world, name)
+            world = self._run_shell(world, name)
         world = self._set_up(world)
         world.budget = self._budget
         if self._begin is None:
@@ -101,17 +101,17 @@
         logs = self.logs_of(name)
         observers = {log: ExpiryObserver(who, COARSE) for log, who in logs.items()}
         for observer in observers.values():
-            observer._retry = EAGER
+            observer._retry = IMMEDIATE_RETRY
         machine = self._machine(name, mode, 1, 0, None, None)
         return Node(machine, rate, dict.fromkeys(logs, 0), dict.fromkeys(logs, 0), observers)
 
     def _machine(self, name: str, mode: str, start: int, mark: int, disk: View | None, fed: View | None) -> Machine:
-        touch: r.PartitionMode = "hold" if mode[0] == "h" else "serve"
+        partition_mode: r.PartitionMode = "hold" if mode[0] == "h" else "serve"
         machine = Machine(
-            name, touch, start, PERMIT, COARSE, mark, sabotage=self._sabotage, disk=disk,
+            name, partition_mode, start, PERMIT, COARSE, mark, sabotage=self._sabotage, disk=disk,
             federated=len(self.logs_of(name)) > 1, disk_federated=fed,
         )  # fmt: skip
-        machine._retry = EAGER
+        machine._retry = IMMEDIATE_RETRY
         return machine
 
     def logs_of(self, name: str) -> dict[str, str]:
@@ -119,13 +119,13 @@
         return {LOG: name}
 
     def _set_up(self, world: World) -> World:
-        world = self.flow(world, lambda body: isinstance(body, r.Begin))
+        world = self.apply_until_stable(world, lambda body: isinstance(body, r.Begin))
         for name in self._names:
             world = self.read(world, name, LOG)
         world = self.apply(world, LOG, propose(0))
-        return self.flow(world, lambda body: isinstance(body, r.Verdict))
+        return self.apply_until_stable(world, lambda body: isinstance(body, r.Verdict))
 
-    def flow(self, world: World, want: Callable[[r.Body], bool]) -> World:
+    def apply_until_stable(self, world: World, want: Callable[[r.Body], bool]) -> World:
         """Append the proposed commands that `want` accepts and let all members catch up, until nothing changes."""
         while True:
             for name, node in world.nodes.items():
@@ -144,7 +144,7 @@
     def steps(self, world: World) -> Iterable[tuple[str, Callable[[], World]]]:
         """Yield every possible step: its description and a function that returns the state after it."""
         budget = world.budget
-        for log, body in sorted((*world.requests, *self.leaders(world)), key=repr):
+        for log, body in sorted((*world.requests, *self.leader_commands(world)), key=repr):
             if self._changes(world, log, body):
                 yield f"{log}: {describe(body)}", lambda o=log, b=body: self.apply(world, o, b)  # type: ignore[misc]
         for name, node in world.nodes.items():
@@ -163,7 +163,7 @@
                 yield step, lambda n=name, p=node.at: self.crash(world, n, p)  # type: ignore[misc]
                 yield from self._crashes(world, name, node)
         if budget.times:
-            yield f"{DT:g} s pass", lambda: self.passed(world)
+            yield f"{DT:g} s pass", lambda: self.advance_time(world)
 
     def _crashes(self, world: World, name: str, node: Node) -> Iterable[tuple[str, Callable[[], World]]]:
         if world.budget.old:
@@ -183,7 +183,7 @@
                     lambda p=had: self.crash(world, name, p, flips=1),  # type: ignore[misc]
                 )
 
-    def leaders(self, world: World) -> Iterable[tuple[str, r.Body]]:
+    def leader_commands(self, world: World) -> Iterable[tuple[str, r.Body]]:
         """Yield the commands that a current or former leader may propose."""
         for log, its in world.logs.items():
             tables = its.states[-1]
@@ -213,7 +213,7 @@
         known = id(states[-1]), len(states), body
         if known not in self._applied:
             fresh = {name: dict(table) for name, table in states[-1].items()}
-            changes = applied(fresh, len(states), body, self._mutation) and fresh != states[-1]
+            changes = apply_with_fault(fresh, len(states), body, self._mutation) and fresh != states[-1]
             self._applied[known] = states[-1], fresh if changes else None
         tables = self._applied[known][1]
         if tables is None:
@@ -239,7 +239,7 @@
         node = after.nodes[name]
         while node.at[log] < to:
             node.at[log] += 1
-            after = self._settled(after, name)
+            after = self._run_shell(after, name)
         return after
 
     def read(self, world: World, name: str, log: str) -> World:
@@ -248,16 +248,16 @@
         node = after.nodes[name]
         token = node.machine.read_sent(self._clock(after, node), log != next(iter(node.at)))
         node.machine.read_completed(self._clock(after, node), token, len(after.logs[log].states) - 1)
-        return self._settled(after, name)
+        return self._run_shell(after, name)
 
     def crash(self, world: World, name: str, at: Mapping[str, int], **spent: int) -> World:
         """Restart a member with its logs up to the indexes `at`; restarted empty, it has no marker either."""
         after = self._with(world, name, crashes=1, **spent)
         node = after.nodes[name]
         lost = "empty" in spent
-        touch = node.machine.partition_mode
+        mode = node.machine.partition_mode
         if "flips" in spent:
-            touch = "hold" if touch == "serve" else "serve"
+            mode = "hold" if mode == "serve" else "serve"
         views = [
             None if lost else view_of(world.logs[log].states[at[log]], at[log], who)
             for log, who in self.logs_of(name).items()
@@ -265,21 +265,21 @@
         start, mark = (1, 0) if lost else (node.machine.start + 1, node.machine.marker)
         if mark == HOLD_MARKER and self._mutation == "mode-forgotten":
             mark = 0
-        node.machine = self._machine(name, touch, start, mark, views[0], views[1] if len(views) > 1 else None)
+        node.machine = self._machine(name, mode, start, mark, views[0], views[1] if len(views) > 1 else None)
         if lost and self._mutation == "empty-trusted":
             node.machine._site_permit.grant_forever()
         node.at, node.disk = dict(at), dict(at)
-        for watch in node.witnesses.values():
-            watch._observed_at = {}
-        return self._settled(after, name)
+        for observer in node.observers.values():
+            observer._observed_at = {}
+        return self._run_shell(after, name)
 
-    def passed(self, world: World) -> World:
+    def advance_time(self, world: World) -> World:
         """Advance the time by one step for all members."""
         after = self._after(world, {"times": 1})
         after.at += 1
         after.nodes = dict(world.nodes)
         for name in world.nodes:
-            after = self._settled(self._with(after, name), name)
+            after = self._run_shell(self._with(after, name), name)
         return after
 
     # Effects of a step
@@ -295,15 +295,15 @@
         after = self._after(world, spent)
         node = world.nodes[name]
         twin = Node(node.machine.clone(), node.rate, dict(node.at), node.disk, {})
-        for log, watch in node.witnesses.items():
-            twin.witnesses[log] = copy.copy(watch)
+        for log, observer in node.observers.items():
+            twin.observers[log] = copy.copy(observer)
         after.nodes = {**world.nodes, name: twin}
         return after
 
     def _clock(self, world: World, node: Node) -> float:
         return world.at * DT * node.rate
 
-    def _settled(self, world: World, name: str) -> World:
+    def _run_shell(self, world: World, name: str) -> World:
         """Do what the shell does: step the machine, write its marker, accept every check, submit its commands."""
         node = world.nodes[name]
         now, machine = self._clock(world, node), node.machine
@@ -324,8 +324,8 @@
                         again = True
                     case Restart():
                         again = True
-        for log, watch in node.witnesses.items():
-            said |= {(log, body) for body in watch.due(now, world.logs[log].states[node.at[log]])}
+        for log, observer in node.observers.items():
+            said |= {(log, body) for body in observer.due(now, world.logs[log].states[node.at[log]])}
         world.requests = world.requests | said | self._site_commands(world, name)
         gate = machine.gate_state(now)
         if gate.mode == "open" and not world.wrong:
@@ -362,7 +362,7 @@
             logs.append((len(log.states), log.keys[least:]))
         nodes = tuple(
             (self._intern(node.machine.key()), tuple(node.at.values()), tuple(node.disk.values()),
-             tuple(tuple(sorted(watch._observed_at.items())) for watch in node.witnesses.values()))
+             tuple(tuple(sorted(observer._observed_at.items())) for observer in node.observers.values()))
             for node in world.nodes.values()
         )  # fmt: skip
         return tuple(logs), nodes, self._intern(world.requests), world.budget, world.newest
--- a/tealwing/lab/models/rollout_faults.py
+++ b/tealwing/lab/models/rollout_faults.py
@@ -9,7 +9,7 @@
 from tealwing.rules import registry, registry_state
 
 
-def applied(tables: Tables, index: int, body: r.Body, mutation: str) -> bool:
+def apply_with_fault(tables: Tables, index: int, body: r.Body, mutation: str) -> bool:
     """Apply a command to the registry, with the fault that `mutation` names; return whether it was accepted."""
     if mutation == "old-leader" and isinstance(body, r.Activate):
         found: r.Version | None = tables["rules"].get(str(body.number))
--- a/tealwing/lab/models/rollout_parts.py
+++ b/tealwing/lab/models/rollout_parts.py
@@ -21,7 +21,7 @@
 Tables = dict[str, dict[str, Any]]
 
 
-class Eager(Retry):
+class ImmediateRetry(Retry):
     """A retry schedule without delays: the model may apply a proposed command late or never anyway."""
 
     def ready(self, now: float, key: Hashable, members: int = 0) -> bool:
@@ -32,7 +32,7 @@
         """Do nothing, as this schedule stores no keys."""
 
 
-EAGER = Eager(0)
+IMMEDIATE_RETRY = ImmediateRetry(0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     rate: float
     at: dict[str, int]
     disk: dict[str, int]
-    witnesses: dict[str, ExpiryObserver]
+    observers: dict[str, ExpiryObserver]
 
 
 @dataclass(slots=True)
@@ -112,8 +112,8 @@
             return f"{member} (start {start}) {'accepts' if yes else 'rejects'} version {number}"
         case r.Closed(number, member, start):
             return f"{member} (start {start}) has closed for version {number}"
-        case r.Begin(member, start, touch):
-            return f"{member} begins (start {start}, {touch})"
+        case r.Begin(member, start, mode):
+            return f"{member} begins (start {start}, {mode})"
         case r.ExpirePermit(member, start):
             return f"permit of {member} (start {start}) lapses"
         case r.ConfirmExpiry(member, lapse, by):
--- a/tealwing/lab/models/rollout_starts.py
+++ b/tealwing/lab/models/rollout_starts.py
@@ -28,7 +28,7 @@
 
 def lapsed_for_good(model: Rollout, world: World) -> World:
     """Start from `lapsed`: two others have waited for the expiry and confirmed it; one of them has a new permit."""
-    world = model.passed(model.passed(lapsed(model, world)))
+    world = model.advance_time(model.advance_time(lapsed(model, world)))
     name, *others = world.nodes
     lapse = len(world.logs[LOG].states) - 1
     for other in others:
@@ -66,6 +66,6 @@
 
 def made(model: Rollout, world: World) -> World:
     """Start where a version came into force and the second member has applied that."""
-    world = model.flow(model.apply(world, LOG, r.Close(1)), lambda body: isinstance(body, r.Closed))
+    world = model.apply_until_stable(model.apply(world, LOG, r.Close(1)), lambda body: isinstance(body, r.Closed))
     second = list(world.nodes)[1]
     return model.catch_up(model.apply(world, LOG, r.Activate(1)), second, LOG, len(world.logs[LOG].states))
--- a/tealwing/lab/models/starts.py
+++ b/tealwing/lab/models/starts.py
@@ -38,7 +38,7 @@
     """Restart a member, have it stand for election until its term is the newest, and give it the vote of `voter`."""
     world = model.crash(world, name, -1)
     while world.members[name].term <= world.members[voter].term or world.members[name].role is Role.FOLLOWER:
-        world = model.timeout(world, name)
+        world = model.stand_for_election(world, name)
     world = model.deliver(world, name, voter, message_between(world, name, voter, RequestVote), False)
     return model.deliver(world, voter, name, message_between(world, voter, name, RequestVoteReply), False)
 
@@ -63,7 +63,7 @@
     a, voters = "a", [name for name in world.members if name in world.members["a"].members]
     budget = world.budget
     world.budget = replace(budget, timeouts=1)
-    world = model.timeout(world, a)
+    world = model.stand_for_election(world, a)
     world = model.deliver(world, a, "b", message_between(world, a, "b", RequestVote), False)
     world = model.deliver(world, "b", a, message_between(world, "b", a, RequestVoteReply), False)
     for name in [name for name in world.members if name == "b" or name not in voters]:
@@ -81,20 +81,20 @@
     budget = world.budget
     world.budget = replace(budget, timeouts=9, beats=9, old=9)
 
-    def passed(after: World, source: str, target: str, kind: type) -> World:
+    def deliver_newest(after: World, source: str, target: str, kind: type) -> World:
         return model.deliver(after, source, target, message_between(after, source, target, kind), False)
 
-    world = model.timeout(world, "a")
+    world = model.stand_for_election(world, "a")
     for name in "bc":
-        world = passed(passed(world, "a", name, RequestVote), name, "a", RequestVoteReply)
+        world = deliver_newest(deliver_newest(world, "a", name, RequestVote), name, "a", RequestVoteReply)
     if world.members["a"].role is not Role.LEADER:
         for name in "bc":
-            world = passed(passed(world, "a", name, ConfirmVote), name, "a", VoteConfirmation)
+            world = deliver_newest(deliver_newest(world, "a", name, ConfirmVote), name, "a", VoteConfirmation)
     for name in "bcde":
-        world = passed(passed(world, "a", name, AppendEntries), name, "a", AppendEntriesReply)
+        world = deliver_newest(deliver_newest(world, "a", name, AppendEntries), name, "a", AppendEntriesReply)
     world.network = frozenset()
-    world = model.timeout(world, "e")
-    world = passed(passed(world, "e", "b", RequestVote), "b", "e", RequestVoteReply)
+    world = model.stand_for_election(world, "e")
+    world = deliver_newest(deliver_newest(world, "e", "b", RequestVote), "b", "e", RequestVoteReply)
     asked = frozenset(m for m in world.network if m[0] == "e")
     world = model.crash(world, "b", -2)
     world.budget, world.network = budget, asked | world.network
@@ -107,7 +107,7 @@
     budget = world.budget
     world.budget = replace(budget, beats=9)
     for names in ("b", "cdb"):
-        world = model.beat(world, "a")
+        world = model.start_round(world, "a")
         for name in names:
             for source, target, kind in (("a", name, AppendEntries), (name, "a", AppendEntriesReply)):
                 world = model.deliver(world, source, target, message_between(world, source, target, kind), False)
