--- a/tealwing/lab/judges/echo.py
+++ b/tealwing/lab/judges/echo.py
@@ -8,7 +8,7 @@
 from tealwing.lab.judges.verdict import Violation
 from tealwing.lab.rig.history import Event, operations
 
-UNDER_WAY = 0.1  # s after a cut in which bytes written before it may still be read
+IN_FLIGHT_TIME = 0.1  # s after a cut in which bytes written before it may still be read
 
 
 def check(events: Sequence[Event], end: float) -> list[Violation]:
@@ -29,9 +29,9 @@
                     f"{target} answered {ping.result['text']!r}, expected {ping.fields['text']!r}",
                 )
             )
-        begin = ping.begin - UNDER_WAY
+        begin = ping.begin - IN_FLIGHT_TIME
         for a, b in ((source, target), (target, source)):
-            if begin > 0 and reach.closed(a, b, begin, ping.end):
+            if begin > 0 and reach.is_cut(a, b, begin, ping.end):
                 found.append(
                     Violation(
                         "cut", ping.end, f"{source} got an answer from {target} while the link {a} to {b} was cut"
--- a/tealwing/lab/judges/leases.py
+++ b/tealwing/lab/judges/leases.py
@@ -61,9 +61,7 @@
             )  # fmt: skip
         if before is not None and tenure.token < before.token:
             found.append(
-                Violation(
-                    "token", tenure.begin, f"{tenure.name}: token {tenure.token} was granted after {before.token}"
-                )
+                Violation("token", tenure.begin, f"{tenure.name}: token {tenure.token} was used after {before.token}")
             )
         if before is None or tenure.end > before.end:
             last[tenure.name] = tenure
--- a/tealwing/lab/judges/reach.py
+++ b/tealwing/lab/judges/reach.py
@@ -17,7 +17,7 @@
         self.cut: dict[tuple[str, str], list[Span]] = {}
         self.down: dict[str, list[Span]] = {}  # killed until ready again, or stopped
         self.silenced: dict[str, list[Span]] = {}  # killed until started again, or stopped: the process sends nothing
-        self.rough: list[Span] = []  # when some link lost or delayed frames
+        self.disturbed: list[Span] = []  # when some link lost or delayed frames
         starts = [(event["who"], event["t"]) for event in events if event["kind"] == "starting"]
         for what, fields, begin, over in intervals(events, end):
             if "cuts" in fields:
@@ -28,18 +28,23 @@
                 again = [t for name, t in starts if name == fields["who"] and begin <= t <= over]
                 self.silenced.setdefault(fields["who"], []).append((begin, min(again, default=over)))
             elif what == "link":
-                self.rough.append((begin, over))
+                self.disturbed.append((begin, over))
 
-    def closed(self, source: str, target: str, begin: float, end: float) -> bool:
+    def is_cut(self, source: str, target: str, begin: float, end: float) -> bool:
         """Return whether the direction was cut for the whole interval."""
         return any(a <= begin and end <= b for a, b in self.cut.get((source, target), ()))
 
-    def well(self, source: str, target: str, begin: float, end: float) -> bool:
+    def is_healthy(self, source: str, target: str, begin: float, end: float) -> bool:
         """Return whether the direction was open, both processes up and all links undisturbed for the whole interval."""
-        bad = [*self.cut.get((source, target), ()), *self.down.get(source, ()), *self.down.get(target, ()), *self.rough]
+        bad = [
+            *self.cut.get((source, target), ()),
+            *self.down.get(source, ()),
+            *self.down.get(target, ()),
+            *self.disturbed,
+        ]
         return all(b < begin or a > end for a, b in bad)
 
-    def silent(self, source: str, target: str, at: float) -> float:
+    def silence(self, source: str, target: str, at: float) -> float:
         """Return for how many seconds before `at` no frame from the source could reach the target; 0 if one could."""
         since = inf
         for a, b in [*self.cut.get((source, target), ()), *self.silenced.get(source, ())]:
--- a/tealwing/lab/judges/rules_agreement.py
+++ b/tealwing/lab/judges/rules_agreement.py
@@ -9,12 +9,12 @@
 
 from collections.abc import Sequence
 
-from tealwing.lab.judges.rules_order import assigned
+from tealwing.lab.judges.rules_order import assign_versions
 from tealwing.lab.judges.verdict import Violation
 from tealwing.lab.judges.versions import observed_versions
 from tealwing.lab.rig.history import Event
 
-SLACK = 0.01  # s by which times in the processes' logs may differ from the history's clock
+CLOCK_TOLERANCE = 0.01  # s by which times in the processes' logs may differ from the history's clock
 
 
 def closings(events: Sequence[Event]) -> dict[int, dict[str, float]]:
@@ -29,7 +29,7 @@
 
 def check(events: Sequence[Event], end: float) -> list[Violation]:
     """Return the violations, at most one of each kind for a query."""
-    queries, chain = assigned(events)
+    queries, chain = assign_versions(events)
     all_, closed = observed_versions(events), closings(events)
     serve = any(event["kind"] == "rules" and event["lost_touch"] == "serve" for event in events)
     in_force = {version.number for version in chain}
@@ -46,7 +46,7 @@
                 break
         if serve and one.first and (waits := closed.get(one.first)):
             overdue = max(waits, key=lambda name: waits[name])
-            if one.until < waits[overdue] - SLACK:
+            if one.until < waits[overdue] - CLOCK_TOLERANCE:
                 found.append(
                     Violation(
                         "early-site",
--- a/tealwing/lab/judges/rules_order.py
+++ b/tealwing/lab/judges/rules_order.py
@@ -15,12 +15,12 @@
 from tealwing.lab.rig.history import Event
 
 
-def explained(site: str, at: float, min_version: int, chain: Sequence[ObservedVersion]) -> int:
+def explaining_version(site: str, at: float, min_version: int, chain: Sequence[ObservedVersion]) -> int:
     """Return the first version from `min_version` on that sends to the site and was proposed by `at`; 0: none."""
     return next((v.number for v in chain if v.number >= min_version and v.site == site and v.proposed <= at), 0)
 
 
-def assigned(events: Sequence[Event]) -> tuple[list[RoutedQuery], list[ObservedVersion]]:
+def assign_versions(events: Sequence[Event]) -> tuple[list[RoutedQuery], list[ObservedVersion]]:
     """Return the queries, with their minimum version and the one that explains the answer; and versions in force."""
     chain = [version for version in observed_versions(events).values() if version.in_force]
     queries = routed_queries(events)
@@ -30,30 +30,32 @@
         one.min_version = seen[before - 1] if before else 0
         if not one.answered:
             continue
-        one.first = explained(one.answered, one.until, one.min_version, chain)
+        one.first = explaining_version(one.answered, one.until, one.min_version, chain)
         if one.first > (seen[-1] if seen else 0):
             times.append(one.until)
             seen.append(one.first)
     return queries, chain
 
 
-def older(site: str, at: float, min_version: int, chain: Sequence[ObservedVersion]) -> int:
+def older_version(site: str, at: float, min_version: int, chain: Sequence[ObservedVersion]) -> int:
     """Return the last version before `min_version` that sends to the site and was proposed by `at`; 0: none."""
     return max((v.number for v in chain if v.number < min_version and v.site == site and v.proposed <= at), default=0)
 
 
 def check(events: Sequence[Event], end: float) -> list[Violation]:
     """Return a `late-old` for each query decided under an older version than one that had answered before it began."""
-    queries, chain = assigned(events)
+    queries, chain = assign_versions(events)
     found = []
     for one in queries:
         at = [(t, site, "reached an engine of") for t, site in one.reached]
         at += [(one.until, one.answered, "was answered by")] if one.answered else []
         for t, site, how in at:
-            if not explained(site, t, one.min_version, chain) and (was := older(site, t, one.min_version, chain)):
+            if not explaining_version(site, t, one.min_version, chain) and (
+                older := older_version(site, t, one.min_version, chain)
+            ):
                 found.append(Violation(
                     "late-old", t, f"{one.query.process}: a query begun at {one.query.begin:.3f} s {how} {site}, as"
-                    f" version {was} says; version {one.min_version} had answered before it began"
+                    f" version {older} says; version {one.min_version} had answered before it began"
                 ))  # fmt: skip
                 break
     return found
--- a/tealwing/lab/judges/views.py
+++ b/tealwing/lab/judges/views.py
@@ -24,9 +24,9 @@
             continue
         observer, at = sample["process"], sample["asked"]
         for peer, state in sample["peers"].items():
-            silent = reach.silent(peer, observer, at)
+            silent = reach.silence(peer, observer, at)
             if state == "alive" and silent > times.dead_after + DETECTION_TIME:
                 found.append(Violation("views", at, f"{observer} sees {peer} as alive after {silent:.1f} s of silence"))
-            if state == "dead" and at > RECOVERY_TIME and reach.well(peer, observer, at - RECOVERY_TIME, at):
+            if state == "dead" and at > RECOVERY_TIME and reach.is_healthy(peer, observer, at - RECOVERY_TIME, at):
                 found.append(Violation("views", at, f"{observer} sees {peer} as dead although it is reachable"))
     return found
--- a/tealwing/lab/rollout/fleet.py
+++ b/tealwing/lab/rollout/fleet.py
@@ -9,7 +9,7 @@
 from tealwing.lab.rollout.copies import StateHistory, StateSnapshot
 from tealwing.lab.rollout.costs import Costs
 from tealwing.lab.rollout.gate import ServiceChecker, SimulatedGate
-from tealwing.lab.rollout.host import Host, Wires
+from tealwing.lab.rollout.host import Host, Network
 from tealwing.lab.rollout.logs import Log
 from tealwing.lab.rollout.part import SimulatedMember
 from tealwing.lab.rollout.sites import Federated
@@ -20,7 +20,7 @@
 from tealwing.rules import records
 from tealwing.rules.records import digest
 
-ALL = "federation"  # the name of the federation's log
+FEDERATION_LOG = "federation"  # the name of the federation's log
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 
     def __init__(self, shape: Shape, seed: int, costs: Costs = Costs()) -> None:  # noqa: B008 - frozen
         self.shape, self.clock, self.checker = shape, Clock(), ServiceChecker()
-        self.wires = Wires(self.clock, costs, seed)
+        self.network = Network(self.clock, costs, seed)
         self.gateways = {f"s{i}": tuple(f"s{i}g{k:03}" for k in range(shape.gateways)) for i in range(shape.sites)}
         self.copies: dict[str, StateHistory] = {}  # by log
         self.logs: dict[str, list[Log]] = {}  # by log
@@ -49,13 +49,15 @@
         few = {site: names[: min(3, len(names))] for site, names in self.gateways.items()}
         voting = tuple(name for names in few.values() for name in names)
         learning = tuple(n for site, names in self.gateways.items() for n in names if n not in few[site])
-        self.deciding = ALL if federated else "s0"
+        self.deciding = FEDERATION_LOG if federated else "s0"
         for site, names in self.gateways.items():
             for name in names:
-                host = self.wires.hosts[name] = Host(self.wires, name, site)
+                host = self.network.hosts[name] = Host(self.network, name, site)
                 log = self._log(host, site, names[: shape.voters], names[shape.voters :], Options(), seed)
                 federation = (
-                    self._log(host, ALL, voting, learning, Options(election_timeout=1.0), seed) if federated else None
+                    self._log(host, FEDERATION_LOG, voting, learning, Options(election_timeout=1.0), seed)
+                    if federated
+                    else None
                 )
                 gate = SimulatedGate(self.clock, name, self.checker, shape.rate, seed)
                 self.parts[name] = SimulatedMember(shape.plan, log, gate, seed, federation, site)
@@ -70,7 +72,7 @@
         self.logs.setdefault(name, []).append(log)
         return log
 
-    def until(self, holds: Callable[[], bool], limit: float, step: float = 0.005) -> bool:
+    def run_until(self, holds: Callable[[], bool], limit: float, step: float = 0.005) -> bool:
         """Advance the time until `holds` returns True; return False if it does not within `limit` s."""
         end = self.clock.now + limit
         while not holds():
@@ -88,15 +90,15 @@
         """Return the leader of a log, empty if there is none."""
         return next((member.host.name for member in self.logs[log] if member.leads), "")
 
-    def begun(self) -> bool:
+    def all_gates_open(self) -> bool:
         """Return whether all members are in the deciding log's table and the gates of all gateways are open."""
-        expected = self.shape.sites if self.deciding == ALL else self.shape.gateways
+        expected = self.shape.sites if self.deciding == FEDERATION_LOG else self.shape.gateways
         there = len(self.state.tables["rule_members"]) == expected
         return there and all(part.gate.version >= 0 for part in self.parts.values())
 
-    def open_under(self, number: int) -> bool:
+    def all_open_under(self, number: int) -> bool:
         """Return whether all gateways that are not cut off decide under that version."""
-        return all(part.gate.version == number for name, part in self.parts.items() if name not in self.wires.cut)
+        return all(part.gate.version == number for name, part in self.parts.items() if name not in self.network.cut)
 
     def propose(self, text: bytes, at: str) -> None:
         """Have an operator propose a version at a gateway."""
--- a/tealwing/lab/rollout/gate.py
+++ b/tealwing/lab/rollout/gate.py
@@ -50,7 +50,7 @@
 
 
 class SimulatedGate:
-    """A gate that is open under a version until a time, or closed; a rollout holds all requests while it closes."""
+    """A gate that is open under a version until a time, or closed; while a rollout keeps it closed, requests wait."""
 
     def __init__(self, clock: Clock, name: str, checker: ServiceChecker, rate: float, seed: int) -> None:
         """Start the arrivals of requests: a Poisson process with `rate` per s."""
--- a/tealwing/lab/rollout/host.py
+++ b/tealwing/lab/rollout/host.py
@@ -17,28 +17,28 @@
 class Host:
     """One gateway's process, which does one thing at a time."""
 
-    def __init__(self, wires: Wires, name: str, site: str) -> None:
-        self.wires, self.name, self.site = wires, name, site
+    def __init__(self, network: Network, name: str, site: str) -> None:
+        self.network, self.name, self.site = network, name, site
         self.free = 0.0  # s: when the process has finished its work so far
         self.sent = 0  # messages
         self.handlers: dict[tuple[str, str], Callable[[str, Any], None]] = {}  # by log, and kind of message
 
     def spend(self, seconds: float) -> float:
         """Use processor time as soon as the process is free; return when that ends."""
-        self.free = max(self.free, self.wires.clock.now) + seconds
+        self.free = max(self.free, self.network.clock.now) + seconds
         return self.free
 
     def use(self, seconds: float) -> Step:
         """Use processor time in a task, which continues afterwards."""
-        yield self.spend(seconds) - self.wires.clock.now
+        yield self.spend(seconds) - self.network.clock.now
 
     def send(self, to: str, log: str, kind: str, body: Any) -> None:
         """Send a message, once the process has had the processor time for it."""
         self.sent += 1
-        self.wires.carry(self, to, log, kind, body, self.spend(self.wires.costs.message))
+        self.network.carry(self, to, log, kind, body, self.spend(self.network.costs.message))
 
 
-class Wires:
+class Network:
     """The network between all hosts: it delays, reorders and loses messages."""
 
     def __init__(self, clock: Clock, costs: Costs, seed: int) -> None:
--- a/tealwing/lab/rollout/logs.py
+++ b/tealwing/lab/rollout/logs.py
@@ -51,7 +51,7 @@
         options: Options, seed: int,
     ) -> None:  # fmt: skip
         """Join the log of that name; voters and learners are names of hosts, `seed` is the simulation's."""
-        self.host, self.name, self._clock = host, name, host.wires.clock
+        self.host, self.name, self._clock = host, name, host.network.clock
         number = Random(f"{seed}/{name}/{host.name}").randrange(1, 2**53)
         self.core = Raft(host.name, voters, self._clock.now, number, number, options, learners=learners)
         self.snapshot, self._copies = copies.first, copies
@@ -109,22 +109,22 @@
         found = yield reached, max(0.0, end - self._clock.now)
         return reply.index if found else None
 
-    def _call_leader(self, request: ForwardRequest, wait: float, again: bool) -> Step:
+    def _call_leader(self, request: ForwardRequest, wait: float, retry: bool) -> Step:
         end, pause = self._clock.now + wait, RETRY_BACKOFF[0]
         while (left := end - self._clock.now) > 1e-9:
             leader, sent = self.core.leader, False
             if leader:
-                reply = yield from self._attempt(leader, request, min(left, ATTEMPT_TIMEOUT) if again else left, again)
+                reply = yield from self._attempt(leader, request, min(left, ATTEMPT_TIMEOUT) if retry else left, retry)
                 if reply is not None and reply.status == "ok":
                     return reply
                 sent = reply is None or reply.status == "lost"
-            if sent and not again:
+            if sent and not retry:
                 return None
             yield min(pause * self._random.uniform(0.5, 1.0), max(0.0, end - self._clock.now))
             pause = min(RETRY_BACKOFF[1], 2 * pause)
         return None
 
-    def _attempt(self, leader: str, request: ForwardRequest, wait: float, again: bool) -> Step:
+    def _attempt(self, leader: str, request: ForwardRequest, wait: float, retry: bool) -> Step:
         number, signal = next(self._numbers), Signal(self._clock)
         found: list[ForwardReply] = []
         request = ForwardRequest(number, request.command)
@@ -135,8 +135,8 @@
             self.host.send(leader, self.name, "forward", request)
         end = self._clock.now + wait
         while not found and (left := end - self._clock.now) > 1e-9:
-            yield signal, min(left, LEADER_CHECK_INTERVAL) if again else left
-            if again and not found and self.core.leader != leader:
+            yield signal, min(left, LEADER_CHECK_INTERVAL) if retry else left
+            if retry and not found and self.core.leader != leader:
                 break
         del self._requests[number]
         return found[0] if found else None
@@ -148,7 +148,7 @@
             signal.set()
 
     def _on_forward_message(self, source: str, message: ForwardRequest | ForwardReply) -> None:
-        self.host.spend(self.host.wires.costs.message)
+        self.host.spend(self.host.network.costs.message)
         if isinstance(message, ForwardReply):
             self._on_reply(message)
         else:
@@ -194,7 +194,7 @@
     def _process_item(self, now: float, item: tuple[Any, ...]) -> None:
         match item[0]:
             case "message":
-                self.host.spend(self.host.wires.costs.message)
+                self.host.spend(self.host.network.costs.message)
                 self.core.step(now, item[1], item[2])
             case "ask":
                 self._request(now, item[1], item[2])
@@ -226,8 +226,8 @@
             self._finish_batch()
             return
         ready = self.core.ready()
-        wires = self.host.wires
-        sync = wires.costs.disk(wires.random) if ready.hard_state or ready.entries else 0.0
+        network = self.host.network
+        sync = network.costs.disk(network.random) if ready.hard_state or ready.entries else 0.0
         self._clock.at(max(self.host.free, self._clock.now) + sync, self._on_synced, ready)
 
     def _on_synced(self, ready: Ready) -> None:
@@ -236,7 +236,7 @@
             self.core.entries_saved(now, ready.entries[-1].index, ready.entries[-1].term)
         for name, message in ready.messages:
             self.host.send(name, self.name, "log", message)
-        costs, members = self.host.wires.costs, len(self.snapshot.tables["rule_members"])
+        costs, members = self.host.network.costs, len(self.snapshot.tables["rule_members"])
         took = sum(costs.applying(members, message_count(entry)) for entry in ready.committed)
         self._clock.at(self.host.spend(took), self._apply, ready)
 
--- a/tealwing/lab/rollout/measure.py
+++ b/tealwing/lab/rollout/measure.py
@@ -38,7 +38,7 @@
 def changes(fleet: Fleet, count: int) -> Found:
     """Run `count` rollouts, one after the other, and measure each."""
     found, clock = Found(), fleet.clock
-    if not fleet.until(fleet.begun, 60.0, 0.05):
+    if not fleet.run_until(fleet.all_gates_open, 60.0, 0.05):
         found.wrong.append("some gateways decide nothing after 60 s")
         return found
     names = list(fleet.parts)
@@ -55,25 +55,25 @@
 
 
 def _measure_rollout(fleet: Fleet, found: Found, turn: int, at: str) -> None:
-    clock, wires = fleet.clock, fleet.wires
+    clock, network = fleet.clock, fleet.network
     number = fleet.state.plain.last_number + 1
-    sent = {name: host.sent for name, host in wires.hosts.items()}
+    sent = {name: host.sent for name, host in network.hosts.items()}
     entries = sum(copies.last.index for copies in fleet.copies.values())
     begun = clock.now
     fleet.propose(b"version %d" % turn, at)
-    fleet.until(lambda: fleet.state.plain.has_outcome(number), PATIENCE, 0.001)
+    fleet.run_until(lambda: fleet.state.plain.has_outcome(number), PATIENCE, 0.001)
     decided = clock.now - begun
     found.changes += 1
     if fleet.state.plain.active != number:
         found.failed += 1
         return
-    if not fleet.until(lambda: fleet.open_under(number), PATIENCE, 0.001):
+    if not fleet.run_until(lambda: fleet.all_open_under(number), PATIENCE, 0.001):
         found.wrong.append(f"some gateways do not decide under version {number} after {PATIENCE:g} s")
         return
     found.decided.append(decided)
     found.opened.append(clock.now - begun)
     leaders = {fleet.leader(log) for log in fleet.logs}
-    counts = {name: host.sent - sent[name] for name, host in wires.hosts.items()}
+    counts = {name: host.sent - sent[name] for name, host in network.hosts.items()}
     others = [count for name, count in counts.items() if name not in leaders]
     found.by_gateway.append(sum(others) / max(1, len(others)))
     found.by_leader.append(counts.get(fleet.leader(fleet.deciding), 0))
--- a/tealwing/lab/rollout/part.py
+++ b/tealwing/lab/rollout/part.py
@@ -31,7 +31,7 @@
     ) -> None:
         """Take part in the rollouts of a log; `federation` is the federation's log if the site is in a federation."""
         self.log, self.gate, self._federation, self._site = log, gate, federation, site
-        self.host, self._clock = log.host, log.host.wires.clock
+        self.host, self._clock = log.host, log.host.network.clock
         number = log.core.incarnation
         self.machine = Machine(
             log.host.name, plan.partition_mode, START, plan.permit, seed=number, federated=federation is not None,
@@ -105,7 +105,7 @@
         for _ in range(MAX_STEPS):
             target = self.machine.gate_state(self._clock.now).number
             if target != self._in_force:
-                yield from self.host.use(self.host.wires.costs.enforce)
+                yield from self.host.use(self.host.network.costs.enforce)
                 self._in_force = target
                 self._update_gate()
             self._step_machine()
@@ -118,7 +118,7 @@
             self._publish(confirmation)
         self._coordinator.set_leading(self._clock.now, self.log.leads)
         if self.log.leads:
-            silent = self.host.wires.silent(self.host.name) if self.snapshot.plain.in_flight is not None else ()
+            silent = self.host.network.silent(self.host.name) if self.snapshot.plain.in_flight is not None else ()
             members = self.snapshot.tables["rule_members"]
             for body in self._coordinator.step(
                 self._clock.now, self.snapshot.tables, [n for n in silent if n in members]
@@ -126,13 +126,13 @@
                 self.log.propose_if_leader(body)
 
     def _perform(self, action: Action) -> Step:
-        wires = self.host.wires
+        network = self.host.network
         match action:
             case PersistMarker(number):
-                yield wires.costs.disk(wires.random) + wires.costs.disk(wires.random)  # the file and its folder
+                yield network.costs.disk(network.random) + network.costs.disk(network.random)  # the file and its folder
                 self.machine.marker_written(number)
             case CheckBundle(number):
-                yield from self.host.use(wires.costs.check)
+                yield from self.host.use(network.costs.check)
                 self.machine.checked(number, True)
             case SubmitCommand(body):
                 self._publish(body)
--- a/tealwing/lab/rollout/sites.py
+++ b/tealwing/lab/rollout/sites.py
@@ -29,7 +29,7 @@
     ) -> None:
         """Act for the site of that name; `gateways` has the names of the gateways of each site."""
         self._site, self._federation, self._name, self._gateways = site, federation, name, gateways
-        self._clock = site.host.wires.clock
+        self._clock = site.host.network.clock
         number = federation.core.incarnation
         self._delegate = SiteDelegate(name, number)
         self._coordinator = RolloutCoordinator(name, limit, patience, seed=number)
@@ -78,5 +78,5 @@
             self._federation.forward(published)
 
     def _is_reachable(self, site: str) -> bool:
-        silent = self._site.host.wires.silent(self._site.host.name)
+        silent = self._site.host.network.silent(self._site.host.name)
         return site == self._name or any(name not in silent for name in self._gateways[site])
--- a/tealwing/lab/rollout/trials.py
+++ b/tealwing/lab/rollout/trials.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Alone:
+class CutOffResult:
     """Rollouts with one gateway cut off: the phase in which each ended, s from its proposal to that, and violations."""
 
     ended: list[str] = field(default_factory=list)
@@ -35,26 +35,26 @@
     return changes(fleet, count), fleet
 
 
-def cut_off(what: Shape, count: int, seed: int, loss: float = 0.01) -> Alone:
+def cut_off(what: Shape, count: int, seed: int, loss: float = 0.01) -> CutOffResult:
     """Run `count` rollouts, each with the last gateway cut off from before the proposal until the outcome."""
-    fleet, found = Fleet(what, seed, Costs(loss=loss)), Alone()
+    fleet, found = Fleet(what, seed, Costs(loss=loss)), CutOffResult()
     clock, alone = fleet.clock, list(fleet.parts)[-1]
     for turn in range(count):
-        if not fleet.until(fleet.begun, PATIENCE, 0.05):
+        if not fleet.run_until(fleet.all_gates_open, PATIENCE, 0.05):
             found.wrong.append(f"some gateways decide nothing after {PATIENCE:g} s")
             break
         clock.run(clock.now + RECOVERY_TIME)
-        fleet.wires.cut[alone] = clock.now
+        fleet.network.cut[alone] = clock.now
         clock.run(clock.now + CUT_BEFORE)
         number, begun = fleet.state.plain.last_number + 1, clock.now
         fleet.propose(b"version %d" % turn, fleet.leader(fleet.deciding))
-        if not fleet.until(lambda n=number: fleet.state.plain.has_outcome(n), PATIENCE, 0.001):  # type: ignore[misc]
+        if not fleet.run_until(lambda n=number: fleet.state.plain.has_outcome(n), PATIENCE, 0.001):  # type: ignore[misc]
             found.wrong.append(f"version {number} has no outcome after {PATIENCE:g} s")
             break
         found.ended.append(fleet.state.plain.phase_of(number) or "")
         found.took.append(clock.now - begun)
         clock.run(clock.now + RECOVERY_TIME)
-        del fleet.wires.cut[alone]
+        del fleet.network.cut[alone]
     for part in fleet.parts.values():
         part.gate.end()
     found.wrong += fleet.checker.verdict()
