--- a/tealwing/lab/models/consensus.py
+++ b/tealwing/lab/models/consensus.py
@@ -38,7 +38,7 @@
     """The maximum number of each kind of step on one path."""
 
     timeouts: int = 3
-    beats: int = 1
+    beats: int = 1  # heartbeat rounds
     proposals: int = 1
     crashes: int = 1
     old: int = 0  # crashes after which the member restarts from an older copy of its disk
--- a/tealwing/lab/rollout/measure.py
+++ b/tealwing/lab/rollout/measure.py
@@ -19,9 +19,8 @@
     gaps: list[float] = field(default_factory=list)  # for each rollout and gateway: how long the gate was closed
     decided: list[float] = field(default_factory=list)  # from the proposal to the entry that decides the outcome
     opened: list[float] = field(default_factory=list)  # from the proposal until all gateways decide under the version
-    by_gateway: list[float] = field(
-        default_factory=list
-    )  # for each rollout: messages sent by a gateway that leads no log, mean
+    # for each rollout: mean number of messages sent by a gateway that leads no log
+    by_gateway: list[float] = field(default_factory=list)
     by_leader: list[float] = field(default_factory=list)  # for each rollout: messages sent by the deciding log's leader
     entries: list[float] = field(default_factory=list)  # for each rollout: entries of all logs
     waits: list[float] = field(default_factory=list)  # how long requests were held
--- a/tealwing/lab/rollout/trials.py
+++ b/tealwing/lab/rollout/trials.py
@@ -12,7 +12,7 @@
 
 VOTERS = 5  # of a single site; sites of a federation have three each
 CUT_BEFORE = 1.0  # s from the cut to the proposal
-RECOVERY_TIME = 3.0  # s before and after each rollout in which no gateway is cut off
+SETTLE_TIME = 3.0  # s before each cut, and from the outcome to the end of the cut
 
 
 @dataclass
@@ -43,7 +43,7 @@
         if not fleet.run_until(fleet.all_gates_open, PATIENCE, 0.05):
             found.wrong.append(f"some gateways decide nothing after {PATIENCE:g} s")
             break
-        clock.run(clock.now + RECOVERY_TIME)
+        clock.run(clock.now + SETTLE_TIME)
         fleet.network.cut[alone] = clock.now
         clock.run(clock.now + CUT_BEFORE)
         number, begun = fleet.state.plain.last_number + 1, clock.now
@@ -53,7 +53,7 @@
             break
         found.ended.append(fleet.state.plain.phase_of(number) or "")
         found.took.append(clock.now - begun)
-        clock.run(clock.now + RECOVERY_TIME)
+        clock.run(clock.now + SETTLE_TIME)
         del fleet.network.cut[alone]
     for part in fleet.parts.values():
         part.gate.end()
