--- a/tealwing/lab/models/rollout.py
+++ b/tealwing/lab/models/rollout.py
@@ -1,15 +1,16 @@
-"""The model of a change of rules: the members' machines, the witnesses and the registry themselves.
+"""The model of a rollout of rules: the members' state machines, the expiry observers and the registry.
 
-The log is taken as given (its own model is beside this one): one order, reliable. Each member applies it at its own
-pace. What was ever proposed may be applied at any later moment, again, or never; what a leader proposes comes from any
-leader at any moment, in the right or not. Members crash and come back with what they had applied, with less, or empty,
-in this mode or another; permits run out on slow clocks, and are waited for on fast ones, of which one may run wild.
+The log is assumed to be correct (models/consensus.py checks it): one order, reliable. Each member applies it at its own
+pace. A proposed command may be applied at any later moment, twice or never. A leader's commands may come from any
+member at any moment, whether or not it still leads. Members crash and restart with all that they had applied, with
+less or empty, in the same partition mode or the other. Permits expire by slow clocks and their expiry is observed by
+fast ones; one member's clock may run far out of bounds.
 
-A request may be decided at any member at any moment its gate lets it. Checked in every state: no gate is open under a
-version older than one that some gate was ever open under; none is open under a version that was never in force; the
-outcome of a version never changes. A crash before the mark is written is the same as one before the entry was applied.
+A request may be decided at any member whenever its gate is open. Checked in every state: no gate is open under a
+version older than one that any gate was ever open under; no gate is open under a version that was never in force; the
+outcome of a version never changes. A crash before the marker is written equals a crash before the entry was applied.
 
-The bounds are coarser than in service, so that what they cover shows within few steps of time.
+The lease bounds are coarser than in production, so that a violation shows within a few steps of time.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 from dataclasses import replace
 from typing import Any
 
-from tealwing.lab.models.rollout_faults import applied
+from tealwing.lab.models.rollout_faults import apply_with_fault
 from tealwing.lab.models.rollout_parts import (
     COARSE,
     DT,
-    EAGER,
     FAST,
+    IMMEDIATE_RETRY,
     LOG,
     PERMIT,
     SLOW,
@@ -54,35 +55,35 @@
 
 
 class Rollout:
-    """The model of one site."""
+    """The model of a rollout in one site, to be explored."""
 
     def __init__(
         self, modes: str, budget: Budget, sabotage: str = "", mutation: str = "", wild: str = "",
         begin: Callable[[Any, World], World] | None = None,
     ) -> None:  # fmt: skip
-        """Set up the model: `modes` has one letter a member, s or h.
+        """Set up the model: `modes` has one letter per member, s for serve or h for hold.
 
-        `wild` names a member whose clock runs far beyond the bound.
-
-        begin leads from where all have begun and a version is checked to where the exploration starts.
+        sabotage: a fault that the members' state machines have; mutation: one that the model or its registry has.
+        wild: the member whose clock runs far out of bounds.
+        begin: takes the state where all have begun and checked a version to the state where the exploration starts.
         """
         self._modes, self._budget, self._mutation, self._wild, self._begin = modes, budget, mutation, wild, begin
         self._sabotage = frozenset({sabotage} if sabotage else ())
         self._names = "abcdefgh"[: len(modes)]
-        self._applied: dict[Hashable, tuple[Tables, Tables | None]] = {}  # what was worked out before
+        self._applied: dict[Hashable, tuple[Tables, Tables | None]] = {}  # memo of `apply`: tables before and after
         self._seen: dict[tuple[int, str], tuple[Tables, View]] = {}
         self._interned: dict[Hashable, int] = {}
 
-    # Where it begins
+    # Initial state
 
     def initial(self) -> World:
-        """All have begun and applied it, and a version is checked."""
+        """Return the initial state: all have applied all Begins, and version 1 is checked; then `begin` takes it on."""
         nodes = {}
         for place, (name, mode) in enumerate(zip(self._names, self._modes, strict=True)):
             nodes[name] = self._node(name, mode, SLOW if place == 0 else FAST)
         world = World(nodes, self._logs(), frozenset(), replace(self._budget, proposals=99))
         for name in self._names:
-            world = self._settled(world, name)
+            world = self._run_shell(world, name)
         world = self._set_up(world)
         world.budget = self._budget
         if self._begin is None:
@@ -98,34 +99,34 @@
     def _node(self, name: str, mode: str, rate: float) -> Node:
         rate = WILD if name == self._wild else rate
         logs = self.logs_of(name)
-        nodes = {log: ExpiryObserver(who, COARSE) for log, who in logs.items()}
-        for watch in nodes.values():
-            watch._retry = EAGER
+        observers = {log: ExpiryObserver(who, COARSE) for log, who in logs.items()}
+        for observer in observers.values():
+            observer._retry = IMMEDIATE_RETRY
         machine = self._machine(name, mode, 1, 0, None, None)
-        return Node(machine, rate, dict.fromkeys(logs, 0), dict.fromkeys(logs, 0), nodes)
+        return Node(machine, rate, dict.fromkeys(logs, 0), dict.fromkeys(logs, 0), observers)
 
     def _machine(self, name: str, mode: str, start: int, mark: int, disk: View | None, fed: View | None) -> Machine:
-        touch: r.PartitionMode = "hold" if mode[0] == "h" else "serve"
+        partition_mode: r.PartitionMode = "hold" if mode[0] == "h" else "serve"
         machine = Machine(
-            name, touch, start, PERMIT, COARSE, mark, sabotage=self._sabotage, disk=disk,
+            name, partition_mode, start, PERMIT, COARSE, mark, sabotage=self._sabotage, disk=disk,
             federated=len(self.logs_of(name)) > 1, disk_federated=fed,
         )  # fmt: skip
-        machine._retry = EAGER
+        machine._retry = IMMEDIATE_RETRY
         return machine
 
     def logs_of(self, name: str) -> dict[str, str]:
-        """The logs that a member applies, its site's first, and the name under which it speaks there."""
+        """Return the logs that a member applies, its site's first, each with the member's name in it."""
         return {LOG: name}
 
     def _set_up(self, world: World) -> World:
-        world = self.flow(world, lambda body: isinstance(body, r.Begin))
+        world = self.apply_until_stable(world, lambda body: isinstance(body, r.Begin))
         for name in self._names:
             world = self.read(world, name, LOG)
         world = self.apply(world, LOG, propose(0))
-        return self.flow(world, lambda body: isinstance(body, r.Verdict))
+        return self.apply_until_stable(world, lambda body: isinstance(body, r.Verdict))
 
-    def flow(self, world: World, want: Callable[[r.Body], bool]) -> World:
-        """Apply all that is proposed and wanted, and have all apply it, until nothing more comes of it."""
+    def apply_until_stable(self, world: World, want: Callable[[r.Body], bool]) -> World:
+        """Append the proposed commands that `want` accepts and let all members catch up, until nothing changes."""
         while True:
             for name, node in world.nodes.items():
                 for log in node.at:
@@ -141,9 +142,9 @@
     # Steps
 
     def steps(self, world: World) -> Iterable[tuple[str, Callable[[], World]]]:
-        """All that can happen."""
+        """Yield every possible step: its description and a function that returns the state after it."""
         budget = world.budget
-        for log, body in sorted((*world.requests, *self.leaders(world)), key=repr):
+        for log, body in sorted((*world.requests, *self.leader_commands(world)), key=repr):
             if self._changes(world, log, body):
                 yield f"{log}: {describe(body)}", lambda o=log, b=body: self.apply(world, o, b)  # type: ignore[misc]
         for name, node in world.nodes.items():
@@ -158,32 +159,32 @@
                 if budget.reads and self._may_read(world, node, log):
                     yield f"{name} reads the {log}", lambda n=name, o=log: self.read(world, n, o)  # type: ignore[misc]
             if budget.crashes:
-                step = f"{name} crashes and comes back"
+                step = f"{name} crashes and restarts"
                 yield step, lambda n=name, p=node.at: self.crash(world, n, p)  # type: ignore[misc]
                 yield from self._crashes(world, name, node)
         if budget.times:
-            yield f"{DT:g} s pass", lambda: self.passed(world)
+            yield f"{DT:g} s pass", lambda: self.advance_time(world)
 
     def _crashes(self, world: World, name: str, node: Node) -> Iterable[tuple[str, Callable[[], World]]]:
         if world.budget.old:
             for log in node.at:
                 for at in range(node.disk[log], node.at[log]):
                     yield (
-                        f"{name} crashes and comes back with the {log} up to {at}",
+                        f"{name} crashes and restarts with the {log} up to {at}",
                         lambda n=name, p=node.at | {log: at}: self.crash(world, n, p, old=1),  # type: ignore[misc]
                     )
         if world.budget.empty:
             nothing = dict.fromkeys(node.at, 0)
-            yield f"{name} crashes and comes back empty", lambda: self.crash(world, name, nothing, empty=1)
+            yield f"{name} crashes and restarts empty", lambda: self.crash(world, name, nothing, empty=1)
         if world.budget.flips:
             for had in (node.disk, node.at):
                 yield (
-                    f"{name} crashes and comes back in the other mode with the logs up to {tuple(had.values())}",
+                    f"{name} crashes and restarts in the other mode with the logs up to {tuple(had.values())}",
                     lambda p=had: self.crash(world, name, p, flips=1),  # type: ignore[misc]
                 )
 
-    def leaders(self, world: World) -> Iterable[tuple[str, r.Body]]:
-        """What any leader may propose now, or may have long ago."""
+    def leader_commands(self, world: World) -> Iterable[tuple[str, r.Body]]:
+        """Yield the commands that a current or former leader may propose."""
         for log, its in world.logs.items():
             tables = its.states[-1]
             flight = registry.in_flight(tables)
@@ -201,18 +202,18 @@
                     if member.partition_mode == "hold" and not member.expiry_index:
                         yield log, r.ExpirePermit(name, member.start)
 
-    top = LOG  # the log that decides
+    top = LOG  # the log that decides on versions
 
     def _may_read(self, world: World, node: Node, log: str) -> bool:
         return node.machine.partition_mode == "hold" or node.machine.read_would_extend(log != next(iter(node.at)))
 
     def apply(self, world: World, log: str, body: r.Body) -> World:
-        """An entry is applied to the state; members come to it later. The same world if it changes nothing."""
+        """Append an entry to a log; members apply it later. Return the same world if it leaves the tables unchanged."""
         states = world.logs[log].states
         known = id(states[-1]), len(states), body
         if known not in self._applied:
             fresh = {name: dict(table) for name, table in states[-1].items()}
-            changes = applied(fresh, len(states), body, self._mutation) and fresh != states[-1]
+            changes = apply_with_fault(fresh, len(states), body, self._mutation) and fresh != states[-1]
             self._applied[known] = states[-1], fresh if changes else None
         tables = self._applied[known][1]
         if tables is None:
@@ -220,7 +221,7 @@
         kinds = {"lapses": r.ExpirePermit, "aborts": r.Abort, "proposals": r.Propose}
         spent = {key: int(isinstance(body, kind) and log == self.top) for key, kind in kinds.items()}
         after = self._after(world, spent)
-        keys = *world.logs[log].keys, self._small(message_key(tables))
+        keys = *world.logs[log].keys, self._intern(message_key(tables))
         after.logs = {**world.logs, log: Log((*states, tables), keys)}
         for number, before in states[-1]["rules"].items():
             now = tables["rules"].get(number)
@@ -233,30 +234,30 @@
         return self.apply(world, log, body) is not world
 
     def catch_up(self, world: World, name: str, log: str, to: int) -> World:
-        """A member applies a log up to an index, one entry after the other."""
+        """Have a member apply a log up to an index, entry by entry."""
         after = self._with(world, name)
         node = after.nodes[name]
         while node.at[log] < to:
             node.at[log] += 1
-            after = self._settled(after, name)
+            after = self._run_shell(after, name)
         return after
 
     def read(self, world: World, name: str, log: str) -> World:
-        """A member asks for a read-index, and is answered with what was committed then: the least that may come."""
+        """Have a member send a ReadIndex and receive the commit index of that moment, the lowest answer allowed."""
         after = self._with(world, name, reads=1)
         node = after.nodes[name]
         token = node.machine.read_sent(self._clock(after, node), log != next(iter(node.at)))
         node.machine.read_completed(self._clock(after, node), token, len(after.logs[log].states) - 1)
-        return self._settled(after, name)
+        return self._run_shell(after, name)
 
     def crash(self, world: World, name: str, at: Mapping[str, int], **spent: int) -> World:
-        """A member comes back with its logs up to those indexes; with all of them at 0 it has no mark either."""
+        """Restart a member with its logs up to the indexes `at`; restarted empty, it has no marker either."""
         after = self._with(world, name, crashes=1, **spent)
         node = after.nodes[name]
         lost = "empty" in spent
-        touch = node.machine.partition_mode
+        mode = node.machine.partition_mode
         if "flips" in spent:
-            touch = "hold" if touch == "serve" else "serve"
+            mode = "hold" if mode == "serve" else "serve"
         views = [
             None if lost else view_of(world.logs[log].states[at[log]], at[log], who)
             for log, who in self.logs_of(name).items()
@@ -264,24 +265,24 @@
         start, mark = (1, 0) if lost else (node.machine.start + 1, node.machine.marker)
         if mark == HOLD_MARKER and self._mutation == "mode-forgotten":
             mark = 0
-        node.machine = self._machine(name, touch, start, mark, views[0], views[1] if len(views) > 1 else None)
+        node.machine = self._machine(name, mode, start, mark, views[0], views[1] if len(views) > 1 else None)
         if lost and self._mutation == "empty-trusted":
             node.machine._site_permit.grant_forever()
         node.at, node.disk = dict(at), dict(at)
-        for watch in node.witnesses.values():
-            watch._observed_at = {}
-        return self._settled(after, name)
+        for observer in node.observers.values():
+            observer._observed_at = {}
+        return self._run_shell(after, name)
 
-    def passed(self, world: World) -> World:
-        """Time passes for all."""
+    def advance_time(self, world: World) -> World:
+        """Advance the time by one step for all members."""
         after = self._after(world, {"times": 1})
         after.at += 1
         after.nodes = dict(world.nodes)
         for name in world.nodes:
-            after = self._settled(self._with(after, name), name)
+            after = self._run_shell(self._with(after, name), name)
         return after
 
-    # What comes of a step
+    # Effects of a step
 
     def _after(self, world: World, spent: Mapping[str, int]) -> World:
         after = copy.copy(world)
@@ -294,16 +295,16 @@
         after = self._after(world, spent)
         node = world.nodes[name]
         twin = Node(node.machine.clone(), node.rate, dict(node.at), node.disk, {})
-        for log, watch in node.witnesses.items():
-            twin.witnesses[log] = copy.copy(watch)
+        for log, observer in node.observers.items():
+            twin.observers[log] = copy.copy(observer)
         after.nodes = {**world.nodes, name: twin}
         return after
 
     def _clock(self, world: World, node: Node) -> float:
         return world.at * DT * node.rate
 
-    def _settled(self, world: World, name: str) -> World:
-        """What the shell does: the machine looks, the mark is written, checks say yes, and all is proposed."""
+    def _run_shell(self, world: World, name: str) -> World:
+        """Do what the shell does: step the machine, write its marker, accept every check, submit its commands."""
         node = world.nodes[name]
         now, machine = self._clock(world, node), node.machine
         views = [self._view(world, log, node.at[log], who) for log, who in self.logs_of(name).items()]
@@ -323,35 +324,35 @@
                         again = True
                     case Restart():
                         again = True
-        for log, watch in node.witnesses.items():
-            said |= {(log, body) for body in watch.due(now, world.logs[log].states[node.at[log]])}
-        world.requests = world.requests | said | self._told(world, name)
+        for log, observer in node.observers.items():
+            said |= {(log, body) for body in observer.due(now, world.logs[log].states[node.at[log]])}
+        world.requests = world.requests | said | self._site_commands(world, name)
         gate = machine.gate_state(now)
         if gate.mode == "open" and not world.wrong:
             if gate.number < world.newest:
-                world.wrong = f"{name} decides under version {gate.number}, and one was decided under {world.newest}"
+                world.wrong = f"{name} decides under version {gate.number} after version {world.newest} was in use"
             phase = self._view(world, self.top, len(world.logs[self.top].states) - 1, "").phase_of(gate.number)
             if gate.number and phase not in ("active", "superseded"):
-                world.wrong = f"{name} decides under version {gate.number}, which is {phase}"
+                world.wrong = f"{name} decides under version {gate.number}, which is {phase} and not in force"
             if gate.number > world.newest:
                 world.newest = gate.number
                 for other, its in world.nodes.items():
                     theirs = its.machine.gate_state(self._clock(world, its))
                     if theirs.mode == "open" and theirs.number < gate.number:
-                        world.wrong = f"{name} decides under version {gate.number}, and {other} under {theirs.number}"
+                        world.wrong = f"{name} decides under version {gate.number} while {other} uses {theirs.number}"
         return world
 
-    def _told(self, world: World, name: str) -> frozenset[tuple[str, r.Body]]:
+    def _site_commands(self, world: World, name: str) -> frozenset[tuple[str, r.Body]]:
         return frozenset()
 
-    # What must hold
+    # Safety properties
 
     def broken(self, world: World) -> str:
-        """What does not."""
+        """Return the safety violation in this state, empty if there is none."""
         return world.wrong
 
     def key(self, world: World) -> Hashable:
-        """All of it; of a log what some member has not passed yet, or may come back to."""
+        """Return the identity of a state: of each log only what a member has yet to apply or may restart from."""
         logs = []
         for name, log in world.logs.items():
             least = min(
@@ -360,13 +361,13 @@
             )  # fmt: skip
             logs.append((len(log.states), log.keys[least:]))
         nodes = tuple(
-            (self._small(node.machine.key()), tuple(node.at.values()), tuple(node.disk.values()),
-             tuple(tuple(sorted(watch._observed_at.items())) for watch in node.witnesses.values()))
+            (self._intern(node.machine.key()), tuple(node.at.values()), tuple(node.disk.values()),
+             tuple(tuple(sorted(observer._observed_at.items())) for observer in node.observers.values()))
             for node in world.nodes.values()
         )  # fmt: skip
-        return tuple(logs), nodes, self._small(world.requests), world.budget, world.newest
+        return tuple(logs), nodes, self._intern(world.requests), world.budget, world.newest
 
-    def _small(self, thing: Hashable) -> int:
+    def _intern(self, thing: Hashable) -> int:
         return self._interned.setdefault(thing, len(self._interned))
 
     def _view(self, world: World, log: str, at: int, who: str) -> View:
