--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that are too long for the tests; docs hold their results, with seeds and commit."""
+"""Measurements that take too long for the test suite; docs/ holds their results with seeds and commit."""
--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,7 +1,8 @@
-"""Scale tests: what each part of the program costs as the fleet grows, measured at several sizes and fitted.
+"""Scale tests: the cost of each part of the program as the fleet grows, measured at several sizes and fitted.
 
     python -m benchmarks.capacity --list
     python -m benchmarks.capacity [NAME ...] [--small] [--seed N] [--json FILE]
 
-One module a slope; `registry.py` lists them. `docs/CAPACITY.md` is made from the JSON by `page.py`.
+A slope is one scale test: a cost as a function of size. Each has a module of its own; `registry.py` lists them.
+`page.py` generates the tables of `docs/CAPACITY.md` from the JSON.
 """
--- a/benchmarks/capacity/calibration.py
+++ b/benchmarks/capacity/calibration.py
@@ -1,4 +1,4 @@
-"""Hollow gateways against real ones, the same fleet at rest: bytes, messages and processor time by role."""
+"""Compares an idle fleet of hollow gateways with one of real gateways: bytes, messages and processor time by role."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 SIZE, SMALL_SIZE = 20, 7
 MEMBERS_A_HOST = 15
 BEAT_MS = 200
-SECONDS, SMALL_SECONDS = 20.0, 3.0  # that are measured: clock ticks are coarse
-LIMIT = "5"  # s of a change, as the section `rules` has it
-ASK_LIMIT = 5.0
-OPEN_LIMIT = 60.0  # s for all gates to be open
-POLL = 0.2
-UTIME, STIME = 11, 12  # places in /proc/PID/stat behind the command's name (proc(5)); clock ticks
+SECONDS, SMALL_SECONDS = 20.0, 3.0  # of measurement; long enough for the coarse clock ticks of /proc/PID/stat
+LIMIT = "5"  # s that a change of rules may take, in the notation of the section `rules`
+ASK_LIMIT = 5.0  # s that a control call may take
+OPEN_LIMIT = 60.0  # s until all gates must be open
+POLL = 0.2  # s between two checks of the gates
+UTIME, STIME = 11, 12  # indexes of the fields of /proc/PID/stat after the command's name (proc(5)), in clock ticks
 QUANTITIES = ("processor time, % of a core", "messages sent a second", "bytes sent a second", "bytes received a second")
 
 
 class RealFleet:
-    """Gateways as processes, linked directly; used as a context, they end with it, by their ids."""
+    """Gateway processes connected to each other directly; the context manager starts them and kills them at its end."""
 
     def __init__(self, size: int, voters: int) -> None:
         self.names = [f"n{number}" for number in range(size)]
@@ -68,14 +68,14 @@
         self.close()
 
     def close(self) -> None:
-        """End all."""
+        """Kill all gateways, stop the coordinator and delete the folder."""
         for process in self.processes.values():
             process.kill()
         self._coordinator.stop()
         self._folder.cleanup()
 
     def ask(self, name: str, call: str) -> dict[str, Any]:
-        """One call of a gateway's control address."""
+        """Send one call to a gateway's control address."""
         return call_control(self.processes[name].control, call, ASK_LIMIT)
 
     def settle(self) -> None:
@@ -88,15 +88,15 @@
             except (OSError, RemoteCallError):
                 pass
             time.sleep(POLL)
-        raise CapacityError(f"real gateways: not all gates are open after {OPEN_LIMIT:g} s")
+        raise CapacityError(f"real gateways: not all {len(self.names)} gates opened within {OPEN_LIMIT:g} s")
 
     def processor_seconds(self, name: str) -> float:
-        """Of all its threads so far."""
+        """Processor time that all threads of a gateway have used so far."""
         fields = Path(f"/proc/{self.processes[name].pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[UTIME]) + int(fields[STIME])) / os.sysconf("SC_CLK_TCK")
 
     def figures(self) -> dict[str, tuple[float, float, float, float, float]]:
-        """By name: when, processor seconds, messages and bytes sent, bytes received."""
+        """By gateway: time of reading, processor seconds, messages sent, bytes sent, bytes received."""
         found = {}
         for name in self.names:
             traffic = self.ask(name, "status")["traffic"]
@@ -106,7 +106,7 @@
 
 
 def real(size: int, seconds: float) -> dict[str, list[float]]:
-    """What a real gateway of each role spends at rest, by `QUANTITIES`."""
+    """Mean cost of an idle real gateway by role, in the order of `QUANTITIES`."""
     with RealFleet(size, control.VOTERS) as fleet:
         fleet.settle()
         time.sleep(control.SETTLE)
@@ -124,7 +124,7 @@
 
 
 def measure(options: Options) -> Measured:
-    """Both fleets, one after the other."""
+    """Measure both fleets, one after the other."""
     size = SMALL_SIZE if options.small else SIZE
     seconds = SMALL_SECONDS if options.small else SECONDS
     hollow, true = control.one(size, seconds, MEMBERS_A_HOST), real(size, seconds)
--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -1,4 +1,4 @@
-"""A change of the rules: bytes, messages and processor time of each role, and when it is in force everywhere."""
+"""Cost of a change of the rules by role (bytes, messages, processor time), and the time until all members apply it."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 VIRTUAL_SIZES = (8, 32, 128, 275, 550, 1100)
 VIRTUAL_SMALL = (5, 10, 20, 40)
 CHANGES, SMALL_CHANGES, VIRTUAL_CHANGES = 6, 2, 2
-PAUSE = 0.5  # s between two
-PATIENCE = 30.0  # s for one to be over
-POLL = 0.05  # s between two looks at its phase
+PAUSE = 0.5  # s between two changes
+PATIENCE = 30.0  # s until a change must have ended
+POLL = 0.05  # s between two checks of a change's phase
 TEXT = b"[classes.lookup]\naim-ms = %d\n"
-AIM = 600  # ms, of the first version; each further one has one more
+AIM = 600  # ms, of the first version; each later version adds 1 ms, so that it differs
 SEED = 20
 MODES: tuple[PartitionMode, ...] = ("serve", "hold")
 
 
 def make(fleet: HollowFleet, number: int) -> tuple[float, str]:
-    """One change; when it was first proposed (monotonic) and the phase that it ended in."""
+    """Make one change; returns its first proposal's monotonic time and the phase in which the change ended."""
     begun = time.monotonic()
     while True:
         try:
             version = fleet.propose(TEXT % (AIM + number), "a scale test")
             break
-        except HollowFleetError:  # nobody leads just now: an operator tries again
+        except HollowFleetError:  # no leader at the moment: retry as an operator would
             if time.monotonic() - begun > PATIENCE:
                 raise
             time.sleep(POLL)
@@ -55,7 +55,7 @@
 def one(
     size: int, changes: int, members_a_host: int = control.MEMBERS_A_HOST
 ) -> tuple[list[float], dict[str, list[float]], float]:
-    """Seconds until each change was in force everywhere, what each role spent on one, and the share in force."""
+    """Seconds until each change was in force at all members, cost of a change by role, share of changes in force."""
     try:
         with HollowFleet(size, control.VOTERS, members_a_host=members_a_host) as fleet:
             fleet.start(control.START_LIMIT)
@@ -85,7 +85,7 @@
 
 
 def measure(options: Options) -> Measured:
-    """Measure at each size, on real sockets."""
+    """Measure changes at each size, on real sockets."""
     sizes, changes = (SMALL, SMALL_CHANGES) if options.small else (SIZES, CHANGES)
     rows = [one(size, changes) for size in sizes]
     columns: list[tuple[str, str, list[float]]] = [
@@ -106,7 +106,7 @@
 
 
 def measure_virtual(mode: PartitionMode, options: Options) -> Measured:
-    """Measure one mode at each size, in virtual time."""
+    """Measure changes in one partition mode at each size, in virtual time."""
     sizes = VIRTUAL_SMALL if options.small else VIRTUAL_SIZES
     series = []
     found = [trials.sized(trials.shape(1, size, mode), VIRTUAL_CHANGES, SEED, 0.0)[0] for size in sizes]
@@ -126,10 +126,10 @@
 
 
 def measure_serve(options: Options) -> Measured:
-    """Members that serve on when they are cut off."""
+    """Measure members that go on serving when they are cut off."""
     return measure_virtual("serve", options)
 
 
 def measure_hold(options: Options) -> Measured:
-    """Members that decide under a permit."""
+    """Measure members that decide only while they hold a permit."""
     return measure_virtual("hold", options)
--- a/benchmarks/capacity/clients.py
+++ b/benchmarks/capacity/clients.py
@@ -1,4 +1,4 @@
-"""What a client at rest holds of a real gateway, and what it costs when all come again within some seconds."""
+"""Resources that an idle client occupies in a real gateway, and the cost of all clients reconnecting at once."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 SIZES = (500, 1000, 2000, 4000, 9000)
 SMALL = (25, 50, 100, 200, 400)
 ENGINES = 8
-HEADROOM = 4  # times the clients: descriptors that the gateway's settings allow, as clients get a third
-SETTLE = 1.0  # s after the last login until memory is read
-SOURCES = 8  # loopback addresses that clients connect from
-LIMIT = 10.0  # s that a client waits for an answer
+HEADROOM = 4  # descriptors in the gateway's settings per client; clients may use a third of them
+SETTLE = 1.0  # s from the last login to the reading of memory
+SOURCES = 8  # loopback addresses from which clients connect
+LIMIT = 10.0  # s that a client waits for a connection or an answer
 LOGIN = packets.packet(1, (0xA20D).to_bytes(4, "little") + bytes(28) + b"app\0\0reports\0")
 PING = packets.packet(0, b"\x0e")
 
 
 def _connect(address: tuple[str, int], number: int) -> socket.socket:
-    """A client that has logged in and has had a ping answered: from then on it rests."""
+    """Connect a client, log it in and have a ping answered; the client is idle from then on."""
     sock = socket.create_connection(address, LIMIT, source_address=(f"127.0.0.{2 + number % SOURCES}", 0))
     sock.sendall(LOGIN + PING)
     parser, answers = packets.Parser(), 0
-    while answers < 3:  # the greeting, and two answers
+    while answers < 3:  # the greeting, the answers to the login and to the ping
         data = sock.recv(4096)
         if not data:
-            raise CapacityError(f"client {number} was turned away: the gateway has no descriptor for it")
+            raise CapacityError(f"the gateway closed the connection of client {number}: it has no free descriptor")
         parser.feed(data)
         while parser.next() is not None:
             answers += 1
@@ -39,7 +39,7 @@
 
 
 def _one(size: int) -> tuple[float, float, int, int]:
-    """Bytes a client, processor us of a connect and login, descriptors and threads that they added."""
+    """Memory (bytes) and processor time (us) per client, and the descriptors and threads that all clients added."""
     engines = Engines(ENGINES)
     with GatewayProcess(engines, sockets=HEADROOM * size + 256) as gateway:
         warm = [_connect(gateway.address, number) for number in range(20)]
@@ -59,7 +59,7 @@
 
 
 def measure(options: Options) -> Measured:
-    """Measure at each size."""
+    """Measure clients at each size."""
     sizes = SMALL if options.small else SIZES
     rows = [_one(size) for size in sizes]
     names = ("memory", "connect, login and ping", "descriptors", "threads")
--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -1,4 +1,4 @@
-"""Control at rest: what each role of a fleet spends when nobody changes anything, by members."""
+"""Cost of the control plane of an idle fleet, by role and number of members."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 SMALL = (8, 12)
 VOTERS = 5
 MEMBERS_A_HOST = 12
-SECONDS, SMALL_SECONDS = 8.0, 2.0  # that are measured, after all gates are open
-SETTLE = 3.0  # s before that
-START_LIMIT = 120.0  # s for all gates to open
+SECONDS, SMALL_SECONDS = 8.0, 2.0  # of measurement, after all gates are open
+SETTLE = 3.0  # s between the opening of the gates and the measurement
+START_LIMIT = 120.0  # s until all gates must be open
 ROLES = ("learner", "voter", "leader")
 QUANTITIES = (
     ("processor time", "% of a core"),
@@ -31,7 +31,7 @@
 
 
 def roles(fleet: HollowFleet, before: FleetMetrics, after: FleetMetrics) -> dict[str, list[float]]:
-    """What a member of each role spent between two looks, by quantity; means over the members of that role."""
+    """Mean cost of a member of each role between two readings, in the order of `QUANTITIES`."""
     leader, seconds = after.leader(), after.at - before.at
     sums: dict[str, list[float]] = {role: [0.0] * len(QUANTITIES) for role in ROLES}
     counts = dict.fromkeys(ROLES, 0)
@@ -53,7 +53,7 @@
 
 
 def one(size: int, seconds: float, members_a_host: int = MEMBERS_A_HOST) -> dict[str, list[float]]:
-    """A fleet of that size at rest. CapacityError where the machine can't carry it."""
+    """Measure an idle fleet of `size` members; raises CapacityError if the machine can't run it."""
     try:
         with HollowFleet(size, VOTERS, members_a_host=members_a_host) as fleet:
             fleet.start(START_LIMIT)
@@ -66,7 +66,7 @@
 
 
 def measure(options: Options) -> Measured:
-    """Measure at each size."""
+    """Measure idle fleets of each size."""
     sizes = SMALL if options.small else SIZES
     rows = [one(size, SMALL_SECONDS if options.small else SECONDS) for size in sizes]
     series = []
--- a/benchmarks/capacity/day.py
+++ b/benchmarks/capacity/day.py
@@ -1,4 +1,4 @@
-"""Changes while members restart: one change in 16 s, and restarts as often as ten days of 1,100 gateways see them."""
+"""Changes of the rules while members restart: a change every 16 s, and ten times the restarts of 1,100 gateways."""
 
 from __future__ import annotations
 
@@ -16,24 +16,26 @@
 NAMES: dict[PartitionMode, str] = {"serve": "day-serve", "hold": "day-hold"}
 SUMMARY = "changes each 16 s while members restart each 7.2 s, then the leader's loss; lost-touch {}"
 SIZE, SMALL_SIZE = 96, 12
-SINGLES, SMALL_SINGLES = 8, 2  # learners that restart, each in a process of its own
-CHANGE_EVERY, SMALL_CHANGE_EVERY = 16.0, 3.0  # s
-RESTART_EVERY = 86_400 / (1200 * 10)  # s between two restarts: ten times the day's rate of the whole fleet
-AWAY = 1.0  # s between the end of a member and its start
-SECONDS, SMALL_SECONDS = 192.0, 9.0
-SERVED_LIMIT = 30.0  # s until a fleet that has lost its leader has another
-POLL = 0.05
+SINGLES, SMALL_SINGLES = 8, 2  # learners that restart; each has a process of its own
+CHANGE_EVERY, SMALL_CHANGE_EVERY = 16.0, 3.0  # s between two changes
+RESTART_EVERY = 86_400 / (1200 * 10)  # s between two restarts: ten times the 1,200 a day of the whole fleet
+AWAY = 1.0  # s from the kill of a member to its restart
+SECONDS, SMALL_SECONDS = 192.0, 9.0  # of changes and restarts
+SERVED_LIMIT = 30.0  # s until a new leader must take a proposal after the old one was killed
+POLL = 0.05  # s between two proposals to a fleet without a leader
 
 
 @dataclass
 class Found:
-    """One mode."""
+    """What was measured in one partition mode."""
 
-    everywhere: list[float] = field(default_factory=list)  # s until in force at all that were there all the time
+    everywhere: list[float] = field(
+        default_factory=list
+    )  # s until a change was in force at all members that did not restart
     phases: list[str] = field(default_factory=list)
     restarts: int = 0
-    fault: str = ""  # of a member that did not come back
-    failover: float = 0.0  # s from the leader's end until another leads and has taken a proposal
+    fault: str = ""  # why a member did not come back after its restart; empty if all did
+    failover: float = 0.0  # s from the leader's kill until a new leader has taken a proposal
 
 
 def _restart(fleet: HollowFleet, stopped: threading.Event, found: Found) -> None:
@@ -52,7 +54,7 @@
 
 
 def one(mode: PartitionMode, size: int, singles: int, seconds: float, every: float) -> Found:
-    """One mode at one size. CapacityError where the machine can't carry it."""
+    """Measure one mode at one size; raises CapacityError if the machine can't run it."""
     found = Found()
     try:
         with HollowFleet(size, control.VOTERS, mode, control.MEMBERS_A_HOST, singles=singles) as fleet:
@@ -71,19 +73,21 @@
             stopped.set()
             restarting.join()
             if found.fault:
-                raise CapacityError(f"a member did not come back: {found.fault}")
+                raise CapacityError(f"a member did not come back after its restart: {found.fault}")
             after = fleet.metrics()
             for number, (at, phase) in enumerate(begun, 1):
                 times = after.in_force(number)
                 if phase == "active":
                     late = staying - times.keys()
                     if late:
-                        raise CapacityError(f"{mode}: version {number} never came in force at {len(late)} members")
+                        raise CapacityError(
+                            f"{mode}: version {number} did not come into force at {len(late)} of {len(staying)} members"
+                        )
                     found.everywhere.append(max(times[name] for name in staying) - at)
             found.failover = _lose_leader(fleet)
         return found
     except (FleetTooLargeError, HollowFleetError) as error:
-        raise CapacityError(f"a day of {size} members, {mode}: {error}") from None
+        raise CapacityError(f"changes and restarts at {size} members, {mode}: {error}") from None
 
 
 def _lose_leader(fleet: HollowFleet) -> float:
@@ -101,7 +105,7 @@
 
 
 def measure(mode: PartitionMode, options: Options) -> Measured:
-    """One mode."""
+    """Measure one partition mode."""
     size, singles = (SMALL_SIZE, SMALL_SINGLES) if options.small else (SIZE, SINGLES)
     seconds, every = (SMALL_SECONDS, SMALL_CHANGE_EVERY) if options.small else (SECONDS, CHANGE_EVERY)
     found = one(mode, size, singles, seconds, every)
@@ -119,10 +123,10 @@
 
 
 def measure_serve(options: Options) -> Measured:
-    """Members that serve on when they are cut off."""
+    """Measure members that go on serving when they are cut off."""
     return measure("serve", options)
 
 
 def measure_hold(options: Options) -> Measured:
-    """Members that decide under a permit."""
+    """Measure members that decide only while they hold a permit."""
     return measure("hold", options)
--- a/benchmarks/capacity/decision.py
+++ b/benchmarks/capacity/decision.py
@@ -1,4 +1,4 @@
-"""The decision module alone, by the number of engines in its list: a request, a list change, a rebuild."""
+"""Processor time of the decision module alone for a request, a list change and a rebuild, by number of engines."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def measure(options: Options) -> Measured:
-    """Measure at each size."""
+    """Measure the decision module at each number of engines."""
     sizes = SMALL if options.small else SIZES
     found = [engines.measure(size, options.small) for size in sizes]
     series = []
--- a/benchmarks/capacity/fitting.py
+++ b/benchmarks/capacity/fitting.py
@@ -1,4 +1,4 @@
-"""Least squares over the usual terms of growth, and the one that fits best; pure."""
+"""Fits measured costs to common growth terms by least squares and selects the best fit; no I/O."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from benchmarks.capacity.records import Fit, Point
 
-LEAST_SIZES = 4  # of a fit, the one left out among them
-NEAR_BEST = 1.1  # times the least residual within which the slower growth is taken
+LEAST_SIZES = 4  # of points for a fit, the held-out one included
+NEAR_BEST = 1.1  # the slowest growth within this factor of the least residual is taken
 
-TERMS: dict[str, Callable[[float], float]] = {  # from the slowest growth to the quickest
+TERMS: dict[str, Callable[[float], float]] = {  # from the slowest to the fastest growth
     "constant": lambda size: 0.0,
     "linear": lambda size: size,
     "n log n": lambda size: size * math.log2(max(size, 2.0)),
@@ -21,9 +21,9 @@
 
 
 def fit(points: Sequence[Point]) -> Fit | None:
-    """The best fit of all points but the one of the largest size, which it is compared with.
+    """The best fit of all points except that of the largest size, which is held out to check the fit.
 
-    Squares of relative errors are summed, as sizes span orders of magnitude. None for fewer than LEAST_SIZES points.
+    Minimizes relative errors, as values span orders of magnitude. None for fewer than LEAST_SIZES points.
     """
     if len(points) < LEAST_SIZES:
         return None
@@ -34,8 +34,8 @@
     return next(one for one in found if one.residual <= NEAR_BEST * least + 1e-12)
 
 
-def foretell(found: Fit, size: float) -> float:
-    """What a fit gives at a size."""
+def predict(found: Fit, size: float) -> float:
+    """The value that a fit predicts at a size."""
     return found.constant + found.factor * TERMS[found.term](size)
 
 
@@ -50,5 +50,5 @@
     constant, factor = float(solution[0]), float(solution[1]) if term != "constant" else 0.0
     errors = (matrix @ solution - values) * weights
     residual = float(np.sqrt(np.mean(errors**2)))
-    foretold = constant + factor * TERMS[term](last.size)
-    return Fit(term, constant, factor, residual, last.size, last.value, foretold)
+    predicted = constant + factor * TERMS[term](last.size)
+    return Fit(term, constant, factor, residual, last.size, last.value, predicted)
--- a/benchmarks/capacity/gateway_process.py
+++ b/benchmarks/capacity/gateway_process.py
@@ -1,4 +1,4 @@
-"""One real gateway as a process, with any number of engines that one listener plays."""
+"""One real gateway process, with any number of stand-in engines served by one thread."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 ROOT = Path(__file__).parent.parent.parent
 PAGE = b"1\t2\t3\n"
 REPORT = b"sheets=1,rep=queue:0;inflight:3"
-LOOK = 0.1  # s between two looks at whether the stand-ins are to end
+POLL = 0.1  # s between two checks whether the stand-in engines are to stop
 READ_SIZE = 64 * 1024
 
 
 class Engines:
-    """So many engines, each listening at an address of its own; all answer every attempt as it comes."""
+    """Stand-in engines, each listening at an address of its own, that answer every attempt at once."""
 
     def __init__(self, count: int) -> None:
-        self.accepted = 0  # connections so far
+        self.accepted = 0  # connections accepted so far
         self._select = selectors.DefaultSelector()
         self._listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
         for listener in self._listeners:
@@ -42,12 +42,12 @@
         self._thread.start()
 
     def members(self) -> list[dict[str, Any]]:
-        """Their entries in the coordinator's list."""
+        """The engines' entries in the coordinator's list."""
         addresses = [listener.getsockname() for listener in self._listeners]
         return [member(f"s-{number}", f"{host}:{port}") for number, (host, port) in enumerate(addresses)]
 
     def close(self) -> None:
-        """End them."""
+        """Stop the engines' thread and close all sockets."""
         self._stopped.set()
         self._thread.join()
         for sock in [*self._listeners, *self._parsers]:
@@ -56,7 +56,7 @@
 
     def _run(self) -> None:
         while not self._stopped.is_set():
-            for key, _ in self._select.select(LOOK):
+            for key, _ in self._select.select(POLL):
                 sock = key.fileobj
                 assert isinstance(sock, socket.socket)
                 if sock in self._parsers:
@@ -89,10 +89,10 @@
 
 
 class GatewayProcess:
-    """The program as it is deployed (-O), in a folder of its own; used as a context, it ends with it."""
+    """The gateway as deployed (-O), in a folder of its own; the context manager kills it at its end."""
 
     def __init__(self, engines: Engines, sockets: int = 1024, gateways: int = 1) -> None:
-        """All engines are in its list; gateways is how many the fleet has, by its settings."""
+        """Start a gateway whose list holds all `engines` and whose settings name `gateways` as the fleet's size."""
         self._folder = tempfile.TemporaryDirectory(prefix="tealwing-capacity-")
         path = Path(self._folder.name) / "config.json"
         config = {
@@ -116,7 +116,7 @@
             if found["event"] == "started":
                 host, port = found["listen"]
                 return host, port
-        raise CapacityError("the gateway did not start; its log on standard error says why")
+        raise CapacityError("the gateway ended before it started; its log on standard error says why")
 
     def _drain_log(self) -> None:
         assert self._process.stdout is not None
@@ -134,36 +134,38 @@
         self._folder.cleanup()
 
     def processor_seconds(self) -> float:
-        """Processor time of all its threads so far, by the scheduler's own books."""
+        """Processor time of all its threads so far, from the scheduler's statistics (schedstat)."""
         tasks = Path(f"/proc/{self._process.pid}/task").iterdir()
         return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / 1e9
 
     def resident_kilobytes(self) -> int:
-        """Memory in use (RSS)."""
+        """Resident memory (RSS) in KB."""
         status = Path(f"/proc/{self._process.pid}/status").read_text()
         return int(status.partition("VmRSS:")[2].split()[0])
 
     def descriptors(self) -> int:
-        """Open descriptors."""
+        """Number of open file descriptors."""
         return len(os.listdir(f"/proc/{self._process.pid}/fd"))
 
     def threads(self) -> int:
-        """Threads that are alive."""
+        """Number of live threads."""
         return len(os.listdir(f"/proc/{self._process.pid}/task"))
 
     def statements(self, client: Client, count: int) -> float:
-        """Processor seconds of so many statements, one after another."""
+        """Send `count` statements one after another; returns the gateway's processor seconds for them."""
         begun = self.processor_seconds()
         for _ in range(count):
             self.calls += 1
             client.ask(call=f"{self.calls:016x}")
             if client.read()[:1] == b"\xff":
-                raise CapacityError("a statement was refused: the stand-in engines are too slow for this machine")
-            _rest_of_rows(client)
+                raise CapacityError(
+                    f"statement {self.calls} was refused: the stand-in engines answer too slowly on this machine"
+                )
+            _skip_result_set(client)
         return self.processor_seconds() - begun
 
 
-def _rest_of_rows(client: Client) -> None:
+def _skip_result_set(client: Client) -> None:
     ends = 0
     while ends < 2:
         ends += client.read() == packets.eof()
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,4 @@
-"""Writes the tables of docs/CAPACITY.md from the committed runs, and tells where page and runs differ.
+"""Generates the tables of docs/CAPACITY.md from the committed runs and detects tables that differ from the runs.
 
     python -m benchmarks.capacity.page
 
@@ -25,25 +25,25 @@
 
 
 def runs() -> dict[str, Run]:
-    """The committed runs by file name."""
+    """The committed runs by file name without its ending."""
     return {path.stem: msgspec.json.decode(path.read_bytes(), type=Run) for path in sorted(RUNS.glob("*.json"))}
 
 
 def slopes(found: dict[str, Run]) -> Iterator[tuple[str, Measured]]:
-    """All slopes of the runs, each with its run's name."""
+    """All slopes of all runs, each with the name of its run."""
     for name, run in found.items():
         for measured in run.slopes:
             yield name, measured
 
 
 def table(name: str, found: dict[str, Run]) -> str:
-    """A table's text; KeyError for a name that is none."""
+    """The Markdown text of a table; raises KeyError for an unknown table name."""
     makers = {"runs": _runs, "slopes": _slopes, "roles": _roles, "ranking": _ranking, "calibration": _calibration}
     return makers[name](found)
 
 
 def differences() -> list[str]:
-    """Names of the tables that are not what the runs give; also those that have gone from the page."""
+    """Names of the tables that differ from the runs or are missing from the page."""
     text, found = PAGE.read_text(), runs()
     there = {match[2]: match[3] for match in _TABLE.finditer(text)}
     wanted = {"runs", "slopes", "roles", "ranking", "calibration"}
@@ -51,7 +51,7 @@
 
 
 def write() -> None:
-    """Put the tables into the page."""
+    """Replace all tables of the page with those generated from the runs."""
     found = runs()
     PAGE.write_text(_TABLE.sub(lambda match: match[1] + table(match[2], found) + match[4], PAGE.read_text()))
 
--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -1,10 +1,10 @@
-"""What a scale test measures, and how it is written: typed records, encoded as JSON by msgspec."""
+"""Records of the scale tests' measurements, encoded as JSON by msgspec."""
 
 from __future__ import annotations
 
 import msgspec
 
-BENT_OVER = 0.15  # relative error at the size left out of the fit, beyond which a slope is not extrapolated
+BENT_OVER = 0.15  # relative error at the held-out size beyond which a slope is not extrapolated
 
 
 class Point(msgspec.Struct, frozen=True):
@@ -15,50 +15,50 @@
 
 
 class Fit(msgspec.Struct, frozen=True):
-    """Least squares of `constant + factor * term(size)` over all sizes but the last."""
+    """A least-squares fit of `constant + factor * term(size)` over all sizes except the largest."""
 
     term: str  # constant, linear, n log n, n squared
     constant: float
     factor: float
-    residual: float  # root of the mean squared relative error over the sizes of the fit
+    residual: float  # root mean square of the relative errors over the fitted sizes
     held_out_size: int
     held_out_measured: float
     held_out_foretold: float
 
     @property
     def held_out_error(self) -> float:
-        """Relative error of what the fit foretells at the size that was left out; absolute where that measured 0."""
+        """Relative error of the prediction at the held-out size; the absolute error if the measured value is 0."""
         if not self.held_out_measured:
             return self.held_out_foretold
         return (self.held_out_foretold - self.held_out_measured) / self.held_out_measured
 
     @property
     def bent(self) -> bool:
-        """Whether the slope misses the size left out by more than it may: it is not extrapolated."""
+        """Whether the error at the held-out size exceeds BENT_OVER, so that the slope must not be extrapolated."""
         return abs(self.held_out_error) > BENT_OVER
 
 
 class Series(msgspec.Struct, frozen=True):
-    """One quantity over the sizes of a slope."""
+    """One measured quantity over the sizes of a slope."""
 
     name: str
     unit: str
     points: tuple[Point, ...]
-    fit: Fit | None  # None where there are too few sizes for one
+    fit: Fit | None  # None if there are too few sizes
 
 
 class Measured(msgspec.Struct, frozen=True):
-    """One slope as it was measured by one run."""
+    """One slope as measured by one run."""
 
     slope: str
-    of: str  # what the sizes count: engines, members, connections
+    of: str  # what a size counts: engines, members, connections
     sizes: tuple[int, ...]
     series: tuple[Series, ...]
     notes: tuple[str, ...] = ()
 
 
 class Run(msgspec.Struct, frozen=True):
-    """One run of the command."""
+    """One run of `python -m benchmarks.capacity`."""
 
     commit: str
     dirty: bool
@@ -66,16 +66,16 @@
     small: bool
     processors: int
     reference_us: float  # processor time of the reference loop on this machine, at the start
-    reference_us_after: float  # the same at the end: how far the machine's speed moved meanwhile
+    reference_us_after: float  # the same at the end, to show a change of the machine's speed during the run
     slopes: tuple[Measured, ...]
 
 
 class Options(msgspec.Struct, frozen=True):
-    """What a slope is told by the command."""
+    """Command-line options that a slope's measurement takes."""
 
     seed: int = 1
     small: bool = False
 
 
 class CapacityError(Exception):
-    """A scale test can't run as it was asked to; the text says what to do."""
+    """A scale test can't run as requested; the text names the cause."""
--- a/benchmarks/capacity/reference.py
+++ b/benchmarks/capacity/reference.py
@@ -1,4 +1,4 @@
-"""A fixed loop whose processor time tells how fast the machine is: absolute times are compared by it."""
+"""A fixed loop whose processor time measures the machine's speed, to compare absolute times between machines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def reference_us() -> float:
-    """Processor time in microseconds of one round of the loop; the best of some."""
+    """Processor time in microseconds of one round of the loop; the least of ROUNDS."""
     _one()
     return min(_one() for _ in range(ROUNDS))
 
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -1,4 +1,4 @@
-"""All slopes, by name, in the order in which they run."""
+"""All scale tests (slopes) by name, in the order in which they run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """One scale test."""
+    """One scale test: its name, its summary for `--list` and its measurement."""
 
     name: str
     summary: str
@@ -34,7 +34,7 @@
 
 
 def named(names: list[str]) -> list[Slope]:
-    """The slopes of these names, all without any; CapacityError where one is unknown."""
+    """The slopes of these names, or all if `names` is empty; raises CapacityError if one is unknown."""
     unknown = [name for name in names if name not in SLOPES]
     if unknown:
         raise CapacityError(f"no slope {', '.join(unknown)}; there are: {', '.join(SLOPES)}")
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -1,62 +1,67 @@
-"""What each role needs at the coming size, from the slopes; against the operators' limits. Pure."""
+"""Each role's needs at the planned fleet size, derived from the slopes, against the operators' limits; no I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from benchmarks.capacity.fitting import foretell
+from benchmarks.capacity.fitting import predict
 from benchmarks.capacity.records import Measured, Series
 from tealwing import config, descriptors
 from tealwing.peers import section
 from tealwing.peers.plan import LinkTimes
 from tealwing.replica.raft import Options
 
-# The operators' figures
-GATEWAYS, ENGINES, CLIENTS, STATEMENTS = 1100, 2100, 9000, 1091.0  # clients and statements a second of one gateway
-MEMBERS = GATEWAYS + 5  # with the voters, on machines of their own
-CONTROL_PERCENT, CONTROL_MB, CONTROL_BYTES = 1.8, 128.0, 4096.0  # of a gateway, for control
-EVERYWHERE_S, PRIMARY_S = 14.0, 9.0  # a change in force, and a change of primary over, within
-SOCKETS, MEMORY_MB = 1024, 192.0  # the most that the platform gives a gateway
+# Planned fleet and limits, given by the operators
+GATEWAYS, ENGINES, CLIENTS, STATEMENTS = (
+    1100,
+    2100,
+    9000,
+    1091.0,
+)  # clients, and statements a second, are those of one gateway
+MEMBERS = GATEWAYS + 5  # the gateways and five voters on machines of their own
+CONTROL_PERCENT, CONTROL_MB, CONTROL_BYTES = 1.8, 128.0, 4096.0  # limits for control in one gateway
+EVERYWHERE_S, PRIMARY_S = 14.0, 9.0  # s until a change must be in force everywhere; s a change of leader may take
+SOCKETS, MEMORY_MB = 1024, 192.0  # file descriptors and memory that the platform grants a gateway
 CHANGES_A_DAY, RESTARTS_A_DAY, FAILURES_A_DAY, DAY = 5400, 1200, 7, 86_400.0
-# Assumed, as nothing here measures them
-STATEMENT_S = 0.3  # s that a statement takes at its engine: the mean of the site's classes
-RESTART_S, REPLACE_S = 10.0, 300.0  # s until a restarted gateway, or a machine in place of one that failed, is back
-ENGINE_CAP = 410 * 8  # connections of the smallest engine, by the site's file
+# Assumptions: no scale test measures these
+STATEMENT_S = 0.3  # s that an engine takes for a statement: the mean of the site's classes
+RESTART_S, REPLACE_S = 10.0, 300.0  # s until a restarted gateway, or the replacement of a failed machine, serves
+ENGINE_CAP = 410 * 8  # connections that the smallest engine accepts, by the site's file
 
 Slopes = Sequence[tuple[str, Measured]]
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One need against one limit; more is worse."""
+    """One need of a role and its limit, in the same unit; less need is better."""
 
     role: str
     quantity: str
     need: float
     limit: float
     unit: str
-    basis: str  # measured at N; slope, measured to N; worked out; assumed, and from what
-    mechanism: str  # what carries it, with its file
-    answer: str = ""  # for rows that don't hold: mechanisms weighed, in the order in which they are needed
-    is_refused: bool = False  # over the limit it is refused outright, not only dear
+    basis: str  # where the need comes from: measured at N; slope, measured to N; worked out; assumed
+    mechanism: str  # the part of the program that meets the need, with its file
+    answer: str = ""  # for needs over the limit: mechanisms considered, in the order in which they are needed
+    is_refused: bool = False  # whether a need over the limit is refused outright, not merely expensive
     run: str = ""
 
     @property
     def factor(self) -> float:
-        """Limit over need: under 1 it does not hold."""
+        """Limit divided by need: below 1 the need exceeds the limit."""
         return self.limit / self.need if self.need else float("inf")
 
     def at_size(self) -> str:
-        """The need as text."""
+        """The need with its unit, as text."""
         return f"{self.need:,.4g} {self.unit}"
 
     def limit_text(self) -> str:
-        """The limit as text."""
+        """The limit with its unit, as text."""
         return f"{self.limit:,.4g} {self.unit}"
 
     def margin(self) -> str:
-        """The margin as text."""
+        """The factor as text, marked if the need exceeds the limit."""
         return f"{self.factor:.2f}" + ("" if self.factor >= 1 else " **does not hold**")
 
 
@@ -67,28 +72,29 @@
 
 
 def value_at(series: Series, size: int, constant_if_bent: bool = False) -> tuple[float, str]:
-    """A quantity at a size, and whether it was measured there, is foretold by its slope, or assumed beyond a bend.
+    """A quantity at a size, and its basis: measured there, predicted by the slope, or assumed as the slope is bent.
 
-    constant_if_bent: what makes it up does not grow, so that beyond a bend it is assumed to stay as it was last.
+    constant_if_bent: assume the last value, not linear growth, if the slope is bent; for quantities whose parts don't
+    grow with the size.
     """
     for point in series.points:
         if point.size == size:
             return point.value, f"measured at {size:,}"
     last = max(series.points, key=lambda point: point.size)
     if series.fit is not None and not series.fit.bent:
-        return foretell(series.fit, size), f"slope, measured to {last.size:,}"
+        return predict(series.fit, size), f"slope, measured to {last.size:,}"
     if constant_if_bent:
         return last.value, f"assumed constant from {last.size:,}: the slope is bent, and its links don't grow"
     return last.value * size / last.size, f"assumed linear from {last.size:,}: the slope is bent"
 
 
 def roles(found: Slopes) -> list[Row]:
-    """All rows."""
+    """The rows of all roles."""
     return [*_gateway(found), *_control(found), *_changes(found), *_others(found)]
 
 
 def ranking(found: Slopes) -> list[Row]:
-    """Rows that don't hold: what is refused outright first, then by limit over need."""
+    """Rows whose need exceeds the limit: those refused outright first, then by ascending factor."""
     return sorted((row for row in roles(found) if row.factor < 1), key=lambda row: (not row.is_refused, row.factor))
 
 
@@ -156,7 +162,7 @@
 
 
 def _by_message(found: Slopes, role: str, messages: float) -> tuple[float, int]:
-    """Processor time in % of a core of a role that sends so many messages a second, and the size it comes from."""
+    """Processor time (% of a core) of a role at `messages` sent a second, and the size it is scaled from."""
     spent = max(_series(found, "control", f"{role}: processor time")[1].points, key=lambda point: point.size)
     sent = max(_series(found, "control", f"{role}: messages sent")[1].points, key=lambda point: point.size)
     return spent.value / sent.value * messages, spent.size
--- a/benchmarks/capacity/statement.py
+++ b/benchmarks/capacity/statement.py
@@ -1,4 +1,4 @@
-"""Processor time of one statement all the way through a real gateway, by the engines in its list."""
+"""Processor time of one statement through a real gateway process, by the number of engines in its list."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 SUMMARY = "processor time of one statement through a real gateway process, by the engines in its list"
 SIZES = (8, 32, 128, 512, 1024, 2100)
 SMALL = (8, 16, 32, 64, 128)
-BLOCKS, BLOCK = 9, 60  # of statements; the median block counts
+BLOCKS, BLOCK = 9, 60  # statements are sent in blocks; the median block counts
 SMALL_BLOCKS, SMALL_BLOCK = 3, 15
-PEERS = 1100  # gateways that the settings tell of
+PEERS = 1100  # gateways of the fleet by the settings
 
 
 def measure(options: Options) -> Measured:
-    """Measure at each size."""
+    """Measure statements at each number of engines."""
     sizes = SMALL if options.small else SIZES
     blocks, block = (SMALL_BLOCKS, SMALL_BLOCK) if options.small else (BLOCKS, BLOCK)
     times, connections = [], []
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The scale tests: their fits, their command, and a small run of each; and the page that is made from them."""
+"""Tests of the scale tests: fits, command line and a small run of every slope."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 
 
 @pytest.mark.parametrize("term", fitting.TERMS)
-def test_each_term_is_recognised_and_foretells_the_size_left_out(term: str) -> None:
+def test_fit_identifies_growth_term_and_predicts_held_out_size(term: str) -> None:
     points = [Point(size, 100.0 + 3.0 * fitting.TERMS[term](size)) for size in SIZES]
     found = fitting.fit(points)
     assert found is not None and found.term == term
     assert found.held_out_size == 4096 and abs(found.held_out_error) < 1e-6 and not found.bent
-    assert fitting.foretell(found, 1000) == pytest.approx(100.0 + 3.0 * fitting.TERMS[term](1000))
+    assert fitting.predict(found, 1000) == pytest.approx(100.0 + 3.0 * fitting.TERMS[term](1000))
 
 
-def test_a_slope_that_bends_at_its_end_is_called_so() -> None:
+def test_slope_that_bends_at_largest_size_is_marked_bent() -> None:
     points = [Point(size, 10.0 + size) for size in SIZES[:-1]] + [Point(4096, 8000.0)]
     found = fitting.fit(points)
     assert found is not None and found.term == "linear" and found.bent
     assert found.held_out_error == pytest.approx((10.0 + 4096 - 8000) / 8000, rel=1e-3)
 
 
-def test_a_quantity_that_is_nothing_at_every_size_has_a_fit_that_says_so() -> None:
+def test_quantity_of_zero_at_every_size_fits_a_constant_without_error() -> None:
     found = fitting.fit([Point(size, 0.0) for size in SIZES])
     assert found is not None and found.term == "constant" and found.held_out_error == 0 and not found.bent
 
 
-def test_too_few_sizes_have_no_fit() -> None:
+def test_fit_of_too_few_sizes_is_none() -> None:
     assert fitting.fit([Point(size, 1.0) for size in (1, 2, 3)]) is None
 
 
@@ -58,9 +58,9 @@
     )
 
 
-def test_the_list_names_every_slope_and_an_unknown_one_is_turned_down() -> None:
-    told = command("--list")
-    assert told.returncode == 0 and [line.split()[0] for line in told.stdout.splitlines()] == list(SLOPES)
+def test_list_names_all_slopes_and_unknown_slope_is_rejected() -> None:
+    completed = command("--list")
+    assert completed.returncode == 0 and [line.split()[0] for line in completed.stdout.splitlines()] == list(SLOPES)
     wrong = command("decision", "nonsense")
     assert wrong.returncode == 2 and "no slope nonsense" in wrong.stderr and "decision" in wrong.stderr
     with pytest.raises(CapacityError):
@@ -68,9 +68,9 @@
 
 
 @pytest.mark.trial
-def test_a_small_run_of_all_slopes_writes_its_raw_points(tmp_path: Path) -> None:
-    told = command("--small", "--seed", "7", "--json", str(tmp_path / "run.json"))
-    assert told.returncode == 0, told.stderr
+def test_small_run_writes_raw_points_of_all_slopes(tmp_path: Path) -> None:
+    completed = command("--small", "--seed", "7", "--json", str(tmp_path / "run.json"))
+    assert completed.returncode == 0, completed.stderr
     run = msgspec.json.decode((tmp_path / "run.json").read_bytes(), type=Run)
     assert run.seed == 7 and run.small and run.reference_us > 0
     assert [slope.slope for slope in run.slopes] == list(SLOPES)
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""The page on capacity says what the committed runs of the scale tests give, and a changed run is noticed."""
+"""Tests that the capacity page matches the committed runs of the scale tests and that a difference is detected."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from benchmarks.capacity import page, rows
 
 
-def test_the_page_has_the_tables_that_the_committed_runs_give() -> None:
+def test_page_tables_match_committed_runs() -> None:
     assert page.differences() == []
 
 
-def test_a_page_that_says_something_else_is_noticed(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_page_that_differs_from_runs_is_detected(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     text = page.PAGE.read_text()
     other = tmp_path / "CAPACITY.md"
     other.write_text(text.replace("| learner |", "| a learner |"))
@@ -23,7 +23,7 @@
     assert other.read_text() == text
 
 
-def test_rows_are_ranked_by_what_is_refused_and_then_by_how_far_they_are_over() -> None:
+def test_ranking_lists_refused_needs_first_then_ascending_factor() -> None:
     ranked = rows.ranking(list(page.slopes(page.runs())))
     assert ranked and all(row.factor < 1 and row.answer for row in ranked)
     assert [(not row.is_refused, row.factor) for row in ranked] == sorted(
@@ -31,7 +31,7 @@
     )
 
 
-def test_every_row_says_on_what_it_rests_and_points_at_a_run_that_is_there() -> None:
+def test_every_row_has_a_basis_and_names_an_existing_run() -> None:
     found = page.runs()
     for row in rows.roles(list(page.slopes(found))):
         assert row.basis and row.mechanism
