--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -1,4 +1,4 @@
-"""The model check of the replicated log's core: states, time, and what mutations are found.
+"""Model-checks the core of the replicated log; prints states, time and the mutations detected.
 
 Example: python -m benchmarks.consensus [DEPTH]
 """
@@ -14,7 +14,7 @@
 
 
 def main() -> None:
-    """Run all checks to a depth."""
+    """Explore all models to a depth, 8 unless given, and print a line for each."""
     depth = int(sys.argv[1]) if len(sys.argv) > 1 else 8
     plain = Budget(timeouts=2, beats=1, proposals=1, crashes=1, twice=1)
     from_eight = Budget(timeouts=2, beats=0, proposals=0, crashes=1, twice=1)
--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -1,8 +1,9 @@
-"""Processor time of the decision module's parts by the number of engines, in one gateway of 40.
+"""Processor time of the decision module's operations by number of engines, in one gateway of a fleet of 40.
 
     python -m benchmarks.engines [8 60 ...]
 
-Prints microseconds: a request (its arrival and its outcome), a change of the list, a second's rebuild; best of five.
+Prints microseconds for a request (arrival and outcome), a change of the engine list and the rebuild that is due every
+second; each is the best of five rounds.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 from tealwing.lab import site
 from tealwing.policy import Gateway
 
-OUT = 40  # requests that are out all the time
+OUT = 40  # requests in flight throughout
 REQUESTS, CHANGES, REBUILDS = 2000, 200, 100
-QUICK = 10  # one in so many of them, where a look is enough
-LEAST = 10  # of each, however many engines
-USUAL = 64  # engines up to which all of them are made; the more there are, the fewer
+QUICK = 10  # divisor of the three counts above in a quick run
+LEAST = 10  # least count of each operation, for any number of engines
+USUAL = 64  # engines up to which the full counts run; with more engines the counts fall in proportion
 
 
 def best(rounds: int, times: int, once: Callable[[], None]) -> float:
-    """Microseconds of one call, in the best of some rounds."""
+    """Mean processor time of one call in microseconds, in the best round."""
     found = []
     for _ in range(rounds):
         begun = time.process_time()
@@ -34,7 +35,7 @@
 
 
 def measure(engines: int, quick: bool = False) -> tuple[float, float, float]:
-    """Of a request, of a change of the list, of a rebuild; quick takes few of each."""
+    """Microseconds of a request, of a change of the engine list and of a rebuild; quick measures fewer of each."""
     part = QUICK if quick else max(1, engines // USUAL)
     gateway, now, last = Gateway(site.settings(40), 1), 100.0, 0
     entries = [api.EngineListEntry(n, 0, n % 2, 0, api.Health.READY, 1.0, 0.0) for n in range(engines)]
@@ -70,9 +71,9 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure each number of engines and print a table."""
     if not all(word.isdecimal() and int(word) > 0 for word in sys.argv[1:]):
-        sys.exit(f"engines: each a whole number above 0, not {' '.join(sys.argv[1:])}")
+        sys.exit(f"engines: every number of engines must be a whole number above 0, not {' '.join(sys.argv[1:])}")
     print("engines  request  list change  rebuild (us)")
     for engines in [int(word) for word in sys.argv[1:]] or [8, 60]:
         print("{:7d}  {:7.0f}  {:11.0f}  {:7.0f}".format(engines, *measure(engines)))
--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -1,7 +1,7 @@
-"""A day of the bench with many times the engines, at the same traffic, limits and capacity for each gateway.
+"""Enlarges a day of the bench: many times the engines, with the traffic, limits and capacity of a gateway unchanged.
 
-Each engine of the day becomes `--split` engines with that part of its cores, slots, queue and knee, and all of it, with
-the gateways, is there `--copies` times: 8 and 2 make 16 times the engines before twice the gateways.
+Each engine is split into `--split` engines with that fraction of its cores, slots, queue and knee; then all engines and
+gateways are copied `--copies` times. A split of 8 and 2 copies make 16 times the engines and twice the gateways.
 
     python -m benchmarks.fleet_day DAY.json --split 8 --copies 2 > LARGE.json
 """
@@ -13,19 +13,21 @@
 from pathlib import Path
 from typing import Any
 
-PARTS = ("cores", "slots", "queue")  # whole numbers that an engine's kind has
+PARTS = ("cores", "slots", "queue")  # keys of an engine kind whose values are whole numbers
 
 
 def split_kind(kind: dict[str, Any], parts: int) -> dict[str, Any]:
-    """A kind of engine with a part of its size; ValueError where its cores can't be parted."""
+    """An engine kind with a fraction of its size; raises ValueError if its cores are not divisible by `parts`."""
     if kind["cores"] % parts:
-        raise ValueError(f"{kind['cores']} cores can't be parted in {parts}")
+        raise ValueError(
+            f"{kind['cores']} cores of an engine kind are not divisible by {parts}; choose another --split"
+        )
     smaller = {name: max(1, kind[name] // parts) for name in PARTS}
     return kind | smaller | {"knee": kind["knee"] / parts}
 
 
 def larger(day: dict[str, Any], split: int, copies: int) -> dict[str, Any]:
-    """The day with its engines split, and engines and gateways copied; cells keep their size."""
+    """The day with its engines split and its engines and gateways copied; each copy has cells of its own."""
     cells = 1 + max(server["cell"] for server in day["servers"])
     servers = [
         server | {"cell": server["cell"] + cells * number}
@@ -36,27 +38,27 @@
     return day | {"servers": servers, "balancers": day["balancers"] * copies, "tiers": tiers}
 
 
-def thinned(day: dict[str, Any], every: int) -> dict[str, Any]:
-    """The day with one of so many engines and gateways, as one machine bears so many of a larger day only."""
+def sampled(day: dict[str, Any], every: int) -> dict[str, Any]:
+    """The day with every `every`-th engine and gateway, so that one machine can run a part of a larger day."""
     return day | {name: day[name][::every] for name in ("servers", "balancers")}
 
 
-def without(day: dict[str, Any], trouble: str) -> dict[str, Any]:
-    """The day without the troubles of that kind: the bench plays only those by file that it has a name for."""
-    return day | {"troubles": [one for one in day["troubles"] if one["kind"] != trouble]}
+def without(day: dict[str, Any], fault_kind: str) -> dict[str, Any]:
+    """The day without faults of one kind: the bench plays from a file only the kinds that it has a name for."""
+    return day | {"troubles": [fault for fault in day["troubles"] if fault["kind"] != fault_kind]}
 
 
 def main() -> None:
-    """Print the larger day."""
+    """Print the enlarged day as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("day", type=Path)
     parser.add_argument("--split", type=int, default=8)
     parser.add_argument("--copies", type=int, default=2)
-    parser.add_argument("--without", default="", help="a kind of trouble that is left out")
-    parser.add_argument("--every", type=int, default=1, help="keep one of so many engines and gateways")
-    given = parser.parse_args()
-    day = thinned(without(json.loads(given.day.read_text()), given.without), given.every)
-    print(json.dumps(larger(day, given.split, given.copies)))
+    parser.add_argument("--without", default="", help="leave out faults of this kind")
+    parser.add_argument("--every", type=int, default=1, help="keep only every N-th engine and gateway")
+    arguments = parser.parse_args()
+    day = sampled(without(json.loads(arguments.day.read_text()), arguments.without), arguments.every)
+    print(json.dumps(larger(day, arguments.split, arguments.copies)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -1,10 +1,10 @@
-"""How gossip grows: clusters in virtual time, 5 to 1,000 instances; and worth served with and without it.
+"""Gossip at scale: clusters of 5 to 1,000 instances in virtual time, and the worth served with and without gossip.
 
     python -m benchmarks.gossip grow --out docs/pictures/gossip.svg
     python -m benchmarks.gossip worth --seeds 20
 
-Signatures are a keyed hash here (`lab.network.Toy`): what is timed is the protocol, and a signature's cost is added by
-the table's last line, measured on its own.
+Clusters sign with a keyed hash (`lab.network.SimulatedKey`), so that the times are those of the protocol; the cost of a
+real signature is measured separately and printed below the table.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from tealwing.lab.network import Network, cluster, real_key
 
 SIZES = (5, 20, 80, 200, 1000)
-STEADY = 20.0  # s over which steady traffic is measured
-LOAD, GATEWAYS, SECONDS = 0.6, 20, 40.0
+STEADY = 20.0  # s over which the traffic of a converged cluster is measured
+LOAD, GATEWAYS, SECONDS = 0.6, 20, 40.0  # of the modelled fleet whose worth is measured
 
 
 def grow(size: int) -> dict[str, Any]:
-    """One cluster: all join at once, then one dies."""
+    """Measure one cluster: all instances join at once, then one is killed."""
     network = Network(1)
     cluster(network, size)
     joined = network.until(network.agreed, 400)
@@ -59,27 +59,27 @@
 
 
 def worth_of(job: tuple[int, int, bool, str]) -> float:
-    """Worth served in a modelled fleet of 8 engines by 20 gateways."""
-    seed, liars, talk, trouble = job
+    """Worth served by a modelled fleet of 20 gateways and 8 engines."""
+    seed, liars, gossips, fault = job
 
-    def trouble_of(deployment: Deployment) -> None:
-        if trouble == "slow":
+    def inject_fault(deployment: Deployment) -> None:
+        if fault == "slow":
             deployment.slow([3], 12.0, 30.0, 6.0)
-        elif trouble == "dying":
+        elif fault == "dying":
             deployment.crash([3, 5], 14.0, 26.0)
 
-    return GossipingDeployment(seed, GATEWAYS, SECONDS, LOAD, liars, talk).run(trouble_of).total
+    return GossipingDeployment(seed, GATEWAYS, SECONDS, LOAD, liars, gossips).run(inject_fault).total
 
 
 @click.group()
 def main() -> None:
-    """Measure."""
+    """Measure gossip at scale."""
 
 
 @main.command("grow")
-@click.option("--out", type=click.Path(), required=True, help="The plot, SVG.")
+@click.option("--out", type=click.Path(), required=True, help="File for the plot, SVG.")
 def grow_command(out: str) -> None:
-    """The table and the plot."""
+    """Measure clusters of all sizes; print a table and write a plot."""
     with ProcessPoolExecutor(min(len(SIZES), os.cpu_count() or 1), mp_context=get_context("spawn")) as pool:
         found = list(pool.map(grow, SIZES))
     print("| instances | all joined | steady bytes/s each | most in a second | a death known, first / all"
@@ -117,22 +117,22 @@
 @main.command("worth")
 @click.option("--seeds", default=20, show_default=True)
 def worth_command(seeds: int) -> None:
-    """Worth served, with and without gossip, liars and none."""
+    """Compare the worth served with and without gossip, with and without liars."""
     cases = [("none", 0), ("slow", 0), ("slow", 3), ("dying", 0), ("dying", 3), ("none", 3)]
     jobs = [
-        (seed, liars, talk, trouble)
-        for trouble, liars in cases
+        (seed, liars, gossips, fault)
+        for fault, liars in cases
         for seed in range(1, seeds + 1)
-        for talk in (False, True)
+        for gossips in (False, True)
     ]
     with ProcessPoolExecutor(max((os.cpu_count() or 2) - 1, 1), mp_context=get_context("spawn")) as pool:
         found = dict(zip(jobs, pool.map(worth_of, jobs), strict=True))
     print("| engines | liars | without | with | difference, mean and worst |")
     print("| --- | --- | --- | --- | --- |")
-    for trouble, liars in cases:
-        off = np.array([found[s, liars, False, trouble] for s in range(1, seeds + 1)])
-        on = np.array([found[s, liars, True, trouble] for s in range(1, seeds + 1)])
-        print(f"| {trouble} | {liars} | {off.mean():.4f} | {on.mean():.4f} |"
+    for fault, liars in cases:
+        off = np.array([found[s, liars, False, fault] for s in range(1, seeds + 1)])
+        on = np.array([found[s, liars, True, fault] for s in range(1, seeds + 1)])
+        print(f"| {fault} | {liars} | {off.mean():.4f} | {on.mean():.4f} |"
               f" {(on - off).mean():+.4f}, {(on - off).min():+.4f} |")  # fmt: skip
 
 
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,4 +1,4 @@
-"""The model check of leases: states, time, and what mutations are found.
+"""Model-checks the leases; prints states, time and the mutations detected.
 
 Example: python -m benchmarks.leases
 """
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Run all checks."""
+    """Explore all models and print a line for each."""
     for name, model, depth in (
         ("leases", Leases(8), 11),
         ("leases, from a renewal under way", Leases(8, renewing=True), 11),
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -1,8 +1,8 @@
-"""Service levels on, off, and the module of an earlier commit, on the hard cases of the levels' design.
+"""Compares the decision module with service levels on, off, and as of an earlier commit, on overload cases.
 
     python -m benchmarks.levels --conf deploy/tealwing.conf --before 712515d --seeds 6 [--jobs 8]
 
-Prints a Markdown table; docs/levels.md holds the last one, with seeds and commit. All three play the same arrivals.
+Prints a Markdown table; docs/levels.md holds the last one, with seeds and commit. All three get the same arrivals.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from tealwing.levels.replay import max_changes_in_window
 from tealwing.policy import Gateway
 
-SECONDS = 60.0
+SECONDS = 60.0  # of arrivals in a case
 CASES: dict[str, dict[str, Any]] = {
     "calm, load 0.47": {"load": 0.47},
     "busy, load 0.95": {"load": 0.95},
@@ -40,7 +40,7 @@
 
 
 def play(job: tuple[str, int, str, str, str]) -> dict[str, float]:
-    """One case, seed and mode."""
+    """Run one case with one seed in one mode and return its figures."""
     name, seed, mode, conf, commit = job
     case = CASES[name]
     plan = reader.read(conf).records["levels"]
@@ -60,8 +60,8 @@
             return before(settings, number)
         if mode == "off":
             return Gateway(settings, number)
-        mine = changes[number % 1000]
-        return Governor(settings, Gateway(settings, number), plan, lambda *_: mine.append(made[0].clock.now))
+        own_changes = changes[number % 1000]
+        return Governor(settings, Gateway(settings, number), plan, lambda *_: own_changes.append(made[0].clock.now))
 
     made.append(Deployment(settings, draws, asked, make, seed, case.get("clients")))
     if case.get("lost"):
@@ -82,14 +82,14 @@
 
 @click.command()
 @click.option("--conf", default="deploy/tealwing.conf", show_default=True)
-@click.option("--before", default="712515d", show_default=True, help="The commit whose module is the third.")
+@click.option("--before", default="712515d", show_default=True, help="Commit of the earlier decision module.")
 @click.option("--seeds", default=6, show_default=True)
 @click.option("--jobs", default=os.cpu_count() or 1)
 def main(conf: str, before: str, seeds: int, jobs: int) -> None:
-    """Play all cases and print the table."""
-    todo = [(name, seed, mode, conf, before) for name in CASES for seed in range(1, seeds + 1) for mode in MODES]
+    """Run all cases and print the table."""
+    jobs_to_run = [(name, seed, mode, conf, before) for name in CASES for seed in range(1, seeds + 1) for mode in MODES]
     with ProcessPoolExecutor(jobs, mp_context=get_context("spawn")) as pool:
-        results = dict(zip(todo, pool.map(play, todo), strict=True))
+        results = dict(zip(jobs_to_run, pool.map(play, jobs_to_run), strict=True))
     print(
         "| case | worth before / off / on | worst 10 s off / on | lookups in time off / on | first account off / on"
         " | changes, most a minute |"
--- a/benchmarks/record_actions.py
+++ b/benchmarks/record_actions.py
@@ -1,8 +1,8 @@
-"""Records the events of one gateway in a modelled flood, and the digest of an earlier module's actions on them.
+"""Records the events of one gateway in a modelled flood and the digest of an earlier decision module's actions.
 
     python -m benchmarks.record_actions 712515d
 
-The test of the levels plays them again: with no level in force, the actions must be the same, byte for byte.
+A test of the service levels replays the events: with no level in force, the actions must be the same, byte for byte.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from tealwing.lab.harness import Deployment
 from tests.recorded import recorded
 
-SECONDS, SEED = 30.0, 7
+SECONDS, SEED = 30.0, 7  # of arrivals
 
 
 def module_of(commit: str) -> Any:
-    """The decision module as that commit has it: one file or a package; the rest is today's."""
-    shown = ["git", "ls-tree", "-r", "--name-only", commit, "tealwing/policy", "tealwing/policy.py"]
-    paths = subprocess.run(shown, capture_output=True, check=True, text=True).stdout.split()
-    today = {name: sys.modules.pop(name) for name in list(sys.modules) if name.startswith("tealwing.policy")}
+    """Import the decision module (a file or a package) as of a commit; all other modules stay the current ones."""
+    list_files = ["git", "ls-tree", "-r", "--name-only", commit, "tealwing/policy", "tealwing/policy.py"]
+    paths = subprocess.run(list_files, capture_output=True, check=True, text=True).stdout.split()
+    current_modules = {name: sys.modules.pop(name) for name in list(sys.modules) if name.startswith("tealwing.policy")}
     with tempfile.TemporaryDirectory() as folder:
         for path in paths:
             text = subprocess.run(["git", "show", f"{commit}:{path}"], capture_output=True, check=True).stdout
@@ -44,17 +44,17 @@
             tealwing.__path__.pop(0)
             for name in [name for name in sys.modules if name.startswith("tealwing.policy")]:
                 del sys.modules[name]
-            sys.modules.update(today)
+            sys.modules.update(current_modules)
 
 
 def main() -> None:
-    """Record."""
+    """Run the flood on the earlier module and write its events and the digest."""
     earlier = module_of(sys.argv[1])
     events: list[tuple[float, api.Event]] = []
     digest = hashlib.sha256()
 
     class Recorder:
-        """The first gateway, written down."""
+        """Runs the earlier module and records the first gateway's events and actions."""
 
         def __init__(self, settings: api.Settings, seed: int) -> None:
             self.first = seed % 1000 == 0
--- a/benchmarks/replica_state.py
+++ b/benchmarks/replica_state.py
@@ -1,4 +1,4 @@
-"""A large replicated state: memory at a snapshot, and how a member with an empty disk catches up.
+"""Measures a large replicated state: memory during a snapshot, and the catch-up of a member with an empty disk.
 
 Example: python -m benchmarks.replica_state [MEGABYTES]
 """
@@ -18,11 +18,11 @@
 from tealwing.lab.rig.trial import Trial
 from tealwing.replica import commands
 
-VALUE = 256 * 1024  # bytes of one value
+VALUE = 256 * 1024  # bytes of each stored value
 
 
 def peak(pid: int | None, clear: bool = False) -> int:
-    """The process's largest resident memory so far, MB."""
+    """The peak resident memory of a process in MB; clear resets the peak first."""
     if clear:
         Path(f"/proc/{pid}/clear_refs").write_text("5")
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
@@ -30,7 +30,7 @@
 
 
 def main() -> None:
-    """Fill the state, have a snapshot written, and let a member come back with nothing."""
+    """Fill the state, take a snapshot, restart a member with an empty disk, and print the figures as JSON."""
     megabytes = int(sys.argv[1]) if len(sys.argv) > 1 else 100
     with Trial(scenario.load("stale-disk"), 3, 5.0, 1, layout=Layout(layouts.REPLICA)) as trial:
         trial.start()
@@ -41,8 +41,8 @@
         begun = time.monotonic()
         for number in range(megabytes * (1 << 20) // VALUE):
             body = msgspec.msgpack.encode(commands.Put(f"k{number}", number.to_bytes(4, "big") * (VALUE // 4)))
-            told = caller.call("replica.do", 20.0, body=body, client="bench", sequence=number + 1, wait_s=15.0)
-            assert told["word"] == "ok", told
+            answer = caller.call("replica.do", 20.0, body=body, client="bench", sequence=number + 1, wait_s=15.0)
+            assert answer["word"] == "ok", answer
         found["fill_s"] = round(time.monotonic() - begun, 1)
         found["filled_mb"] = peak(trial.processes[leader].pid, clear=True)
         before = caller.call("replica.status")["snapshot"]
--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -1,10 +1,10 @@
-"""What a request costs the gateway's process, this tree against another: processor time, in paired blocks.
+"""Compares the processor time of a request in the gateway process between two work trees, in paired blocks.
 
     python -m benchmarks.requests PATH [--after PATH] [--blocks 60] [--requests 200]
 
-PATH is a checkout of the program before. Both run as deployed (-O), side by side, with one engine played here that
-answers at once. Blocks of requests go to the two in turn, each pair in the other order than the last, and the median
-of the pairs' ratios is told: what the machine does meanwhile meets both.
+PATH is a checkout of the earlier program. Both programs run as deployed (-O), side by side, with one stand-in engine
+that answers at once. Blocks of requests alternate between the two, the order reversed from pair to pair, so that other
+load on the machine affects both; the median of the pairs' ratios is printed.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 HERE = Path(__file__).parent.parent
 
 
-class Answering(Peer):
-    """An engine that answers each attempt as it comes."""
+class AnsweringEngine(Peer):
+    """A stand-in engine that answers each attempt at once."""
 
     def _read(self, sock):  # type: ignore[no-untyped-def]
         parser = self.parser()
@@ -38,7 +38,7 @@
 
 
 class Gateway:
-    """One tree's process, and a client of it."""
+    """The gateway process of one work tree, with a client connected to it."""
 
     def __init__(self, tree: Path, engine: str, folder: Path) -> None:
         known = {"index": 1, "updates": [event(1, member("s-1", engine))]}
@@ -62,17 +62,17 @@
         self.count = 0
 
     def used(self) -> float:
-        """Processor time of all its threads, s, by the scheduler's own books (ns)."""
+        """Processor seconds of all its threads so far, from the scheduler's statistics (schedstat, in ns)."""
         tasks = Path(f"/proc/{self.process.pid}/task").iterdir()
         return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / 1e9
 
     def resident(self) -> float:
-        """MB."""
+        """Resident memory (RSS) in MB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(status.partition("VmRSS:")[2].split()[0]) / 1024
 
     def block(self, requests: int) -> float:
-        """Processor seconds for so many requests, one after another."""
+        """Send `requests` requests one after another; returns the gateway's processor seconds for them."""
         begun = self.used()
         for _ in range(requests):
             self.count += 1
@@ -81,29 +81,30 @@
         return self.used() - begun
 
     def end(self) -> None:
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
 
 
 def main() -> None:
-    """Measure, and tell."""
+    """Measure both trees and print times, ratios and memory."""
     parser = argparse.ArgumentParser()
     parser.add_argument("before", type=Path)
     parser.add_argument("--after", type=Path, default=HERE)
     parser.add_argument("--blocks", type=int, default=60)
     parser.add_argument("--requests", type=int, default=200)
-    told = parser.parse_args()
-    engine = Answering()
+    arguments = parser.parse_args()
+    engine = AnsweringEngine()
     with tempfile.TemporaryDirectory() as folder:
-        trees = [told.before.resolve(), told.after.resolve()]
+        trees = [arguments.before.resolve(), arguments.after.resolve()]
         gateways = [Gateway(tree, engine.address, Path(folder)) for tree in trees]
         try:
             for gateway in gateways:
-                gateway.block(told.requests)  # warm
+                gateway.block(arguments.requests)  # warm-up
             spent: list[list[float]] = [[], []]
-            for number in range(told.blocks):
+            for number in range(arguments.blocks):
                 for which in (0, 1) if number % 2 else (1, 0):
-                    spent[which].append(gateways[which].block(told.requests) / told.requests)
+                    spent[which].append(gateways[which].block(arguments.requests) / arguments.requests)
             ratios = [after / before for before, after in zip(*spent, strict=True)]
             low, middle, high = statistics.quantiles(ratios, n=4)
             before, after = (statistics.median(one) * 1e6 for one in spent)
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,4 +1,4 @@
-"""The model checks of a change of rules, of one site and of a federation: states, time, and what mutations are found.
+"""Model-checks changes of the rules in a site and in a federation; prints states, time and the mutations detected.
 
 Example: python -m benchmarks.rollout
 """
@@ -19,9 +19,9 @@
 FAULTS = Budget(times=12, crashes=4, old=2, empty=1, flips=2, lapses=3, aborts=1, proposals=3, reads=16)
 GENTLE = Budget(times=4, crashes=1, old=1, empty=0, flips=0, lapses=1, aborts=1, proposals=3, reads=60)
 DISKS = Budget(times=2, crashes=2, old=1, empty=1, flips=1, lapses=1, aborts=1, reads=2)
-CORES = 3
-LENGTH = 160  # steps of a walk
-MOST = 400_000  # states
+CORES = 3  # processes that check models in parallel
+LENGTH = 160  # steps of a random walk
+MOST = 400_000  # states of one exploration
 
 MUTATIONS: dict[str, Callable[[], Rollout]] = {
     "early-open": lambda: Rollout("sss", QUIET, "early-open"),
@@ -37,7 +37,7 @@
         "hhh", Budget(1, 0, lapses=1, reads=0), mutation="one-clock", wild="c", begin=nearly_closed
     ),
     "site-early": site_early,
-    # what was found in the design, and mended
+    # each restores a fault that was found in the design and fixed
     "begin-counts": lambda: Rollout("hhh", QUIET, mutation="begin-counts", begin=begun_twice),
     "mode-forgotten": lambda: Rollout(
         "sss", Budget(0, 1, flips=1, reads=0), mutation="mode-forgotten", begin=once_held
@@ -70,12 +70,12 @@
 
 
 def patient(word: str) -> float:
-    """So that walks of sites that hold come to several versions: reads and time are few against entries."""
+    """Weight of a step in a walk of sites that hold: few reads and time steps, so that it reaches several versions."""
     return 0.15 if "reads" in word else 0.05 if "pass" in word else likely(word)
 
 
 def check(kind: str, name: str) -> str:
-    """One of them, in words."""
+    """Run one check; returns its result as text."""
     if kind == "mutation":
         found = explore(MUTATIONS[name](), 10, MOST)
     elif kind == "explored":
@@ -88,7 +88,7 @@
 
 
 def main(kinds: list[str]) -> None:
-    """Run all checks of these kinds."""
+    """Run all checks of the given kinds, or of every kind if none is given."""
     tables: dict[str, Iterable[str]] = {"mutation": MUTATIONS, "explored": EXPLORED, "walked": WALKED}
     with ProcessPoolExecutor(CORES) as pool:
         jobs = [pool.submit(check, kind, name) for kind in kinds or tables for name in tables[kind]]
--- a/benchmarks/rollout_scale.py
+++ b/benchmarks/rollout_scale.py
@@ -1,6 +1,6 @@
-"""Changes of the rules at large size, in virtual time: what each costs, as a table.
+"""Measures changes of the rules in large fleets, in virtual time; prints the cost of a change as a table.
 
-Example: python -m benchmarks.rollout_scale [CHANGES [WORD...]]; words begin names of runs, as 200/serve.
+Example: python -m benchmarks.rollout_scale [CHANGES [PREFIX...]]; prefixes select runs by name, such as 200/serve.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 
 def main() -> None:
-    """Run them and print a line for each."""
+    """Run all selected fleets and print a line for each."""
     count = int(sys.argv[1]) if len(sys.argv) > 1 else 50
-    wanted = sys.argv[2:]
+    prefixes = sys.argv[2:]
     print("| " + " | ".join(HEAD) + " |\n|" + " --- |" * len(HEAD), flush=True)
     for sites, gateways in SIZES:
         for mode in MODES:
             name = f"{f'{sites}x' if sites > 1 else ''}{gateways}/{mode}"
             for loss in LOSSES:
-                if _is_wanted(f"{name}/{loss:g}", wanted):
+                if _is_wanted(f"{name}/{loss:g}", prefixes):
                     begun = time.monotonic()
                     found, fleet = trials.sized(trials.shape(sites, gateways, mode), count, SEED, loss)
                     print(_line(name, loss, found), flush=True)
@@ -38,19 +38,19 @@
                     print(f"{name}: {fleet.clock.now:.0f} s in {took:.0f} s", *found.wrong[:3], file=sys.stderr)
     for gateways in (5, 50):
         for mode in MODES:
-            if _is_wanted(f"cut/{gateways}/{mode}", wanted):
+            if _is_wanted(f"cut/{gateways}/{mode}", prefixes):
                 alone = trials.cut_off(trials.shape(1, gateways, mode), 10, SEED)
                 ended = ", ".join(sorted(set(alone.ended)))
                 print(f"{gateways}/{mode}, one cut off: {len(alone.ended)} changes {ended} after "
                       f"{share(alone.took, 0.5):.2f} s (p50), {max(alone.took):.2f} s (most); wrong: "
                       f"{len(alone.wrong)}", *alone.wrong[:3], flush=True)  # fmt: skip
-    if _is_wanted("sabotage", wanted):
+    if _is_wanted("sabotage", prefixes):
         found, _ = trials.sized(trials.shape(1, 20, "serve", "early-open"), 10, SEED)
         print(f"20/serve with early-open: {len(found.wrong)} wrong, as", *found.wrong[:1], flush=True)
 
 
-def _is_wanted(name: str, wanted: list[str]) -> bool:
-    return not wanted or any(name.startswith(word) for word in wanted)
+def _is_wanted(name: str, prefixes: list[str]) -> bool:
+    return not prefixes or any(name.startswith(prefix) for prefix in prefixes)
 
 
 def _line(name: str, loss: float, found: Found) -> str:
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -1,9 +1,10 @@
-"""Slow start under the sum of all gateways: what goes over the bound, and what of the budget is used.
+"""Slow start with all gateways' requests added up: how often the bound is exceeded, and how much budget is used.
 
     python -m benchmarks.slow_start [SEEDS] [GATEWAYS ...]
 
-For each case and number of gateways the share of starts and of windows over N + 2 sqrt(N) + 2, the mean share of N that
-a window was sent, and the fullest window over its bound. Virtual time; twenty seeds take some minutes.
+Prints for each case and number of gateways the starts and the share of windows that exceed N + 2 sqrt(N) + 2 requests,
+the mean share of N that was sent in a window, and the fullest window relative to its bound. Runs in virtual time;
+twenty seeds take some minutes.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 
 
 def main() -> None:
-    """Play and print."""
+    """Run all cases and print a line for each case and number of gateways."""
     if not all(word.isdecimal() and int(word) > 0 for word in sys.argv[1:]):
-        sys.exit(f"slow_start: each a whole number above 0, not {' '.join(sys.argv[1:])}")
+        sys.exit(f"slow_start: SEEDS and GATEWAYS must be whole numbers above 0, not {' '.join(sys.argv[1:])}")
     seeds, *gateways = [int(word) for word in sys.argv[1:]] or [20]
     print(f"{'case':24} gateways  starts over  windows over    used  fullest", flush=True)
     for case in slow_start.CASES:
