--- a/tealwing/lab/__init__.py
+++ b/tealwing/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: modelled engines, arrivals and clients round real decision modules, in virtual time."""
+"""The laboratory: modelled engines, arrivals and clients around real decision modules, mostly in virtual time."""
--- a/tealwing/lab/arrivals.py
+++ b/tealwing/lab/arrivals.py
@@ -1,4 +1,4 @@
-"""What clients ask for: times, classes, accounts, work and tables, drawn ahead from a seed."""
+"""Synthetic client traffic: times, classes, accounts, work and tables of requests, drawn in advance from a seed."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 
 import numpy as np
 
-Shape = Callable[[float], float]  # the load at a time, over the usual
+Shape = Callable[[float], float]  # the load at a time, relative to the usual load
 
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """One class's traffic. Figures within the ranges of the operators' brief, by `BRIEF`."""
+    """The traffic of one class of requests; `BRIEF` holds figures within the ranges of the operators' brief."""
 
-    share: float
-    work: float  # s of one thread, a mean
-    spread: float  # of the work, as standard deviation over mean
-    io: float
-    memory: float  # against the other classes
+    share: float  # of all requests
+    work: float  # mean, in s of one thread
+    spread: float  # of the work: standard deviation over mean
+    io: float  # share of the work that reads or writes
+    memory: float  # mean, relative to the other classes
 
 
-BRIEF = (
+BRIEF = (  # lookups, reports and loads
     Mix(0.81, 0.148, 1.0, 0.28, 0.5),
     Mix(0.135, 3.7, 0.8, 0.45, 2.0),
     Mix(0.055, 4.95, 0.6, 0.55, 1.5),
 )
-ACCOUNTS = (0.81, 0.19)
-GROUPS = 40  # of tables
-ZIPF = 0.7  # power of their popularity
-MEMORY_UNIT = 1250.0  # MB that a query of memory 1 needs, a mean: at load 1 some four fifths are in use
-ESTIMATE = 0.2  # spread of the estimates, as of "close" ones
+ACCOUNTS = (0.81, 0.19)  # shares of the requests by account
+GROUPS = 40  # groups of tables
+ZIPF = 0.7  # exponent of the popularity of table groups
+MEMORY_UNIT = 1250.0  # mean MB of a query of memory 1: at load 1 about four fifths of the engines' memory is in use
+ESTIMATE = 0.2  # spread of cost estimates: those that the brief calls "close"
 
 
 @dataclass(frozen=True, slots=True)
 class Arrivals:
-    """All first tries of a run, as columns; times in seconds, need in megabytes."""
+    """All requests of a run (first tries only) as columns; times in seconds, need in megabytes."""
 
     at: Any
     cls: Any
     account: Any
     gateway: Any
     work: Any
-    cost: Any  # the estimate of the work
+    cost: Any  # estimate of the work
     group: Any
     need: Any
     io: Any
@@ -54,27 +54,27 @@
 
 
 def steady(_: float) -> float:
-    """The usual load."""
+    """The usual load throughout."""
     return 1.0
 
 
 def square(low: float, high: float, period: float) -> Shape:
-    """Between two loads, half a period each."""
+    """Alternates between two loads, half a period each."""
     return lambda t: high if t % period >= period / 2 else low
 
 
 def sawtooth(low: float, high: float, period: float) -> Shape:
-    """Rising from low to high in each period, and down at once."""
+    """Rises from low to high over each period, then drops at once."""
     return lambda t: low + (high - low) * (t % period) / period
 
 
 def burst(times: float, begin: float, length: float) -> Shape:
-    """The usual, and so many times that for a while."""
+    """The usual load, multiplied by `times` for `length` seconds from `begin`."""
     return lambda t: times if begin <= t < begin + length else 1.0
 
 
 def noisy(low: float, high: float, period: float, seed: int) -> Shape:
-    """A new load for each period, drawn evenly between two."""
+    """A random load for each period, drawn uniformly between two loads."""
 
     def load(t: float) -> float:
         share = float(np.random.default_rng((seed, int(t / period))).random())
@@ -93,14 +93,17 @@
     accounts: tuple[float, ...] = ACCOUNTS,
     surge: tuple[int, float] | None = None,
 ) -> Arrivals:
-    """Poisson arrivals at a rate of requests a second, times the shape; surge makes one account ask more often."""
+    """Draw Poisson arrivals at `rate` requests a second times the shape.
+
+    surge: an account and the factor by which its share of the requests is raised.
+    """
     at = _times(rng, rate, seconds, shape)
     n = len(at)
-    cls = rng.choice(len(mix), n, p=_even([m.share for m in mix]))
+    cls = rng.choice(len(mix), n, p=_normalized([m.share for m in mix]))
     weights = list(accounts)
     if surge is not None:
         weights[surge[0]] *= surge[1]
-    account = rng.choice(len(accounts), n, p=_even(weights))
+    account = rng.choice(len(accounts), n, p=_normalized(weights))
     popularity = 1 / np.arange(1, GROUPS + 1) ** ZIPF
     group = rng.choice(GROUPS, n, p=popularity / popularity.sum())
     work, need = np.empty(n), np.empty(n)
@@ -115,7 +118,7 @@
 
 
 def _times(rng: np.random.Generator, rate: float, seconds: float, shape: Shape) -> Any:
-    """A Poisson process of changing rate, by thinning one of the highest."""
+    """Times of a Poisson process of varying rate, by thinning a process of the peak rate."""
     grid = np.arange(0.0, seconds, 0.05)
     loads = np.array([shape(float(t)) for t in grid])
     peak_rate = float(loads.max())
@@ -125,11 +128,11 @@
     return times[keep]
 
 
-def _even(weights: list[float]) -> Any:
+def _normalized(weights: list[float]) -> Any:
     return np.array(weights) / sum(weights)
 
 
 def lognormal(rng: np.random.Generator, mean: float, spread: float, n: int) -> Any:
-    """So many draws of that mean, spread being their standard deviation over it."""
+    """Draw `n` lognormal values; spread is their standard deviation over the mean."""
     sigma = sqrt(log(1 + spread * spread))
     return mean * exp(-sigma * sigma / 2) * np.exp(sigma * rng.standard_normal(n))
--- a/tealwing/lab/client.py
+++ b/tealwing/lab/client.py
@@ -1,4 +1,4 @@
-"""A lean MySQL client for loads: one session, one query at a time, parsers of the project's own."""
+"""A minimal MySQL client for load generation, on the project's own packet parser: one query at a time a session."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from tealwing.mysql import packets
 from tealwing.mysql.packets import CONNECT_WITH_DB, PLUGIN_AUTH, PROTOCOL_41, SECURE_CONNECTION
 
-READ = 64 * 1024  # bytes of a read
-LOGIN_LIMIT = 5.0  # s for a connect and a login
+READ = 64 * 1024  # bytes read at once
+LOGIN_LIMIT = 5.0  # s that connecting and each step of the login may take
 FLAGS = PROTOCOL_41 | CONNECT_WITH_DB | PLUGIN_AUTH | SECURE_CONNECTION
 QUERY, PING, QUIT = 0x03, 0x0E, 0x01
-REFUSED = (1040, 1203, 1226)  # errors that say that trying again is harmless (the protocol's)
+REFUSED = (1040, 1203, 1226)  # MySQL error codes of a refusal: a retry is harmless
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """How a query ended: served, refused or failed, the rows that came, and what an error said.
+    """How a query ended: served, refused or failed, the number of rows, and the text of an error.
 
-    site is the first column of the first row: where engines have sites, which of them answered.
+    site: the first column of the first row; with engines that have sites, the site that answered.
     """
 
     outcome: str
@@ -29,13 +29,13 @@
 
     @property
     def pushback(self) -> float:
-        """The s that a refusal asks to stay away; 0 where it says none."""
+        """Seconds that a refusal asks the client to wait before a retry; 0 if it names none."""
         digits = self.text.partition("pushback=")[2]
         return int(digits) / 1e3 if digits.isdigit() else 0.0
 
 
 class Session:
-    """One connection."""
+    """A logged-in connection to a gateway."""
 
     def __init__(self, address: tuple[str, int], user: str = "app", database: str = "reports") -> None:
         self._sock = socket.create_connection(address, LOGIN_LIMIT)
@@ -50,31 +50,31 @@
         self.number = int.from_bytes(greeting[greeting.index(b"\0") + 1 :][:4], "little")
         answer = self._next()
         if answer[:1] != b"\0":
-            raise ConnectionError(f"the login was turned down: {answer[9:].decode('utf-8', 'replace')}")
+            raise ConnectionError(f"the gateway rejected the login: {answer[9:].decode('utf-8', 'replace')}")
 
     def query(self, text: bytes, limit: float) -> Answer:
-        """One query, waited for so many seconds; OSError where the connection or the time ends first."""
+        """Send a query; raises OSError if the connection ends or a read of the answer takes over `limit` seconds."""
         self._sock.settimeout(limit)
         self._sock.sendall(packets.packet(0, bytes([QUERY]) + text))
         first = self._next()
         if first[:1] == b"\xff":
-            code, row_count = int.from_bytes(first[1:3], "little"), first[9:].decode("utf-8", "replace")
-            return Answer("refused" if code in REFUSED else "failed", 0, row_count)
+            code, message = int.from_bytes(first[1:3], "little"), first[9:].decode("utf-8", "replace")
+            return Answer("refused" if code in REFUSED else "failed", 0, message)
         if first[:1] == b"\0":
             return Answer("served", 0)
         while not _eof(self._next()):
-            pass  # the columns
+            pass  # column definitions
         rows, site = 0, ""
         while not _eof(payload := self._next()):
             if payload[:1] == b"\xff":
                 return Answer("failed", rows, payload[9:].decode("utf-8", "replace"))
-            if rows == 0 and payload[0] <= len(payload) - 1:  # a short string; a longer one is no site's name
+            if rows == 0 and payload[0] <= len(payload) - 1:  # a site's name is short: its length takes one byte
                 site = payload[1 : 1 + payload[0]].decode("utf-8", "replace")
             rows += 1
         return Answer("served", rows, site=site)
 
     def close(self) -> None:
-        """End it."""
+        """Close the connection."""
         self._sock.close()
 
     def _next(self) -> bytes:
--- a/tealwing/lab/clock.py
+++ b/tealwing/lab/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: what is due next, in order of time and then of asking."""
+"""Virtual time: a queue of calls, in order of their time and then of scheduling."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Clock:
-    """Runs calls at their times. Two at one time run in the order in which they were asked for."""
+    """Runs scheduled calls in virtual time; calls due at the same time run in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -18,16 +18,16 @@
         self._sequence = 0
 
     def at(self, time: float, call: Call, *args: Any) -> None:
-        """Run a call at a time; one that has passed is now."""
+        """Schedule a call at a time; a time in the past means now."""
         self._sequence += 1
         heapq.heappush(self._due, (max(time, self.now), self._sequence, call, args))
 
     def after(self, delay: float, call: Call, *args: Any) -> None:
-        """Run a call after some seconds."""
+        """Schedule a call after some seconds."""
         self.at(self.now + delay, call, *args)
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Advance the time to `until`, running all calls that fall due."""
         due = self._due
         while due and due[0][0] <= until:
             self.now, _, call, args = heapq.heappop(due)
--- a/tealwing/lab/demo.py
+++ b/tealwing/lab/demo.py
@@ -1,4 +1,4 @@
-"""The whole deployment on loopback: a coordinator, engines, gateways as processes, clients, and two troubles."""
+"""A whole deployment on loopback: coordinator, engines, gateway processes and clients, with faults injected."""
 
 from __future__ import annotations
 
@@ -26,27 +26,27 @@
 from tealwing.lab.standins.engine import Engine, Keys
 
 ENGINES, GATEWAYS = 8, 3
-LOAD = 0.3  # of what the engines can do: the stand-ins share this machine with the gateways
-SMALL = 0.25  # of the brief's work a query takes here, so that a short run sees many
-READY = 20.0  # s for a gateway to start
-GRACE = 1.05  # s after a drain is told within which a send may still come (the rule, and a socket's slack)
-STEP = 0.5  # s between two looks
-LAST = 30.0  # s for a gateway to end
+LOAD = 0.3  # share of the engines' capacity: the stand-ins share this machine with the gateways
+SMALL = 0.25  # factor on the brief's work and memory of a query, so that a short run has many queries
+READY = 20.0  # s within which a gateway must start
+GRACE = 1.05  # s after a drain is published in which sends may still arrive: 1 s by the rule, 0.05 s of socket delay
+STEP = 0.5  # s between two displayed states
+LAST = 30.0  # s within which a gateway must end after SIGTERM
 
 
 @dataclass(slots=True)
 class State:
-    """What is shown while it runs."""
+    """The state that is displayed while the demo runs."""
 
     seconds: float
     requested: int
     ends: dict[str, int]
-    engines: list[tuple[str, str, int]]  # name, state, queries there
+    engines: list[tuple[str, str, int]]  # name, state, running queries
     note: str
 
 
 def facts(gateways: int, me: int) -> dict[str, Any]:
-    """The settings of one gateway, as the platform's JSON tells them."""
+    """The settings of one gateway, in the form of the platform's JSON."""
     settings = site.settings(gateways)
     ns = 1_000_000_000
     grades = [
@@ -83,7 +83,7 @@
 
 
 class Demo:
-    """One run."""
+    """One run of the demo."""
 
     def __init__(self, seconds: float, seed: int = 1) -> None:
         self._seconds, self._directory = seconds, tempfile.TemporaryDirectory(prefix="tealwing-demo-")
@@ -99,7 +99,7 @@
         }
         self._all, self._state = list(self._engines.values()), dict.fromkeys(self._engines, "up")
         self._coordinator = Coordinator([self._member(name) for name in self._engines])
-        self._drained: dict[str, float] = {}  # by engine, when all were told
+        self._drained: dict[str, float] = {}  # by engine, when its drain was published
         self._processes: list[subprocess.Popen[bytes]] = []
         self._note = ""
         rate = site.rate(self._draws, MEAN_WORK * SMALL, LOAD)
@@ -116,7 +116,7 @@
         }  # fmt: skip
 
     def start(self) -> tuple[tuple[str, int], ...]:
-        """Start the gateways; where they listen."""
+        """Start the gateways; returns the addresses on which they listen."""
         found = []
         for me in range(GATEWAYS):
             config = {
@@ -146,15 +146,22 @@
                         host, port = event["listen"]
                         return host, port
             time.sleep(0.05)
-        raise RuntimeError(f"a gateway did not start: {path.read_text()[-500:]}")
+        raise RuntimeError(
+            f"gateway {path.stem} did not start within {READY:g} s; its log ends: {path.read_text()[-500:]}"
+        )
 
     def run(self, addresses: tuple[tuple[str, int], ...]) -> Iterator[State]:
-        """Let it run; a state now and then."""
+        """Play the load and the faults; yields the state every STEP seconds."""
         order = LoadSpecification(addresses, self._rate, self._seconds, 96, self._seed, mix=self._mix)
         load = self._load = Load(order)
         thread = threading.Thread(target=load.run, daemon=True)
         begun = time.monotonic()
-        for share, fault in ((0.25, self._crash), (0.45, self._restart), (0.55, self._slow), (0.8, self._end_slowness)):
+        for share, fault in (
+            (0.25, self._crash),
+            (0.45, self._restart),
+            (0.55, self._slow),
+            (0.8, self._restore_speed),
+        ):
             self._clock.after(share * self._seconds, fault)
         self._clock.after(0.35 * self._seconds, self._drain)
         thread.start()
@@ -169,14 +176,14 @@
             engines = [(name, self._state[name], engine.model.inflight) for name, engine in self._engines.items()]
         return State(seconds, sum(metrics["ends"].values()), metrics["ends"], engines, self._note)
 
-    # Troubles; the clock's lock is held
+    # Faults; called with the clock's lock held
 
     def _publish(self, name: str, state: str, started: float = 0.0) -> None:
         self._state[name] = state
         self._coordinator.publish([self._member(name, started)])
 
     def _crash(self) -> None:
-        self._note = "s-1 has died"
+        self._note = "s-1 has crashed"
         threading.Thread(target=self._engines["s-1"].crash, daemon=True).start()
         self._clock.after(1.0, self._publish, "s-1", "removed")
 
@@ -190,7 +197,7 @@
         self._publish("s-1", "up", time.time())
 
     def _drain(self) -> None:
-        self._note = "s-5 drains"
+        self._note = "s-5 is draining"
         self._publish("s-5", "draining")
         self._drained["s-5"] = self._clock.now
 
@@ -198,12 +205,12 @@
         self._note = "s-2 runs five times slower"
         self._engines["s-2"].slow(5.0)
 
-    def _end_slowness(self) -> None:
-        self._note = "s-2 is well again"
+    def _restore_speed(self) -> None:
+        self._note = "s-2 runs at full speed again"
         self._engines["s-2"].slow(1.0)
 
     def end(self) -> dict[str, Any]:
-        """End everything; the figures."""
+        """Stop all processes; returns the figures of the run."""
         for process in self._processes:
             process.send_signal(signal.SIGTERM)
         crashed = 0
@@ -221,38 +228,38 @@
         assert self._load is not None
         metrics = self._load.summary()
         ends, broken = metrics["ends"], self._rule_violations()
-        retained = sum(self._in_time(name, cls) for cls, name in enumerate(NAMES))
+        in_time = sum(self._in_time(name, cls) for cls, name in enumerate(NAMES))
         found = {
             "asked": metrics["asked"],
             "served": ends.get("served", 0),
             "refused": ends.get("refused", 0),
             "failed": sum(n for outcome, n in ends.items() if outcome not in ("served", "refused")),
             "rules_broken": sum(broken.values()) + crashed,
-            "in_time": round(retained / max(metrics["asked"], 1), 4),
+            "in_time": round(in_time / max(metrics["asked"], 1), 4),
         }
         self._directory.cleanup()
         return found
 
     def _in_time(self, name: str, cls: int) -> int:
-        """Requests served within the class's aim and a usual query's stretch."""
+        """Number of requests of a class served within the latency objective of a query of mean work."""
         assert self._load is not None
         kind = self._settings.classes[cls]
         objective = kind.latency_objective + kind.objective_per_work * self._mix[cls].work / kind.threads
         return _below(self._load.latency[name], objective)
 
     def _rule_violations(self) -> dict[str, int]:
-        """What the engines' own books show of the rules."""
+        """Rule violations by kind, from the engines' own records."""
         overdue = twice = 0
-        for name, violations in self._drained.items():
-            overdue += sum(int(at > violations + GRACE) for at, _, _ in self._engines[name].record.wants)
+        for name, drained_at in self._drained.items():
+            overdue += sum(int(at > drained_at + GRACE) for at, _, _ in self._engines[name].record.wants)
         for key, times in self._keys.ran.items():
             twice += times > 1 and bool(key)
-        fell = sum(engine.model.pushed for engine in self._all)
-        return {"drain": overdue, "effects": twice, "cold": fell}
+        overloaded = sum(engine.model.pushed for engine in self._all)
+        return {"drain": overdue, "effects": twice, "cold": overloaded}
 
 
 def _below(histogram: Any, seconds: float) -> int:
-    """How many of a histogram's values lie at or below a time."""
+    """Number of a histogram's values at or below a time."""
     count = 0
     for item in histogram.get_recorded_iterator():
         if item.value_iterated_to > seconds * 1e6:
--- a/tealwing/lab/engines.py
+++ b/tealwing/lab/engines.py
@@ -1,12 +1,12 @@
-"""The model of one engine: cores, disks and memory shared by all that runs there, in virtual time.
+"""Model of one engine: queries share its cores, disks and memory, in virtual time.
 
-Each query runs on some threads, a part of its work reading or writing. All that run share the cores and the disks by
-the weights of their priorities; total work falls past the knee, and all slow down once memory in use passes what
-there is. A load holds its group of tables while it runs: other loads of the group, and queries of classes that wait,
-stand still there. Groups read last are warm, and read faster. An engine that starts is cold, and falls over when it
-is sent too much. Figures are drawn from the ranges that the operators' brief gives; see `Draw`.
+Each query runs on some threads; a share of its work is I/O. Running queries share cores and disks by the weights of
+their priorities. Throughput falls once the threads per core pass the knee, and all queries slow down once their memory
+exceeds the engine's. A load locks its group of tables while it runs: other loads of the group, and queries of classes
+that wait for locks, are blocked. Recently read groups are warm and read faster. An engine that starts is cold and
+crashes if it is sent too much work. Parameters are drawn from the ranges of the operators' brief; see `Draw`.
 
-The model advances between events only: rates hold from one arrival or departure to the next.
+The model advances between events only: rates are constant from one arrival or departure to the next.
 """
 
 from __future__ import annotations
@@ -19,34 +19,36 @@
 import numpy as np
 
 WEIGHTS = np.array([1.0, 4.0, 8.0, 16.0])  # of the priorities 0 to 3
-SLOTS = 16  # queries that an engine's arrays hold at first; they double as needed
+SLOTS = 16  # initial length of an engine's arrays of queries; they double as needed
 EPSILON = 1e-9  # s of work below which a query is done
-ROUNDS = 3  # of sharing out what queries at full speed leave over
-FALL_WINDOW = 3.0  # s over which what a cold engine is sent is counted
-FALL_MULTIPLE = 2.0  # of its present capacity, which it bears
-FALL_SLACK = 1.1  # on that, for chance (the contract's "a little")
-INFORMED = 2 / 3  # of the work that must have come from gateways that knew of the start (the contract's)
-CAPACITY = 0.85  # busy share of the cores that counts as capacity
+ROUNDS = 3  # of redistributing the capacity that queries at full speed leave unused
+FALL_WINDOW = 3.0  # s over which the work sent to a cold engine is summed
+FALL_MULTIPLE = 2.0  # of its current capacity that a cold engine survives
+FALL_SLACK = 1.1  # tolerance on that for random variation (the contract's "a little")
+INFORMED = (
+    2 / 3
+)  # share of the work from gateways that knew of the start, from which they are to blame (the contract's)
+CAPACITY = 0.85  # utilization of the cores that counts as full capacity
 
 
 @dataclass(frozen=True, slots=True)
 class Draw:
-    """One engine's figures."""
+    """The parameters of one engine."""
 
     cores: int
     memory: float  # MB
     speed: float = 1.0
-    knee: float = 1.7  # threads a core
-    thrash: float = 0.7  # power of the loss past the knee
-    disks: float = 0.5  # work a second of reading and writing, over the cores
-    page: float = 6.0  # how many times slower at twice the memory
-    sessions: int = 8  # a core
-    warm_groups: int = 5
-    warm_gain: float = 0.55  # of the reading, saved
-    slow_start_share: float = 0.32
-    slow_start_time: float = 13.0
-    report_every: float = 0.4
-    noise: float = 0.05
+    knee: float = 1.7  # threads per core past which throughput falls
+    thrash: float = 0.7  # exponent of the loss of throughput past the knee
+    disks: float = 0.5  # I/O work a second, per core
+    page: float = 6.0  # slowdown factor when queries need twice the memory
+    sessions: int = 8  # per core
+    warm_groups: int = 5  # table groups that stay warm
+    warm_gain: float = 0.55  # share of a query's I/O saved on a warm group
+    slow_start_share: float = 0.32  # of full capacity, right after a cold start
+    slow_start_time: float = 13.0  # s from a cold start to full capacity
+    report_every: float = 0.4  # s
+    noise: float = 0.05  # standard deviation of reported queries, relative
 
 
 @dataclass(eq=False, slots=True)
@@ -57,27 +59,27 @@
     cls: int
     work: float  # s of one thread
     threads: int
-    io: float
-    group: int
+    io: float  # share of the work that is I/O
+    group: int  # of tables
     need: float  # MB
     priority: int
-    holds: bool
-    waits: bool
+    holds: bool  # whether it locks its group
+    waits: bool  # whether it waits for a lock on its group
     done: Callable[[Run], None]
-    slot: int = -1
-    still: bool = False  # behind a load
-    total: float = field(default=0.0)
+    slot: int = -1  # index in the engine's arrays; -1 once it has ended
+    still: bool = False  # whether it is blocked by a lock on its group
+    total: float = field(default=0.0)  # the work before any saving on a warm group
     started: float = 0.0
 
 
 class Engine:
-    """One engine process."""
+    """The model of one engine process."""
 
     def __init__(self, number: int, draw: Draw, clock: Any, rng: np.random.Generator, started: float = 0.0):
         self.number, self.draw, self.clock, self._rng = number, draw, clock, rng
         self.started, self.up, self.slow = started, True, 1.0
-        self.fell = self.pushed = False  # over at all; by gateways that knew of its start
-        self.served = 0.0  # s of work that came to its end
+        self.fell = self.pushed = False  # crashed by overload while cold; and by gateways that knew of its start
+        self.served = 0.0  # s of completed work
         self._runs: list[Run] = []
         self._left, self._rate = np.zeros(SLOTS), np.zeros(SLOTS)
         self._threads, self._cpu, self._io = np.zeros(SLOTS), np.zeros(SLOTS), np.zeros(SLOTS)
@@ -85,20 +87,20 @@
         self._at = clock.now
         self._warm: OrderedDict[int, None] = OrderedDict()
         self._held: dict[int, Run] = {}
-        self._version = 0  # of the rates: a wake-up of an older one is void
+        self._version = 0  # of the rates; a scheduled wake-up of an older version is ignored
         self._sent: deque[tuple[float, float, bool]] = deque()
         self._report: tuple[float, float] = (0.0, 0.0)
         self._report_at = -1.0
 
-    # What gateways see
+    # State visible to gateways
 
     @property
     def inflight(self) -> int:
-        """Queries there."""
+        """Number of running queries."""
         return len(self._runs)
 
     def report(self) -> tuple[float, float]:
-        """The load report, queue and inflight; refreshed now and then, and a little noisy."""
+        """The load report (queue, inflight), refreshed every `report_every` seconds, with some noise."""
         if self.clock.now >= self._report_at:
             self._report_at = self.clock.now + self.draw.report_every
             noise = 1 + self.draw.noise * float(self._rng.standard_normal())
@@ -110,17 +112,17 @@
         return len(self._runs) >= self.draw.sessions * self.draw.cores
 
     def warm_up_progress(self) -> float:
-        """Share of its capacity, a straight ramp from a cold start."""
+        """Current share of full capacity, which rises linearly from a cold start."""
         if self.started <= 0:
             return 1.0
         passed = (self.clock.now - self.started) / self.draw.slow_start_time
         share = self.draw.slow_start_share + (1 - self.draw.slow_start_share) * max(float(passed), 0.0)
         return min(1.0, share)
 
-    # What runs
+    # Queries
 
     def start(self, run: Run) -> None:
-        """Begin a query, which counts against a cold engine whatever becomes of it."""
+        """Start a query; one on a group that is not warm makes the group warm."""
         self._advance()
         run.started, run.total = self.clock.now, run.work
         if run.group in self._warm:
@@ -132,17 +134,17 @@
             self._warm[run.group] = None
             if len(self._warm) > self.draw.warm_groups:
                 self._warm.popitem(last=False)
-        self._put(run)
+        self._add(run)
         if run.holds and run.group not in self._held:
             self._held[run.group] = run
         self._update_blocked()
         self._update_rates()
 
     def pressure(self, work: float, informed: bool = True) -> None:
-        """Count what reaches it while it is cold; past its budget it falls over, and stays down.
+        """Count a send to the engine while it is cold; sends over its budget crash it for good.
 
-        work is the usual one of the class (s of one thread), informed whether its sender knew of the start. It was
-        pushed over, which breaks the rule, where two thirds of the work came from those who knew.
+        work: the mean work of the class (s of one thread); informed: whether the sender knew of the engine's start.
+        `pushed` is set, a rule violation, if at least two thirds of the work came from informed senders.
         """
         if self.warm_up_progress() >= 1:
             return
@@ -157,15 +159,15 @@
             self.pushed = sum(sent for _, sent, knew in self._sent if knew) >= INFORMED * total
 
     def stop(self, run: Run) -> None:
-        """Give a query up; its work is lost."""
+        """Abort a query; its work is lost."""
         if run.slot >= 0:
             self._advance()
-            self._take(run)
+            self._remove(run)
             self._update_blocked()
             self._update_rates()
 
     def tune(self, run: Run, priority: int) -> None:
-        """Another priority, from now on."""
+        """Change a query's priority from now on."""
         if run.slot >= 0 and run.priority != priority:
             self._advance()
             run.priority = priority
@@ -173,20 +175,20 @@
             self._update_rates()
 
     def progress(self, run: Run) -> float:
-        """The share done."""
+        """The completed share of a query's work."""
         if run.slot < 0:
             return 1.0
         self._advance()
         return 1 - float(self._left[run.slot]) / run.work if run.work > 0 else 1.0
 
     def set_slowdown(self, slow: float) -> None:
-        """Run so many times slower from now on."""
+        """Run `slow` times slower than normal from now on."""
         self._advance()
         self.slow = slow
         self._update_rates()
 
     def crash(self) -> list[Run]:
-        """The process dies; what ran there."""
+        """Crash the process; returns the queries that were running."""
         lost, self._runs = self._runs, []
         for run in lost:
             run.slot = -1
@@ -194,9 +196,9 @@
         self._version += 1
         return lost
 
-    # Sharing
+    # Sharing of resources
 
-    def _put(self, run: Run) -> None:
+    def _add(self, run: Run) -> None:
         k = run.slot = len(self._runs)
         if k == len(self._left):
             for name in ("_left", "_rate", "_threads", "_cpu", "_io", "_weight", "_need"):
@@ -207,8 +209,8 @@
         self._cpu[k], self._io[k] = run.threads * (1 - run.io), run.threads * run.io
         self._weight[k] = WEIGHTS[run.priority]
 
-    def _take(self, run: Run) -> None:
-        """Out of the arrays: the last one moves to its place."""
+    def _remove(self, run: Run) -> None:
+        """Remove a query from the arrays by moving the last one into its slot; release its lock to the next load."""
         k, last = run.slot, len(self._runs) - 1
         if k != last:
             moved = self._runs[last]
@@ -232,7 +234,7 @@
                 self._held[run.group] = following
 
     def _update_blocked(self) -> None:
-        """Who stands still behind a load."""
+        """Mark the queries that are blocked by a load's lock."""
         if not self._held:
             for run in self._runs:
                 run.still = False
@@ -242,14 +244,14 @@
             run.still = holder is not None and holder is not run and (run.holds or run.waits)
 
     def _advance(self) -> None:
-        """Work off what has passed since the rates were made."""
+        """Subtract the work done since the last update, at the current rates."""
         passed, self._at = self.clock.now - self._at, self.clock.now
         k = len(self._runs)
         if passed > 0 and k:
             self._left[:k] -= self._rate[:k] * passed
 
     def _update_rates(self) -> None:
-        """The rates of all that run, and when the next of them ends."""
+        """Compute the rates of all running queries and schedule a wake-up for the next one to end."""
         self._version += 1
         k = len(self._runs)
         if not k:
@@ -272,7 +274,7 @@
             ends = np.where(rate > 0, self._left[:k] / rate, np.inf)
         soonest = float(ends.min())
         if warm_up < 1:
-            soonest = min(soonest, 0.25)  # s: rates grow with warmth
+            soonest = min(soonest, 0.25)  # s between updates while the engine warms up
         if soonest < np.inf:
             self.clock.after(max(soonest, 0.0), self._wake, self._version)
 
@@ -283,7 +285,7 @@
         k = len(self._runs)
         over = [self._runs[i] for i in np.flatnonzero(self._left[:k] <= EPSILON)]
         for run in over:
-            self._take(run)
+            self._remove(run)
             self.served += run.total
         self._update_blocked()
         self._update_rates()
@@ -292,7 +294,7 @@
 
 
 def water_filling(weight: Any, demand: Any, capacity: float) -> Any:
-    """Speeds up to 1 that share room by weight; what those at full speed leave is shared out again."""
+    """Share capacity by weight as speeds up to 1; capacity unused by those at full speed is redistributed."""
     if float((demand * (weight > 0)).sum()) <= capacity:
         return (weight > 0).astype(float)
     speed = np.zeros(len(weight))
--- a/tealwing/lab/gossip_trial.py
+++ b/tealwing/lab/gossip_trial.py
@@ -1,7 +1,7 @@
-"""Trials of gossip in virtual time: convergence, bandwidth, engines that are slow, liars, and worth served.
+"""Trials of gossip in virtual time: convergence, bandwidth, slow engines, lying instances and worth served.
 
-Liars speak with their own keys, as an instance that was taken over would: they accuse engines that are well, praise
-the one that is slow, and call live members dead.
+Liars sign with valid keys, as a compromised instance would: they report healthy engines as slow and the slow one as
+healthy, and declare live members dead.
 """
 
 from __future__ import annotations
@@ -28,27 +28,27 @@
 from tealwing.policy import Gateway
 
 ENGINES = 8
-ANSWERS = 2.0  # a second, of one instance from one engine: 20 instances with 16 queries a second each
-LATENCY = 0.2  # s of a lookup at an engine that is well
-KEEP, PRIOR = 0.6, 3.0  # a second, and answers, as `policy.PACE_KEEP` and `policy.PACE_PRIOR`
-TIMES_SLOWER = 5.0
-LOOK = 0.25  # s between two looks, as `service.HEALTH_INTERVAL`
+ANSWERS = 2.0  # a second, from one engine to one instance: 20 instances with 16 queries a second each
+LATENCY = 0.2  # s of a lookup at a healthy engine
+KEEP, PRIOR = 0.6, 3.0  # decay factor per second, and prior in answers; as `policy.PACE_KEEP` and `policy.PACE_PRIOR`
+TIMES_SLOWER = 5.0  # slowdown factor of the slow engine
+LOOK = 0.25  # s between two observations, as `service.HEALTH_INTERVAL`
 
 
 class SimulatedObserver:
-    """What one instance sees of modelled engines, counted as the decision module's pace counts it.
+    """One instance's observations of modelled engines, counted as the decision module's pace estimate counts them.
 
-    Lookups go out at random and come back after a scattered time; what is out counts while it is out, so a slow engine
-    shows before it answers.
+    Lookups are sent at random times and take lognormal times. Attempts in flight count too, so that a slow engine is
+    noticed before it answers.
     """
 
     def __init__(self, seed: tuple[int, int]) -> None:
         self._rng = np.random.default_rng(seed)
-        self._out: list[list[tuple[float, float]]] = [[] for _ in range(ENGINES)]  # sent and due
+        self._out: list[list[tuple[float, float]]] = [[] for _ in range(ENGINES)]  # times sent and due
         self._exposed, self._done, self._now = [0.0] * ENGINES, [0.0] * ENGINES, 0.0
 
     def see(self, truth: Sequence[float], seconds: float) -> None:
-        """Some time passes; attempts that are out run on at the pace they were sent with."""
+        """Simulate some seconds; attempts in flight keep the slowness with which they were sent."""
         begin, end = self._now, self._now + seconds
         for engine, times in enumerate(truth):
             for _ in range(int(self._rng.poisson(ANSWERS * seconds))):
@@ -64,7 +64,7 @@
         self._now = end
 
     def evidence(self) -> dict[tuple[int, int], EngineHealth]:
-        """As `local_evidence.observe_engines` would return it."""
+        """The observations, in the form that `local_evidence.observe_engines` returns."""
         found = {}
         for engine in range(ENGINES):
             exposed, done = self._exposed[engine], self._done[engine]
@@ -74,7 +74,7 @@
 
 
 class Trial:
-    """A cluster whose instances see engines, some of them liars or silent."""
+    """A cluster whose instances observe engines; some instances lie, others relay no rumours."""
 
     def __init__(self, instances: int, liars: int, silent: int, seed: int, times: Timing | None = None) -> None:
         self.network = Network(seed, times)
@@ -86,14 +86,14 @@
         self.observers = {name: SimulatedObserver((seed, i)) for i, name in enumerate(names)}
         self.latency_factors: dict[str, dict[tuple[int, int], float]] = {name: {} for name in names}
         self.alone: dict[str, float] = {}  # when an instance's own evidence first showed the slow engine
-        self.known: dict[str, float] = {}  # when it leaned on it, by its own or by its peers' evidence
-        self.shunned = 0  # looks at which a healthy engine was doubted by an honest instance
+        self.known: dict[str, float] = {}  # when it knew of the slow engine, by its own or by its peers' evidence
+        self.shunned = 0  # observations in which an honest instance considered a healthy engine slow
         for name in self.silent:
             self.network.tamper[name] = _drop_forwarded
         self.network.clock.at(LOOK, self._observe)
 
     def honest(self) -> list[Instance]:
-        """Instances that do as they should."""
+        """Live instances that neither lie nor withhold rumours."""
         return [i for i in self.network.live() if i.node.name not in self.liars | self.silent]
 
     def _observe(self) -> None:
@@ -124,15 +124,17 @@
                     self.shunned += 1
 
     def _lie(self, instance: Instance) -> None:
-        """Accuse what is well, praise what is slow, and call members dead: all liars say the same."""
+        """Report healthy engines as slow, slow ones as healthy, and members as dead; all liars report the same."""
         node = instance.node
         reports = [
             EngineHealth(engine, 0, 1.0 if times > 1 else 9.0, 0.0, 1e5) for engine, times in enumerate(self.truth)
         ]
         node.publish_health(reports)
-        slander: list[Rumour] = [Dead(m.alive.name, m.alive.boot, m.alive.incarnation) for m in list(node.members)[:8]]
+        false_rumours: list[Rumour] = [
+            Dead(m.alive.name, m.alive.boot, m.alive.incarnation) for m in list(node.members)[:8]
+        ]
         for member in node.members.sample(3):
-            node.send(Priority.RUMOUR, member.address, Gossip(), slander)
+            node.send(Priority.RUMOUR, member.address, Gossip(), false_rumours)
 
 
 def _reports_to_publish(node: Node, own: dict[tuple[int, int], EngineHealth], now: float) -> list[EngineHealth]:
@@ -142,14 +144,14 @@
 
 
 def _drop_forwarded(instance: Instance, to: Address, data: bytes) -> list[tuple[Address, bytes]]:
-    """Probes, answers, and speaks of itself; passes nothing on."""
+    """Tamper function of a silent instance: it probes, answers and sends its own state, but relays no rumours."""
     return [(to, strip_relayed_rumours(data, instance.node))]
 
 
 def run_trial(
     instances: int, liars: int, silent: int, seconds: float, seed: int, times: Timing | None = None
 ) -> dict[str, Any]:
-    """A whole trial: all join, one engine grows slow at a third of the time, and the rest is watched."""
+    """Run a trial: all instances join, and after a third of the time one engine becomes slow; returns the figures."""
     trial = Trial(instances, liars, silent, seed, times)
     network = trial.network
     converged = network.until(network.agreed, seconds / 3)
@@ -168,7 +170,7 @@
     )
 
 
-DetectionTimes = Sequence[float | None]  # s; None where it never came to pass
+DetectionTimes = Sequence[float | None]  # s until detection; None if there was none
 
 
 def summary(
@@ -181,7 +183,7 @@
     deaths: int,
     rejected: Counter[str],
 ) -> dict[str, Any]:
-    """What a trial shows, the same whether played in virtual time or by processes."""
+    """The figures of a trial, in the same form for virtual time and for processes."""
     return {
         "members_converged_s": _last(converged),
         "bytes_per_s_max": max_bytes_per_second,
@@ -197,7 +199,7 @@
 
 
 def _last(times: DetectionTimes) -> float | None:
-    """When the last one knew; None where one never did."""
+    """The time of the last detection; None if any instance never detected."""
     known = [time for time in times if time is not None]
     return round(max(known), 3) if len(known) == len(times) and known else None
 
@@ -208,7 +210,7 @@
 
 
 class GossipingDeployment:
-    """A deployment of modelled engines whose gateways gossip, or do not."""
+    """A deployment of modelled engines whose gateways may gossip."""
 
     def __init__(self, seed: int, gateways: int, seconds: float, load: float, liars: int, talk: bool) -> None:
         settings = replace(site.settings(gateways), gateway_count=gateways)
@@ -249,7 +251,7 @@
                 module.handle(clock.now, api.EngineHealthEstimates(latency_factors))
 
     def run(self, with_fault: Callable[[Deployment], None]) -> score.Score:
-        """What it was worth."""
+        """Play the deployment with a fault; returns its score."""
         with_fault(self.deployment)
         outcomes = self.deployment.run(self.seconds + 26.0)
         return score.count(self.deployment.arrivals, outcomes, self.deployment.settings)
--- a/tealwing/lab/harness.py
+++ b/tealwing/lab/harness.py
@@ -1,7 +1,7 @@
-"""A whole deployment in virtual time: clients, N decision modules, modelled engines and the list between them.
+"""A whole deployment in virtual time: clients, N decision modules, modelled engines and the engine list.
 
-Each gateway is anything with the decision module's `handle`; they share nothing but the engines. The same seed gives
-the same run. The books kept here are the harness's own: what a client got, and when, never what a module believes.
+A gateway is any object with the decision module's `handle`; gateways share nothing but the engines. The same seed gives
+the same run. The harness records outcomes itself: what a client got and when, never what a module believes.
 """
 
 from __future__ import annotations
@@ -17,52 +17,55 @@
 from tealwing.lab.arrivals import Arrivals
 from tealwing.lab.clock import Clock
 
-NET = 0.0003  # s one way between any two
-NOTICE = (0.78, 4.9)  # s that the list trails (the brief's figures)
+NET = 0.0003  # s of network delay, one way between any two
+NOTICE = (0.78, 4.9)  # s by which the engine list is late: least and most (the brief's figures)
 RESET_AFTER = 0.001  # s from a crash to the reset of its connections
 
 
 class Module(Protocol):
-    """What decides at one gateway."""
+    """The decision module of one gateway."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """The actions on one event."""
+        """Handle one event; returns the actions to take."""
 
 
-Make = Callable[[api.Settings, int], Module]  # from settings and a seed
+Make = Callable[[api.Settings, int], Module]  # creates a module from settings and a seed
 
 
 @dataclass(frozen=True, slots=True)
 class Clients:
-    """How clients behave."""
+    """The behaviour of clients."""
 
     retries: int = 1
-    wait: tuple[float, float] = (0.1, 0.6)  # s before a further try, at random
-    heed: float = 0.8  # share of them that keep a pushback
-    patience: tuple[float, float] = (0.8, 1.0)  # of the deadline, for which a try is waited for
+    wait: tuple[float, float] = (0.1, 0.6)  # s before a retry: random between least and most
+    heed: float = 0.8  # share of clients that respect the wait that a refusal asks for
+    patience: tuple[float, float] = (
+        0.8,
+        1.0,
+    )  # share of the deadline that a client waits: random between least and most
 
 
 @dataclass(eq=False, slots=True)
 class ClientTry:
-    """One try of a client at its gateway."""
+    """One try of a client's request at its gateway."""
 
-    first: int  # the request's place among the arrivals
+    first: int  # index of the request among the arrivals
     number: int  # of the try, from 0
     gateway: int
     id: int
-    end: float
-    over: bool = False
-    sends: int = 0
-    attempt: Attempt | None = None
+    end: float  # when the client gives up
+    over: bool = False  # whether it was answered, refused, failed or given up
+    sends: int = 0  # attempts so far
+    attempt: Attempt | None = None  # in flight
     priority: int = 1
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One send."""
+    """One attempt at an engine."""
 
     of: ClientTry
-    number: int
+    number: int  # of the attempt within its try, from 0
     engine: engines.Engine
     sent: float
     run: engines.Run | None = None
@@ -71,21 +74,21 @@
 
 @dataclass(slots=True)
 class RequestOutcomes:
-    """What became of every request, by its place among the arrivals."""
+    """The outcome of every request, by its index among the arrivals, and counts of rule violations."""
 
     answered: Any  # time of the answer 'served', or NaN
-    refused: Any  # refusals that its client got
-    failed: Any
-    shed: Any  # refusals that a level made
-    attempts: Any
-    twice: int = 0  # answers to a try that had one
-    doubled: int = 0  # attempts sent while one was out
-    wrong: int = 0  # sends to engines that no list had named, or past the drain's grace
-    fell: int = 0  # engines pushed over by gateways that knew of their start
+    refused: Any  # number of refusals that the client got
+    failed: Any  # number of failures
+    shed: Any  # number of refusals by a service level
+    attempts: Any  # number of attempts
+    twice: int = 0  # answers to a try that was already over
+    doubled: int = 0  # attempts sent while another was in flight
+    wrong: int = 0  # sends to engines that are not listed, or after the grace time of a drain
+    fell: int = 0  # cold engines overloaded by gateways that knew of their start
 
 
 class Deployment:
-    """Some gateways before some engines."""
+    """A deployment: gateways, engines and the clients' requests."""
 
     def __init__(
         self,
@@ -109,15 +112,19 @@
         self.outcomes = RequestOutcomes(np.full(n, np.nan), refused, failed, shed, attempts)
         self._tries: list[dict[int, ClientTry]] = [{} for _ in range(settings.gateway_count)]
         self._ids = [0] * settings.gateway_count
-        self._drained: dict[tuple[int, int], float] = {}  # by gateway and engine, since when told
-        self._started: dict[tuple[int, int], float] = {}  # by gateway and engine, the start that it knows of
-        self._pushed = 0  # engines that were pushed over and have been replaced
-        self._usual = [
+        self._drained: dict[
+            tuple[int, int], float
+        ] = {}  # by gateway and engine, when the gateway was told of the drain
+        self._started: dict[
+            tuple[int, int], float
+        ] = {}  # by gateway and engine, the engine's start that the gateway knows of
+        self._pushed = 0  # engines that were overloaded while cold and have since been restarted
+        self._mean_work = [
             float(arrivals.work[arrivals.cls == place].mean()) if (arrivals.cls == place).any() else 0.0
             for place in range(len(settings.classes))
         ]
-        # what is drawn here is drawn ahead: one more or less try must not change another's luck
-        self._luck = self._rng.random((n, 4))
+        # drawn in advance, so that a try more or less does not change the random values of other requests
+        self._random_draws = self._rng.random((n, 4))
         self.modules = [make(settings, seed * 1000 + i) for i in range(settings.gateway_count)]
         self._columns = [
             column.tolist()
@@ -138,7 +145,7 @@
         return next(i for i, kind in enumerate(self.settings.machine_kinds) if kind.cores == draw.cores)
 
     def run(self, until: float) -> RequestOutcomes:
-        """Let it run; all arrivals before `until` come, and time goes on until then."""
+        """Run the deployment until a time, with all arrivals before it; returns the outcomes."""
         entries = tuple(self._entry(number, api.Health.READY) for number in self.engines)
         for gateway in range(self.settings.gateway_count):
             self._handle(gateway, api.EngineList(api.EngineListKind.CACHED, 1, entries))
@@ -148,20 +155,20 @@
         self.outcomes.fell = self._pushed + sum(engine.pushed for engine in self.engines.values())
         return self.outcomes
 
-    # Troubles
+    # Faults
 
     def crash(self, numbers: Sequence[int], at: float, back: float | None) -> None:
-        """Some engines die at a time, and come back cold at another."""
+        """Let engines crash at a time and come back cold at another, or never if `back` is None."""
         self.clock.at(at, self._crash, tuple(numbers), back)
 
     def slow(self, numbers: Sequence[int], at: float, until: float, times: float) -> None:
-        """Some engines run so many times slower for a while."""
+        """Let engines run `times` times slower for a while."""
         for number in numbers:
             self.clock.at(at, lambda n=number: self.engines[n].set_slowdown(times))
             self.clock.at(until, lambda n=number: self.engines[n].set_slowdown(1.0))
 
     def drain(self, number: int, at: float) -> None:
-        """One engine is to be sent nothing new."""
+        """Start to drain an engine: it must get no new requests."""
         self.clock.at(at, self._publish_health, number, api.Health.DRAINING)
 
     def _crash(self, numbers: tuple[int, ...], back: float | None) -> None:
@@ -171,9 +178,9 @@
                 self.clock.after(RESET_AFTER, self._ended, run.key, api.AttemptResult.RESET)
             self._publish_health(number, api.Health.GONE)
             if back is not None:
-                self.clock.at(back, self._back, number)
+                self.clock.at(back, self._restart, number)
 
-    def _back(self, number: int) -> None:
+    def _restart(self, number: int) -> None:
         old = self.engines[number]
         self._pushed += old.pushed
         rng = np.random.default_rng((number, int(self.clock.now * 1e3)))
@@ -181,13 +188,13 @@
         self._publish_health(number, api.Health.READY)
 
     def _publish_health(self, number: int, health: api.Health) -> None:
-        """The list tells each gateway, later."""
+        """Send an engine's new list entry to each gateway, each with a random delay."""
         entry = self._entry(number, health)
         for gateway in range(self.settings.gateway_count):
             delay = float(self._rng.uniform(*NOTICE))
-            self.clock.after(delay, self._listed, gateway, number, entry)
+            self.clock.after(delay, self._deliver_entry, gateway, number, entry)
 
-    def _listed(self, gateway: int, number: int, entry: api.EngineListEntry) -> None:
+    def _deliver_entry(self, gateway: int, number: int, entry: api.EngineListEntry) -> None:
         if entry.health is api.Health.READY:
             self._started[gateway, number] = entry.started
             self._drained.pop((gateway, number), None)
@@ -211,7 +218,7 @@
         _, cls, account, gateway, _, cost, group, need, _ = (column[place] for column in self._columns)
         deadline = self.settings.classes[cls].deadline
         low, high = self.clients.patience
-        patience = deadline * (low + (high - low) * float(self._luck[place, 0]))
+        patience = deadline * (low + (high - low) * float(self._random_draws[place, 0]))
         left = self._columns[0][place] + deadline - self.clock.now
         ttl = min(patience, left)
         if ttl <= 0:
@@ -219,11 +226,11 @@
         self._ids[gateway] += 1
         made = ClientTry(place, number, gateway, self._ids[gateway], self.clock.now + ttl)
         self._tries[gateway][made.id] = made
-        self.clock.at(made.end, self._impatient, made)
+        self.clock.at(made.end, self._give_up, made)
         request = api.Request(made.id, cls, ttl, float(group), cost, 0, account, need, number > 0)
         self._handle(gateway, request)
 
-    def _impatient(self, made: ClientTry) -> None:
+    def _give_up(self, made: ClientTry) -> None:
         if not made.over:
             self._close(made)
             self.outcomes.failed[made.first] += 1
@@ -233,10 +240,10 @@
 
     def _schedule_retry(self, made: ClientTry, wait: float) -> None:
         if made.number < self.clients.retries:
-            luck = self._luck[made.first]
+            draws = self._random_draws[made.first]
             low, high = self.clients.wait
-            pause = low + (high - low) * float(luck[1])
-            if wait and luck[2] < self.clients.heed:
+            pause = low + (high - low) * float(draws[1])
+            if wait and draws[2] < self.clients.heed:
                 pause = max(pause, wait)
             self.clock.after(pause, self._try, made.first, made.number + 1)
 
@@ -300,7 +307,7 @@
         if not engine.up:
             self._ended(attempt, api.AttemptResult.CONNECT_FAILED)
             return
-        engine.pressure(self._usual[cls], self._started.get((attempt.of.gateway, engine.number)) == engine.started)
+        engine.pressure(self._mean_work[cls], self._started.get((attempt.of.gateway, engine.number)) == engine.started)
         if not engine.up:
             for run in engine.crash():
                 self._ended(run.key, api.AttemptResult.RESET)
@@ -351,7 +358,7 @@
         self._ended(attempt, result)
 
     def _ended(self, attempt: Attempt, result: api.AttemptResult) -> None:
-        """The one outcome of an attempt."""
+        """End an attempt with its only outcome; later ones are ignored."""
         if attempt.ended:
             return
         attempt.ended = True
--- a/tealwing/lab/load.py
+++ b/tealwing/lab/load.py
@@ -1,8 +1,9 @@
-"""Open-loop load on a real gateway: a schedule drawn ahead, and latency counted from when a request should have gone.
+"""Open-loop load on real gateways: a schedule drawn in advance, and latency measured from a request's due time.
 
-A client that waits for an answer before it sends the next hides every stall (Tene's "coordinated omission"). Here the
-schedule does not wait: a request that goes late, for want of a free session or of processor time, counts from its due
-time. How late the tool itself was is told, and past a bound the run is spoilt, as it then measured the tool.
+A client that waits for an answer before it sends its next request hides every stall (Tene's "coordinated omission").
+Here the schedule does not wait: the latency of a request that is sent late, for lack of a free session or of processor
+time, counts from its due time. The tool reports its own lateness; past a bound the run is spoilt, as it then measured
+the tool.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 from tealwing.lab import arrivals
 from tealwing.lab.client import Session
 
-STACK = 256 * 1024  # bytes a thread
-MAX_LATENCY = 120_000_000  # us that a histogram holds
-DIGITS = 3  # that a latency is kept to
-SPOILT = 0.01  # s of our own lateness, at the 99th percentile, past which the run is spoilt
+STACK = 256 * 1024  # bytes of stack per thread
+MAX_LATENCY = 120_000_000  # us, the largest value that a histogram holds
+DIGITS = 3  # significant digits of a recorded latency
+SPOILT = 0.01  # s of the tool's own lateness (99th percentile) past which the run is spoilt
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 NAMES = ("lookup", "report", "load")
 DEADLINES = (3.0, 20.0, 25.0)  # s by class (the operators' brief)
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSpecification:
-    """What is asked for."""
+    """The load to generate."""
 
     addresses: tuple[tuple[str, int], ...]
     rate: float  # requests a second, over all addresses
@@ -47,7 +48,7 @@
 
 
 class Load:
-    """One run."""
+    """One run of a load."""
 
     def __init__(self, order: LoadSpecification) -> None:
         self._order = order
@@ -64,7 +65,7 @@
         self.rows = 0
 
     def run(self) -> dict[str, Any]:
-        """Play the schedule; the figures."""
+        """Play the schedule; returns the figures."""
         threading.stack_size(STACK)
         self._begun = time.monotonic() + 0.2  # s for the threads to start
         workers = [
@@ -78,7 +79,7 @@
         return self.summary()
 
     def _run_session(self) -> None:
-        """One session's thread: the next request of the schedule, when it is due or as soon as it can."""
+        """Thread of one session: sends the schedule's next request when it is due, or at once if that has passed."""
         sessions: dict[int, Session] = {}
         while True:
             with self._lock:
@@ -117,8 +118,8 @@
             outcome = "no answer in time"
         except OSError:
             outcome = "connection lost"
-        if (gone := sessions.pop(gateway, None)) is not None:
-            gone.close()
+        if (lost_session := sessions.pop(gateway, None)) is not None:
+            lost_session.close()
         return outcome, 0
 
     def _text(self, place: int, cls: int, account: int, cost: float, group: int, need: float) -> bytes:
@@ -133,11 +134,11 @@
         return f"/* {fields} */ SELECT day, count(*), max(note) FROM sales_{group}.orders GROUP BY day".encode()
 
     def summary(self) -> dict[str, Any]:
-        """What came of it: counts, latencies in ms from the due time, and our own lateness."""
+        """The figures: counts, latencies in ms from the due time, and the tool's own lateness."""
         total = Counter[str]()
         for ends in self.ends.values():
             total += ends
-        own = self.lateness.get_value_at_percentile(99.0) / 1e6 if self._plan else 0.0
+        tool_lateness = self.lateness.get_value_at_percentile(99.0) / 1e6 if self._plan else 0.0
         return {
             "asked": len(self._plan),
             "seconds": self._order.seconds,
@@ -151,8 +152,8 @@
                 for name, histogram in self.latency.items()
             },
             "rows": self.rows,
-            "own_lateness_ms_p99": round(own * 1e3, 3),
-            "spoilt": own > SPOILT,
+            "own_lateness_ms_p99": round(tool_lateness * 1e3, 3),
+            "spoilt": tool_lateness > SPOILT,
         }
 
 
@@ -168,14 +169,18 @@
         other = row["asked"] - served - refused
         cells = "".join(f"{row['latency_ms'][head]:>10.1f}" for head in heads)
         lines.append(f"{name:10} {row['asked']:>7} {served:>7} {refused:>8} {other:>6} {cells}")
-    lines.append(f"latency in ms from the due time; our own lateness, p99: {summary['own_lateness_ms_p99']:.1f} ms")
+    lines.append(
+        f"latency in ms from the due time; the tool's own lateness, p99: {summary['own_lateness_ms_p99']:.1f} ms"
+    )
     if summary["spoilt"]:
-        lines.append("SPOILT: this tool went late itself, so the figures tell of it; use more sessions or a lower rate")
+        lines.append(
+            "SPOILT: the load tool was late itself, so the figures describe the tool; use more sessions or a lower rate"
+        )
     return "\n".join(lines)
 
 
 def addresses(texts: Sequence[str]) -> tuple[tuple[str, int], ...]:
-    """HOST:PORT words as pairs; ValueError names the first that is none."""
+    """Parse HOST:PORT texts; raises ValueError with the first one that is malformed."""
     found = []
     for text in texts:
         host, colon, port = text.rpartition(":")
--- a/tealwing/lab/load_swing.py
+++ b/tealwing/lab/load_swing.py
@@ -1,8 +1,8 @@
-"""Load that swings round each threshold of a plan, with its levels on and off, in virtual time.
+"""Load that oscillates around each threshold of a plan, with its service levels on and off, in virtual time.
 
-First the load at which each level is entered is found, by a slow rise with the levels watched but not in force. Then
-for each such level and each form of swing some virtual minutes are played twice, on the same arrivals. A level that
-load alone does not enter (one that hangs on the gateway's own state, say) is told as such.
+First a slowly rising load finds the load at which each level would be entered; levels are evaluated but not in force.
+Then, for each such level and each form of swing, some virtual minutes are played twice on the same arrivals. A level
+that load alone does not enter (one that depends on the gateway's own state, for example) is reported as such.
 """
 
 from __future__ import annotations
@@ -23,31 +23,31 @@
 from tealwing.levels.replay import max_changes_in_window
 from tealwing.policy import Gateway
 
-SERVERS, GATEWAYS = 7, 3  # the middle of what the operators run
+SERVERS, GATEWAYS = 7, 3  # the middle of the range that the operators run
 MEAN_WORK = sum(mix.share * mix.work for mix in arrivals.BRIEF)
-RISE = (0.4, 3.0, 130.0)  # loads from and to, and s, of the rise that finds thresholds
-AFTER = 26.0  # s past the last arrival until all is answered: the longest deadline, and a little
-DEPTH = 0.35  # of the load at a threshold, by which a swing goes up and down
+RISE = (0.4, 3.0, 130.0)  # first load, last load and duration in s of the rise that finds thresholds
+AFTER = 26.0  # s from the last arrival until all requests have ended: the longest deadline and 1 s more
+DEPTH = 0.35  # amplitude of a swing, as a share of the load at the threshold
 FORMS = ("square", "sawtooth", "noise")
-FLOOD = 2.5  # times the usual load
+FLOOD = 2.5  # load of a flood, relative to the usual load
 USUAL, CALM = 0.6, 0.47  # loads before a flood, and on a calm day (the operators' quiet days: 0.39 to 0.54)
 PERIODS = (1.0, 4.0, 12.0, 30.0, 60.0, 120.0)  # s; one is drawn for each play
 
 
 @dataclass(frozen=True, slots=True)
 class Play:
-    """One run to do."""
+    """The specification of one run."""
 
     plan: Plan
     seed: int
     seconds: float
     form: str
     period: float
-    load: float  # at the middle
-    on: bool
+    load: float  # mean of the swing
+    on: bool  # whether the levels are in force
 
     def shape(self) -> arrivals.Shape:
-        """The load over time, over the middle."""
+        """The load over time, relative to the mean."""
         low, high = 1 - DEPTH, 1 + DEPTH
         if self.form == "square":
             return arrivals.square(low, high, self.period)
@@ -61,7 +61,7 @@
 
 
 def deploy(play: Play, changes: list[tuple[float, int, dict[str, Any]]]) -> tuple[Deployment, arrivals.Arrivals]:
-    """The deployment of one play; changes of level go into `changes` with their time and gateway."""
+    """Create the deployment of a play; level changes are appended to `changes` with their time and gateway."""
     settings = site.settings(GATEWAYS)
     draws = site.draws(np.random.default_rng((play.seed, 10)), SERVERS)
     rate = site.rate(draws, MEAN_WORK, play.load)
@@ -74,17 +74,17 @@
         if not play.on:
             return gateway
 
-        def say(_: str, fields: dict[str, Any]) -> None:
+        def record_change(_: str, fields: dict[str, Any]) -> None:
             changes.append((made[0].clock.now, number, fields))
 
-        return Governor(settings, gateway, play.plan, say)
+        return Governor(settings, gateway, play.plan, record_change)
 
     made.append(Deployment(settings, draws, requests, make, play.seed))
     return made[0], requests
 
 
 def run(play: Play) -> dict[str, Any]:
-    """One play's figures."""
+    """Run one play; returns its figures."""
     changes: list[tuple[float, int, dict[str, Any]]] = []
     deployment, requests = deploy(play, changes)
     outcomes = deployment.run(play.seconds + AFTER)
@@ -105,12 +105,12 @@
 
 
 def broken(outcomes: RequestOutcomes) -> int:
-    """How often a rule was broken, as far as the books show."""
+    """Number of rule violations that the harness recorded."""
     return outcomes.twice + outcomes.doubled + outcomes.wrong + outcomes.fell
 
 
 def thresholds(plan: Plan, seed: int) -> dict[str, float]:
-    """The load at which each level would be entered first, at a slow rise; levels never entered are missing."""
+    """The load at which each level would first be entered during a slow rise; levels never entered are left out."""
     low, high, seconds = RISE
     settings = site.settings(GATEWAYS)
     draws = site.draws(np.random.default_rng((seed, 10)), SERVERS)
@@ -123,7 +123,7 @@
     made: list[Deployment] = []
 
     class Watch:
-        """Levels that are looked at and never told to the module."""
+        """Evaluates the levels without passing them on to the decision module."""
 
         def __init__(self, settings: api.Settings, seed: int) -> None:
             self.governor = Governor(settings, Gateway(settings, seed), plan)
@@ -154,29 +154,31 @@
 
 
 def plays(plan: Plan, seed: int, seconds: float) -> tuple[list[tuple[str, Play]], list[str]]:
-    """All that a swing plays, by the name of its threshold, and the levels that load does not enter."""
+    """All plays of a swing with the names of their thresholds, and the levels that load does not enter."""
     found = thresholds(plan, seed)
     rng = np.random.default_rng((seed, 13))
-    todo: list[tuple[str, Play]] = []
+    queued_plays: list[tuple[str, Play]] = []
     for level in plan.levels:
         load = found.get(level.timings.name)
         if load is None:
             continue
         for form in FORMS:
             period = float(rng.choice(PERIODS))
-            todo += [(level.timings.name, Play(plan, seed, seconds, form, period, load, on)) for on in (True, False)]
-    todo += [("flood", Play(plan, seed, seconds, "flood", seconds, USUAL, on)) for on in (True, False)]
-    todo += [("calm", Play(plan, seed, seconds, "steady", seconds, CALM, on)) for on in (True, False)]
-    return todo, [level.timings.name for level in plan.levels if level.timings.name not in found]
+            queued_plays += [
+                (level.timings.name, Play(plan, seed, seconds, form, period, load, on)) for on in (True, False)
+            ]
+    queued_plays += [("flood", Play(plan, seed, seconds, "flood", seconds, USUAL, on)) for on in (True, False)]
+    queued_plays += [("calm", Play(plan, seed, seconds, "steady", seconds, CALM, on)) for on in (True, False)]
+    return queued_plays, [level.timings.name for level in plan.levels if level.timings.name not in found]
 
 
 def swing(plan: Plan, seed: int, seconds: float, jobs: int) -> Iterator[dict[str, Any]]:
-    """A record for each pair of plays, and a last one that sums up."""
-    todo, unmet = plays(plan, seed, seconds)
+    """Run all plays; yields a record for each pair and a summary at the end."""
+    queued_plays, not_entered = plays(plan, seed, seconds)
     with ProcessPoolExecutor(jobs, mp_context=get_context("spawn")) as pool:
-        results = list(pool.map(run, [play for _, play in todo]))
+        results = list(pool.map(run, [play for _, play in queued_plays]))
     pairs = []
-    for (name, play), on, off in zip(todo[::2], results[::2], results[1::2], strict=True):
+    for (name, play), on, off in zip(queued_plays[::2], results[::2], results[1::2], strict=True):
         record = {
             "threshold": name,
             "form": play.form,
@@ -191,11 +193,11 @@
         record["shed"] = {cls: round(share, 4) for cls, share in on["shed"].items()}
         pairs.append(record)
         yield record
-    yield summed(pairs, seed, seconds, unmet)
+    yield summed(pairs, seed, seconds, not_entered)
 
 
-def summed(pairs: Sequence[dict[str, Any]], seed: int, seconds: float, unmet: Sequence[str]) -> dict[str, Any]:
-    """The last record: the most changes in a minute at any gateway, and means over the plays."""
+def summed(pairs: Sequence[dict[str, Any]], seed: int, seconds: float, not_entered: Sequence[str]) -> dict[str, Any]:
+    """The summary record: the most changes in a minute at any gateway, and means over the plays."""
 
     def mean(figure: str) -> dict[str, float]:
         return {side: round(float(np.mean([pair[figure][side] for pair in pairs])), 4) for side in ("on", "off")}
@@ -205,7 +207,7 @@
         "seed": seed,
         "minutes": seconds / 60,
         "plays": len(pairs),
-        "not_entered_by_load": list(unmet),
+        "not_entered_by_load": list(not_entered),
         "changes": sum(pair["changes"] for pair in pairs),
         "changes_per_minute_max": max((pair["changes_per_minute_max"] for pair in pairs), default=0),
         "worth": mean("worth"),
--- a/tealwing/lab/network.py
+++ b/tealwing/lab/network.py
@@ -1,4 +1,4 @@
-"""A datagram network in virtual time: delay, loss, order, copies, cuts one way or both; and instances on it.
+"""A datagram network in virtual time, with delay, loss, reordering, copies and one-way or two-way cuts.
 
 Instances run `gossip.node.Node`, the code that runs on sockets; only the network and the clocks are modelled.
 """
@@ -20,15 +20,15 @@
 from tealwing.lab.clock import Clock
 
 TICK = 0.1  # s between two ticks of an instance
-DELAY = (0.0002, 0.003)  # s of a datagram on its way
+DELAY = (0.0002, 0.003)  # s of transit of a datagram: least and most
 PORT = 7946
 EPOCH = 1_800_000_000.0  # s of the Unix clock at which virtual time begins
 
 
 class SimulatedKey:
-    """A keyed hash in place of a signature: as long, and a hundred times as quick, for hundreds of instances.
+    """A keyed hash in place of a signature: as long and a hundred times as fast, for hundreds of instances.
 
-    Whoever reads this code can forge it, so it is for trials of behaviour, never of security.
+    Anybody can forge it with this code, so it serves trials of behaviour, never of security.
     """
 
     def __init__(self, name: str) -> None:
@@ -36,25 +36,25 @@
         self.key_id = self._secret[:KEY_ID_BYTES]
 
     def sign(self, data: bytes) -> bytes:
-        """A tag of a signature's length."""
+        """Return a tag as long as a signature."""
         return hashlib.blake2b(data, key=self._secret, digest_size=SIGNATURE_BYTES).digest()
 
 
 class SimulatedKeyring:
-    """Verifies what `Toy` signs."""
+    """Verifies the tags of `SimulatedKey`."""
 
     def __init__(self) -> None:
         self.wall = 0.0
         self._simulated_keys: dict[str, SimulatedKey] = {}
 
     def verify(self, name: str, key: bytes, data: bytes, signature: bytes) -> bool:
-        """Whether that name signed that data."""
+        """Whether `name` signed `data` with this key."""
         simulated = self._simulated_keys.get(name) or self._simulated_keys.setdefault(name, SimulatedKey(name))
         return simulated.key_id == key and simulated.sign(data) == signature
 
 
 def real_key(name: str) -> keys.LocalKey:
-    """An Ed25519 key that follows from a name, for trials."""
+    """An Ed25519 key derived from a name, for trials."""
     return keys.from_seed(hashlib.blake2b(name.encode(), digest_size=32).digest())
 
 
@@ -66,29 +66,31 @@
     address: Address
     skew: float  # s that its Unix clock is ahead
     running: bool = True
-    paused: list[tuple[Address, bytes]] | None = None  # what came while its process stood still
-    seconds: dict[int, int] = field(default_factory=dict)  # bytes out by second
-    largest: int = 0
+    paused: list[tuple[Address, bytes]] | None = (
+        None  # datagrams received while its process was paused; None if it is not
+    )
+    seconds: dict[int, int] = field(default_factory=dict)  # bytes sent by second
+    largest: int = 0  # bytes of the largest datagram sent
 
 
 @dataclass(slots=True)
 class LinkConditions:
-    """What the network does to datagrams."""
+    """The network's treatment of datagrams."""
 
-    loss: float = 0.0
-    copies: float = 0.0
+    loss: float = 0.0  # probability that a datagram is lost
+    copies: float = 0.0  # probability that a datagram is duplicated
     delay: tuple[float, float] = DELAY
-    cut: Callable[[Address, Address], bool] = lambda source, to: False
+    cut: Callable[[Address, Address], bool] = lambda source, to: False  # whether source can't reach to
 
 
 class Network:
-    """Instances, and the weather between them."""
+    """Gossip instances and the network conditions between them."""
 
     def __init__(self, seed: int, times: Timing | None = None, real_keys: bool = False) -> None:
         self.clock, self.times = Clock(), times or Timing()
         self.conditions = LinkConditions()
         self.instances: dict[str, Instance] = {}
-        self.events: list[tuple[float, str, str, dict[str, object]]] = []  # when, whose, what
+        self.events: list[tuple[float, str, str, dict[str, object]]] = []  # time, instance, event, fields
         self.tamper: dict[str, Callable[[Instance, Address, bytes], list[tuple[Address, bytes]]]] = {}
         self._random, self._seed, self._real = random.Random(seed), seed, real_keys
         self._by_address: dict[Address, Instance] = {}
@@ -97,7 +99,7 @@
     # Instances
 
     def start(self, name: str, seeds: Sequence[Address], skew: float = 0.0, address: Address | None = None) -> Instance:
-        """A process begins under a name; one that ran under it is no more on the network at that address."""
+        """Start an instance under a name; it replaces any instance at the same address."""
         if address is None:
             self._hosts += 1
             address = (f"10.{self._hosts >> 16}.{self._hosts >> 8 & 255}.{self._hosts & 255}", PORT)
@@ -106,7 +108,7 @@
         signer: SimulatedKey | keys.LocalKey = SimulatedKey(name)
         if self._real:
             signer = real_key(name)
-            ring = _Everybody()
+            ring = _TrialKeyring()
         clock = NodeClock(self.clock.now, self.wall(skew))
         identity = LocalIdentity(name, address, signer, clock)
         node = Node(identity, clock, ring.verify, self.times, seeds, rng)
@@ -117,18 +119,18 @@
         return instance
 
     def wall(self, skew: float) -> float:
-        """The Unix clock of an instance."""
+        """The Unix time by the clock of an instance with this skew."""
         return EPOCH + self.clock.now + skew
 
     def kill(self, name: str) -> None:
-        """The process dies without a word."""
+        """Kill an instance without notice to the others."""
         instance = self.instances[name]
         instance.running = False
         if self._by_address.get(instance.address) is instance:
             del self._by_address[instance.address]
 
     def pause(self, name: str, seconds: float) -> None:
-        """The process stands still for a while; what comes waits in its socket, 200 datagrams at most."""
+        """Pause an instance for a while; its socket buffers at most 200 datagrams."""
         instance = self.instances[name]
         instance.paused = []
         self.clock.after(seconds, self._resume, instance)
@@ -149,7 +151,7 @@
     # Datagrams
 
     def inject(self, source: Address, to: Address, data: bytes) -> None:
-        """A datagram from anybody."""
+        """Send a datagram from any address."""
         self._transmit(source, to, data)
 
     def _flush(self, instance: Instance) -> None:
@@ -161,7 +163,7 @@
         for to, data in node.take_datagrams(self.clock.now):
             instance.seconds[second] = instance.seconds.get(second, 0) + len(data) + HEADERS_BYTES
             instance.largest = max(instance.largest, len(data))
-            assert len(data) <= MAX_DATAGRAM_BYTES, f"a datagram of {len(data)} bytes"
+            assert len(data) <= MAX_DATAGRAM_BYTES, f"datagram of {len(data)} bytes; at most {MAX_DATAGRAM_BYTES}"
             tamper = self.tamper.get(node.name)
             for target, what in tamper(instance, to, data) if tamper else [(to, data)]:
                 self._transmit(instance.address, target, what)
@@ -183,14 +185,14 @@
         instance.node.receive(self.clock.now, self.wall(instance.skew), source, data)
         self._flush(instance)
 
-    # What is so
+    # State of the cluster
 
     def live(self) -> list[Instance]:
-        """Instances that run and speak."""
+        """Instances that run and are not silent."""
         return [i for i in self.instances.values() if i.running and not i.node.silent]
 
     def agreed(self) -> bool:
-        """Whether all that run hold each other live, and nobody else."""
+        """Whether all live instances consider each other live, and no other instance."""
         running = self.live()
         if any(instance.node.members.live != len(running) - 1 for instance in running):
             return False
@@ -198,7 +200,7 @@
         return all(m.alive.name in names for i in running for m in i.node.members if m.state <= State.SUSPECT)
 
     def until(self, holds: Callable[[], bool], limit: float, step: float = 0.25) -> float | None:
-        """Let time pass until something holds; how long that took, or None."""
+        """Advance the time until a condition holds; returns the time that took, or None past the limit."""
         begun = self.clock.now
         while self.clock.now < begun + limit:
             if holds():
@@ -207,12 +209,12 @@
         return self.clock.now - begun if holds() else None
 
     def max_bytes_per_second(self) -> int:
-        """The most that any instance sent in any second."""
+        """The most bytes that any instance sent in any second."""
         return max((n for i in self.instances.values() for n in i.seconds.values()), default=0)
 
 
-class _Everybody(keys.Keyring):
-    """Allows every name its trial key."""
+class _TrialKeyring(keys.Keyring):
+    """A keyring that allows every name its trial key."""
 
     def __init__(self) -> None:
         super().__init__(())
@@ -225,7 +227,7 @@
 
 
 def cluster(network: Network, count: int, seeds: int = 3, skew: float = 0.0) -> list[Instance]:
-    """So many instances that start together and know the first few."""
+    """Start `count` instances together, the first `seeds` of them as seeds."""
     rng = random.Random(count)
     made: list[Instance] = []
     addresses = [(f"10.0.{(i + 1) >> 8}.{(i + 1) & 255}", PORT) for i in range(min(seeds, count))]
--- a/tealwing/lab/processes.py
+++ b/tealwing/lab/processes.py
@@ -1,4 +1,4 @@
-"""A trial of gossip as processes over UDP on loopback: each instance is a process with the real transport."""
+"""A trial of gossip over UDP on loopback: each instance is a process with the real transport."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from tealwing.lab import gossip_trial
 from tealwing.lab.network import real_key
 
-JOINING = 15.0  # s in which all must have found each other
-REPORT = 0.05  # s between two looks of a process at itself
+JOINING = 15.0  # s in which all instances must have joined
+REPORT = 0.05  # s between two readings of a process's own state
 
 
 def run_trial(instances: int, liars: int, silent: int, seconds: float, seed: int) -> dict[str, Any]:
-    """All join, one engine grows slow, and the rest is watched; the figures of `rumours.attempt`."""
+    """Run a trial: all instances join, then one engine becomes slow; returns the figures of `gossip_trial.summary`."""
     with tempfile.TemporaryDirectory() as directory:
         for number in range(instances):
             path = Path(directory) / f"n{number}.key"
@@ -43,10 +43,10 @@
         processes = []
         for number in range(instances):
             kind = kinds[instances - 1 - number] if number >= instances - len(kinds) else "honest"
-            addresses = json.dumps(plan | {"number": number, "kind": kind})
+            instance_plan = json.dumps(plan | {"number": number, "kind": kind})
             processes.append(
                 subprocess.Popen(
-                    [sys.executable, "-m", "tealwing.lab.processes", addresses], stdout=subprocess.PIPE, text=True
+                    [sys.executable, "-m", "tealwing.lab.processes", instance_plan], stdout=subprocess.PIPE, text=True
                 )
             )
         reports = []
@@ -89,7 +89,7 @@
 
 
 def run_instance(plan: dict[str, Any]) -> dict[str, Any]:
-    """One instance's process, until its end; what it saw."""
+    """Run one instance until the trial's end; returns its observations."""
     number, kind, names = plan["number"], plan["kind"], [f"n{i}" for i in range(plan["instances"])]
     ports = plan["seed_ports"]
     listen = ("127.0.0.1", ports[number] if number < len(ports) else 0)
@@ -111,18 +111,20 @@
             )
         return own, len(truth)
 
-    def tell(event: api.Event) -> None:
+    def apply_estimates(event: api.Event) -> None:
         if isinstance(event, api.EngineHealthEstimates):
             latency_factors.clear()
             latency_factors.update(event.latency_factors)
 
     log.logger.disabled = True
-    link = GossipService(GossipConfig(names[number], listen, key, allowed, seeds, Timing(), None, None), evidence, tell)
+    service = GossipService(
+        GossipConfig(names[number], listen, key, allowed, seeds, Timing(), None, None), evidence, apply_estimates
+    )
     deaths = Counter[str]()
     if kind == "silent":
-        link.suppress_relay = True
-    link.on_event = lambda event: deaths.update([event.log_name])
-    link.start()
+        service.suppress_relay = True
+    service.on_event = lambda event: deaths.update([event.log_name])
+    service.start()
     seconds: dict[int, int] = {}
     sent, seen = 0, time.time()
     while (now := time.time()) < plan["end"]:
@@ -133,16 +135,16 @@
             observer.see(truth, now - seen)
             own = observer.evidence()
         seen = now
-        with link.lock:
-            total, live = link.node.send_queue.sent_bytes, link.node.members.live
+        with service.lock:
+            total, live = service.node.send_queue.sent_bytes, service.node.members.live
             if kind == "liar":
-                _accuse_others(link)
+                _accuse_others(service)
         seconds[int(now)] = seconds.get(int(now), 0) + total - sent
         sent = total
         if live == plan["instances"] - 1 and found["converged"] is None:
             found["converged"] = now - begun
-        word = own[2, 0]
-        sees = word.samples >= OWN_EVIDENCE_SAMPLES and word.slowness >= SLOW_RATIO
+        observation = own[2, 0]
+        sees = observation.samples >= OWN_EVIDENCE_SAMPLES and observation.slowness >= SLOW_RATIO
         if truth[2] > 1:
             if sees and found["alone"] is None:
                 found["alone"] = now - plan["slow_at"]
@@ -150,16 +152,18 @@
                 found["known"] = now - plan["slow_at"]
         found["shunned"] += sum(key[0] != 2 or truth[2] == 1 for key in list(latency_factors))
     found["bytes_per_s_max"] = max(seconds.values(), default=0)
-    found["rejected"] = dict(link.node.counters.rejected)
+    found["rejected"] = dict(service.node.counters.rejected)
     found["deaths"] = deaths["gossip_dead"]
     return found
 
 
-def _accuse_others(link: GossipService) -> None:
-    node = link.node
-    slander: list[Rumour] = [Dead(m.alive.name, m.alive.boot, m.alive.incarnation) for m in list(node.members)[:8]]
+def _accuse_others(service: GossipService) -> None:
+    node = service.node
+    false_rumours: list[Rumour] = [
+        Dead(m.alive.name, m.alive.boot, m.alive.incarnation) for m in list(node.members)[:8]
+    ]
     for member in node.members.sample(1):
-        node.send(Priority.RUMOUR, member.address, Gossip(), slander)
+        node.send(Priority.RUMOUR, member.address, Gossip(), false_rumours)
 
 
 if __name__ == "__main__":
--- a/tealwing/lab/realtime.py
+++ b/tealwing/lab/realtime.py
@@ -1,4 +1,4 @@
-"""The laboratory's clock in real time: the same calls, run by one thread when they are due."""
+"""The laboratory's clock in real time: one thread runs scheduled calls when they are due."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RealClock:
-    """Like `clock.Clock`, but time passes by itself. All calls run under one lock, which models share."""
+    """Like `clock.Clock`, but in real time. All calls run under one lock, which the models share."""
 
     def __init__(self) -> None:
         self.lock = threading.RLock()
@@ -24,11 +24,11 @@
 
     @property
     def now(self) -> float:
-        """Seconds since it began."""
+        """Seconds since the clock was created."""
         return time.monotonic() - self._begun
 
     def at(self, due: float, call: Call, *args: Any) -> None:
-        """Run a call at a time; one that has passed is now."""
+        """Schedule a call at a time; a time in the past means now."""
         with self._changed:
             self._sequence += 1
             heapq.heappush(self._due, (due, self._sequence, call, args))
@@ -36,11 +36,11 @@
                 self._changed.notify()
 
     def after(self, delay: float, call: Call, *args: Any) -> None:
-        """Run a call after some seconds."""
+        """Schedule a call after some seconds."""
         self.at(self.now + delay, call, *args)
 
     def stop(self) -> None:
-        """Run nothing more."""
+        """Stop the thread; calls not yet due never run."""
         with self._changed:
             self._stopped = True
             self._changed.notify()
@@ -54,5 +54,5 @@
                 _, _, call, args = heapq.heappop(self._due)
                 try:
                     call(*args)
-                except Exception:  # a fault of one call must not stop the clock of all
+                except Exception:  # an exception in one call must not stop the clock
                     log.event("lab_call_failed", trace=traceback.format_exc(limit=-3))
--- a/tealwing/lab/score.py
+++ b/tealwing/lab/score.py
@@ -1,4 +1,4 @@
-"""What a run was worth: served within the aim over asked for, whole, by class and in its worst stretch."""
+"""The score of a run: worth served in time over worth requested, in total, by class and in its worst stretch."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from tealwing.lab.arrivals import Arrivals
 from tealwing.lab.harness import RequestOutcomes
 
-STRETCH = 10.0  # s of the worst stretch (the operators' count)
+STRETCH = 10.0  # s of a stretch, as the operators score it
 
 
 @dataclass(frozen=True, slots=True)
 class Score:
-    """Shares of the worth asked for; in_time by class is of requests that a client got an answer to or gave up."""
+    """Shares of the requested worth that were served; in_time leaves out requests that a level refused."""
 
     total: float
-    worst: float
+    worst: float  # in the worst stretch
     by_class: dict[str, float]
-    in_time: dict[str, float]
-    shed: dict[str, float]  # share of the class's requests that a level refused in the end
+    in_time: dict[str, float]  # by class, share of the requests served in time
+    shed: dict[str, float]  # by class, share of the requests that a level refused and nobody served
 
     @property
     def mixed(self) -> float:
-        """The operators' mix without accounts: four tenths whole, three the worst stretch, two the worst class."""
+        """The operators' score without accounts, weighted 4 : 3 : 2 from the total, worst stretch and worst class."""
         return (0.4 * self.total + 0.3 * self.worst + 0.2 * min(self.by_class.values())) / 0.9
 
 
 def latency_objectives(arrivals: Arrivals, settings: api.Settings) -> Any:
-    """The time by which each request is wanted."""
+    """The time by which each request must be answered to count as in time."""
     objective = np.array([cls.latency_objective for cls in settings.classes])[arrivals.cls]
     stretch = np.array([cls.objective_per_work / cls.threads for cls in settings.classes])[arrivals.cls]
     return arrivals.at + objective + stretch * arrivals.work
@@ -45,7 +45,7 @@
     end: float = np.inf,
     account: int | None = None,
 ) -> Score:
-    """What the requests that came between two times were worth, of one account or of all."""
+    """Score the requests that arrived from `begin` to `end`, of one account or of all."""
     counted = (arrivals.at >= begin) & (arrivals.at < end)
     if account is not None:
         counted &= arrivals.account == account
@@ -53,11 +53,11 @@
     late_weight = np.array([cls.late_weight_share for cls in settings.classes])[arrivals.cls]
     served = ~np.isnan(outcomes.answered)
     in_time = served & (outcomes.answered <= latency_objectives(arrivals, settings))
-    in_share = weight * np.where(in_time, 1.0, np.where(served, late_weight, 0.0))
+    earned = weight * np.where(in_time, 1.0, np.where(served, late_weight, 0.0))
 
     def share(of: Any) -> float:
         asked = float(weight[of].sum())
-        return float(in_share[of].sum()) / asked if asked else 1.0
+        return float(earned[of].sum()) / asked if asked else 1.0
 
     stretch = ((arrivals.at - begin) // STRETCH).astype(int)
     worst = min((share(counted & (stretch == i)) for i in range(max(int(stretch.max(initial=0)), 1))), default=1.0)
--- a/tealwing/lab/site.py
+++ b/tealwing/lab/site.py
@@ -1,4 +1,4 @@
-"""The deployment that the laboratory models by default: figures of the operators' brief."""
+"""The deployment that the laboratory models by default, with figures of the operators' brief."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from tealwing.lab import engines
 
 GB = 1024.0  # MB
-MACHINES = ((8, 16 * GB, 0.61), (16, 32 * GB, 0.39))  # cores, memory, share
-TRUSTED = 1.1  # work asked for over the cores at load 1: warm groups save some, and this much just fits
+MACHINES = ((8, 16 * GB, 0.61), (16, 32 * GB, 0.39))  # cores, memory in MB, share of the engines
+WORK_AT_FULL_LOAD = 1.1  # work requested at load 1, relative to the cores: warm groups save the excess
 
 
 def settings(gateways: int = 3) -> api.Settings:
-    """What each gateway is told."""
+    """The settings of each gateway."""
 
     def made(
         name: str,
@@ -77,7 +77,7 @@
 
 
 def draws(rng: np.random.Generator, servers: int) -> list[engines.Draw]:
-    """Engines drawn from the brief's ranges; the first few machines keep the shares of the kinds."""
+    """Draw engine parameters from the brief's ranges; the kinds keep their shares in any number of engines."""
     found = []
     for i in range(servers):
         cores, memory, _ = MACHINES[(i + 1) * MACHINES[1][2] % 1 < i * MACHINES[1][2] % 1]
@@ -101,5 +101,5 @@
 
 
 def rate(draws_: list[engines.Draw], mean_work: float, load: float) -> float:
-    """Requests a second that make up a load of these engines; 1 is what they can just do."""
-    return load * TRUSTED * sum(draw.cores * draw.speed for draw in draws_) / mean_work
+    """Requests a second that put a load on these engines; load 1 is what they can just handle."""
+    return load * WORK_AT_FULL_LOAD * sum(draw.cores * draw.speed for draw in draws_) / mean_work
--- a/tealwing/lab/slow_start.py
+++ b/tealwing/lab/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start of engines under the sum of all gateways, in virtual time: the real decision module, no I/O.
+"""Slow start of engines under the requests of all gateways, in virtual time: the real decision module, no I/O.
 
-The worst case: the rest of the fleet leaves as the engines start, so every query wants one of them. Each gateway is a
-module of its own; what they send is held against N + 2 sqrt(N) + 2 requests of mean work in every window, N being what
-the settings allow at the window's begin.
+The worst case: all other engines leave as the cold engines start, so that every query goes to a cold one. Each gateway
+has a decision module of its own. The sends of all gateways are checked against a bound of N + 2 sqrt(N) + 2 requests of
+mean work in every window, where N is what the settings allow at the start of the window.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 from tealwing.policy import Gateway
 
 MIX = ((0.81, 0.15), (0.135, 3.7), (0.055, 4.9))  # shares and work (s of one thread) of the site's classes
-LIGHT = ((1.0, 0.1),)  # one class: N is large, and its scatter small
-MIDDLE = ((1.0, 0.5),)  # one class, of which twenty gateways have too little for fixed shares
-BEFORE = 8.0  # s of traffic before the start, from which the gateways learn the rates
-UNEVEN = 0.7  # the nth gateway has n to minus this of the first one's traffic: of 200 the first has 15 means
+LIGHT = ((1.0, 0.1),)  # one class of little work: N is large and its relative variation small
+MIDDLE = ((1.0, 0.5),)  # one class for which N is too small to split into fixed shares among twenty gateways
+BEFORE = 8.0  # s of traffic before the start, from which the gateways learn their rates
+UNEVEN = 0.7  # the nth gateway gets n**-UNEVEN of the first one's traffic; of 200, the first gets 15 times the mean
 BURST_AT = 1.0  # s after the start at which a burst begins; it lasts one window
-RESTARTS = (0.0, 1.5)  # s after the start at which a third of the gateways each begin anew
-STEP = 0.1  # s between the windows that are looked at
-CORES = 8  # of an engine that starts
+RESTARTS = (0.0, 1.5)  # s after the start; at each, a third of the gateways restarts
+STEP = 0.1  # s between the ends of the windows checked
+CORES = 8  # of a cold engine
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One kind of start."""
+    """One scenario of cold engines."""
 
     name: str
     mix: tuple[tuple[float, float], ...] = MIX
-    engines: int = 1  # that start at once
+    engines: int = 1  # cold engines that start at once
     burst: float = 1.0  # factor on the traffic for one window
-    restarts: bool = False  # two thirds of the gateways know nothing of what went before
-    failing: float = 0.0  # share of attempts at the cold engines that end with an error, and are tried again
+    restarts: bool = False  # two thirds of the gateways restart and lose what they learned
+    failing: float = 0.0  # share of attempts at the cold engines that end with an error and are retried
     few: float = 1.0  # factor on the traffic
 
 
@@ -62,18 +62,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """What the starts of a case showed."""
+    """The results of the starts of a case."""
 
     windows: int
-    over: int  # windows beyond the bound
+    over: int  # windows over the bound
     starts: int
-    fell: int  # starts with a window beyond the bound, wherever it begins
-    used: float  # mean share of N that a window was sent
-    worst: float  # the fullest window over its bound
+    fell: int  # starts with any window over the bound, at whatever time it begins
+    used: float  # mean over the windows of the share of N that was sent
+    worst: float  # sends of the fullest window relative to its bound
 
 
 def total(found: Iterable[Found]) -> Found:
-    """All of them as one."""
+    """Combine several results into one."""
     each = list(found)
     return Found(
         sum(f.windows for f in each),
@@ -86,18 +86,18 @@
 
 
 def rate(gateways: int) -> float:
-    """Queries a second of all gateways: the operators' for a few, some three a second each for hundreds."""
+    """Queries a second of all gateways: the operators' rates for a few gateways, about three each for hundreds."""
     return 220.0 if gateways < 10 else 330.0 if gateways < 100 else 600.0
 
 
 def settings(case: Case, gateways: int) -> api.Settings:
-    """What each gateway is told; the accounts' rates say that a core carries what the rule calls capacity."""
-    plain, request_class = site.settings(gateways), rate(gateways) * case.few
+    """The settings of each gateway, with tenant quotas that load the cores to api.CAPACITY_UTILIZATION."""
+    plain, request_rate = site.settings(gateways), rate(gateways) * case.few
     rest = (
-        request_class * sum(share * work for share, work in case.mix) / api.CAPACITY_UTILIZATION - case.engines * CORES
+        request_rate * sum(share * work for share, work in case.mix) / api.CAPACITY_UTILIZATION - case.engines * CORES
     )
     kinds = (api.MachineKind("cold", CORES, 16384.0), api.MachineKind("rest", max(round(rest) + 1, 1), 1e6))
-    accounts = (api.TenantQuota("all", 1.0, request_class),)
+    accounts = (api.TenantQuota("all", 1.0, request_rate),)
     return dataclasses.replace(
         plain,
         machine_kinds=kinds,
@@ -109,25 +109,25 @@
 
 
 class Start:
-    """One start before all gateways."""
+    """One start of cold engines in a fleet of gateways."""
 
     def __init__(self, case: Case, gateways: int, seed: int) -> None:
         self.case, self.gateways, self.seed = case, gateways, seed
         self.settings, self.random = settings(case, gateways), random.Random(seed)
         self.modules = [Gateway(self.settings, seed * 1000 + n) for n in range(gateways)]
-        self.ages = [0] * gateways  # how often each gateway began anew
+        self.generations = [0] * gateways  # number of restarts by gateway
         self.due: list[tuple[float, int, int, int, api.Event]] = []
         self.offered, self.begin = 0, 100.0
         self.requests: dict[int, int] = {}
         self.sent: dict[int, list[tuple[float, float]]] = {n + 1: [] for n in range(case.engines)}
 
     def put(self, at: float, n: int, event: api.Event) -> None:
-        """Let a gateway, as it is now, see an event at a time."""
+        """Schedule an event for a gateway; it is dropped if the gateway has restarted by then."""
         self.offered += 1
-        heapq.heappush(self.due, (at, self.offered, n, self.ages[n], event))
+        heapq.heappush(self.due, (at, self.offered, n, self.generations[n], event))
 
     def lists(self, at: float, n: int, warming_up: bool) -> None:
-        """The list before the start and, where it has come, the change to the cold engines alone."""
+        """Schedule a gateway's first engine list and, if warming_up, the change that leaves only the cold engines."""
         entries = [api.EngineListEntry(e, 0, 0, 0, api.Health.READY, 1.0, 0.0) for e in self.sent]
         rest = api.EngineListEntry(0, 0, 1, 0, api.Health.READY, 1.0, 0.0)
         self.put(at, n, api.EngineList(api.EngineListKind.CACHED, 1, (rest, *entries)))
@@ -135,13 +135,13 @@
             self.put(at, n, self.change())
 
     def change(self) -> api.EngineList:
-        """The engines have started anew, and all others are gone."""
+        """The list change by which the cold engines have started and all others are gone."""
         entries = [api.EngineListEntry(e, 0, 0, 0, api.Health.READY, 1.0, self.begin) for e in self.sent]
         rest = api.EngineListEntry(0, 0, 1, 0, api.Health.GONE, 1.0, 0.0)
         return api.EngineList(api.EngineListKind.DELTA, 2, (rest, *entries))
 
     def traffic(self, end: float) -> None:
-        """Poisson arrivals at gateways of uneven traffic."""
+        """Schedule Poisson arrivals at gateways with uneven traffic."""
         weights = [(n + 1) ** -UNEVEN for n in range(self.gateways)]
         shares = [share for share, _ in self.case.mix]
         at, peak_rate = self.begin - BEFORE, rate(self.gateways) * self.case.few * self.case.burst
@@ -158,28 +158,28 @@
             self.offered += 1
 
     def play(self) -> Found:
-        """From the traffic before to the end of the cold time."""
+        """Play from the traffic before the start to the end of the slow start."""
         end = self.begin + self.settings.rules.slow_start_time
         self.traffic(end)
         for n in range(self.gateways):
             self.lists(self.begin - BEFORE, n, warming_up=False)
             self.put(self.begin, n, self.change())
-        anew = [(self.begin + RESTARTS[n % 3], n) for n in range(self.gateways) if n % 3 < len(RESTARTS)]
-        anew = sorted(anew) if self.case.restarts else []
+        restarts = [(self.begin + RESTARTS[n % 3], n) for n in range(self.gateways) if n % 3 < len(RESTARTS)]
+        restarts = sorted(restarts) if self.case.restarts else []
         while self.due and self.due[0][0] < end:
             now = self.due[0][0]
-            while anew and anew[0][0] <= now:
-                at, n = anew.pop(0)
-                self.ages[n] += 1
+            while restarts and restarts[0][0] <= now:
+                at, n = restarts.pop(0)
+                self.generations[n] += 1
                 self.modules[n] = Gateway(self.settings, self.seed * 1000 + n + 500)
                 self.lists(at, n, warming_up=True)
-            now, _, n, age, event = heapq.heappop(self.due)
-            if age in (-1, self.ages[n]):
+            now, _, n, generation, event = heapq.heappop(self.due)
+            if generation in (-1, self.generations[n]):
                 self.act(now, n, self.modules[n].handle(now, event))
         return self.found()
 
     def act(self, now: float, n: int, actions: list[api.Action]) -> None:
-        """What an engine makes of a send: an answer with no crowd, or an error."""
+        """Execute a gateway's actions; an engine answers a send as if idle, or with an error."""
         for action in actions:
             if isinstance(action, api.SetTimer):
                 self.put(now + action.delay, n, api.TimerFired(action.token))
@@ -200,7 +200,7 @@
                 self.put(now + took, n, done)
 
     def found(self) -> Found:
-        """Every window against the bound: those that end at each step, and any for the start."""
+        """Check windows against the bound: those that end at each step, and for `fell` those that end at each send."""
         rules, mean = self.settings.rules, sum(share * work for share, work in self.case.mix)
         full = rules.overload_multiple * api.CAPACITY_UTILIZATION * CORES * rules.overload_time / mean
 
@@ -226,10 +226,10 @@
 
 
 def bound(allowed: float) -> float:
-    """What a window may hold, in requests of mean work: the budget and what is put down to chance."""
+    """The most that a window may hold, in requests of mean work: the budget and a margin for chance."""
     return allowed + 2 * sqrt(allowed) + 2
 
 
 def play(case: Case, gateways: int, seeds: Iterable[int]) -> Found:
-    """The starts of a case, one a seed and engine."""
+    """Play a case with each seed; returns the combined results."""
     return total(Start(case, gateways, seed).play() for seed in seeds)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Many gateways before many engines: what is harmless from one must not harm from all. No bench, no sockets."""
+"""Fleets of many gateways: behaviour that is harmless in one gateway must not harm when all do it. No sockets."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from tealwing.policy import Gateway
 from tests.build import entry, listing, ok, sends
 
-MIX = (0.81, 0.135, 0.055)  # of lookups, reports and loads (the brief's)
-WORK = (0.15, 3.7, 4.9)  # s of one thread, means within the brief's ranges
+MIX = (0.81, 0.135, 0.055)  # shares of lookups, reports and loads (the brief's)
+WORK = (0.15, 3.7, 4.9)  # mean work in s of one thread, within the brief's ranges
 
 
 def cold_start(gateways: int, rate: float, seed: int) -> list[tuple[float, float]]:
-    """Times and work of all sends to one cold engine of eight cores, to which all queries want to go.
+    """Times and work of all sends to one cold engine of eight cores, the only engine for all queries.
 
-    Half of the gateways have nine tenths of the traffic; answers take three times as long as without a crowd.
+    Half of the gateways get nine tenths of the traffic; answers take three times as long as on an idle engine.
     """
-    settings = dataclasses.replace(site.settings(gateways), tenant_quotas=())  # nobody says what the fleet carries
+    settings = dataclasses.replace(site.settings(gateways), tenant_quotas=())  # the fleet's traffic is unknown
     modules = [Gateway(settings, seed * 1000 + n) for n in range(gateways)]
     rng = random.Random(seed)
     weights = [9.0 if n % 2 else 1.0 for n in range(gateways)]
@@ -42,7 +42,7 @@
         heapq.heappush(due, (at, asked, n, event))
 
     for n in range(gateways):
-        put(100.0, n, listing(entry(1)))  # long since warm, until it starts anew
+        put(100.0, n, listing(entry(1)))  # warm, until it restarts at 112 s
         put(112.0, n, listing(entry(1, started=112.0), kind=api.EngineListKind.DELTA))
     at = 100.0
     while (at := at + rng.expovariate(rate)) < 125.0:
@@ -67,9 +67,10 @@
     return sent
 
 
-def test_a_cold_engine_is_neither_pushed_over_nor_left_idle() -> None:
-    # seen on a day of 40 gateways, six in ten engines replaced: the new ones got a tenth of what they could do for
-    # the whole cold time, as each gateway took its few loads for one a second and crowded latency for work
+def test_cold_engine_is_neither_overloaded_nor_left_idle() -> None:
+    # Guards against a fault seen in a simulated day of 40 gateways after six of ten engines were replaced: the new ones
+    # got a tenth of the work that they could do during the whole slow start, as each gateway took its few loads for one
+    # a second and counted latency caused by crowding as work.
     rules = site.settings().rules
     for gateways, rate in ((3, 110.0), (40, 330.0)):
         for seed in range(3):
@@ -88,23 +89,24 @@
             assert used > 0.4 * could, (gateways, seed, used / could)
 
 
-# The coordinator
+# Reconnecting to the coordinator
 
 
-def test_forty_gateways_do_not_ask_a_lost_coordinator_in_step() -> None:
-    # all lose it at one moment; what counts is what it must stand when it comes back, and how late the last one asks
+def test_forty_gateways_spread_out_their_reconnects_to_lost_coordinator() -> None:
+    # All gateways lose the coordinator at the same moment. Retries must not come in bursts that it would have to
+    # withstand when it returns, and the last gateway must not retry too late.
     times = []
     for seed in range(40):
         backoff, at = Backoff(0.1, 1.5, seed), 0.0
         while at < 10.0:
             at += backoff.next()
             times.append(at)
-    assert len(times) < 40 * 14  # in ten seconds; a wait of 0.1 to 0.5 s makes 33 each
+    assert len(times) < 40 * 14  # in ten seconds; waits of 0.1 to 0.5 s would make 33 each
     crowd = max(sum(start <= at < start + 0.1 for at in times) for start in (0.1 * n for n in range(15, 99)))
     assert crowd <= 12, crowd
 
 
-def test_a_wait_is_bounded_and_short_again_once_the_coordinator_is_heard() -> None:
+def test_backoff_is_bounded_and_short_after_reset() -> None:
     backoff = Backoff(0.1, 1.5, 7)
     waits = [backoff.next() for _ in range(200)]
     assert all(0.1 <= wait <= 1.5 for wait in waits) and max(waits) > 1.0
@@ -112,21 +114,22 @@
     assert backoff.next() <= 0.3
 
 
-class Enough(BaseException):
-    """Ends a follower's loop; no handler of its own takes it."""
+class StopLoop(BaseException):
+    """Ends the watch client's loop; a BaseException, so that no handler in the loop catches it."""
 
 
-def test_a_coordinator_that_takes_calls_and_says_nothing_is_asked_less_and_less(
+def test_watch_backs_off_from_coordinator_that_accepts_and_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # a connect alone is not news: a coordinator that accepts and closes was asked three times a second for ever
-    follower = WatchClient(("127.0.0.1", 9), 3, site.settings(), lambda update: None)
+    # A connection alone must not reset the backoff: a coordinator that accepted and closed connections was asked three
+    # times a second without end.
+    watch = WatchClient(("127.0.0.1", 9), 3, site.settings(), lambda update: None)
     waits: list[float] = []
 
     def wait(seconds: float) -> bool:
         waits.append(seconds)
         if len(waits) == 30:
-            raise Enough
+            raise StopLoop
         return False
 
     def closes(address: object, moves: object) -> socket.socket:
@@ -134,18 +137,18 @@
         theirs.close()
         return ours
 
-    monkeypatch.setattr(follower._moved, "wait", wait)
-    monkeypatch.setattr(follower, "_connect", closes)
-    with pytest.raises(Enough):
-        follower._run()
-    assert sum(waits[10:]) / 20 > 0.5 and max(waits) <= 1.5 and follower.index == 3
+    monkeypatch.setattr(watch._moved, "wait", wait)
+    monkeypatch.setattr(watch, "_connect", closes)
+    with pytest.raises(StopLoop):
+        watch._run()
+    assert sum(waits[10:]) / 20 > 0.5 and max(waits) <= 1.5 and watch.index == 3
 
 
-# Forty gateways of uneven traffic before thirty modelled engines, in virtual time
+# Forty gateways with uneven traffic and thirty modelled engines, in virtual time
 
 
-def forty(troubles: Callable[[Deployment], None], load: float) -> tuple[RequestOutcomes, Score]:
-    """Half a minute; the fifth of the gateways that has most has half of the traffic."""
+def run_forty_gateways(inject_faults: Callable[[Deployment], None], load: float) -> tuple[RequestOutcomes, Score]:
+    """Run 30 s with some faults; the busiest fifth of the gateways gets half of the traffic."""
     draws = site.draws(np.random.default_rng(3), 30)
     rate = site.rate(draws, sum(mix.share * mix.work for mix in arrivals.BRIEF), load)
     settings = site.settings(40)
@@ -156,17 +159,18 @@
     of = np.random.default_rng(5).choice(40, len(asked), p=weights / weights.sum())
     asked = dataclasses.replace(asked, gateway=of)
     deployment = Deployment(settings, draws, asked, Gateway, 6)
-    troubles(deployment)
-    books = deployment.run(30.0)
-    return books, score.count(asked, books, settings)
+    inject_faults(deployment)
+    outcomes = deployment.run(30.0)
+    return outcomes, score.count(asked, outcomes, settings)
 
 
-def a_zone_lost(deployment: Deployment) -> None:
+def lose_zone(deployment: Deployment) -> None:
     deployment.crash(range(1, 11), 4.0, 9.0)
 
 
-def test_a_zone_lost_and_back_cold_costs_forty_gateways_little() -> None:
-    # a third of the engines dies at once and is back, cold, after 5 s: 0.946 before the fleet's changes
-    books, found = forty(a_zone_lost, 0.6)
-    assert not books.fell and not books.wrong and not books.doubled and not books.twice
+def test_forty_gateways_keep_serving_when_zone_is_lost_and_returns_cold() -> None:
+    # A third of the engines crash at once and return cold after 5 s. The score was 0.946 before the changes for large
+    # fleets.
+    outcomes, found = run_forty_gateways(lose_zone, 0.6)
+    assert not outcomes.fell and not outcomes.wrong and not outcomes.doubled and not outcomes.twice
     assert found.total > 0.97, found
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory's kernel: virtual time, the engine model, and whole deployments that keep the rules."""
+"""Tests of the laboratory: virtual time, the engine model, and whole deployments that keep the rules."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Rig:
-    """One engine and what ended there."""
+    """One engine on a virtual clock, and the end times of its queries."""
 
     def __init__(self, draw: Draw = PLAIN, started: float = 0.0) -> None:
         self.clock = Clock()
@@ -47,7 +47,7 @@
         self.ends[run.key] = self.clock.now
 
 
-def test_what_fits_runs_at_full_speed_and_the_rest_is_shared() -> None:
+def test_queries_run_at_full_speed_on_free_cores_and_share_busy_ones() -> None:
     rig = Rig()
     for i in range(8):
         rig.start(i)
@@ -59,7 +59,7 @@
     assert all(end == pytest.approx(3.5) for end in rig.ends.values())
 
 
-def test_priorities_share_one_to_four_to_eight_to_sixteen() -> None:
+def test_priorities_share_cores_by_weights_1_4_8_16() -> None:
     rig = Rig(dataclasses.replace(PLAIN, cores=1))
     low, high = rig.start("low", priority=0), rig.start("high", priority=3)
     rig.clock.run(0.17)
@@ -69,7 +69,7 @@
     assert rig.engine.progress(low) == pytest.approx(0.02)
 
 
-def test_past_the_knee_less_is_done_and_past_the_memory_all_slow_down() -> None:
+def test_engine_slows_down_past_knee_and_past_memory() -> None:
     crowded = Rig(dataclasses.replace(PLAIN, knee=1.0, thrash=1.0))
     for i in range(16):
         crowded.start(i)
@@ -82,7 +82,7 @@
     assert max(paging.ends.values()) == pytest.approx(5.0)
 
 
-def test_a_load_holds_its_tables_and_a_stop_frees_them() -> None:
+def test_load_locks_its_table_group_until_stopped() -> None:
     rig = Rig()
     load = rig.start("load", 5.0, holds=True, group=3)
     rig.start("reader", waits=True, group=3)
@@ -95,7 +95,7 @@
     assert rig.ends["second"] == pytest.approx(3.0) and rig.ends["reader"] == pytest.approx(4.0)
 
 
-def test_warm_groups_read_faster() -> None:
+def test_queries_on_warm_table_groups_finish_sooner() -> None:
     rig = Rig(dataclasses.replace(PLAIN, warm_gain=0.5, warm_groups=1))
     for key, group in (("cold", 1), ("warm", 1), ("evicts", 2), ("cold again", 1)):
         begun = rig.clock.now
@@ -105,7 +105,7 @@
     assert [round(rig.ends[k], 6) for k in ("cold", "warm", "evicts", "cold again")] == [1.0, 0.75, 1.0, 1.0]
 
 
-def test_a_cold_engine_is_slow_and_falls_over_when_pushed() -> None:
+def test_cold_engine_is_slow_and_crashes_when_overloaded() -> None:
     rig = Rig(dataclasses.replace(PLAIN, cores=1, slow_start_share=0.5, slow_start_time=10.0), started=1e-9)
     rig.start("one")
     rig.clock.run(9.0)
@@ -114,7 +114,9 @@
     rig.engine.pressure(1.1 * 2 * 0.32 * 0.85 * 8 * 3.0 * 0.99, informed=False)
     assert rig.engine.up
     rig.engine.pressure(1.0)
-    assert rig.engine.fell and not rig.engine.up and not rig.engine.pushed, "by those who did not know"
+    assert rig.engine.fell and not rig.engine.up and not rig.engine.pushed, (
+        "the sends came from gateways that did not know of the start"
+    )
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.floats(0.01, 3.0), st.integers(0, 3)), max_size=60))
@@ -141,20 +143,20 @@
     return Deployment(settings, draws, asked, Gateway, seed, clients)
 
 
-def test_a_run_with_troubles_keeps_the_rules_and_answers_all() -> None:
+def test_deployment_with_faults_keeps_rules_and_ends_every_request() -> None:
     made = deployment(1, 1.2)
     made.crash([1, 2], 3.0, 6.0)
     made.slow([3], 2.0, 9.0, 6.0)
     made.drain(4, 5.0)
-    books = made.run(45.0)
-    assert not (books.twice or books.doubled or books.wrong or books.fell)
-    ended = ~np.isnan(books.answered) | (books.refused > 0) | (books.failed > 0)
-    assert ended.all() and (books.attempts <= 3 * 2).all()
-    assert not any(made._tries), "nothing is kept of what has ended"
-    assert 0.2 < score.count(made.arrivals, books, made.settings).total < 1.0
+    outcomes = made.run(45.0)
+    assert not (outcomes.twice or outcomes.doubled or outcomes.wrong or outcomes.fell)
+    ended = ~np.isnan(outcomes.answered) | (outcomes.refused > 0) | (outcomes.failed > 0)
+    assert ended.all() and (outcomes.attempts <= 3 * 2).all()
+    assert not any(made._tries), "ended tries are forgotten"
+    assert 0.2 < score.count(made.arrivals, outcomes, made.settings).total < 1.0
 
 
-def test_the_same_seed_gives_the_same_run() -> None:
+def test_same_seed_reproduces_run() -> None:
     first, second, other = (deployment(seed).run(40.0).answered for seed in (2, 2, 3))
     assert np.array_equal(first, second, equal_nan=True) and len(first) != len(other)
 
@@ -167,7 +169,7 @@
     assert abs((drawn.cls == 0).mean() - 0.81) < 0.02 and abs((drawn.account == 0).mean() - 0.81) < 0.02
 
 
-def test_the_list_trails_and_a_drain_is_kept() -> None:
+def test_engine_list_is_delayed_and_drain_is_respected() -> None:
     seen: list[tuple[float, api.Health]] = []
 
     class Watch(Gateway):
