--- a/benchmarks/capacity/day.py
+++ b/benchmarks/capacity/day.py
@@ -29,9 +29,7 @@
 class Found:
     """What was measured in one partition mode."""
 
-    everywhere: list[float] = field(
-        default_factory=list
-    )  # s until a change was in force at all members that did not restart
+    everywhere: list[float] = field(default_factory=list)  # s until in force at all members that did not restart
     phases: list[str] = field(default_factory=list)
     restarts: int = 0
     fault: str = ""  # why a member did not come back after its restart; empty if all did
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -13,12 +13,7 @@
 from tealwing.replica.raft import Options
 
 # Planned fleet and limits, given by the operators
-GATEWAYS, ENGINES, CLIENTS, STATEMENTS = (
-    1100,
-    2100,
-    9000,
-    1091.0,
-)  # clients, and statements a second, are those of one gateway
+GATEWAYS, ENGINES, CLIENTS, STATEMENTS = 1100, 2100, 9000, 1091.0  # clients and statements a second: per gateway
 MEMBERS = GATEWAYS + 5  # the gateways and five voters on machines of their own
 CONTROL_PERCENT, CONTROL_MB, CONTROL_BYTES = 1.8, 128.0, 4096.0  # limits for control in one gateway
 EVERYWHERE_S, PRIMARY_S = 14.0, 9.0  # s until a change must be in force everywhere; s a change of leader may take
--- a/tealwing/lab/engines.py
+++ b/tealwing/lab/engines.py
@@ -25,9 +25,7 @@
 FALL_WINDOW = 3.0  # s over which the work sent to a cold engine is summed
 FALL_MULTIPLE = 2.0  # of its current capacity that a cold engine survives
 FALL_SLACK = 1.1  # tolerance on that for random variation (the contract's "a little")
-INFORMED = (
-    2 / 3
-)  # share of the work from gateways that knew of the start, from which they are to blame (the contract's)
+INFORMED = 2 / 3  # share of the work from gateways that knew of the start at which they are to blame (contract)
 CAPACITY = 0.85  # utilization of the cores that counts as full capacity
 
 
--- a/tealwing/lab/harness.py
+++ b/tealwing/lab/harness.py
@@ -37,12 +37,9 @@
     """The behaviour of clients."""
 
     retries: int = 1
-    wait: tuple[float, float] = (0.1, 0.6)  # s before a retry: random between least and most
+    wait: tuple[float, float] = (0.1, 0.6)  # s before a retry, at random: least and most
     heed: float = 0.8  # share of clients that respect the wait that a refusal asks for
-    patience: tuple[float, float] = (
-        0.8,
-        1.0,
-    )  # share of the deadline that a client waits: random between least and most
+    patience: tuple[float, float] = (0.8, 1.0)  # share of the deadline that a client waits: least and most
 
 
 @dataclass(eq=False, slots=True)
@@ -112,12 +109,8 @@
         self.outcomes = RequestOutcomes(np.full(n, np.nan), refused, failed, shed, attempts)
         self._tries: list[dict[int, ClientTry]] = [{} for _ in range(settings.gateway_count)]
         self._ids = [0] * settings.gateway_count
-        self._drained: dict[
-            tuple[int, int], float
-        ] = {}  # by gateway and engine, when the gateway was told of the drain
-        self._started: dict[
-            tuple[int, int], float
-        ] = {}  # by gateway and engine, the engine's start that the gateway knows of
+        self._drained: dict[tuple[int, int], float] = {}  # by gateway and engine, when the drain was announced
+        self._started: dict[tuple[int, int], float] = {}  # by gateway and engine, the announced start of the engine
         self._pushed = 0  # engines that were overloaded while cold and have since been restarted
         self._mean_work = [
             float(arrivals.work[arrivals.cls == place].mean()) if (arrivals.cls == place).any() else 0.0
