--- a/benchmarks/capacity/calibration.py
+++ b/benchmarks/capacity/calibration.py
@@ -105,7 +105,7 @@
         return found
 
 
-def real(size: int, seconds: float) -> dict[str, list[float]]:
+def measure_real_fleet(size: int, seconds: float) -> dict[str, list[float]]:
     """Mean cost of an idle real gateway by role, in the order of `QUANTITIES`."""
     with RealFleet(size, control.VOTERS) as fleet:
         fleet.settle()
@@ -127,7 +127,7 @@
     """Measure both fleets, one after the other."""
     size = SMALL_SIZE if options.small else SIZE
     seconds = SMALL_SECONDS if options.small else SECONDS
-    hollow, true = control.one(size, seconds, MEMBERS_A_HOST), real(size, seconds)
+    hollow, true = control.measure_idle_fleet(size, seconds, MEMBERS_A_HOST), measure_real_fleet(size, seconds)
     series, notes = [], []
     for role in control.ROLES:
         for column, name in enumerate(QUANTITIES):
--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -52,7 +52,7 @@
     return begun, phase
 
 
-def one(
+def measure_changes(
     size: int, changes: int, members_a_host: int = control.MEMBERS_A_HOST
 ) -> tuple[list[float], dict[str, list[float]], float]:
     """Seconds until each change was in force at all members, cost of a change by role, share of changes in force."""
@@ -87,7 +87,7 @@
 def measure(options: Options) -> Measured:
     """Measure changes at each size, on real sockets."""
     sizes, changes = (SMALL, SMALL_CHANGES) if options.small else (SIZES, CHANGES)
-    rows = [one(size, changes) for size in sizes]
+    rows = [measure_changes(size, changes) for size in sizes]
     columns: list[tuple[str, str, list[float]]] = [
         ("in force everywhere, median", "s", [statistics.median(row[0]) if row[0] else 0.0 for row in rows]),
         ("in force everywhere, longest", "s", [max(row[0], default=0.0) for row in rows]),
--- a/benchmarks/capacity/clients.py
+++ b/benchmarks/capacity/clients.py
@@ -38,7 +38,7 @@
     return sock
 
 
-def _one(size: int) -> tuple[float, float, int, int]:
+def _measure_clients(size: int) -> tuple[float, float, int, int]:
     """Memory (bytes) and processor time (us) per client, and the descriptors and threads that all clients added."""
     engines = Engines(ENGINES)
     with GatewayProcess(engines, sockets=HEADROOM * size + 256) as gateway:
@@ -61,7 +61,7 @@
 def measure(options: Options) -> Measured:
     """Measure clients at each size."""
     sizes = SMALL if options.small else SIZES
-    rows = [_one(size) for size in sizes]
+    rows = [_measure_clients(size) for size in sizes]
     names = ("memory", "connect, login and ping", "descriptors", "threads")
     units = ("bytes a client", "us of processor time a client", "in all", "in all")
     series = []
--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -52,7 +52,7 @@
     return {role: [total / max(1, counts[role]) for total in sums[role]] for role in ROLES}
 
 
-def one(size: int, seconds: float, members_a_host: int = MEMBERS_A_HOST) -> dict[str, list[float]]:
+def measure_idle_fleet(size: int, seconds: float, members_a_host: int = MEMBERS_A_HOST) -> dict[str, list[float]]:
     """Measure an idle fleet of `size` members; raises CapacityError if the machine can't run it."""
     try:
         with HollowFleet(size, VOTERS, members_a_host=members_a_host) as fleet:
@@ -68,7 +68,7 @@
 def measure(options: Options) -> Measured:
     """Measure idle fleets of each size."""
     sizes = SMALL if options.small else SIZES
-    rows = [one(size, SMALL_SECONDS if options.small else SECONDS) for size in sizes]
+    rows = [measure_idle_fleet(size, SMALL_SECONDS if options.small else SECONDS) for size in sizes]
     series = []
     for role in ROLES:
         for column, (name, unit) in enumerate(QUANTITIES):
--- a/benchmarks/capacity/day.py
+++ b/benchmarks/capacity/day.py
@@ -51,7 +51,7 @@
         found.restarts += 1
 
 
-def one(mode: PartitionMode, size: int, singles: int, seconds: float, every: float) -> Found:
+def measure_mode(mode: PartitionMode, size: int, singles: int, seconds: float, every: float) -> Found:
     """Measure one mode at one size; raises CapacityError if the machine can't run it."""
     found = Found()
     try:
@@ -106,7 +106,7 @@
     """Measure one partition mode."""
     size, singles = (SMALL_SIZE, SMALL_SINGLES) if options.small else (SIZE, SINGLES)
     seconds, every = (SMALL_SECONDS, SMALL_CHANGE_EVERY) if options.small else (SECONDS, CHANGE_EVERY)
-    found = one(mode, size, singles, seconds, every)
+    found = measure_mode(mode, size, singles, seconds, every)
     values = (
         ("in force everywhere, median", "s", statistics.median(found.everywhere) if found.everywhere else 0.0),
         ("in force everywhere, longest", "s", max(found.everywhere, default=0.0)),
--- a/benchmarks/capacity/fitting.py
+++ b/benchmarks/capacity/fitting.py
@@ -29,7 +29,7 @@
         return None
     ordered = sorted(points, key=lambda point: point.size)
     inside, last = ordered[:-1], ordered[-1]
-    found = [_one(term, inside, last) for term in TERMS]
+    found = [_fit_term(term, inside, last) for term in TERMS]
     least = min(one.residual for one in found)
     return next(one for one in found if one.residual <= NEAR_BEST * least + 1e-12)
 
@@ -39,7 +39,7 @@
     return found.constant + found.factor * TERMS[found.term](size)
 
 
-def _one(term: str, points: Sequence[Point], last: Point) -> Fit:
+def _fit_term(term: str, points: Sequence[Point], last: Point) -> Fit:
     values = np.array([point.value for point in points])
     weights = 1.0 / np.maximum(np.abs(values), 1e-12)
     columns = [np.ones(len(points))]
--- a/benchmarks/capacity/reference.py
+++ b/benchmarks/capacity/reference.py
@@ -10,11 +10,11 @@
 
 def reference_us() -> float:
     """Processor time in microseconds of one round of the loop; the least of ROUNDS."""
-    _one()
-    return min(_one() for _ in range(ROUNDS))
+    _time_round()
+    return min(_time_round() for _ in range(ROUNDS))
 
 
-def _one() -> float:
+def _time_round() -> float:
     begun = time.process_time()
     table: dict[int, float] = {}
     for number in range(ITEMS):
--- a/tealwing/lab/demo.py
+++ b/tealwing/lab/demo.py
@@ -27,11 +27,11 @@
 
 ENGINES, GATEWAYS = 8, 3
 LOAD = 0.3  # share of the engines' capacity: the stand-ins share this machine with the gateways
-SMALL = 0.25  # factor on the brief's work and memory of a query, so that a short run has many queries
-READY = 20.0  # s within which a gateway must start
+WORK_SCALE = 0.25  # factor on the brief's work and memory of a query, so that a short run has many queries
+START_LIMIT = 20.0  # s within which a gateway must start
 GRACE = 1.05  # s after a drain is published in which sends may still arrive: 1 s by the rule, 0.05 s of socket delay
-STEP = 0.5  # s between two displayed states
-LAST = 30.0  # s within which a gateway must end after SIGTERM
+DISPLAY_INTERVAL = 0.5  # s between two displayed states
+STOP_LIMIT = 30.0  # s within which a gateway must end after SIGTERM
 
 
 @dataclass(slots=True)
@@ -90,7 +90,7 @@
         self._clock, self._settings = RealClock(), site.settings(GATEWAYS)
         self._keys = Keys(self._clock)
         self._mix = tuple(
-            arrivals.Mix(m.share, m.work * SMALL, m.spread, m.io, m.memory * SMALL) for m in arrivals.BRIEF
+            arrivals.Mix(m.share, m.work * WORK_SCALE, m.spread, m.io, m.memory * WORK_SCALE) for m in arrivals.BRIEF
         )
         self._draws = site.draws(np.random.default_rng((seed, 50)), ENGINES)
         self._engines = {
@@ -102,7 +102,7 @@
         self._drained: dict[str, float] = {}  # by engine, when its drain was published
         self._processes: list[subprocess.Popen[bytes]] = []
         self._note = ""
-        rate = site.rate(self._draws, MEAN_WORK * SMALL, LOAD)
+        rate = site.rate(self._draws, MEAN_WORK * WORK_SCALE, LOAD)
         self._rate, self._seed = min(rate, 120.0), seed
         self._load: Load | None = None
 
@@ -137,7 +137,7 @@
         return tuple(found)
 
     def _address(self, path: Path) -> tuple[str, int]:
-        end = time.monotonic() + READY
+        end = time.monotonic() + START_LIMIT
         while time.monotonic() < end:
             for line in path.read_bytes().splitlines():
                 with contextlib.suppress(json.JSONDecodeError):
@@ -147,11 +147,11 @@
                         return host, port
             time.sleep(0.05)
         raise RuntimeError(
-            f"gateway {path.stem} did not start within {READY:g} s; its log ends: {path.read_text()[-500:]}"
+            f"gateway {path.stem} did not start within {START_LIMIT:g} s; its log ends: {path.read_text()[-500:]}"
         )
 
     def run(self, addresses: tuple[tuple[str, int], ...]) -> Iterator[State]:
-        """Play the load and the faults; yields the state every STEP seconds."""
+        """Play the load and the faults; yields the state every DISPLAY_INTERVAL seconds."""
         order = LoadSpecification(addresses, self._rate, self._seconds, 96, self._seed, mix=self._mix)
         load = self._load = Load(order)
         thread = threading.Thread(target=load.run, daemon=True)
@@ -166,7 +166,7 @@
         self._clock.after(0.35 * self._seconds, self._drain)
         thread.start()
         while thread.is_alive():
-            thread.join(STEP)
+            thread.join(DISPLAY_INTERVAL)
             yield self._current_state(time.monotonic() - begun)
 
     def _current_state(self, seconds: float) -> State:
@@ -216,7 +216,7 @@
         crashed = 0
         for process in self._processes:
             with contextlib.suppress(subprocess.TimeoutExpired):
-                process.wait(LAST)
+                process.wait(STOP_LIMIT)
             crashed += process.returncode != 0
             if process.poll() is None:
                 process.kill()
--- a/tealwing/lab/engines.py
+++ b/tealwing/lab/engines.py
@@ -257,17 +257,17 @@
         draw = self.draw
         moving = np.array([not run.still for run in self._runs])
         threads = float(self._threads[:k][moving].sum())
-        crowd = threads / draw.cores
-        total = 1.0 if crowd <= draw.knee else (draw.knee / crowd) ** draw.thrash
+        threads_per_core = threads / draw.cores
+        total = 1.0 if threads_per_core <= draw.knee else (draw.knee / threads_per_core) ** draw.thrash
         warm_up = self.warm_up_progress()
         cores, disks = draw.cores * total * warm_up, draw.cores * draw.disks * warm_up
         weight = self._weight[:k] * moving
         speed = np.minimum(water_filling(weight, self._cpu[:k], cores), water_filling(weight, self._io[:k], disks))
-        over = float(self._need[:k].sum()) / draw.memory - 1
-        pace = draw.speed / self.slow
-        if over > 0:
-            pace *= 1 - (1 - 1 / draw.page) * min(over, 1.0)
-        rate = self._rate[:k] = speed * moving * self._threads[:k] * pace
+        excess = float(self._need[:k].sum()) / draw.memory - 1
+        speed_factor = draw.speed / self.slow
+        if excess > 0:
+            speed_factor *= 1 - (1 - 1 / draw.page) * min(excess, 1.0)
+        rate = self._rate[:k] = speed * moving * self._threads[:k] * speed_factor
         with np.errstate(divide="ignore", invalid="ignore"):
             ends = np.where(rate > 0, self._left[:k] / rate, np.inf)
         soonest = float(ends.min())
@@ -281,13 +281,13 @@
             return
         self._advance()
         k = len(self._runs)
-        over = [self._runs[i] for i in np.flatnonzero(self._left[:k] <= EPSILON)]
-        for run in over:
+        finished = [self._runs[i] for i in np.flatnonzero(self._left[:k] <= EPSILON)]
+        for run in finished:
             self._remove(run)
             self.served += run.total
         self._update_blocked()
         self._update_rates()
-        for run in over:
+        for run in finished:
             run.done(run)
 
 
--- a/tealwing/lab/gossip_trial.py
+++ b/tealwing/lab/gossip_trial.py
@@ -32,7 +32,7 @@
 LATENCY = 0.2  # s of a lookup at a healthy engine
 KEEP, PRIOR = 0.6, 3.0  # decay factor per second, and prior in answers; as `policy.PACE_KEEP` and `policy.PACE_PRIOR`
 TIMES_SLOWER = 5.0  # slowdown factor of the slow engine
-LOOK = 0.25  # s between two observations, as `service.HEALTH_INTERVAL`
+OBSERVE_INTERVAL = 0.25  # s between two observations, as `service.HEALTH_INTERVAL`
 
 
 class SimulatedObserver:
@@ -90,18 +90,18 @@
         self.shunned = 0  # observations in which an honest instance considered a healthy engine slow
         for name in self.silent:
             self.network.tamper[name] = _drop_forwarded
-        self.network.clock.at(LOOK, self._observe)
+        self.network.clock.at(OBSERVE_INTERVAL, self._observe)
 
     def honest(self) -> list[Instance]:
         """Live instances that neither lie nor withhold rumours."""
         return [i for i in self.network.live() if i.node.name not in self.liars | self.silent]
 
     def _observe(self) -> None:
-        self.network.clock.after(LOOK, self._observe)
+        self.network.clock.after(OBSERVE_INTERVAL, self._observe)
         now = self.network.clock.now
         for instance in self.network.live():
             node, observer = instance.node, self.observers[instance.node.name]
-            observer.see(self.truth, LOOK)
+            observer.see(self.truth, OBSERVE_INTERVAL)
             own = observer.evidence()
             if node.name in self.liars:
                 self._lie(instance)
@@ -185,12 +185,12 @@
 ) -> dict[str, Any]:
     """The figures of a trial, in the same form for virtual time and for processes."""
     return {
-        "members_converged_s": _last(converged),
+        "members_converged_s": _latest(converged),
         "bytes_per_s_max": max_bytes_per_second,
         "ceiling_bytes_per_s": int(times.max_bytes_per_s),
         "healthy_shunned": shunned,
-        "slow_engine_known_s": _last(known),
-        "slow_engine_known_alone_s": _last(alone),
+        "slow_engine_known_s": _latest(known),
+        "slow_engine_known_alone_s": _latest(alone),
         "slow_engine_known_mean_s": _mean(known),
         "slow_engine_known_alone_mean_s": _mean(alone),
         "false_deaths": deaths,
@@ -198,7 +198,7 @@
     }
 
 
-def _last(times: DetectionTimes) -> float | None:
+def _latest(times: DetectionTimes) -> float | None:
     """The time of the last detection; None if any instance never detected."""
     known = [time for time in times if time is not None]
     return round(max(known), 3) if len(known) == len(times) and known else None
@@ -212,24 +212,24 @@
 class GossipingDeployment:
     """A deployment of modelled engines whose gateways may gossip."""
 
-    def __init__(self, seed: int, gateways: int, seconds: float, load: float, liars: int, talk: bool) -> None:
+    def __init__(self, seed: int, gateways: int, seconds: float, load: float, liars: int, gossips: bool) -> None:
         settings = replace(site.settings(gateways), gateway_count=gateways)
         draws = site.draws(np.random.default_rng((seed, 30)), ENGINES)
         mean = sum(mix.share * mix.work for mix in arrivals.BRIEF)
         requests = arrivals.draw(np.random.default_rng((seed, 31)), site.rate(draws, mean, load), seconds, gateways)
-        self.seconds, self._talk = seconds, talk
+        self.seconds, self._gossips = seconds, gossips
         self.deployment = Deployment(settings, draws, requests, Gateway, seed)
         self.network = Network(seed)
         self.network.clock = self.deployment.clock
         self._believed: list[dict[tuple[int, int], float]] = [{} for _ in range(gateways)]
-        if talk:
+        if gossips:
             self._nodes = cluster(self.network, gateways)
             self._liars = set(random.Random(seed).sample(range(3, gateways), liars))
-            self.deployment.clock.at(LOOK, self._exchange)
+            self.deployment.clock.at(OBSERVE_INTERVAL, self._exchange)
 
     def _exchange(self) -> None:
         clock = self.deployment.clock
-        clock.after(LOOK, self._exchange)
+        clock.after(OBSERVE_INTERVAL, self._exchange)
         for number, instance in enumerate(self._nodes):
             node, module = instance.node, self.deployment.modules[number]
             assert isinstance(module, Gateway)
--- a/tealwing/lab/harness.py
+++ b/tealwing/lab/harness.py
@@ -17,8 +17,8 @@
 from tealwing.lab.arrivals import Arrivals
 from tealwing.lab.clock import Clock
 
-NET = 0.0003  # s of network delay, one way between any two
-NOTICE = (0.78, 4.9)  # s by which the engine list is late: least and most (the brief's figures)
+NETWORK_DELAY = 0.0003  # s, one way between any two parties
+LIST_DELAY = (0.78, 4.9)  # s by which the engine list is late: least and most (the brief's figures)
 RESET_AFTER = 0.001  # s from a crash to the reset of its connections
 
 
@@ -46,7 +46,7 @@
 class ClientTry:
     """One try of a client's request at its gateway."""
 
-    first: int  # index of the request among the arrivals
+    request_index: int  # index of the request among the arrivals
     number: int  # of the try, from 0
     gateway: int
     id: int
@@ -61,7 +61,7 @@
 class Attempt:
     """One attempt at an engine."""
 
-    of: ClientTry
+    client_try: ClientTry
     number: int  # of the attempt within its try, from 0
     engine: engines.Engine
     sent: float
@@ -184,7 +184,7 @@
         """Send an engine's new list entry to each gateway, each with a random delay."""
         entry = self._entry(number, health)
         for gateway in range(self.settings.gateway_count):
-            delay = float(self._rng.uniform(*NOTICE))
+            delay = float(self._rng.uniform(*LIST_DELAY))
             self.clock.after(delay, self._deliver_entry, gateway, number, entry)
 
     def _deliver_entry(self, gateway: int, number: int, entry: api.EngineListEntry) -> None:
@@ -217,32 +217,32 @@
         if ttl <= 0:
             return
         self._ids[gateway] += 1
-        made = ClientTry(place, number, gateway, self._ids[gateway], self.clock.now + ttl)
-        self._tries[gateway][made.id] = made
-        self.clock.at(made.end, self._give_up, made)
-        request = api.Request(made.id, cls, ttl, float(group), cost, 0, account, need, number > 0)
+        client_try = ClientTry(place, number, gateway, self._ids[gateway], self.clock.now + ttl)
+        self._tries[gateway][client_try.id] = client_try
+        self.clock.at(client_try.end, self._give_up, client_try)
+        request = api.Request(client_try.id, cls, ttl, float(group), cost, 0, account, need, number > 0)
         self._handle(gateway, request)
 
-    def _give_up(self, made: ClientTry) -> None:
-        if not made.over:
-            self._close(made)
-            self.outcomes.failed[made.first] += 1
-            self._handle(made.gateway, api.ClientGone(made.id))
-            if made.attempt is not None:
-                self._stop(made.attempt, api.AttemptResult.CANCELLED)
-
-    def _schedule_retry(self, made: ClientTry, wait: float) -> None:
-        if made.number < self.clients.retries:
-            draws = self._random_draws[made.first]
+    def _give_up(self, client_try: ClientTry) -> None:
+        if not client_try.over:
+            self._close(client_try)
+            self.outcomes.failed[client_try.request_index] += 1
+            self._handle(client_try.gateway, api.ClientGone(client_try.id))
+            if client_try.attempt is not None:
+                self._stop(client_try.attempt, api.AttemptResult.CANCELLED)
+
+    def _schedule_retry(self, client_try: ClientTry, wait: float) -> None:
+        if client_try.number < self.clients.retries:
+            draws = self._random_draws[client_try.request_index]
             low, high = self.clients.wait
             pause = low + (high - low) * float(draws[1])
             if wait and draws[2] < self.clients.heed:
                 pause = max(pause, wait)
-            self.clock.after(pause, self._try, made.first, made.number + 1)
+            self.clock.after(pause, self._try, client_try.request_index, client_try.number + 1)
 
-    def _close(self, made: ClientTry) -> None:
-        self.outcomes.twice += made.over
-        made.over = True
+    def _close(self, client_try: ClientTry) -> None:
+        self.outcomes.twice += client_try.over
+        client_try.over = True
 
     # Gateways
 
@@ -257,57 +257,59 @@
             case api.Send(id_, engine, timeout):
                 self._send(self._tries[gateway][id_], engine, timeout)
             case api.SetResources(id_, priority, _):
-                made = self._tries[gateway][id_]
-                made.priority = priority
-                if made.attempt is not None and made.attempt.run is not None:
-                    made.attempt.engine.tune(made.attempt.run, priority)
+                client_try = self._tries[gateway][id_]
+                client_try.priority = priority
+                if client_try.attempt is not None and client_try.attempt.run is not None:
+                    client_try.attempt.engine.tune(client_try.attempt.run, priority)
             case api.CancelAttempt(id_, number):
                 attempt = self._tries[gateway][id_].attempt
                 if attempt is not None and attempt.number == number:
                     self._stop(attempt, api.AttemptResult.CANCELLED)
             case api.Reject(id_, wait):
-                made = self._tries[gateway][id_]
-                self._close(made)
-                self.outcomes.refused[made.first] += 1
-                self.outcomes.shed[made.first] += action.is_load_shedding
-                self._schedule_retry(made, wait)
-                self._forget(made)
+                client_try = self._tries[gateway][id_]
+                self._close(client_try)
+                self.outcomes.refused[client_try.request_index] += 1
+                self.outcomes.shed[client_try.request_index] += action.is_load_shedding
+                self._schedule_retry(client_try, wait)
+                self._forget(client_try)
             case api.Fail(id_):
-                made = self._tries[gateway][id_]
-                self._close(made)
-                self.outcomes.failed[made.first] += 1
-                self._schedule_retry(made, 0.0)
-                self._forget(made)
+                client_try = self._tries[gateway][id_]
+                self._close(client_try)
+                self.outcomes.failed[client_try.request_index] += 1
+                self._schedule_retry(client_try, 0.0)
+                self._forget(client_try)
 
-    def _send(self, made: ClientTry, number: int, timeout: float) -> None:
+    def _send(self, client_try: ClientTry, number: int, timeout: float) -> None:
         outcomes, engine = self.outcomes, self.engines.get(number)
-        informed = self._drained.get((made.gateway, number))
-        outcomes.doubled += made.attempt is not None
-        outcomes.attempts[made.first] += 1
+        informed = self._drained.get((client_try.gateway, number))
+        outcomes.doubled += client_try.attempt is not None
+        outcomes.attempts[client_try.request_index] += 1
         if engine is None or (informed is not None and self.clock.now > informed + self.settings.rules.drain_grace):
             outcomes.wrong += 1
         assert engine is not None
-        attempt = made.attempt = Attempt(made, made.sends, engine, self.clock.now)
-        made.sends += 1
-        self.clock.after(NET, self._arrive_at_engine, attempt)
-        self.clock.at(min(self.clock.now + timeout, made.end), self._timed_out, attempt)
+        attempt = client_try.attempt = Attempt(client_try, client_try.sends, engine, self.clock.now)
+        client_try.sends += 1
+        self.clock.after(NETWORK_DELAY, self._arrive_at_engine, attempt)
+        self.clock.at(min(self.clock.now + timeout, client_try.end), self._timed_out, attempt)
 
     def _arrive_at_engine(self, attempt: Attempt) -> None:
         if attempt.ended:
             return
-        engine, place = attempt.engine, attempt.of.first
+        engine, place = attempt.engine, attempt.client_try.request_index
         _, cls, _, _, work, _, group, need, io = (column[place] for column in self._columns)
         if not engine.up:
             self._ended(attempt, api.AttemptResult.CONNECT_FAILED)
             return
-        engine.pressure(self._mean_work[cls], self._started.get((attempt.of.gateway, engine.number)) == engine.started)
+        engine.pressure(
+            self._mean_work[cls], self._started.get((attempt.client_try.gateway, engine.number)) == engine.started
+        )
         if not engine.up:
             for run in engine.crash():
                 self._ended(run.key, api.AttemptResult.RESET)
             self._ended(attempt, api.AttemptResult.RESET)
             return
         if engine.full():
-            self.clock.after(NET, self._ended, attempt, api.AttemptResult.FULL)
+            self.clock.after(NETWORK_DELAY, self._ended, attempt, api.AttemptResult.FULL)
             return
         kind = self.settings.classes[cls]
         attempt.run = engines.Run(
@@ -318,7 +320,7 @@
             io,
             group,
             need,
-            attempt.of.priority,
+            attempt.client_try.priority,
             kind.locks_tables,
             kind.waits_for_locks,
             self._served,
@@ -331,15 +333,17 @@
         if attempt.ended or attempt.run is None or attempt.run.slot < 0:
             return
         self.clock.after(self.settings.progress_interval, self._send_progress, attempt)
-        made, run = attempt.of, attempt.run
+        client_try, run = attempt.client_try, attempt.run
         if run.still:
             kind, amount = api.ProgressKind.WAITING, 2.0
         else:
             kind, amount = api.ProgressKind.PROGRESS, attempt.engine.progress(run)
-        self._handle(made.gateway, api.AttemptProgress(made.id, attempt.number, attempt.engine.number, kind, amount))
+        self._handle(
+            client_try.gateway, api.AttemptProgress(client_try.id, attempt.number, attempt.engine.number, kind, amount)
+        )
 
     def _served(self, run: engines.Run) -> None:
-        self.clock.after(NET, self._ended, run.key, api.AttemptResult.OK)
+        self.clock.after(NETWORK_DELAY, self._ended, run.key, api.AttemptResult.OK)
 
     def _timed_out(self, attempt: Attempt) -> None:
         if not attempt.ended:
@@ -355,30 +359,30 @@
         if attempt.ended:
             return
         attempt.ended = True
-        made, engine = attempt.of, attempt.engine
-        made.attempt = None
-        served = result is api.AttemptResult.OK and not made.over
+        client_try, engine = attempt.client_try, attempt.engine
+        client_try.attempt = None
+        served = result is api.AttemptResult.OK and not client_try.over
         if served:
-            self._close(made)
-            self.outcomes.answered[made.first] = self.clock.now
+            self._close(client_try)
+            self.outcomes.answered[client_try.request_index] = self.clock.now
         report = (
             engine.report() if result in (api.AttemptResult.OK, api.AttemptResult.FULL, api.AttemptResult.ERROR) else ()
         )
         self._handle(
-            made.gateway,
+            client_try.gateway,
             api.AttemptOutcome(
-                made.id,
+                client_try.id,
                 attempt.number,
                 engine.number,
                 result,
                 self.clock.now - attempt.sent,
-                made.over,
+                client_try.over,
                 report=report,
             ),
         )
-        if made.over:
-            self._forget(made)
+        if client_try.over:
+            self._forget(client_try)
 
-    def _forget(self, made: ClientTry) -> None:
-        if made.over and made.attempt is None:
-            self._tries[made.gateway].pop(made.id, None)
+    def _forget(self, client_try: ClientTry) -> None:
+        if client_try.over and client_try.attempt is None:
+            self._tries[client_try.gateway].pop(client_try.id, None)
--- a/tealwing/lab/network.py
+++ b/tealwing/lab/network.py
@@ -66,9 +66,7 @@
     address: Address
     skew: float  # s that its Unix clock is ahead
     running: bool = True
-    paused: list[tuple[Address, bytes]] | None = (
-        None  # datagrams received while its process was paused; None if it is not
-    )
+    paused: list[tuple[Address, bytes]] | None = None  # received while its process is paused; None if it is not
     seconds: dict[int, int] = field(default_factory=dict)  # bytes sent by second
     largest: int = 0  # bytes of the largest datagram sent
 
--- a/tealwing/lab/processes.py
+++ b/tealwing/lab/processes.py
@@ -24,8 +24,8 @@
 from tealwing.lab import gossip_trial
 from tealwing.lab.network import real_key
 
-JOINING = 15.0  # s in which all instances must have joined
-REPORT = 0.05  # s between two readings of a process's own state
+JOIN_TIME = 15.0  # s in which all instances must have joined
+POLL_INTERVAL = 0.05  # s between two readings of a process's own state
 
 
 def run_trial(instances: int, liars: int, silent: int, seconds: float, seed: int) -> dict[str, Any]:
@@ -34,7 +34,7 @@
         for number in range(instances):
             path = Path(directory) / f"n{number}.key"
             keys.write_private(path, real_key(f"n{number}").private)
-        slow_at = time.time() + JOINING
+        slow_at = time.time() + JOIN_TIME
         plan = {
             "folder": directory, "instances": instances, "seed": seed, "slow_at": slow_at, "end": slow_at + seconds,
             "seed_ports": _free_ports(min(3, instances)),
@@ -51,7 +51,7 @@
             )
         reports = []
         for process in processes:
-            out, _ = process.communicate(timeout=JOINING + seconds + 60)
+            out, _ = process.communicate(timeout=JOIN_TIME + seconds + 60)
             reports.append(json.loads(out.splitlines()[-1]))
     honest = [report for report in reports if report["kind"] == "honest"]
     rejected: Counter[str] = Counter()
@@ -128,7 +128,7 @@
     seconds: dict[int, int] = {}
     sent, seen = 0, time.time()
     while (now := time.time()) < plan["end"]:
-        time.sleep(REPORT)
+        time.sleep(POLL_INTERVAL)
         if now >= plan["slow_at"]:
             truth[2] = gossip_trial.TIMES_SLOWER
         with lock:
--- a/tealwing/lab/slow_start.py
+++ b/tealwing/lab/slow_start.py
@@ -121,26 +121,26 @@
         self.requests: dict[int, int] = {}
         self.sent: dict[int, list[tuple[float, float]]] = {n + 1: [] for n in range(case.engines)}
 
-    def put(self, at: float, n: int, event: api.Event) -> None:
+    def schedule(self, at: float, n: int, event: api.Event) -> None:
         """Schedule an event for a gateway; it is dropped if the gateway has restarted by then."""
         self.offered += 1
         heapq.heappush(self.due, (at, self.offered, n, self.generations[n], event))
 
-    def lists(self, at: float, n: int, warming_up: bool) -> None:
+    def schedule_lists(self, at: float, n: int, warming_up: bool) -> None:
         """Schedule a gateway's first engine list and, if warming_up, the change that leaves only the cold engines."""
         entries = [api.EngineListEntry(e, 0, 0, 0, api.Health.READY, 1.0, 0.0) for e in self.sent]
         rest = api.EngineListEntry(0, 0, 1, 0, api.Health.READY, 1.0, 0.0)
-        self.put(at, n, api.EngineList(api.EngineListKind.CACHED, 1, (rest, *entries)))
+        self.schedule(at, n, api.EngineList(api.EngineListKind.CACHED, 1, (rest, *entries)))
         if warming_up:
-            self.put(at, n, self.change())
+            self.schedule(at, n, self.list_change())
 
-    def change(self) -> api.EngineList:
+    def list_change(self) -> api.EngineList:
         """The list change by which the cold engines have started and all others are gone."""
         entries = [api.EngineListEntry(e, 0, 0, 0, api.Health.READY, 1.0, self.begin) for e in self.sent]
         rest = api.EngineListEntry(0, 0, 1, 0, api.Health.GONE, 1.0, 0.0)
         return api.EngineList(api.EngineListKind.DELTA, 2, (rest, *entries))
 
-    def traffic(self, end: float) -> None:
+    def schedule_traffic(self, end: float) -> None:
         """Schedule Poisson arrivals at gateways with uneven traffic."""
         weights = [(n + 1) ** -UNEVEN for n in range(self.gateways)]
         shares = [share for share, _ in self.case.mix]
@@ -160,10 +160,10 @@
     def play(self) -> Found:
         """Play from the traffic before the start to the end of the slow start."""
         end = self.begin + self.settings.rules.slow_start_time
-        self.traffic(end)
+        self.schedule_traffic(end)
         for n in range(self.gateways):
-            self.lists(self.begin - BEFORE, n, warming_up=False)
-            self.put(self.begin, n, self.change())
+            self.schedule_lists(self.begin - BEFORE, n, warming_up=False)
+            self.schedule(self.begin, n, self.list_change())
         restarts = [(self.begin + RESTARTS[n % 3], n) for n in range(self.gateways) if n % 3 < len(RESTARTS)]
         restarts = sorted(restarts) if self.case.restarts else []
         while self.due and self.due[0][0] < end:
@@ -172,7 +172,7 @@
                 at, n = restarts.pop(0)
                 self.generations[n] += 1
                 self.modules[n] = Gateway(self.settings, self.seed * 1000 + n + 500)
-                self.lists(at, n, warming_up=True)
+                self.schedule_lists(at, n, warming_up=True)
             now, _, n, generation, event = heapq.heappop(self.due)
             if generation in (-1, self.generations[n]):
                 self.act(now, n, self.modules[n].handle(now, event))
@@ -182,7 +182,7 @@
         """Execute a gateway's actions; an engine answers a send as if idle, or with an error."""
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.put(now + action.delay, n, api.TimerFired(action.token))
+                self.schedule(now + action.delay, n, api.TimerFired(action.token))
             if not isinstance(action, api.Send):
                 continue
             cls = self.requests[action.id]
@@ -193,11 +193,11 @@
                 self.sent[action.engine].append((now - self.begin, work))
             if warming_up and self.random.random() < self.case.failing:
                 error = api.AttemptOutcome(action.id, attempt, action.engine, api.AttemptResult.ERROR, 0.02, False)
-                self.put(now + 0.02, n, error)
+                self.schedule(now + 0.02, n, error)
             else:
                 took = work / self.settings.classes[cls].threads
                 done = api.AttemptOutcome(action.id, attempt, action.engine, api.AttemptResult.OK, took, True)
-                self.put(now + took, n, done)
+                self.schedule(now + took, n, done)
 
     def found(self) -> Found:
         """Check windows against the bound: those that end at each step, and for `fell` those that end at each send."""
