--- a/benchmarks/capacity/calibration.py
+++ b/benchmarks/capacity/calibration.py
@@ -49,9 +49,9 @@
             folder = Path(self._folder.name) / name
             own: Address = ("127.0.0.1", free_port())
             known = self._coordinator.known
-            told = configuration.platform_file(self.names, number, 1, self._coordinator.address, known, layout)
+            platform_file = configuration.platform_file(self.names, number, 1, self._coordinator.address, known, layout)
             conf = configuration.operators_file(name, dial, own, BEAT_MS, layout, str(folder / "data"))
-            self.processes[name] = Process(name, folder, told, conf, own)
+            self.processes[name] = Process(name, folder, platform_file, conf, own)
 
     def __enter__(self) -> RealFleet:
         try:
@@ -127,11 +127,11 @@
     """Measure both fleets, one after the other."""
     size = SMALL_SIZE if options.small else SIZE
     seconds = SMALL_SECONDS if options.small else SECONDS
-    hollow, true = control.measure_idle_fleet(size, seconds, MEMBERS_A_HOST), measure_real_fleet(size, seconds)
+    hollow, real = control.measure_idle_fleet(size, seconds, MEMBERS_A_HOST), measure_real_fleet(size, seconds)
     series, notes = [], []
     for role in control.ROLES:
         for column, name in enumerate(QUANTITIES):
-            pair = hollow[role][column], true[role][column]
+            pair = hollow[role][column], real[role][column]
             points = tuple(Point(size, value) for value in pair)
             series.append(Series(f"{role}: {name}, hollow and real", "", points, None))
             notes.append(f"{role}: {name}: hollow over real {pair[0] / pair[1]:.3f}")
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -66,9 +66,9 @@
     made.append(Deployment(settings, draws, asked, make, seed, case.get("clients")))
     if case.get("lost"):
         made[0].crash(range(1, len(draws) // 2 + 1), 15.0, 30.0)
-    books = made[0].run(SECONDS + load_swing.AFTER)
-    found = score.count(asked, books, settings)
-    inside = score.count(asked, books, settings, account=0)
+    outcomes = made[0].run(SECONDS + load_swing.AFTER)
+    found = score.count(asked, outcomes, settings)
+    inside = score.count(asked, outcomes, settings, account=0)
     return {
         "worth": found.total,
         "worst": found.worst,
@@ -76,7 +76,7 @@
         "within": inside.total,
         "changes": max(map(max_changes_in_window, changes)),
         "total": sum(map(len, changes)),
-        "broken": load_swing.broken(books),
+        "broken": load_swing.broken(outcomes),
     }
 
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -26,7 +26,7 @@
     ends: dict[str, int]  # number of requests by how they ended
     in_drain: dict[int, int]  # requests by tenth of a second after SIGTERM
     drains: int
-    strict_drains: int  # drains checked from the moment the gateway was told to drain
+    strict_drains: int  # drains judged from the moment at which the gateway learned of them
     starts: int  # of cold engines
     findings: list[str]  # rule violations
 
