--- a/tests/sites.py
+++ b/tests/sites.py
@@ -1,7 +1,8 @@
-"""The variants of the site in deploy/sites as the settings that a gateway is given, and engines that note what comes.
+"""Builds gateway settings from the site files in deploy/sites, and engines that record the attempts they receive.
 
-A site file holds ranges and its day is a draw; here every range stands for its middle. Which key of the file becomes
-which setting is the wire's page; what it does not say (the fixed words of FamilyInfo, say) is left out.
+A site file holds ranges from which a simulated day draws its values; here each range is replaced by its midpoint. The
+keys of the file are mapped to settings as the page on the wire format says. Settings that it does not mention (such as
+the fixed words of FamilyInfo) are left out.
 """
 
 from __future__ import annotations
@@ -24,33 +25,34 @@
 FOLDER = ROOT / "deploy" / "sites"
 VARIANTS = ("gauge-archive", "parcel-maps")
 MS = 1_000_000  # ns
-CORE_MB = 2048.0  # memory of a core where the file names none
-ANSWER_SLACK, TELLS = 20 * MS, 10_000 * MS  # ns: of every site
-CAPACITY = 0.85  # share of the cores that are busy at capacity
-EFFECTS = {"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
+CORE_MEMORY_MB = 2048.0  # memory of a core, which site files don't name
+ANSWER_SLACK, POLL_INTERVAL = 20 * MS, 10_000 * MS  # ns, the same in every site
+CAPACITY_UTILIZATION = 0.85  # share of the cores that are busy at capacity
+EFFECT_NAMES = {"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
 PAGE = b"a\tb\tc\n"
 
 
-def middle(value: Any) -> float:
-    """One figure of a range."""
+def midpoint(value: Any) -> float:
+    """The midpoint of a range, or the value itself."""
     return float(sum(value) / len(value)) if isinstance(value, list) else float(value)
 
 
 @functools.cache
 def site(name: str) -> dict[str, Any]:
-    """The site file of a variant."""
+    """Load the site file of a variant."""
     return tomllib.loads((FOLDER / name / f"{name}.toml").read_text())
 
 
 def settings(name: str, **changes: Any) -> dict[str, Any]:
-    """The settings of a variant, as nested JSON with the wire's names and units; changes replace keys of the top."""
+    """Settings of a variant as nested JSON, with the names and units of the wire; changes replace top-level keys."""
     file = site(name)
     tier, family, allow, rules = file["tier"][0], file["fam"], file["allow"], file["rules"]
     classes, kinds = file["class"], tier["kind"]
-    servers = middle(file["scale"]["servers"])
-    cores = servers * sum(middle(k["share"]) * k["cores"] for k in kinds) / sum(middle(k["share"]) for k in kinds)
-    work = sum(middle(c["share"]) * middle(c["work_ms"]) for c in classes) / sum(middle(c["share"]) for c in classes)
-    rate = CAPACITY * cores / (work / 1e3) * middle(file["load"]["quota_of_capacity"])
+    servers = midpoint(file["scale"]["servers"])
+    cores = servers * sum(midpoint(k["share"]) * k["cores"] for k in kinds) / sum(midpoint(k["share"]) for k in kinds)
+    total_share = sum(midpoint(c["share"]) for c in classes)
+    work = sum(midpoint(c["share"]) * midpoint(c["work_ms"]) for c in classes) / total_share
+    rate = CAPACITY_UTILIZATION * cores / (work / 1e3) * midpoint(file["load"]["quota_of_capacity"])
     return {
         "Accounts": [{"Name": t["name"], "QuotaRps": rate * t["share"], "Share": t["share"]} for t in file["tenant"]],
         "Allowed": {
@@ -68,7 +70,7 @@
         "Clients": {"MarksRetry": file["clients"]["marks_retry"]},
         "Contract": {
             "AnswerSlackNs": ANSWER_SLACK,
-            "AskWithinNs": TELLS,
+            "AskWithinNs": POLL_INTERVAL,
             "ColdNs": int(max(k["cold_s"][1] for k in kinds) * 1000 * MS),
             "ColdShare": min(k["cold_from"][0] for k in kinds),
             "DrainGraceNs": rules["drain_grace_ms"] * MS,
@@ -82,7 +84,7 @@
             "HoldsTables": [c.get("load", False) for c in family["class"]],
             "MostGrant": 0.4,
             "Overbooked": family["when_short"],
-            "RamOfKindMb": [CORE_MB * k["cores"] for k in kinds],
+            "RamOfKindMb": [CORE_MEMORY_MB * k["cores"] for k in kinds],
             "RanksHeeded": family["priorities"],
             "TakesGrants": family["grants"],
             "TellsCost": family["tells_cost"],
@@ -94,7 +96,7 @@
                 "AimStretch": float(c["aim_stretch"]),
                 "Credit": float(c["worth"]),
                 "DeadlineNs": c["deadline_ms"] * MS,
-                "Effect": EFFECTS[c["effect"]],
+                "Effect": EFFECT_NAMES[c["effect"]],
                 "Group": c.get("group", "all"),
                 "LateShare": float(c["late_worth"]),
                 "Name": c["name"],
@@ -123,99 +125,99 @@
     } | changes
 
 
-def read(text: dict[str, Any]) -> api.Settings:
-    """Settings as the gateway reads them."""
+def parse(text: dict[str, Any]) -> api.Settings:
+    """Parse settings as the gateway does."""
     return wire.parse_settings(json.dumps(text).encode())
 
 
-def fields(text: dict[str, Any], cls: int, tenant: int, call: int) -> dict[str, Any]:
-    """The fields of a request of a class and a tenant, by their places in the settings; its time is its deadline."""
-    grade = text["Grades"][cls]
-    found = {
+def request_fields(text: dict[str, Any], class_index: int, tenant_index: int, call: int) -> dict[str, Any]:
+    """Fields of a request with the class and tenant at the given indexes; its ttl is the deadline of the class."""
+    grade = text["Grades"][class_index]
+    fields = {
         "op": grade["Name"],
         "call": f"{call:016x}",
         "ttl": grade["DeadlineNs"] // MS,
-        "org": text["Accounts"][tenant]["Name"],
+        "org": text["Accounts"][tenant_index]["Name"],
     }
-    return found | ({"dedupe": f"key-{call:x}"} if grade["Effect"] == "by_key" else {})
+    return fields | ({"dedupe": f"key-{call:x}"} if grade["Effect"] == "by_key" else {})
 
 
-def places(text: dict[str, Any]) -> list[tuple[str, str]]:
-    """Zones and kinds, one of each for as many engines as there are zones."""
+def placements(text: dict[str, Any]) -> list[tuple[str, str]]:
+    """The zone and machine kind of each engine: one engine per zone, kinds in rotation."""
     kinds = text["Kinds"]
-    return [(zone, kinds[at % len(kinds)]) for at, zone in enumerate(text["Zones"])]
+    return [(zone, kinds[index % len(kinds)]) for index, zone in enumerate(text["Zones"])]
 
 
-def engine_member(name: str, address: str, place: tuple[str, str], **changes: Any) -> dict[str, Any]:
-    """An engine in a zone, of a kind, as the coordinator names it."""
-    return member(name, address, locality=place[0], flavor=place[1], **changes)
+def engine_member(name: str, address: str, placement: tuple[str, str], **changes: Any) -> dict[str, Any]:
+    """The engine list entry of an engine with the given zone and machine kind, as the coordinator sends it."""
+    return member(name, address, locality=placement[0], flavor=placement[1], **changes)
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
-    """One attempt as an engine saw it; the address is the engine's."""
+class Attempt:
+    """One attempt as an engine received it; address is that of the engine."""
 
     call: str
-    lane: str
+    class_name: str
     ttl: int
     dedupe: str
     address: str
-    sock: socket.socket
+    connection: socket.socket
 
     def answer(self) -> None:
-        """Serve it; an attempt whose connection has ended has nobody to hear that."""
+        """Answer with one page; does nothing if the connection has ended."""
         with contextlib.suppress(OSError):
-            say(self.sock, self.call.encode(), b"200", b"sheets=1", PAGE)
+            say(self.connection, self.call.encode(), b"200", b"sheets=1", PAGE)
 
     def fail(self) -> None:
-        """Say that it failed, and may have run."""
-        say(self.sock, self.call.encode(), b"500", b"-", b"")
+        """Answer that the attempt failed and may have run."""
+        say(self.connection, self.call.encode(), b"500", b"-", b"")
 
 
-class Book:
-    """What some engines were asked, in turn; calls that it is told to hold are answered by the test."""
+class AttemptLog:
+    """The attempts that a group of engines received, in order; a test answers the calls that it holds."""
 
     def __init__(self) -> None:
-        self._wants: list[Want] = []
-        self._holding: set[str] = set()
-        self._seen = threading.Condition()
+        self._attempts: list[Attempt] = []
+        self._held_calls: set[str] = set()
+        self._added = threading.Condition()
 
     def hold(self, call: str) -> None:
-        """Answer this one only by hand."""
-        with self._seen:
-            self._holding.add(call)
+        """Leave the attempts of this call for the test to answer."""
+        with self._added:
+            self._held_calls.add(call)
 
-    def of(self, call: str) -> list[Want]:
-        """All attempts of a call so far."""
-        with self._seen:
-            return [want for want in self._wants if want.call == call]
+    def attempts_of(self, call: str) -> list[Attempt]:
+        """Return all attempts of a call so far."""
+        with self._added:
+            return [attempt for attempt in self._attempts if attempt.call == call]
 
     @property
-    def lanes(self) -> set[str]:
-        """All classes that the engines were told of."""
-        with self._seen:
-            return {want.lane for want in self._wants}
-
-    def attempt(self, call: str, number: int = 0) -> Want:
-        """The attempt of a call, once it has come."""
-        with self._seen:
-            came = self._seen.wait_for(lambda: len([w for w in self._wants if w.call == call]) > number, LIMIT)
-            assert came, f"attempt {number} of {call} does not come"
-            return [want for want in self._wants if want.call == call][number]
-
-    def came(self, want: Want) -> bool:
-        """Note an attempt; whether it is answered now."""
-        with self._seen:
-            self._wants.append(want)
-            self._seen.notify_all()
-            return want.call not in self._holding
-
-
-class Noting(Peer):
-    """An engine that notes what it is asked in a book, and answers at once what is not held."""
-
-    def __init__(self, book: Book) -> None:
-        self._book = book
+    def class_names(self) -> set[str]:
+        """Names of all request classes in the attempts."""
+        with self._added:
+            return {attempt.class_name for attempt in self._attempts}
+
+    def wait_for_attempt(self, call: str, number: int = 0) -> Attempt:
+        """Wait for the attempt of a call with this number, counted from 0, and return it."""
+        with self._added:
+            arrived = self._added.wait_for(lambda: len([a for a in self._attempts if a.call == call]) > number, LIMIT)
+            assert arrived, f"attempt {number} of call {call} did not arrive within {LIMIT:g} s"
+            return [attempt for attempt in self._attempts if attempt.call == call][number]
+
+    def add(self, attempt: Attempt) -> bool:
+        """Record an attempt; return whether the engine is to answer it at once."""
+        with self._added:
+            self._attempts.append(attempt)
+            self._added.notify_all()
+            return attempt.call not in self._held_calls
+
+
+class RecordingEngine(Peer):
+    """An engine that records its attempts in a log and answers at once those that are not held."""
+
+    def __init__(self, attempt_log: AttemptLog) -> None:
+        self._attempt_log = attempt_log
         super().__init__()
         threading.Thread(target=self._serve, daemon=True).start()
 
@@ -224,15 +226,15 @@
             sock, parts = self.got.get()
             if parts[0] != b"want":
                 continue
-            told = messages.fields(parts[2])
-            dedupe, ttl = told.get("dedupe", ""), int(told["ttl"])
-            want = Want(parts[1].decode(), told["lane"], ttl, dedupe, self.address, sock)
-            if self._book.came(want):
-                want.answer()
+            fields = messages.fields(parts[2])
+            dedupe, ttl = fields.get("dedupe", ""), int(fields["ttl"])
+            attempt = Attempt(parts[1].decode(), fields["lane"], ttl, dedupe, self.address, sock)
+            if self._attempt_log.add(attempt):
+                attempt.answer()
 
 
 def configuration(folder: Path, text: dict[str, Any], members: list[dict[str, Any]], **changes: Any) -> Path:
-    """A gateway's configuration file with these settings and a first list."""
+    """Write the configuration file of a gateway with these settings and a first engine list."""
     event = {"index": 1, "endpoints": {"revision": 1, "complete": True, "members": members}}
     config = {"name": "n0", "listen": "127.0.0.1:0", "seed": "1f", "coordinator": "127.0.0.1:1"}
     path = folder / "config.json"
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Two customers' settings through one gateway: each class of both, and a change from one to the other under load."""
+"""Tests one gateway with the settings of two customers: each class of both, and changes between them under load."""
 
 from __future__ import annotations
 
@@ -35,33 +35,33 @@
 from tests.peers import LIMIT, Client, Coordinator, Program
 
 GAUGE, PARCEL = sites.VARIANTS
-UNKNOWN, FAILED, INTERRUPTED = 1210, 1105, 1317  # errors: a request that can't be read, failed, was killed
-CLIENTS = 6  # under load
-TIME_KEPT = 30  # ms of a client's time that the gateway may keep for its own
-CHANGES = 40  # of settings, under load
-COLD_ASKED = 400  # requests at once, many more than a cold engine may get
-DRAINING = 1.2  # s: longer than a drain whose longest deadline is 0.2 s, much shorter than one of 3 s and more
+INVALID_REQUEST, FAILED, INTERRUPTED = 1210, 1105, 1317  # error codes of invalid, failed and killed requests
+CLIENTS = 6  # concurrent clients in tests under load
+TTL_MARGIN = 30  # ms by which the gateway may shorten the ttl of an attempt
+SETTINGS_CHANGES = 40  # changes of settings in the test under load
+COLD_BURST = 400  # requests at once, many more than the slow start allows a cold engine
+DRAIN_CHECK_DELAY = 1.2  # s; longer than a drain with a longest deadline of 0.2 s, shorter than one with 3 s or more
 CALLS = itertools.count(0xA0)
 
 
 class Customer:
-    """A variant's settings, and an engine in each of its zones."""
+    """A customer: the settings of a site variant, and an engine in each of its zones."""
 
     def __init__(self, name: str, **changes: Any) -> None:
         self.name, self.text = name, sites.settings(name, **changes)
-        self.book = sites.Book()
-        self.places = sites.places(self.text)
-        self.engines = [sites.Noting(self.book) for _ in self.places]
+        self.attempt_log = sites.AttemptLog()
+        self.placements = sites.placements(self.text)
+        self.engines = [sites.RecordingEngine(self.attempt_log) for _ in self.placements]
         self.members = [
-            sites.engine_member(f"{name}-{place[0]}", engine.address, place)
-            for engine, place in zip(self.engines, self.places, strict=True)
+            sites.engine_member(f"{name}-{placement[0]}", engine.address, placement)
+            for engine, placement in zip(self.engines, self.placements, strict=True)
         ]
         self.names = {grade["Name"] for grade in self.text["Grades"]}
 
     def requests(self) -> list[dict[str, Any]]:
-        """One request of each class and tenant."""
+        """Fields of one request of each class and tenant."""
         classes, tenants = range(len(self.text["Grades"])), range(len(self.text["Accounts"]))
-        return [sites.fields(self.text, c, t, next(CALLS)) for c in classes for t in tenants]
+        return [sites.request_fields(self.text, c, t, next(CALLS)) for c in classes for t in tenants]
 
     def close(self) -> None:
         for engine in self.engines:
@@ -83,7 +83,7 @@
 
 
 class Site:
-    """The gateway's process with the engines of all customers in its first list."""
+    """The gateway's process, started with the settings of the first customer and the engines of all customers."""
 
     def __init__(self, folder: Path, first: Customer, *others: Customer, **changes: Any) -> None:
         self.coordinator = Coordinator()
@@ -95,7 +95,7 @@
         )
         self.address = self.program.address()
 
-    def hang_up(self, customer: Customer) -> None:
+    def reload(self, customer: Customer) -> None:
         self.program.reload(json.dumps(self.program.config | {"settings": customer.text}))
 
     def end(self) -> None:
@@ -103,26 +103,27 @@
         self.coordinator.listener.close()
 
 
-def answered(client: Client, asked: dict[str, Any]) -> int:
-    """0 once the request has its rows, else the number of the error."""
-    client.ask(**asked)
+def execute(client: Client, request: dict[str, Any]) -> int:
+    """Send a request and read its answer; return 0 for rows, else the error code."""
+    client.ask(**request)
     payload = client.read()
     if payload[:1] == b"\xff":
         return int.from_bytes(payload[1:3], "little")
     assert payload == b"\x03"
-    for _ in range(2):  # the columns, the rows
+    for _ in range(2):  # end of the columns, end of the rows
         while client.read()[:1] != b"\xfe":
             pass
     return 0
 
 
-def test_the_variants_differ_in_all_that_could_bleed() -> None:
-    one, other = (sites.read(sites.settings(name)) for name in sites.VARIANTS)
+def test_site_variants_differ_in_every_setting_that_could_mix() -> None:
+    one, other = (sites.parse(sites.settings(name)) for name in sites.VARIANTS)
     assert len({len(one.classes), len(other.classes), 3}) == 3 and len(one.tenants) != len(other.tenants)
     assert not {c.name for c in one.classes} & {c.name for c in other.classes}
     assert not set(one.tenants) & set(other.tenants) and not set(one.zones) & set(other.zones)
     assert {c.idempotency for c in one.classes} == {c.idempotency for c in other.classes} == set(api.Idempotency)
-    for mine, theirs in zip(one.classes, other.classes, strict=False):  # an index that strays changes the effect
+    # A class index used with the wrong settings changes the effect.
+    for mine, theirs in zip(one.classes, other.classes, strict=False):
         assert (
             mine.idempotency is not theirs.idempotency
             and mine.deadline != theirs.deadline
@@ -139,143 +140,145 @@
 
 
 @pytest.mark.parametrize("name", sites.VARIANTS)
-def test_each_class_of_each_tenant_is_served_by_its_own_terms(tmp_path: Path, name: str) -> None:
+def test_request_of_each_class_and_tenant_is_sent_with_its_own_fields(tmp_path: Path, name: str) -> None:
     customer = Customer(name)
     site = Site(tmp_path, customer)
     try:
         client = Client(site.address)
-        for asked in customer.requests():
-            assert answered(client, asked) == 0
-            (want,) = customer.book.of(asked["call"])
-            assert want.lane == asked["op"] and want.dedupe == asked.get("dedupe", "")
-            assert asked["ttl"] - TIME_KEPT - 1000 <= want.ttl <= asked["ttl"]
-        assert answered(client, sites.fields(customer.text, 0, 0, next(CALLS)) | {"op": "lookup"}) == UNKNOWN
+        for request in customer.requests():
+            assert execute(client, request) == 0
+            (attempt,) = customer.attempt_log.attempts_of(request["call"])
+            assert attempt.class_name == request["op"] and attempt.dedupe == request.get("dedupe", "")
+            assert request["ttl"] - TTL_MARGIN - 1000 <= attempt.ttl <= request["ttl"]
+        unknown = sites.request_fields(customer.text, 0, 0, next(CALLS)) | {"op": "lookup"}
+        assert execute(client, unknown) == INVALID_REQUEST
     finally:
         site.end()
         customer.close()
 
 
 @pytest.mark.parametrize("name", sites.VARIANTS)
-def test_each_effect_is_kept_when_an_attempt_that_has_begun_is_lost(tmp_path: Path, name: str) -> None:
+def test_lost_attempt_is_repeated_only_if_its_class_allows(tmp_path: Path, name: str) -> None:
     customer = Customer(name)
     site = Site(tmp_path, customer)
     try:
         client = Client(site.address)
         for cls, grade in enumerate(customer.text["Grades"]):
-            asked = sites.fields(customer.text, cls, 0, next(CALLS))
-            customer.book.hold(asked["call"])
-            client.ask(**asked)
-            customer.book.attempt(asked["call"]).sock.shutdown(socket.SHUT_RDWR)  # as when its process dies
+            request = sites.request_fields(customer.text, cls, 0, next(CALLS))
+            customer.attempt_log.hold(request["call"])
+            client.ask(**request)
+            first = customer.attempt_log.wait_for_attempt(request["call"])
+            first.connection.shutdown(socket.SHUT_RDWR)  # as if the engine's process died
             if grade["Effect"] == "once":
                 assert client.error()[0] == FAILED
-                assert len(customer.book.of(asked["call"])) == 1
+                assert len(customer.attempt_log.attempts_of(request["call"])) == 1
                 continue
-            customer.book.attempt(asked["call"], 1).answer()
+            customer.attempt_log.wait_for_attempt(request["call"], 1).answer()
             assert len(client.rows()) == 1
-            keys = {want.dedupe for want in customer.book.of(asked["call"])}
-            assert keys == {asked.get("dedupe", "")}  # the same for all tries
+            keys = {attempt.dedupe for attempt in customer.attempt_log.attempts_of(request["call"])}
+            assert keys == {request.get("dedupe", "")}  # the same key in all attempts
     finally:
         site.end()
         customer.close()
 
 
-class Load:
-    """Clients that ask for both customers' classes in turn, each over a session of its own, until they are stopped."""
+class BackgroundLoad:
+    """Clients that send requests of all customers' classes in turn, each on its own connection, until stopped."""
 
     def __init__(self, address: tuple[str, int], *customers: Customer) -> None:
-        self.ended: list[tuple[str, str, float, float, int]] = []  # customer, call, asked, answered, error
-        self.faults: list[BaseException] = []
-        self._stop, self._step = threading.Event(), threading.Condition()
+        self.results: list[tuple[str, str, float, float, int]] = []  # customer, call, begin, end, error code
+        self.errors: list[BaseException] = []
+        self._stop, self._progress = threading.Event(), threading.Condition()
         self._address, self._customers = address, customers
         self._threads = [threading.Thread(target=self._run, args=(at,), daemon=True) for at in range(CLIENTS)]
         for thread in self._threads:
             thread.start()
 
-    def round(self) -> None:
-        """Wait until some client has asked for each class of each tenant of all customers once more."""
-        with self._step:
-            due = [(c, self._answers(c) + CLIENTS * (len(c.requests()) + 1)) for c in self._customers]
-            done = self._step.wait_for(lambda: self.faults or all(self._answers(c) >= n for c, n in due), LIMIT)
-        assert done and not self.faults, self.faults
+    def wait_for_round(self) -> None:
+        """Wait until some client has sent each class of each tenant of all customers once more."""
+        with self._progress:
+            due = [(c, self._result_count(c) + CLIENTS * (len(c.requests()) + 1)) for c in self._customers]
+            done = self._progress.wait_for(
+                lambda: self.errors or all(self._result_count(c) >= n for c, n in due), LIMIT
+            )
+        assert done and not self.errors, self.errors
 
     def stop(self) -> None:
         self._stop.set()
         for thread in self._threads:
             thread.join(LIMIT)
-        assert not self.faults
+        assert not self.errors
 
-    def _answers(self, customer: Customer) -> int:
-        return sum(1 for name, *_ in self.ended if name == customer.name)
+    def _result_count(self, customer: Customer) -> int:
+        return sum(1 for name, *_ in self.results if name == customer.name)
 
     def _run(self, number: int) -> None:
         try:
             client = Client(self._address)
             while not self._stop.is_set():
                 for customer in self._customers:
-                    for asked in customer.requests():
+                    for request in customer.requests():
                         begun = time.monotonic()
-                        error = answered(client, asked)
-                        with self._step:
-                            self.ended.append((customer.name, asked["call"], begun, time.monotonic(), error))
-                            self._step.notify_all()
+                        error = execute(client, request)
+                        with self._progress:
+                            self.results.append((customer.name, request["call"], begun, time.monotonic(), error))
+                            self._progress.notify_all()
         except BaseException as error:
-            with self._step:
-                self.faults.append(error)
-                self._step.notify_all()
+            with self._progress:
+                self.errors.append(error)
+                self._progress.notify_all()
 
 
-def test_sighup_from_one_customer_to_the_other_and_back_under_load(
-    tmp_path: Path, gauge: Customer, parcel: Customer
-) -> None:
-    site = Site(tmp_path, gauge, parcel)  # the engines of both are listed from the start
-    load_ = Load(site.address, gauge, parcel)
+def test_sighup_switches_between_customers_under_load(tmp_path: Path, gauge: Customer, parcel: Customer) -> None:
+    site = Site(tmp_path, gauge, parcel)  # the first engine list has the engines of both
+    load_clients = BackgroundLoad(site.address, gauge, parcel)
     try:
-        load_.round()
-        held = [sites.fields(gauge.text, at, 0, next(CALLS)) for at in range(len(gauge.text["Grades"]))]
+        load_clients.wait_for_round()
+        held = [sites.request_fields(gauge.text, at, 0, next(CALLS)) for at in range(len(gauge.text["Grades"]))]
         clients = [Client(site.address) for _ in held]
-        for client, asked in zip(clients, held, strict=True):  # open in each class while the settings change
-            gauge.book.hold(asked["call"])
-            client.ask(**asked)
-            gauge.book.attempt(asked["call"])
-        changes = [Change(site, parcel)]
-        load_.round()
-        for client, asked in zip(clients, held, strict=True):
-            gauge.book.attempt(asked["call"]).answer()
-            assert len(client.rows()) == 1  # by the terms it came under
-        site.program.wait_for("settings_retired")  # and nothing is left of them
-        changes.append(Change(site, gauge))
-        load_.round()
-        load_.stop()
+        for client, request in zip(clients, held, strict=True):  # one request of each class is open during the change
+            gauge.attempt_log.hold(request["call"])
+            client.ask(**request)
+            gauge.attempt_log.wait_for_attempt(request["call"])
+        changes = [SettingsChange(site, parcel)]
+        load_clients.wait_for_round()
+        for client, request in zip(clients, held, strict=True):
+            gauge.attempt_log.wait_for_attempt(request["call"]).answer()
+            assert len(client.rows()) == 1  # served under the settings that it arrived under
+        site.program.wait_for("settings_retired")  # the old settings are no longer used
+        changes.append(SettingsChange(site, gauge))
+        load_clients.wait_for_round()
+        load_clients.stop()
         in_force = [gauge, parcel, gauge]
-        for name, call, begun, ended, error in load_.ended:
+        for name, call, begun, ended, error in load_clients.results:
             mine, other = (gauge, parcel) if name == GAUGE else (parcel, gauge)
             whose = in_force[sum(begun > change.done for change in changes)]
             crossed = any(begun <= change.done and ended >= change.begun for change in changes)
-            expected = {0, UNKNOWN} if crossed else {0 if whose is mine else UNKNOWN}
+            expected = {0, INVALID_REQUEST} if crossed else {0 if whose is mine else INVALID_REQUEST}
             assert error in expected, (name, call, error)
-            assert len(mine.book.of(call)) == (not error) and not other.book.of(call)
-        assert gauge.book.lanes == gauge.names and parcel.book.lanes == parcel.names
+            assert len(mine.attempt_log.attempts_of(call)) == (not error) and not other.attempt_log.attempts_of(call)
+        assert gauge.attempt_log.class_names == gauge.names and parcel.attempt_log.class_names == parcel.names
     finally:
-        load_.stop()
+        load_clients.stop()
         site.end()
 
 
-class Change:
-    """One SIGHUP, and the times between which it comes into force."""
+class SettingsChange:
+    """One SIGHUP with a customer's settings, and the times between which they come into force."""
 
     def __init__(self, site: Site, customer: Customer) -> None:
         self.begun = time.monotonic()
-        site.hang_up(customer)
+        site.reload(customer)
         site.program.wait_for("reconfigured")
         self.done = time.monotonic()
 
 
-class Gatekeeper:
-    """The gateway within this process: its settings change as a test says, at the very point that it says."""
+class InProcessGateway:
+    """A gateway in the test's process, so that a test can change settings at an exact point."""
 
     def __init__(self, folder: Path, text: dict[str, Any], members: list[dict[str, Any]]) -> None:
         self.folder, self.members = folder, members
-        self.before_open: list[dict[str, Any]] = []  # settings that come into force as a request has been read
+        self.settings_before_open: list[dict[str, Any]] = []  # each is put in force right after a request is read
         first = self._load(text)
         self.daemon = Daemon(first)
         self.server = Server(first.listen, first.max_clients, first.settings, self._open, None, first.max_threads)
@@ -299,107 +302,107 @@
         return load({"LB_CONFIG": str(sites.configuration(self.folder, text, self.members))})
 
     def _open(self, query: Query, settings: api.Settings) -> RequestHandler:
-        if self.before_open:
-            self.change(self.before_open.pop())
+        if self.settings_before_open:
+            self.change(self.settings_before_open.pop())
         return self.daemon.open(query, settings)
 
 
 @pytest.mark.parametrize("name", sites.VARIANTS)
-def test_a_request_read_in_the_instant_of_a_change_is_served_by_what_it_was_read_under(
-    tmp_path: Path, name: str
-) -> None:
+def test_request_read_just_before_settings_change_is_served_under_old_settings(tmp_path: Path, name: str) -> None:
     mine, other = Customer(name), Customer(GAUGE if name == PARCEL else PARCEL)
-    gate = Gatekeeper(tmp_path, mine.text, mine.members + other.members)
+    gateway = InProcessGateway(tmp_path, mine.text, mine.members + other.members)
     try:
-        client = Client(gate.server.address)
-        for asked in mine.requests():
-            gate.before_open.append(other.text)  # nothing is open: no module of the old settings is left
-            assert answered(client, asked) == 0
-            assert [want.lane for want in mine.book.of(asked["call"])] == [asked["op"]]
-            gate.change(mine.text)
+        client = Client(gateway.server.address)
+        for request in mine.requests():
+            # No request is open, so no module of the old settings is left.
+            gateway.settings_before_open.append(other.text)
+            assert execute(client, request) == 0
+            assert [attempt.class_name for attempt in mine.attempt_log.attempts_of(request["call"])] == [request["op"]]
+            gateway.change(mine.text)
     finally:
-        gate.close()
+        gateway.close()
         mine.close()
         other.close()
 
 
 @pytest.mark.parametrize("name", sites.VARIANTS)
-def test_what_is_open_at_a_change_keeps_the_effect_of_its_class(tmp_path: Path, name: str) -> None:
-    # at each index the other customer's class has another effect: an index that strays repeats what must not be
+def test_request_open_at_settings_change_keeps_effect_of_its_class(tmp_path: Path, name: str) -> None:
+    # At each index the other customer's class has a different effect: with the wrong settings a class index would
+    # repeat a request that must not be repeated.
     mine, other = Customer(name), Customer(GAUGE if name == PARCEL else PARCEL)
-    gate = Gatekeeper(tmp_path, mine.text, mine.members + other.members)
+    gateway = InProcessGateway(tmp_path, mine.text, mine.members + other.members)
     try:
         grades = mine.text["Grades"]
-        asked = [sites.fields(mine.text, at, 0, next(CALLS)) for at in range(len(grades))]
-        clients = [Client(gate.server.address) for _ in grades]
-        for client, one in zip(clients, asked, strict=True):
-            mine.book.hold(one["call"])
+        requests = [sites.request_fields(mine.text, at, 0, next(CALLS)) for at in range(len(grades))]
+        clients = [Client(gateway.server.address) for _ in grades]
+        for client, one in zip(clients, requests, strict=True):
+            mine.attempt_log.hold(one["call"])
             client.ask(**one)
-            mine.book.attempt(one["call"])
-        gate.change(other.text)
-        for client, one, grade in zip(clients, asked, grades, strict=True):
-            mine.book.attempt(one["call"]).fail()
+            mine.attempt_log.wait_for_attempt(one["call"])
+        gateway.change(other.text)
+        for client, one, grade in zip(clients, requests, grades, strict=True):
+            mine.attempt_log.wait_for_attempt(one["call"]).fail()
             if grade["Effect"] == "once":
-                assert client.error()[0] == FAILED and len(mine.book.of(one["call"])) == 1
+                assert client.error()[0] == FAILED and len(mine.attempt_log.attempts_of(one["call"])) == 1
                 continue
-            again = mine.book.attempt(one["call"], 1)
-            assert (again.lane, again.dedupe) == (one["op"], one.get("dedupe", ""))
+            again = mine.attempt_log.wait_for_attempt(one["call"], 1)
+            assert (again.class_name, again.dedupe) == (one["op"], one.get("dedupe", ""))
             again.answer()
             assert len(client.rows()) == 1
-        assert not other.book.lanes
+        assert not other.attempt_log.class_names
     finally:
-        gate.close()
+        gateway.close()
         mine.close()
         other.close()
 
 
-def test_a_kill_after_a_change_reaches_the_module_that_holds_the_request(
+def test_kill_after_settings_change_reaches_module_of_request(
     tmp_path: Path, gauge: Customer, parcel: Customer
 ) -> None:
-    gate = Gatekeeper(tmp_path, gauge.text, gauge.members + parcel.members)
+    gateway = InProcessGateway(tmp_path, gauge.text, gauge.members + parcel.members)
     try:
-        client, asked = Client(gate.server.address), sites.fields(gauge.text, 0, 0, next(CALLS))
-        gauge.book.hold(asked["call"])
-        client.ask(**asked)
-        gauge.book.attempt(asked["call"])
-        gate.change(parcel.text)
-        held = gate.daemon._decisions._versions._older
+        client, request = Client(gateway.server.address), sites.request_fields(gauge.text, 0, 0, next(CALLS))
+        gauge.attempt_log.hold(request["call"])
+        client.ask(**request)
+        gauge.attempt_log.wait_for_attempt(request["call"])
+        gateway.change(parcel.text)
+        held = gateway.daemon._decisions._versions._older
         assert list(held) == [0]
-        Client(gate.server.address).send(3, b"KILL QUERY %d" % client.id)
+        Client(gateway.server.address).send(3, b"KILL QUERY %d" % client.id)
         assert client.error()[0] == INTERRUPTED
-        assert not held  # it heard of that, and went with its last request
-        assert answered(client, sites.fields(parcel.text, 0, 0, next(CALLS))) == 0
+        assert not held  # the module handled the kill and was removed with its last request
+        assert execute(client, sites.request_fields(parcel.text, 0, 0, next(CALLS))) == 0
     finally:
-        gate.close()
+        gateway.close()
 
 
-def test_no_index_of_a_class_or_tenant_reaches_a_list_that_it_was_not_made_for(
+def test_class_and_tenant_indexes_are_used_only_with_their_own_settings(
     tmp_path: Path, gauge: Customer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     names = [grade["Name"] for grade in gauge.text["Grades"]]
     tenants = [account["Name"] for account in gauge.text["Accounts"]]
-    heard: list[tuple[str, str, int, int]] = []
+    received: list[tuple[str, str, int, int]] = []
 
-    class Noted(Gateway):
-        """Notes how its settings name what a request's fields say: its memory tells the class, its work the tenant."""
+    class RecordingModule(Gateway):
+        """Records the class and tenant of each request; the request's memory encodes its class, its work the tenant."""
 
         def handle(self, now: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.Request):
                 cls, tenant = self.settings.classes[event.cls].name, self.settings.tenants[event.tenant]
-                heard.append((cls, tenant, round(event.memory_estimate), round((event.cost or 0) * 1e3)))
+                received.append((cls, tenant, round(event.memory_estimate), round((event.cost or 0) * 1e3)))
             return super().handle(now, event)
 
-    monkeypatch.setattr(module_versions, "Gateway", Noted)
+    monkeypatch.setattr(module_versions, "Gateway", RecordingModule)
     family = gauge.text["FamilyInfo"]
-    turned = {name: list(reversed(family[name])) for name in ("WidthByClass", "ClassWaits", "HoldsTables")}
+    reversed_lists = {name: list(reversed(family[name])) for name in ("WidthByClass", "ClassWaits", "HoldsTables")}
     other = gauge.text | {
         "Grades": list(reversed(gauge.text["Grades"])),
         "Accounts": list(reversed(gauge.text["Accounts"])),
-        "FamilyInfo": family | turned,
+        "FamilyInfo": family | reversed_lists,
     }
-    gate = Gatekeeper(tmp_path, gauge.text, gauge.members)
-    asked = [
-        sites.fields(gauge.text, cls, tenant, 0) | {"heap_mb": cls + 1, "work": tenant + 1}
+    gateway = InProcessGateway(tmp_path, gauge.text, gauge.members)
+    requests = [
+        sites.request_fields(gauge.text, cls, tenant, 0) | {"heap_mb": cls + 1, "work": tenant + 1}
         for cls in range(len(names))
         for tenant in range(len(tenants))
     ]
@@ -407,149 +410,150 @@
     stop = threading.Event()
 
     def ask() -> None:
-        client = Client(gate.server.address)
+        client = Client(gateway.server.address)
         while not stop.is_set():
-            errors.extend(answered(client, one | {"call": f"{next(CALLS):016x}"}) for one in asked)
+            errors.extend(execute(client, one | {"call": f"{next(CALLS):016x}"}) for one in requests)
 
     threads = [threading.Thread(target=ask, daemon=True) for _ in range(CLIENTS)]
     try:
         for thread in threads:
             thread.start()
-        for change in range(CHANGES):
-            gate.change(gauge.text if change % 2 else other)
+        for change in range(SETTINGS_CHANGES):
+            gateway.change(gauge.text if change % 2 else other)
             so_far = len(errors)
             until = time.monotonic() + LIMIT
-            while len(errors) < so_far + len(asked) and time.monotonic() < until:
+            while len(errors) < so_far + len(requests) and time.monotonic() < until:
                 time.sleep(0.001)
     finally:
         stop.set()
         for thread in threads:
             thread.join(LIMIT)
-        gate.close()
-    assert errors and not any(errors)  # the names are in both: no request can tell that anything changed
-    assert {(names.index(cls) + 1, tenants.index(tenant) + 1) for cls, tenant, _, _ in heard} == {
-        (cls, tenant) for _, _, cls, tenant in heard
+        gateway.close()
+    assert errors and not any(errors)  # both settings have the same names, so every request succeeds
+    assert {(names.index(cls) + 1, tenants.index(tenant) + 1) for cls, tenant, _, _ in received} == {
+        (cls, tenant) for _, _, cls, tenant in received
     }
-    for cls, tenant, need, work in heard:
-        assert (names.index(cls) + 1, tenants.index(tenant) + 1) == (need, work)
+    for cls, tenant, memory, work in received:
+        assert (names.index(cls) + 1, tenants.index(tenant) + 1) == (memory, work)
 
 
-def test_zones_and_kinds_of_the_list_are_read_anew_under_new_settings(tmp_path: Path, gauge: Customer) -> None:
-    # an index into the old lists sends a class that is confined to a zone, or bound to a kind, to another
-    gate = Gatekeeper(tmp_path, gauge.text, gauge.members)
+def test_zones_and_machine_kinds_are_parsed_again_under_new_settings(tmp_path: Path, gauge: Customer) -> None:
+    # An index into the old lists would send a class that is confined to a zone or machine kind to a different one.
+    gateway = InProcessGateway(tmp_path, gauge.text, gauge.members)
     family = gauge.text["FamilyInfo"]
-    turned = {name: list(reversed(family[name])) for name in ("CoresByKind", "RamOfKindMb")}
+    reversed_lists = {name: list(reversed(family[name])) for name in ("CoresByKind", "RamOfKindMb")}
     other = gauge.text | {
         "Zones": list(reversed(gauge.text["Zones"])),
         "Kinds": list(reversed(gauge.text["Kinds"])),
-        "FamilyInfo": family | turned,
+        "FamilyInfo": family | reversed_lists,
     }
     try:
         for text in (gauge.text, other, gauge.text):
-            gate.change(text)
+            gateway.change(text)
             cores = dict(zip(text["Kinds"], text["FamilyInfo"]["CoresByKind"], strict=True))
-            numbers = {told.name: number for number, (told, _) in gate.daemon._engines._engines.items()}
-            for told, (zone, kind) in zip(gauge.members, gauge.places, strict=True):
-                engine = gate.module().engines[numbers[told["id"]]]
+            numbers = {engine.name: number for number, (engine, _) in gateway.daemon._engines._engines.items()}
+            for member, (zone, kind) in zip(gauge.members, gauge.placements, strict=True):
+                engine = gateway.module().engines[numbers[member["id"]]]
                 found = text["Zones"][engine.zone], text["Kinds"][engine.kind], engine.cores
                 assert found == (zone, kind, cores[kind])
     finally:
-        gate.close()
+        gateway.close()
 
 
-def test_engines_of_a_zone_that_only_new_settings_know_serve_under_them(
+def test_engine_in_zone_of_new_settings_serves_after_settings_change(
     tmp_path: Path, gauge: Customer, parcel: Customer
 ) -> None:
     site = Site(tmp_path, gauge)
     try:
         sock, _ = site.coordinator.next(b"follow")
-        say_event(sock, 2, parcel.members[0])  # told early: no module of these settings can use it
+        send_event(sock, 2, parcel.members[0])  # an engine of a zone that the current settings do not know
         site.program.wait_for("engine_unusable")
         client = Client(site.address)
-        assert answered(client, sites.fields(gauge.text, 0, 0, next(CALLS))) == 0
-        Change(site, parcel)
-        early = sites.fields(parcel.text, 0, 0, next(CALLS))
-        assert answered(client, early) == 0 and parcel.book.of(early["call"])
+        assert execute(client, sites.request_fields(gauge.text, 0, 0, next(CALLS))) == 0
+        SettingsChange(site, parcel)
+        early = sites.request_fields(parcel.text, 0, 0, next(CALLS))
+        assert execute(client, early) == 0 and parcel.attempt_log.attempts_of(early["call"])
         late = parcel.members[1]
-        sock, words = site.coordinator.next(b"follow")  # it connects anew, and asks for what follows
+        sock, words = site.coordinator.next(b"follow")  # the watch reconnects and asks for the changes after index 2
         assert words[1] == b"2"
-        say_event(sock, 3, late, parcel.members[0] | {"phase": "draining"})  # the list goes on, by the new names
+        # The engine list continues with the new names.
+        send_event(sock, 3, late, parcel.members[0] | {"phase": "draining"})
         assert site.program.wait_for("engine_list")["members"][late["id"]] == "READY"
-        asked = sites.fields(parcel.text, 2, 0, next(CALLS))
-        assert answered(client, asked) == 0
-        (want,) = parcel.book.of(asked["call"])
-        assert want.address == late["host_port"]
-        assert not gauge.book.of(early["call"]) and not gauge.book.of(asked["call"])
+        request = sites.request_fields(parcel.text, 2, 0, next(CALLS))
+        assert execute(client, request) == 0
+        (attempt,) = parcel.attempt_log.attempts_of(request["call"])
+        assert attempt.address == late["host_port"]
+        assert not gauge.attempt_log.attempts_of(early["call"]) and not gauge.attempt_log.attempts_of(request["call"])
     finally:
         site.end()
 
 
-def say_event(sock: socket.socket, index: int, *members: dict[str, Any]) -> None:
-    """A further event, to a follower."""
-    points = {"revision": index, "complete": False, "members": members}
-    sock.sendall(json.dumps({"index": index, "endpoints": points}).encode() + b"\n")
+def send_event(sock: socket.socket, index: int, *members: dict[str, Any]) -> None:
+    """Send a further event to a watch connection."""
+    endpoints = {"revision": index, "complete": False, "members": members}
+    sock.sendall(json.dumps({"index": index, "endpoints": endpoints}).encode() + b"\n")
 
 
-def allowed(text: dict[str, Any], **changes: Any) -> dict[str, Any]:
+def with_limits(text: dict[str, Any], **changes: Any) -> dict[str, Any]:
     return text | {"Allowed": text["Allowed"] | changes}
 
 
-def test_connections_keep_the_limits_of_the_settings_in_force(tmp_path: Path, gauge: Customer) -> None:
-    gate = Gatekeeper(tmp_path, allowed(gauge.text, Multiplex=8), gauge.members[:1])
-    clients = [Client(gate.server.address) for _ in range(2)]
+def test_engine_connections_follow_limits_of_current_settings(tmp_path: Path, gauge: Customer) -> None:
+    gateway = InProcessGateway(tmp_path, with_limits(gauge.text, Multiplex=8), gauge.members[:1])
+    clients = [Client(gateway.server.address) for _ in range(2)]
 
-    def together() -> set[socket.socket]:
-        """The connections that two requests go on which are open at once."""
-        asked = [sites.fields(gauge.text, 1, 0, next(CALLS)) for _ in clients]
-        for client, one in zip(clients, asked, strict=True):
-            gauge.book.hold(one["call"])
+    def connections_of_two() -> set[socket.socket]:
+        """The engine connections of two requests that are open at the same time."""
+        requests = [sites.request_fields(gauge.text, 1, 0, next(CALLS)) for _ in clients]
+        for client, one in zip(clients, requests, strict=True):
+            gauge.attempt_log.hold(one["call"])
             client.ask(**one)
-            gauge.book.attempt(one["call"])
-        wants = [gauge.book.attempt(one["call"]) for one in asked]
-        for client, want in zip(clients, wants, strict=True):
-            want.answer()
+            gauge.attempt_log.wait_for_attempt(one["call"])
+        attempts = [gauge.attempt_log.wait_for_attempt(one["call"]) for one in requests]
+        for client, attempt in zip(clients, attempts, strict=True):
+            attempt.answer()
             assert len(client.rows()) == 1
-        return {want.sock for want in wants}
+        return {attempt.connection for attempt in attempts}
 
     try:
-        first = together()
+        first = connections_of_two()
         assert len(first) == 1
-        gate.change(allowed(gauge.text, Multiplex=1))  # an engine of these settings takes one attempt a connection
-        second = together()
+        gateway.change(with_limits(gauge.text, Multiplex=1))  # one attempt per connection
+        second = connections_of_two()
         assert len(second) == 2
-        gate.change(allowed(gauge.text, Multiplex=8, ConnIdleNs=1))  # its engines close what rests so long
-        assert not together() & (first | second)
+        gateway.change(with_limits(gauge.text, Multiplex=8, ConnIdleNs=1))  # closed when idle for 1 ns
+        assert not connections_of_two() & (first | second)
     finally:
-        gate.close()
+        gateway.close()
 
 
-def test_a_connect_is_given_the_time_of_the_settings_in_force(tmp_path: Path, gauge: Customer) -> None:
-    deaf = socket.socket()
-    deaf.bind(("127.0.0.1", 0))
-    deaf.listen(0)  # it accepts nobody: once its queue is full no connection comes up
+def test_connect_uses_timeout_of_current_settings(tmp_path: Path, gauge: Customer) -> None:
+    listener = socket.socket()
+    listener.bind(("127.0.0.1", 0))
+    listener.listen(0)  # accepts nothing: with a full queue no connection is established
     queued = [socket.socket() for _ in range(4)]
     for sock in queued:
         sock.setblocking(False)
-        sock.connect_ex(deaf.getsockname())
-    host, port = deaf.getsockname()
-    members = [sites.engine_member("deaf", f"{host}:{port}", gauge.places[0])]
-    gate = Gatekeeper(tmp_path, allowed(gauge.text, ConnectTimeoutNs=15_000 * sites.MS), members)
+        sock.connect_ex(listener.getsockname())
+    host, port = listener.getsockname()
+    members = [sites.engine_member("unreachable", f"{host}:{port}", gauge.placements[0])]
+    gateway = InProcessGateway(tmp_path, with_limits(gauge.text, ConnectTimeoutNs=15_000 * sites.MS), members)
     try:
-        gate.change(allowed(gauge.text, ConnectTimeoutNs=50 * sites.MS))
-        client, begun = Client(gate.server.address), time.monotonic()
-        assert answered(client, sites.fields(gauge.text, 3, 0, next(CALLS))) not in (0, UNKNOWN)
-        assert time.monotonic() - begun < 5  # a few tries of 0.05 s each; one of the first settings takes 15 s
+        gateway.change(with_limits(gauge.text, ConnectTimeoutNs=50 * sites.MS))
+        client, begun = Client(gateway.server.address), time.monotonic()
+        assert execute(client, sites.request_fields(gauge.text, 3, 0, next(CALLS))) not in (0, INVALID_REQUEST)
+        assert time.monotonic() - begun < 5  # a few connects of 0.05 s each; one under the first settings takes 15 s
     finally:
-        gate.close()
-        for sock in (deaf, *queued):
+        gateway.close()
+        for sock in (listener, *queued):
             sock.close()
 
 
-def sent(decisions: Decisions, settings: api.Settings) -> int:
-    """How many of many requests that come at once are sent. Each ends as usual: only what was sent can bind."""
+def count_sent(decisions: Decisions, settings: api.Settings) -> int:
+    """Submit COLD_BURST requests at once, let each end as usual, and count the attempts that are sent."""
     cls, count = 1, 0
     usual = settings.classes[cls].latency_objective
-    for _ in range(COLD_ASKED):
+    for _ in range(COLD_BURST):
         mailbox: SimpleQueue[Any] = SimpleQueue()
         call = b"%016x" % next(CALLS)
         number = decisions.register(call, mailbox, settings)
@@ -565,42 +569,42 @@
 
 
 @pytest.mark.parametrize("held", [False, True])
-def test_a_cold_engine_has_one_budget_whatever_the_settings_in_force(held: bool) -> None:
-    # guards the fail-back rule: after SIGHUP each gateway's new module would send its whole share once more
-    first = sites.read(sites.settings(GAUGE, Siblings=1))
-    second = sites.read(sites.settings(GAUGE, Siblings=1, TickNs=6 * sites.MS))
+def test_cold_engine_keeps_one_budget_across_settings_change(held: bool) -> None:
+    # Guards the fail-back rule: without it each gateway's new module sends its whole share again after SIGHUP.
+    first = sites.parse(sites.settings(GAUGE, Siblings=1))
+    second = sites.parse(sites.settings(GAUGE, Siblings=1, TickNs=6 * sites.MS))
     decisions = Decisions(first, 1, EnginePool(first.limits))
     if held:
-        decisions.register(b"a" * 16, SimpleQueue(), first)  # the first module stays
+        decisions.register(b"a" * 16, SimpleQueue(), first)  # an open request keeps the first module
     decisions.submit(listing(entry(7, started=time.time())))
-    before = sent(decisions, first)
-    assert 0 < before < COLD_ASKED  # the budget binds
+    before = count_sent(decisions, first)
+    assert 0 < before < COLD_BURST  # the budget limits the requests
     decisions.replace_settings(second)
-    assert sent(decisions, second) <= 1  # the budget grows a little meanwhile
-    decisions.submit(delta(entry(8, started=time.time())))  # it starts while there are two modules, or one
-    assert sent(decisions, second) in range(before - 1, before + 2)
-    assert sent(decisions, first) <= 1  # requests still read under the first
+    assert count_sent(decisions, second) <= 1  # the budget grows a little in the meantime
+    decisions.submit(delta(entry(8, started=time.time())))  # an engine that starts with two modules present, or one
+    assert count_sent(decisions, second) in range(before - 1, before + 2)
+    assert count_sent(decisions, first) <= 1  # requests that were read under the first settings
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 200])
-def test_a_cold_engine_has_one_budget_over_many_changes_in_quick_succession(gateways: int) -> None:
-    # new configurations come in series, inside the window of an engine's slow start
-    settings = [sites.read(sites.settings(GAUGE, Siblings=gateways, TickNs=tick * sites.MS)) for tick in range(5, 25)]
-    once = Decisions(settings[0], 1, EnginePool(settings[0].limits))
-    once.submit(listing(entry(7, started=time.time())))
-    usual = sum(sent(once, settings[0]) for _ in settings)
+def test_cold_engine_keeps_one_budget_across_many_settings_changes(gateways: int) -> None:
+    # New configurations arrive in quick succession, within the slow start of an engine.
+    settings = [sites.parse(sites.settings(GAUGE, Siblings=gateways, TickNs=tick * sites.MS)) for tick in range(5, 25)]
+    unchanged = Decisions(settings[0], 1, EnginePool(settings[0].limits))
+    unchanged.submit(listing(entry(7, started=time.time())))
+    usual = sum(count_sent(unchanged, settings[0]) for _ in settings)
     assert usual or gateways > 1
     decisions = Decisions(settings[0], 1, EnginePool(settings[0].limits))
     decisions.submit(listing(entry(7, started=time.time())))
-    count = sent(decisions, settings[0])
+    count = count_sent(decisions, settings[0])
     for changed in settings[1:]:
         decisions.replace_settings(changed)
-        count += sent(decisions, changed)
+        count += count_sent(decisions, changed)
     assert count <= usual + 1
 
 
-def extra(decisions: Decisions, settings: api.Settings) -> int:
-    """How many further attempts a request gets whose attempts are all reset."""
+def count_retries(decisions: Decisions, settings: api.Settings) -> int:
+    """Submit a request, reset all of its attempts, and count the attempts after the first."""
     mailbox: SimpleQueue[Any] = SimpleQueue()
     number = decisions.register(b"%016x" % next(CALLS), mailbox, settings)
     decisions.submit(api.Request(number, 1, settings.classes[1].deadline, 1.0, None, 0, 0, 0.0))
@@ -613,17 +617,17 @@
     return max(0, attempts - 1)
 
 
-def test_further_attempts_are_rationed_over_a_change_of_settings() -> None:
-    # guards the seventh rule: its span looks back over the gateway's attempts, whichever module made them
+def test_retry_budget_survives_settings_change() -> None:
+    # Guards the seventh rule: the retry budget covers all attempts of the gateway, whichever module made them.
     text = sites.settings(GAUGE, Siblings=1)
-    ration = {"ExtraFree": 3.0, "ExtraPerRequest": 0.0, "BudgetSpanNs": 60_000 * sites.MS}
-    first = sites.read(text | {"Contract": text["Contract"] | ration})
-    second = sites.read(text | {"Contract": text["Contract"] | ration, "TickNs": 6 * sites.MS})
+    budget = {"ExtraFree": 3.0, "ExtraPerRequest": 0.0, "BudgetSpanNs": 60_000 * sites.MS}
+    first = sites.parse(text | {"Contract": text["Contract"] | budget})
+    second = sites.parse(text | {"Contract": text["Contract"] | budget, "TickNs": 6 * sites.MS})
     decisions = Decisions(first, 1, EnginePool(first.limits))
     decisions.submit(listing(entry(7), entry(8), entry(9)))
-    assert sum(extra(decisions, first) for _ in range(5)) == 3
+    assert sum(count_retries(decisions, first) for _ in range(5)) == 3
     decisions.replace_settings(second)
-    assert sum(extra(decisions, second) for _ in range(5)) == 0
+    assert sum(count_retries(decisions, second) for _ in range(5)) == 0
 
 
 def with_deadlines(text: dict[str, Any], ms: int) -> dict[str, Any]:
@@ -635,131 +639,134 @@
     [(20_000, None, 200), (200, 20_000, None), (200, 20_000, None, 200)],
     ids=["start", "in force", "between"],
 )
-def test_a_drain_waits_for_the_longest_deadline_that_binds_a_request(
+def test_drain_waits_for_longest_deadline_of_open_requests(
     tmp_path: Path, gauge: Customer, deadlines: tuple[int | None, ...]
 ) -> None:
-    # settings by their longest deadline, in the order in which they come into force; the request comes at None
+    # Each number is the longest deadline in ms of settings, in the order in which they come into force; the request
+    # arrives at None.
     text = gauge.text
     gauge.text = with_deadlines(text, deadlines[0] or 0)
     site = Site(tmp_path, gauge)
     try:
         client = Client(site.address)
-        asked = sites.fields(text, 0, 0, next(CALLS)) | {"ttl": 20_000}
-        gauge.book.hold(asked["call"])
+        request = sites.request_fields(text, 0, 0, next(CALLS)) | {"ttl": 20_000}
+        gauge.attempt_log.hold(request["call"])
         for ms in deadlines[1:]:
             if ms is None:
-                client.ask(**asked)
-                want = gauge.book.attempt(asked["call"])
+                client.ask(**request)
+                attempt = gauge.attempt_log.wait_for_attempt(request["call"])
                 continue
             gauge.text = with_deadlines(text, ms)
-            Change(site, gauge)
+            SettingsChange(site, gauge)
         site.program.terminate()
         site.program.wait_for("draining")
-        time.sleep(DRAINING)  # past the drain of the shorter deadline, within that of the longer
-        want.answer()
+        time.sleep(DRAIN_CHECK_DELAY)  # past the drain of the shorter deadline, within the drain of the longer one
+        attempt.answer()
         assert len(client.rows()) == 1
     finally:
         site.end()
 
 
-def test_figures_of_a_customer_leave_with_its_settings(tmp_path: Path, gauge: Customer, parcel: Customer) -> None:
-    gate = Gatekeeper(tmp_path, gauge.text, gauge.members + parcel.members)
+def test_metrics_of_customer_are_dropped_with_its_settings(tmp_path: Path, gauge: Customer, parcel: Customer) -> None:
+    gateway = InProcessGateway(tmp_path, gauge.text, gauge.members + parcel.members)
     try:
-        client = Client(gate.server.address)
-        asked = sites.fields(gauge.text, 0, 0, next(CALLS))
-        assert answered(client, asked) == 0
-        held = sites.fields(gauge.text, 1, 0, next(CALLS))
-        gauge.book.hold(held["call"])
+        client = Client(gateway.server.address)
+        request = sites.request_fields(gauge.text, 0, 0, next(CALLS))
+        assert execute(client, request) == 0
+        held = sites.request_fields(gauge.text, 1, 0, next(CALLS))
+        gauge.attempt_log.hold(held["call"])
         client.ask(**held)
-        want = gauge.book.attempt(held["call"])
-        gate.change(parcel.text)
-        want.answer()
+        attempt = gauge.attempt_log.wait_for_attempt(held["call"])
+        gateway.change(parcel.text)
+        attempt.answer()
         assert len(client.rows()) == 1
-        served = {line for line in gate.daemon.metrics.statsd_lines().decode().split() if ".ok." in line}
-        # what was open under older settings counts under no class of the new
+        served = {line for line in gateway.daemon.metrics.statsd_lines().decode().split() if ".ok." in line}
+        # A request that was open under older settings counts under no class of the new settings.
         assert served == {f"app.ok.{name}:0|c" for name in parcel.names}
-        gate.change(gauge.text)
-        assert f"app.ok.{asked['op']}:0|c" in gate.daemon.metrics.statsd_lines().decode()  # not where it stood before
+        gateway.change(gauge.text)
+        assert f"app.ok.{request['op']}:0|c" in gateway.daemon.metrics.statsd_lines().decode()  # counted from 0 again
     finally:
-        gate.close()
+        gateway.close()
 
 
-def test_the_log_tells_of_new_settings_once_requests_are_read_under_them(
+def test_settings_change_is_logged_after_requests_are_read_under_it(
     tmp_path: Path, gauge: Customer, parcel: Customer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    gate = Gatekeeper(tmp_path, gauge.text, gauge.members)
-    told: list[bool] = []
+    gateway = InProcessGateway(tmp_path, gauge.text, gauge.members)
+    logged: list[bool] = []
     event = log.event
 
-    def heard(name: str, **fields: Any) -> None:
+    def record(name: str, **fields: Any) -> None:
         if name == "settings_changed":
-            told.append(gate.server.settings.classes[0].name in parcel.names)
+            logged.append(gateway.server.settings.classes[0].name in parcel.names)
         event(name, **fields)
 
-    monkeypatch.setattr(log, "event", heard)
+    monkeypatch.setattr(log, "event", record)
     try:
-        gate.change(parcel.text)
-        assert told == [True]
+        gateway.change(parcel.text)
+        assert logged == [True]
     finally:
-        gate.close()
+        gateway.close()
 
 
-def test_settings_that_forbid_the_peers_are_turned_down_where_their_link_is_on(tmp_path: Path, gauge: Customer) -> None:
-    gate = Gatekeeper(tmp_path, allowed(gauge.text, Peers=True), gauge.members)
+def test_settings_that_forbid_peers_are_rejected_while_peer_link_is_on(tmp_path: Path, gauge: Customer) -> None:
+    gateway = InProcessGateway(tmp_path, with_limits(gauge.text, Peers=True), gauge.members)
     try:
-        gate.daemon._peering = cast(Peering, SimpleNamespace(feed=None))  # the link, as far as a change asks for it
-        before = gate.server.settings
+        # The stub has the only field of the peer link that a change of settings reads.
+        gateway.daemon._peering = cast(Peering, SimpleNamespace(feed=None))
+        before = gateway.server.settings
         with pytest.raises(ConfigError, match="Allowed.Peers"):
-            gate.change(allowed(gauge.text, Peers=False))
-        assert gate.server.settings is before
-        gate.change(allowed(gauge.text, Peers=True, MaxAttempts=2))
-        assert gate.server.settings.limits.max_attempts == 2
+            gateway.change(with_limits(gauge.text, Peers=False))
+        assert gateway.server.settings is before
+        gateway.change(with_limits(gauge.text, Peers=True, MaxAttempts=2))
+        assert gateway.server.settings.limits.max_attempts == 2
     finally:
-        gate.close()
+        gateway.close()
 
 
 @pytest.mark.parametrize("on", ["levels", "gossip", "rules"])
-def test_a_change_is_turned_down_where_what_is_on_is_bound_to_the_settings(
+def test_settings_change_is_rejected_while_feature_depends_on_settings(
     tmp_path: Path, gauge: Customer, parcel: Customer, on: str
 ) -> None:
-    gate = Gatekeeper(tmp_path, gauge.text, gauge.members + parcel.members)
+    gateway = InProcessGateway(tmp_path, gauge.text, gauge.members + parcel.members)
     try:
         if on == "levels":
-            gate.daemon._host_load = cast(HostLoadMonitor, SimpleNamespace(record_dispatch_delay=lambda seconds: None))
+            monitor = SimpleNamespace(record_dispatch_delay=lambda seconds: None)
+            gateway.daemon._host_load = cast(HostLoadMonitor, monitor)
         elif on == "gossip":
-            gate.daemon._link = cast(GossipService, object())
+            gateway.daemon._link = cast(GossipService, object())
         else:
-            gate.daemon.put_in_force(None, None, None, 3)
-        before = gate.server.settings
+            gateway.daemon.put_in_force(None, None, None, 3)
+        before = gateway.server.settings
         with pytest.raises(ConfigError, match="rules propose" if on == "rules" else "restart"):
-            gate.change(parcel.text)
-        assert gate.server.settings is before
-        assert answered(Client(gate.server.address), sites.fields(gauge.text, 1, 0, next(CALLS))) == 0
+            gateway.change(parcel.text)
+        assert gateway.server.settings is before
+        assert execute(Client(gateway.server.address), sites.request_fields(gauge.text, 1, 0, next(CALLS))) == 0
     finally:
-        gate.close()
+        gateway.close()
 
 
-def test_threads_are_bounded_by_the_gateways_of_the_settings_in_force(tmp_path: Path, gauge: Customer) -> None:
+def test_thread_limit_follows_gateway_count_of_current_settings(tmp_path: Path, gauge: Customer) -> None:
     few, many = gauge.text | {"Siblings": 3}, gauge.text | {"Siblings": 200}
-    gate = Gatekeeper(tmp_path, few, gauge.members)
+    gateway = InProcessGateway(tmp_path, few, gauge.members)
     try:
-        before = gate.server._max_threads
-        gate.change(many)
-        assert gate.server._max_threads == gate._load(many).max_threads < before
+        before = gateway.server._max_threads
+        gateway.change(many)
+        assert gateway.server._max_threads == gateway._load(many).max_threads < before
     finally:
-        gate.close()
+        gateway.close()
 
 
-def test_a_timer_of_older_settings_reaches_no_module_of_newer_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_timer_of_old_settings_reaches_no_module_of_new_settings(monkeypatch: pytest.MonkeyPatch) -> None:
     fired: list[tuple[int, int]] = []
 
-    class Noted(Gateway):
+    class RecordingModule(Gateway):
         def handle(self, now: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.TimerFired):
                 fired.append((self.settings.classes[0].threads, event.token))
             return super().handle(now, event)
 
-    monkeypatch.setattr(module_versions, "Gateway", Noted)
+    monkeypatch.setattr(module_versions, "Gateway", RecordingModule)
     old, new = make_settings(classes=(request_class(threads=1),)), make_settings(classes=(request_class(threads=2),))
     decisions = Decisions(old, 1, EnginePool(old.limits))
     number = decisions.register(b"a" * 16, SimpleQueue(), old)
@@ -767,5 +774,5 @@
     decisions._on_timers([(9, 0), (11, 1)])
     decisions.unregister(number, b"a" * 16)
     decisions.forget(number)
-    decisions._on_timers([(13, 0), (15, 1)])  # the old module has gone with its last request
+    decisions._on_timers([(13, 0), (15, 1)])  # the old module was removed with its last request
     assert fired == [(1, 9), (2, 11), (2, 15)]
