--- a/tests/build.py
+++ b/tests/build.py
@@ -1,4 +1,4 @@
-"""Settings and events for the tests, with everything that a test leaves open filled in."""
+"""Builds settings and events for tests, with defaults for all fields that a test does not give."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def request_class(**changes: Any) -> api.RequestClass:
-    given: dict[str, Any] = dict(
+    defaults: dict[str, Any] = dict(
         name="look",
         latency_objective=1.0,
         objective_per_work=1.5,
@@ -24,11 +24,11 @@
         zones=None,
         machine_kinds=None,
     )
-    return api.RequestClass(**(given | changes))
+    return api.RequestClass(**(defaults | changes))
 
 
 def make_settings(**changes: Any) -> api.Settings:
-    """Settings of one gateway; names of limits and rules may be given directly."""
+    """Settings of one gateway; fields of api.Limits and api.Rules are given by name like the others."""
     limits: dict[str, Any] = dict(
         cancellation=True,
         hedging=False,
@@ -51,7 +51,7 @@
         retry_budget_share=0.0,
         retry_budget_window=0.0,
     )
-    given: dict[str, Any] = dict(
+    others: dict[str, Any] = dict(
         instance_number=0,
         gateway_count=1,
         zone=0,
@@ -71,14 +71,14 @@
         tick=0.005,
     )
     for name, value in changes.items():
-        part = next((p for p in (limits, rules) if name in p), given)
+        part = next((p for p in (limits, rules) if name in p), others)
         part[name] = value
-    return api.Settings(limits=api.Limits(**limits), rules=api.Rules(**rules), **given)
+    return api.Settings(limits=api.Limits(**limits), rules=api.Rules(**rules), **others)
 
 
 def entry(engine: int, **changes: Any) -> api.EngineListEntry:
-    plain = api.EngineListEntry(engine, 0, 0, 0, api.Health.READY, 1.0, 0.0)
-    return dataclasses.replace(plain, **changes)
+    default = api.EngineListEntry(engine, 0, 0, 0, api.Health.READY, 1.0, 0.0)
+    return dataclasses.replace(default, **changes)
 
 
 def listing(*entries: api.EngineListEntry, kind: api.EngineListKind = api.EngineListKind.CACHED) -> api.EngineList:
--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes that the program of commit 6fdac00 wrote, to the disk and to its peers, and what they stand for."""
+"""Reference files and messages that the program of commit 6fdac00 wrote, and the samples they encode."""
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -1,7 +1,8 @@
-"""One sample of each message and stored record, with the bytes that they must have.
+"""One sample of each message and stored record, and functions that encode and store them.
 
-`python -m tests.golden.samples DIRECTORY` writes them; `messages.json` and the directories beside this module were
-written by commit 6fdac00, and are never written again: `tests/test_golden.py` compares what is written now with them.
+`python -m tests.golden.samples DIRECTORY` writes all samples. `messages.json` and the directories beside this module
+are reference output of commit 6fdac00 and are never written again: `tests/test_golden.py` compares the output of the
+current code with them.
 """
 
 from __future__ import annotations
@@ -110,7 +111,7 @@
     *(commands.Command("n1/1", 12, body) for body in COMMAND_BODIES),
     commands.Command("n1/1", 0, commands.Delete("key"), commands.Fence("lease", 9)),
 )
-APPLIED = (  # commands that leave something in each table of the state
+APPLIED = (  # commands that put an entry into each table of the state
     commands.Command("n1/1", 1, commands.Put("key", b"value")),
     commands.Command("n1/1", 2, commands.Settings(1, b"text")),
     commands.Command("n1/1", 3, commands.Drain(70, 1234567890123, 5, 6)),
@@ -131,8 +132,8 @@
 
 
 def messages() -> Iterator[tuple[str, Any, bytes]]:
-    """Each message: its codec and place, what it is, and its bytes."""
-    for group, samples, encode in (
+    """Yield each message: its name (`codec/number`), the sample and its encoded bytes."""
+    for codec, samples, encode in (
         ("replica", REPLICA, replica.encode),
         ("peers", PEERS, peers.encode),
         ("echo", ECHO, msgspec.msgpack.encode),
@@ -144,22 +145,22 @@
         ("learners", (("n3",),), lambda learners: replica.members_data(("n1", "n2"), learners)),
         ("frame", (b"payload",), frames.encode),
     ):
-        for place, sample in enumerate(samples):
-            yield f"{group}/{place}", sample, encode(sample)
+        for number, sample in enumerate(samples):
+            yield f"{codec}/{number}", sample, encode(sample)
 
 
 def state() -> State:
-    """A replicated state with something in each table."""
-    found = State()
+    """A replicated state with an entry in each table."""
+    replicated = State()
     for index, command in enumerate(APPLIED, 1):
-        result = found.apply(index, commands.encode(command))
+        result = replicated.apply(index, commands.encode(command))
         if not result.ok:
-            raise AssertionError(f"{command}: {result.reason}")
-    return found
+            raise AssertionError(f"the state rejected {command}: {result.reason}")
+    return replicated
 
 
 def write_replica(folder: Path) -> None:
-    """A member's directory: two log files with term, vote and entries, and a snapshot between them."""
+    """Write the directory of a replica member: a log with terms, votes and entries, and a snapshot."""
     storage = Storage(folder)
     storage.open()
     entries = [
@@ -174,13 +175,13 @@
 
 
 def write_marker(folder: Path) -> None:
-    """The marker of the version that a gateway has closed for."""
+    """Write the marker of the rules version that a gateway has closed for."""
     folder.mkdir()
     PersistedMarker(folder, Disk()).write(MARKED_VERSION)
 
 
 def write_gossip(folder: Path) -> None:
-    """The file of the members that an instance knew."""
+    """Write the file in which an instance stores the gossip members that it knows."""
     folder.mkdir()
     alive = [rumour for rumour in SIGNED if isinstance(rumour, gossip.Alive)]
     persisted_state.save(folder / "members", "n1", 1234567890123, alive, {"n2": 0.75})
@@ -190,7 +191,7 @@
 
 
 def main(target: Path) -> None:
-    """Write all samples."""
+    """Write all samples into a directory."""
     lines = {name: data.hex() for name, _, data in messages()}
     (target / "messages.json").write_bytes(msgspec.json.format(msgspec.json.encode(lines), indent=1) + b"\n")
     for name, write in WRITERS.items():
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""The list of known failures, KNOWN-RED.txt: what fails for a fault whose cause is not mended yet.
+"""Reads KNOWN-RED.txt, the list of tests and benchmark runs that fail because of a fault that is not fixed yet.
 
-Each line is `TEST | COMMAND AND SEED | SEEN | ISSUE`. TEST is the node id of one test case in pytest, or `bench:` and a
-name for a run of the bench, which the test run prints but can't play. A case that is not named stays strict. A listed
-case has to fail: one that passes fails the run until its line is removed, unless what was seen begins with `flaky`,
-which marks a failure of some runs only.
+Each line is `TEST | COMMAND AND SEED | SEEN | ISSUE`. TEST is the pytest node id of one test case, or `bench:` and the
+name of a benchmark run, which pytest prints but cannot run. Test cases that are not listed must pass. A listed test
+case must fail: if it passes, the run fails until its line is removed, unless SEEN begins with `flaky`, which marks a
+failure of some runs only.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from pathlib import Path
 
 FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
-FORM = "TEST | COMMAND AND SEED | SEEN | ISSUE"
-BENCH = "bench:"  # begins the name of a run that pytest can't make
+LINE_FORMAT = "TEST | COMMAND AND SEED | SEEN | ISSUE"
+BENCH = "bench:"  # prefix of benchmark runs, which pytest cannot run
 
 
 class KnownFailuresError(ValueError):
-    """A list that can't be used; the text names the line."""
+    """Raised for an invalid list; the text names the line."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """One line of the list."""
+    """One known failure, as a line of the list describes it."""
 
     test: str
     command: str
@@ -31,16 +31,16 @@
 
     @property
     def is_bench_run(self) -> bool:
-        """Whether it is a run of the bench, which a test run only prints."""
+        """Whether the failure is one of a benchmark run, which pytest only prints."""
         return self.test.startswith(BENCH)
 
     @property
     def is_flaky(self) -> bool:
-        """Whether it fails in some runs only, so that it may pass as well."""
+        """Whether the test fails in some runs only, so that it may also pass."""
         return self.seen.startswith("flaky")
 
     def covers(self, node_id: str) -> bool:
-        """Whether the line is for that very test case."""
+        """Whether the line names the test case with this pytest node id."""
         return not self.is_bench_run and node_id == self.test
 
     def __str__(self) -> str:
@@ -48,16 +48,16 @@
 
 
 def read(text: str) -> tuple[KnownFailure, ...]:
-    """The failures that the text lists; KnownFailuresError for a line that lacks a part or stands twice."""
-    found: dict[str, KnownFailure] = {}
+    """Parse the list; raises KnownFailuresError for a line that lacks a part or lists a test again."""
+    failures: dict[str, KnownFailure] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 4 or not all(parts):
-            raise KnownFailuresError(f"KNOWN-RED.txt, line {number}: not `{FORM}`")
+            raise KnownFailuresError(f"KNOWN-RED.txt, line {number}: {line!r} does not have the form `{LINE_FORMAT}`")
         failure = KnownFailure(*parts)
-        if failure.test in found:
-            raise KnownFailuresError(f"KNOWN-RED.txt, line {number}: {failure.test} stands twice")
-        found[failure.test] = failure
-    return tuple(found.values())
+        if failure.test in failures:
+            raise KnownFailuresError(f"KNOWN-RED.txt, line {number}: {failure.test} is listed more than once")
+        failures[failure.test] = failure
+    return tuple(failures.values())
--- a/tests/recorded/__init__.py
+++ b/tests/recorded/__init__.py
@@ -1,1 +1,1 @@
-"""Events recorded once from the laboratory, and the digest of what the module of commit 712515d did on them."""
+"""Events recorded in a simulation, and the digest of the actions that the decision module of commit 712515d took."""
--- a/tests/recorded/recorded.py
+++ b/tests/recorded/recorded.py
@@ -1,4 +1,4 @@
-"""Reads and writes the recording; `benchmarks/record_actions.py` made it."""
+"""Reads and writes the recording of gateway events, which `benchmarks/record_actions.py` makes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         exit when fleet.load < 1 for 2m
         admit report 0%
 """
-KINDS: dict[str, Any] = {  # by the names that the recording has
+KINDS: dict[str, Any] = {  # event types by their names in the recording
     "EngineList": api.EngineList,
     "Request": api.Request,
     "Outcome": api.AttemptOutcome,
@@ -30,23 +30,23 @@
     "TimerFired": api.TimerFired,
 }
 NAMES = {kind: name for name, kind in KINDS.items()}
-FIELDS = {  # the recording's names of fields, and today's
+FIELDS = {  # current names of fields by their names in the recording
     "time_left": "time_remaining",
     "need": "memory_estimate",
     "resubmitted": "is_client_retry",
     "write": "is_write",
     "over": "request_ended",
 }
-RECORDED_FIELDS = {today: recorded for recorded, today in FIELDS.items()} | {"memory_used": "need"}
+RECORDED_FIELDS = {current: recorded for recorded, current in FIELDS.items()} | {"memory_used": "need"}
 
 
 def settings() -> api.Settings:
-    """What the recorded gateway was told."""
+    """The settings of the recorded gateway."""
     return dataclasses.replace(site.settings(3), tenant_quotas=())
 
 
 def dump(events: list[tuple[float, api.Event]], digest: str) -> None:
-    """Write a recording."""
+    """Write a recording: the digest of the actions, then the events with their times."""
     with gzip.GzipFile(PATH, "wb", mtime=0) as file:
         file.write(orjson.dumps({"digest": digest}) + b"\n")
         for now, event in events:
@@ -54,19 +54,19 @@
 
 
 def load() -> tuple[list[tuple[float, api.Event]], str]:
-    """The events with their times, and the digest of the actions as the wire writes them."""
+    """Read the events with their times, and the digest of the actions in their wire encoding."""
     with gzip.open(PATH) as file:
         head, *lines = map(orjson.loads, file)
     return [(now, _event(name, fields)) for now, name, fields in lines], head["digest"]
 
 
 def _plain(event: Any) -> dict[str, Any]:
-    found = {field.name: getattr(event, field.name) for field in dataclasses.fields(event)}
+    values = {field.name: getattr(event, field.name) for field in dataclasses.fields(event)}
     if isinstance(event, api.EngineList):
-        found["entries"] = [_plain(entry) for entry in event.entries]
+        values["entries"] = [_plain(entry) for entry in event.entries]
     return {
         RECORDED_FIELDS.get(name, name): value.value if isinstance(value, Enum) else value
-        for name, value in found.items()
+        for name, value in values.items()
     }
 
 
