--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -12,7 +12,7 @@
 from tests.peers import LIMIT, Client
 from tests.soak.book import Request
 from tests.soak.terms import CLASSES, IDLE_CLOSE_RACE, LATE_LIMIT, TIMING_TOLERANCE, WORK_PER_REQUEST
-from tests.test_failing_calls import outcome
+from tests.test_failing_calls import read_result
 
 if TYPE_CHECKING:
     from tests.soak.run import Soak
@@ -94,7 +94,7 @@
             is_timed = False  # the connection may have ended during the sleep
             self._kill(client, request)
         try:
-            end = outcome(client)
+            end = read_result(client)
         except (EOFError, ConnectionError, TimeoutError) as error:
             waited = time.monotonic() - request.sent_at
             with self._history.lock:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The page of the architecture names modules and functions that exist."""
+"""Tests that the modules and functions named on the architecture page exist."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 NAMES = sorted(set(re.findall(r"`(tealwing(?:\.\w+)+)`", PAGE.read_text())))
 
 
-def test_the_page_names_modules_and_functions() -> None:
+def test_architecture_page_names_modules_and_functions() -> None:
     assert len(NAMES) > 30
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_a_name_on_the_page_exists(name: str) -> None:
+def test_name_on_architecture_page_exists(name: str) -> None:
     parts = name.split(".")
     found = importlib.import_module(parts[0])
-    for place, part in enumerate(parts[1:], 2):
+    for depth, part in enumerate(parts[1:], 2):
         if not hasattr(found, part):
-            importlib.import_module(".".join(parts[:place]))
+            importlib.import_module(".".join(parts[:depth]))
         found = getattr(found, part)
--- a/tests/test_extremes.py
+++ b/tests/test_extremes.py
@@ -1,4 +1,4 @@
-"""Clauses of the operators' pages at their extremes: the latest repeat, the smallest pages, the earliest SIGKILL."""
+"""Tests rules of the operators' pages at their limits: the latest repeat, the smallest pages, the earliest SIGKILL."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from tests.peers import LIMIT, SETTINGS, Client, Peer, Program, answer_next, request, say
 from tests.test_departures import PAGE, Held, Rig, name_of, wait
 from tests.test_exits import LOGIN
-from tests.test_failing_calls import outcome
+from tests.test_failing_calls import read_result
 
 REFUSED, FAILED = 1226, 1105
-CROSSING = 0.05  # s in which a request may cross the close of a resting connection (the protocol's)
-WINDOW = 1.0  # s for repeats of a keyed request
+IDLE_CLOSE_RACE = 0.05  # s; from the protocol: a request may cross the close of an idle connection
+WINDOW = 1.0  # s within which a keyed request may be repeated
 
 
 # "Send only within WindowNs of the send of that attempt"
 
 
-def test_a_repeat_whose_connect_outlasts_the_window_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_repeat_is_not_sent_if_connect_outlasts_window(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig(engines=2, idempotency=api.Idempotency.KEYED, idempotency_window=WINDOW)
     client = rig.client()
     client.ask(call=name_of(1), ttl=20_000, dedupe="k")
@@ -39,11 +39,11 @@
     sock, _ = first.next(b"want")
     connect = Engine._connect
 
-    def late(self: Engine, limit: float) -> Any:
+    def connect_late(self: Engine, limit: float) -> Any:
         time.sleep(WINDOW)
         return connect(self, limit)
 
-    monkeypatch.setattr(Engine, "_connect", late)
+    monkeypatch.setattr(Engine, "_connect", connect_late)
     time.sleep(WINDOW / 2)
     sock.shutdown(socket.SHUT_RDWR)  # the attempt may have run
     assert client.error()[0] == REFUSED
@@ -51,7 +51,7 @@
     rig.end()
 
 
-# "Whole rows as text, at most 6,000 bytes, make up a page": at least one row
+# "Whole rows as text, at most 6,000 bytes, make up a page": a page may hold a single row
 
 
 @pytest.fixture
@@ -64,13 +64,13 @@
 @pytest.mark.parametrize(
     ("pages", "page"),
     [
-        (2000, b"a\tb\tc\n"),  # one row a page
-        (8, b"x" * 5994 + b"\tb\tc\n"),  # of 5,998 bytes; 8 make 47,984
-        (8, b"x" * 3000 + b"\t" + b"y" * 2998 + b"\t\n"),  # 6,000 bytes exactly; 8 make 48,000 exactly
-        (1, b""),  # no row at all
+        (2000, b"a\tb\tc\n"),  # one row per page
+        (8, b"x" * 5994 + b"\tb\tc\n"),  # 5,998 bytes per page, 47,984 in total
+        (8, b"x" * 3000 + b"\t" + b"y" * 2998 + b"\t\n"),  # exactly 6,000 bytes per page and 48,000 in total
+        (1, b""),  # no rows
     ],
 )
-def test_a_result_of_any_pages_comes_whole(pages: int, page: bytes, tmp_path: Path, engine: Peer) -> None:
+def test_result_of_any_page_size_arrives_complete(pages: int, page: bytes, tmp_path: Path, engine: Peer) -> None:
     program = Program(tmp_path, engine.address)
     client = Client(program.address())
     client.ask()
@@ -83,10 +83,10 @@
     assert program.end() == ""
 
 
-# "New connections keep coming": whoever the machine has accepted is answered
+# "New connections keep coming": connections that the kernel has accepted are served
 
 
-def test_clients_not_yet_accepted_at_the_stop_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clients_not_yet_accepted_at_stop_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig()
     held, accept = Held(), rig.server._accept
 
@@ -113,16 +113,16 @@
     rig.end()
 
 
-# "SIGKILL comes no sooner than the longest deadline and 0.7 s": with short deadlines soon
+# "SIGKILL comes no sooner than the longest deadline and 0.7 s": with short deadlines it comes early
 
 
-class Asking:
-    """Asks again and again on one connection until the gateway ends it; counts what was taken and not answered."""
+class RepeatingClient:
+    """Sends requests on one connection until the gateway closes it, and records those that got no answer."""
 
     def __init__(self, address: tuple[str, int], number: int, ttl: int) -> None:
         self.client, self._number, self._ttl = Client(address), number, ttl
-        self.ends: list[Any] = []
-        self.lost: list[tuple[str, float, float]] = []  # requests without an answer: when written, s until the end
+        self.results: list[Any] = []
+        self.lost: list[tuple[str, float, float]] = []  # call, time of sending, s until the connection ended
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
@@ -136,7 +136,7 @@
                 return
             written = time.monotonic()
             try:
-                self.ends.append(outcome(self.client))
+                self.results.append(read_result(self.client))
             except (OSError, EOFError):
                 self.lost.append((name, written, time.monotonic() - written))
                 return
@@ -148,39 +148,39 @@
 
 
 @pytest.mark.parametrize("deadline", [0.2, 1.0])
-def test_all_that_came_is_answered_before_the_earliest_sigkill(deadline: float, tmp_path: Path, engine: Peer) -> None:
-    # the engine hangs through the whole of it, and clients go on until the kill
+def test_all_requests_are_answered_before_earliest_sigkill(deadline: float, tmp_path: Path, engine: Peer) -> None:
+    # The engine never answers, and the clients send requests until SIGKILL.
     grades = [grade | {"DeadlineNs": int(deadline * 1e9)} for grade in SETTINGS["Grades"]]
     program = Program(tmp_path, engine.address, settings=SETTINGS | {"Grades": grades})
     address = program.address()
-    clients = [Asking(address, number, int(deadline * 1e3)) for number in range(8)]
+    clients = [RepeatingClient(address, number, int(deadline * 1e3)) for number in range(8)]
     time.sleep(0.1)
     stopped = time.monotonic()
     program.terminate()
-    while time.monotonic() < stopped + 0.6:  # new ones keep coming, for longer than the page says
+    while time.monotonic() < stopped + 0.6:  # new clients connect for longer than the operators' page says
         time.sleep(0.05)
         with contextlib.suppress(OSError, EOFError):
-            clients.append(Asking(address, len(clients), int(deadline * 1e3)))
+            clients.append(RepeatingClient(address, len(clients), int(deadline * 1e3)))
     with contextlib.suppress(Exception):
         program.process.wait(stopped + deadline + 0.7 - time.monotonic())
     ended = program.process.poll()
     program.process.send_signal(signal.SIGKILL)
-    for one in clients:
-        one.join()
-    assert ended == 0, "SIGKILL came before the end"
-    forwarded = {parts[1].decode() for _, parts in iter_queue(engine)}
-    lost = [(name, round(at - stopped, 3), took) for one in clients for name, at, took in one.lost]
-    crossed = [item for item in lost if item[2] <= CROSSING and item[0] not in forwarded]
-    assert lost == crossed, f"taken and not answered; s after SIGTERM, s until the end: {lost}"
+    for client in clients:
+        client.join()
+    assert ended == 0, f"exit code {ended} at the earliest SIGKILL, expected 0 (None: still running)"
+    forwarded = {parts[1].decode() for _, parts in drain_queue(engine)}
+    lost = [(name, round(at - stopped, 3), took) for client in clients for name, at, took in client.lost]
+    crossed = [item for item in lost if item[2] <= IDLE_CLOSE_RACE and item[0] not in forwarded]
+    assert lost == crossed, f"requests without an answer (call, s after SIGTERM, s until the connection ended): {lost}"
 
 
-def iter_queue(engine: Peer) -> Iterator[Any]:
-    """All that has come to an engine."""
+def drain_queue(engine: Peer) -> Iterator[Any]:
+    """Take all messages from the queue of an engine."""
     while not engine.got.empty():
         yield engine.got.get()
 
 
-def test_a_configuration_with_any_number_of_reloads_loses_nothing(tmp_path: Path, engine: Peer) -> None:
+def test_series_of_reloads_loses_no_request(tmp_path: Path, engine: Peer) -> None:
     def serve() -> None:
         while True:
             sock, parts = engine.got.get()
@@ -191,24 +191,24 @@
     threading.Thread(target=serve, daemon=True).start()
     program = Program(tmp_path, engine.address)
     address = program.address()
-    clients = [Asking(address, number, 5000) for number in range(4)]
-    for number in range(40):  # in quick succession: other settings each time, and some that can't be used
+    clients = [RepeatingClient(address, number, 5000) for number in range(4)]
+    for number in range(40):  # in quick succession, each with new settings; every fifth file is truncated
         grades = [grade | {"DeadlineNs": 20_000_000_000 + number} for grade in SETTINGS["Grades"]]
         whole = json.dumps(program.config | {"settings": SETTINGS | {"Grades": grades}})
         program.reload(whole[: len(whole) // 2] if number % 5 == 4 else whole)
         time.sleep(0.01)
     time.sleep(0.2)
-    assert all(set(one.ends) == {"served"} and not one.lost for one in clients)
+    assert all(set(client.results) == {"served"} and not client.lost for client in clients)
     assert program.process.poll() is None
     program.end()
 
 
-def test_a_log_that_nobody_reads_holds_no_request(tmp_path: Path, engine: Peer) -> None:
-    # the platform reads what the gateway writes; while it does not, requests are answered all the same
+def test_unread_log_blocks_no_request(tmp_path: Path, engine: Peer) -> None:
+    # The platform reads the gateway's log. While nothing reads it, requests must still be answered.
     program = Program(tmp_path, engine.address)
     client = Client(program.address())
     client.sock.settimeout(LIMIT / 3)
-    for number in range(1500):  # a line each, of some hundred bytes: more than a pipe takes
+    for number in range(1500):  # one log line of a few hundred bytes each: more than a pipe holds
         client.ask(call=f"{number:016x}", op="unknown")
         assert client.error()[0] == 1210
     client.ask()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,7 +1,7 @@
-"""System calls that fail for a moment, each at each place of a request's path: nothing is lost, nothing is left.
+"""Tests that a single failed system call, at any point of a request, loses no request and leaks nothing.
 
 The errors are those that Linux documents for the call (accept(2), socket(7), tcp(7), epoll_ctl(2)). Only calls of the
-gateway's own threads fail; the test's clients and engines share the process.
+gateway's own threads fail, because the test's clients and engines run in the same process.
 """
 
 from __future__ import annotations
@@ -27,30 +27,31 @@
 from tests.test_departures import PAGE, Rig, name_of, wait
 from tests.test_watch import make
 
-OURS = {"session", "session-limits", "engine-reader"}  # names of the gateway's threads
-PLACES = 12  # calls of a kind on the path of two requests, at most
+GATEWAY_THREADS = {"session", "session-limits", "engine-reader"}  # thread names
+MAX_CALLS = 12  # upper bound of the calls of one kind that two requests make
 SERVED, EVICTED, FAILED = "served", "evicted", 1105
-SHORT = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)  # descriptors or memory: a resting client may go
+# No descriptors or memory: the gateway may evict idle clients.
+RESOURCE_ERRORS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-class NthCall:
-    """Fails the n-th call of a kind that one of the gateway's threads makes, and counts them all."""
+class NthCallFailure:
+    """Makes the n-th call of one kind in the gateway's threads fail, and counts all calls."""
 
-    def __init__(self, nth: int, code: int, threads: Collection[str] = OURS) -> None:
-        """threads are the names of those whose calls count."""
-        self._threads = threads
+    def __init__(self, nth: int, code: int, thread_names: Collection[str] = GATEWAY_THREADS) -> None:
+        """Only calls of threads with one of thread_names are counted."""
+        self._thread_names = thread_names
         self.calls, self._nth, self._code = 0, nth, code
-        self.concerns: Callable[..., bool] = lambda *_: True
+        self.applies_to: Callable[..., bool] = lambda *_: True
         self._lock = threading.Lock()
 
     @property
     def failed(self) -> bool:
-        """Whether the call has come that was to fail."""
+        """Whether the n-th call has been made."""
         return self.calls >= self._nth
 
     def check(self, *args: Any) -> None:
-        """Raise in the n-th call."""
-        if threading.current_thread().name not in self._threads or not self.concerns(*args):
+        """Count a call; raises OSError if it is the n-th."""
+        if threading.current_thread().name not in self._thread_names or not self.applies_to(*args):
             return
         with self._lock:
             self.calls += 1
@@ -58,8 +59,8 @@
         if fails:
             raise OSError(self._code, os.strerror(self._code))
 
-    def before(self, real: Callable[..., Any]) -> Callable[..., Any]:
-        """The call, which may fail before anything of it is done."""
+    def wrap(self, real: Callable[..., Any]) -> Callable[..., Any]:
+        """Wrap a function so that a call fails before it has any effect."""
 
         def call(*args: Any, **kwargs: Any) -> Any:
             self.check(*args)
@@ -69,18 +70,18 @@
 
 
 class FailingEpoll:
-    """An epoll set of which one method may fail."""
+    """An epoll object of which one method may fail."""
 
-    def __init__(self, real: select.epoll, method: str, fault: NthCall) -> None:
+    def __init__(self, real: select.epoll, method: str, fault: NthCallFailure) -> None:
         self._real, self._method, self._fault = real, method, fault
 
     def __getattr__(self, name: str) -> Any:
-        found = getattr(self._real, name)
-        return self._fault.before(found) if name == self._method else found
+        attribute = getattr(self._real, name)
+        return self._fault.wrap(attribute) if name == self._method else attribute
 
 
-class Answering:
-    """Answers each attempt that comes to a rig's engine, until it ends."""
+class AnsweringEngine:
+    """Answers each attempt that arrives at the engine of a rig."""
 
     def __init__(self, rig: Rig) -> None:
         self._rig, self.calls = rig, list[bytes]()
@@ -93,7 +94,7 @@
                 self.calls.append(parts[1])
                 try:
                     say(sock, parts[1], b"200", b"sheets=1", PAGE)
-                except OSError:  # it has closed the connection under its attempt
+                except OSError:  # the gateway has closed the connection of the attempt
                     continue
 
 
@@ -104,8 +105,8 @@
     rig.end()
 
 
-def outcome(client: Client) -> str | int:
-    """The one whole answer that a client reads next: rows, or the code of an error."""
+def read_result(client: Client) -> str | int:
+    """Read one complete answer: SERVED for rows, or the error code."""
     payload = client.read()
     if payload[:1] == b"\xff":
         return int.from_bytes(payload[1:3], "little")
@@ -117,107 +118,124 @@
     return SERVED
 
 
-def play(rig: Rig, fault: NthCall) -> list[str | int]:
-    """Two clients, the second on a resting connection once more; what each of their requests is answered."""
-    engine, found = Answering(rig), list[str | int]()
+def run_requests(rig: Rig, fault: NthCallFailure) -> list[str | int]:
+    """Send a request from each of two clients, then one on the first's idle connection; return the results."""
+    engine, results = AnsweringEngine(rig), list[str | int]()
     first, second = Client(rig.server.address), Client(rig.server.address)
     for call, client in enumerate((first, second, first), 1):
         try:
             client.ask(call=name_of(call), ttl=5000)
-            found.append(outcome(client))
+            results.append(read_result(client))
         except (EOFError, ConnectionError):
-            found.append(EVICTED)
+            results.append(EVICTED)
     for client in (first, second):
         client.sock.close()
-    last = Client(rig.server.address)  # afterwards all is as before
+    last = Client(rig.server.address)  # a later request is served normally
     last.ask(call=name_of(9), ttl=5000)
-    assert outcome(last) == SERVED
+    assert read_result(last) == SERVED
     assert engine.calls[-1] == name_of(9).encode()
     last.sock.close()
     wait(lambda: rig.server.connections == 0)
     rig.nothing_left()
-    return found
+    return results
 
 
-def play_all(
-    method: str, code: int, monkeypatch: pytest.MonkeyPatch, patch: Callable[[Rig, NthCall], None]
+def run_with_each_failure(
+    method: str, code: int, monkeypatch: pytest.MonkeyPatch, patch: Callable[[Rig, NthCallFailure], None]
 ) -> list[list[str | int]]:
-    """Play once for each place on the path at which the call may fail."""
-    found = []
-    for nth in range(1, PLACES + 1):
-        fault = NthCall(nth, code)
+    """Run the requests once for each call of the method, with that call failing."""
+    results = []
+    for nth in range(1, MAX_CALLS + 1):
+        fault = NthCallFailure(nth, code)
         rig = Rig()
         with monkeypatch.context() as context:
             if hasattr(socket.socket, method):
-                context.setattr(socket.socket, method, fault.before(getattr(socket.socket, method)))
+                context.setattr(socket.socket, method, fault.wrap(getattr(socket.socket, method)))
             patch(rig, fault)
-            found.append(play(rig, fault))
+            results.append(run_requests(rig, fault))
         rig.end()
         if not fault.failed:
             break
-    assert len(found) > 1, f"no thread of the gateway calls {method}"
-    return found
+    assert len(results) > 1, f"no thread of {sorted(GATEWAY_THREADS)} calls {method}"
+    return results
 
 
-def nothing(rig: Rig, fault: NthCall) -> None:
+def no_patch(rig: Rig, fault: NthCallFailure) -> None:
     pass
 
 
-ACCEPT = (errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
+ACCEPT_ERRORS = (
+    errno.ECONNABORTED,
+    errno.EPROTO,
+    errno.ENETDOWN,
+    errno.ENFILE,
+    errno.EMFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+)
 
 
-@pytest.mark.parametrize("code", ACCEPT, ids=errno.errorcode.get)
-def test_an_accept_that_fails_costs_nobody_an_answer(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    for ends in play_all("accept", code, monkeypatch, nothing):
-        assert set(ends) <= ({SERVED, EVICTED} if code in SHORT else {SERVED})
+@pytest.mark.parametrize("code", ACCEPT_ERRORS, ids=errno.errorcode.get)
+def test_failed_accept_loses_no_answer(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    for results in run_with_each_failure("accept", code, monkeypatch, no_patch):
+        assert set(results) <= ({SERVED, EVICTED} if code in RESOURCE_ERRORS else {SERVED})
 
 
 @pytest.mark.parametrize("code", (errno.ENOBUFS, errno.ENOMEM, errno.EINVAL), ids=errno.errorcode.get)
-def test_an_option_that_can_not_be_set_costs_nobody_an_answer(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    for ends in play_all("setsockopt", code, monkeypatch, nothing):
-        assert ends == [SERVED] * 3
+def test_failed_socket_option_loses_no_answer(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    for results in run_with_each_failure("setsockopt", code, monkeypatch, no_patch):
+        assert results == [SERVED] * 3
 
 
-CONNECT = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EAGAIN, errno.ENOBUFS)
+CONNECT_ERRORS = (
+    errno.EADDRNOTAVAIL,
+    errno.ENETUNREACH,
+    errno.EHOSTUNREACH,
+    errno.ETIMEDOUT,
+    errno.EAGAIN,
+    errno.ENOBUFS,
+)
 
 
-@pytest.mark.parametrize("code", CONNECT, ids=errno.errorcode.get)
-def test_a_connect_that_fails_is_tried_again(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    assert all(ends == [SERVED] * 3 for ends in play_all("connect", code, monkeypatch, nothing))
+@pytest.mark.parametrize("code", CONNECT_ERRORS, ids=errno.errorcode.get)
+def test_failed_connect_to_engine_is_retried(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    assert all(results == [SERVED] * 3 for results in run_with_each_failure("connect", code, monkeypatch, no_patch))
 
 
 @pytest.mark.parametrize("code", (errno.ENOMEM, errno.ENOBUFS), ids=errno.errorcode.get)
 @pytest.mark.parametrize("method", ("recv_into", "send"))
-def test_a_read_or_a_write_without_memory_for_a_moment_ends_no_client(
+def test_read_or_write_without_memory_ends_no_client_connection(
     method: str, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for ends in play_all(method, code, monkeypatch, nothing):
-        assert ends == [SERVED] * 3  # the engine's too: the class may be sent again
+    for results in run_with_each_failure(method, code, monkeypatch, no_patch):
+        assert results == [SERVED] * 3  # also if the engine's connection fails, because the class may be repeated
 
 
 @pytest.mark.parametrize("code", (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOBUFS), ids=errno.errorcode.get)
-def test_a_write_to_an_engine_that_fails_is_sent_again(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    def patch(rig: Rig, fault: NthCall) -> None:
+def test_failed_write_to_engine_is_retried(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    def patch(rig: Rig, fault: NthCallFailure) -> None:
         host, port = rig.engine.listener.getsockname()
-        fault.concerns = lambda sock, *_: bool(sock.getpeername() == (host, port))
+        fault.applies_to = lambda sock, *_: bool(sock.getpeername() == (host, port))
 
-    assert all(ends == [SERVED] * 3 for ends in play_all("send", code, monkeypatch, patch))
+    assert all(results == [SERVED] * 3 for results in run_with_each_failure("send", code, monkeypatch, patch))
 
 
 @pytest.mark.parametrize("code", (errno.ENOMEM, errno.ENOSPC), ids=errno.errorcode.get)
 @pytest.mark.parametrize("method", ("register", "modify"))
-def test_a_wait_that_can_not_be_armed_ends_no_client(method: str, code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    def patch(rig: Rig, fault: NthCall) -> None:
+def test_failed_epoll_registration_ends_no_client_connection(
+    method: str, code: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def patch(rig: Rig, fault: NthCallFailure) -> None:
         monkeypatch.setattr(rig.server, "_ready", FailingEpoll(rig.server._ready, method, fault))
 
-    for ends in play_all(method, code, monkeypatch, patch):
-        assert ends == [SERVED] * 3
+    for results in run_with_each_failure(method, code, monkeypatch, patch):
+        assert results == [SERVED] * 3
 
 
-def test_a_fault_of_ours_amid_a_request_is_answered(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    # seen in the code: whatever a request's life raised ended its session, with no answer
+def test_internal_error_during_request_is_answered(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against an exception in the handling of a request that ends its session without an answer.
     def fail(*_: Any, **__: Any) -> None:
-        raise RuntimeError("a fault of ours")
+        raise RuntimeError("internal error")
 
     client = Client(rig.server.address)
     with monkeypatch.context() as context:
@@ -227,18 +245,18 @@
     rig.serve(client, 2)
 
 
-def test_an_overdue_answer_that_is_written_in_pieces_comes_whole(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_overdue_answer_sent_in_pieces_arrives_complete(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     real = socket.socket.send
 
-    def short(self: socket.socket, data: Any, *flags: int) -> int:
+    def send_five_bytes(self: socket.socket, data: Any, *flags: int) -> int:
         return real(self, data[:5] if threading.current_thread().name == "session-limits" else data, *flags)
 
-    monkeypatch.setattr(socket.socket, "send", short)
+    monkeypatch.setattr(socket.socket, "send", send_five_bytes)
     held = threading.Event()
 
     def hold(*_: Any) -> None:
         held.wait(LIMIT)
-        raise ConnectError("it was held up")
+        raise ConnectError("delayed by the test")
 
     monkeypatch.setattr(rig.engines, "send", hold)
     client = Client(rig.server.address)
@@ -249,43 +267,43 @@
         held.set()
 
 
-def test_aborted_connections_in_series_are_neither_waited_for_nor_logged(
+def test_series_of_aborted_connections_causes_no_delay_and_at_most_one_log_line(
     rig: Rig, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    # seen in the code: each failed accept left the listener unarmed for 50 ms, and wrote a line
-    left = [errno.ECONNABORTED] * 40
+    # Guards against a listener that pauses for 50 ms and logs a line after each failed accept.
+    failures = [errno.ECONNABORTED] * 40
     real = socket.socket.accept
 
     def accept(self: socket.socket) -> Any:
-        if left and threading.current_thread().name in OURS:
-            raise OSError(left.pop(), "aborted")
+        if failures and threading.current_thread().name in GATEWAY_THREADS:
+            raise OSError(failures.pop(), "aborted")
         return real(self)
 
     monkeypatch.setattr(socket.socket, "accept", accept)
     client = Client(rig.server.address)
     rig.serve(client, 1)
-    assert not left
+    assert not failures
     assert capsys.readouterr().out.count("accept_failed") <= 1
 
 
-# The watch of the engine list, and the operators' address
+# The watch of the engine list, and the admin address
 
 
-WATCH = {"connect_ex", "getsockopt", "sendall", "recv"}
+WATCH_CALLS = {"connect_ex", "getsockopt", "sendall", "recv"}
 WATCH_ERRORS = (errno.ENOBUFS, errno.ENETUNREACH, errno.EADDRNOTAVAIL, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 
 @pytest.mark.parametrize("code", WATCH_ERRORS, ids=errno.errorcode.get)
-@pytest.mark.parametrize("method", sorted(WATCH))
-def test_a_watch_of_which_a_call_fails_is_begun_again_and_lacks_nothing(
+@pytest.mark.parametrize("method", sorted(WATCH_CALLS))
+def test_watch_reconnects_after_failed_call_and_misses_no_update(
     method: str, code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for nth in (1, 2):
-        fault, members = NthCall(nth, code, {"coordinator"}), [member("s-1", "127.0.0.1:1")]
+        fault, members = NthCallFailure(nth, code, {"coordinator"}), [member("s-1", "127.0.0.1:1")]
         coordinator = standins.Coordinator(members)
         host, _, port = coordinator.address.partition(":")
         with monkeypatch.context() as context:
-            context.setattr(socket.socket, method, fault.before(getattr(socket.socket, method)))
+            context.setattr(socket.socket, method, fault.wrap(getattr(socket.socket, method)))
             daemon = make(tmp_path, (host, int(port)))
             daemon.start()
             for number in range(2, 6):
@@ -298,14 +316,12 @@
 
 @pytest.mark.parametrize("code", (errno.ENFILE, errno.ECONNABORTED, errno.ENOBUFS), ids=errno.errorcode.get)
 @pytest.mark.parametrize("method", ("accept", "setsockopt", "recv", "sendall"))
-def test_the_operators_address_answers_after_calls_that_fail(
-    method: str, code: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_admin_address_answers_after_failed_calls(method: str, code: int, monkeypatch: pytest.MonkeyPatch) -> None:
     admin = AdminServer(("127.0.0.1", 0), lambda: True, lambda: b"app.active:0|g\n")
-    faults = [NthCall(nth, code, {"admin"}) for nth in range(1, THREADS + 3)]  # more than it has threads
+    faults = [NthCallFailure(nth, code, {"admin"}) for nth in range(1, THREADS + 3)]  # more than its threads
     with monkeypatch.context() as context:
         for fault in faults:
-            context.setattr(socket.socket, method, fault.before(getattr(socket.socket, method)))
+            context.setattr(socket.socket, method, fault.wrap(getattr(socket.socket, method)))
         admin.start()
         answered = 0
         until = time.monotonic() + LIMIT
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,4 +1,4 @@
-"""What commit 6fdac00 wrote is read, and written again byte for byte: messages, stored files, a bundle of the rules."""
+"""Tests that messages, stored files and rules of commit 6fdac00 are read, and are still encoded byte for byte."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 BUNDLE_DIGEST = "289a05239b2b47313f02d07cc857d5d9"
 
 
-def _of_key(name: str, key: bytes, data: bytes, signature: bytes) -> bool:
+def _verify_signature(name: str, key: bytes, data: bytes, signature: bytes) -> bool:
     return name == "n1" and key == samples.KEY.key_id and signature == samples.KEY.sign(data)
 
 
@@ -43,7 +43,7 @@
     "peers": peers.decode,
     "echo": msgspec.msgpack.Decoder(ping.PingRequest | ping.PingReply).decode,
     "forwarded": protocol.decode,
-    "gossip": lambda data: gossip.decode(data, _of_key),
+    "gossip": lambda data: gossip.decode(data, _verify_signature),
     "command": commands.decode,
     "result": commands.decode_result,
     "members": lambda data: replica.voters_of(_entry(data)),
@@ -52,7 +52,7 @@
 }
 
 
-def test_there_is_a_sample_of_each_message() -> None:
+def test_each_message_type_has_a_sample() -> None:
     assert set(GOLDEN) == set(MESSAGES)
     unions: tuple[tuple[Any, tuple[Any, ...]], ...] = (
         (replica.Message, samples.REPLICA),
@@ -61,56 +61,56 @@
         (gossip.Rumour, tuple(samples.RUMOURS)),
         (commands.Body, samples.COMMAND_BODIES),
     )
-    for union, found in unions:
-        assert set(get_args(union)) == {type(sample) for sample in found}
+    for union, examples in unions:
+        assert set(get_args(union)) == {type(sample) for sample in examples}
 
 
 @pytest.mark.parametrize("name", GOLDEN)
-def test_a_message_is_written_as_it_was(name: str) -> None:
+def test_message_is_encoded_as_in_reference_commit(name: str) -> None:
     assert MESSAGES[name][1].hex() == GOLDEN[name]
 
 
 @pytest.mark.parametrize("name", GOLDEN)
-def test_a_message_is_read_as_it_was_meant(name: str) -> None:
+def test_reference_message_is_decoded_to_its_sample(name: str) -> None:
     decode = DECODERS[name.partition("/")[0]]
     assert decode(bytes.fromhex(GOLDEN[name])) == MESSAGES[name][0]
 
 
 @pytest.mark.parametrize("name", samples.WRITERS)
-def test_stored_files_are_written_as_they_were(name: str, tmp_path: Path) -> None:
+def test_stored_files_match_reference_files(name: str, tmp_path: Path) -> None:
     samples.WRITERS[name](tmp_path / name)
     before = {path.name: path.read_bytes() for path in (samples.HERE / name).iterdir()}
     assert before and {path.name: path.read_bytes() for path in (tmp_path / name).iterdir()} == before
 
 
-def test_a_stored_log_and_snapshot_are_read(tmp_path: Path) -> None:
+def test_reference_log_and_snapshot_are_read(tmp_path: Path) -> None:
     for path in (samples.HERE / "replica").iterdir():
         (tmp_path / path.name).write_bytes(path.read_bytes())
     assert verify(tmp_path) == []
     storage = Storage(tmp_path)
-    found = storage.open()
-    assert (found.term, found.vote, found.commit, found.truncated_bytes, found.fresh) == (3, "n2", 15, 0, False)
-    assert (found.snapshot.index, found.snapshot.term) == (15, 2)
-    assert (found.snapshot.members, found.snapshot.learners) == (("n1", "n2"), ("n3",))
-    assert [entry.index for entry in found.log] == [16]
-    assert replica.learners_of(found.log[0]) == ("n3",)
+    stored = storage.open()
+    assert (stored.term, stored.vote, stored.commit, stored.truncated_bytes, stored.fresh) == (3, "n2", 15, 0, False)
+    assert (stored.snapshot.index, stored.snapshot.term) == (15, 2)
+    assert (stored.snapshot.members, stored.snapshot.learners) == (("n1", "n2"), ("n3",))
+    assert [entry.index for entry in stored.log] == [16]
+    assert replica.learners_of(stored.log[0]) == ("n3",)
     state = State()
-    state.load(15, storage.snapshot_files.body(found.snapshot))
+    state.load(15, storage.snapshot_files.body(stored.snapshot))
     storage.close()
     assert state.digest() == samples.state().digest() and all(state.counts().values())
 
 
-def test_a_stored_marker_is_read() -> None:
+def test_reference_marker_is_read() -> None:
     assert PersistedMarker(samples.HERE / "marker", Disk()).read() == samples.MARKED_VERSION
 
 
-def test_a_stored_gossip_file_is_read() -> None:
-    found = persisted_state.load(samples.HERE / "gossip" / "members", "n1")
-    assert found is not None and found.boot == 1234567890123 and found.trust == {"n2": 0.75}
-    assert found.members == [rumour for rumour in samples.SIGNED if isinstance(rumour, gossip.Alive)]
+def test_reference_gossip_file_is_read() -> None:
+    loaded = persisted_state.load(samples.HERE / "gossip" / "members", "n1")
+    assert loaded is not None and loaded.boot == 1234567890123 and loaded.trust == {"n2": 0.75}
+    assert loaded.members == [rumour for rumour in samples.SIGNED if isinstance(rumour, gossip.Alive)]
 
 
-def test_a_bundle_is_read_and_has_its_digest() -> None:
+def test_reference_bundle_is_read_with_its_digest() -> None:
     assert records.digest(samples.BUNDLE) == BUNDLE_DIGEST
     assert msgspec.to_builtins(bundle.parse(samples.BUNDLE)) == {
         "levels": "",
@@ -121,7 +121,7 @@
     }
 
 
-def test_the_adapter_answers_recorded_batches_as_it_did() -> None:
+def test_adapter_answers_recorded_batches_as_in_reference_commit() -> None:
     batches = (samples.HERE / "adapter-input.bin").read_bytes()
     done = subprocess.run([sys.executable, "-m", "tealwing.adapter"], input=batches, capture_output=True, timeout=60)
     assert done.returncode == 0 and done.stdout == (samples.HERE / "adapter-output.bin").read_bytes()
