--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -22,7 +22,7 @@
 ENGINES, MAX_ENGINES = 3, 6  # at the start of the run, and with those that join
 MIN_READY = 2  # engines that do not drain at the same time, so that requests are served
 MIN_DRAIN = 2.0  # s from the announcement of a drain to the engine's earliest return
-STRICT_SHARE = 0.8  # share of random faults that keep drains and watch outages apart
+STRICT_SHARE = 0.8  # probability that a drain and a watch outage are kept apart
 QUIET_PERIOD = (0.5, 2.0)  # s without a request, as a range
 WATCH_OUTAGE = (1.0, 4.0)  # s in which the coordinator sends nothing, as a range
 
