--- a/tealwing/replica/service/recovery.py
+++ b/tealwing/replica/service/recovery.py
@@ -170,17 +170,21 @@
         return self.phase is Phase.MEMBER
 
     def reason(self, view: FleetView) -> str:
-        """Return the reason for the current phase, as a text for operators."""
-        reachable = f"{view.reachable} of {view.members} members are reachable"
+        """Return the reason for the current phase, as a text for operators.
+
+        The part before the first semicolon is the name of a metric, and the admin address answers with the whole text:
+        keep the wording.
+        """
+        reachable = f"{view.reachable} of {view.members} members are heard"
         if self.phase is Phase.DISK:
-            return "the stored state is being read"
+            return "the disk is being read"
         if self.phase is Phase.QUERYING_PEERS:
-            return f"the peers are being queried; {reachable}"
+            return f"the peers are being asked; {reachable}"
         if self.phase is Phase.MEMBER:
             return f"caught up; {view.leader} leads term {view.term}"
         if not view.leader:
-            return f"no leader is known; {reachable}; serving from the local state"
-        return f"catching up with {view.leader}; serving from the local state"
+            return f"no leader is known; {reachable}; serving from what this gateway knows"
+        return f"catching up with {view.leader}; serving from what this gateway knows"
 
     def report(self, view: FleetView, items: list[TrustedItem]) -> dict[str, Any]:
         """Return the recovery report for operators."""
--- a/tealwing/rollout/effects/log_client.py
+++ b/tealwing/rollout/effects/log_client.py
@@ -47,7 +47,7 @@
         self._queue: SimpleQueue[Callable[[], None] | None] = SimpleQueue()
 
     def start(self) -> None:
-        """Start the thread. Raises threads.NoThread if the system has none."""
+        """Start the thread. Raises threads.ThreadUnavailableError if the system has none."""
         threads.start(self._run, self._name)
 
     def stop(self) -> None:
@@ -88,7 +88,7 @@
         self.last_rejection = ""  # reason of the site's log for its last rejection; empty after a success
 
     def start(self) -> None:
-        """Start the threads. Raises threads.NoThread if the system has none."""
+        """Start the threads. Raises threads.ThreadUnavailableError if the system has none."""
         for worker in (self._submissions, self._reads, self._federation_reads):
             if worker is not None:
                 worker.start()
--- a/tealwing/rollout/runtime.py
+++ b/tealwing/rollout/runtime.py
@@ -103,7 +103,7 @@
         self._executor.activate(lambda: self._observed)
 
     def start(self) -> None:
-        """Start the threads. Raises threads.NoThread if the system has none."""
+        """Start the threads. Raises threads.ThreadUnavailableError if the system has none."""
         self._log_client.start()
         threads.start(self._run, "rules")
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -111,7 +111,7 @@
         and recovery.ready
         and not recovery.may_change
     )
-    assert "2 of 3 members are reachable" in recovery.reason(view())
+    assert "2 of 3 members are heard" in recovery.reason(view())
     # the catch-up target is the commit index at the first contact with the leader
     assert recovery.update(3.0, view("b", commit=20)) is Phase.STANDALONE
     assert recovery.update(3.1, view("b", commit=30, applied=19)) is Phase.STANDALONE
@@ -198,7 +198,7 @@
         assert listen is not None and admin is not None
         text = b"/* op=lookup,call=00000000000000aa,ttl=3000,org=graan-koop,work=2.0,heap_mb=4 */ SELECT a FROM s_1.t"
         assert Session(listen).query(text, 5.0).outcome == "served"  # even while the gateway is not ready
-        until(lambda: readiness(admin).startswith("ready: no leader is known; 1 of 3 members are reachable"))
+        until(lambda: readiness(admin).startswith("ready: no leader is known; 1 of 3 members are heard"))
         caller = trial.caller("n0")
         reply = caller.call("replica.settings", text=b"{}")
         assert reply["word"] == "unavailable" and "no leader is known" in reply["why"]
