--- a/tealwing/resp/connection.py
+++ b/tealwing/resp/connection.py
@@ -62,7 +62,7 @@
         self.connection.send_messages(*(part for n in pages for part in (b"turn", self.request_id, b"%d" % n)), size=3)
 
     def close_result(self) -> None:
-        """Tell the engine that no more pages are needed; pages that still arrive are dropped."""
+        """Notify the engine that no more pages are needed; pages that still arrive are dropped."""
         self.connection.cancel(self, b"shut")
 
     def cancel(self) -> None:
@@ -74,7 +74,7 @@
         self.connection.detach(self)
 
     def fail_connection(self) -> None:
-        """Close the connection after an invalid answer: nothing that arrives on it can be trusted any more."""
+        """Close the connection after an invalid answer: further data on it can't be trusted."""
         self.connection.close(self)
 
 
@@ -284,7 +284,7 @@
                 if sent == len(data):
                     return
                 until = min(until, time.monotonic() + WRITE_TIMEOUT)
-                if time.monotonic() > until:  # also if the engine reads a few bytes now and then
+                if time.monotonic() > until:  # even if the engine reads a few bytes at a time
                     raise TimeoutError(f"the engine read too little: {sent} of {len(data)} bytes in {WRITE_TIMEOUT} s")
                 if get_fields is not None and sent < len(data) - TERMINATOR_BYTES:
                     get_fields()
--- a/tealwing/resp/engine.py
+++ b/tealwing/resp/engine.py
@@ -138,7 +138,7 @@
             ) as error:  # nothing was sent: the policy may choose another engine
                 opened.discard()
                 opened = None
-                raise ConnectError(f"nobody reads the connection to the engine at {self.address}: {error}") from None
+                raise ConnectError(f"no thread reads the connection to the engine at {self.address}: {error}") from None
             return opened, True
         finally:
             with self._changed:
--- a/tealwing/resp/errors.py
+++ b/tealwing/resp/errors.py
@@ -1,4 +1,4 @@
-"""Errors of an attempt before its first answer; each says whether the attempt may have run."""
+"""Errors of an attempt before its first answer; the class shows whether the attempt may have run."""
 
 
 class ConnectError(Exception):
--- a/tealwing/resp/messages.py
+++ b/tealwing/resp/messages.py
@@ -95,7 +95,7 @@
 
 
 def fields(data: bytes) -> dict[str, str]:
-    """Return the fields of a message (`name=value,...`) as a dict; `-` stands for none."""
+    """Return the fields of a message (`name=value,...`) as a dict; empty for `-`."""
     if data in (b"-", b""):
         return {}
     found = {}
