--- a/tealwing/interface/events.py
+++ b/tealwing/interface/events.py
@@ -19,7 +19,7 @@
 
 
 class EngineListKind(Enum):
-    """What an engine list event contains."""
+    """The content of an engine list event."""
 
     DELTA = 0
     FULL = 1
@@ -41,7 +41,7 @@
 
 
 class ProgressKind(Enum):
-    """What a progress update reports."""
+    """The subject of a progress update."""
 
     PROGRESS = 1
     SPILLING = 2
--- a/tealwing/interface/settings.py
+++ b/tealwing/interface/settings.py
@@ -134,7 +134,7 @@
 
     cross_zone: float
     waste: float
-    late_fail: float
+    late_failure: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/tealwing/levels/conditions.py
+++ b/tealwing/levels/conditions.py
@@ -38,7 +38,7 @@
 
 
 class ConditionError(LevelsError):
-    """Raised for an invalid condition; the message says what is allowed."""
+    """Raised for an invalid condition; the message describes the allowed form."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -172,7 +172,7 @@
 
 
 def parse(text: str) -> Condition:
-    """Parse a condition; raise ConditionError with a message that says what is allowed."""
+    """Parse a condition. Raises ConditionError, whose message describes the allowed form."""
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
--- a/tealwing/levels/controller.py
+++ b/tealwing/levels/controller.py
@@ -1,14 +1,14 @@
 """Decides which service level is in force: a pure function of the state, the time and the conditions.
 
-Levels are ordered; 0 is full service. One step makes at most one change. It goes up when an entry condition has held
-for its time: by one level, or to a higher one whose strong condition has held. It goes down by one level when the
+Levels are ordered; 0 is full service. One step makes at most one change. The level rises when an entry condition has
+held for its time: by one, or to a higher one whose strong condition has held. It falls by one level when the
 exit condition has held for its (longer) time and the minimum stay, counted from the last change, is over.
 
-A rate limit applies to all changes: the change before the last must be CHANGE_WINDOW old. So no minute has more than
+A rate limit applies to all changes: the change before the last must be CHANGE_WINDOW old. Thus no minute has more than
 two changes. A minimum stay of a minute or more keeps one of the two free for a rise, so that a rise waits only after
-two rises in the same minute. The last change that the window allows goes as high as the present conditions say,
-whether or not they have held for their time. tests/test_controller.py proves the bound with an SMT solver for all
-times, and explores the whole state space for small parameters.
+two rises in the same minute. A rise that is the last change in its window goes to the highest level with a
+true entry or strong condition, whether or not it has held for its time. tests/test_controller.py proves the bound with
+an SMT solver for all times, and explores the whole state space for small parameters.
 """
 
 from __future__ import annotations
@@ -105,7 +105,7 @@
 ) -> tuple[ControllerState, Change | None]:
     """Return the state after one evaluation, and the change that it made, if any.
 
-    If the clock goes back, the state keeps its time until the clock has caught up. After a gap of more than
+    If the clock steps back, the state keeps its time until the clock has caught up. After a gap of more than
     MAX_SNAPSHOT_GAP no condition counts as having held.
     """
     now = max(now, state.now)
@@ -192,7 +192,7 @@
     """Return the state under a new plan, and the change of level that this makes, if any.
 
     Levels match by name. If the level in force is removed, the next lower one that remains replaces it. The rate limit
-    does not delay this change, as the operators ask for it, but counts it for later changes.
+    does not delay this change, which the operators requested, but counts it for later changes.
     """
     by_name = {
         level_timings.name: level_hysteresis
--- a/tealwing/levels/replay.py
+++ b/tealwing/levels/replay.py
@@ -21,7 +21,7 @@
 
 
 class TraceError(LevelsError):
-    """Raised for an invalid line of a trace, or a trace too long to replay; the message says why."""
+    """Raised for an invalid line of a trace, or a trace too long to replay; the message states the reason."""
 
 
 class TracePoint(msgspec.Struct, forbid_unknown_fields=True):
--- a/tealwing/levels/section.py
+++ b/tealwing/levels/section.py
@@ -16,7 +16,7 @@
 from tealwing.levels.controller import LevelTimings
 from tealwing.levels.plan import Level, Plan
 
-MAX_LEVELS = 8  # operators under stress cannot tell more levels apart
+MAX_LEVELS = 8  # operators cannot distinguish more levels during an incident
 RANGE_HELP = "VALUE or LOW..HIGH"
 
 
@@ -30,25 +30,25 @@
 def _timed_condition(min_seconds: float) -> values.ArgumentReader:
     """Return a reader of `when CONDITION for DURATION`, whose duration is at least min_seconds."""
 
-    def read(words: values.Arguments) -> TimedCondition:
-        if len(words) < 5 or words[0] != "when" or words[-2] != "for":
+    def read(arguments: values.Arguments) -> TimedCondition:
+        if len(arguments) < 5 or arguments[0] != "when" or arguments[-2] != "for":
             raise values.InvalidValueError('the word "when", a condition, the word "for" and a duration')
-        seconds = values.durations(min_seconds, 3600.0)(words[-1:])
+        seconds = values.durations(min_seconds, 3600.0)(arguments[-1:])
         try:
-            return TimedCondition(conditions.parse(" ".join(words[1:-2])), seconds)
+            return TimedCondition(conditions.parse(" ".join(arguments[1:-2])), seconds)
         except ConditionError as error:
             raise values.InvalidValueError(str(error)) from None
 
     return read
 
 
-def _stay(words: values.Arguments) -> tuple[float, float]:
+def _stay(arguments: values.Arguments) -> tuple[float, float]:
     """Return the minimum and maximum stay of `DURATION` or `DURATION growing to DURATION`, in seconds."""
     bounded = values.durations(1.0, 86400.0)
-    if len(words) == 1:
-        return bounded(words), bounded(words)
-    if len(words) == 4 and words[1:3] == ("growing", "to"):
-        return bounded(words[:1]), bounded(words[3:])
+    if len(arguments) == 1:
+        return bounded(arguments), bounded(arguments)
+    if len(arguments) == 4 and arguments[1:3] == ("growing", "to"):
+        return bounded(arguments[:1]), bounded(arguments[3:])
     raise values.InvalidValueError('one duration, or two joined by "growing to"')
 
 
@@ -57,31 +57,31 @@
     return read((low,)), read((high,)) if dots else read((low,))
 
 
-def _admit(words: values.Arguments) -> tuple[str, tuple[float, float]]:
-    if len(words) != 2:
+def _admit(arguments: values.Arguments) -> tuple[str, tuple[float, float]]:
+    if len(arguments) != 2:
         raise values.InvalidValueError("a class, and the share of its requests that is admitted")
-    low, high = _range(values.shares(), words[1])
+    low, high = _range(values.shares(), arguments[1])
     if low > high:
         raise values.InvalidValueError("a range whose first share is not above the second")
-    return words[0], (low, high)
+    return arguments[0], (low, high)
 
 
-def _account(words: values.Arguments) -> tuple[str, float]:
-    if len(words) != 2:
+def _account(arguments: values.Arguments) -> tuple[str, float]:
+    if len(arguments) != 2:
         raise values.InvalidValueError("an account, and the share of its requests that is admitted")
-    return words[0], values.shares()(words[1:])
+    return arguments[0], values.shares()(arguments[1:])
 
 
-def _attempts(words: values.Arguments) -> tuple[str, int]:
-    if len(words) != 2:
+def _attempts(arguments: values.Arguments) -> tuple[str, int]:
+    if len(arguments) != 2:
         raise values.InvalidValueError("a class, and the maximum number of attempts of its requests")
-    return words[0], values.integers(1, 100)(words[1:])
+    return arguments[0], values.integers(1, 100)(arguments[1:])
 
 
-def _pushback(words: values.Arguments) -> tuple[float, float]:
-    if len(words) != 1:
+def _pushback(arguments: values.Arguments) -> tuple[float, float]:
+    if len(arguments) != 1:
         raise values.InvalidValueError('one duration, or two joined by ".." as a range')
-    low, high = _range(values.durations(0.0, 3600.0), words[0])
+    low, high = _range(values.durations(0.0, 3600.0), arguments[0])
     if low > high:
         raise values.InvalidValueError("a range whose first duration is not above the second")
     return low, high
--- a/tealwing/levels/signals.py
+++ b/tealwing/levels/signals.py
@@ -1,7 +1,7 @@
 """Computes the signals of service levels: sliding-window metrics of the decision module's events and actions; pure.
 
-The window is a ring of buckets, one per evaluation. Sums are updated by the bucket that enters and the one that
-leaves, so an evaluation's cost does not depend on the traffic.
+The window is a ring of buckets, one per evaluation. Each evaluation adds the newest bucket to the sums and
+subtracts the oldest, so its cost does not depend on the traffic.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 MIN_REQUESTS = 10  # requests in the window; of fewer, no share is computed
 READY_WINDOW = 300.0  # s over which the maximum number of ready engines is taken
 
-# Indices of a class's counters. JUDGED counts requests that ended in time or are past their latency objective, ended
-# or not; rejected requests are not counted.
+# Indices of a class's counters. JUDGED counts the requests that ended within their latency objective and those,
+# open or ended, that exceeded it; rejected requests are not counted.
 ARRIVED, ENDED, JUDGED, MISSED, REFUSED, ATTEMPTS, TIMEOUTS = range(7)
 COUNTS = 7
 
@@ -50,7 +50,7 @@
     objective_at: float
     priority_weight: float
     late_weight_share: float
-    is_late: bool = False
+    missed_objective: bool = False
 
 
 @dataclass(slots=True)
@@ -146,7 +146,7 @@
             self._current.served_weight[open_request.cls] += (
                 open_request.priority_weight * open_request.late_weight_share
             )
-        if not open_request.is_late:  # a late one was counted when it missed its objective
+        if not open_request.missed_objective:  # otherwise it was counted when it missed its objective
             counts[JUDGED] += 1
             counts[MISSED] += now > open_request.objective_at
 
@@ -155,8 +155,8 @@
     def sample(self, now: float, fleet: Fleet) -> dict[str, float]:
         """Return the signals of the window that ends now, without shares of fewer than MIN_REQUESTS requests."""
         for request in self._open.values():  # counting open ones detects an overload in which no request ends
-            if not request.is_late and request.objective_at < now:
-                request.is_late = True
+            if not request.missed_objective and request.objective_at < now:
+                request.missed_objective = True
                 self._current.counts[request.cls][JUDGED] += 1
                 self._current.counts[request.cls][MISSED] += 1
         self._rotate()
--- a/tealwing/peers/peer_table.py
+++ b/tealwing/peers/peer_table.py
@@ -19,7 +19,7 @@
     name: str
     state: State = State.DEAD
     since: float = 0.0  # s, monotonic: start of the state
-    last_heard: float | None = None  # s, monotonic: its last message
+    last_received_at: float | None = None  # s, monotonic: its last message
     incarnation: int = 0  # of its last accepted connection
     sequence: int = -1  # highest accepted number of this incarnation
     received: int = 0  # messages accepted
@@ -27,7 +27,7 @@
 
     def silence(self, now: float) -> float | None:
         """Return the seconds since the peer's last message; None if there was none."""
-        return None if self.last_heard is None else now - self.last_heard
+        return None if self.last_received_at is None else now - self.last_received_at
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
         peer = self._peers.get(name)
         if peer is None:
             return None
-        peer.last_heard = now
+        peer.last_received_at = now
         return self._set_state(peer, State.ALIVE, now)
 
     def accept_message(self, name: str, incarnation: int, sequence: int) -> bool:
