--- a/tealwing/gossip/context.py
+++ b/tealwing/gossip/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a node share: identity, clock, members, outgoing messages, counters and events."""
+"""State shared by the parts of a node: identity, clock, members, outgoing messages, counters and events."""
 
 from __future__ import annotations
 
--- a/tealwing/gossip/dissemination.py
+++ b/tealwing/gossip/dissemination.py
@@ -56,7 +56,7 @@
         payload = Payload(identity.name, identity.boot, sequence, sent_at_ms, body, [])
         limit = messages.MAX_DATAGRAM_BYTES
         if priority in (Priority.ANSWER, Priority.PROBE) and not self.send_queue.has_spare_tokens():
-            limit = SHORT_DATAGRAM_BYTES  # failure detection goes first; rumours also have datagrams of their own
+            limit = SHORT_DATAGRAM_BYTES  # failure detection has priority; rumours also have datagrams of their own
         available = limit - messages.datagram_size(payload) - ARRAY_HEADER_BYTES
         piggybacked: list[Rumour] = []
         for rumour in first:
--- a/tealwing/gossip/errors.py
+++ b/tealwing/gossip/errors.py
@@ -10,11 +10,11 @@
 
 
 class GossipConfigError(GossipError):
-    """Gossip can't start or take a changed configuration; the message says why and what is allowed."""
+    """Gossip can't start or apply a new configuration; the message states the reason and what is allowed."""
 
 
 class InvalidKeyError(GossipError):
-    """A key can't be used; the message says which and why."""
+    """A key can't be used; the message names the key and the reason."""
 
 
 class CorruptStateError(GossipError):
@@ -22,7 +22,7 @@
 
 
 class RejectionCause(StrEnum):
-    """Why a datagram or a rumour was rejected."""
+    """The reason for the rejection of a datagram or a rumour."""
 
     SIZE = "size"
     FORMAT = "format"
@@ -37,7 +37,7 @@
 
 
 class MessageRejectedError(GossipError):
-    """A datagram is rejected and dropped; `cause` says why."""
+    """A datagram is rejected and dropped; `cause` is the reason."""
 
     def __init__(self, cause: RejectionCause) -> None:
         super().__init__(cause.value)
--- a/tealwing/gossip/events.py
+++ b/tealwing/gossip/events.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NameConflict:
-    """Another instance under our name started later; this one is silent from now on."""
+    """Another instance of the same name started later; this one sends nothing more."""
 
     name: str
     boot: int
--- a/tealwing/gossip/failure_detector.py
+++ b/tealwing/gossip/failure_detector.py
@@ -12,19 +12,19 @@
 from tealwing.gossip.messages import Ack, Address, Nack, Ping, PingRequest, Suspect
 from tealwing.gossip.send_queue import Priority
 
-INDIRECT_PROBES = 3  # relays asked to probe a member for us (SWIM's k, at Lifeguard's default)
+INDIRECT_PROBES = 3  # relays that probe a member for this instance (SWIM's k, at Lifeguard's default)
 NACK_FRACTION = 0.8  # of the probe timeout after which a relay reports that it has no answer (Lifeguard's)
 PROBE_END_FRACTION = 0.95  # of the probe interval after which a probe ends, before the next begins
 PAUSE_FACTOR = 3.0  # times the mean interval between ticks: a longer one means that this process was paused
 TICK_SMOOTHING = 0.1  # weight of the latest interval in that mean
 EXPECTED_TICK = 0.1  # s between two ticks, the initial value of that mean
-FINAL_PROBERS = 64  # approximate number of members that probe a suspected one again before they hold it dead
-MAX_RELAYED_PROBES = 256  # under way at once
+FINAL_PROBERS = 64  # approximate number of members that probe a suspected one again before they declare it dead
+MAX_RELAYED_PROBES = 256  # in flight at the same time
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe of this instance that is under way."""
+    """A probe by this instance that is in flight."""
 
     name: str
     number: int
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe that this instance makes at another member's request."""
+    """A probe by this instance at another member's request."""
 
     number: int  # of the requester's own probe
     requester: Address
@@ -46,7 +46,7 @@
 
 
 class FailureDetector:
-    """Owns the probe under way, the relayed probes and the deadlines of both."""
+    """Owns the probe in flight, the relayed probes and the deadlines of both."""
 
     def __init__(self, context: NodeContext, first_probe_at: float, on_dead: Callable[[str], None]) -> None:
         self._context, self._on_dead = context, on_dead
@@ -83,7 +83,7 @@
             self._begin_probe()
 
     def handle_ack(self, ack: Ack) -> None:
-        """End our probe, or forward the ack to the member that requested the probe."""
+        """End this instance's probe, or forward the ack to the member that requested the probe."""
         if self._probe is not None and self._probe.number == ack.number:
             self._probe = None
             self._context.local_health.improve()
--- a/tealwing/gossip/health_reports.py
+++ b/tealwing/gossip/health_reports.py
@@ -81,7 +81,7 @@
         context.outgoing.publish(report)
 
     def forget_report(self, name: str) -> None:
-        """Drop the report of a member that died."""
+        """Drop the report of a member that was declared dead."""
         self._latest.pop(name, None)
 
     def forget(self, name: str) -> None:
--- a/tealwing/gossip/identity.py
+++ b/tealwing/gossip/identity.py
@@ -16,7 +16,7 @@
     unix_time: float  # s of the Unix clock; for timestamps only
 
     def advance(self, now: float, unix_time: float) -> None:
-        """Set the times to the caller's; `now` never goes back."""
+        """Set the times to the caller's; `now` never decreases."""
         self.now, self.unix_time = max(now, self.now), unix_time
 
     @property
--- a/tealwing/gossip/local_evidence.py
+++ b/tealwing/gossip/local_evidence.py
@@ -7,7 +7,7 @@
 
 from tealwing.gossip.health_estimator import MAX_REPORTERS, MIN_SAMPLES, EngineHealth, EngineKey
 
-MIN_SUCCESS = 0.05  # least success rate of the best engine that failures are measured against
+MIN_SUCCESS = 0.05  # minimum of the best success rate, to which the other engines are compared
 MAX_REPORTED_SLOWNESS, MAX_REPORTED_SAMPLES = 1000.0, 1e6  # bounds of the wire format
 
 Evidence = tuple[dict[EngineKey, EngineHealth], int]  # own evidence by engine start, and the number of ready engines
--- a/tealwing/gossip/members.py
+++ b/tealwing/gossip/members.py
@@ -21,7 +21,7 @@
 
 BUCKETS = 64  # into which members are hashed by name, to find where two instances' lists differ
 RECENT_CONTACT = 2.0  # s after a datagram from a member for which others' suspicions of it are ignored
-REMOVE_AFTER = 600.0  # s for which members that died or left are kept, so that a partition of that length can heal
+REMOVE_AFTER = 600.0  # s for which members that are dead or left are kept, so that a partition of that length can heal
 
 
 class State(IntEnum):
@@ -175,11 +175,11 @@
         return self._store(Member(member.alive, State.SUSPECT, now, Suspicion(now, {reporter})))
 
     def mark_dead(self, member: Member, now: float) -> Member:
-        """Hold a member dead from now on."""
+        """Declare a member dead from now on."""
         return self._store(Member(member.alive, State.DEAD, now))
 
     def remove_expired(self, now: float, on_removed: Callable[[str], None]) -> None:
-        """Remove members that died or left long ago, and call `on_removed` with each name."""
+        """Remove members dead or left for over REMOVE_AFTER; call `on_removed` with each name."""
         for name in [m.alive.name for m in self if m.state >= State.DEAD and now - m.since > REMOVE_AFTER]:
             number, member = bucket_of(name), self._by_name.pop(name)
             self._bucket_hashes[number] ^= member.state_hash()
--- a/tealwing/gossip/membership.py
+++ b/tealwing/gossip/membership.py
@@ -135,7 +135,7 @@
         return self._verifier.is_authentic(rumour)
 
     def _yield_name(self, later_boot: int) -> None:
-        """Go silent: a later start has this instance's name."""
+        """Stop sending: a later start has this instance's name."""
         identity = self._context.identity
         if not identity.silent:
             identity.silent = True
--- a/tealwing/gossip/messages.py
+++ b/tealwing/gossip/messages.py
@@ -128,7 +128,7 @@
 
 
 class PingRequest(Record, tag=14, frozen=True):
-    """Asks the receiver to ping a member (SWIM's ping-req)."""
+    """Requests a ping of a member by the receiver (SWIM's ping-req)."""
 
     number: Count
     name: Name
@@ -139,14 +139,14 @@
 
 
 class Digest(Record, tag=16, frozen=True):
-    """Hashes of the sender's member list, by bucket; `request_reply` asks for the receiver's too."""
+    """Hashes of the sender's member list, by bucket; `request_reply` requests the receiver's."""
 
     buckets: Annotated[list[Uint48], msgspec.Meta(max_length=64)]
     request_reply: bool
 
 
 class Fetch(Record, tag=17, frozen=True):
-    """Asks for the rumours about the members of these buckets."""
+    """Requests the rumours about the members of these buckets."""
 
     buckets: Annotated[list[Annotated[int, msgspec.Meta(ge=0, le=63)]], msgspec.Meta(max_length=64)]
 
--- a/tealwing/gossip/node.py
+++ b/tealwing/gossip/node.py
@@ -4,8 +4,8 @@
 Each interval one member is probed, directly and then through relays (`failure_detector`). A member that answers neither
 is suspected for a time that shrinks as others confirm (`suspicion`); it refutes with a higher incarnation
 (`membership`). Rumours are piggybacked on probes and sent in datagrams of their own while they are new, each a bounded
-number of times (`dissemination`). Now and then two instances compare hashes and exchange what differs
-(`anti_entropy`): joining instances and healed partitions so converge to the same state, at a cost that does not grow
+number of times (`dissemination`). Periodically two instances compare hashes and exchange what differs
+(`anti_entropy`): joining instances and healed partitions thus converge to the same state, at a cost that does not grow
 with the number of members while they agree.
 
 The caller passes two times: `now`, monotonic seconds, and `wall`, seconds of the Unix clock, for timestamps only. The
@@ -160,7 +160,7 @@
         self._reports.publish(engines)
 
     def leave(self, now: float, wall: float) -> None:
-        """Tell a few members that this instance leaves, and go silent."""
+        """Notify a few members that this instance leaves, and stop sending."""
         self._clock.advance(now, wall)
         left = self.identity.left()
         for member in self.members.sample(GOSSIP_FANOUT * 2):
--- a/tealwing/gossip/rumour_queue.py
+++ b/tealwing/gossip/rumour_queue.py
@@ -1,8 +1,8 @@
 """The queue of rumours to send, those sent least often first; pure.
 
 Each rumour is sent a bounded number of times, and each receipt of it from another member counts as one: a rumour that
-many members know dies out sooner (Demers et al., "Epidemic algorithms for replicated database maintenance", 1987, with
-counters and feedback).
+many members know leaves the queue sooner (Demers et al., "Epidemic algorithms for replicated database maintenance",
+1987, with counters and feedback).
 """
 
 from __future__ import annotations
--- a/tealwing/gossip/service.py
+++ b/tealwing/gossip/service.py
@@ -86,7 +86,7 @@
         log.event("gossip_started", name=self.config.name, address=self.node.address)
 
     def stop(self) -> None:
-        """Leave the cluster: tell a few members, save the state, and close the sockets."""
+        """Leave the cluster: notify a few members, save the state, and close the sockets."""
         self._stopped.set()
         with self.lock:
             if not self.node.silent:
--- a/tealwing/gossip/suspicion.py
+++ b/tealwing/gossip/suspicion.py
@@ -1,4 +1,4 @@
-"""The timeout after which a suspected member is held dead, by Lifeguard's rule; pure."""
+"""The timeout after which a suspected member is declared dead, by Lifeguard's rule; pure."""
 
 from __future__ import annotations
 
