--- a/tealwing/fleet/peering.py
+++ b/tealwing/fleet/peering.py
@@ -73,7 +73,7 @@
         if self.replica is not None:
             self.replica.on_applied(self._applied)
             self.replica.on_state_replaced(self._apply_last_good)
-            self._apply_last_good()  # so that this gateway decides requests before the fleet answers
+            self._apply_last_good()  # so that requests are decided before other members reply
         if self.replica is not None and replica is not None and replica.replace_after:
             Promotion(self.replica, next_change, replica.replace_after, len(SITE.initial_members(plan)[0]))
         self.lease_manager: LeaseManager | None = None
--- a/tealwing/lease_bounds.py
+++ b/tealwing/lease_bounds.py
@@ -1,7 +1,7 @@
 """Bounds on clock errors, and the resulting lease durations for the holder and for the leader; no I/O.
 
-Only durations are compared, each measured by one clock; times of two clocks are never compared. A measured duration
-is wrong by the drift of its clock and by the steps of the clock within it.
+Only durations are compared, each measured by one clock; times of two clocks are never compared. The error of a
+measured duration is the drift of its clock plus the steps of the clock within it.
 """
 
 from __future__ import annotations
--- a/tealwing/leases/manager.py
+++ b/tealwing/leases/manager.py
@@ -26,7 +26,7 @@
 
 TICK = 0.02  # s between two checks of the leases' deadlines
 MAX_LEASES = 16  # maximum leases per gateway, as each has a thread for its requests
-RELEASE_TIMEOUT = 0.5  # s for the release of a lease, which otherwise expires by itself
+RELEASE_TIMEOUT = 0.5  # s for the release of a lease, which expires if the release fails
 
 
 class HeldLease:
--- a/tealwing/peers/frames.py
+++ b/tealwing/peers/frames.py
@@ -19,7 +19,7 @@
 
 
 class FrameError(PeersError, ValueError):
-    """The bytes are not a valid frame or message; the error says why."""
+    """The bytes are not a valid frame or message; the text states the reason."""
 
 
 def encode(payload: bytes) -> bytes:
--- a/tealwing/peers/link.py
+++ b/tealwing/peers/link.py
@@ -41,7 +41,7 @@
     def __init__(self, plan: Plan, incarnation: int | None = None) -> None:
         """Listen at the plan's address; LinkError if it is not available.
 
-        `incarnation` is the time of this start in ms of the Unix clock; None stands for now.
+        `incarnation` is the time of this start in ms of the Unix clock; the current time if None.
         """
         self.plan = plan
         self.incarnation = int(time.time() * 1e3) if incarnation is None else incarnation
--- a/tealwing/peers/ping.py
+++ b/tealwing/peers/ping.py
@@ -52,7 +52,7 @@
         link.on(CHANNEL, self._handle_message)
 
     def ping(self, to: str, text: str, wait: float) -> PingReply | None:
-        """Return the peer's reply; None if none came in `wait` seconds. CallRejectedError if the ping can't be sent."""
+        """Return the peer's reply; None after `wait` s without it. CallRejectedError if the ping can't be sent."""
         request_id, done, replies = next(self._request_ids), threading.Event(), list[PingReply]()
         with self._lock:
             if len(self._pending) >= MAX_PENDING:
--- a/tealwing/peers/send_queue.py
+++ b/tealwing/peers/send_queue.py
@@ -7,9 +7,9 @@
 
 
 class SendQueue:
-    """A queue between the threads that send and the one that writes to the peer.
+    """The queue from the sending threads to the thread that writes to the peer.
 
-    It drops the oldest payload, as protocols that repeat their messages need the newest one most.
+    When full it drops the oldest payload: protocols that repeat their messages mostly need the newest one.
     """
 
     def __init__(self, max_items: int, max_bytes: int) -> None:
@@ -36,9 +36,9 @@
             self._changed.notify()
 
     def get(self, seconds: float, max_bytes: int) -> list[bytes] | None:
-        """Return the oldest payloads of up to max_bytes together, at least one; wait up to so many seconds for it.
+        """Return the oldest payloads, of up to max_bytes in total but at least one; wait up to `seconds` for it.
 
-        The list is empty if none came in time; None means that the queue is closed.
+        The list is empty if none arrived in time; None means that the queue is closed.
         """
         with self._changed:
             if not self._payloads and not self._closed:
--- a/tealwing/replica/forwarding/client.py
+++ b/tealwing/replica/forwarding/client.py
@@ -130,7 +130,7 @@
                 return
 
     def _attempt(self, leader: str, request: ForwardRequest, timeout: float, idempotent: bool) -> ForwardReply | None:
-        """Send a request to the leader once; return the reply, or None if none came in time."""
+        """Send a request to the leader once; return the reply, or None if none arrived in time."""
         number, pending = next(self._numbers), Pending()
         request = ForwardRequest(number, request.command, request.voters, request.learners)
         if leader == self._local_id:
--- a/tealwing/replica/forwarding/pending.py
+++ b/tealwing/replica/forwarding/pending.py
@@ -50,7 +50,7 @@
                 self._at_index.append((index, pending))
 
     def fail_all(self) -> None:
-        """Fail all pending proposals, as the member stops or goes out of service."""
+        """Fail all pending proposals, because the member stops or goes out of service."""
         for pending in self._proposed.values():
             pending.set(None)
         self._proposed.clear()
--- a/tealwing/replica/forwarding/reads.py
+++ b/tealwing/replica/forwarding/reads.py
@@ -69,7 +69,7 @@
             pending.set(None)
 
     def fail_all(self) -> None:
-        """Fail all reads, as the member stops or goes out of service."""
+        """Fail all reads, because the member stops or goes out of service."""
         for pending in [*self._waiting, *itertools.chain(*self._begun.values())]:
             pending.set(None)
         self._waiting.clear()
--- a/tealwing/replica/raft/membership.py
+++ b/tealwing/replica/raft/membership.py
@@ -15,15 +15,15 @@
     of n voters and the n + 1 after a promotion, two quorums of which the later has u unconfirmed members share
     1 + min(s, u) members.
 
-    **Promoted learners and stale disks** (`stale` s above 0). The acknowledgements of a learner counted in no quorum.
-    But it may have voted before it became a learner, and its disk may be stale since, so it is trusted no more than any
-    restarted member. Each incarnation of a learner is therefore unconfirmed (also one with an empty disk, that knows no
-    members), and the leader sends it `ConfirmIncarnation` under the same condition: it holds everything committed when
-    a quorum of voters, which excludes it, acknowledged a round started after the leader first saw that incarnation. It
-    is not promoted before (`promotion_blocked_by`), so learners with stale disks do not count against s. If it restarts
-    between its last reply to the leader and the entry that promotes it, the new incarnation is unconfirmed, reports so
-    with its first acknowledgement and vote, and counts as an unconfirmed voter, as that of any voter would; the members
-    with stale disks are then at most s by the definition of s.
+    **Promoted learners and stale disks** (`stale` s above 0). A learner's acknowledgements counted in no quorum. But it
+    may have voted before it became a learner, and its disk may be stale since, so it is trusted no more than any
+    restarted member. Each incarnation of a learner is therefore unconfirmed (also one with an empty disk, which knows
+    no members), and the leader sends it `ConfirmIncarnation` under the same condition: it holds everything committed
+    when a quorum of voters, which excludes it, acknowledged a round started after the leader first saw that
+    incarnation. It is not promoted before (`promotion_blocked_by`), so learners with stale disks do not count against
+    s. If it restarts between its last reply to the leader and the entry that promotes it, the new incarnation is
+    unconfirmed, reports so with its first acknowledgement and vote, and counts as an unconfirmed voter, as that of any
+    voter would; the members with stale disks are then at most s by the definition of s.
 
     **Votes of learners.** A learner is not asked for its vote, its replies count in no quorum, and it is neither a
     candidate nor a target of leadership transfer. A candidate that does ask it has a configuration in its log in
--- a/tealwing/replica/raft/replication.py
+++ b/tealwing/replica/raft/replication.py
@@ -15,8 +15,8 @@
     heartbeats, `learner_heartbeat_interval` apart and spread evenly, so that of n learners n * heartbeat_interval /
     learner_heartbeat_interval get one in a round (40 of 200). Updates do not wait for a heartbeat: committed entries
     and the commit index go out together in the next round (started at once by `broadcast_commit`), so that a round
-    costs one message and one reply per learner. Uncommitted entries go to unconfirmed learners only. Rounds with
-    updates for learners are spaced to stay within `learner_message_rate`: with 1,100 members acknowledgements
+    costs one message and one reply per learner. Of the learners only unconfirmed ones get uncommitted entries. Rounds
+    with updates for learners are spaced to stay within `learner_message_rate`: with 1,100 members acknowledgements
     arrive over many rounds, and a leader that announced commits in each round would have no time left to process them.
     A learner that has been silent for two of its heartbeat intervals gets heartbeats only, neither entries nor snapshot
     chunks, until it replies: otherwise failed learners would occupy the snapshot transfers that others wait for.
--- a/tealwing/replica/service/node.py
+++ b/tealwing/replica/service/node.py
@@ -151,7 +151,7 @@
                 log.event("replica_broken", why=self.broken, **self.group.log_fields)
 
     def _withdraw(self) -> None:
-        """Fail the pending proposals and reads as the member goes out of service, and report the loss of leadership."""
+        """Fail the pending proposals and reads of a member out of service, and report the loss of leadership."""
         self._pending.fail_all()
         self._reads.fail_all()
         self._forwarded, self._proposed = [], False
