--- a/tealwing/rollout/admission/gate_control.py
+++ b/tealwing/rollout/admission/gate_control.py
@@ -27,7 +27,7 @@
 
 
 class RulesAdapter(Protocol):
-    """What the rollout needs of a gateway; texts are bundles, empty if no version is active."""
+    """The gateway as the rollout uses it; texts are bundles, empty if no version is active."""
 
     def faults(self, text: bytes) -> list[str]:
         """Return the faults that make a bundle invalid at every gateway."""
--- a/tealwing/rollout/agent/__init__.py
+++ b/tealwing/rollout/agent/__init__.py
@@ -1,1 +1,1 @@
-"""What one gateway does in a rollout; pure. Read view, actions, retry, permit, then machine."""
+"""One gateway's part in a rollout; pure. Read view, actions, retry, permit, then machine."""
--- a/tealwing/rollout/agent/machine.py
+++ b/tealwing/rollout/agent/machine.py
@@ -2,7 +2,7 @@
 
 The member closes as it applies `Close`, reports that once the marker is on disk, and opens only on a known outcome. In
 mode `serve` its disk suffices at a start; in mode `hold` it decides nothing until its Begin is applied here and a
-permit shows that the fleet has not gone on without it. The proof is in docs/rules.md. The reasons of gate states also
+permit shows that no change has completed without it. The proof is in docs/rules.md. The reasons of gate states also
 name a metric of readiness: keep their wording.
 """
 
--- a/tealwing/rollout/control_calls.py
+++ b/tealwing/rollout/control_calls.py
@@ -59,7 +59,7 @@
                 parent_number = self._deciding_state().facts.active_number
             body = records.Propose(parent_number, records.digest(text), text, who, int(time.time() * 1e3), why)
             result = self._write(self._deciding_log, body, max(0.0, end - time.monotonic()))
-            # so that a following status call shows the version
+            # so that a status call after this one shows the version
             while self._deciding_state().index < result["index"] and time.monotonic() < end:
                 time.sleep(APPLIED_POLL_INTERVAL)
             return result | {"number": result.pop("version")}
--- a/tealwing/rollout/effects/log_client.py
+++ b/tealwing/rollout/effects/log_client.py
@@ -27,7 +27,7 @@
 
 
 class Log(Protocol):
-    """What the client needs of a replicated log."""
+    """The replicated log as the client uses it."""
 
     def write(self, command: c.Command, wait: float) -> c.CommandResult:
         """Propose a command and wait until it is applied."""
--- a/tealwing/rollout/local_gateway.py
+++ b/tealwing/rollout/local_gateway.py
@@ -17,7 +17,7 @@
 
 
 class Gateway(Protocol):
-    """What the adapter needs of the gateway."""
+    """The gateway as the adapter uses it."""
 
     @property
     def platform_settings(self) -> api.Settings:
--- a/tealwing/rollout/observed_state.py
+++ b/tealwing/rollout/observed_state.py
@@ -58,7 +58,7 @@
 
 
 class FederationLog(Protocol):
-    """What the rollout needs of the federation's log, if the site is part of a federation."""
+    """The federation's log as the rollout uses it, if the site is part of a federation."""
 
     @property
     def state(self) -> ObservedState:
--- a/tealwing/rollout/runtime.py
+++ b/tealwing/rollout/runtime.py
@@ -39,7 +39,7 @@
 from tealwing.rules import records
 from tealwing.rules.check import BUILD
 
-TICK = 0.02  # s between steps while a change, an expiry or a start is under way
+TICK = 0.02  # s between steps while a change, an expiry or a start is in progress
 IDLE_TICK = 0.25  # s between steps otherwise; events wake the thread
 IDLE_SHARE = 0.05  # of a permit's duration, if that is shorter, so that the permit is renewed in time
 MAX_STEPS = 3  # in one run of the thread: the effects of a step may enable the next
--- a/tealwing/rules/check.py
+++ b/tealwing/rules/check.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Running:
-    """What the check needs to know of the running gateway."""
+    """The state of the running gateway that the check uses."""
 
     settings: interface.Settings  # the platform's, without any bundle
     active: Bundle | None = None  # the bundle in force at this gateway
--- a/tealwing/rules/errors.py
+++ b/tealwing/rules/errors.py
@@ -6,7 +6,7 @@
 
 
 class RulesError(ValueError):
-    """Base class: `place` is the key, `finding` says what was found there and what is allowed."""
+    """Base class: `place` is the key, `finding` states what was found there and what is allowed."""
 
     remedy: ClassVar[str] = "correct the named key and propose the bundle again"
 
--- a/tealwing/rules/records.py
+++ b/tealwing/rules/records.py
@@ -125,7 +125,7 @@
 
 
 class Forget(Record, tag="rules.forget", frozen=True):
-    """Remove a member; switched_off: the operator confirms that it is off for good."""
+    """Remove a member; switched_off: the operator confirms that it is permanently off."""
 
     member: Name
     switched_off: bool = False
--- a/tealwing/rules/registry.py
+++ b/tealwing/rules/registry.py
@@ -20,7 +20,7 @@
 
 
 def apply(tables: Tables, index: int, body: records.Body) -> CommandResult:
-    """Apply the command at a log index; the result says what was done, or why the command was rejected."""
+    """Apply the command at a log index; the result has the outcome, or the reason for a rejection."""
     return _HANDLERS[type(body)](tables, index, body)
 
 
--- a/tealwing/rules/transitions/concluding.py
+++ b/tealwing/rules/transitions/concluding.py
@@ -1,4 +1,4 @@
-"""The outcome of a version: active, aborted or withdrawn; pure. Each is checked, whoever proposed it."""
+"""The outcome of a version: active, aborted or withdrawn; pure. Each is checked, regardless of its proposer."""
 
 from __future__ import annotations
 
