--- a/tealwing/admin/http.py
+++ b/tealwing/admin/http.py
@@ -10,7 +10,7 @@
 
 
 class BadRequestError(ValueError):
-    """An invalid request head; the text, which is sent to the caller, says why."""
+    """An invalid request head; the message, sent to the client, states the reason."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tealwing/commands/demo.py
+++ b/tealwing/commands/demo.py
@@ -19,9 +19,9 @@
     """Run a coordinator, 8 simulated engines, 3 gateways and clients on loopback.
 
     One engine crashes after a quarter of the time and restarts with a cold cache, one drains, and one runs five times
-    slower for a while. The last line is JSON: the numbers of requests asked, served, refused and failed, the rules
-    broken (rules_broken), and in_time, the share of requests served within their latency objective. Needs the extra
-    `lab`. Exit code 1 if a rule was broken.
+    slower for a while. The last line is JSON: the numbers of requests sent (asked), served, refused and failed, the
+    number of rule violations (rules_broken), and in_time, the share of requests served within their latency objective.
+    Requires the extra `lab`. Exit code 1 if a rule was violated.
 
     Example: tealwing demo --seconds 20 --plain
     """
--- a/tealwing/commands/peers.py
+++ b/tealwing/commands/peers.py
@@ -42,7 +42,7 @@
 @CONTROL
 @JSON
 def status(control: str, as_json: bool) -> None:
-    """Show the state of a gateway's peers, when each was last heard, and message counts.
+    """Show the state of a gateway's peers, the time since the last message of each, and message counts.
 
     Example: tealwing peers status --control 127.0.0.1:7951
     """
--- a/tealwing/commands/rules.py
+++ b/tealwing/commands/rules.py
@@ -93,7 +93,7 @@
     while True:
         try:
             version = call_gateway(control, "rules.show", number=number)
-        except Finding as error:  # the gateway may be restarting, and the change goes on without it
+        except Finding as error:  # the gateway may be restarting, and the change continues without it
             if time.monotonic() >= end:
                 raise Finding(
                     f"version {number}: outcome unknown, the gateway does not answer: {error}; see"
--- a/tealwing/conf/values.py
+++ b/tealwing/conf/values.py
@@ -18,7 +18,7 @@
 
 
 class InvalidValueError(ValueError):
-    """Raised for a value that is not allowed; the message says what is allowed."""
+    """Raised for an invalid value; the message describes the allowed values."""
 
 
 def _number(text: str, allowed: str) -> float:
--- a/tealwing/config.py
+++ b/tealwing/config.py
@@ -30,7 +30,7 @@
 
 
 class ConfigRejectedError(ConfigError):
-    """The configured settings changed while a version of the rules overrides them; `remedy` says what to do instead."""
+    """The configured settings changed while a version of the rules overrides them; `remedy` is the alternative."""
 
     def __init__(self, reason: str, remedy: str) -> None:
         super().__init__(f"{reason}; {remedy}")
--- a/tealwing/coordinator/start_times.py
+++ b/tealwing/coordinator/start_times.py
@@ -42,7 +42,7 @@
         else:
             started = now - self._age(listed, now, wall, unknown + MAX_DISCOVERY_DELAY)
             if started + MAX_CLOCK_SKEW > listed > started - MAX_CLOCK_SKEW:
-                started = listed  # so that all gateways use the same time
+                started = listed  # so that all gateways use the same start time
             self._converted[member.entry.engine] = listed, started
             if len(self._converted) > MAX_START_TIMES:
                 del self._converted[next(iter(self._converted))]
--- a/tealwing/descriptors.py
+++ b/tealwing/descriptors.py
@@ -1,8 +1,8 @@
 """Divides the process's file descriptors among their users; no I/O. The platform limits their total.
 
-A refused descriptor (EMFILE) fails whoever asks for it: a client loses its connection, discovery its engine list, a
-request its engine. So each user has a share of its own, and the two users that grow with the load, clients and engine
-connections, are bounded by the rest.
+Without a free descriptor (EMFILE) the operation that opens one fails: a client loses its connection, discovery its
+engine list, a request its engine. Each user therefore has a share of its own, and the two users that grow with the
+load, clients and engine connections, are bounded by the rest.
 """
 
 from __future__ import annotations
--- a/tealwing/exchange.py
+++ b/tealwing/exchange.py
@@ -8,7 +8,7 @@
 
 
 class InvalidRequestError(ValueError):
-    """A request is invalid; the text says why."""
+    """A request is invalid; the message states the reason."""
 
 
 class SettingsChangedError(InvalidRequestError):
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -26,7 +26,7 @@
 from tealwing.gateway.request_handler import RequestHandler, Signal
 from tealwing.resp.engine_pool import EnginePool
 
-if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
+if TYPE_CHECKING:  # at run time, imported only if the operators' file enables it
     from tealwing.federation.plan import Plan as FederationPlan
     from tealwing.fleet.peering import Peering
     from tealwing.gossip.config import GossipConfig
@@ -246,7 +246,7 @@
                 self._apply_levels(levels)
 
     def stop(self) -> None:
-        """Stop gossip and the peer link, which tells the other gateways that this one ends."""
+        """Stop gossip, which notifies the other gateways, and the peer link."""
         if self._gossip is not None:
             self._gossip.stop()
         if self._peering is not None:
--- a/tealwing/gateway/decisions.py
+++ b/tealwing/gateway/decisions.py
@@ -84,9 +84,9 @@
         return self._versions.ready_zones
 
     def register(self, call: bytes, mailbox: Mailbox, settings: api.Settings | None = None) -> int:
-        """Return the number of a new request that was parsed under those settings; its actions go to the mailbox.
+        """Register a request parsed under `settings`, and return its number; its actions go to the mailbox.
 
-        Engines tell requests apart by the clients' ids: a second request with the id of an open one would get the
+        Engines distinguish requests by the clients' ids: a second request with the id of an open one would get the
         rows of the first. Raises InvalidRequestError for such an id, and SettingsChangedError if no module is left
         for the settings.
         """
--- a/tealwing/gateway/module_versions.py
+++ b/tealwing/gateway/module_versions.py
@@ -16,7 +16,7 @@
 from tealwing.exchange import SettingsChangedError
 from tealwing.policy import Gateway
 
-if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
+if TYPE_CHECKING:  # at run time, imported only if the operators' file enables it
     from tealwing.routing.table import Table
 
 MAX_REPLACED_SETTINGS = 4  # replaced settings that are kept: a request that was parsed under older ones is rejected
--- a/tealwing/gateway/service_levels.py
+++ b/tealwing/gateway/service_levels.py
@@ -10,7 +10,7 @@
 from tealwing.gateway.module_versions import innermost_module as innermost_module
 from tealwing.policy import Gateway
 
-if TYPE_CHECKING:  # what the operators' file does not switch on is not imported
+if TYPE_CHECKING:  # at run time, imported only if the operators' file enables it
     from tealwing.gossip.local_evidence import Evidence
     from tealwing.levels.plan import Plan
 
--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -99,7 +99,7 @@
         self._client_closed = False  # the client has closed its side, and all input is read
         self._quit = False  # the client has sent QUIT
         self._closing = False  # close once all received commands are answered; under the lock
-        self._cut = False  # close once the command under way is answered; under the lock
+        self._cut = False  # close once the command in progress is answered; under the lock
         self._idle = False  # waits between two commands, with none incomplete; under the lock
         self._due = False  # a received command may be unanswered; under the lock
         self._killed = False  # a KILL came before the request's exchange existed; under the lock
@@ -258,7 +258,7 @@
     def stop(self) -> None:
         """Serve only received commands: an idle session ends now, any other after its commands are answered.
 
-        A session still answers a command that is under way, incomplete or unread, and a new one its first command.
+        A session still answers a command in progress, incomplete or unread, and a new session its first command.
         """
         with self._lock:
             self._closing = True
@@ -275,7 +275,7 @@
         return False
 
     def _cut_off(self) -> None:
-        """Serve no more commands: a waiting session ends now, any other after its command under way."""
+        """Serve no more commands: a waiting session ends now, any other after its command in progress."""
         with self._lock:
             self._cut = True
             begins_linger = self._waiting is not None and self._end_waiting()
@@ -357,7 +357,7 @@
         return True
 
     def _serve(self, buffer: memoryview, busy_for: float) -> bool:
-        """Read once, and answer all complete messages; return whether the session goes on."""
+        """Read once, and answer all complete messages; return whether the session continues."""
         with self._lock:  # from here on the session cannot be evicted
             self._idle, self._waiting, self._due = False, None, True
             self._unread_due = None
@@ -391,7 +391,7 @@
         return True
 
     def _answer(self, sequence: int, payload: bytes) -> bool:
-        """Answer one command; return whether the session goes on."""
+        """Answer one command; return whether the session continues."""
         self._first_due = 0.0
         if sequence != 0:
             raise packets.PacketError("Got packets out of order", 1156, "08S01", sequence)
@@ -408,7 +408,7 @@
         return True
 
     def _unread_age(self, busy_for: float) -> float:
-        """Return the age in s of the unread input, as the kernel tells it; 0 below MIN_UNREAD_AGE.
+        """Return the age in s of the unread input, as the kernel reports it; 0 below MIN_UNREAD_AGE.
 
         A positive busy_for, the time (s) in which no thread was free, caps the age. With 0, threads were free, and a
         large age means that they got no processor time.
--- a/tealwing/policy/__init__.py
+++ b/tealwing/policy/__init__.py
@@ -1,7 +1,7 @@
 """All decisions of a query gateway, without I/O, clock or thread: `Gateway.handle(now, event)` returns actions.
 
-A query goes to the engine of the smallest marginal productivity index (MPI, Niño-Mora), or is rejected at
-once when none is below its class's rejection cost. docs/design.md has the model.
+A query goes to the engine of the smallest marginal productivity index (MPI, Niño-Mora), or is rejected
+immediately if no index is below its class's rejection cost. docs/design.md has the model.
 
 Read in this order: tables (the index, a pure function), rates, engines, fleet, placement, attempts, gateway.
 
@@ -15,7 +15,7 @@
     Gateway    the table of handlers
 
 They stay one class: each decision reads fields of several of them for each engine, and separate objects would cost
-attribute look-ups there. State that is used by itself is an object of its own: `ClassTraffic`, `Engine`,
+attribute look-ups there. State that is used separately is an object of its own: `ClassTraffic`, `Engine`,
 `ClassEstimate`, `SlowdownEstimate` and `RequestState`.
 """
 
--- a/tealwing/policy/attempts.py
+++ b/tealwing/policy/attempts.py
@@ -121,7 +121,7 @@
             not event.attempt and time_to_go >= STRAGGLER_FACTOR * expected and time_left >= 2 * traffic.usual_latency
         )
         if slow and not self._fleet_index(state.request.cls):
-            self._cancel_for_retry(state)  # once, and not where all engines are slow or the query is long by itself
+            self._cancel_for_retry(state)  # once, and not if all engines are slow or the query itself is long
         elif time_to_go > time_left:  # it would use capacity until the deadline and still time out
             self.actions.append(api.CancelAttempt(event.id, event.attempt))
             self._record_loss(state, attempt)
--- a/tealwing/policy/fleet.py
+++ b/tealwing/policy/fleet.py
@@ -46,7 +46,7 @@
         self.reports_in_flight = "inflight" in settings.report_fields  # whether reports count queries in flight
         self.best_success = 1.0  # highest success share of a ready engine
         self.is_started = False
-        self.unreported_weight = 1  # attempts of all gateways that one unreported own attempt stands for
+        self.unreported_weight = 1  # estimated attempts of all gateways per unreported attempt of this one
 
     def _apply_engine_list(self, event: api.EngineList) -> None:
         if event.kind is not api.EngineListKind.DELTA:
@@ -54,7 +54,7 @@
                 self.engines[engine_id].ready, self.engines[engine_id].delisted = False, True
         for entry in event.entries:
             known = self.engines.get(entry.engine)
-            if known is None or entry.started > known.started:  # new or restarted: its estimates start anew
+            if known is None or entry.started > known.started:  # new or restarted: its estimates are reset
                 self.engines[entry.engine] = engine = Engine(entry, self.settings, self.now)
                 if engine.warm_up_progress(self.now) >= 1:
                     engine.other_queries = self.mean_report.get("others", 0.0) * engine.cores
@@ -125,9 +125,9 @@
                 traffic.overload_time += REBUILD_INTERVAL * estimate.in_flight * estimate.overload_share
 
     def _decay_report(self, engine: Engine) -> None:
-        """Move an outdated report towards the fleet's mean, so that it never excludes an engine for good.
+        """Move an outdated report towards the fleet's mean, so that it never excludes an engine permanently.
 
-        It stays while attempts are in flight on the engine, and before the first report of an engine in slow start.
+        It is kept while attempts are in flight on the engine, and before the first report of an engine in slow start.
         """
         warming_up = self.now < engine.slow_start_until
         if (
--- a/tealwing/policy/gateway.py
+++ b/tealwing/policy/gateway.py
@@ -13,7 +13,7 @@
 
 
 class Gateway(Attempts):
-    """The decision module of one gateway; the package's docstring says which base class owns which state."""
+    """The decision module of one gateway; the package's docstring lists the state of each base class."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
--- a/tealwing/service.py
+++ b/tealwing/service.py
@@ -80,7 +80,7 @@
         cut_short = daemon.fail_open_requests()
         log.event("drain_cut_short", failed=cut_short)
         if not server.finish(kill - EXIT_MARGIN - time.monotonic()) and daemon.open_requests:
-            server.finish(MAX_DEADLINE_WAIT)  # sends the errors of the failed requests, unless SIGKILL comes first
+            server.finish(MAX_DEADLINE_WAIT)  # sends the errors of the failed requests, unless SIGKILL arrives first
     if admin is not None:
         admin.stop()
     ok, shed, failed, _ = daemon.metrics.totals
--- a/tealwing/sockets.py
+++ b/tealwing/sockets.py
@@ -61,7 +61,7 @@
 
 
 def has_unread(sock: socket.socket) -> bool:
-    """Return whether the kernel holds unread data of the socket; False if it does not say.
+    """Return whether the kernel holds unread data of the socket; False if unknown.
 
     Unlike a read, this call keeps the interpreter lock: no other thread runs between the check and the caller's action.
     """
@@ -75,7 +75,7 @@
 
 
 def seconds_since_data(sock: socket.socket) -> float:
-    """Return the seconds since the kernel last received data on a TCP connection; 0 if it does not say."""
+    """Return the seconds since the kernel last received data on a TCP connection; 0 if unknown."""
     try:
         return float(LAST_RECV.unpack(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECV.size))[0]) / 1e3
     except (OSError, struct.error):
--- a/tealwing/wire/errors.py
+++ b/tealwing/wire/errors.py
@@ -2,4 +2,4 @@
 
 
 class WireError(Exception):
-    """The input violates the protocol; the text says where. The sender has a fault or uses another protocol version."""
+    """The input violates the protocol; the message states where. The sender is faulty or of another version."""
