--- a/tealwing/federation/plan.py
+++ b/tealwing/federation/plan.py
@@ -12,7 +12,7 @@
     directory: str  # of the federation's log and snapshots
     sites: tuple[tuple[str, tuple[str, ...]], ...]  # each: its name, and its gateways' names in the section `peers`
     agreement_timeout: float = 8.0  # within which all sites must agree; otherwise the change is aborted
-    voters_per_site: int = 3  # at most so many gateways of a site vote in the federation's log; its others are learners
+    voters_per_site: int = 3  # voters of a site in the federation's log, at most; its other gateways are learners
     heartbeat: float = 0.1
     election_timeout: float = 1.0
 
--- a/tealwing/gossip/anti_entropy.py
+++ b/tealwing/gossip/anti_entropy.py
@@ -42,7 +42,7 @@
         return True
 
     def handle_digest(self, source: Address, digest: Digest) -> None:
-        """Fetch the buckets that differ; send our own digest if the sender requested it."""
+        """Fetch the buckets that differ; send this instance's digest if the sender requested it."""
         context, alive = self._context, self._context.identity.alive
         pairs = zip(digest.buckets, context.members.digest(alive), strict=False)
         differing = [number for number, (theirs, ours) in enumerate(pairs) if theirs != ours]
@@ -78,7 +78,7 @@
         available = messages.MAX_DATAGRAM_BYTES - messages.FRAME_BYTES - PAYLOAD_RESERVE_BYTES
         while buckets:
             in_bucket = members.in_bucket(buckets[0])
-            # the requester may not know a suspected member yet, so the member's `Alive` goes along
+            # the requester may not know a suspected member yet, so the member's `Alive` is sent too
             rumours: list[Rumour] = [member.alive for member in in_bucket if member.state is State.SUSPECT]
             rumours += [member.rumour() for member in in_bucket]
             size = sum(map(messages.rumour_size, rumours))
@@ -90,14 +90,14 @@
         return batch
 
     def _send_digests(self) -> None:
-        """Send our digest to one member, to seeds too if there is none or at random, and ping one dead member."""
+        """Send the digest to one member, to seeds too if there is none or at random, and ping one dead member."""
         context, alive = self._context, self._context.identity.alive
         targets = [member.address for member in context.members.sample(1)]
         if not targets or context.random.random() < SEED_PROBABILITY:
             targets += context.random.sample(self._seeds, min(SEEDS_PER_SYNC, len(self._seeds)))
         for target in targets:
             context.outgoing.send(Priority.BULK, target, Digest(context.members.digest(alive), True), [alive])
-        for member in context.members.sample_dead(1):  # it may be back, and the rumour of its death lets it refute
+        for member in context.members.sample_dead(1):  # it may be alive again, and refutes the rumour of its death
             ping = Ping(context.outgoing.next_ping_number(), "")
             context.outgoing.send(Priority.BULK, member.address, ping, [alive, member.rumour()])
 
--- a/tealwing/gossip/dissemination.py
+++ b/tealwing/gossip/dissemination.py
@@ -46,7 +46,7 @@
         self._rumours.add(rumour)
 
     def record_received(self, rumour: Rumour) -> None:
-        """Count a queued rumour that another member has sent as one send of ours."""
+        """Count a queued rumour that another member has sent as one send of this instance."""
         self._rumours.record_received(rumour, self._max_sends())
 
     def send(self, priority: Priority, to: Address, body: Body, first: Sequence[Rumour]) -> None:
@@ -69,7 +69,7 @@
         self.send_queue.enqueue(priority, self._clock.now, to, messages.encode(payload, identity.signer))
 
     def rumours_for(self, name: str) -> list[Rumour]:
-        """Return the rumours for a message to a member: its suspicion or death to refute, or our `Alive` if unknown."""
+        """Return the rumours to send to a member: its suspicion or death to refute, or the local `Alive` if unknown."""
         member = self._members.get(name)
         if member is None:
             return [self._identity.alive]
--- a/tealwing/gossip/health_estimator.py
+++ b/tealwing/gossip/health_estimator.py
@@ -33,7 +33,7 @@
 REPORT_LIFETIME = 6.0  # s after which a report no longer counts; slow engines stay slow for 10 s or more
 MIN_QUORUM = 2.0  # weight of reports that every estimate needs
 QUORUM_PER_MEMBER = 0.5  # weight that it needs per member that may report: false reporters alone don't reach it
-MAX_FLEET_SHARE = 0.25  # of the engines that may be suspected at once: beyond it the whole fleet is at fault
+MAX_FLEET_SHARE = 0.25  # of the engines that may be suspected at a time: beyond it the whole fleet is at fault
 MIN_TRUST, FULL_TRUST = 0.1, 1.0  # a false reporter keeps a tenth of its weight, so that it can recover
 TRUST_LOSS_FACTOR, TRUST_GAIN_STEP = 0.5, 0.02  # factor at a contradicted report; step at a confirmed one
 
@@ -174,7 +174,7 @@
         self._checked = {check: at for check, at in self._checked.items() if now - at <= REPORT_LIFETIME}
 
     def _check(self, member: str, reported: EngineHealth, ours: EngineHealth) -> bool:
-        """Lower or raise the trust in a member; return whether our evidence was clear enough for either."""
+        """Lower or raise the trust in a member; return whether the local evidence was clear enough for either."""
         trust = self.trust.get(member, FULL_TRUST)
         if (reported.is_unhealthy and ours.is_healthy) or (reported.is_healthy and ours.is_unhealthy):
             self.trust[member] = max(MIN_TRUST, trust * TRUST_LOSS_FACTOR)
--- a/tealwing/gossip/members.py
+++ b/tealwing/gossip/members.py
@@ -187,7 +187,7 @@
             on_removed(name)
 
     def next_probe_target(self) -> Member | None:
-        """Return the next live member to probe; each round goes over all in a new random order."""
+        """Return the next live member to probe; each round covers all in a new random order."""
         for _ in range(2):
             while self._probe_order:
                 member = self._by_name.get(self._probe_order.pop())
--- a/tealwing/gossip/membership.py
+++ b/tealwing/gossip/membership.py
@@ -9,7 +9,7 @@
 from tealwing.gossip.messages import Alive, Dead, HealthReport, Left, Payload, Rumour, Suspect
 from tealwing.gossip.verification import RumourVerifier
 
-SUSPICION_RATE, SUSPICION_BURST = 2.0, 16.0  # suspicions accepted of one sender a second, and at once: a rack may fail
+SUSPICION_RATE, SUSPICION_BURST = 2.0, 16.0  # accepted suspicions per sender: a second, and in a burst; a rack may fail
 
 
 class Membership:
@@ -64,7 +64,7 @@
             self._context.members.apply_alive(alive, self._context.clock.now)
 
     def check_name_conflict(self, payload: Payload) -> None:
-        """Check a datagram of another instance with our name: of two under one name the later start keeps it."""
+        """Check a datagram of another instance of this name: of two under one name the later start keeps it."""
         context = self._context
         in_time = abs(payload.sent_at_ms / 1e3 - context.clock.unix_time) <= context.timing.max_clock_skew
         if payload.boot > context.identity.boot and in_time:
--- a/tealwing/gossip/suspicion.py
+++ b/tealwing/gossip/suspicion.py
@@ -11,7 +11,7 @@
 
 
 def timeout_bounds(members: int, probe_interval: float) -> tuple[float, float]:
-    """Return the minimum and maximum timeout in s of a suspicion in a cluster of so many members."""
+    """Return the minimum and maximum timeout in s of a suspicion in a cluster of that many members."""
     min_timeout = MIN_INTERVALS * max(1.0, log10(max(members, 1))) * probe_interval
     return min_timeout, MAX_TO_MIN_RATIO * min_timeout
 
@@ -32,7 +32,7 @@
         return True
 
     def deadline(self, members: int, probe_interval: float) -> float:
-        """Return the time at which the member is held dead; each further reporter brings it forward, on a log scale."""
+        """Return the time of the declaration as dead; each further reporter brings it forward, on a log scale."""
         min_timeout, max_timeout = timeout_bounds(members, probe_interval)
         others = max(len(self.reporters) - 1, 0)
         if members <= CONFIRMATIONS:  # too few to confirm
--- a/tealwing/gossip/verification.py
+++ b/tealwing/gossip/verification.py
@@ -9,7 +9,7 @@
 from tealwing.gossip.errors import MessageRejectedError, RejectionCause
 from tealwing.gossip.messages import Address, SignedRumour, Verify
 
-SENDER_RATE, SENDER_BURST = 50.0, 100.0  # datagrams accepted from one address per second, and at once
+SENDER_RATE, SENDER_BURST = 50.0, 100.0  # datagrams accepted from one address per second, and in a burst
 MAX_SENDERS = 2048  # addresses whose token buckets are kept
 MAX_CACHED_SIGNATURES = 4096  # valid signatures of rumours
 
--- a/tealwing/peers/clock.py
+++ b/tealwing/peers/clock.py
@@ -22,7 +22,7 @@
             return self._shown + (time.monotonic() - self._real) * self._rate
 
     def skew(self, step: float = 0.0, rate: float | None = None) -> None:
-        """Step the clock by so many seconds, and run it at that multiple of the real rate from now on."""
+        """Step the clock by `step` seconds, and run it at `rate` times the real rate from now on."""
         with self._lock:
             real = time.monotonic()
             self._shown += (real - self._real) * self._rate + step
@@ -31,5 +31,5 @@
                 self._rate = rate
 
     def real(self, seconds: float) -> float:
-        """Return the real duration of so many seconds of this clock, for waits on the system's clock."""
+        """Return the real duration of `seconds` of this clock, for waits on the system's clock."""
         return seconds / self._rate
--- a/tealwing/peers/plan.py
+++ b/tealwing/peers/plan.py
@@ -23,7 +23,7 @@
     hello_timeout: float = 2.0  # time within which a new connection must send its hello
 
     def scaled_for(self, members: int) -> LinkTimes:
-        """Return the times for a fleet of so many members, at which a voter receives at most MAX_HEARTBEAT_RATE.
+        """Return the times for a fleet of that many members, at which a voter receives at most MAX_HEARTBEAT_RATE.
 
         The timeouts keep at least their multiples of a heartbeat. Up to MAX_HEARTBEAT_RATE * heartbeat members (400 by
         default) nothing changes.
--- a/tealwing/rollout/leader/expiry_observer.py
+++ b/tealwing/rollout/leader/expiry_observer.py
@@ -14,7 +14,7 @@
 from tealwing.rollout.agent.retry import Retry
 from tealwing.rules.records import Body, ConfirmExpiry, ExpirePermit, Forget, Member
 
-BATCH_SIZE = 3  # members that confirm at once: two are needed, and one may be down
+BATCH_SIZE = 3  # members that confirm at a time: two are needed, and one may be down
 BATCH_INTERVAL = 0.5  # s between batches
 
 
--- a/tealwing/rules/transitions/membership.py
+++ b/tealwing/rules/transitions/membership.py
@@ -51,7 +51,7 @@
 
 
 def forget(tables: Tables, index: int, body: Forget) -> CommandResult:
-    """Remove a member: at once if an operator confirms that it is off, else once its permits have expired."""
+    """Remove a member: immediately if an operator confirms that it is off, else once its permits have expired."""
     table = registry_state.members(tables)
     member = table.get(body.member)
     if member is None:
