--- a/tealwing/gossip/dissemination.py
+++ b/tealwing/gossip/dissemination.py
@@ -46,7 +46,7 @@
         self._rumours.add(rumour)
 
     def record_received(self, rumour: Rumour) -> None:
-        """Count a queued rumour that another member has sent as one send of ours."""
+        """Count a queued rumour that another member has sent as one send of this instance."""
         self._rumours.record_received(rumour, self._max_sends())
 
     def send(self, priority: Priority, to: Address, body: Body, first: Sequence[Rumour]) -> None:
@@ -56,7 +56,7 @@
         payload = Payload(identity.name, identity.boot, sequence, sent_at_ms, body, [])
         limit = messages.MAX_DATAGRAM_BYTES
         if priority in (Priority.ANSWER, Priority.PROBE) and not self.send_queue.has_spare_tokens():
-            limit = SHORT_DATAGRAM_BYTES  # failure detection goes first; rumours also have datagrams of their own
+            limit = SHORT_DATAGRAM_BYTES  # failure detection has priority; rumours also have datagrams of their own
         available = limit - messages.datagram_size(payload) - ARRAY_HEADER_BYTES
         piggybacked: list[Rumour] = []
         for rumour in first:
@@ -69,7 +69,7 @@
         self.send_queue.enqueue(priority, self._clock.now, to, messages.encode(payload, identity.signer))
 
     def rumours_for(self, name: str) -> list[Rumour]:
-        """Return the rumours for a message to a member: its suspicion or death to refute, or our `Alive` if unknown."""
+        """Return the rumours to send to a member: its suspicion or death to refute, or the local `Alive` if unknown."""
         member = self._members.get(name)
         if member is None:
             return [self._identity.alive]
--- a/tealwing/rollout/effects/log_client.py
+++ b/tealwing/rollout/effects/log_client.py
@@ -27,7 +27,7 @@
 
 
 class Log(Protocol):
-    """What the client needs of a replicated log."""
+    """The replicated log as the client uses it."""
 
     def write(self, command: c.Command, wait: float) -> c.CommandResult:
         """Propose a command and wait until it is applied."""
@@ -47,7 +47,7 @@
         self._queue: SimpleQueue[Callable[[], None] | None] = SimpleQueue()
 
     def start(self) -> None:
-        """Start the thread. Raises threads.NoThread if the system has none."""
+        """Start the thread. Raises threads.ThreadUnavailableError if the system has none."""
         threads.start(self._run, self._name)
 
     def stop(self) -> None:
@@ -88,7 +88,7 @@
         self.last_rejection = ""  # reason of the site's log for its last rejection; empty after a success
 
     def start(self) -> None:
-        """Start the threads. Raises threads.NoThread if the system has none."""
+        """Start the threads. Raises threads.ThreadUnavailableError if the system has none."""
         for worker in (self._submissions, self._reads, self._federation_reads):
             if worker is not None:
                 worker.start()
