--- a/tealwing/lab/arrivals.py
+++ b/tealwing/lab/arrivals.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrivals:
-    """All requests of a run (first tries only) as columns; times in seconds, need in megabytes."""
+    """All requests of a run, without retries, as columns; times in seconds, memory (`need`) in megabytes."""
 
     at: Any
     cls: Any
--- a/tealwing/lab/client.py
+++ b/tealwing/lab/client.py
@@ -29,7 +29,7 @@
 
     @property
     def pushback(self) -> float:
-        """Seconds that a refusal asks the client to wait before a retry; 0 if it names none."""
+        """The wait before a retry that a refusal requests, in seconds; 0 if it names none."""
         digits = self.text.partition("pushback=")[2]
         return int(digits) / 1e3 if digits.isdigit() else 0.0
 
--- a/tealwing/lab/engines.py
+++ b/tealwing/lab/engines.py
@@ -139,7 +139,7 @@
         self._update_rates()
 
     def pressure(self, work: float, informed: bool = True) -> None:
-        """Count a send to the engine while it is cold; sends over its budget crash it for good.
+        """Count a send to the engine while it is cold; sends over its budget crash it permanently.
 
         work: the mean work of the class (s of one thread); informed: whether the sender knew of the engine's start.
         `pushed` is set, a rule violation, if at least two thirds of the work came from informed senders.
--- a/tealwing/lab/faults/scenario.py
+++ b/tealwing/lab/faults/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: TOML files that say which faults are injected and when; pure. An error in a file names its key.
+"""Scenarios: TOML files that specify the injected faults and their times. An error in a file names its key.
 
 Times are shares of the trial's length, so that one file serves trials of any length. A selector is a process's name
 (`n2`) or its role at the time of the step (`leader`, `holder`, `follower`, `random`; in a federation also `delegate`,
@@ -74,9 +74,9 @@
     rate: Annotated[float, msgspec.Meta(ge=0.5, le=2.0)] = 1.0
     fault: Literal["", "fsync", "short", "full", "none"] = ""
     count: Times = 1  # number of disk operations that fail
-    old: Share = 0.0  # share of the processes that come back from a power loss with an older disk
-    late: Seconds = 0.0  # s after a power loss at which one process comes back; 0: none is late
-    drop_on_return: Share = 0.0  # share of frames lost on one link in four while processes come back
+    old: Share = 0.0  # share of the processes that restart with an older disk after a power loss
+    late: Seconds = 0.0  # s from a power loss to the restart of one delayed process; 0: none is delayed
+    drop_on_return: Share = 0.0  # share of frames lost on one link in four while processes restart
     times: Times = 1  # number of repetitions
     every: Seconds = 1.0  # s between two repetitions
     lost_touch: Literal["serve", "hold"] | None = None  # run the step only in trials with this mode; None: in all
--- a/tealwing/lab/harness.py
+++ b/tealwing/lab/harness.py
@@ -38,7 +38,7 @@
 
     retries: int = 1
     wait: tuple[float, float] = (0.1, 0.6)  # s before a retry, at random: least and most
-    heed: float = 0.8  # share of clients that respect the wait that a refusal asks for
+    heed: float = 0.8  # share of clients that respect the wait that a refusal requests
     patience: tuple[float, float] = (0.8, 1.0)  # share of the deadline that a client waits: least and most
 
 
@@ -51,7 +51,7 @@
     gateway: int
     id: int
     end: float  # when the client gives up
-    over: bool = False  # whether it was answered, refused, failed or given up
+    over: bool = False  # whether it was answered, refused, failed or abandoned
     sends: int = 0  # attempts so far
     attempt: Attempt | None = None  # in flight
     priority: int = 1
@@ -151,7 +151,7 @@
     # Faults
 
     def crash(self, numbers: Sequence[int], at: float, back: float | None) -> None:
-        """Let engines crash at a time and come back cold at another, or never if `back` is None."""
+        """Crash engines at a time; they restart cold at `back`, or never if it is None."""
         self.clock.at(at, self._crash, tuple(numbers), back)
 
     def slow(self, numbers: Sequence[int], at: float, until: float, times: float) -> None:
--- a/tealwing/lab/hollow/member.py
+++ b/tealwing/lab/hollow/member.py
@@ -19,7 +19,7 @@
 
 
 class RecordingGateway:
-    """Stands in for the gateway's decisions, and records when each version came into force."""
+    """A stub of the gateway's decisions that records when each version came into force."""
 
     def __init__(self, members: int) -> None:
         settings = site.settings(members)
--- a/tealwing/lab/judges/copies.py
+++ b/tealwing/lab/judges/copies.py
@@ -1,4 +1,4 @@
-"""Check the replicas: the same state at each index, one leader per term, and an applied index that never goes back."""
+"""Check the replicas: the same state at each index, one leader per term, and an applied index that never decreases."""
 
 from __future__ import annotations
 
--- a/tealwing/lab/judges/register.py
+++ b/tealwing/lab/judges/register.py
@@ -51,7 +51,7 @@
 
 
 def clusters(found: Sequence[Operation]) -> tuple[list[Cluster], list[Violation]]:
-    """Return the clusters of one key's operations, and violations: values read that nobody wrote or only later."""
+    """Return the clusters of one key's operations, and violations: values read before their write, or never written."""
     by_value: dict[Any, Cluster] = {NOTHING: Cluster(NOTHING, None, [])}
     bad = []
     for op in found:
--- a/tealwing/lab/judges/views.py
+++ b/tealwing/lab/judges/views.py
@@ -10,8 +10,8 @@
 from tealwing.peers.plan import LinkTimes
 
 DETECTION_TIME = 1.5  # s by which a busy machine may delay the check for silence
-# s in which a reachable peer must count as alive again: the longest wait between dials, a dial and a hello, all twice,
-# and as much again for a busy machine (2.6 s occurred with seven trials started at once on 8 cores)
+# s in which a reachable peer must count as alive again: twice the sum of the longest wait between dials, a dial and a
+# hello, doubled for a busy machine (2.6 s occurred with seven trials started at once on 8 cores)
 RECOVERY_TIME = 10.0
 
 
--- a/tealwing/lab/load.py
+++ b/tealwing/lab/load.py
@@ -1,9 +1,9 @@
 """Open-loop load on real gateways: a schedule drawn in advance, and latency measured from a request's due time.
 
 A client that waits for an answer before it sends its next request hides every stall (Tene's "coordinated omission").
-Here the schedule does not wait: the latency of a request that is sent late, for lack of a free session or of processor
-time, counts from its due time. The tool reports its own lateness; past a bound the run is spoilt, as it then measured
-the tool.
+This schedule does not wait: the latency of a request that is sent late, for lack of a free session or of processor
+time, counts from its due time. The tool reports its own lateness; above a limit the run counts as spoilt, because it
+then measured the tool.
 """
 
 from __future__ import annotations
--- a/tealwing/lab/models/consensus.py
+++ b/tealwing/lab/models/consensus.py
@@ -50,7 +50,7 @@
 
 
 class Fault(Enum):
-    """What a failed write left on the disk."""
+    """Whether the data of a failed write reached the disk."""
 
     LOST = "the disk does not have it"
     WRITTEN = "the disk has it all the same"
@@ -198,7 +198,7 @@
         return self._settle(after, target)
 
     def stand_for_election(self, world: World, name: str) -> World:
-        """Have a member stand for election."""
+        """Have a member start an election."""
         after = self._after(world, name, timeouts=1)
         after.members[name].campaign(after.at * STEP)
         return self._settle(after, name)
@@ -210,7 +210,7 @@
         return self._settle(after, name)
 
     def transfer_leadership(self, world: World, name: str) -> World:
-        """Have a leader ask another member to stand for election at once (leadership transfer)."""
+        """Have a leader transfer its leadership: another member starts an election at once."""
         after = self._after(world, name, hands=1)
         after.members[name].transfer_leadership(after.at * STEP)
         return self._settle(after, name)
--- a/tealwing/lab/models/starts.py
+++ b/tealwing/lab/models/starts.py
@@ -35,7 +35,7 @@
 
 
 def elect(model: Consensus, world: World, name: str, voter: str) -> World:
-    """Restart a member, have it stand for election until its term is the newest, and give it the vote of `voter`."""
+    """Restart a member, have it start elections until its term is the newest, and give it the vote of `voter`."""
     world = model.crash(world, name, -1)
     while world.members[name].term <= world.members[voter].term or world.members[name].role is Role.FOLLOWER:
         world = model.stand_for_election(world, name)
--- a/tealwing/lab/network.py
+++ b/tealwing/lab/network.py
@@ -26,9 +26,9 @@
 
 
 class SimulatedKey:
-    """A keyed hash in place of a signature: as long and a hundred times as fast, for hundreds of instances.
+    """A keyed hash in place of a signature: of the same length and a hundred times faster, for hundreds of instances.
 
-    Anybody can forge it with this code, so it serves trials of behaviour, never of security.
+    Anyone who has this code can forge it, so it is for tests of behaviour, never of security.
     """
 
     def __init__(self, name: str) -> None:
--- a/tealwing/lab/rig/configuration.py
+++ b/tealwing/lab/rig/configuration.py
@@ -21,7 +21,7 @@
     # sites assigned to the engines in turn, and named in result rows; if empty, all engines are at one unnamed site
     zones: tuple[str, ...] = ()
     sites: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # processes of each site of a federation
-    lost_touch: str = "serve"  # what gateways of the load `rules` do while they are cut off
+    lost_touch: str = "serve"  # partition mode of the gateways under the load `rules`: `serve` or `hold`
     stale: int = 1  # members that may restart with an older disk
     learners: frozenset[str] = frozenset()  # processes that follow the log without a vote
     tight: str = ""  # the process whose platform allows only MIN_ATTEMPTS attempts
--- a/tealwing/lab/rig/loads/base.py
+++ b/tealwing/lab/rig/loads/base.py
@@ -20,7 +20,7 @@
 
 
 class Load(Protocol):
-    """What the clients of a trial do, and the checkers that judge it."""
+    """The operations of a trial's clients, and the checkers of their history."""
 
     checkers: Sequence[Checker]
 
--- a/tealwing/lab/rig/loads/lease.py
+++ b/tealwing/lab/rig/loads/lease.py
@@ -1,4 +1,4 @@
-"""The load of one lease: every process tries to acquire it, and acts on a resource while holding it."""
+"""The lease load: all processes compete for one lease, and its holder performs actions on a resource."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class LeaseLoad:
-    """Every process tries to acquire one lease, and acts on a resource of the laboratory while holding it."""
+    """All processes compete for one lease, and its holder performs actions on a simulated resource."""
 
     checkers: Sequence[Checker] = (leases.check, copies.check, views.check)
 
     def __init__(self) -> None:
         self._clients = Clients()
         self._resource: Resource | None = None
-        self.careless = False  # deliberate defect: tasks go on after their lease is lost
+        self.careless = False  # deliberate defect: tasks continue after their lease is lost
         self.fenced = True  # whether the resource rejects actions with a stale token
         self._span = (0.0, 0.0)
 
@@ -94,7 +94,7 @@
             trial.history.add("held", process=holders.get(tenure.token, "?"), **fields)
 
     def summary(self, events: Sequence[Event]) -> dict[str, Any]:
-        """Return the counts of actions and of violations among them, and how long nobody held the lease."""
+        """Return the counts of actions and violations, the handover times and the longest time without a holder."""
         acts = [event for event in events if event["kind"] == "act"]
         rules = Counter(violation.rule for violation in leases.check(events, 0.0))
         moves = [seconds * 1e3 for seconds in leases.handovers(events)]
--- a/tealwing/lab/rig/loads/metrics.py
+++ b/tealwing/lab/rig/loads/metrics.py
@@ -34,7 +34,7 @@
 
 
 def catchup_ms(events: Sequence[Event]) -> list[float]:
-    """Return, for each process that came back, the ms until it had applied what was committed at its return; sorted."""
+    """Return, for each process that became ready, the ms until it had applied the entries committed by then; sorted."""
     found = []
     committed, waiting = 0, dict[str, tuple[float, int]]()
     for event in events:
--- a/tealwing/lab/rig/loads/rules/load.py
+++ b/tealwing/lab/rig/loads/rules/load.py
@@ -23,7 +23,7 @@
 MOVED_CLIENTS, FIXED_CLIENTS = 2, 1  # clients per gateway that query groups which changes move, and other groups
 WATCH_INTERVAL = 0.2  # s between two checks of a process's versions
 SETUP_LIMIT = 20.0  # s for the first version to come into force
-SETTLE_LIMIT = 20.0  # s at the end of the trial for changes under way to be decided
+SETTLE_LIMIT = 20.0  # s at the end of the trial for changes in flight to be decided
 GATE = {"rules_closed": "closed", "rules_opened": "opened", "started": "started"}  # gate states by log event
 
 
@@ -90,7 +90,7 @@
         self._clients.stop()
 
     def finish(self, trial: Trial) -> None:
-        """Wait until no change is under way; record each process's versions, its gate's log events and all digests."""
+        """Wait until no change is in flight; record each process's versions, its gate's log events and all digests."""
         trial.problems += self._clients.failed
         connections = [ProcessConnection(trial, name) for name in trial.names]
         if self._watch is not None and self._operators is not None:
@@ -129,7 +129,7 @@
     def _wait_until_settled(
         self, trial: Trial, watch: VersionWatcher, connections: Sequence[ProcessConnection]
     ) -> None:
-        """Wait, at most SETTLE_LIMIT, until all processes have one version in force and no change is under way."""
+        """Wait, at most SETTLE_LIMIT, until all processes have one version in force and no change is in flight."""
         end = time.monotonic() + SETTLE_LIMIT
         while time.monotonic() < end:
             try:
--- a/tealwing/lab/rig/loads/rules/watch.py
+++ b/tealwing/lab/rig/loads/rules/watch.py
@@ -67,7 +67,7 @@
         return found
 
     def end(self, connection: ProcessConnection) -> bool:
-        """Record a process's version in force and retained versions; return whether no change is under way there."""
+        """Record a process's version in force and retained versions; return whether it has no change in flight."""
         status = self.look(connection)
         retained = self.show(connection, range(max(1, self.last - MAX_RETAINED + 1), self.last + 1))
         flight = status["in_flight"]["number"] if status["in_flight"] else 0
--- a/tealwing/lab/rig/phases.py
+++ b/tealwing/lab/rig/phases.py
@@ -12,12 +12,12 @@
     from tealwing.lab.rig.trial import Trial
 
 PHASE_POLL = 0.001  # s between two checks for a phase: one lasts only some ms on fast links
-IDLE_POLL = 0.02  # s between two checks for changes under way
+IDLE_POLL = 0.02  # s between two checks for changes in flight
 LIMIT = 0.25  # s that a call waits for its answer
 
 
 def wait_idle(trial: Trial, names: Sequence[str], within: float) -> bool:
-    """Wait until no process has a change under way and all have one version in force; return whether so."""
+    """Wait until no process has a change in flight and all have one version in force; return whether they do."""
     end = time.monotonic() + within
     while time.monotonic() < end and not trial.faults_over.is_set():
         found = []
--- a/tealwing/lab/rig/process_faults.py
+++ b/tealwing/lab/rig/process_faults.py
@@ -18,7 +18,7 @@
     """Applies faults to processes and records each in the fault log."""
 
     def __init__(self, trial: Trial, stale: int) -> None:
-        """stale: most processes that come back from a power loss with an older disk."""
+        """stale: maximum number of processes that restart with an older disk after a power loss."""
         self._trial, self._stale = trial, stale
         self._fault_log, self._history = trial.fault_log, trial.history
         self.failing: set[str] = set()  # processes with an injected disk fault that were not killed since
@@ -82,9 +82,9 @@
             self._history.add("fault-not-taken", who=name, call=call, why=str(error))
 
     def power_loss(self, step: Step) -> None:
-        """Kill all processes at once, and start them in random order as the step says.
+        """Kill all processes at once, and restart them in random order as the step specifies.
 
-        One may come back late, some with an older disk, and links may lose frames meanwhile.
+        One may restart late, some with an older disk, and links may lose frames until all have restarted.
         """
         trial, random = self._trial, self._trial.random
         names = [name for name in trial.names if trial.processes[name].running]
--- a/tealwing/lab/rig/samples.py
+++ b/tealwing/lab/rig/samples.py
@@ -59,7 +59,7 @@
         self._history.add("sample", **sample)
 
     def is_connected(self) -> bool:
-        """Return whether every running process hears all other running ones, and knows a leader if it is replicated."""
+        """Return whether every running process counts all others as alive, and knows a leader if it is replicated."""
         running = {name for name, process in self._processes.items() if process.running and not process.stopped}
         for name in running:
             sample = self.last.get(name)
--- a/tealwing/lab/rig/trial.py
+++ b/tealwing/lab/rig/trial.py
@@ -136,7 +136,7 @@
         return thread
 
     def start(self) -> None:
-        """Start all processes, and wait until each hears all others."""
+        """Start all processes, and wait until all are connected."""
         self.proxy.start()
         for process in self.processes.values():
             process.start()
@@ -158,7 +158,7 @@
         return True
 
     def is_connected(self) -> bool:
-        """Return whether every running process hears all other running ones, and knows a leader if it is replicated."""
+        """Return whether every running process counts all others as alive, and knows a leader if it is replicated."""
         return self.samples.is_connected()
 
     def leader(self) -> str:
@@ -185,7 +185,7 @@
         self.stopping.wait(self.seconds)
         self.faults_over.set()
         load.stop()
-        director.join(30.0)  # s for the step under way to end
+        director.join(30.0)  # s for the step in progress to end
         self.history.add("load-over")
         with self.proxy.lock:
             self.conditions.heal()
--- a/tealwing/lab/rollout/host.py
+++ b/tealwing/lab/rollout/host.py
@@ -10,7 +10,7 @@
 from tealwing.lab.rollout.costs import Costs
 from tealwing.lab.rollout.tasks import Step
 
-HEARTBEAT_INTERVAL = 0.2  # s between heartbeats of a link; the simulation uses them only to tell which peers are silent
+HEARTBEAT_INTERVAL = 0.2  # s between heartbeats of a link; the simulation uses them only to detect silent peers
 SILENT = 2 * HEARTBEAT_INTERVAL  # s without a heartbeat after which a peer counts as silent, as in production
 
 
--- a/tealwing/lab/score.py
+++ b/tealwing/lab/score.py
@@ -22,7 +22,7 @@
     worst: float  # in the worst stretch
     by_class: dict[str, float]
     in_time: dict[str, float]  # by class, share of the requests served in time
-    shed: dict[str, float]  # by class, share of the requests that a level refused and nobody served
+    shed: dict[str, float]  # by class, share of the requests that a level refused and that were not served
 
     @property
     def mixed(self) -> float:
