--- a/benchmarks/capacity/day.py
+++ b/benchmarks/capacity/day.py
@@ -32,7 +32,7 @@
     everywhere: list[float] = field(default_factory=list)  # s until in force at all members that did not restart
     phases: list[str] = field(default_factory=list)
     restarts: int = 0
-    fault: str = ""  # why a member did not come back after its restart; empty if all did
+    fault: str = ""  # error of a member that did not become ready after its restart; empty if all did
     failover: float = 0.0  # s from the leader's kill until a new leader has taken a proposal
 
 
@@ -71,7 +71,7 @@
             stopped.set()
             restarting.join()
             if found.fault:
-                raise CapacityError(f"a member did not come back after its restart: {found.fault}")
+                raise CapacityError(f"a member did not become ready after its restart: {found.fault}")
             after = fleet.metrics()
             for number, (at, phase) in enumerate(begun, 1):
                 times = after.in_force(number)
--- a/benchmarks/capacity/gateway_process.py
+++ b/benchmarks/capacity/gateway_process.py
@@ -116,7 +116,7 @@
             if found["event"] == "started":
                 host, port = found["listen"]
                 return host, port
-        raise CapacityError("the gateway ended before it started; its log on standard error says why")
+        raise CapacityError("the gateway exited before it was ready; its log on standard error contains the reason")
 
     def _drain_log(self) -> None:
         assert self._process.stdout is not None
--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -51,7 +51,7 @@
     """One slope as measured by one run."""
 
     slope: str
-    of: str  # what a size counts: engines, members, connections
+    of: str  # unit of the sizes: engines, members, connections
     sizes: tuple[int, ...]
     series: tuple[Series, ...]
     notes: tuple[str, ...] = ()
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -36,7 +36,7 @@
     need: float
     limit: float
     unit: str
-    basis: str  # where the need comes from: measured at N; slope, measured to N; worked out; assumed
+    basis: str  # how the need was determined: measured at N; slope, measured to N; worked out; assumed
     mechanism: str  # the part of the program that meets the need, with its file
     answer: str = ""  # for needs over the limit: mechanisms considered, in the order in which they are needed
     is_refused: bool = False  # whether a need over the limit is refused outright, not merely expensive
@@ -67,7 +67,7 @@
 
 
 def value_at(series: Series, size: int, constant_if_bent: bool = False) -> tuple[float, str]:
-    """A quantity at a size, and its basis: measured there, predicted by the slope, or assumed as the slope is bent.
+    """A quantity at a size and its basis: measured there, predicted by the slope, or assumed because the slope is bent.
 
     constant_if_bent: assume the last value, not linear growth, if the slope is bent; for quantities whose parts don't
     grow with the size.
