--- a/tests/sites.py
+++ b/tests/sites.py
@@ -1,8 +1,8 @@
 """Builds gateway settings from the site files in deploy/sites, and engines that record the attempts they receive.
 
 A site file holds ranges from which a simulated day draws its values; here each range is replaced by its midpoint. The
-keys of the file are mapped to settings as the page on the wire format says. Settings that it does not mention (such as
-the fixed words of FamilyInfo) are left out.
+keys of the file are mapped to settings as the page on the wire format specifies. Settings that it does not mention
+(such as the fixed words of FamilyInfo) are left out.
 """
 
 from __future__ import annotations
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,8 +1,8 @@
-"""A soak test of one gateway process: seeded faults at the same time, then a check of what clients and engines saw.
+"""A soak test of one gateway process: concurrent seeded faults, then a check of what clients and engines received.
 
 Clients with an open connection keep sending until SIGKILL, which comes at the earliest moment that the operators'
 rules allow. Signals come in series, and some runs add many idle clients. Each finding is a sentence about one broken
-rule; no finding means that all rules held.
+rule; a run that kept all rules has none.
 """
 
 from __future__ import annotations
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -523,7 +523,7 @@
 
 
 def test_client_that_connects_while_all_are_busy_is_accepted_once_one_is_idle(rig: Rig) -> None:
-    # fault: no client was accepted until some session had ended by itself, after up to 60 s idle
+    # fault: no client was accepted until some session had ended without an eviction, after up to 60 s idle
     events = [rig.hold(str(n)) for n in range(8)]
     busy = [Client(rig.address, also=query(str(n))) for n in range(8)]
     until(lambda: len(rig.opened) == 8)
--- a/tests/test_closes_model.py
+++ b/tests/test_closes_model.py
@@ -1,6 +1,6 @@
-"""Sessions under random sequences of input, closes, KILLs, stops, evictions and answers: one answer, or none owed.
+"""Sessions under random sequences of input, closes, KILLs, stops, evictions and answers: one answer each, or none owed.
 
-Races are not forced: hypothesis chooses the order of the rules, the machine that of the threads, and the assertions
+Races are not forced: hypothesis chooses the order of the rules, the scheduler that of the threads, and the assertions
 hold for every order.
 """
 
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -127,7 +127,7 @@
         (GOOD.replace("2s ", "100ms "), "from 500ms"),
     ],
 )
-def test_errors_say_what_is_wrong(tmp_path: Path, text: str | bytes, message: str) -> None:
+def test_errors_describe_the_problem(tmp_path: Path, text: str | bytes, message: str) -> None:
     assert any(message in str(problem) for problem in problems(tmp_path, text))
 
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -255,7 +255,7 @@
     assert change is not None and change.to_level == 1
 
 
-def test_controller_time_stands_still_while_the_clock_is_behind() -> None:
+def test_controller_time_does_not_advance_while_the_clock_is_behind() -> None:
     state = controller.initial_state(TIMINGS)
     state, _ = controller.step(TIMINGS, state, 1000.0, [ENTER_HOLDS, NOTHING_HOLDS])
     for back in range(8):
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -429,7 +429,7 @@
     sock, call = rig.sent(1)
     say(sock, call, b"200", b"sheets=2", PAGE)
     assert rig.engine.next(b"turn")
-    say(sock, call, b"500", b"-", b"")  # the rest of the result is lost, and the attempt given up
+    say(sock, call, b"500", b"-", b"")  # the rest of the result is lost, and the attempt abandoned
     assert rig.engine.next(b"shut")
     held.reached()
     leave_noticed(rig, client, how)
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -261,7 +261,7 @@
     error = senders[0].end()
     if close is retire:
         assert isinstance(error, ConnectError)  # the engine has been removed: nothing may be sent
-        assert read_message(sock) == []  # and nothing was sent
+        assert read_message(sock) == []  # the engine received nothing
     else:
         assert error is None
         second = fake_engine.accept()  # the attempt uses a new connection
@@ -458,7 +458,7 @@
 
 
 def test_removal_and_start_in_one_update_are_applied_in_order(fake_engine: FakeEngine) -> None:
-    # guards against applying all removals of an update after its starts: the engine stayed removed for good
+    # guards against applying all removals of an update after its starts: the engine stayed removed
     pool, port = make_pool(fake_engine), fake_engine.address[1]
     pool.update((member(health=api.Health.GONE, port=port), member(started=5.0, port=port)), False)
     pool.send(7, b"1", empty_fields, b"SELECT 1", SimpleQueue[Any]().put, LIMIT)
@@ -1062,7 +1062,7 @@
         for sock in (*self.fake_engine.socks, *self.socks.values()):
             sock.close()
         # No new descriptor is left open. The set is compared, not the count: the garbage collector may close what
-        # earlier tests left, the count was then 5 lower for good, and a wait for an equal count timed out.
+        # earlier tests left open; the count then stayed 5 lower, and a wait for an equal count timed out.
         wait_until(lambda: open_descriptors() <= self.before)
         self.finished_attempts_receive_nothing_more()
         self.fake_engine.close()
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -133,7 +133,7 @@
 
 
 def test_exit_uses_deadlines_reloaded_by_sighup(site: Site) -> None:
-    # guards against computing the end of the drain from the configuration at the start: SIGKILL came first
+    # guards against computing the end of the drain from the configuration at the start: SIGKILL came before it
     grades = [grade | {"DeadlineNs": 1_000_000_000} for grade in SETTINGS["Grades"]]
     site.program.reload(json.dumps(site.program.config | {"settings": SETTINGS | {"Grades": grades}}))
     site.program.wait_for("reconfigured")
--- a/tests/test_extremes.py
+++ b/tests/test_extremes.py
@@ -157,7 +157,7 @@
     time.sleep(0.1)
     stopped = time.monotonic()
     program.terminate()
-    while time.monotonic() < stopped + 0.6:  # new clients connect for longer than the operators' page says
+    while time.monotonic() < stopped + 0.6:  # new clients connect for longer than the operators' page specifies
         time.sleep(0.05)
         with contextlib.suppress(OSError, EOFError):
             clients.append(RepeatingClient(address, len(clients), int(deadline * 1e3)))
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -208,7 +208,7 @@
     method: str, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for results in run_with_each_failure(method, code, monkeypatch, no_patch):
-        assert results == [SERVED] * 3  # also if the engine's connection fails, because the class may be repeated
+        assert results == [SERVED] * 3  # also if the engine's connection fails: the class allows a retry
 
 
 @pytest.mark.parametrize("code", (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOBUFS), ids=errno.errorcode.get)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -94,7 +94,7 @@
 
 def test_forty_gateways_spread_out_their_reconnects_to_lost_coordinator() -> None:
     # All gateways lose the coordinator at the same moment. Retries must not come in bursts that it would have to
-    # withstand when it returns, and the last gateway must not retry too late.
+    # handle when it returns, and the last gateway must not retry too late.
     times = []
     for seed in range(40):
         backoff, at = Backoff(0.1, 1.5, seed), 0.0
@@ -121,8 +121,8 @@
 def test_watch_backs_off_from_coordinator_that_accepts_and_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A connection alone must not reset the backoff: a coordinator that accepted and closed connections was asked three
-    # times a second without end.
+    # A connection alone must not reset the backoff: a coordinator that accepted and closed connections got three
+    # requests a second indefinitely.
     watch = WatchClient(("127.0.0.1", 9), 3, site.settings(), lambda update: None)
     waits: list[float] = []
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -189,7 +189,7 @@
     before = daemon.open(query(2, 3))
     daemon.put_in_force(dataclasses.replace(platform), Table.of([Route(0, 9, ("y", "z"))]), None, 2)
     assert daemon._decisions.module is module and daemon.agreed_version == 2  # the module keeps its state
-    assert before._to_request().zones == frozenset((z,))  # also for its retries
+    assert before._to_request().zones == frozenset((z,))  # the open request keeps its sites for retries
     assert zones_of(daemon, 3, 3) == frozenset((y,)) and zones_of(daemon, 4, 30) is None
     down = tuple(
         dataclasses.replace(e, health=api.Health.DRAINING) for e in daemon._decisions.engine_list if e.zone == y
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The decision module by itself: engine selection by the index, and regression tests of single failures."""
+"""The decision module without a server: engine selection by the index, and regression tests of single failures."""
 
 from __future__ import annotations
 
@@ -116,7 +116,7 @@
 
 
 def test_engine_that_answered_full_gets_no_attempts_during_backoff() -> None:
-    # Guards against wasted attempts: FULL came back in half a millisecond, so each request made three attempts.
+    # Guards against wasted attempts: engines returned FULL in half a millisecond, so each request made three attempts.
     bench = Bench(make_settings(), engines=2)
     (send,) = sends(bench.request())
     (again,) = sends(bench.handle(bad(send.id, send.engine, api.AttemptResult.FULL)))
@@ -342,8 +342,8 @@
     assert {s.engine for _ in range(3) for s in sends(bench.request())} <= {1}
 
 
-def test_old_report_does_not_exclude_engine_for_good() -> None:
-    # Guards against permanent exclusion: an old report said full, so nothing was sent, and no newer report came.
+def test_old_report_does_not_exclude_engine_permanently() -> None:
+    # Guards against permanent exclusion: after an old report of a full engine nothing was sent, and no newer one came.
     bench = Bench(make_settings(report_fields=("inflight", "util")), engines=1)
     (send,) = sends(bench.request())
     bench.handle(ok(send.id, 0, report=(200.0, 1.0)), 0.1)
@@ -549,7 +549,7 @@
 
 def test_share_of_queries_falls_gradually_as_engine_memory_fills() -> None:
     # Guards against synchronized rejections: after one report above m every gateway rejected for a second, and the
-    # rejected requests came back.
+    # rejected requests were retried.
     bench = Bench(make_settings(report_fields=("x0",)), engines=1)
     shares = []
     for memory in (0.7, 1.3, 2.2):
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize(("name", "linked"), [("n0", 199), ("n199", 5)])
 def test_learner_links_to_voters_only_and_voter_to_all_members(name: str, linked: int) -> None:
-    others = socket.create_server(("127.0.0.1", 0), backlog=256)  # stands in for the others, reads nothing
+    others = socket.create_server(("127.0.0.1", 0), backlog=256)  # the address of all other members; never reads
     host, port = others.getsockname()
     members, learners = fleet_of(200, 5, (host, port))
     own_address = ("127.0.0.1", free_port())
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -49,7 +49,7 @@
 def test_lease_duration_counts_from_request_and_loss_precedes_expiry() -> None:
     holder = granted_holder()
     assert holder.valid(100.0 + VALID_TIME - 0.01) and not holder.valid(100.0 + VALID_TIME + 0.01)
-    assert holder.tick(100.0 + 0.3 * TTL) == [Action.RENEW]  # and no reply comes
+    assert holder.tick(100.0 + 0.3 * TTL) == [Action.RENEW]  # a renewal request without a reply
     assert holder.tick(100.01 + VALID_TIME) == [Action.LOST]
     assert holder.granted(100.01 + VALID_TIME, 7) == [Action.GAINED]  # a late reply: counts from the renewal request
     assert holder.valid(101.5 + VALID_TIME - 0.01) and not holder.valid(101.5 + VALID_TIME + 0.01)
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -301,7 +301,7 @@
             assert conditions.overlap(left, right) is not None
 
 
-def test_errors_of_bad_conditions_say_what_is_allowed() -> None:
+def test_errors_of_bad_conditions_name_what_is_allowed() -> None:
     for text in ("", "fleet.load", "fleet.load >", "fleet.load = 2", "fleet.load > 2 and", "x.y > 1"):
         with pytest.raises(ConditionError):
             conditions.parse(text)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -79,7 +79,7 @@
     for _ in range(2):  # a duplicate answer must not invalidate the first
         say(sock, parts[1], b"200", b"sheets=3,rep=queue:0;inflight:7", PAGE)
     assert [site.engine.next(b"turn")[1][2] for _ in range(2)] == [b"1", b"2"]
-    for text in (b"3\t3\t3\n", b"4\t4\t4\n"):  # pages come in any order; of duplicates the first counts
+    for text in (b"3\t3\t3\n", b"4\t4\t4\n"):  # pages arrive in any order; of duplicates the first is used
         say(sock, parts[1], b"chunk", b"sheet=2", text)
     say(sock, parts[1], b"chunk", b"sheet=1", b"2\t2\t2\n")
     assert client.rows()[2:] == [b"\x012\x012\x012", b"\x013\x013\x013"]
@@ -124,7 +124,7 @@
 
 
 def test_request_with_the_id_of_an_open_one_is_rejected(site: Site) -> None:
-    # guards an open request: engines tell requests apart by id, and would answer one with the other's rows
+    # guards an open request: engines identify requests by id, and would answer one with the other's rows
     client, other = site.client(), site.client()
     client.ask()
     sock, parts = site.engine.next(b"want")
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -330,7 +330,7 @@
 
 
 def test_deposed_leader_does_not_answer_reads() -> None:
-    fleet = Fleet(check_quorum=False)  # the deposed leader does not step down by itself
+    fleet = Fleet(check_quorum=False)  # otherwise the deposed leader steps down
     old = fleet.leader()
     fleet.isolate(old.local_id)
     old.read(fleet.now, 7)
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -171,7 +171,7 @@
         until(lambda: in_force(trial, number + 2))
 
 
-def test_change_goes_on_without_a_cut_off_hold_member() -> None:
+def test_change_completes_without_a_cut_off_hold_member() -> None:
     with fleet("hold") as trial:
         lost = next(name for name in trial.names if name not in ("n0", trial.leader()))
         with trial.proxy.lock:
@@ -196,7 +196,7 @@
         assert [m["name"] for m in call(trial, "n0", "rules.status")["members"]] == others
 
 
-def test_change_goes_on_without_a_hold_member_whose_disk_fails() -> None:
+def test_change_completes_without_a_hold_member_whose_disk_fails() -> None:
     with fleet("hold") as trial:
         lost = next(name for name in trial.names if name not in ("n0", trial.leader()))
         call(trial, lost, "fault.disk", fault="fsync", count=10**6)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -27,7 +27,7 @@
 
 
 class RuleChecker:
-    """Tracks one gateway's events and actions by itself, and fails an assertion when a rule is broken."""
+    """Tracks one gateway's events and actions independently, and fails an assertion when a rule is broken."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings, self.now = settings, 0.0
--- a/tests/test_rules_machine.py
+++ b/tests/test_rules_machine.py
@@ -27,7 +27,7 @@
 
 
 class MemberModel:
-    """What a member's present start may still do, derived from the accepted commands and not from the tables."""
+    """The expected state of a member's current start, derived from the accepted commands and not from the tables."""
 
     def __init__(self, start: int, mode: r.PartitionMode) -> None:
         self.start, self.mode = start, mode
--- a/tests/test_rules_trials.py
+++ b/tests/test_rules_trials.py
@@ -1,7 +1,7 @@
 """Changes of the rules in real processes with injected faults: no older version decides after a newer one answered.
 
-The judges once missed one of the five sabotaged gateways in some runs. Each violates the guarantee only at one point
-(a report under way, a permit expired), and the scenarios' faults met that point by chance: on a busy machine the phase
+The judges missed one of the five sabotaged gateways in some runs. Each violates the guarantee only at one point (a
+report in flight, a permit expired), and the scenarios' faults hit that point by chance: on a busy machine the phase
 had ended before the cut. Each point is now forced before the scenario (lab/faults/moments), under the same load; an
 intact gateway runs through the same points. See docs/incidents/broken-gateways-not-found.md.
 """
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -74,7 +74,7 @@
     client = Client(address)
     client.ask()
     sock, parts = engine.next(b"want")
-    for number in range(SERIES):  # also during the drain: none of them cuts it short or ends the process
+    for number in range(SERIES):  # also during the drain; no signal shortens it or ends the process
         program.process.send_signal(signal.SIGTERM if number % 2 else signal.SIGHUP)
     program.wait_for("draining")
     program.process.send_signal(signal.SIGHUP)
@@ -86,7 +86,7 @@
 
 def test_sigstop_while_a_bad_file_is_read_again_does_not_end_the_program(tmp_path: Path, engine: Peer) -> None:
     # guards against signal.sigtimedwait, which returns a signal that was never sent if it is interrupted after its
-    # timeout (CPython 3.11): that counted as SIGTERM, and the gateway drained and ended by itself
+    # timeout (CPython 3.11): that counted as SIGTERM, and the gateway drained and exited
     program = Program(tmp_path, engine.address)
     address = program.address()
     for _ in range(4):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -168,7 +168,7 @@
             customer.attempt_log.hold(request["call"])
             client.ask(**request)
             first = customer.attempt_log.wait_for_attempt(request["call"])
-            first.connection.shutdown(socket.SHUT_RDWR)  # as if the engine's process died
+            first.connection.shutdown(socket.SHUT_RDWR)  # as if the engine's process crashed
             if grade["Effect"] == "once":
                 assert client.error()[0] == FAILED
                 assert len(customer.attempt_log.attempts_of(request["call"])) == 1
@@ -474,7 +474,7 @@
         early = sites.request_fields(parcel.text, 0, 0, next(CALLS))
         assert execute(client, early) == 0 and parcel.attempt_log.attempts_of(early["call"])
         late = parcel.members[1]
-        sock, words = site.coordinator.next(b"follow")  # the watch reconnects and asks for the changes after index 2
+        sock, words = site.coordinator.next(b"follow")  # the watch reconnects and requests the changes after index 2
         assert words[1] == b"2"
         # The engine list continues with the new names.
         send_event(sock, 3, late, parcel.members[0] | {"phase": "draining"})
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -373,7 +373,7 @@
     daemon.start()
     sock, _ = coordinator.watch()
     other = {"locality": "y", "flavor": "l"}
-    send_events(sock, event(2, member("s-2", "127.0.0.1:1", **other)))  # the settings that name its place come later
+    send_events(sock, event(2, member("s-2", "127.0.0.1:1", **other)))  # settings with its zone and kind come later
     assert "locality" in log_events.next("engine_unusable")["why"] and set(engine_health(daemon)) == {ONE}
     old = daemon._decisions.settings
     held = daemon._decisions.register(b"1" * 16, SimpleQueue(), old)  # a request stays open under the old settings
