--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -10,7 +10,7 @@
 
 from tealwing.lab.models.consensus import Budget, Consensus
 from tealwing.lab.models.explore import explore
-from tealwing.lab.models.starts import figure_eight, forgotten, led, sure
+from tealwing.lab.models.starts import confirmed, figure_eight, forgotten, led
 
 
 def main() -> None:
@@ -31,8 +31,8 @@
         ("the core, older disks", Consensus(old, stale=1), depth + 4),
         ("trust-old-disks", Consensus(old, "trust-old-disks", stale=1), depth + 4),
         ("a vote is forgotten", Consensus(once, "", "abcde", 1, begin=forgotten), depth + 2),
-        ("and its voter is sure", Consensus(once, "", "abcde", 1, begin=sure), depth + 3),
-        ("forgotten-votes, from there", Consensus(once, "forgotten-votes", "abcde", 1, begin=sure), depth + 2),
+        ("and its voter is sure", Consensus(once, "", "abcde", 1, begin=confirmed), depth + 3),
+        ("forgotten-votes, from there", Consensus(once, "forgotten-votes", "abcde", 1, begin=confirmed), depth + 2),
         ("3 voters and a learner", Consensus(replace(plain, twice=0), learners="d"), depth),
         ("the learner is promoted", Consensus(learning, begin=led, learners="d"), depth + 1),
         ("it is promoted, and a voter demoted", Consensus(both, begin=led, learners="d"), depth + 3),
--- a/tealwing/lab/models/starts.py
+++ b/tealwing/lab/models/starts.py
@@ -95,13 +95,13 @@
     world.network = frozenset()
     world = model.stand_for_election(world, "e")
     world = deliver_newest(deliver_newest(world, "e", "b", RequestVote), "b", "e", RequestVoteReply)
-    asked = frozenset(m for m in world.network if m[0] == "e")
+    requests = frozenset(m for m in world.network if m[0] == "e")
     world = model.crash(world, "b", -2)
-    world.budget, world.network = budget, asked | world.network
+    world.budget, world.network = budget, requests | world.network
     return world
 
 
-def sure(model: Consensus, world: World) -> World:
+def confirmed(model: Consensus, world: World) -> World:
     """Start from `forgotten`: a knows b's new incarnation, c and d have answered a round since, and b is confirmed."""
     world = forgotten(model, world)
     budget = world.budget
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -14,7 +14,7 @@
 from tealwing.lab.judges import copies, register
 from tealwing.lab.models.consensus import Budget, Consensus
 from tealwing.lab.models.explore import explore, wander
-from tealwing.lab.models.starts import figure_eight, forgotten, likely, message_between, sure
+from tealwing.lab.models.starts import confirmed, figure_eight, forgotten, likely, message_between
 from tealwing.replica import commands as c
 from tealwing.replica.messages import (
     AppendEntries,
@@ -533,7 +533,7 @@
 
 @pytest.mark.parametrize("mutation", ["forgotten-votes", ""])
 def test_entry_acknowledged_by_member_that_lost_its_vote_stays_committed(mutation: str) -> None:
-    model = Consensus(Budget(proposals=1), mutation, "abcde", 1, begin=sure)
+    model = Consensus(Budget(proposals=1), mutation, "abcde", 1, begin=confirmed)
     world = model.propose(model.initial(), "a")
     for source, target, kind in (
         *(
@@ -554,13 +554,15 @@
 
 def test_model_check_finds_leader_elected_by_lost_vote() -> None:
     once = Budget(timeouts=1, beats=0, proposals=0, crashes=0, twice=0)
-    found = explore(Consensus(once, "forgotten-votes", "abcde", 1, begin=sure), 7)
+    found = explore(Consensus(once, "forgotten-votes", "abcde", 1, begin=confirmed), 7)
     assert found.broken == "e and b both lead term 2" and len(found.trace) == 7
-    holds = explore(Consensus(once, "", "abcde", 1, begin=sure), 7)
+    holds = explore(Consensus(once, "", "abcde", 1, begin=confirmed), 7)
     assert holds.is_exhaustive and holds.broken == "" and holds.states > 10_000
     few = Budget(timeouts=3, beats=3, proposals=2, crashes=1, old=1, twice=1)
-    assert "both lead" in wander(Consensus(few, "forgotten-votes", "abcde", 1, begin=sure), 200, 40, 1, likely).broken
-    assert wander(Consensus(few, "", "abcde", 1, begin=sure), 200, 40, 1, likely).broken == ""
+    assert (
+        "both lead" in wander(Consensus(few, "forgotten-votes", "abcde", 1, begin=confirmed), 200, 40, 1, likely).broken
+    )
+    assert wander(Consensus(few, "", "abcde", 1, begin=confirmed), 200, 40, 1, likely).broken == ""
     assert wander(Consensus(WALKS, "", "abcde", 1, begin=forgotten), 20, 160, 1, likely).broken == ""
 
 
