--- a/tealwing/commands/fleet.py
+++ b/tealwing/commands/fleet.py
@@ -77,11 +77,13 @@
         lines = [f"  {key:16} {effect}" for key, effect in sorted(runs.SABOTAGES.items())]
         raise click.UsageError(f"--sabotage: found {sabotage}; allowed:\n" + "\n".join(lines))
     log.logger.disabled = True  # the gateways log to files of their own; this process's log would mix with the results
-    folder = Path(out) if out is not None else None
-    if folder is not None and folder.exists() and any(folder.iterdir()):
-        raise click.UsageError(f"--out: {out} exists and is not empty; allowed: a new or empty folder")
+    directory = Path(out) if out is not None else None
+    if directory is not None and directory.exists() and any(directory.iterdir()):
+        raise click.UsageError(f"--out: {out} exists and is not empty; allowed: a new or empty directory")
     try:
-        found = runs.run_trial(scenario.load(name), procs, seconds, seed, folder, sabotage, lost_touch, sites, learners)
+        found = runs.run_trial(
+            scenario.load(name), procs, seconds, seed, directory, sabotage, lost_touch, sites, learners
+        )
     except (scenario.ScenarioError, ValueError, RuntimeError, OSError) as error:
         raise Finding(str(error)) from None
     for violation in found.violations[:20]:
@@ -91,7 +93,7 @@
     else:
         for key, value in found.summary.items():
             click.echo(f"{key:24} {value}")
-        if folder is not None:
-            click.echo(f"report: {folder / 'report.html'}")
+        if directory is not None:
+            click.echo(f"report: {directory / 'report.html'}")
     if found.violations:
         raise SystemExit(1)
--- a/tealwing/lab/hollow/fleet.py
+++ b/tealwing/lab/hollow/fleet.py
@@ -128,7 +128,7 @@
     """A fleet of hollow gateways; as a context manager it ends all that it started."""
 
     def __init__(
-        self, count: int, voters: int = 5, lost_touch: str = "serve", members_a_host: int = MEMBERS_A_HOST,
+        self, count: int, voters: int = 5, partition_mode: str = "serve", members_a_host: int = MEMBERS_A_HOST,
         limit: float = 5.0, heartbeat: float = 0.2, singles: int = 0,
     ) -> None:  # fmt: skip
         """Prepare `count` members, of which the first `voters` vote; `singles` learners get a process of their own.
@@ -137,7 +137,7 @@
         """
         names = tuple(f"g{number:04}" for number in range(count))
         ports = tuple(free_port() for _ in names)
-        self.fleet = Fleet(names, ports, min(voters, count), lost_touch, heartbeat, limit)  # type: ignore[arg-type]
+        self.fleet = Fleet(names, ports, min(voters, count), partition_mode, heartbeat, limit)  # type: ignore[arg-type]
         self.need = requirements.need(self.fleet, members_a_host, singles)
         requirements.check(self.need, requirements.available_resources())
         self._directory = tempfile.TemporaryDirectory(prefix="tealwing-hollow-")
--- a/tealwing/lab/hollow/specification.py
+++ b/tealwing/lab/hollow/specification.py
@@ -11,7 +11,7 @@
 from tealwing.replica.plan import ReplicaPlan as ReplicaPlan
 from tealwing.rollout.plan import Plan as RulesPlan
 
-LostTouch = Literal["serve", "hold"]
+PartitionMode = Literal["serve", "hold"]
 FLEET = "hollow"
 
 
@@ -21,7 +21,7 @@
     members: tuple[str, ...]
     ports: tuple[int, ...]  # ports of the members' peer links on 127.0.0.1, in the order of members
     voters: int  # number of members that vote, the first ones; the others are learners
-    lost_touch: LostTouch = "serve"
+    lost_touch: PartitionMode = "serve"
     beat: float = 0.2  # s between two heartbeats on a link
     limit: float = 5.0  # s after which a change that is not covered is aborted
 
@@ -32,7 +32,7 @@
 
 
 class Host(msgspec.Struct, frozen=True):
-    """One host process: the members of the fleet that it hosts, their folder and their control ports."""
+    """One host process: the members of the fleet that it hosts, their directory and their control ports."""
 
     fleet: Fleet
     here: tuple[str, ...]
--- a/tealwing/lab/models/explore.py
+++ b/tealwing/lab/models/explore.py
@@ -44,7 +44,7 @@
         text = f"{self.states} states, {self.steps} steps, depth {self.depth}, {self.seconds:.1f} s"
         if not self.broken:
             return text + ("" if self.is_exhaustive else ", not exhaustive")
-        lines = "\n".join(f"  {number}. {word}" for number, word in enumerate(self.trace, 1))
+        lines = "\n".join(f"  {number}. {step}" for number, step in enumerate(self.trace, 1))
         return f"{text}\n{self.broken}, after\n{lines}"
 
 
@@ -56,12 +56,12 @@
     level: list[tuple[Hashable, State]] = [(model.key(first), first)]
     steps = 0
 
-    def found(at: int, whole: bool, broken: str = "", last: Hashable = None) -> Found:
+    def found(at: int, is_exhaustive: bool, broken: str = "", last: Hashable = None) -> Found:
         trace = []
         while broken and (back := seen[last]) is not None:
             last, step = back
             trace.append(step)
-        return Found(len(seen), steps, at, time.monotonic() - begun, whole, broken, tuple(reversed(trace)))
+        return Found(len(seen), steps, at, time.monotonic() - begun, is_exhaustive, broken, tuple(reversed(trace)))
 
     if wrong := model.broken(first):
         return found(0, True, wrong, model.key(first))
@@ -86,7 +86,7 @@
     return found(depth, True)
 
 
-def wander(model: Model, walks: int, length: int, seed: int, weigh: Callable[[str], float] = lambda word: 1.0) -> Found:
+def wander(model: Model, walks: int, length: int, seed: int, weigh: Callable[[str], float] = lambda step: 1.0) -> Found:
     """Take random walks, far longer than can be explored exhaustively; `weigh` gives a step its relative weight."""
     begun, rng = time.monotonic(), random.Random(seed)
     steps = 0
--- a/tealwing/lab/models/federation.py
+++ b/tealwing/lab/models/federation.py
@@ -48,9 +48,9 @@
 
     def _site_commands(self, world: World, name: str) -> frozenset[tuple[str, r.Body]]:
         node, site = world.nodes[name], name.upper()
-        here, there = world.logs[site].states[node.at[site]], world.logs[TOP].states[node.at[TOP]]
-        ours, theirs = required_proposals(site, here, there, node.at[TOP])
-        return frozenset([*((site, body) for body in ours), *((TOP, body) for body in theirs)])
+        site_state, federation_state = world.logs[site].states[node.at[site]], world.logs[TOP].states[node.at[TOP]]
+        site_bodies, federation_bodies = required_proposals(site, site_state, federation_state, node.at[TOP])
+        return frozenset([*((site, body) for body in site_bodies), *((TOP, body) for body in federation_bodies)])
 
 
 def closing(*sites: str, lapse: str = "") -> Callable[[Rollout, World], World]:
--- a/tealwing/lab/models/leases.py
+++ b/tealwing/lab/models/leases.py
@@ -97,7 +97,7 @@
         world = World(0, holders, {"a": RATES[0], "b": RATES[1], "leader": RATES[1]}, self._state(), expiry)
         if self._renewing:
             world = self._tick(world, "a")
-            world = self._hear(self._apply(world, next(iter(world.requests))), "a")
+            world = self._receive(self._apply(world, next(iter(world.requests))), "a")
             world = self._tick(self._pass(self._pass(world)), "a")
         return world
 
@@ -109,7 +109,7 @@
             if world.holders[name].request_sent_at is None or world.holders[name].token:
                 yield f"{name} reads its clock", lambda n=name: self._tick(world, n)  # type: ignore[misc]
             if name in world.answers:
-                yield f"{name} receives {_describe_result(world.answers[name])}", lambda n=name: self._hear(world, n)  # type: ignore[misc]
+                yield f"{name} receives {_describe_result(world.answers[name])}", lambda n=name: self._receive(world, n)  # type: ignore[misc]
             if world.holders[name].request_sent_at is not None:
                 yield f"{name} times out waiting for the answer", lambda n=name: self._give_up(world, n)  # type: ignore[misc]
             if world.acts < self._acts and world.holders[name].valid(world.clock(name)):
@@ -167,7 +167,7 @@
             after.answers[request.holder] = result
         return after
 
-    def _hear(self, world: World, name: str) -> World:
+    def _receive(self, world: World, name: str) -> World:
         after = self._with(world, name)
         result, holder = after.answers.pop(name), after.holders[name]
         after.waits.pop(name)
--- a/tealwing/lab/models/mutations.py
+++ b/tealwing/lab/models/mutations.py
@@ -16,9 +16,9 @@
 class VotesTwice(Raft):
     """A mutation: a member grants a vote even if it has voted in that term already."""
 
-    def _handle_request_vote(self, now: float, source: str, ask: RequestVote) -> None:
+    def _handle_request_vote(self, now: float, source: str, request: RequestVote) -> None:
         self.vote = ""
-        super()._handle_request_vote(now, source, ask)
+        super()._handle_request_vote(now, source, request)
 
 
 class TrustsOldDisks(Raft):
@@ -28,7 +28,7 @@
         return False
 
 
-class SureAtOnce(Raft):
+class ConfirmsWithoutQuorum(Raft):
     """A mutation: the leader confirms a member's incarnation once it has all committed entries, without a quorum."""
 
     def _confirm_incarnation(self, name: str, progress: Progress) -> None:
@@ -56,7 +56,7 @@
     "commit-old-terms": CommitsOldTerms,
     "vote-twice": VotesTwice,
     "trust-old-disks": TrustsOldDisks,
-    "sure-at-once": SureAtOnce,
+    "sure-at-once": ConfirmsWithoutQuorum,
     "forgotten-votes": LeadsByForgottenVotes,
     "count-learners": CountsLearners,
 }
--- a/tealwing/lab/models/rollout.py
+++ b/tealwing/lab/models/rollout.py
@@ -125,15 +125,15 @@
         world = self.apply(world, LOG, propose(0))
         return self.apply_until_stable(world, lambda body: isinstance(body, r.Verdict))
 
-    def apply_until_stable(self, world: World, want: Callable[[r.Body], bool]) -> World:
-        """Append the proposed commands that `want` accepts and let all members catch up, until nothing changes."""
+    def apply_until_stable(self, world: World, accepts: Callable[[r.Body], bool]) -> World:
+        """Append the proposed commands that `accepts` selects and let all members catch up, until nothing changes."""
         while True:
             for name, node in world.nodes.items():
                 for log in node.at:
                     if node.at[log] < len(world.logs[log].states) - 1:
                         world = self.catch_up(world, name, log, len(world.logs[log].states) - 1)
             for log, body in sorted(world.requests, key=repr):
-                if want(body) and (after := self.apply(world, log, body)) is not world:
+                if accepts(body) and (after := self.apply(world, log, body)) is not world:
                     world = after
                     break
             else:
@@ -308,14 +308,14 @@
         node = world.nodes[name]
         now, machine = self._clock(world, node), node.machine
         views = [self._view(world, log, node.at[log], who) for log, who in self.logs_of(name).items()]
-        said: set[tuple[str, r.Body]] = set()
+        submitted: set[tuple[str, r.Body]] = set()
         again = True
         while again:
             again = False
             for action in machine.step(now, *views):
                 match action:
                     case SubmitCommand(body):
-                        said.add((next(iter(node.at)), body))
+                        submitted.add((next(iter(node.at)), body))
                     case PersistMarker(number):
                         machine.marker_written(number)
                         again = True
@@ -325,8 +325,8 @@
                     case Restart():
                         again = True
         for log, observer in node.observers.items():
-            said |= {(log, body) for body in observer.due(now, world.logs[log].states[node.at[log]])}
-        world.requests = world.requests | said | self._site_commands(world, name)
+            submitted |= {(log, body) for body in observer.due(now, world.logs[log].states[node.at[log]])}
+        world.requests = world.requests | submitted | self._site_commands(world, name)
         gate = machine.gate_state(now)
         if gate.mode == "open" and not world.wrong:
             if gate.number < world.newest:
@@ -355,11 +355,11 @@
         """Return the identity of a state: of each log only what a member has yet to apply or may restart from."""
         logs = []
         for name, log in world.logs.items():
-            least = min(
+            oldest = min(
                 min(node.at[name], node.disk[name] if world.budget.old or world.budget.flips else node.at[name])
                 for node in world.nodes.values() if name in node.at
             )  # fmt: skip
-            logs.append((len(log.states), log.keys[least:]))
+            logs.append((len(log.states), log.keys[oldest:]))
         nodes = tuple(
             (self._intern(node.machine.key()), tuple(node.at.values()), tuple(node.disk.values()),
              tuple(tuple(sorted(observer._observed_at.items())) for observer in node.observers.values()))
--- a/tealwing/lab/models/rollout_parts.py
+++ b/tealwing/lab/models/rollout_parts.py
@@ -28,7 +28,7 @@
         """Return True: every action may be tried at once."""
         return True
 
-    def retain(self, wanted: Iterable[Hashable]) -> None:
+    def retain(self, keys: Iterable[Hashable]) -> None:
         """Do nothing, as this schedule stores no keys."""
 
 
--- a/tealwing/lab/rig/loads/rules/load.py
+++ b/tealwing/lab/rig/loads/rules/load.py
@@ -34,9 +34,9 @@
         rules_order.check, rules_versions.check, rules_agreement.check, copies.check, views.check,
     )  # fmt: skip
 
-    def __init__(self, lost_touch: str = "serve", limit: float = 3.0) -> None:
+    def __init__(self, partition_mode: str = "serve", limit: float = 3.0) -> None:
         """limit: s after which the processes abort a change that is not agreed to."""
-        self._lost_touch, self._limit = lost_touch, limit
+        self._partition_mode, self._limit = partition_mode, limit
         self._clients = Clients()
         self._watch: VersionWatcher | None = None
         self._operators: Operators | None = None
@@ -44,7 +44,7 @@
 
     def start(self, trial: Trial) -> None:
         """Bring a first version into force, then start all clients and operators."""
-        trial.history.add("rules", lost_touch=self._lost_touch, sites=list(trial.layout.zones))
+        trial.history.add("rules", lost_touch=self._partition_mode, sites=list(trial.layout.zones))
         self._watch = watch = VersionWatcher(trial)
         self._operators = operators = Operators(trial, watch, trial.layout.zones, self._limit)
         operators.only_plain = self._only_plain
--- a/tealwing/lab/rollout/part.py
+++ b/tealwing/lab/rollout/part.py
@@ -45,7 +45,7 @@
         self.wake = Signal(self._clock)
         self._messages: deque[Body] = deque()
         self._published = Signal(self._clock)
-        self._read_wanted = {False: Signal(self._clock), True: Signal(self._clock)}
+        self._read_requested = {False: Signal(self._clock), True: Signal(self._clock)}
         log.applied.append(self._applied)
         log.led.append(lambda leads: self.wake.set())
         if federation is not None:
@@ -137,7 +137,7 @@
             case SubmitCommand(body):
                 self._publish(body)
             case ReadIndex(federation):
-                self._read_wanted[federation].set()
+                self._read_requested[federation].set()
 
     # The threads of the log's clients
 
@@ -160,8 +160,8 @@
     def _run_reads(self, federation: bool) -> Step:
         log = self._federation if federation and self._federation is not None else self.log
         while True:
-            yield self._read_wanted[federation], None
-            self._read_wanted[federation].clear()
+            yield self._read_requested[federation], None
+            self._read_requested[federation].clear()
             token = self.machine.read_sent(self._clock.now, federation)
             index = yield from log.read_index(READ_TIMEOUT)
             if index is None:
--- a/tealwing/lab/score.py
+++ b/tealwing/lab/score.py
@@ -56,8 +56,8 @@
     earned = weight * np.where(in_time, 1.0, np.where(served, late_weight, 0.0))
 
     def share(of: Any) -> float:
-        asked = float(weight[of].sum())
-        return float(earned[of].sum()) / asked if asked else 1.0
+        requested = float(weight[of].sum())
+        return float(earned[of].sum()) / requested if requested else 1.0
 
     stretch = ((arrivals.at - begin) // STRETCH).astype(int)
     worst = min((share(counted & (stretch == i)) for i in range(max(int(stretch.max(initial=0)), 1))), default=1.0)
--- a/tealwing/lab/site.py
+++ b/tealwing/lab/site.py
@@ -15,26 +15,26 @@
 def settings(gateways: int = 3) -> api.Settings:
     """The settings of each gateway."""
 
-    def made(
+    def request_class(
         name: str,
-        aim: float,
-        stretch: float,
+        latency_objective: float,
+        objective_per_work: float,
         deadline: float,
-        worth: float,
+        priority_weight: float,
         threads: int,
-        late: float,
+        late_weight_share: float,
         effect: api.Idempotency,
-        holds: bool,
+        locks_tables: bool,
         waits: bool,
     ) -> api.RequestClass:
         window = 25.0 if effect is api.Idempotency.KEYED else 5.0
         return api.RequestClass(
             name,
-            aim,
-            stretch,
+            latency_objective,
+            objective_per_work,
             deadline,
-            worth,
-            late,
+            priority_weight,
+            late_weight_share,
             effect,
             api.IdempotencyScope.ALL,
             window,
@@ -42,7 +42,7 @@
             threads,
             None,
             None,
-            holds,
+            locks_tables,
             waits,
         )
 
@@ -54,9 +54,9 @@
         zones=("bloemfontein",),
         machine_kinds=tuple(api.MachineKind(f"{cores}-core", cores, memory) for cores, memory, _ in MACHINES),
         classes=(
-            made("lookup", 0.6, 1.5, 3.0, 1.0, 1, 0.0, safe, False, True),
-            made("report", 3.0, 2.5, 20.0, 7.5, 3, 0.3, safe, False, False),
-            made("load", 3.0, 2.5, 25.0, 10.0, 2, 0.6, keyed, True, False),
+            request_class("lookup", 0.6, 1.5, 3.0, 1.0, 1, 0.0, safe, False, True),
+            request_class("report", 3.0, 2.5, 20.0, 7.5, 3, 0.3, safe, False, False),
+            request_class("load", 3.0, 2.5, 25.0, 10.0, 2, 0.6, keyed, True, False),
         ),
         limits=api.Limits(True, False, False, False, True, 3, 0.5, 0.25, 30.0, 100),
         rules=api.Rules(0.02, 10.0, 0.32, 13.0, 1.0, 2.0, 3.0, 0.0, None, 0.0, 0.0),
--- a/tealwing/mysql/server.py
+++ b/tealwing/mysql/server.py
@@ -179,15 +179,15 @@
         while True:  # a thread may have accepted one more client before it noticed the stop
             with self._changed:
                 self._changed.wait_for(self._empty, min(TIME_LIMIT_CHECK_INTERVAL, until - time.monotonic()))
-                late = [session for session in self._sessions.values() if session not in sessions]
+                accepted_late = [session for session in self._sessions.values() if session not in sessions]
                 left, empty = len(self._sessions), self._empty()
             if empty or (not left and time.monotonic() >= until):
                 break
             if time.monotonic() >= until:
                 return False
-            for session in late:
+            for session in accepted_late:
                 session.stop()
-            sessions.extend(late)
+            sessions.extend(accepted_late)
         with self._changed:  # all answers have been sent
             lingering = self._lingering.expired(float("inf"))
         for session in lingering:
--- a/tealwing/replica/storage/records.py
+++ b/tealwing/replica/storage/records.py
@@ -27,10 +27,10 @@
 class AcknowledgedDataLostError(StorageError):
     """The directory lacks acknowledged state; the message names what the operator can do."""
 
-    def __init__(self, folder: Path) -> None:
+    def __init__(self, directory: Path) -> None:
         super().__init__(
-            f"{folder}: votes or entries that this member has acknowledged are missing, and `stale` is 0; restore the"
-            " directory as it was, or remove the member and add it under another name"
+            f"{directory}: votes or entries that this member has acknowledged are missing, and `stale` is 0; restore"
+            " the directory as it was, or remove the member and add it under another name"
         )
 
 
