--- a/tealwing/lab/judges/clients.py
+++ b/tealwing/lab/judges/clients.py
@@ -16,9 +16,9 @@
             down.setdefault(fields["who"], []).append((begin, end))
     found = []
     for query in operations(events, "query"):
-        if query.word == "ok" and query.result["word"] == "served":
+        if query.outcome == "ok" and query.result["word"] == "served":
             continue
-        if query.word == "unknown" and "t" not in query.result:  # the query was still open when the trial ended
+        if query.outcome == "unknown" and "t" not in query.result:  # the query was still open when the trial ended
             continue
         over = query.result["t"]
         if all(end < query.begin or begin > over for begin, end in down.get(query.process, ())):
@@ -30,7 +30,7 @@
     """Return one violation for each query that a running gateway did not serve."""
     found = []
     for query in rejected_queries(events):
-        answer = query.result.get("word", query.word)
+        answer = query.result.get("word", query.outcome)
         why = query.result.get("text") or query.result.get("why")
         found.append(
             Violation("clients", query.result["t"], f"{query.process} was up, and a query to it was {answer}: {why}")
--- a/tealwing/lab/judges/echo.py
+++ b/tealwing/lab/judges/echo.py
@@ -16,7 +16,7 @@
     found = []
     reach = Reachability(events, end)
     for ping in operations(events, "ping"):
-        if ping.word != "ok":
+        if ping.outcome != "ok":
             continue
         source, target = ping.process, ping.fields["to"]
         if ping.result["by"] != target:
--- a/tealwing/lab/judges/register.py
+++ b/tealwing/lab/judges/register.py
@@ -55,10 +55,10 @@
     by_value: dict[Any, Cluster] = {NOTHING: Cluster(NOTHING, None, [])}
     bad = []
     for op in found:
-        if op.op == "put" and op.word != "fail":
+        if op.op == "put" and op.outcome != "fail":
             by_value[op.fields["value"]] = Cluster(op.fields["value"], op, [])
     for op in found:
-        if op.op != "get" or op.word != "ok":
+        if op.op != "get" or op.outcome != "ok":
             continue
         cluster = by_value.get(op.result["value"])
         if cluster is None:
@@ -67,7 +67,7 @@
         if cluster.write is not None and op.end < cluster.write.begin:
             bad.append(Violation("stale", op.end, f"{op} returned {cluster.value!r} before it was written"))
         cluster.reads.append(op)
-    retained = [c for c in by_value.values() if c.write is None or c.write.word == "ok" or c.reads]
+    retained = [c for c in by_value.values() if c.write is None or c.write.outcome == "ok" or c.reads]
     return retained, bad
 
 
@@ -112,13 +112,13 @@
     writes: dict[str, list[Operation]] = {}
     last: dict[str, Any] = {}
     for op in operations(events, "put", "get"):
-        if op.op == "put" and op.word != "fail":
+        if op.op == "put" and op.outcome != "fail":
             writes.setdefault(op.fields["key"], []).append(op)
-        elif op.op == "get" and op.fields.get("last") and op.word == "ok":
+        elif op.op == "get" and op.fields.get("last") and op.outcome == "ok":
             last[op.fields["key"]] = op.result["value"]
     gone = []
     for key, value in last.items():
         final = next((op for op in writes.get(key, ()) if op.fields["value"] == value), None)
         after = -inf if value is NOTHING else final.end if final is not None else inf
-        gone += [op for op in writes.get(key, ()) if op.word == "ok" and op.begin > after]
+        gone += [op for op in writes.get(key, ()) if op.outcome == "ok" and op.begin > after]
     return gone
--- a/tealwing/lab/judges/rules_versions.py
+++ b/tealwing/lab/judges/rules_versions.py
@@ -75,7 +75,7 @@
 
 def activated(events: Sequence[Event]) -> list[Operation]:
     """Return the changes that were reported to their proposer as in force."""
-    return [op for op in operations(events, "change") if op.word == "ok" and op.result.get("phase") in IN_FORCE]
+    return [op for op in operations(events, "change") if op.outcome == "ok" and op.result.get("phase") in IN_FORCE]
 
 
 def _lost(events: Sequence[Event], end: float) -> list[Violation]:
--- a/tealwing/lab/judges/versions.py
+++ b/tealwing/lab/judges/versions.py
@@ -61,7 +61,7 @@
     found = [RoutedQuery(query) for query in operations(events, "query") if query.fields.get("moves")]
     by_call = {one.query.fields["call"]: one for one in found}
     for one in found:
-        if one.query.word == "ok" and one.query.result["word"] == "served":
+        if one.query.outcome == "ok" and one.query.result["word"] == "served":
             one.answered = one.query.result["site"]
     for event in events:
         if event["kind"] == "seen" and (reached := by_call.get(event["call"])) is not None:
--- a/tealwing/lab/rig/history.py
+++ b/tealwing/lab/rig/history.py
@@ -69,16 +69,16 @@
 class Operation:
     """One operation with its begin, its end and its outcome."""
 
-    __slots__ = ("begin", "end", "fields", "id", "op", "process", "result", "word")
+    __slots__ = ("begin", "end", "fields", "id", "op", "outcome", "process", "result")
 
     def __init__(self, event: Event) -> None:
         self.id, self.op, self.process = event["id"], event["op"], event["process"]
         self.begin: float = event["t"]
         self.end = float("inf")
-        self.fields, self.result, self.word = event, {}, "unknown"  # type: Event, Event, str
+        self.fields, self.result, self.outcome = event, {}, "unknown"  # type: Event, Event, str
 
     def __repr__(self) -> str:
-        return f"{self.op} {self.id} at {self.process} [{self.begin:.3f}, {self.end:.3f}] {self.word}"
+        return f"{self.op} {self.id} at {self.process} [{self.begin:.3f}, {self.end:.3f}] {self.outcome}"
 
 
 def operations(events: Iterable[Event], *ops: str) -> list[Operation]:
@@ -90,7 +90,7 @@
                 found[event["id"]] = Operation(event)
         elif event["kind"] in ("ok", "fail", "unknown") and event["id"] in found:
             operation = found[event["id"]]
-            operation.word, operation.result = event["kind"], event
+            operation.outcome, operation.result = event["kind"], event
             if event["kind"] != "unknown":  # an operation with an unknown outcome may still take effect, so stays open
                 operation.end = event["t"]
     return list(found.values())
--- a/tealwing/lab/rig/loads/echo.py
+++ b/tealwing/lab/rig/loads/echo.py
@@ -66,11 +66,11 @@
     def summary(self, events: Sequence[Event]) -> dict[str, Any]:
         """Return how many pings were sent, how many were answered, and how long they took."""
         pings = operations(events, "ping")
-        took = sorted(ping.result["took_ms"] for ping in pings if ping.word == "ok")
+        took = sorted(ping.result["took_ms"] for ping in pings if ping.outcome == "ok")
         return {
             "operations": len(pings),
             "answered": len(took),
-            "unreached_at_end": sum(1 for ping in pings if ping.fields.get("last") and ping.word != "ok"),
+            "unreached_at_end": sum(1 for ping in pings if ping.fields.get("last") and ping.outcome != "ok"),
             "ping_ms_p50": percentile(took, 0.5),
             "ping_ms_p99": percentile(took, 0.99),
         }
--- a/tealwing/lab/rig/loads/metrics.py
+++ b/tealwing/lab/rig/loads/metrics.py
@@ -18,7 +18,7 @@
 def failover_ms(events: Sequence[Event]) -> list[float]:
     """Return, for each fault that removed the leader, the ms until a write begun after it was acknowledged; sorted."""
     found = []
-    writes = sorted((op for op in operations(events, "put") if op.word == "ok"), key=lambda op: op.end)
+    writes = sorted((op for op in operations(events, "put") if op.outcome == "ok"), key=lambda op: op.end)
     for event in events:
         if event["kind"] != "fault" or not event.get("leader"):
             continue
@@ -71,7 +71,7 @@
             member[name] = event["t"]
     took = sorted((ready[name] - back[name]) * 1e3 for name in ready)
     majority = sorted(back.values())[len(back) // 2] if back else lost
-    first = min((op.end for op in operations(events, "put") if op.word == "ok" and op.begin > lost), default=None)
+    first = min((op.end for op in operations(events, "put") if op.outcome == "ok" and op.begin > lost), default=None)
     return {
         "ready": len(ready),
         "ready_ms_p50": percentile(took, 0.5),
--- a/tealwing/lab/rig/loads/power.py
+++ b/tealwing/lab/rig/loads/power.py
@@ -49,7 +49,7 @@
         """Return what was kept, which queries were refused, and how service recovered."""
         found = self._registers.summary(events)
         lost = next((event["t"] for event in events if event["kind"] == "power" and event["what"] == "lost"), None)
-        writes = [op for op in operations(events, "put") if op.word == "ok"]
+        writes = [op for op in operations(events, "put") if op.outcome == "ok"]
         queries = operations(events, "query")
         leased = self._leases.summary(events)
         summary: dict[str, Any] = {
@@ -57,7 +57,7 @@
             **{key: found[key] for key in ("operations", "acknowledged", "lost", "stale_reads", "divergent")},
             "split_brain": found["two_leaders"] + leased["overlaps"] + leased["stale_accepted"],
             "queries": len(queries),
-            "queries_served": sum(1 for op in queries if op.word == "ok" and op.result["word"] == "served"),
+            "queries_served": sum(1 for op in queries if op.outcome == "ok" and op.result["word"] == "served"),
             "refused_for_quorum": len(clients.rejected_queries(events)),
             "lease_idle_ms_max": leased["idle_ms_max"],
         }
--- a/tealwing/lab/rig/loads/register.py
+++ b/tealwing/lab/rig/loads/register.py
@@ -78,7 +78,7 @@
     def summary(self, events: Sequence[Event]) -> dict[str, Any]:
         """Return what was acknowledged, what of it is lost, stale or divergent, and how long failovers took."""
         ops = operations(events, "put", "get")
-        writes = [op for op in ops if op.op == "put" and op.word == "ok"]
+        writes = [op for op in ops if op.op == "put" and op.outcome == "ok"]
         rules = Counter(v.rule for checker in (register.check, copies.check) for v in checker(events, 0.0))
         took = sorted((op.end - op.begin) * 1e3 for op in writes)
         failovers, catchups = failover_ms(events), catchup_ms(events)
@@ -89,7 +89,7 @@
             "stale_reads": rules["stale"] + rules["invented"],
             "divergent": rules["divergent"],
             "two_leaders": rules["two-leaders"],
-            "unknown": sum(1 for op in ops if op.word == "unknown"),
+            "unknown": sum(1 for op in ops if op.outcome == "unknown"),
             "failovers": len(failovers),
             "failover_ms_p50": percentile(failovers, 0.5),
             "failover_ms_max": percentile(failovers, 1.0),
--- a/tealwing/lab/rig/loads/rules/metrics.py
+++ b/tealwing/lab/rig/loads/rules/metrics.py
@@ -42,7 +42,7 @@
 
 def served(query: Operation) -> bool:
     """Return whether the client received its rows."""
-    return query.word == "ok" and bool(query.result["word"] == "served")
+    return query.outcome == "ok" and bool(query.result["word"] == "served")
 
 
 def summary(events: Sequence[Event]) -> dict[str, Any]:
@@ -59,19 +59,19 @@
             last[phase] += phase in version.phases
     others = [query for query in undisturbed(events, queries) if not query.fields["moves"]]
     gaps = gaps_ms(events)
-    decided = sorted((op.end - op.begin) * 1e3 for op in changes if op.word == "ok")
+    decided = sorted((op.end - op.begin) * 1e3 for op in changes if op.outcome == "ok")
     return {
         "operations": len(queries) + len(changes),
         "changes": len(changes),
         **{answer: last[answer] for answer in ("activated", "aborted", "rejected", "withdrawn")},
-        "refused_changes": sum(1 for op in changes if op.word == "fail"),
+        "refused_changes": sum(1 for op in changes if op.outcome == "fail"),
         "undecided_at_end": broken["undecided"],
         "late_old": broken["late-old"],
         "early_site": broken["early-site"] + broken["unagreed"],
         "divergent": broken["divergent"] + broken["changed"],
         "lost": broken["lost"],
         "served": sum(1 for query in queries if served(query)),
-        "refused_held": sum(1 for q in queries if q.word == "ok" and q.result["word"] == "refused"),
+        "refused_held": sum(1 for q in queries if q.outcome == "ok" and q.result["word"] == "refused"),
         "unserved_moving": sum(1 for q in undisturbed(events, queries) if q.fields["moves"] and not served(q)),
         "availability_untouched": round(sum(map(served, others)) / len(others), 5) if others else None,
         "gaps": len(gaps),
--- a/tealwing/lab/rig/report.py
+++ b/tealwing/lab/rig/report.py
@@ -42,7 +42,7 @@
                 axes.axvspan(begin, over, color=colour, alpha=0.13, linewidth=0)
             top.text(begin, len(names) - 0.35 + 0.22 * (number % 2), what, fontsize=7, color=colour)
     for answer, colour in COLOURS.items():
-        found = [op for op in operations(events) if op.word == answer and op.process in lane]
+        found = [op for op in operations(events) if op.outcome == answer and op.process in lane]
         heights = [lane[op.process] - 0.15 for op in found]
         top.scatter([op.begin for op in found], heights, s=3, color=colour, label=answer)
     led = [event for event in events if event["kind"] == "sample" and event.get("role") == "leader"]
@@ -56,7 +56,7 @@
     top.set_title(
         "dots: operations by outcome; red squares: leader; blue lines: lease holder; bands: faults", fontsize=8
     )
-    ends = [op.end for op in operations(events) if op.word == "ok"]
+    ends = [op.end for op in operations(events) if op.outcome == "ok"]
     ends += [act["t"] for act in events if act["kind"] == "act" and act["accepted"]]
     if ends:
         bottom.hist(ends, bins=[second / 2 for second in range(int(2 * end) + 2)], color=COLOURS["ok"])
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -137,4 +137,4 @@
 
 def test_operation_without_end_stays_open() -> None:
     (open_,) = operations(ping(1, 1.0, 1.1)[:1])
-    assert open_.word == "unknown" and open_.end == float("inf")
+    assert open_.outcome == "unknown" and open_.end == float("inf")
