--- a/tealwing/lab/faults/scenario.py
+++ b/tealwing/lab/faults/scenario.py
@@ -68,8 +68,8 @@
     duplicate: Share = 0.0
     reorder: Share = 0.0
     gently: bool = False  # a restart by SIGTERM instead of SIGKILL
-    pause: Seconds = 0.5  # s between kill and start in a restart; in a power loss, the most that is drawn
-    disk: Literal["kept", "old", "none"] = "kept"  # the disk that a start finds: as it was, an older copy, or empty
+    pause: Seconds = 0.5  # s between kill and start in a restart; in a power loss, the maximum of a random pause
+    disk: Literal["kept", "old", "none"] = "kept"  # the disk at a start: unchanged, an older copy, or empty
     step_s: Annotated[float, msgspec.Meta(ge=-60.0, le=60.0)] = 0.0
     rate: Annotated[float, msgspec.Meta(ge=0.5, le=2.0)] = 1.0
     fault: Literal["", "fsync", "short", "full", "none"] = ""
--- a/tealwing/lab/harness.py
+++ b/tealwing/lab/harness.py
@@ -17,8 +17,8 @@
 from tealwing.lab.arrivals import Arrivals
 from tealwing.lab.clock import Clock
 
-NETWORK_DELAY = 0.0003  # s, one way between any two parties
-LIST_DELAY = (0.78, 4.9)  # s by which the engine list is late: least and most (the brief's figures)
+NETWORK_DELAY = 0.0003  # s, one way between any two endpoints
+LIST_DELAY = (0.78, 4.9)  # s of delay of the engine list: minimum and maximum (the brief's figures)
 RESET_AFTER = 0.001  # s from a crash to the reset of its connections
 
 
@@ -37,9 +37,9 @@
     """The behaviour of clients."""
 
     retries: int = 1
-    wait: tuple[float, float] = (0.1, 0.6)  # s before a retry, at random: least and most
+    wait: tuple[float, float] = (0.1, 0.6)  # s before a retry, at random: minimum and maximum
     heed: float = 0.8  # share of clients that respect the wait that a refusal requests
-    patience: tuple[float, float] = (0.8, 1.0)  # share of the deadline that a client waits: least and most
+    patience: tuple[float, float] = (0.8, 1.0)  # share of the deadline that a client waits: minimum and maximum
 
 
 @dataclass(eq=False, slots=True)
@@ -155,7 +155,7 @@
         self.clock.at(at, self._crash, tuple(numbers), back)
 
     def slow(self, numbers: Sequence[int], at: float, until: float, times: float) -> None:
-        """Let engines run `times` times slower for a while."""
+        """Slow engines down by the factor `times` from `at` until `until`."""
         for number in numbers:
             self.clock.at(at, lambda n=number: self.engines[n].set_slowdown(times))
             self.clock.at(until, lambda n=number: self.engines[n].set_slowdown(1.0))
--- a/tealwing/lab/hollow/fleet.py
+++ b/tealwing/lab/hollow/fleet.py
@@ -34,12 +34,12 @@
 
 
 class HollowFleetError(RuntimeError):
-    """The fleet did not start, a host process ended or a proposal failed; the message holds the cause."""
+    """The fleet did not start, a host process ended or a proposal failed; the message contains the cause."""
 
 
 @dataclass
 class HostProcess:
-    """One host process and its folder."""
+    """One host process and its directory."""
 
     specification: Host
     directory: Path
@@ -125,7 +125,7 @@
 
 
 class HollowFleet:
-    """A fleet of hollow gateways; as a context manager it ends all that it started."""
+    """A fleet of hollow gateways; as a context manager it ends all processes that it started."""
 
     def __init__(
         self, count: int, voters: int = 5, partition_mode: str = "serve", members_a_host: int = MEMBERS_A_HOST,
@@ -186,7 +186,7 @@
             time.sleep(POLL)
 
     def close(self) -> None:
-        """Kill every host process, and remove the fleet's folder."""
+        """Kill every host process, and remove the fleet's directory."""
         with ThreadPoolExecutor(8) as pool:
             list(pool.map(HostProcess.kill, self.hosts))
         self._directory.cleanup()
--- a/tealwing/lab/load.py
+++ b/tealwing/lab/load.py
@@ -24,7 +24,7 @@
 STACK = 256 * 1024  # bytes of stack per thread
 MAX_LATENCY = 120_000_000  # us, the largest value that a histogram holds
 DIGITS = 3  # significant digits of a recorded latency
-SPOILT = 0.01  # s of the tool's own lateness (99th percentile) past which the run is spoilt
+SPOILT = 0.01  # s of the tool's own lateness (99th percentile) above which the run is spoilt
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 NAMES = ("lookup", "report", "load")
 DEADLINES = (3.0, 20.0, 25.0)  # s by class (the operators' brief)
--- a/tealwing/lab/models/starts.py
+++ b/tealwing/lab/models/starts.py
@@ -52,8 +52,8 @@
     world.budget = replace(budget, timeouts=20, crashes=20)
     for name in "aca":
         world = elect(model, world, name, "b")
-        under_way = world.network if world.members["a"].term > 2 else frozenset()
-        world.network = frozenset(m for m in under_way if m[:2] == ("a", "b") and isinstance(m[2], AppendEntries))
+        in_flight = world.network if world.members["a"].term > 2 else frozenset()
+        world.network = frozenset(m for m in in_flight if m[:2] == ("a", "b") and isinstance(m[2], AppendEntries))
     world.budget = budget
     return world
 
--- a/tealwing/lab/network.py
+++ b/tealwing/lab/network.py
@@ -20,7 +20,7 @@
 from tealwing.lab.clock import Clock
 
 TICK = 0.1  # s between two ticks of an instance
-DELAY = (0.0002, 0.003)  # s of transit of a datagram: least and most
+DELAY = (0.0002, 0.003)  # s of transit of a datagram: minimum and maximum
 PORT = 7946
 EPOCH = 1_800_000_000.0  # s of the Unix clock at which virtual time begins
 
@@ -198,7 +198,7 @@
         return all(m.alive.name in names for i in running for m in i.node.members if m.state <= State.SUSPECT)
 
     def until(self, holds: Callable[[], bool], limit: float, step: float = 0.25) -> float | None:
-        """Advance the time until a condition holds; returns the time that took, or None past the limit."""
+        """Advance the time until a condition holds; returns the time that took, or None after the limit."""
         begun = self.clock.now
         while self.clock.now < begun + limit:
             if holds():
@@ -207,7 +207,7 @@
         return self.clock.now - begun if holds() else None
 
     def max_bytes_per_second(self) -> int:
-        """The most bytes that any instance sent in any second."""
+        """The maximum number of bytes that an instance sent in one second."""
         return max((n for i in self.instances.values() for n in i.seconds.values()), default=0)
 
 
--- a/tealwing/lab/rig/process_faults.py
+++ b/tealwing/lab/rig/process_faults.py
@@ -35,7 +35,7 @@
             process.kill()
 
     def start(self, name: str, disk: str) -> None:
-        """Start a process if it does not run; disk: the data folder that it finds, as for `Process.bring_disk`."""
+        """Start a process if it does not run; disk: the data directory that it finds, as for `Process.bring_disk`."""
         process = self._trial.processes[name]
         if process.running:
             return
--- a/tealwing/lab/rig/trial.py
+++ b/tealwing/lab/rig/trial.py
@@ -74,7 +74,7 @@
         self.holder = ""  # last known holder of the lease, set by the load
         self._threads: list[threading.Thread] = []
         self.begun = self.ended = 0.0
-        self.problems: list[str] = []  # faults of the rig itself, with which the trial proves nothing
+        self.problems: list[str] = []  # faults of the rig itself, which make the trial inconclusive
         for name in self.names:
             self.proxy.set_target(name, ("127.0.0.1", free_port()))
         for number, name in enumerate(self.names):
@@ -105,7 +105,7 @@
         self.close()
 
     def close(self) -> None:
-        """End every process, thread and listener that this trial started, and remove its temporary folder."""
+        """End every process, thread and listener that this trial started, and remove its temporary directory."""
         self.stopping.set()
         self.faults_over.set()
         for process in self.processes.values():
@@ -213,7 +213,7 @@
         self._load.hold_changes(not allowed)
 
     def fault_lines(self) -> list[str]:
-        """Return what the processes' logs hold that no log may hold, each with the process's name."""
+        """Return the faults found in the processes' logs, each with the process's name."""
         return [f"{name}: {what}" for name, process in self.processes.items() for what in process.fault_lines()]
 
 
