--- a/tealwing/lab/judges/rules_order.py
+++ b/tealwing/lab/judges/rules_order.py
@@ -21,7 +21,7 @@
 
 
 def assign_versions(events: Sequence[Event]) -> tuple[list[RoutedQuery], list[ObservedVersion]]:
-    """Return the queries, each with its minimum version and the version that explains its answer, and the versions."""
+    """Return the queries, each with its minimum version and the one explaining its answer; and versions in force."""
     chain = [version for version in observed_versions(events).values() if version.in_force]
     queries = routed_queries(events)
     times, seen = list[float](), list[int]()  # from times[i] on, version seen[i] is known to be in force
