--- a/tealwing/lab/load.py
+++ b/tealwing/lab/load.py
@@ -1,9 +1,9 @@
 """Open-loop load on real gateways: a schedule drawn in advance, and latency measured from a request's due time.
 
 A client that waits for an answer before it sends its next request hides every stall (Tene's "coordinated omission").
-Here the schedule does not wait: the latency of a request that is sent late, for lack of a free session or of processor
-time, counts from its due time. The tool reports its own lateness; past a bound the run is spoilt, as it then measured
-the tool.
+This schedule does not wait: the latency of a request that is sent late, for lack of a free session or of processor
+time, counts from its due time. The tool reports its own lateness; above a limit the run counts as spoilt, because it
+then measured the tool.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 STACK = 256 * 1024  # bytes of stack per thread
 MAX_LATENCY = 120_000_000  # us, the largest value that a histogram holds
 DIGITS = 3  # significant digits of a recorded latency
-SPOILT = 0.01  # s of the tool's own lateness (99th percentile) past which the run is spoilt
+SPOILT = 0.01  # s of the tool's own lateness (99th percentile) above which the run is spoilt
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 NAMES = ("lookup", "report", "load")
 DEADLINES = (3.0, 20.0, 25.0)  # s by class (the operators' brief)
--- a/tealwing/lab/models/starts.py
+++ b/tealwing/lab/models/starts.py
@@ -35,7 +35,7 @@
 
 
 def elect(model: Consensus, world: World, name: str, voter: str) -> World:
-    """Restart a member, have it stand for election until its term is the newest, and give it the vote of `voter`."""
+    """Restart a member, have it start elections until its term is the newest, and give it the vote of `voter`."""
     world = model.crash(world, name, -1)
     while world.members[name].term <= world.members[voter].term or world.members[name].role is Role.FOLLOWER:
         world = model.stand_for_election(world, name)
@@ -52,8 +52,8 @@
     world.budget = replace(budget, timeouts=20, crashes=20)
     for name in "aca":
         world = elect(model, world, name, "b")
-        under_way = world.network if world.members["a"].term > 2 else frozenset()
-        world.network = frozenset(m for m in under_way if m[:2] == ("a", "b") and isinstance(m[2], AppendEntries))
+        in_flight = world.network if world.members["a"].term > 2 else frozenset()
+        world.network = frozenset(m for m in in_flight if m[:2] == ("a", "b") and isinstance(m[2], AppendEntries))
     world.budget = budget
     return world
 
@@ -95,13 +95,13 @@
     world.network = frozenset()
     world = model.stand_for_election(world, "e")
     world = deliver_newest(deliver_newest(world, "e", "b", RequestVote), "b", "e", RequestVoteReply)
-    asked = frozenset(m for m in world.network if m[0] == "e")
+    requests = frozenset(m for m in world.network if m[0] == "e")
     world = model.crash(world, "b", -2)
-    world.budget, world.network = budget, asked | world.network
+    world.budget, world.network = budget, requests | world.network
     return world
 
 
-def sure(model: Consensus, world: World) -> World:
+def confirmed(model: Consensus, world: World) -> World:
     """Start from `forgotten`: a knows b's new incarnation, c and d have answered a round since, and b is confirmed."""
     world = forgotten(model, world)
     budget = world.budget
--- a/tealwing/lab/rig/loads/metrics.py
+++ b/tealwing/lab/rig/loads/metrics.py
@@ -18,7 +18,7 @@
 def failover_ms(events: Sequence[Event]) -> list[float]:
     """Return, for each fault that removed the leader, the ms until a write begun after it was acknowledged; sorted."""
     found = []
-    writes = sorted((op for op in operations(events, "put") if op.word == "ok"), key=lambda op: op.end)
+    writes = sorted((op for op in operations(events, "put") if op.outcome == "ok"), key=lambda op: op.end)
     for event in events:
         if event["kind"] != "fault" or not event.get("leader"):
             continue
@@ -34,7 +34,7 @@
 
 
 def catchup_ms(events: Sequence[Event]) -> list[float]:
-    """Return, for each process that came back, the ms until it had applied what was committed at its return; sorted."""
+    """Return, for each process that became ready, the ms until it had applied the entries committed by then; sorted."""
     found = []
     committed, waiting = 0, dict[str, tuple[float, int]]()
     for event in events:
@@ -71,7 +71,7 @@
             member[name] = event["t"]
     took = sorted((ready[name] - back[name]) * 1e3 for name in ready)
     majority = sorted(back.values())[len(back) // 2] if back else lost
-    first = min((op.end for op in operations(events, "put") if op.word == "ok" and op.begin > lost), default=None)
+    first = min((op.end for op in operations(events, "put") if op.outcome == "ok" and op.begin > lost), default=None)
     return {
         "ready": len(ready),
         "ready_ms_p50": percentile(took, 0.5),
--- a/tealwing/lab/rig/trial.py
+++ b/tealwing/lab/rig/trial.py
@@ -74,7 +74,7 @@
         self.holder = ""  # last known holder of the lease, set by the load
         self._threads: list[threading.Thread] = []
         self.begun = self.ended = 0.0
-        self.problems: list[str] = []  # faults of the rig itself, with which the trial proves nothing
+        self.problems: list[str] = []  # faults of the rig itself, which make the trial inconclusive
         for name in self.names:
             self.proxy.set_target(name, ("127.0.0.1", free_port()))
         for number, name in enumerate(self.names):
@@ -105,7 +105,7 @@
         self.close()
 
     def close(self) -> None:
-        """End every process, thread and listener that this trial started, and remove its temporary folder."""
+        """End every process, thread and listener that this trial started, and remove its temporary directory."""
         self.stopping.set()
         self.faults_over.set()
         for process in self.processes.values():
@@ -136,7 +136,7 @@
         return thread
 
     def start(self) -> None:
-        """Start all processes, and wait until each hears all others."""
+        """Start all processes, and wait until all are connected."""
         self.proxy.start()
         for process in self.processes.values():
             process.start()
@@ -158,7 +158,7 @@
         return True
 
     def is_connected(self) -> bool:
-        """Return whether every running process hears all other running ones, and knows a leader if it is replicated."""
+        """Return whether every running process counts all others as alive, and knows a leader if it is replicated."""
         return self.samples.is_connected()
 
     def leader(self) -> str:
@@ -185,7 +185,7 @@
         self.stopping.wait(self.seconds)
         self.faults_over.set()
         load.stop()
-        director.join(30.0)  # s for the step under way to end
+        director.join(30.0)  # s for the step in progress to end
         self.history.add("load-over")
         with self.proxy.lock:
             self.conditions.heal()
@@ -213,7 +213,7 @@
         self._load.hold_changes(not allowed)
 
     def fault_lines(self) -> list[str]:
-        """Return what the processes' logs hold that no log may hold, each with the process's name."""
+        """Return the faults found in the processes' logs, each with the process's name."""
         return [f"{name}: {what}" for name, process in self.processes.items() for what in process.fault_lines()]
 
 
