--- a/tealwing/replica/service/control.py
+++ b/tealwing/replica/service/control.py
@@ -96,7 +96,7 @@
         except msgspec.DecodeError as error:
             raise CallRejectedError(f"body: {error}") from None
         if isinstance(body, records.Body):  # only the reporting member itself may propose commands for rules versions
-            raise CallRejectedError("body: a command for rules versions is not accepted here; allowed: the calls rules.*")
+            raise CallRejectedError("body: commands for rules versions are rejected here; allowed: the calls rules.*")
         fence = None
         if "token" in fields:
             fence = c.Fence(field(fields, "lease", str), field(fields, "token", int))
