--- a/tealwing/mysql/lingering.py
+++ b/tealwing/mysql/lingering.py
@@ -21,13 +21,13 @@
 
     def __init__(self, until: float) -> None:
         """Linger until the given monotonic time at most."""
-        self.until, self.left = until, MAX_LINGER_BYTES
+        self.until, self.bytes_left = until, MAX_LINGER_BYTES
 
     def drop(self, sock: socket.socket, buffer: memoryview, clock: Callable[[], float]) -> bool:
         """Read and drop the input that has arrived; return whether to wait for more. Never blocks."""
         if not buffer:  # recv into an empty buffer returns 0, as at the end of the input
             return True
-        while self.left > 0 and clock() < self.until:
+        while self.bytes_left > 0 and clock() < self.until:
             try:
                 size = sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
             except BlockingIOError:
@@ -36,7 +36,7 @@
                 return False
             if not size:
                 return False
-            self.left -= size
+            self.bytes_left -= size
         return False
 
 
--- a/tealwing/mysql/overdue.py
+++ b/tealwing/mysql/overdue.py
@@ -1,8 +1,9 @@
 """The deadline by which a request is answered, whatever it waits for; no I/O.
 
 Invariant: a request that has been received is answered exactly once, at the latest shortly after its time to live.
-Normally its own thread answers it. If that thread is blocked (on a lock, a connection, the gate) or none is assigned,
-the server's periodic check for overdue requests answers it. The first to claim the answer sends it; the other does not.
+Normally its own thread answers it. If that thread is blocked (on a lock, a connection or the admission gate) or none is
+assigned, the server's periodic check for overdue requests answers it. The first to claim the answer sends it; the other
+does not.
 """
 
 from __future__ import annotations
--- a/tealwing/mysql/server.py
+++ b/tealwing/mysql/server.py
@@ -91,7 +91,8 @@
         self._unarmed: deque[Session] = deque()  # sessions that epoll had no room to arm; retried periodically
         self._accept_fails = False  # since the last accepted client; an episode is logged once
         self._listener_unarmed = False  # the listening socket could not be armed
-        self._full = False  # no client is accepted until a descriptor is free or a session may be evicted
+        self._accept_blocked = False  # no client is accepted until a descriptor is free or a session may be evicted
+        # `_stopping`: no more clients are accepted; `_over`: all threads of the server must end
         self._stopping, self._over = threading.Event(), threading.Event()
         self.shared = inherited is not None  # the accept queue is shared with another process
         self._listener = socket.create_server(address, backlog=BACKLOG) if inherited is None else _inherit(inherited)
@@ -128,7 +129,7 @@
         with self._changed:
             return self._sessions.get(number)
 
-    def ended(self, session: Session) -> None:
+    def remove(self, session: Session) -> None:
         """Remove a session that has ended; the caller closes its descriptor next."""
         with self._changed:
             self._sessions.pop(session.number, None)
@@ -136,22 +137,22 @@
             self._armed.discard(session.fileno())
             if self._waiting.pop(session.fileno(), None) is not None:
                 self._ready.unregister(session.fileno())
-            full, self._full = self._full, False
+            was_blocked, self._accept_blocked = self._accept_blocked, False
             self._changed.notify_all()
-        if full:
+        if was_blocked:
             self._arm_listener()
 
-    def lingers(self, session: Session, until: float) -> None:
+    def move_to_lingering(self, session: Session, until: float) -> None:
         """Remove a session that has ended; its connection lingers until the monotonic time `until` at most."""
         with self._changed:
             if self._sessions.pop(session.number, None) is None:  # another thread has closed it
                 return
             oldest = self._lingering.add(session.number, session, until)
-            full, self._full = self._full, False
+            was_blocked, self._accept_blocked = self._accept_blocked, False
             self._changed.notify_all()
         if oldest is not None:
             oldest.end_linger()
-        if full:  # a lingering connection can be closed for a waiting client
+        if was_blocked:  # a lingering connection can be closed for a waiting client
             self._arm_listener()
 
     def stop_listening(self) -> None:
@@ -178,9 +179,9 @@
         until = time.monotonic() + seconds
         while True:  # a thread may have accepted one more client before it noticed the stop
             with self._changed:
-                self._changed.wait_for(self._empty, min(TIME_LIMIT_CHECK_INTERVAL, until - time.monotonic()))
+                self._changed.wait_for(self._is_empty, min(TIME_LIMIT_CHECK_INTERVAL, until - time.monotonic()))
                 accepted_late = [session for session in self._sessions.values() if session not in sessions]
-                left, empty = len(self._sessions), self._empty()
+                left, empty = len(self._sessions), self._is_empty()
             if empty or (not left and time.monotonic() >= until):
                 break
             if time.monotonic() >= until:
@@ -193,11 +194,11 @@
         for session in lingering:
             session.end_linger()
         with self._changed:
-            self._changed.wait_for(self._empty, TIME_LIMIT_CHECK_INTERVAL)
+            self._changed.wait_for(self._is_empty, TIME_LIMIT_CHECK_INTERVAL)
         self._end_threads()
         return True
 
-    def _empty(self) -> bool:
+    def _is_empty(self) -> bool:
         return not self._sessions and not self._lingering
 
     def _end_threads(self) -> None:
@@ -254,22 +255,22 @@
             if not ready:  # no session waits for a thread
                 self._busy_since = 0.0
                 continue
-            number = ready[0][0]
-            session = self._accept() if number == self._listener.fileno() else self._claim(number)
+            descriptor = ready[0][0]
+            session = self._accept() if descriptor == self._listener.fileno() else self._claim(descriptor)
             if session is not None:
                 return session
         return None
 
-    def _claim(self, number: int) -> Session | None:
+    def _claim(self, descriptor: int) -> Session | None:
         """Return the session of a ready descriptor to the first thread that claims it; None to any other.
 
         A session with an open request cannot be claimed: its event reports that the client may have left. An event may
         be stale, fetched before its descriptor was armed again, so it is only a hint: the socket itself is checked.
         """
         with self._changed:
-            session, mine = self._waiting.get(number), number in self._armed
-            self._armed.discard(number)
-        if session is None or mine:
+            session, was_armed = self._waiting.get(descriptor), descriptor in self._armed
+            self._armed.discard(descriptor)
+        if session is None or was_armed:
             return session
         session.check_departure()
         return None
@@ -280,10 +281,10 @@
             with self._changed:  # never blocks; no client may be accepted after stop_listening
                 if self._stopping.is_set():
                     return None
-                full = self._full = self._descriptor_count() >= self._max_clients
-                if not full:
+                no_place = self._accept_blocked = self._descriptor_count() >= self._max_clients
+                if not no_place:
                     session = self._accept_client()
-                is_full = self._descriptor_count() > self._max_clients - self._reserved_places
+                uses_reserve = self._descriptor_count() > self._max_clients - self._reserved_places
                 log.check_invariant(
                     self._descriptor_count() <= self._max_clients, "clients hold at most max_clients descriptors"
                 )
@@ -293,11 +294,11 @@
             self._arm_listener()
             return None
         self._accept_fails = False
-        if full:  # the client waits until a descriptor is closed
+        if no_place:  # the client waits until a descriptor is closed
             self._free_descriptor(at_once=True)
             return None
         self._arm_listener()
-        if is_full:
+        if uses_reserve:
             self._free_descriptor(at_once=False)
         return session
 
@@ -336,38 +337,38 @@
 
     def _wait_for_client(self, session: Session) -> None:
         """Arm the session for its client's next input; another thread may serve it at once."""
-        number = session.descriptor
+        descriptor = session.descriptor
         try:
             with self._changed:
-                self._armed.add(number)
-                full, self._full = self._full, False
-                self._arm(number, session, INPUT_EVENTS)
+                self._armed.add(descriptor)
+                was_blocked, self._accept_blocked = self._accept_blocked, False
+                self._arm(descriptor, session, INPUT_EVENTS)
         except OSError:  # epoll is out of room: retried later, so that the client is still answered
             with self._changed:
-                self._armed.discard(number)
+                self._armed.discard(descriptor)
             self._unarmed.append(session)
-        if full:  # this session may now be evicted for a waiting client
+        if was_blocked:  # this session may now be evicted for a waiting client
             self._arm_listener()
 
-    def watch(self, session: Session) -> None:
+    def watch_departure(self, session: Session) -> None:
         """Watch for the client's departure. Only the thread of its open request may call this."""
         try:
             self._arm(session.descriptor, session, DEPARTURE_EVENTS)
         except OSError as error:  # out of room: the check before each send remains
             log.event("client_unwatched", error=str(error))
 
-    def _arm(self, number: int, session: Session, events: int) -> None:
+    def _arm(self, descriptor: int, session: Session, events: int) -> None:
         """Arm the descriptor for the next of these events. Only the thread that serves the session may call this."""
-        new = number not in self._waiting
-        self._waiting[number] = session
+        new = descriptor not in self._waiting
+        self._waiting[descriptor] = session
         try:
             if new:
-                self._ready.register(number, events)
+                self._ready.register(descriptor, events)
             else:
-                self._ready.modify(number, events)
+                self._ready.modify(descriptor, events)
         except OSError:
             if new:  # otherwise it stays registered, but is not armed
-                del self._waiting[number]
+                del self._waiting[descriptor]
             raise
 
     def _start_thread(self) -> bool:
@@ -394,11 +395,11 @@
             self._answer_overdue(buffer)
             now = time.monotonic()
             with self._changed:
-                over = [session for session in self._sessions.values() if session.idle_share(now) >= 1]
-                lingered = self._lingering.expired(now)
-            for session in over:
+                timed_out = [session for session in self._sessions.values() if session.idle_share(now) >= 1]
+                expired = self._lingering.expired(now)
+            for session in timed_out:
                 session.evict()
-            for session in lingered:
+            for session in expired:
                 session.end_linger()
 
     def _retry_arming(self) -> None:
@@ -417,7 +418,7 @@
             deferred = list(self._deferred)
             self._deferred.clear()  # from here on only this thread may serve them
         failed = sum(session.answer_overdue(now) for session in served)
-        overdue = [session for session in deferred if session.unread_overdue(now, buffer)]
+        overdue = [session for session in deferred if session.is_unread_request_overdue(now, buffer)]
         for session in overdue:
             if session.refuse_overdue(buffer):
                 self._wait_for_client(session)
@@ -456,8 +457,8 @@
         buffer = memoryview(bytearray(BRIEF_SIZE))
         while self._free <= 0 and not self._over.is_set() and (left := until - time.monotonic()) > 0:
             try:
-                for number, _ in self._ready.poll(left, 1):
-                    session = self._accept() if number == self._listener.fileno() else self._claim(number)
+                for descriptor, _ in self._ready.poll(left, 1):
+                    session = self._accept() if descriptor == self._listener.fileno() else self._claim(descriptor)
                     if session is not None:
                         self._serve_brief(session, buffer)
             except Exception:  # an internal error must not end the periodic checks
--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -64,13 +64,13 @@
     def session(self, number: int) -> Session | None:
         """Return the session of a connection id; None if it has ended."""
 
-    def ended(self, session: Session) -> None:
+    def remove(self, session: Session) -> None:
         """Remove a session that has ended."""
 
-    def lingers(self, session: Session, until: float) -> None:
+    def move_to_lingering(self, session: Session, until: float) -> None:
         """Remove a session that has ended; its connection lingers until the monotonic time `until` at most."""
 
-    def watch(self, session: Session) -> None:
+    def watch_departure(self, session: Session) -> None:
         """Watch for the departure of a client whose request is open."""
 
 
@@ -78,7 +78,7 @@
     """One client connection, served by one thread at a time."""
 
     def __init__(self, server: SessionHost, sock: socket.socket, number: int) -> None:
-        self.server, self.number = server, number
+        self.server, self.number = server, number  # number: the connection id
         self._sock = sock
         self.descriptor = sock.fileno()  # valid while the session is open
         self._departure = departures.ClientDeparture(sock)
@@ -86,8 +86,9 @@
         self._parser = packets.Parser()
         self._lock = threading.Lock()
         self._exchange: Exchange | None = None  # the open request's; under the lock
-        self._since = time.monotonic()  # monotonic; the last answer or the connect
-        self._first_due = self._since + FIRST_LIMIT  # monotonic deadline of the first command; 0 once it has come
+        self._last_answer_at = time.monotonic()  # monotonic; before the first answer, the time of the connect
+        # monotonic deadline of the first command; 0 once it has come
+        self._first_due = self._last_answer_at + FIRST_LIMIT
         self._incomplete_due = 0.0  # monotonic deadline of an incomplete command; 0 without one
         # since when and until when the session waits for its client; None while it is served; under the lock
         self._waiting: tuple[float, float] | None = None
@@ -98,14 +99,14 @@
         self._linger: lingering.Linger | None = None  # set once the session drops its input; under the lock
         self._client_closed = False  # the client has closed its side, and all input is read
         self._quit = False  # the client has sent QUIT
-        self._closing = False  # close once all received commands are answered; under the lock
-        self._cut = False  # close once the command in progress is answered; under the lock
+        self._closes_after_input = False  # once all received commands are answered; under the lock
+        self._closes_after_command = False  # once the command in progress is answered; under the lock
         self._idle = False  # waits between two commands, with none incomplete; under the lock
-        self._due = False  # a received command may be unanswered; under the lock
+        self._may_have_unanswered_command = False  # among the received ones; under the lock
         self._killed = False  # a KILL came before the request's exchange existed; under the lock
         self._deadline = overdue.AnswerDeadline()
         self._unread_due: float | None = None  # monotonic deadline of an unread request; None: unknown
-        self._refusing = False  # the next request is rejected unread, as it is overdue
+        self._refusing = False  # the next request is rejected without being parsed, as it is overdue
 
     def fileno(self) -> int:
         """The client socket's file descriptor; -1 once closed."""
@@ -148,14 +149,14 @@
             linger = self._linger = self._linger or lingering.Linger(time.monotonic() + lingering.LINGER_TIME)
         if new and not self._quit:  # at once, so that the client sends no more commands, which would be dropped
             self._end_sending()
-        before = linger.left
+        before = linger.bytes_left
         if not linger.drop(self._sock, buffer, time.monotonic):
             return False
         if new:
-            if self._quit and linger.left == before and not self._parser.begun:
+            if self._quit and linger.bytes_left == before and not self._parser.begun:
                 return False  # the client sent nothing after its QUIT
             self._end_sending()
-            self.server.lingers(self, linger.until)
+            self.server.move_to_lingering(self, linger.until)
         return True
 
     def _end_sending(self) -> None:
@@ -170,7 +171,7 @@
         size = None if self._parser.begun else departures.brief_commands_length(self._sock, self._logged_in, buffer)
         return None if size is None else self.run(buffer[:size])
 
-    def unread_overdue(self, now: float, buffer: memoryview) -> bool:
+    def is_unread_request_overdue(self, now: float, buffer: memoryview) -> bool:
         """Return whether a request that waits unread is overdue. Call by the thread that claimed the session."""
         if self._unread_due is None:
             size = 0
@@ -200,7 +201,7 @@
         with self._lock:
             if not self._deadline.claim_overdue(now):
                 return False
-            self._cut = True
+            self._closes_after_command = True
             if self._exchange is not None:
                 self._exchange.cancel()  # before the answer: nothing may be sent to an engine after it
             left = packets.packet(1, FAILED)
@@ -230,7 +231,7 @@
 
     def close(self) -> None:
         """Remove the session from the server and close its socket."""
-        self.server.ended(self)
+        self.server.remove(self)
         with self._lock:  # other threads must not shut down a reused descriptor
             self._sock.close()
 
@@ -249,7 +250,7 @@
         """
         with self._lock:
             exchange = self._exchange
-            self._killed = exchange is None and (self._due or self._unread())
+            self._killed = exchange is None and (self._may_have_unanswered_command or self._has_incoming_command())
         if exchange is not None:
             exchange.cancel()
         if not query_only:
@@ -261,12 +262,12 @@
         A session still answers a command in progress, incomplete or unread, and a new session its first command.
         """
         with self._lock:
-            self._closing = True
+            self._closes_after_input = True
             begins_linger = self._idle and not self._has_input() and self._end_waiting()
         if begins_linger:
             self._start_lingering()
 
-    def _unread(self) -> bool:
+    def _has_incoming_command(self) -> bool:
         """Return whether a waiting session has unread or incomplete input. Call under the lock."""
         if self._waiting is None:  # ended, or being served
             return False
@@ -277,7 +278,7 @@
     def _cut_off(self) -> None:
         """Serve no more commands: a waiting session ends now, any other after its command in progress."""
         with self._lock:
-            self._cut = True
+            self._closes_after_command = True
             begins_linger = self._waiting is not None and self._end_waiting()
         if begins_linger:
             self._start_lingering()
@@ -294,7 +295,7 @@
 
     def eviction_order(self) -> tuple[bool, float]:
         """Sort key of evictions: longest idle first, since the last answer or connect; incomplete commands last."""
-        return bool(self._incomplete_due), self._since
+        return bool(self._incomplete_due), self._last_answer_at
 
     def evict(self, at_once: bool = False) -> bool:
         """End the session unless it has unread input; return whether it was ended.
@@ -330,7 +331,7 @@
         reset cannot destroy it: such a session does not linger; the thread that the shutdown wakes closes it.
         """
         self._idle, self._waiting = False, None
-        linger = self._linger = lingering.Linger(0.0 if at_once else self._since + lingering.LINGER_TIME)
+        linger = self._linger = lingering.Linger(0.0 if at_once else self._last_answer_at + lingering.LINGER_TIME)
         lingers = time.monotonic() < linger.until
         with contextlib.suppress(OSError):  # the client may have closed the connection
             self._sock.shutdown(socket.SHUT_WR if lingers else socket.SHUT_RDWR)
@@ -338,7 +339,7 @@
 
     def _start_lingering(self) -> None:
         if self._linger is not None:
-            self.server.lingers(self, self._linger.until)
+            self.server.move_to_lingering(self, self._linger.until)
 
     def _wait_for_command(self) -> bool:
         """Start waiting for the client, with a time limit; return False if the session ends instead.
@@ -347,19 +348,21 @@
         """
         begun, now = self._parser.begun, time.monotonic()
         self._incomplete_due = (self._incomplete_due or now + PACKET_LIMIT) if begun else 0.0
-        limit = self._first_due or self._since + IDLE_LIMIT
+        limit = self._first_due or self._last_answer_at + IDLE_LIMIT
         with self._lock:
-            if self._cut or (self._closing and not self._first_due and not begun and not self._has_input()):
+            if self._closes_after_command or (
+                self._closes_after_input and not self._first_due and not begun and not self._has_input()
+            ):
                 return False
-            self._waiting = self._since, min(limit, self._incomplete_due) if self._incomplete_due else limit
+            self._waiting = self._last_answer_at, min(limit, self._incomplete_due) if self._incomplete_due else limit
             self._idle = not self._first_due and not begun
-            self._due, self._killed = False, self._killed and begun
+            self._may_have_unanswered_command, self._killed = False, self._killed and begun
         return True
 
     def _serve(self, buffer: memoryview, busy_for: float) -> bool:
         """Read once, and answer all complete messages; return whether the session continues."""
         with self._lock:  # from here on the session cannot be evicted
-            self._idle, self._waiting, self._due = False, None, True
+            self._idle, self._waiting, self._may_have_unanswered_command = False, None, True
             self._unread_due = None
             if self._linger is not None:
                 return False
@@ -383,11 +386,11 @@
             return False
         self._parser.feed(buffer[:size])
         self._received_at = time.monotonic()
-        while not self._cut and (message := self._parser.next()) is not None:
+        while not self._closes_after_command and (message := self._parser.next()) is not None:
             self._incomplete_due = 0.0
             if not (self._answer(*message) if self._logged_in else self._login(*message)):
                 return False
-            self._since = time.monotonic()
+            self._last_answer_at = time.monotonic()
         return True
 
     def _answer(self, sequence: int, payload: bytes) -> bool:
@@ -440,8 +443,8 @@
         """Execute one command, and return its response packets."""
         command, body = payload[0] if payload else 0, payload[1:]
         if command == QUERY:
-            killed = statements.parse_kill(body)
-            return packets.packet(1, self._kill(killed)) if killed else self._query(body)
+            kill = statements.parse_kill(body)
+            return packets.packet(1, self._kill(kill)) if kill else self._query(body)
         if command in (PING, RESET_CONNECTION):
             return packets.packet(1, packets.ok())
         if command == INIT_DB:
@@ -450,11 +453,12 @@
             return packets.packet(1, self._kill(statements.Kill(int.from_bytes(body, "little"), False)))
         return packets.packet(1, UNKNOWN_COMMAND)
 
-    def _kill(self, killed: statements.Kill) -> bytes:
-        other = self.server.session(killed.connection)
+    def _kill(self, statement: statements.Kill) -> bytes:
+        """Kill the session that the statement names; return the payload of the answer."""
+        other = self.server.session(statement.connection)
         if other is None:
             return UNKNOWN_THREAD
-        other.kill(killed.query_only)
+        other.kill(statement.query_only)
         if other is self:  # a session that kills itself has no other open request
             with self._lock:
                 self._killed = False
@@ -462,12 +466,12 @@
 
     def _query(self, text: bytes) -> bytes:
         with self._lock:
-            self._due = True
+            self._may_have_unanswered_command = True
         try:
             reply = self._run_request(text)
         finally:
             with self._lock:  # later KILLs and events do not concern this request
-                self._exchange, self._due, self._killed = None, False, False
+                self._exchange, self._may_have_unanswered_command, self._killed = None, False, False
         if self._departure.has_departed:
             raise ConnectionAbortedError("the client left while its request was open")
         return reply
@@ -476,15 +480,15 @@
         """Run a request, and return its response packets."""
         if self._refusing:
             self._refusing = False
-            return answer(Rejected(OVERDUE_PUSHBACK))
+            return encode_reply(Rejected(OVERDUE_PUSHBACK))
         try:
             if self.server.gate is not None:
-                passed = self._open_admitted(text, self.server.gate)
-                if isinstance(passed, Deferred):
-                    return answer(Rejected(passed.retry_after))
-                if isinstance(passed, Cancelled):
-                    return answer(passed)
-                query, exchange = passed
+                outcome = self._open_admitted(text, self.server.gate)
+                if isinstance(outcome, Deferred):
+                    return encode_reply(Rejected(outcome.retry_after))
+                if isinstance(outcome, Cancelled):
+                    return encode_reply(outcome)
+                query, exchange = outcome
             else:
                 settings = self.server.settings  # the same version for parsing and for the decision
                 query = statements.parse_query(text, settings, self._received_at)
@@ -493,7 +497,7 @@
                 self._deadline.begin(query.received_at + query.ttl)
                 query.set_client_check(self.client_has_left)
                 if self._killed or (self._waited_unread and self.client_has_left()):
-                    return answer(Cancelled())
+                    return encode_reply(Cancelled())
                 exchange = self.server.open(query, settings)
         except InvalidRequestError as error:
             log.event("request_unusable", error=str(error))
@@ -504,10 +508,10 @@
             self._exchange, killed = exchange, self._killed
         if killed:
             exchange.cancel()
-        self.server.watch(self)
+        self.server.watch_departure(self)
         begun = time.monotonic()
         try:
-            return answer(exchange.run())
+            return encode_reply(exchange.run())
         except Exception as error:
             return self._answer_internal_error(error)
         finally:
@@ -532,30 +536,30 @@
         A request that is killed, or whose client leaves, while the gate holds it is not opened. Raises
         InvalidRequestError for a request that cannot be parsed, but only if the gate would admit it without a wait.
         """
-        settings, overdue = self.server.settings, self._waited_unread
-        taken = self._received_at  # moved on by the time held, as the ttl is cut by it: the deadline stays the same
+        settings, time_waited = self.server.settings, self._waited_unread
+        received_at = self._received_at  # plus the time held, by which the ttl is reduced: the deadline stays the same
         for _ in range(MAX_PARSES):
             now = time.monotonic()
             try:
-                query = statements.parse_query(text, settings, taken)
-                self._deadline.begin(query.received_at + query.ttl - overdue)
+                query = statements.parse_query(text, settings, received_at)
+                self._deadline.begin(query.received_at + query.ttl - time_waited)
                 tenant = settings.tenants[query.tenant] if settings.tenants else ""
-                until = now + _max_admission_wait(query.ttl - overdue)
-                entered = gate.admit(settings.classes[query.cls].name, tenant, query.tables, until)
+                until = now + _max_admission_wait(query.ttl - time_waited)
+                admission = gate.admit(settings.classes[query.cls].name, tenant, query.tables, until)
             except InvalidRequestError:  # perhaps only under a version that is being replaced
-                entered = gate.admit(None, "", 0, now + UNPARSED_WAIT)
-                if not (isinstance(entered, Deferred) or entered.waited):
+                admission = gate.admit(None, "", 0, now + UNPARSED_WAIT)
+                if not (isinstance(admission, Deferred) or admission.waited):
                     raise
-            if isinstance(entered, Deferred):
-                return entered
-            if entered.waited:
+            if isinstance(admission, Deferred):
+                return admission
+            if admission.waited:
                 held = time.monotonic() - now
-                overdue, taken, settings = overdue + held, taken + held, self.server.settings
-                query = statements.parse_query(text, settings, taken)
-            if self._killed or (entered.waited and self.client_has_left()):
+                time_waited, received_at, settings = time_waited + held, received_at + held, self.server.settings
+                query = statements.parse_query(text, settings, received_at)
+            if self._killed or (admission.waited and self.client_has_left()):
                 return Cancelled()
-            if overdue:  # the ttl counts from the arrival; an overdue request is rejected at once
-                query = dataclasses.replace(query, ttl=query.ttl - overdue)
+            if time_waited:  # the ttl counts from the arrival; an overdue request is rejected at once
+                query = dataclasses.replace(query, ttl=query.ttl - time_waited)
             query.set_client_check(self.client_has_left)
             try:
                 return query, self.server.open(query, settings)
@@ -569,7 +573,7 @@
     return ttl - min(SERVE_RESERVE_SHARE * ttl, MAX_SERVE_RESERVE)
 
 
-def answer(reply: Reply) -> bytes:
+def encode_reply(reply: Reply) -> bytes:
     """Encode a reply as response packets."""
     match reply:
         case Served(pages):
--- a/tealwing/mysql/statements.py
+++ b/tealwing/mysql/statements.py
@@ -48,8 +48,8 @@
     return Kill(int(found[2]), (found[1] or b"").upper() == b"QUERY") if found else None
 
 
-def parse_query(text: bytes, settings: interface.Settings, taken: float = 0.0) -> Query:
-    """Parse a statement and its leading comment, received at the monotonic time `taken`. Raises FieldError."""
+def parse_query(text: bytes, settings: interface.Settings, received_at: float = 0.0) -> Query:
+    """Parse a statement and its leading comment, received at that monotonic time. Raises FieldError."""
     head = _HEAD.match(text)
     if head is None:
         raise FieldError("no comment with the fields stands ahead of the statement")
@@ -82,7 +82,7 @@
         cost=_number(fields, "work", MAX_WORK_MS) / 1e3 if "work" in fields else None,
         memory_estimate=_number(fields, "heap_mb", MAX_MEMORY_MB) if "heap_mb" in fields else 0.0,
         tables=table_group(statement),
-        received_at=taken,
+        received_at=received_at,
     )
 
 
--- a/tealwing/resp/connection.py
+++ b/tealwing/resp/connection.py
@@ -85,8 +85,9 @@
     happen under the lock that guards the slots, so that no attempt gets a slot on a connection closed as unused.
     """
 
-    def __init__(self, sock: socket.socket, closed: Callable[[Connection], None]) -> None:
-        self._sock, self._closed = sock, closed
+    def __init__(self, sock: socket.socket, on_end: Callable[[Connection], None]) -> None:
+        """`on_end` is called once the reader has stopped reading the connection, before its descriptor is closed."""
+        self._sock, self._on_end = sock, on_end
         self._writing = threading.Lock()  # serializes writes; acquired before `_lock`
         self._lock = threading.Lock()  # guards the fields below; never held while waiting for the socket
         self._reserved_ids: set[bytes] = set()  # ids of attempts with a slot that are not written yet
@@ -271,7 +272,9 @@
         return ended
 
     def _write(self, data: bytes, get_fields: SendFields | None = None) -> None:
-        """Write the data; the caller holds the write lock. A failure closes the connection: half a message may be sent.
+        """Write the data; the caller holds the write lock.
+
+        A failure shuts the connection down, as part of a message may have been sent.
 
         While the engine reads nothing, get_fields is called again: it raises AttemptWithdrawnError if the attempt was
         withdrawn in the meantime.
@@ -327,7 +330,7 @@
         with self._lock:
             self._alive = False
             self._shut_down()  # wakes a writer that is blocked on the engine
-        self._closed(self)
+        self._on_end(self)
         with self._writing, self._lock:  # a writer has finished or failed by now
             left = list(self._streams.values())
             self._streams.clear()
--- a/tealwing/resp/engine.py
+++ b/tealwing/resp/engine.py
@@ -43,17 +43,17 @@
         """Send one attempt; waits at most for a connect and a write. `get_fields` is called right before the write."""
         until = time.monotonic() + min(limit, self._connect_limit)
 
-        def checked() -> bytes:
+        def get_checked_fields() -> bytes:
             fields = get_fields()
             if self._retired or self._draining:  # may have changed during the wait for a connect or a write
-                self._check()
+                self._check_accepts_attempts()
             return fields
 
         while True:
             connection, is_new = self._reserve(request_id, until)
             stream = Stream(connection, request_id, sink)
             try:
-                connection.submit(stream, checked, body)
+                connection.submit(stream, get_checked_fields, body)
                 return stream
             except ConnectionEndedError:  # mostly while it was idle: try another connection
                 if is_new:  # an engine that accepts and closes at once is not retried forever
@@ -95,7 +95,7 @@
         for connection in all_open:
             connection.retire()
 
-    def _check(self) -> None:
+    def _check_accepts_attempts(self) -> None:
         """Raise ConnectError if the newest engine list allows no send."""
         if self._retired:
             raise ConnectError(f"the engine at {self.address} has been removed or replaced")
@@ -110,7 +110,7 @@
         with self._changed:
             while True:
                 if self._retired or self._draining:
-                    self._check()
+                    self._check_accepts_attempts()
                 for connection in self._open:
                     if connection.reserve(request_id, self._streams, IDLE_TIMEOUT_FRACTION * self._idle_limit):
                         return connection, False
--- a/tealwing/resp/messages.py
+++ b/tealwing/resp/messages.py
@@ -115,13 +115,13 @@
     return tuple(number(values.get(name, ""), math.nan) for name in names)
 
 
-def number(text: str, other: float) -> float:
-    """Return the text as a finite number, or `other` if it is none."""
+def number(text: str, default: float) -> float:
+    """Return the text as a finite number, or the default if it is none."""
     try:
         value = float(text)
     except ValueError:
-        return other
-    return value if math.isfinite(value) else other
+        return default
+    return value if math.isfinite(value) else default
 
 
 def count(text: str | None, max_value: int) -> int:
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -269,7 +269,9 @@
 
 
 def test_cleanly_closed_connection_does_not_linger(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server.Server, "lingers", lambda *_: pytest.fail("a cleanly closed connection lingers"))
+    monkeypatch.setattr(
+        server.Server, "move_to_lingering", lambda *_: pytest.fail("a cleanly closed connection lingers")
+    )
     gone, quitting = Client(rig.address), Client(rig.address)
     for client in (gone, quitting):
         ping(client)
@@ -495,9 +497,9 @@
     for age, client in zip((30.0, 20.0, 2.0, 1.9, 1.8, 1.7), clients, strict=True):
         one = rig.session(client)
         assert one._waiting is not None
-        one._since = now - age
+        one._last_answer_at = now - age
         one._waiting = now - age, one._waiting[1]
-    newest._since = now - 0.2
+    newest._last_answer_at = now - 0.2
     newest._waiting = now - 0.2, now + session.FIRST_LIMIT - 0.2
     order = [clients[n] for n in (1, 2, 3, 4, 5)]
     for client in order:
@@ -658,7 +660,7 @@
 
 def test_closed_descriptor_is_not_shut_down(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     # a stop concurrent with the session's own close must not shut down the next user of the descriptor
-    hold = Hold(monkeypatch, server.Server, "ended")
+    hold = Hold(monkeypatch, server.Server, "remove")
     client = idle_client(rig)
     ours = rig.session(client)
     hold.arm()
