--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -34,31 +34,31 @@
 from tests.build import entry, listing, make_settings, request_class
 from tests.peers import LIMIT, Client, Peer, request, say
 
-PAGE = b"a\tb\tc\n"
+ONE_ROW_PAGE = b"a\tb\tc\n"
 INTERRUPTED = 1317
 DEPARTURE_LIMIT = 0.1  # s after its client's departure by which a request begins no more attempts (operators' terms)
 LONG_TTL = 60_000  # ms; longer than any wait in these tests, so that no request here becomes overdue
 
 
-class Rig:
-    """A server with request handlers, policy module and engine connections; each test plays the engines itself."""
+class GatewayHarness:
+    """A gateway's server, request handlers, policy module and engine connections; the test plays the engines."""
 
     def __init__(self, threads: int | None = None, engines: int = 1, **of_class: Any) -> None:
         """of_class overrides fields of the only request class."""
         plain: dict[str, Any] = {"name": "lookup", "deadline": 60.0, "latency_objective": 20.0}
         self.settings = make_settings(tenants=("acme",), classes=(request_class(**(plain | of_class)),))
-        self.peers = [Peer() for _ in range(engines)]
+        self.peers = [Peer() for _ in range(engines)]  # the engines
         self.engine = self.peers[0]
         self.engines = EnginePool(dataclasses.replace(self.settings.limits, connect_timeout=LIMIT))
         self.decisions = Decisions(self.settings, 1, self.engines)
-        self.heard: list[api.Event] = []  # submitted to the policy module, engine lists excepted
-        self.before: Callable[[api.Event], object] = lambda event: None
+        self.submitted: list[api.Event] = []  # events submitted to the policy module, engine lists excepted
+        self.before_submit: Callable[[api.Event], object] = lambda event: None
         submit = self.decisions.submit
 
-        def submit_noting(*events: api.Event) -> None:
+        def submit_recording(*events: api.Event) -> None:
             for event in events:
-                self.before(event)
-                self.heard.append(event)
+                self.before_submit(event)
+                self.submitted.append(event)
             submit(*events)
 
         entries = [entry(number) for number in range(engines)]
@@ -70,9 +70,9 @@
             True,
         )
         self.decisions.submit(listing(*entries))
-        setattr(self.decisions, "submit", submit_noting)  # noqa: B010
-        self.opened: SimpleQueue[bytes] = SimpleQueue()
-        self.opening: Callable[[], object] = lambda: None
+        setattr(self.decisions, "submit", submit_recording)  # noqa: B010
+        self.opened: SimpleQueue[bytes] = SimpleQueue()  # request ids
+        self.before_open: Callable[[], object] = lambda: None
         self.ignores_socket = False  # requests do not check their client's socket
         self.server = server.Server(("127.0.0.1", 0), 64, self.settings, self.open, max_threads=threads)
         self.decisions.start()
@@ -80,7 +80,7 @@
         self.server.start()
 
     def open(self, query: Query, settings: api.Settings) -> request_handler.RequestHandler:
-        self.opening()
+        self.before_open()
         self.opened.put(query.request_id)
         if self.ignores_socket:
             query = dataclasses.replace(query, has_left=lambda: False)
@@ -95,37 +95,37 @@
         return found
 
     def ask(self, client: Client, call: int = 1) -> None:
-        client.ask(call=name_of(call), ttl=LONG_TTL)
+        client.ask(call=request_id(call), ttl=LONG_TTL)
 
-    def sent(self, call: int, peer: int = 0) -> tuple[socket.socket, bytes]:
+    def next_attempt(self, call: int, peer: int = 0) -> tuple[socket.socket, bytes]:
         """Receive the engine's next message, which must be this request; return its connection and id."""
         sock, parts = self.peers[peer].next(b"want")
         assert parts[1] == b"%016x" % call
         return sock, parts[1]
 
     def serve(self, client: Client, call: int) -> None:
-        """Send a request and have it answered; the engine must not have received anything before it."""
+        """Send a request and answer it at the engine, which must not have received anything before it."""
         self.ask(client, call)
         self.answer(client, call)
 
     def answer(self, client: Client, call: int) -> None:
-        sock, name = self.sent(call)
-        say(sock, name, b"200", b"sheets=1", PAGE)
+        sock, id_ = self.next_attempt(call)
+        say(sock, id_, b"200", b"sheets=1", ONE_ROW_PAGE)
         assert len(client.rows()) == 1
 
     def wait_until_released(self) -> None:
         """Wait until no request, reservation or table entry remains, as before the first request."""
-        wait(lambda: self.decisions.open_requests == 0)
+        wait_until(lambda: self.decisions.open_requests == 0)
         module = self.decisions.module
         assert isinstance(module, Gateway)
-        wait(lambda: not module.requests)
+        wait_until(lambda: not module.requests)
         assert not module.ordering_queues and all(flow.in_flight == 0 for flow in module.class_traffic)
         for seen in module.engines.values():
             assert (seen.queries, seen.threads, seen.memory_reserved) == (0, 0, 0)
             assert all(estimate.in_flight == 0 for estimate in seen.estimates)
         for _, found in self.engines._engines.values():
             for connection in found._open:
-                wait(partial(free, connection))
+                wait_until(partial(free, connection))
         assert not self.decisions._request_ids
 
     def wait_until_ended(self, number: int) -> None:
@@ -138,10 +138,10 @@
             assert self.server._armed <= set(self.server._waiting)
 
     def count(self, kind: type) -> int:
-        return sum(isinstance(event, kind) for event in self.heard)
+        return sum(isinstance(event, kind) for event in self.submitted)
 
     def results(self) -> Counter[api.AttemptResult]:
-        return Counter(event.result for event in self.heard if isinstance(event, api.AttemptOutcome))
+        return Counter(event.result for event in self.submitted if isinstance(event, api.AttemptOutcome))
 
     def end(self) -> None:
         self.server.stop_listening()
@@ -150,7 +150,7 @@
             peer.listener.close()
 
 
-def name_of(call: int) -> str:
+def request_id(call: int) -> str:
     return f"{call:016x}"
 
 
@@ -158,7 +158,7 @@
     return not connection.reserved_count and not connection.stream_count
 
 
-def wait(holds: Callable[[], object]) -> None:
+def wait_until(holds: Callable[[], object]) -> None:
     until = time.monotonic() + LIMIT
     while not holds():
         assert time.monotonic() < until
@@ -166,32 +166,32 @@
 
 
 @pytest.fixture
-def rig() -> Iterator[Rig]:
-    rig = Rig()
-    yield rig
-    rig.end()
+def harness() -> Iterator[GatewayHarness]:
+    harness = GatewayHarness()
+    yield harness
+    harness.end()
 
 
 @pytest.fixture
-def single() -> Iterator[Rig]:
-    """A rig whose server has one session thread."""
-    rig = Rig(threads=1)
-    yield rig
-    rig.end()
+def single_threaded() -> Iterator[GatewayHarness]:
+    """A harness whose server has one session thread."""
+    harness = GatewayHarness(threads=1)
+    yield harness
+    harness.end()
 
 
-class Held:
-    """Blocks each caller until it is released."""
+class CallBlocker:
+    """A callable that blocks each caller until the test sets `released`."""
 
     def __init__(self) -> None:
-        self.come, self.go = threading.Semaphore(0), threading.Event()
+        self.arrivals, self.released = threading.Semaphore(0), threading.Event()
 
     def __call__(self, *_: object) -> None:
-        self.come.release()
-        assert self.go.wait(LIMIT)
+        self.arrivals.release()
+        assert self.released.wait(LIMIT)
 
-    def reached(self) -> None:
-        assert self.come.acquire(timeout=LIMIT)
+    def wait_for_caller(self) -> None:
+        assert self.arrivals.acquire(timeout=LIMIT)
 
 
 def fin(client: Client) -> None:
@@ -216,16 +216,16 @@
 DEPARTURES = [fin, rst, half_close, behind_bytes]
 
 
-def leave(rig: Rig, client: Client, way: Callable[[Client], None] = fin) -> None:
+def leave(harness: GatewayHarness, client: Client, way: Callable[[Client], None] = fin) -> None:
     """Make the client leave, and wait until the server's socket shows it."""
-    one = rig.session(client)
+    one = harness.session(client)
     way(client)
-    wait(lambda: departures.has_left(one._sock))
+    wait_until(lambda: departures.has_left(one._sock))
 
 
-def kill(rig: Rig, client: Client, what: str = "QUERY ") -> None:
+def kill(harness: GatewayHarness, client: Client, what: str = "QUERY ") -> None:
     """Send a KILL from another client, and wait for its OK."""
-    other = rig.client()
+    other = harness.client()
     other.send(3, f"KILL {what}{client.id}".encode())
     assert other.read() == packets.ok()
     other.sock.close()
@@ -235,34 +235,34 @@
 
 
 @pytest.mark.parametrize("way", DEPARTURES)
-def test_client_departure_cancels_the_attempt(rig: Rig, way: Callable[[Client], None]) -> None:
+def test_client_departure_cancels_the_attempt(harness: GatewayHarness, way: Callable[[Client], None]) -> None:
     # fault: a client was not watched while its request was open, so the request ran on, and was retried
-    client = rig.client()
-    rig.ask(client)
-    _, call = rig.sent(1)
+    client = harness.client()
+    harness.ask(client)
+    _, call = harness.next_attempt(1)
     way(client)
-    assert rig.engine.next(b"never_mind")[1][1] == call
-    rig.wait_until_ended(client.id)
+    assert harness.engine.next(b"never_mind")[1][1] == call
+    harness.wait_until_ended(client.id)
     if way in (half_close, behind_bytes):  # it gets no answer, not even to the pipelined command
         client.sock.settimeout(LIMIT)
         try:
             assert client.sock.recv(4096) == b""
         except ConnectionResetError:  # closed with the pipelined command unread
             assert way is behind_bytes
-    rig.wait_until_released()
-    assert rig.count(api.ClientGone) == 1 and rig.results() == {api.AttemptResult.CANCELLED: 1}
-    rig.serve(rig.client(), 2)
+    harness.wait_until_released()
+    assert harness.count(api.ClientGone) == 1 and harness.results() == {api.AttemptResult.CANCELLED: 1}
+    harness.serve(harness.client(), 2)
 
 
-def test_pipelined_command_waits_for_the_open_request(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pipelined_command_waits_for_the_open_request(harness: GatewayHarness, monkeypatch: pytest.MonkeyPatch) -> None:
     checks: SimpleQueue[int] = SimpleQueue()
     monkeypatch.setattr(session.Session, "check_departure", lambda self: checks.put(self.number))
-    client = rig.client()
-    rig.ask(client)
-    sock, call = rig.sent(1)
+    client = harness.client()
+    harness.ask(client)
+    sock, call = harness.next_attempt(1)
     client.send(0x0E)
-    wait(lambda: readable(rig.session(client)._sock))
-    say(sock, call, b"200", b"sheets=1", PAGE)
+    wait_until(lambda: readable(harness.session(client)._sock))
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(client.rows()) == 1 and client.read() == packets.ok()
     assert checks.empty()
 
@@ -278,12 +278,12 @@
         ours, _ = listener.accept()
     assert not departures.has_left(ours)
     theirs.send(b"x")
-    wait(lambda: readable(ours))
+    wait_until(lambda: readable(ours))
     assert not departures.has_left(ours)
     if way is fin:
         ours.recv(1)  # for a system that reports the end only once all bytes are read
     way(SimpleNamespace(sock=theirs, send=lambda command: theirs.send(b"y")))
-    wait(lambda: departures.has_left(ours))
+    wait_until(lambda: departures.has_left(ours))
     if way is fin:
         plain = SimpleNamespace(register=lambda *_: None, poll=lambda _: [(0, select.POLLIN)])
         monkeypatch.setattr(select, "poll", lambda: plain)
@@ -292,33 +292,33 @@
     theirs.close()
 
 
-def test_stop_during_a_request_is_not_taken_for_a_departure(rig: Rig) -> None:
+def test_stop_during_a_request_is_not_taken_for_a_departure(harness: GatewayHarness) -> None:
     # a drain may begin while a request is being read, and the request must still be answered. Shutting down the
     # gateway's receiving side would look as if the client had left, so this must not happen while a request is open
-    client = rig.client()
-    rig.ask(client)
-    sock, call = rig.sent(1)
-    ours = rig.session(client)
+    client = harness.client()
+    harness.ask(client)
+    sock, call = harness.next_attempt(1)
+    ours = harness.session(client)
     ours.stop()
     assert not ours.evict() and not departures.has_left(ours._sock)
     ours.check_departure()  # an event that comes all the same is only a hint
-    say(sock, call, b"200", b"sheets=1", PAGE)
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(client.rows()) == 1
-    assert rig.count(api.ClientGone) == 0
+    assert harness.count(api.ClientGone) == 0
     assert client.sock.recv(1) == b""
 
 
-def test_kill_connection_answers_interrupted_and_closes(rig: Rig) -> None:
-    client = rig.client()
-    rig.ask(client)
-    _, call = rig.sent(1)
-    kill(rig, client, "")
+def test_kill_connection_answers_interrupted_and_closes(harness: GatewayHarness) -> None:
+    client = harness.client()
+    harness.ask(client)
+    _, call = harness.next_attempt(1)
+    kill(harness, client, "")
     assert client.error()[0] == INTERRUPTED
     assert client.sock.recv(4096) == b""
-    assert rig.engine.next(b"never_mind")[1][1] == call
-    rig.wait_until_ended(client.id)
-    rig.wait_until_released()
-    assert rig.count(api.ClientGone) == 1
+    assert harness.engine.next(b"never_mind")[1][1] == call
+    harness.wait_until_ended(client.id)
+    harness.wait_until_released()
+    assert harness.count(api.ClientGone) == 1
 
 
 # The last check before a request is sent
@@ -326,178 +326,180 @@
 DETECTIONS = ["event", "socket"]  # by the epoll event in the request's mailbox, or only by the last check of the socket
 
 
-def leave_noticed(rig: Rig, client: Client, how: str) -> None:
-    """Make the client leave; if the event reports it, wait until the request has it in its mailbox."""
-    open_ = rig.session(client)._exchange
+def leave_detected(harness: GatewayHarness, client: Client, how: str) -> None:
+    """Make the client leave; if the epoll event reports it, wait until the request has it in its mailbox."""
+    open_ = harness.session(client)._exchange
     assert isinstance(open_, request_handler.RequestHandler)
-    leave(rig, client)
+    leave(harness, client)
     if how == "event":
-        wait(lambda: not open_._mailbox.empty())
+        wait_until(lambda: not open_._mailbox.empty())
 
 
 @pytest.fixture(params=DETECTIONS)
-def how(rig: Rig, request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> str:
-    rig.ignores_socket = request.param == "event"
-    if not rig.ignores_socket:
+def how(harness: GatewayHarness, request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> str:
+    harness.ignores_socket = request.param == "event"
+    if not harness.ignores_socket:
         monkeypatch.setattr(session.Session, "check_departure", lambda self: None)
     return str(request.param)
 
 
-def assert_not_sent(rig: Rig, client: int, attempts: int = 1) -> None:
+def assert_not_sent(harness: GatewayHarness, client: int, attempts: int = 1) -> None:
     """The request ended unsent, with one departure reported, and the engine's next message is another request."""
-    rig.wait_until_ended(client)
-    rig.wait_until_released()
-    assert rig.count(api.ClientGone) == 1 and rig.results()[api.AttemptResult.NOT_SENT] == 1
-    assert sum(rig.results().values()) == attempts
-    rig.serve(rig.client(), 9)
+    harness.wait_until_ended(client)
+    harness.wait_until_released()
+    assert harness.count(api.ClientGone) == 1 and harness.results()[api.AttemptResult.NOT_SENT] == 1
+    assert sum(harness.results().values()) == attempts
+    harness.serve(harness.client(), 9)
 
 
 def test_request_is_not_sent_if_client_leaves_during_its_engine_connect(
-    rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch
+    harness: GatewayHarness, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    held, connect = Held(), engine.Engine._connect
+    blocker, connect = CallBlocker(), engine.Engine._connect
 
-    def connect_held(self: engine.Engine, limit: float) -> Connection:
-        held()
+    def connect_blocked(self: engine.Engine, limit: float) -> Connection:
+        blocker()
         return connect(self, limit)
 
-    monkeypatch.setattr(engine.Engine, "_connect", connect_held)
-    client = rig.client()
-    rig.ask(client)
-    held.reached()
-    leave_noticed(rig, client, how)
-    held.go.set()
-    assert_not_sent(rig, client.id)
+    monkeypatch.setattr(engine.Engine, "_connect", connect_blocked)
+    client = harness.client()
+    harness.ask(client)
+    blocker.wait_for_caller()
+    leave_detected(harness, client, how)
+    blocker.released.set()
+    assert_not_sent(harness, client.id)
 
 
 def test_request_is_not_sent_if_client_leaves_during_the_connect_of_another_request(
-    rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch
+    harness: GatewayHarness, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    held, connect, reserve = Held(), engine.Engine._connect, engine.Engine._reserve
+    blocker, connect, reserve = CallBlocker(), engine.Engine._connect, engine.Engine._reserve
     waiting: queue.SimpleQueue[bytes] = queue.SimpleQueue()
 
-    def connect_held(self: engine.Engine, limit: float) -> Connection:
-        held()
+    def connect_blocked(self: engine.Engine, limit: float) -> Connection:
+        blocker()
         return connect(self, limit)
 
-    def reserve_noting(self: engine.Engine, call: bytes, until: float) -> tuple[Connection, bool]:
+    def reserve_recording(self: engine.Engine, call: bytes, until: float) -> tuple[Connection, bool]:
         waiting.put(call)
         return reserve(self, call, until)
 
-    monkeypatch.setattr(engine.Engine, "_connect", connect_held)
-    monkeypatch.setattr(engine.Engine, "_reserve", reserve_noting)
-    first, second = rig.client(), rig.client()
-    rig.ask(first, 1)
-    held.reached()
+    monkeypatch.setattr(engine.Engine, "_connect", connect_blocked)
+    monkeypatch.setattr(engine.Engine, "_reserve", reserve_recording)
+    first, second = harness.client(), harness.client()
+    harness.ask(first, 1)
+    blocker.wait_for_caller()
     assert waiting.get(timeout=LIMIT)
-    rig.ask(second, 2)
+    harness.ask(second, 2)
     assert waiting.get(timeout=LIMIT) == b"%016x" % 2
-    leave_noticed(rig, second, how)
-    held.go.set()
-    rig.answer(first, 1)
-    assert_not_sent(rig, second.id, attempts=2)
+    leave_detected(harness, second, how)
+    blocker.released.set()
+    harness.answer(first, 1)
+    assert_not_sent(harness, second.id, attempts=2)
 
 
 def test_request_is_not_sent_if_client_leaves_while_the_connection_is_written(
-    rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch
+    harness: GatewayHarness, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig.serve(rig.client(), 1)
-    come, want = threading.Event(), Connection.submit
+    harness.serve(harness.client(), 1)
+    submitting, submit = threading.Event(), Connection.submit
 
-    def want_noting(self: Connection, *arguments: Any) -> None:
-        come.set()
-        want(self, *arguments)
+    def submit_signalling(self: Connection, *arguments: Any) -> None:
+        submitting.set()
+        submit(self, *arguments)
 
-    monkeypatch.setattr(Connection, "submit", want_noting)
-    (connection,) = rig.engines._engines[0][1]._open
-    client = rig.client()
+    monkeypatch.setattr(Connection, "submit", submit_signalling)
+    (connection,) = harness.engines._engines[0][1]._open
+    client = harness.client()
     with connection._writing:
-        rig.ask(client, 2)
-        assert come.wait(LIMIT)
-        leave_noticed(rig, client, how)
-    assert_not_sent(rig, client.id, attempts=2)
+        harness.ask(client, 2)
+        assert submitting.wait(LIMIT)
+        leave_detected(harness, client, how)
+    assert_not_sent(harness, client.id, attempts=2)
 
 
 def test_retry_is_not_sent_if_client_leaves_in_the_cancel_gap(
-    rig: Rig, how: str, monkeypatch: pytest.MonkeyPatch
+    harness: GatewayHarness, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    held = Held()
-    monkeypatch.setattr(request_handler, "time", SimpleNamespace(monotonic=time.monotonic, sleep=held))
+    blocker = CallBlocker()
+    monkeypatch.setattr(request_handler, "time", SimpleNamespace(monotonic=time.monotonic, sleep=blocker))
     monkeypatch.setattr(request_handler, "CANCEL_GAP", LIMIT)  # the retry falls into the gap on a slow machine too
-    client = rig.client()
-    rig.ask(client)
-    sock, call = rig.sent(1)
-    say(sock, call, b"200", b"sheets=2", PAGE)
-    assert rig.engine.next(b"turn")
+    client = harness.client()
+    harness.ask(client)
+    sock, call = harness.next_attempt(1)
+    say(sock, call, b"200", b"sheets=2", ONE_ROW_PAGE)
+    assert harness.engine.next(b"turn")
     say(sock, call, b"500", b"-", b"")  # the rest of the result is lost, and the attempt abandoned
-    assert rig.engine.next(b"shut")
-    held.reached()
-    leave_noticed(rig, client, how)
-    held.go.set()
-    assert_not_sent(rig, client.id, attempts=2)
+    assert harness.engine.next(b"shut")
+    blocker.wait_for_caller()
+    leave_detected(harness, client, how)
+    blocker.released.set()
+    assert_not_sent(harness, client.id, attempts=2)
 
 
-def hold_outcome(rig: Rig) -> Held:
-    """Hold the request's thread between two attempts: after the first, before the policy module gets its outcome."""
-    held = Held()
-    rig.before = lambda event: held() if isinstance(event, api.AttemptOutcome) and not held.go.is_set() else None
-    return held
+def block_outcome(harness: GatewayHarness) -> CallBlocker:
+    """Block the request's thread between two attempts: after the first, before the policy module gets its outcome."""
+    blocker = CallBlocker()
+    harness.before_submit = lambda event: (
+        blocker() if isinstance(event, api.AttemptOutcome) and not blocker.released.is_set() else None
+    )
+    return blocker
 
 
-def fail_first(rig: Rig, client: Client) -> None:
-    rig.ask(client)
-    sock, call = rig.sent(1)
+def fail_first(harness: GatewayHarness, client: Client) -> None:
+    harness.ask(client)
+    sock, call = harness.next_attempt(1)
     say(sock, call, b"500", b"-", b"")
 
 
-def test_retry_is_not_sent_if_client_leaves_between_attempts(rig: Rig, how: str) -> None:
-    held = hold_outcome(rig)
-    client = rig.client()
-    fail_first(rig, client)
-    held.reached()
-    leave_noticed(rig, client, how)
-    held.go.set()
-    rig.wait_until_ended(client.id)
-    rig.wait_until_released()
-    assert rig.count(api.ClientGone) == 1
-    assert rig.results() == {api.AttemptResult.ERROR: 1, api.AttemptResult.NOT_SENT: 1}
-    rig.serve(rig.client(), 9)
-
-
-def test_retry_is_not_sent_after_kill_and_the_next_request_is(rig: Rig) -> None:
-    held = hold_outcome(rig)
-    client = rig.client()
-    fail_first(rig, client)
-    held.reached()
-    kill(rig, client)
-    held.go.set()
+def test_retry_is_not_sent_if_client_leaves_between_attempts(harness: GatewayHarness, how: str) -> None:
+    blocker = block_outcome(harness)
+    client = harness.client()
+    fail_first(harness, client)
+    blocker.wait_for_caller()
+    leave_detected(harness, client, how)
+    blocker.released.set()
+    harness.wait_until_ended(client.id)
+    harness.wait_until_released()
+    assert harness.count(api.ClientGone) == 1
+    assert harness.results() == {api.AttemptResult.ERROR: 1, api.AttemptResult.NOT_SENT: 1}
+    harness.serve(harness.client(), 9)
+
+
+def test_retry_is_not_sent_after_kill_and_the_next_request_is(harness: GatewayHarness) -> None:
+    blocker = block_outcome(harness)
+    client = harness.client()
+    fail_first(harness, client)
+    blocker.wait_for_caller()
+    kill(harness, client)
+    blocker.released.set()
     assert client.error()[0] == INTERRUPTED
-    rig.wait_until_released()
-    assert rig.count(api.ClientGone) == 1
-    rig.serve(client, 2)
-
-
-def test_request_is_not_sent_if_client_leaves_while_it_waits_for_a_thread(single: Rig) -> None:
-    first, second = single.client(), single.client()
-    single.ask(first, 1)
-    sock, call = single.sent(1)
-    single.ask(second, 2)
-    leave(single, second, half_close)
-    say(sock, call, b"200", b"sheets=1", PAGE)
+    harness.wait_until_released()
+    assert harness.count(api.ClientGone) == 1
+    harness.serve(client, 2)
+
+
+def test_request_is_not_sent_if_client_leaves_while_it_waits_for_a_thread(single_threaded: GatewayHarness) -> None:
+    first, second = single_threaded.client(), single_threaded.client()
+    single_threaded.ask(first, 1)
+    sock, call = single_threaded.next_attempt(1)
+    single_threaded.ask(second, 2)
+    leave(single_threaded, second, half_close)
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(first.rows()) == 1
-    single.wait_until_ended(second.id)
-    single.wait_until_released()
-    single.serve(single.client(), 9)
+    single_threaded.wait_until_ended(second.id)
+    single_threaded.wait_until_released()
+    single_threaded.serve(single_threaded.client(), 9)
 
 
-def test_departure_is_detected_while_no_thread_is_free(single: Rig) -> None:
-    client = single.client()
-    single.ask(client)
-    _, call = single.sent(1)
+def test_departure_is_detected_while_no_thread_is_free(single_threaded: GatewayHarness) -> None:
+    client = single_threaded.client()
+    single_threaded.ask(client)
+    _, call = single_threaded.next_attempt(1)
     client.sock.close()
-    assert single.engine.next(b"never_mind")[1][1] == call
-    single.wait_until_ended(client.id)
-    single.wait_until_released()
+    assert single_threaded.engine.next(b"never_mind")[1][1] == call
+    single_threaded.wait_until_ended(client.id)
+    single_threaded.wait_until_released()
 
 
 # Requests held by the gate
@@ -511,138 +513,142 @@
 
 
 @pytest.fixture
-def gate(rig: Rig) -> Gate:
-    gate = rig.server.gate = Gate(8, 0.4)
+def gate(harness: GatewayHarness) -> Gate:
+    gate = harness.server.gate = Gate(8, 0.4)
     gate.open()
     return gate
 
 
 @pytest.mark.parametrize("what", ["leaves", "killed"])
-def test_request_cancelled_while_the_gate_holds_it_is_not_opened(rig: Rig, gate: Gate, what: str) -> None:
-    client = rig.client()
+def test_request_cancelled_while_the_gate_holds_it_is_not_opened(
+    harness: GatewayHarness, gate: Gate, what: str
+) -> None:
+    client = harness.client()
     gate.close(EveryRequest())
-    rig.ask(client)
-    wait(lambda: gate.metrics().waiting)
+    harness.ask(client)
+    wait_until(lambda: gate.metrics().waiting)
     if what == "killed":
-        kill(rig, client)
+        kill(harness, client)
     else:
-        leave(rig, client, half_close)
+        leave(harness, client, half_close)
     gate.open()
     if what == "killed":
         assert client.error()[0] == INTERRUPTED
     else:
-        rig.wait_until_ended(client.id)
-        client = rig.client()
-    assert rig.opened.empty()
-    rig.serve(client, 2)
+        harness.wait_until_ended(client.id)
+        client = harness.client()
+    assert harness.opened.empty()
+    harness.serve(client, 2)
 
 
 # KILL
 
 
-def test_kill_before_the_exchange_exists_cancels_one_request(rig: Rig) -> None:
+def test_kill_before_the_exchange_exists_cancels_one_request(harness: GatewayHarness) -> None:
     # fault: a KILL between the parsing of a request and the creation of its exchange was answered OK, and lost
-    held = Held()
-    rig.opening = held
-    client = rig.client()
-    rig.ask(client)
-    held.reached()
-    kill(rig, client)
-    held.go.set()
+    blocker = CallBlocker()
+    harness.before_open = blocker
+    client = harness.client()
+    harness.ask(client)
+    blocker.wait_for_caller()
+    kill(harness, client)
+    blocker.released.set()
     assert client.error()[0] == INTERRUPTED
-    rig.wait_until_released()
-    assert rig.count(api.ClientGone) == 1
-    rig.serve(client, 2)
+    harness.wait_until_released()
+    assert harness.count(api.ClientGone) == 1
+    harness.serve(client, 2)
 
 
-def test_kill_after_the_answer_does_not_cancel_the_next_request(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    held, query = Held(), session.Session._query
+def test_kill_after_the_answer_does_not_cancel_the_next_request(
+    harness: GatewayHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    blocker, query = CallBlocker(), session.Session._query
 
-    def query_held(self: session.Session, text: bytes) -> bytes:
+    def query_blocked(self: session.Session, text: bytes) -> bytes:
         reply = query(self, text)
-        if not held.go.is_set():
-            held()
+        if not blocker.released.is_set():
+            blocker()
         return reply
 
-    monkeypatch.setattr(session.Session, "_query", query_held)
-    client = rig.client()
-    first, second = map(name_of, (1, 2))
+    monkeypatch.setattr(session.Session, "_query", query_blocked)
+    client = harness.client()
+    first, second = map(request_id, (1, 2))
     both = [packets.packet(0, b"\x03" + request(call=call, ttl=LONG_TTL)) for call in (first, second)]
     client.sock.sendall(b"".join(both))
-    sock, call = rig.sent(1)
-    say(sock, call, b"200", b"sheets=1", PAGE)
-    held.reached()  # its answer exists, but is not sent yet; the next request has been read
-    kill(rig, client)
-    held.go.set()
+    sock, call = harness.next_attempt(1)
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
+    blocker.wait_for_caller()  # its answer exists, but is not sent yet; the next request has been read
+    kill(harness, client)
+    blocker.released.set()
     assert len(client.rows()) == 1
-    rig.answer(client, 2)
-    assert rig.count(api.ClientGone) == 0
+    harness.answer(client, 2)
+    assert harness.count(api.ClientGone) == 0
 
 
-def test_kill_of_an_idle_session_or_itself_does_not_cancel_the_next_request(rig: Rig) -> None:
-    client = rig.client()
-    rig.serve(client, 1)
+def test_kill_of_an_idle_session_or_itself_does_not_cancel_the_next_request(harness: GatewayHarness) -> None:
+    client = harness.client()
+    harness.serve(client, 1)
     client.send(0x0E)
     assert client.read() == packets.ok()
-    wait(lambda: rig.session(client)._idle)
-    kill(rig, client)
-    rig.serve(client, 4)
+    wait_until(lambda: harness.session(client)._idle)
+    kill(harness, client)
+    harness.serve(client, 4)
     own = packets.packet(0, b"\x03KILL QUERY %d" % client.id)
-    client.sock.sendall(own + packets.packet(0, b"\x03" + request(call=name_of(2), ttl=LONG_TTL)))
+    client.sock.sendall(own + packets.packet(0, b"\x03" + request(call=request_id(2), ttl=LONG_TTL)))
     assert client.read() == packets.ok()
-    rig.answer(client, 2)
-    rig.serve(client, 3)
+    harness.answer(client, 2)
+    harness.serve(client, 3)
 
 
 @pytest.mark.parametrize("new", [True, False])
-def test_kill_is_served_while_no_thread_is_free(single: Rig, new: bool) -> None:
+def test_kill_is_served_while_no_thread_is_free(single_threaded: GatewayHarness, new: bool) -> None:
     # fault: with all threads busy, a KILL waited for a thread that only that KILL would have freed
-    client, other = single.client(), single.client()
-    single.ask(client)
-    _, call = single.sent(1)
+    client, other = single_threaded.client(), single_threaded.client()
+    single_threaded.ask(client)
+    _, call = single_threaded.next_attempt(1)
     if new:
-        kill(single, client)
+        kill(single_threaded, client)
     else:
         other.send(0x0C, client.id.to_bytes(4, "little"))
         assert other.read() == packets.ok()
     assert client.error()[0] == INTERRUPTED
-    assert single.engine.next(b"never_mind")[1][1] == call
-    single.wait_until_released()
-
-
-def test_kill_cancels_a_waiting_request_but_not_the_next(single: Rig) -> None:
-    first, second = single.client(), single.client()
-    single.ask(first, 1)
-    sock, call = single.sent(1)
-    single.ask(second, 2)
-    wait(lambda: len(single.server._deferred) == 1)
-    kill(single, second)
-    say(sock, call, b"200", b"sheets=1", PAGE)
+    assert single_threaded.engine.next(b"never_mind")[1][1] == call
+    single_threaded.wait_until_released()
+
+
+def test_kill_cancels_a_waiting_request_but_not_the_next(single_threaded: GatewayHarness) -> None:
+    first, second = single_threaded.client(), single_threaded.client()
+    single_threaded.ask(first, 1)
+    sock, call = single_threaded.next_attempt(1)
+    single_threaded.ask(second, 2)
+    wait_until(lambda: len(single_threaded.server._deferred) == 1)
+    kill(single_threaded, second)
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(first.rows()) == 1
     assert second.error()[0] == INTERRUPTED
-    single.serve(second, 3)
-    single.wait_until_released()
+    single_threaded.serve(second, 3)
+    single_threaded.wait_until_released()
 
 
-def test_deferred_sessions_get_the_next_free_thread(single: Rig) -> None:
+def test_deferred_sessions_get_the_next_free_thread(single_threaded: GatewayHarness) -> None:
     # requests arrive while no thread is free, one of them in the same write as its login
-    clients = [single.client() for _ in range(5)]
-    single.ask(clients[0], 0)
-    wait(lambda: single.server._free == 0)
+    clients = [single_threaded.client() for _ in range(5)]
+    single_threaded.ask(clients[0], 0)
+    wait_until(lambda: single_threaded.server._free == 0)
     for number, client in enumerate(clients[1:], 1):
-        single.ask(client, number)
-    also = packets.packet(0, b"\x03" + request(call=name_of(5), ttl=LONG_TTL))
+        single_threaded.ask(client, number)
+    also = packets.packet(0, b"\x03" + request(call=request_id(5), ttl=LONG_TTL))
     login = (0xA20D).to_bytes(4, "little") + bytes(28) + b"app\0\0reports\0"
-    late = socket.create_connection(single.server.address, LIMIT)
+    late = socket.create_connection(single_threaded.server.address, LIMIT)
     late.sendall(packets.packet(1, login) + also)
-    wait(lambda: len(single.server._deferred) == 5)
+    wait_until(lambda: len(single_threaded.server._deferred) == 5)
     for _ in range(6):
-        sock, parts = single.engine.next(b"want")
-        say(sock, parts[1], b"200", b"sheets=1", PAGE)
+        sock, parts = single_threaded.engine.next(b"want")
+        say(sock, parts[1], b"200", b"sheets=1", ONE_ROW_PAGE)
     for client in clients:
         assert len(client.rows()) == 1
     late.close()
-    single.wait_until_released()
+    single_threaded.wait_until_released()
 
 
 LOGIN = packets.packet(1, bytes(40))
@@ -673,12 +679,12 @@
         ours, _ = listener.accept()
     theirs.sendall(data)
     buffer = memoryview(bytearray(server.BRIEF_SIZE))
-    wait(lambda: not data or ours.recv_into(buffer, 0, socket.MSG_PEEK) == min(len(data), len(buffer)))
+    wait_until(lambda: not data or ours.recv_into(buffer, 0, socket.MSG_PEEK) == min(len(data), len(buffer)))
     assert departures.brief_commands_length(ours, logged_in, buffer) == size
     theirs.close()
     if not data:
         # the end of the connection counts as one byte
-        wait(lambda: departures.brief_commands_length(ours, logged_in, buffer) == 1)
+        wait_until(lambda: departures.brief_commands_length(ours, logged_in, buffer) == 1)
     ours.close()
 
 
@@ -688,7 +694,7 @@
         ours, _ = listener.accept()
     buffer = memoryview(bytearray(server.BRIEF_SIZE))
     theirs.sendall(PING)
-    wait(lambda: departures.brief_commands_length(ours, True, buffer) == len(PING))
+    wait_until(lambda: departures.brief_commands_length(ours, True, buffer) == len(PING))
 
     def fill() -> bool:  # the kernel still moves buffered data for a while, so this is repeated
         try:
@@ -697,16 +703,16 @@
         except BlockingIOError:
             return departures.brief_commands_length(ours, True, buffer) is None
 
-    wait(fill)
+    wait_until(fill)
     theirs.close()
     ours.close()
 
 
 def test_unwritable_client_does_not_block_brief_commands_of_others(
-    single: Rig, monkeypatch: pytest.MonkeyPatch
+    single_threaded: GatewayHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    full, busy = single.client(), single.client()
-    ours, poll = single.session(full)._sock, select.poll
+    full, busy = single_threaded.client(), single_threaded.client()
+    ours, poll = single_threaded.session(full)._sock, select.poll
 
     class UnwritablePoll:
         """Reports that one client's socket is not writable."""
@@ -723,51 +729,51 @@
             return [] if self.full else self.poll_.poll(limit)
 
     monkeypatch.setattr(select, "poll", UnwritablePoll)
-    single.ask(busy)
-    _, call = single.sent(1)
+    single_threaded.ask(busy)
+    _, call = single_threaded.next_attempt(1)
     full.send(0x0E)
-    wait(lambda: len(single.server._deferred) == 1)
-    kill(single, busy)
+    wait_until(lambda: len(single_threaded.server._deferred) == 1)
+    kill(single_threaded, busy)
     assert busy.error()[0] == INTERRUPTED
-    assert single.engine.next(b"never_mind")[1][1] == call
+    assert single_threaded.engine.next(b"never_mind")[1][1] == call
     assert full.read() == packets.ok()  # served by the thread that is free now
 
 
 # Stale events
 
 
-class HeldClaim:
-    """Holds the thread that takes the next event of a session's descriptor, before it claims the session."""
+class BlockedClaim:
+    """Blocks the thread that takes the next event of a session's descriptor, before it claims the session."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, holds: Callable[[int, server.Server], bool]) -> None:
-        self.held, claim, done = Held(), server.Server._claim, threading.Event()
-        self.done, self.first = done, threading.Lock()
+        self.blocker, claim, done = CallBlocker(), server.Server._claim, threading.Event()
+        self.done, self.is_used = done, threading.Lock()  # only the first claim is blocked
 
-        def claim_held(self_: server.Server, number: int) -> session.Session | None:
-            if not holds(number, self_) or not self.first.acquire(blocking=False):
+        def claim_blocked(self_: server.Server, number: int) -> session.Session | None:
+            if not holds(number, self_) or not self.is_used.acquire(blocking=False):
                 return claim(self_, number)
-            self.held()
+            self.blocker()
             try:
                 return claim(self_, number)
             finally:
                 done.set()
 
-        monkeypatch.setattr(server.Server, "_claim", claim_held)
+        monkeypatch.setattr(server.Server, "_claim", claim_blocked)
 
 
-def on_descriptor(rig: Rig, number: int) -> Client:
+def on_descriptor(harness: GatewayHarness, number: int) -> Client:
     """Return a client whose session has the descriptor of an earlier session.
 
     Descriptors are shared by the whole process, so an attempt fails if another thread opens or closes one meanwhile.
     """
-    wait(lambda: not os.path.exists(f"/proc/self/fd/{number}"))  # closed
+    wait_until(lambda: not os.path.exists(f"/proc/self/fd/{number}"))  # closed
     until = time.monotonic() + LIMIT
-    while (client := try_descriptor(rig, number)) is None:
+    while (client := try_descriptor(harness, number)) is None:
         assert time.monotonic() < until
     return client
 
 
-def try_descriptor(rig: Rig, number: int) -> Client | None:
+def try_descriptor(harness: GatewayHarness, number: int) -> Client | None:
     below = []
     while (last := os.open(os.devnull, os.O_RDONLY)) <= number:
         below.append(last)
@@ -785,13 +791,13 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(socket, "create_connection", connect)
-        client = rig.client()
+        client = harness.client()
     for descriptor in below:
         os.close(descriptor)
-    if rig.session(client).fileno() == number:
+    if harness.session(client).fileno() == number:
         return client
     client.sock.close()
-    rig.wait_until_ended(client.id)
+    harness.wait_until_ended(client.id)
     return None
 
 
@@ -800,76 +806,78 @@
 
 
 def test_stale_event_does_not_cancel_a_request_on_a_reused_descriptor(
-    rig: Rig, monkeypatch: pytest.MonkeyPatch
+    harness: GatewayHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    slow = HeldClaim(monkeypatch, of_an_open_request)
-    client = rig.client()
-    rig.ask(client)
-    number = rig.session(client).fileno()
-    sock, call = rig.sent(1)
+    blocked_claim = BlockedClaim(monkeypatch, of_an_open_request)
+    client = harness.client()
+    harness.ask(client)
+    number = harness.session(client).fileno()
+    sock, call = harness.next_attempt(1)
     client.sock.close()
-    slow.held.reached()  # a thread has the event, but has not acted on it
-    say(sock, call, b"200", b"sheets=1", PAGE)
-    rig.wait_until_ended(client.id)
-    other = on_descriptor(rig, number)
-    rig.ask(other, 2)
-    sock, call = rig.sent(2)
-    slow.held.go.set()
-    assert slow.done.wait(LIMIT)
-    say(sock, call, b"200", b"sheets=1", PAGE)
+    blocked_claim.blocker.wait_for_caller()  # a thread has the event, but has not acted on it
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
+    harness.wait_until_ended(client.id)
+    other = on_descriptor(harness, number)
+    harness.ask(other, 2)
+    sock, call = harness.next_attempt(2)
+    blocked_claim.blocker.released.set()
+    assert blocked_claim.done.wait(LIMIT)
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(other.rows()) == 1
-    assert rig.count(api.ClientGone) == 0  # the first request was answered as its client left
-    rig.serve(other, 3)
+    assert harness.count(api.ClientGone) == 0  # the first request was answered as its client left
+    harness.serve(other, 3)
 
 
-def test_stale_event_that_claims_an_idle_session_loses_no_command(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    slow = HeldClaim(monkeypatch, of_an_open_request)
-    client = rig.client()
-    rig.ask(client)
-    number = rig.session(client).fileno()
-    sock, call = rig.sent(1)
+def test_stale_event_that_claims_an_idle_session_loses_no_command(
+    harness: GatewayHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    blocked_claim = BlockedClaim(monkeypatch, of_an_open_request)
+    client = harness.client()
+    harness.ask(client)
+    number = harness.session(client).fileno()
+    sock, call = harness.next_attempt(1)
     client.sock.close()
-    slow.held.reached()
-    say(sock, call, b"200", b"sheets=1", PAGE)
-    rig.wait_until_ended(client.id)
-    other = on_descriptor(rig, number)
-    rig.serve(other, 2)
-    wait(lambda: number in rig.server._armed)
-    slow.held.go.set()
-    assert slow.done.wait(LIMIT)
-    rig.serve(other, 3)
-    rig.serve(other, 4)
-
-
-def test_answer_racing_with_departure_ends_the_session_once(rig: Rig) -> None:
+    blocked_claim.blocker.wait_for_caller()
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
+    harness.wait_until_ended(client.id)
+    other = on_descriptor(harness, number)
+    harness.serve(other, 2)
+    wait_until(lambda: number in harness.server._armed)
+    blocked_claim.blocker.released.set()
+    assert blocked_claim.done.wait(LIMIT)
+    harness.serve(other, 3)
+    harness.serve(other, 4)
+
+
+def test_answer_racing_with_departure_ends_the_session_once(harness: GatewayHarness) -> None:
     # the departure event of the open request and the end of the session race, in any order
     for number in range(100):
-        client = rig.client()
-        rig.ask(client, number)
-        while (got := rig.engine.got.get(timeout=LIMIT))[1][0] != b"want":
+        client = harness.client()
+        harness.ask(client, number)
+        while (got := harness.engine.got.get(timeout=LIMIT))[1][0] != b"want":
             assert got[1][0] == b"never_mind"  # its answer came after its client had left
         assert got[1][1] == b"%016x" % number
-        say(got[0], got[1][1], b"200", b"sheets=1", PAGE)
+        say(got[0], got[1][1], b"200", b"sheets=1", ONE_ROW_PAGE)
         client.sock.close()
-    with rig.server._changed:
-        assert rig.server._changed.wait_for(lambda: not rig.server._sessions, LIMIT)
-        assert not rig.server._waiting and not rig.server._armed
-    wait(lambda: rig.server._free == rig.server._threads)
-    rig.wait_until_released()
-    client = rig.client()
-    rig.ask(client, 1000)
-    while (got := rig.engine.got.get(timeout=LIMIT))[1][0] != b"want":
+    with harness.server._changed:
+        assert harness.server._changed.wait_for(lambda: not harness.server._sessions, LIMIT)
+        assert not harness.server._waiting and not harness.server._armed
+    wait_until(lambda: harness.server._free == harness.server._threads)
+    harness.wait_until_released()
+    client = harness.client()
+    harness.ask(client, 1000)
+    while (got := harness.engine.got.get(timeout=LIMIT))[1][0] != b"want":
         assert got[1][0] == b"never_mind"
-    say(got[0], got[1][1], b"200", b"sheets=1", PAGE)
+    say(got[0], got[1][1], b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(client.rows()) == 1
 
 
-def test_session_serves_on_after_an_invalid_request(rig: Rig) -> None:
+def test_session_serves_on_after_an_invalid_request(harness: GatewayHarness) -> None:
     # a session whose request could not be parsed waits for its next command as before
-    client = rig.client()
+    client = harness.client()
     client.send(3, b"SELECT 1")
     assert client.error()[0] == 1210
-    rig.serve(client, 2)
+    harness.serve(client, 2)
 
 
 class RejectedRequest:
@@ -905,13 +913,13 @@
     assert few.finish(LIMIT)
 
 
-def test_concurrent_departure_checks_do_not_raise(rig: Rig) -> None:
+def test_concurrent_departure_checks_do_not_raise(harness: GatewayHarness) -> None:
     # fault, seen in a soak: the departure event and the request's own check before a send used one poll object at the
     # same time, which raised: the request ended without an answer, or a thread that served other clients ended
-    client = rig.client()
-    rig.ask(client)
-    rig.sent(1)
-    one, faults, over = rig.session(client), list[Exception](), time.monotonic() + 1.0
+    client = harness.client()
+    harness.ask(client)
+    harness.next_attempt(1)
+    one, faults, over = harness.session(client), list[Exception](), time.monotonic() + 1.0
 
     def check_repeatedly() -> None:
         while time.monotonic() < over:
@@ -932,15 +940,15 @@
 
 @pytest.mark.parametrize("way", ["evict", "stop"])
 def test_command_that_arrives_just_before_an_idle_session_is_closed_is_answered(
-    rig: Rig, way: str, monkeypatch: pytest.MonkeyPatch
+    harness: GatewayHarness, way: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # fault, seen in a soak: between the check for input and the shutdown another thread held the interpreter for 0.1 s;
     # a whole request arrived meanwhile, and its client saw the close only long after sending it
-    client = rig.client()
+    client = harness.client()
     client.send(0x0E)
     assert client.read() == packets.ok()
-    one, come = rig.session(client), threading.Event()
-    wait(lambda: one._idle)
+    one, come = harness.session(client), threading.Event()
+    wait_until(lambda: one._idle)
     real = socket.socket.recv
 
     def recv_then_send(self: socket.socket, *args: int) -> bytes:
@@ -958,11 +966,11 @@
     assert client.read() == packets.ok()
 
 
-def test_rest_of_a_statement_is_not_sent_after_its_client_leaves(rig: Rig) -> None:
+def test_rest_of_a_statement_is_not_sent_after_its_client_leaves(harness: GatewayHarness) -> None:
     # the engine reads nothing for a while: the rest of the statement must not be sent long after the client has left
-    rig.engine.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    client = rig.client()
-    long = request(call=name_of(1), ttl=LONG_TTL) + b" -- " + b"x" * 120_000
+    harness.engine.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    client = harness.client()
+    long = request(call=request_id(1), ttl=LONG_TTL) + b" -- " + b"x" * 120_000
     come, go = list[int](), threading.Event()
 
     def read_later(self: Peer, sock: socket.socket) -> None:
@@ -982,13 +990,13 @@
 
         patch.setattr(engine.Engine, "_connect", narrow)
         client.send(3, long)
-        wait(lambda: rig.count(api.Request))
+        wait_until(lambda: harness.count(api.Request))
         time.sleep(0.03)
-        one = rig.session(client)
+        one = harness.session(client)
         client.sock.close()
-        wait(lambda: departures.has_left(one._sock))
+        wait_until(lambda: departures.has_left(one._sock))
         time.sleep(DEPARTURE_LIMIT)
         go.set()
-    rig.wait_until_ended(client.id)
+    harness.wait_until_ended(client.id)
     time.sleep(DEPARTURE_LIMIT)
     assert 0 < sum(come) < len(long)
--- a/tests/test_extremes.py
+++ b/tests/test_extremes.py
@@ -18,7 +18,7 @@
 from tealwing.mysql import packets
 from tealwing.resp.engine import Engine
 from tests.peers import LIMIT, SETTINGS, Client, Peer, Program, answer_next, request, say
-from tests.test_departures import PAGE, Held, Rig, name_of, wait
+from tests.test_departures import ONE_ROW_PAGE, CallBlocker, GatewayHarness, request_id, wait_until
 from tests.test_exits import LOGIN
 from tests.test_failing_calls import read_result
 
@@ -31,11 +31,11 @@
 
 
 def test_repeat_is_not_sent_if_connect_outlasts_window(monkeypatch: pytest.MonkeyPatch) -> None:
-    rig = Rig(engines=2, idempotency=api.Idempotency.KEYED, idempotency_window=WINDOW)
-    client = rig.client()
-    client.ask(call=name_of(1), ttl=20_000, dedupe="k")
-    wait(lambda: any(not peer.got.empty() for peer in rig.peers))
-    first = next(peer for peer in rig.peers if not peer.got.empty())
+    harness = GatewayHarness(engines=2, idempotency=api.Idempotency.KEYED, idempotency_window=WINDOW)
+    client = harness.client()
+    client.ask(call=request_id(1), ttl=20_000, dedupe="k")
+    wait_until(lambda: any(not peer.got.empty() for peer in harness.peers))
+    first = next(peer for peer in harness.peers if not peer.got.empty())
     sock, _ = first.next(b"want")
     connect = Engine._connect
 
@@ -47,8 +47,8 @@
     time.sleep(WINDOW / 2)
     sock.shutdown(socket.SHUT_RDWR)  # the attempt may have run
     assert client.error()[0] == REFUSED
-    assert all(peer.got.empty() for peer in rig.peers)
-    rig.end()
+    assert all(peer.got.empty() for peer in harness.peers)
+    harness.end()
 
 
 # "Whole rows as text, at most 6,000 bytes, make up a page": a page may hold a single row
@@ -87,30 +87,30 @@
 
 
 def test_clients_not_yet_accepted_at_stop_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    rig = Rig()
-    held, accept = Held(), rig.server._accept
+    harness = GatewayHarness()
+    blocker, accept = CallBlocker(), harness.server._accept
 
     def accept_later() -> Any:
-        held()
+        blocker()
         return accept()
 
-    monkeypatch.setattr(rig.server, "_accept", accept_later)
-    clients = [socket.create_connection(rig.server.address, LIMIT) for _ in range(5)]
+    monkeypatch.setattr(harness.server, "_accept", accept_later)
+    clients = [socket.create_connection(harness.server.address, LIMIT) for _ in range(5)]
     for number, sock in enumerate(clients):
-        sock.sendall(LOGIN + packets.packet(0, b"\x03" + request(call=name_of(number), ttl=20_000)))
-    held.reached()
-    rig.server.stop_listening()
-    held.go.set()
+        sock.sendall(LOGIN + packets.packet(0, b"\x03" + request(call=request_id(number), ttl=20_000)))
+    blocker.wait_for_caller()
+    harness.server.stop_listening()
+    blocker.released.set()
     for _ in clients:
-        sock, parts = rig.engine.next(b"want")
-        say(sock, parts[1], b"200", b"sheets=1", PAGE)
+        sock, parts = harness.engine.next(b"want")
+        say(sock, parts[1], b"200", b"sheets=1", ONE_ROW_PAGE)
     for sock in clients:
         client = Client.__new__(Client)
         client.sock, client.parser = sock, packets.Parser()
         client.read(), client.read()
         assert len(client.rows()) == 1
         sock.close()
-    rig.end()
+    harness.end()
 
 
 # "SIGKILL comes no sooner than the longest deadline and 0.7 s": with short deadlines it comes early
@@ -186,7 +186,7 @@
             sock, parts = engine.got.get()
             if parts[0] == b"want":
                 with contextlib.suppress(OSError):
-                    say(sock, parts[1], b"200", b"sheets=1", PAGE)
+                    say(sock, parts[1], b"200", b"sheets=1", ONE_ROW_PAGE)
 
     threading.Thread(target=serve, daemon=True).start()
     program = Program(tmp_path, engine.address)
@@ -212,7 +212,7 @@
         client.ask(call=f"{number:016x}", op="unknown")
         assert client.error()[0] == 1210
     client.ask()
-    answer_next(engine, PAGE)
+    answer_next(engine, ONE_ROW_PAGE)
     assert len(client.rows()) == 1
     assert program.process.poll() is None
     program.end()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -24,7 +24,7 @@
 from tealwing.mysql import packets
 from tealwing.resp.errors import ConnectError
 from tests.peers import LIMIT, Client, member, request, say
-from tests.test_departures import PAGE, Rig, name_of, wait
+from tests.test_departures import ONE_ROW_PAGE, GatewayHarness, request_id, wait_until
 from tests.test_watch import make
 
 GATEWAY_THREADS = {"session", "session-limits", "engine-reader"}  # thread names
@@ -81,10 +81,10 @@
 
 
 class AnsweringEngine:
-    """Answers each attempt that arrives at the engine of a rig."""
+    """Answers each attempt that arrives at the harness's engine."""
 
-    def __init__(self, rig: Rig) -> None:
-        self._rig, self.calls = rig, list[bytes]()
+    def __init__(self, harness: GatewayHarness) -> None:
+        self._rig, self.calls = harness, list[bytes]()
         threading.Thread(target=self._run, name="engine of the test", daemon=True).start()
 
     def _run(self) -> None:
@@ -93,16 +93,16 @@
             if parts[0] == b"want":
                 self.calls.append(parts[1])
                 try:
-                    say(sock, parts[1], b"200", b"sheets=1", PAGE)
+                    say(sock, parts[1], b"200", b"sheets=1", ONE_ROW_PAGE)
                 except OSError:  # the gateway has closed the connection of the attempt
                     continue
 
 
 @pytest.fixture
-def rig() -> Iterator[Rig]:
-    rig = Rig()
-    yield rig
-    rig.end()
+def harness() -> Iterator[GatewayHarness]:
+    harness = GatewayHarness()
+    yield harness
+    harness.end()
 
 
 def read_result(client: Client) -> str | int:
@@ -118,49 +118,49 @@
     return SERVED
 
 
-def run_requests(rig: Rig, fault: NthCallFailure) -> list[str | int]:
+def run_requests(harness: GatewayHarness, fault: NthCallFailure) -> list[str | int]:
     """Send a request from each of two clients, then one on the first's idle connection; return the results."""
-    engine, results = AnsweringEngine(rig), list[str | int]()
-    first, second = Client(rig.server.address), Client(rig.server.address)
+    engine, results = AnsweringEngine(harness), list[str | int]()
+    first, second = Client(harness.server.address), Client(harness.server.address)
     for call, client in enumerate((first, second, first), 1):
         try:
-            client.ask(call=name_of(call), ttl=5000)
+            client.ask(call=request_id(call), ttl=5000)
             results.append(read_result(client))
         except (EOFError, ConnectionError):
             results.append(EVICTED)
     for client in (first, second):
         client.sock.close()
-    last = Client(rig.server.address)  # a later request is served normally
-    last.ask(call=name_of(9), ttl=5000)
+    last = Client(harness.server.address)  # a later request is served normally
+    last.ask(call=request_id(9), ttl=5000)
     assert read_result(last) == SERVED
-    assert engine.calls[-1] == name_of(9).encode()
+    assert engine.calls[-1] == request_id(9).encode()
     last.sock.close()
-    wait(lambda: rig.server.connections == 0)
-    rig.wait_until_released()
+    wait_until(lambda: harness.server.connections == 0)
+    harness.wait_until_released()
     return results
 
 
 def run_with_each_failure(
-    method: str, code: int, monkeypatch: pytest.MonkeyPatch, patch: Callable[[Rig, NthCallFailure], None]
+    method: str, code: int, monkeypatch: pytest.MonkeyPatch, patch: Callable[[GatewayHarness, NthCallFailure], None]
 ) -> list[list[str | int]]:
     """Run the requests once for each call of the method, with that call failing."""
     results = []
     for nth in range(1, MAX_CALLS + 1):
         fault = NthCallFailure(nth, code)
-        rig = Rig()
+        harness = GatewayHarness()
         with monkeypatch.context() as context:
             if hasattr(socket.socket, method):
                 context.setattr(socket.socket, method, fault.wrap(getattr(socket.socket, method)))
-            patch(rig, fault)
-            results.append(run_requests(rig, fault))
-        rig.end()
+            patch(harness, fault)
+            results.append(run_requests(harness, fault))
+        harness.end()
         if not fault.failed:
             break
     assert len(results) > 1, f"no thread of {sorted(GATEWAY_THREADS)} calls {method}"
     return results
 
 
-def no_patch(rig: Rig, fault: NthCallFailure) -> None:
+def no_patch(harness: GatewayHarness, fault: NthCallFailure) -> None:
     pass
 
 
@@ -213,8 +213,8 @@
 
 @pytest.mark.parametrize("code", (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOBUFS), ids=errno.errorcode.get)
 def test_failed_write_to_engine_is_retried(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    def patch(rig: Rig, fault: NthCallFailure) -> None:
-        host, port = rig.engine.listener.getsockname()
+    def patch(harness: GatewayHarness, fault: NthCallFailure) -> None:
+        host, port = harness.engine.listener.getsockname()
         fault.applies_to = lambda sock, *_: bool(sock.getpeername() == (host, port))
 
     assert all(results == [SERVED] * 3 for results in run_with_each_failure("send", code, monkeypatch, patch))
@@ -225,27 +225,29 @@
 def test_failed_epoll_registration_ends_no_client_connection(
     method: str, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def patch(rig: Rig, fault: NthCallFailure) -> None:
-        monkeypatch.setattr(rig.server, "_ready", FailingEpoll(rig.server._ready, method, fault))
+    def patch(harness: GatewayHarness, fault: NthCallFailure) -> None:
+        monkeypatch.setattr(harness.server, "_ready", FailingEpoll(harness.server._ready, method, fault))
 
     for results in run_with_each_failure(method, code, monkeypatch, patch):
         assert results == [SERVED] * 3
 
 
-def test_internal_error_during_request_is_answered(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_internal_error_during_request_is_answered(harness: GatewayHarness, monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against an exception in the handling of a request that ends its session without an answer.
     def fail(*_: Any, **__: Any) -> None:
         raise RuntimeError("internal error")
 
-    client = Client(rig.server.address)
+    client = Client(harness.server.address)
     with monkeypatch.context() as context:
-        context.setattr(rig.engines, "send", fail)
-        client.ask(call=name_of(1), ttl=5000)
+        context.setattr(harness.engines, "send", fail)
+        client.ask(call=request_id(1), ttl=5000)
         assert client.error()[0] == FAILED
-    rig.serve(client, 2)
+    harness.serve(client, 2)
 
 
-def test_overdue_answer_sent_in_pieces_arrives_complete(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_overdue_answer_sent_in_pieces_arrives_complete(
+    harness: GatewayHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
     real = socket.socket.send
 
     def send_five_bytes(self: socket.socket, data: Any, *flags: int) -> int:
@@ -258,9 +260,9 @@
         held.wait(LIMIT)
         raise ConnectError("delayed by the test")
 
-    monkeypatch.setattr(rig.engines, "send", hold)
-    client = Client(rig.server.address)
-    client.sock.sendall(packets.packet(0, b"\x03" + request(call=name_of(1), ttl=200)))
+    monkeypatch.setattr(harness.engines, "send", hold)
+    client = Client(harness.server.address)
+    client.sock.sendall(packets.packet(0, b"\x03" + request(call=request_id(1), ttl=200)))
     try:
         assert client.error()[0] == FAILED
     finally:
@@ -268,7 +270,7 @@
 
 
 def test_series_of_aborted_connections_causes_no_delay_and_at_most_one_log_line(
-    rig: Rig, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+    harness: GatewayHarness, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     # Guards against a listener that pauses for 50 ms and logs a line after each failed accept.
     failures = [errno.ECONNABORTED] * 40
@@ -280,8 +282,8 @@
         return real(self)
 
     monkeypatch.setattr(socket.socket, "accept", accept)
-    client = Client(rig.server.address)
-    rig.serve(client, 1)
+    client = Client(harness.server.address)
+    harness.serve(client, 1)
     assert not failures
     assert capsys.readouterr().out.count("accept_failed") <= 1
 
@@ -308,7 +310,7 @@
             daemon.start()
             for number in range(2, 6):
                 coordinator.publish([member(f"s-{number}", "127.0.0.1:1")])
-                wait(lambda: daemon._watch.index == number)  # noqa: B023
+                wait_until(lambda: daemon._watch.index == number)  # noqa: B023
         assert len(daemon.engine_list) == 5
         assert fault.failed or method in ("getsockopt", "connect_ex", "sendall")
         coordinator.stop()
--- a/tests/test_overdue.py
+++ b/tests/test_overdue.py
@@ -18,14 +18,18 @@
 from tealwing.resp.connection import Connection
 from tealwing.resp.engine import Engine
 from tests.peers import LIMIT, Client, request, say
-from tests.test_departures import PAGE, Rig, name_of, wait
+from tests.test_departures import ONE_ROW_PAGE, request_id
+
+# under the names in the text of a hypothesis test below, from which its examples derive
+from tests.test_departures import GatewayHarness as Rig
+from tests.test_departures import wait_until as wait
 
 REFUSED, FAILED = 1226, 1105
 SHORT_MS, LONG_MS = 300, 60_000
 
 
 def ask(client: Client, call: int, ttl: int) -> None:
-    client.ask(call=name_of(call), ttl=ttl)
+    client.ask(call=request_id(call), ttl=ttl)
 
 
 # AnswerDeadline alone
@@ -167,7 +171,7 @@
     # fault: on a gateway with more open requests than threads, 163 requests in a day were never answered
     busy = single.client()
     ask(busy, 1, LONG_MS)
-    sock, call = single.sent(1)
+    sock, call = single.next_attempt(1)
     waiting = [single.client() for _ in range(5)]
     for number, client in enumerate(waiting, 2):
         ask(client, number, SHORT_MS)
@@ -175,50 +179,53 @@
     ask(later, 9, LONG_MS)
     for client in waiting:
         assert client.error()[0] == REFUSED
-    say(sock, call, b"200", b"sheets=1", PAGE)
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(busy.rows()) == 1
-    sock, call = single.sent(9)  # the request that was not overdue kept its place, and none of the others was sent
-    say(sock, call, b"200", b"sheets=1", PAGE)
+    # the request that was not overdue kept its place, and none of the others was sent
+    sock, call = single.next_attempt(9)
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(later.rows()) == 1
     for number, client in enumerate(waiting, 20):  # a refusal does not end the session
         ask(client, number, LONG_MS)
-        sock, call = single.sent(number)
-        say(sock, call, b"200", b"sheets=1", PAGE)
+        sock, call = single.next_attempt(number)
+        say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
         assert len(client.rows()) == 1
 
 
 def test_only_the_overdue_one_of_pipelined_commands_is_refused(single: Rig) -> None:
     busy, client = single.client(), single.client()
     ask(busy, 1, LONG_MS)
-    sock, call = single.sent(1)
+    sock, call = single.next_attempt(1)
     ping = packets.packet(0, b"\x0e")
-    both = [packets.packet(0, b"\x03" + request(call=name_of(n), ttl=ttl)) for n, ttl in ((2, SHORT_MS), (3, LONG_MS))]
+    both = [
+        packets.packet(0, b"\x03" + request(call=request_id(n), ttl=ttl)) for n, ttl in ((2, SHORT_MS), (3, LONG_MS))
+    ]
     client.sock.sendall(ping + b"".join(both))
     assert client.read() == packets.ok()
     assert client.error()[0] == REFUSED
-    say(sock, call, b"200", b"sheets=1", PAGE)
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(busy.rows()) == 1
-    sock, call = single.sent(3)
-    say(sock, call, b"200", b"sheets=1", PAGE)
+    sock, call = single.next_attempt(3)
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(client.rows()) == 1
 
 
 def test_long_statement_waiting_for_a_thread_is_refused_in_time(single: Rig) -> None:
     busy, client = single.client(), single.client()
     ask(busy, 1, LONG_MS)
-    sock, call = single.sent(1)
-    text = request(call=name_of(2), ttl=SHORT_MS) + b" WHERE a = '" + b"x" * 3 * server.READ_SIZE + b"'"
+    sock, call = single.next_attempt(1)
+    text = request(call=request_id(2), ttl=SHORT_MS) + b" WHERE a = '" + b"x" * 3 * server.READ_SIZE + b"'"
     client.sock.sendall(packets.packet(0, b"\x03" + text))
     assert client.error()[0] == REFUSED
-    say(sock, call, b"200", b"sheets=1", PAGE)
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(busy.rows()) == 1
 
 
 def test_incomplete_request_waiting_for_a_thread_is_refused_only_once_complete(single: Rig) -> None:
     busy, client = single.client(), single.client()
     ask(busy, 1, LONG_MS)
-    sock, call = single.sent(1)
-    whole = packets.packet(0, b"\x03" + request(call=name_of(2), ttl=SHORT_MS))
+    sock, call = single.next_attempt(1)
+    whole = packets.packet(0, b"\x03" + request(call=request_id(2), ttl=SHORT_MS))
     client.sock.sendall(whole[:-5])
     time.sleep(2 * server.TIME_LIMIT_CHECK_INTERVAL + SHORT_MS / 1e3)
     client.sock.setblocking(False)
@@ -227,7 +234,7 @@
     client.sock.settimeout(LIMIT)
     client.sock.sendall(whole[-5:])
     assert client.error()[0] == REFUSED
-    say(sock, call, b"200", b"sheets=1", PAGE)
+    say(sock, call, b"200", b"sheets=1", ONE_ROW_PAGE)
     assert len(busy.rows()) == 1
 
 
