--- a/tests/peers.py
+++ b/tests/peers.py
@@ -20,6 +20,7 @@
 LIMIT = 30.0  # s after which a wait fails; no test here waits for a fixed time
 ROOT = Path(__file__).parent.parent
 DEPLOYED = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+# the deployed command, but with this interpreter, with asserts enabled and without TEALWING_CONF
 RUN = DEPLOYED.replace(".venv/bin/python -O", sys.executable).replace("TEALWING_CONF=deploy/tealwing.conf ", "")
 GRADE = {"Credit": 1, "DeadlineNs": 20_000_000_000, "Effect": "repeatable", "TargetNs": 1_000_000_000}
 SETTINGS = FACTS | {
@@ -82,6 +83,7 @@
 
 
 def say(sock: socket.socket, *parts: bytes) -> None:
+    """Send one RESP message with these parts."""
     sock.sendall(messages.encode(*parts))
 
 
@@ -92,11 +94,13 @@
 
 
 def member(name: str, address: str, **changes: Any) -> dict[str, Any]:
+    """Return an engine's entry in the coordinator's engine list."""
     defaults = {"id": name, "host_port": address, "locality": "z", "flavor": "k", "cell": 0, "phase": "up"}
     return defaults | {"size": 1, "up_since_ms": 0} | changes
 
 
 def event(index: int, *members: dict[str, Any]) -> dict[str, Any]:
+    """Return the coordinator's update of the engine list with this index; index 1 is the complete list."""
     return {"index": index, "endpoints": {"revision": index, "complete": index == 1, "members": members}}
 
 
@@ -190,5 +194,6 @@
 
 
 def request(**changes: Any) -> bytes:
+    """Return a statement with the fields of a request in its leading comment."""
     fields = {"op": "lookup", "call": "9b1f03aa5c7e2d41", "ttl": 20000, "org": "acme"} | changes
     return f"/* {','.join(f'{k}={v}' for k, v in fields.items())} */ SELECT a FROM s_7.t".encode()
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -24,7 +24,7 @@
 from tests.peers import LIMIT, Client, request
 
 PING, QUIT, QUERY, KILL = 0x0E, 0x01, 0x03, 0x0C
-LARGE_RESULT = 48_000  # bytes, about; the largest result
+LARGE_RESULT = 48_000  # bytes; about the size of the largest result
 
 
 def until(holds: Callable[[], bool]) -> None:
@@ -75,8 +75,8 @@
     rig: Rig
 
     def accept(self) -> tuple[socket.socket, Any]:
-        if self.rig.refusals:
-            raise OSError(self.rig.refusals.pop(), "accept error injected by the test")
+        if self.rig.accept_errors:
+            raise OSError(self.rig.accept_errors.pop(), "accept error injected by the test")
         number, address = self._accept()  # type: ignore[attr-defined]
         sock = RecordingSocket(fileno=number)
         sock.rig = self.rig
@@ -87,15 +87,15 @@
 class Rig:
     """A server for which the test plays the engine."""
 
-    def __init__(self, most: int = 8) -> None:
+    def __init__(self, max_clients: int = 8) -> None:
         self.journal: list[str] = []  # "shut" for a shutdown, and the ids of the requests opened
-        self.refusals: list[int] = []
+        self.accept_errors: list[int] = []  # error numbers that the next accepts raise
         self.before_shutdown: Callable[[], object] = lambda: None
         self.after_shutdown: Callable[[], object] = lambda: None
-        self.held: dict[str, threading.Event] = {}
+        self.held: dict[str, threading.Event] = {}  # by request id; releases the request
         self.size = 1  # bytes of the second column of each result
         self._before = set(threading.enumerate())
-        self.server = server.Server(("127.0.0.1", 0), most, make_settings(), self._open)
+        self.server = server.Server(("127.0.0.1", 0), max_clients, make_settings(), self._open)
         listener = Listener(fileno=self.server._listener.detach())
         listener.rig = self
         listener.setblocking(False)
@@ -122,8 +122,8 @@
 
     def wait_until_idle(self, client: Client) -> None:
         """Wait until the client's session is between two commands, and in the epoll set."""
-        waits = self.session(client)
-        until(lambda: waits._waiting is not None and waits.fileno() in self.server._waiting)
+        ours = self.session(client)
+        until(lambda: ours._waiting is not None and ours.fileno() in self.server._waiting)
 
     def wait_until_empty(self) -> None:
         """Wait until the server holds nothing of any client."""
@@ -138,34 +138,35 @@
         self.server._listener.close()
         os.close(self.server._end_reader)
 
-    def _open(self, query: Query, settings: object) -> Work:
+    def _open(self, query: Query, settings: object) -> HeldRequest:
         call = query.request_id.decode()
         self.journal.append(call)
-        return Work(self, call)
+        return HeldRequest(self, call)
 
 
-class Work:
+class HeldRequest:
     """A request that is answered with its own id, once it is released."""
 
     def __init__(self, rig: Rig, call: str) -> None:
-        self._rig, self._call, self._abandoned = rig, call, threading.Event()
+        self._rig, self._call, self._cancelled = rig, call, threading.Event()
 
     def run(self) -> Reply:
         held = self._rig.held.get(self._call)
         if held is not None:
-            until(lambda: held.is_set() or self._abandoned.is_set())
-        if self._abandoned.is_set():
+            until(lambda: held.is_set() or self._cancelled.is_set())
+        if self._cancelled.is_set():
             return Cancelled()
         return Served((f"{self._call}\t{'x' * self._rig.size}\t-\n".encode(),))
 
     def cancel(self) -> None:
-        self._abandoned.set()
+        self._cancelled.set()
 
 
-def read_call(text: bytes, _: object, taken: float) -> Query:
+def read_call(text: bytes, _: object, received_at: float) -> Query:
+    """Replace `statements.parse_query`: read only the request id."""
     found = re.search(rb"call=(\w+)", text)
     assert found
-    return Query(found[1], 0, 0, 20.0, b"SELECT 1", received_at=taken)
+    return Query(found[1], 0, 0, 20.0, b"SELECT 1", received_at=received_at)
 
 
 @pytest.fixture
@@ -306,7 +307,7 @@
 def test_flood_of_bad_clients_does_not_exhaust_the_places(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     # lingering connections are bounded in number and closed first: idle clients keep their connections
     monkeypatch.setattr(lingering, "LINGER_TIME", LIMIT)
-    rests = [idle_client(rig) for _ in range(5)]
+    idle = [idle_client(rig) for _ in range(5)]
     bad = []
     most = 0
     for _ in range(60):
@@ -316,11 +317,11 @@
         most = max(most, len(rig.server._sessions) + rig.lingering)
     assert most <= 8
     until(lambda: rig.lingering <= 1)
-    for client in rests:
+    for client in idle:
         ping(client)
     late = Client(rig.address)
     ping(late)
-    for client in (*bad, *rests, late):
+    for client in (*bad, *idle, late):
         client.sock.close()
     rig.wait_until_empty()
 
@@ -610,11 +611,11 @@
     idle = [idle_client(rig) for _ in range(3)]
     bad = Client(rig.address, also=packets.packet(7, b"\x0e"))
     until(lambda: rig.lingering == 1)
-    rig.refusals = [errno.EMFILE]
+    rig.accept_errors = [errno.EMFILE]
     ping(late := Client(rig.address))
     until(lambda: rig.lingering == 0)
     assert len(rig.server._sessions) == 4
-    rig.refusals = [errno.EMFILE]
+    rig.accept_errors = [errno.EMFILE]
     ping(latest := Client(rig.address))
     assert_clean_end(idle[0])
     for client in (*idle, bad, late, latest):
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -903,14 +903,14 @@
     def open_(query: Query, settings: object) -> Exchange:
         return RejectedRequest()
 
-    few = server.Server(("127.0.0.1", 0), 8, make_settings(tenants=("acme",)), open_)
-    few.start()
-    client = Client(few.address)
+    small_server = server.Server(("127.0.0.1", 0), 8, make_settings(tenants=("acme",)), open_)
+    small_server.start()
+    client = Client(small_server.address)
     for _ in range(2):
         client.ask(op="look")
         assert client.error()[0] == 1226
-    few.stop_listening()
-    assert few.finish(LIMIT)
+    small_server.stop_listening()
+    assert small_server.finish(LIMIT)
 
 
 def test_concurrent_departure_checks_do_not_raise(harness: GatewayHarness) -> None:
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -278,22 +278,22 @@
     # guards against counting only sent attempts, not reserved slots: one sent before the shutdown was interrupted
     engine = engine_at(fake_engine, reader.watch)
     connection, sock = make_used_connection(engine, fake_engine)
-    want = BlockedCall(Connection.submit)
-    monkeypatch.setattr(Connection, "submit", lambda *args: want(*args))
+    submit = BlockedCall(Connection.submit)
+    monkeypatch.setattr(Connection, "submit", lambda *args: submit(*args))
     received: Sink = SimpleQueue()
     sender = Sender(engine.send, b"second", empty_fields, b"SELECT 1", received.put, LIMIT)
-    assert want.reached.wait(LIMIT)  # its slot is reserved, and its stream is not registered yet
+    assert submit.reached.wait(LIMIT)  # its slot is reserved, and its stream is not registered yet
     closer, real = threading.current_thread(), socket_of(connection)
 
     def shutdown(how: int) -> None:
         if threading.current_thread() is closer:  # after the decision to close, before the shutdown
-            want.go.set()
+            submit.go.set()
             sender.end()
         real.shutdown(how)
 
     vars(connection)["_sock"] = PatchedSocket(real, shutdown=shutdown)
     close(engine)
-    want.go.set()
+    submit.go.set()
     if close is retire:
         assert isinstance(sender.end(), ConnectError)
         assert read_message(sock) == []  # closed when the slot was released, with nothing sent
@@ -678,14 +678,14 @@
     monkeypatch.setattr(connections, "WRITE_TIMEOUT", 0.05)
     engine = engine_at(fake_engine, reader.watch)
     received: Sink = SimpleQueue()
-    out = engine.send(b"1", empty_fields, b"SELECT 1", received.put, LIMIT)
+    first = engine.send(b"1", empty_fields, b"SELECT 1", received.put, LIMIT)
     sock = fake_engine.accept()
     big: Sink = SimpleQueue()
     with pytest.raises(ConnectError):
         engine.send(b"2", empty_fields, b"x" * (1 << 26), big.put, LIMIT)  # more than the socket buffers hold
-    assert received.get(timeout=LIMIT) == StreamLost(out)
+    assert received.get(timeout=LIMIT) == StreamLost(first)
     wait_until(lambda: not engine._open)
-    assert big.empty() and out.connection.stream_count == out.connection.reserved_count == 0
+    assert big.empty() and first.connection.stream_count == first.connection.reserved_count == 0
     assert read_message(sock)[1] == b"1"
     size = 0
     while data := sock.recv(1 << 20):
@@ -697,12 +697,12 @@
     engine = engine_at(fake_engine, leave_unread)
     connection, sock = make_used_connection(engine, fake_engine)
     real = socket_of(connection)
-    turns = itertools.chain((-1,), itertools.repeat(None))  # one write waits through several send calls
+    ends = itertools.chain((-1,), itertools.repeat(None))  # one write waits through several send calls
 
     def send(data: bytes) -> int:
-        if (most := next(turns)) is None:
-            raise BlockingIOError("the engine takes nothing")
-        return real.send(data[:most])
+        if (end := next(ends)) is None:
+            raise BlockingIOError("the engine reads nothing")
+        return real.send(data[:end])
 
     vars(connection)["_sock"] = PatchedSocket(real, send=send)
     with pytest.raises(ConnectionBrokenError):
--- a/tests/test_extremes.py
+++ b/tests/test_extremes.py
@@ -1,4 +1,7 @@
-"""Tests rules of the operators' pages at their limits: the latest repeat, the smallest pages, the earliest SIGKILL."""
+"""Tests requirements of the operators' documentation at their limits; a comment quotes the one that its tests check.
+
+Examples are the latest repeat of an attempt, the smallest result pages and the earliest SIGKILL.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,7 @@
-"""The program over sockets. Tests wait for events only; no result depends on how long something takes."""
+"""The gateway's process over sockets; the test plays its engine, coordinator and clients.
+
+Tests wait for events only; no result depends on how long something takes.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -570,7 +570,8 @@
 
 @pytest.mark.parametrize("held", [False, True])
 def test_cold_engine_keeps_one_budget_across_settings_change(held: bool) -> None:
-    # Guards the fail-back rule: without it each gateway's new module sends its whole share again after SIGHUP.
+    # Guards against a separate slow-start budget for each policy module: after SIGHUP each gateway would send its
+    # whole share to the cold engine again.
     first = sites.parse(sites.settings(GAUGE, Siblings=1))
     second = sites.parse(sites.settings(GAUGE, Siblings=1, TickNs=6 * sites.MS))
     decisions = Decisions(first, 1, EnginePool(first.limits))
@@ -618,7 +619,7 @@
 
 
 def test_retry_budget_survives_settings_change() -> None:
-    # Guards the seventh rule: the retry budget covers all attempts of the gateway, whichever module made them.
+    # The retry budget must cover all attempts of the gateway, whichever policy module made them.
     text = sites.settings(GAUGE, Siblings=1)
     budget = {"ExtraFree": 3.0, "ExtraPerRequest": 0.0, "BudgetSpanNs": 60_000 * sites.MS}
     first = sites.parse(text | {"Contract": text["Contract"] | budget})
@@ -747,12 +748,12 @@
 
 
 def test_thread_limit_follows_gateway_count_of_current_settings(tmp_path: Path, gauge: Customer) -> None:
-    few, many = gauge.text | {"Siblings": 3}, gauge.text | {"Siblings": 200}
-    gateway = InProcessGateway(tmp_path, few, gauge.members)
+    three_gateways, many_gateways = gauge.text | {"Siblings": 3}, gauge.text | {"Siblings": 200}
+    gateway = InProcessGateway(tmp_path, three_gateways, gauge.members)
     try:
         before = gateway.server._max_threads
-        gateway.change(many)
-        assert gateway.server._max_threads == gateway._load(many).max_threads < before
+        gateway.change(many_gateways)
+        assert gateway.server._max_threads == gateway._load(many_gateways).max_threads < before
     finally:
         gateway.close()
 
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -26,7 +26,7 @@
 
 SEED = 9
 MIX = (arrivals.Mix(0.9, 0.02, 0.5, 0.2, 0.1), arrivals.Mix(0.1, 0.05, 0.5, 0.2, 0.1))
-CALM = read_settings(orjson.dumps(SETTINGS))
+ENGINE_SETTINGS = read_settings(orjson.dumps(SETTINGS))
 
 
 class Site:
@@ -35,7 +35,9 @@
     def __init__(self, folder: Path) -> None:
         self.clock = RealClock()
         self.keys = Keys(self.clock)
-        self.engines = [Engine(CALM, Draw(cores=8, memory=1e6), self.clock, self.keys, SEED, mix=MIX) for _ in range(2)]
+        self.engines = [
+            Engine(ENGINE_SETTINGS, Draw(cores=8, memory=1e6), self.clock, self.keys, SEED, mix=MIX) for _ in range(2)
+        ]
         self.coordinator = Coordinator([member(f"s-{i}", e.address) for i, e in enumerate(self.engines)])
         self.program = Program(folder, self.engines[0].address, self.coordinator.address, known=self.coordinator.known)
         self.address = self.program.address()
@@ -48,7 +50,8 @@
         client.sock.close()
         return rows
 
-    def wants(self) -> int:
+    def attempt_count(self) -> int:
+        """Number of attempts that the engines received."""
         return sum(len(engine.record.wants) for engine in self.engines)
 
 
@@ -79,7 +82,7 @@
     for number in asked:
         assert site.ask(number) == expected_rows(number)
     ends = [word for engine in site.engines for _, _, word in engine.record.ends]
-    assert ends == [b"200"] * len(asked) and site.wants() == len(asked)
+    assert ends == [b"200"] * len(asked) and site.attempt_count() == len(asked)
 
 
 def test_repeat_with_the_same_idempotency_key_runs_once(site: Site) -> None:
@@ -104,7 +107,7 @@
 
 def test_engine_stops_a_cancelled_query_and_rejects_unknown_requests() -> None:
     clock = RealClock()
-    engine = Engine(CALM, Draw(cores=1, memory=1e6), clock, Keys(clock), SEED)
+    engine = Engine(ENGINE_SETTINGS, Draw(cores=1, memory=1e6), clock, Keys(clock), SEED)
     host, _, port = engine.address.rpartition(":")
     with socket.create_connection((host, int(port)), LIMIT) as sock:
         parser = messages.Parser()
@@ -130,17 +133,17 @@
 
 
 def test_load_tool_counts_every_request_from_its_due_time(site: Site) -> None:
-    order = LoadSpecification(
+    specification = LoadSpecification(
         (site.address,), 60.0, 2.0, 32, 5, mix=MIX, names=("lookup", "load"), deadlines=(20.0, 20.0)
     )
-    order = replace(order, accounts=("acme",))
-    figures = Load(order).run()
+    specification = replace(specification, accounts=("acme",))
+    figures = Load(specification).run()
     assert figures["ends"] == {"served": figures["asked"]} and figures["asked"] > 60
     assert figures["by_class"]["lookup"]["latency_ms"]["p50"] >= 1.0
     assert sum(site.keys.ran.values()) == figures["by_class"]["load"]["asked"]
     assert "lookup" in text(figures)
     site.engines[0].misbehaviour.silent = site.engines[1].misbehaviour.silent = True
-    stalled = Load(replace(order, seconds=1.0, sessions=2, seed=6, deadlines=(0.4, 0.4))).run()
+    stalled = Load(replace(specification, seconds=1.0, sessions=2, seed=6, deadlines=(0.4, 0.4))).run()
     # two sessions for sixty requests, none answered: the count includes all of them, and the run is reported as spoilt
     assert stalled["ends"].get("no answer in time", 0) > 20 and stalled["spoilt"]
     assert sum(stalled["ends"].values()) == stalled["asked"]
