--- a/tealwing/mysql/packets.py
+++ b/tealwing/mysql/packets.py
@@ -41,7 +41,7 @@
     database: bytes
 
 
-HEADER = 4  # bytes of a packet header: three for the length, one for the sequence number
+HEADER_BYTES = 4  # of a packet: three for the length, one for the sequence number
 
 
 class Parser:
@@ -66,9 +66,9 @@
     @property
     def missing_bytes(self) -> int:
         """The number of bytes that the incomplete packet, or its header, still lacks."""
-        if len(self._data) < HEADER:
-            return HEADER - len(self._data)
-        return HEADER + int.from_bytes(self._data[:3], "little") - len(self._data)
+        if len(self._data) < HEADER_BYTES:
+            return HEADER_BYTES - len(self._data)
+        return HEADER_BYTES + int.from_bytes(self._data[:3], "little") - len(self._data)
 
     def feed(self, data: bytes | memoryview) -> None:
         """Add received bytes."""
--- a/tealwing/resp/connection.py
+++ b/tealwing/resp/connection.py
@@ -88,7 +88,7 @@
     def __init__(self, sock: socket.socket, on_end: Callable[[Connection], None]) -> None:
         """`on_end` is called once the reader has stopped reading the connection, before its descriptor is closed."""
         self._sock, self._on_end = sock, on_end
-        self._writing = threading.Lock()  # serializes writes; acquired before `_lock`
+        self._write_lock = threading.Lock()  # serializes writes; acquired before `_lock`
         self._lock = threading.Lock()  # guards the fields below; never held while waiting for the socket
         self._reserved_ids: set[bytes] = set()  # ids of attempts with a slot that are not written yet
         self._streams: dict[bytes, Stream] = {}
@@ -97,7 +97,7 @@
         self._retired = False  # accepts no further attempt, and closes with the last one
         self.idle_since = time.monotonic()
         self._parser = messages.Parser()
-        self._message_begun = 0.0  # monotonic, no later than the start of the incomplete message; 0: none
+        self._message_begun_at = 0.0  # monotonic, no later than the start of the incomplete message; 0: none
         self._end_poll = select.poll()  # used under the write lock only
         self._end_poll.register(sock, select.POLLIN | select.POLLRDHUP)
 
@@ -156,7 +156,7 @@
         The outcome is reported once: by one of these errors, or to the stream's sink.
         """
         try:
-            with self._writing:
+            with self._write_lock:
                 if self._is_ended_by_engine():
                     raise ConnectionEndedError("the connection has ended before the attempt was sent")
                 data = messages.encode(b"want", stream.request_id, get_fields(), body)
@@ -178,7 +178,7 @@
         size = size or len(parts)
         data = b"".join(messages.encode(*parts[at : at + size]) for at in range(0, len(parts), size))
         try:
-            with self._writing:
+            with self._write_lock:
                 if self._alive:
                     self._write(data)
         except (ConnectError, ConnectionBrokenError):
@@ -224,7 +224,7 @@
         with self._lock:
             self._alive = False
             self._shut_down()
-        with self._writing, self._lock:
+        with self._write_lock, self._lock:
             self._sock.close()
 
     def _release_stream(self, stream: Stream) -> None:
@@ -308,7 +308,7 @@
         try:
             size = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
         except BlockingIOError:  # a spurious wake-up
-            return self._message_begun + MESSAGE_TIMEOUT if self._parser.begun else None
+            return self._message_begun_at + MESSAGE_TIMEOUT if self._parser.begun else None
         if not size:
             raise EOFError
         found = self._parser.feed(buffer[:size])
@@ -317,11 +317,12 @@
         if self._parser.fault is not None:
             raise self._parser.fault
         if not self._parser.begun:
-            self._message_begun = 0.0
+            self._message_begun_at = 0.0
             return None
-        if found or not self._message_begun:  # a new message has begun: on a busy connection most reads end within one
-            self._message_begun = time.monotonic()
-        return self._message_begun + MESSAGE_TIMEOUT
+        # a new message has begun; on a busy connection most reads end within a message
+        if found or not self._message_begun_at:
+            self._message_begun_at = time.monotonic()
+        return self._message_begun_at + MESSAGE_TIMEOUT
 
     def ended(self, why: Exception | None) -> None:
         """Close the connection after its last read, and notify the attempts in flight."""
@@ -331,7 +332,7 @@
             self._alive = False
             self._shut_down()  # wakes a writer that is blocked on the engine
         self._on_end(self)
-        with self._writing, self._lock:  # a writer has finished or failed by now
+        with self._write_lock, self._lock:  # a writer has finished or failed by now
             left = list(self._streams.values())
             self._streams.clear()
             self._sock.close()
--- a/tealwing/resp/engine.py
+++ b/tealwing/resp/engine.py
@@ -24,15 +24,15 @@
     def __init__(
         self,
         address: Address,
-        streams: int,
-        connect_limit: float,
-        idle_limit: float,
+        max_streams: int,
+        connect_timeout: float,
+        idle_timeout: float,
         watch: Watch,
         quota: ConnectionQuota | None = None,
     ) -> None:
         """Set the address and the limits; `quota` bounds the connections to all engines together, None: no bound."""
         self.address, self._watch, self._quota = address, watch, quota or ConnectionQuota()
-        self._streams, self._connect_limit, self._idle_limit = streams, connect_limit, idle_limit
+        self._max_streams, self._connect_timeout, self._idle_timeout = max_streams, connect_timeout, idle_timeout
         self._changed = threading.Condition()
         self._open: list[Connection] = []
         self._opening = False
@@ -41,7 +41,7 @@
 
     def send(self, request_id: bytes, get_fields: SendFields, body: bytes, sink: Sink, limit: float) -> Stream:
         """Send one attempt; waits at most for a connect and a write. `get_fields` is called right before the write."""
-        until = time.monotonic() + min(limit, self._connect_limit)
+        until = time.monotonic() + min(limit, self._connect_timeout)
 
         def get_checked_fields() -> bytes:
             fields = get_fields()
@@ -69,10 +69,10 @@
             self._draining = draining
             self._changed.notify_all()  # attempts that wait for a connect fail now, and may use another engine
 
-    def set_limits(self, streams: int, connect_limit: float, idle_limit: float) -> None:
+    def set_limits(self, max_streams: int, connect_timeout: float, idle_timeout: float) -> None:
         """Set the limits for further attempts; attempts in flight keep their connections."""
         with self._changed:
-            self._streams, self._connect_limit, self._idle_limit = streams, connect_limit, idle_limit
+            self._max_streams, self._connect_timeout, self._idle_timeout = max_streams, connect_timeout, idle_timeout
 
     def close_idle(self) -> None:
         """Close the connections that no attempt uses."""
@@ -112,7 +112,7 @@
                 if self._retired or self._draining:
                     self._check_accepts_attempts()
                 for connection in self._open:
-                    if connection.reserve(request_id, self._streams, IDLE_TIMEOUT_FRACTION * self._idle_limit):
+                    if connection.reserve(request_id, self._max_streams, IDLE_TIMEOUT_FRACTION * self._idle_timeout):
                         return connection, False
                 if not self._opening:
                     if len(self._open) >= MAX_CONNECTIONS:
@@ -129,7 +129,7 @@
             if not reserved:
                 raise ConnectError("connections to engines hold all the descriptors of their quota")
             opened = self._connect(until - time.monotonic())
-            opened.reserve(request_id, self._streams, inf)
+            opened.reserve(request_id, self._max_streams, inf)
             try:
                 self._watch(opened)
             except (
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -411,7 +411,7 @@
     monkeypatch.setattr(Connection, "submit", submit_signalling)
     (connection,) = harness.engines._engines[0][1]._open
     client = harness.client()
-    with connection._writing:
+    with connection._write_lock:
         harness.ask(client, 2)
         assert submitting.wait(LIMIT)
         leave_detected(harness, client, how)
--- a/tests/test_engine_connections.py
+++ b/tests/test_engine_connections.py
@@ -420,7 +420,7 @@
     first = Sender(pool.send, 7, b"2", held, b"SELECT 1", None, LIMIT)
     assert held.reached.wait(LIMIT)  # it holds the write lock and has sent nothing yet
     waits = threading.Event()
-    vars(connection)["_writing"] = ObservedLock(connection._writing, waits)
+    vars(connection)["_write_lock"] = ObservedLock(connection._write_lock, waits)
     second = Sender(pool.send, 7, b"3", empty_fields, b"SELECT 1", None, LIMIT)
     assert waits.wait(LIMIT)
     update(pool, port)
