--- a/tealwing/interface/settings.py
+++ b/tealwing/interface/settings.py
@@ -32,7 +32,7 @@
 
 def _require(valid: bool, name: str, value: object, expected: str) -> None:
     if not valid:
-        raise ValueError(f"impossible setting {name}: {value!r}, expected {expected}")
+        raise ValueError(f"invalid setting {name}: {value!r}, expected {expected}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The parameters of the rules; retry_budget_floor is None where there is no retry budget."""
+    """The parameters of the platform's rules on sends and retries; retry_budget_floor is None without a retry budget."""
 
     answer_slack: float
     poll_interval: float
--- a/tealwing/levels/signals.py
+++ b/tealwing/levels/signals.py
@@ -17,7 +17,7 @@
 READY_WINDOW = 300.0  # s over which the maximum number of ready engines is taken
 
 # Indices of a class's counters. JUDGED counts the requests that ended within their latency objective and those,
-# open or ended, that exceeded it; rejected requests are not counted.
+# open or ended, that exceeded it; a rejection is not counted in it.
 ARRIVED, ENDED, JUDGED, MISSED, REFUSED, ATTEMPTS, TIMEOUTS = range(7)
 COUNTS = 7
 
@@ -188,8 +188,8 @@
             self._add(self._ring.popleft(), -1)
 
     def _add(self, bucket: Bucket, sign: int) -> None:
-        both = zip(self._window.counts + self._window.by_account, bucket.counts + bucket.by_account, strict=True)
-        for sums, counts in both:
+        pairs = zip(self._window.counts + self._window.by_account, bucket.counts + bucket.by_account, strict=True)
+        for sums, counts in pairs:
             for i, count in enumerate(counts):
                 sums[i] += sign * count
         for i, (offered, served) in enumerate(zip(bucket.offered_weight, bucket.served_weight, strict=True)):
--- a/tealwing/policy/attempts.py
+++ b/tealwing/policy/attempts.py
@@ -11,9 +11,9 @@
 FULL_BACKOFF = 0.5  # s without new attempts to an engine that answered FULL
 CONNECTION_LOSS_WINDOW = 0.1  # s; a lost connection fails all attempts on it, and they count as one failure
 RETRY_AFTER_SPREAD = (0.5, 1.0)  # share of the maximum Retry-After, drawn uniformly to spread the retries
-STRAGGLER_FACTOR = 3.0  # remaining time over the class's usual latency at which an attempt is cancelled
+STRAGGLER_FACTOR = 3.0  # remaining time over the query's expected latency at which an attempt is cancelled
 MIN_PROGRESS = 0.01  # lower bound on a reported share of work done
-SILENCE_PERIODS = (1.55, 1.1)  # progress intervals without a first, or a further, update that mean a lost answer
+SILENCE_PERIODS = (1.55, 1.1)  # progress intervals after which a missing first, or further, update is overdue
 
 
 class Attempts(Placement):
@@ -91,9 +91,10 @@
                     other.engine.failures = max(0.0, other.engine.failures - other.blamed_failures)
 
     def _record_loss(self, state: RequestState, attempt: Attempt) -> None:
-        """Count a timeout or a client that left as an abandonment above capacity, if cancellation frees the engine.
+        """Count a timeout or a client that left.
 
-        The abandonment rate (theta of the paper) counts only requests whose attempt is cancelled.
+        With cancellation, which frees the engine, it also counts as an abandonment (theta of the paper), weighted by
+        the engine's share of queries above capacity.
         """
         self.answers, self.timeouts = self.answers + 1, self.timeouts + 1
         if self.settings.limits.cancellation:
@@ -112,17 +113,19 @@
         if event.kind is not api.ProgressKind.PROGRESS or not self.settings.limits.cancellation or attempt.ended:
             return
         self._expect_progress(state, SILENCE_PERIODS[1])
-        time_to_go = (self.now - attempt.sent_at) * (1 / max(event.amount, MIN_PROGRESS) - 1)
+        time_to_finish = (self.now - attempt.sent_at) * (1 / max(event.amount, MIN_PROGRESS) - 1)
         time_left = state.deadline - self.now
         expected = max(traffic.usual_latency, self.slowdown * traffic.best_latency) * max(
             1.0, (state.request.cost or 0.0) / traffic.mean_work
         )
         slow = (
-            not event.attempt and time_to_go >= STRAGGLER_FACTOR * expected and time_left >= 2 * traffic.usual_latency
+            not event.attempt
+            and time_to_finish >= STRAGGLER_FACTOR * expected
+            and time_left >= 2 * traffic.usual_latency
         )
         if slow and not self._fleet_index(state.request.cls):
             self._cancel_for_retry(state)  # once, and not if all engines are slow or the query itself is long
-        elif time_to_go > time_left:  # it would use capacity until the deadline and still time out
+        elif time_to_finish > time_left:  # it would use capacity until the deadline and still time out
             self.actions.append(api.CancelAttempt(event.id, event.attempt))
             self._record_loss(state, attempt)
             self._finish(state)
--- a/tealwing/policy/engines.py
+++ b/tealwing/policy/engines.py
@@ -23,7 +23,7 @@
     "load": 1.0,
 }  # reported values above which an engine is overloaded
 SLOWDOWN_AT_CAPACITY = 4.0  # slowdown taken as full capacity where no in-flight count is reported
-MIN_SUCCESS_SHARE = 0.05  # lower bound in the service rate: keeps the index finite
+MIN_SUCCESS_SHARE = 0.05  # lower bound on an engine's success share: keeps its index finite
 BAD_QUERY_ENGINES = 2  # engines that fail the same query before the query is blamed, not the engines
 
 
@@ -190,7 +190,7 @@
     def __init__(self, engine: Engine, sent_at: float) -> None:
         self.engine = engine
         self.sent_at = sent_at
-        self.report_count = engine.report_count  # the engine's, at the send
+        self.report_count = engine.report_count  # the engine's number of load reports at the send
         self.progress_due_at = inf  # time from which its next progress update is overdue
         self.ended = False
         self.may_have_run = True
--- a/tealwing/policy/fleet.py
+++ b/tealwing/policy/fleet.py
@@ -193,11 +193,11 @@
         engine.load = load = (engine.threads + engine.other_queries * self.threads_per_query) / cores
         engine.memory_utilization = (engine.memory_reserved + engine.other_queries * self.memory_per_query) / engine.ram
         if not self.reports_in_flight:
-            unseen = sum(
+            unreported_threads = sum(
                 e.unreported * f.cls.threads for e, f in zip(engine.estimates, self.class_traffic, strict=True)
             )
             utilization = max((engine.report.get(name, 0.0) for name in ("util", "x0", "x1")), default=0.0)
-            engine.load = max(load, utilization + self.unreported_weight * unseen / cores)
+            engine.load = max(load, utilization + self.unreported_weight * unreported_threads / cores)
         overloaded = engine.is_overloaded(now, load)
         for cls, (traffic, estimate) in enumerate(zip(self.class_traffic, engine.estimates, strict=True)):
             service_rate = estimate.service_rate(traffic) * engine.success / self.best_success / engine.latency_factor
--- a/tealwing/policy/gateway.py
+++ b/tealwing/policy/gateway.py
@@ -73,10 +73,10 @@
         if request.cost:
             self.cost_sum, self.cost_count = self.cost_sum + request.cost, self.cost_count + 1
             traffic.estimates = min(traffic.estimates + 1, 2 / ANSWER_WEIGHT)
-            length = request.cost / traffic.cls.threads
+            run_time = request.cost / traffic.cls.threads
             traffic.mean_work += (request.cost - traffic.mean_work) / traffic.estimates
-            traffic.estimated_time = traffic.estimated_time + length
-            self.memory_time = self.memory_time + length * request.memory_estimate
+            traffic.estimated_time = traffic.estimated_time + run_time
+            self.memory_time = self.memory_time + run_time * request.memory_estimate
         if not self._is_admitted(state):
             self._finish(state, is_load_shedding=True)
             return
@@ -110,6 +110,7 @@
             self._release(state)
 
     def _handle_timer(self, event: api.TimerFired) -> None:
+        """Handle a timer by its token: 0 is the rebuild's, `request.id << 1 | 1` is that of a request."""
         if event.token == 0:
             self._rebuild()
         else:
--- a/tealwing/policy/placement.py
+++ b/tealwing/policy/placement.py
@@ -12,7 +12,7 @@
 
 DEADLINE_TICKS = 3  # ticks before the deadline at which a waiting request is answered
 NEAR_TIE = 0.1  # share of the smallest index within which engines count as equal
-CANDIDATES = (2, 2.0)  # least engines compared, and comparisons per tied engine over all gateways: limits herding
+CANDIDATES = (2, 2.0)  # minimum of engines compared; comparisons per tied engine over all gateways: limits herding
 IDLE_LOAD = 0.7  # threads per core added to an engine's load when ties are broken
 SLOW_START_LOAD_FACTOR = 0.5  # factor on the weighted load of an engine in slow start that may take the query
 HOME_SHARE = 1 / 3  # share of the engines that a group's bulk loads prefer and its readers avoid
@@ -20,9 +20,9 @@
 HOME_OFFSET = 0.4142135624  # between the home engines of successive groups; must be the same at all gateways
 BUDGET_SAFETY = 0.6  # part of the slow-start budget split into fixed shares: work estimates are imprecise
 MIN_BUDGET_QUERIES = 2.0  # queries in a gateway's fixed share below which it admits by sampling
-BUDGET_SLACK = 2.0  # overshoot that the rule allows for chance, in roots of the budget and in queries
+BUDGET_SLACK = 2.0  # a budget of N mean queries may be exceeded by chance, by this times (sqrt(N) + 1) queries
 BUDGET_RISK = 5.0  # -ln of the bound on the chance that sampling uses up the slack
-OFFERED_WORK = (50.0, 1.6)  # weight of the prior, in cost estimates; most work per core
+OFFERED_WORK = (50.0, 1.6)  # weight of the prior, in cost estimates; upper bound on the work per core
 GOLDEN_RATIO = 0.6180339887  # low-discrepancy step: spreads one query's sampling keys over the engines
 RETRY_KEY_SCALE = 1e4  # a retry uses the sampling key's digits after these
 
@@ -175,7 +175,8 @@
             f.placements for f in self.class_traffic
         )
         sampled = [f for f in self.class_traffic if gateway_share < MIN_BUDGET_QUERIES * f.mean_work]
-        reserved = BUDGET_SAFETY * budget if len(sampled) < len(self.class_traffic) else 0.0  # for fixed shares
+        # reserved for the classes with fixed shares
+        reserved = BUDGET_SAFETY * budget if len(sampled) < len(self.class_traffic) else 0.0
         max_work = budget - reserved + BUDGET_SLACK * (sqrt(budget * mean_work) + mean_work)
         mean_sampled_work = sum(f.placements * f.mean_work for f in sampled) / sum(f.placements for f in sampled)
         # the rate of exponential decay that maximizes the number of admitted queries
--- a/tealwing/wire/settings.py
+++ b/tealwing/wire/settings.py
@@ -1,6 +1,6 @@
 """The parser of the platform's JSON settings, which returns `tealwing.interface.Settings`.
 
-It maps the keys of the operators' page to the terms that the rest of the program uses.
+It maps the platform's keys to the names that the rest of the program uses.
 """
 
 from __future__ import annotations
@@ -41,9 +41,9 @@
         if kind is float and isinstance(value, int) and not isinstance(value, bool):
             value = float(value)
         if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
-            raise ValueError(f"impossible setting {where}: {value!r}, expected a value of type {kind.__name__}")
+            raise ValueError(f"invalid setting {where}: {value!r}, expected a value of type {kind.__name__}")
         if isinstance(value, float) and not math.isfinite(value):
-            raise ValueError(f"impossible setting {where}: {value!r}, expected a finite number")
+            raise ValueError(f"invalid setting {where}: {value!r}, expected a finite number")
         return value
 
     def seconds(self, name: str, *default: float) -> float:
@@ -59,7 +59,7 @@
         """Return the value that the key's word maps to."""
         value = self.get(name, str)
         if value not in values:
-            raise ValueError(f"impossible setting {self.path}.{name}: {value!r}, expected one of {list(values)}")
+            raise ValueError(f"invalid setting {self.path}.{name}: {value!r}, expected one of {list(values)}")
         return values[value]
 
     def indices(self, name: str) -> frozenset[int] | None:
@@ -68,11 +68,11 @@
         if values is None:
             return None
         if not all(isinstance(v, int) and not isinstance(v, bool) for v in values):
-            raise ValueError(f"impossible setting {self.path}.{name}: {values!r}, expected a list of integers")
+            raise ValueError(f"invalid setting {self.path}.{name}: {values!r}, expected a list of integers")
         return frozenset(values)
 
 
-def _class(document: SettingsObject, threads: int, holds: bool, waits: bool) -> api.RequestClass:
+def _class(document: SettingsObject, threads: int, locks: bool, waits: bool) -> api.RequestClass:
     groups = {group.value: group for group in api.IdempotencyScope}
     return api.RequestClass(
         name=document.get("Name", str),
@@ -88,7 +88,7 @@
         threads=threads,
         zones=document.indices("ConfinedTo"),
         machine_kinds=document.indices("BoundTo"),
-        locks_tables=holds,
+        locks_tables=locks,
         waits_for_locks=waits,
     )
 
@@ -101,7 +101,7 @@
 def _number_list(document: SettingsObject, name: str, length: int) -> list[Any]:
     values: list[Any] = document.get(name, list)
     if len(values) < length or not all(isinstance(v, (int, float)) for v in values):
-        raise ValueError(f"impossible setting {document.path}.{name}: {values!r}, expected at least {length} numbers")
+        raise ValueError(f"invalid setting {document.path}.{name}: {values!r}, expected at least {length} numbers")
     return values
 
 
@@ -120,10 +120,10 @@
     memory = _number_list(family, "RamOfKindMb", len(kinds))
     # older settings have neither key: no class locks tables or waits for locks
     none = [False] * len(grades)
-    holds, waits = family.get("HoldsTables", list, none), family.get("ClassWaits", list, none)
-    if len(holds) < len(grades) or len(waits) < len(grades):
+    locks, waits = family.get("HoldsTables", list, none), family.get("ClassWaits", list, none)
+    if len(locks) < len(grades) or len(waits) < len(grades):
         raise ValueError(
-            f"impossible setting {family.path}: HoldsTables has {len(holds)} entries and ClassWaits {len(waits)},"
+            f"invalid setting {family.path}: HoldsTables has {len(locks)} entries and ClassWaits {len(waits)},"
             f" expected one per class, {len(grades)}"
         )
     return api.Settings(
@@ -135,7 +135,7 @@
             api.MachineKind(str(k), c, float(m)) for k, c, m in zip(kinds, cores, memory, strict=False)
         ),
         classes=tuple(
-            _class(SettingsObject(g, f"Grades[{i}]"), threads[i], bool(holds[i]), bool(waits[i]))
+            _class(SettingsObject(g, f"Grades[{i}]"), threads[i], bool(locks[i]), bool(waits[i]))
             for i, g in enumerate(grades)
         ),
         limits=api.Limits(
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -213,7 +213,7 @@
         ("Allowed.MaxAttempts", True, "MaxAttempts"),
     ],
 )
-def test_error_names_missing_or_impossible_setting(path: str, value: Any, named: str) -> None:
+def test_error_names_missing_or_invalid_setting(path: str, value: Any, named: str) -> None:
     with pytest.raises(ValueError, match=named):
         wire.parse_settings(changed(path, value))
 
