--- a/tealwing/adapter.py
+++ b/tealwing/adapter.py
@@ -27,7 +27,7 @@
         self.gateways: dict[int, Gateway | Governor] = {}
         self._level_logs: list[str] = []  # log lines about level changes that the current event caused
 
-    def _begin(self, settings: api.Settings, seed: int) -> Gateway | Governor:
+    def _new_gateway(self, settings: api.Settings, seed: int) -> Gateway | Governor:
         gateway = Gateway(settings, seed)
         if self._plan is None:
             return gateway
@@ -43,7 +43,7 @@
         records: list[bytes] = []
         for instance, event in self.decoder.events(body, count):
             if isinstance(event, wire.Init):
-                self.gateways[instance] = self._begin(wire.parse_settings(event.settings_json), event.seed)
+                self.gateways[instance] = self._new_gateway(wire.parse_settings(event.settings_json), event.seed)
             elif isinstance(event, wire.Teardown):
                 self.gateways.pop(instance, None)
             elif instance not in self.gateways:
--- a/tealwing/config.py
+++ b/tealwing/config.py
@@ -116,9 +116,9 @@
         raise ConfigError(f"limits.sockets: {sockets!r} is not a whole number of {descriptors.MIN_DESCRIPTORS} or more")
     if not isinstance(cores, (int, float)) or isinstance(cores, bool) or not 0 < cores <= MAX_CORES:
         raise ConfigError(f"limits.cores: {cores!r} is not a number above 0 and up to {MAX_CORES}")
-    facts = _section(data.get("settings"), "settings")
+    settings_data = _section(data.get("settings"), "settings")
     try:
-        settings = wire.parse_settings(orjson.dumps(facts))
+        settings = wire.parse_settings(orjson.dumps(settings_data))
     except (ValueError, wire.WireError) as error:
         raise ConfigError(f"settings: {error}") from None
     try:
--- a/tealwing/coordinator/start_times.py
+++ b/tealwing/coordinator/start_times.py
@@ -26,10 +26,10 @@
     def __init__(self) -> None:
         self._converted: dict[int, tuple[float, float]] = {}  # by engine: its start as listed, and as converted
 
-    def with_start_time(self, member: Member, now: float, wall: float, unknown: float) -> Member:
+    def with_start_time(self, member: Member, now: float, wall: float, list_age: float) -> Member:
         """Return the member with its start on the clock of `now`, a Unix time that no step changes.
 
-        wall is the machine's Unix time. unknown is the number of seconds for which the list may have been incomplete;
+        wall is the machine's Unix time. list_age is the number of seconds since the list was last known to be complete;
         it is infinite for cached events of the configuration, which allow any age. A start that is listed again keeps
         its converted time.
         """
@@ -40,7 +40,7 @@
         if before is not None and before[0] == listed:
             started = before[1]
         else:
-            started = now - self._age(listed, now, wall, unknown + MAX_DISCOVERY_DELAY)
+            started = now - self._age(listed, now, wall, list_age + MAX_DISCOVERY_DELAY)
             if started + MAX_CLOCK_SKEW > listed > started - MAX_CLOCK_SKEW:
                 started = listed  # so that all gateways use the same start time
             self._converted[member.entry.engine] = listed, started
--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -90,12 +90,14 @@
         Raises InvalidRequestError, and SettingsChangedError if its settings and the routing table would be of
         different versions.
         """
-        force, zones = self._decisions.in_force, None
-        if force.number and settings is not None and settings is not force.settings:
-            raise SettingsChangedError(force.settings)
-        if force.table is not None:
-            zones = self._allowed_zones(force.table, query.tables, force.settings.zones, self._decisions.ready_zones)
-        settings = settings or force.settings
+        in_force, zones = self._decisions.in_force, None
+        if in_force.number and settings is not None and settings is not in_force.settings:
+            raise SettingsChangedError(in_force.settings)
+        if in_force.table is not None:
+            zones = self._allowed_zones(
+                in_force.table, query.tables, in_force.settings.zones, self._decisions.ready_zones
+            )
+        settings = settings or in_force.settings
         return RequestHandler(query, settings, self._decisions, self._engines, self._host_load, self.metrics, zones)
 
     def _gauges(self) -> dict[str, int]:
@@ -165,13 +167,13 @@
 
                 self._allowed_zones = serving_zones
             self._levels_rules = levels
-            renewed = settings is not self._settings
+            changed = settings is not self._settings
             wrap = None if plan is None else service_levels.level_wrapper(settings, plan, self._on_level_change)
             number = self._decisions.put_in_force(InForce(settings, table, version), wrap)
-            if renewed:
+            if changed:
                 self._on_settings_changed(settings, number)
             self._apply_levels(plan)
-        log.event("rules_in_force", version=version, settings=renewed, routes=len(table.routes) if table else 0)
+        log.event("rules_in_force", version=version, settings=changed, routes=len(table.routes) if table else 0)
 
     def reconfigure(self, config: Config) -> api.Settings:
         """Apply a changed configuration: the coordinator, whose event numbers continue, and the settings.
@@ -256,7 +258,7 @@
         self, plan: PeersPlan | None, replica: ReplicaPlan | None, rules: RulesPlan | None,
         federation: FederationPlan | None,
     ) -> None:  # fmt: skip
-        """Start the peer link and the replicated state. Raises LinkError, with nothing changed."""
+        """Start the peer link and the replicated state. Raises ValueError (LinkError is one), with nothing changed."""
         if plan is None and self._peering is None:
             if replica is not None:
                 raise ValueError("replica: needs the section peers, whose members hold the replicated state")
@@ -371,15 +373,15 @@
     def _with_start_times(self, members: tuple[Member, ...]) -> tuple[Member, ...]:
         """Return the members with start times on the clock of the decision modules; see `StartTimes`."""
         now, wall = self._decisions.now, time.time()
-        unknown = inf if self._reads_cached_list else self._watch.age
-        return tuple(self._start_times.with_start_time(member, now, wall, unknown) for member in members)
+        list_age = inf if self._reads_cached_list else self._watch.age
+        return tuple(self._start_times.with_start_time(member, now, wall, list_age) for member in members)
 
-    def _publish_update(self, update: Update, taken: Sequence[Member]) -> None:
-        """Publish an update to the fleet and the log."""
-        entries = tuple(member.entry for member in taken)
+    def _publish_update(self, update: Update, applied: Sequence[Member]) -> None:
+        """Publish an update to the fleet and the log, with the members of it that were applied."""
+        entries = tuple(member.entry for member in applied)
         if self._peering is not None and self._peering.feed is not None:
             self._peering.feed.engine_list_changed(entries, self._settings.rules)
-        states = {member.name: member.entry.health.name for member in taken}
+        states = {member.name: member.entry.health.name for member in applied}
         log.event("engine_list", index=update.index, complete=update.complete, members=states)
         for why in update.unusable:
             log.event("engine_unusable", why=why)
@@ -387,7 +389,7 @@
     def _apply_member_by_member(self, update: Update) -> None:
         """Apply the members one by one, skipping those that fail."""
         log.event("watch_update_in_parts", index=update.index, trace=traceback.format_exc(limit=-3))
-        taken = []
+        applied = []
         for member in update.members + update.unplaced:
             try:
                 self._engines.update((member,), False)
@@ -398,9 +400,9 @@
             except Exception as error:
                 log.event("engine_unusable", why=f"{member.name}: {error!r}")
             else:
-                taken.append(member)
+                applied.append(member)
         try:
-            self._publish_update(update, taken)
+            self._publish_update(update, applied)
         except Exception:  # an error here must not end the watch
             log.check_invariant(False, f"a watch update is published: {traceback.format_exc(limit=-3)}")
 
--- a/tealwing/gateway/decisions.py
+++ b/tealwing/gateway/decisions.py
@@ -83,7 +83,7 @@
         """Zones with a ready engine."""
         return self._versions.ready_zones
 
-    def register(self, call: bytes, mailbox: Mailbox, settings: api.Settings | None = None) -> int:
+    def register(self, request_id: bytes, mailbox: Mailbox, settings: api.Settings | None = None) -> int:
         """Register a request parsed under `settings`, and return its number; its actions go to the mailbox.
 
         Engines distinguish requests by the clients' ids: a second request with the id of an open one would get the
@@ -91,22 +91,22 @@
         for the settings.
         """
         with self._lock:
-            if call in self._request_ids:
+            if request_id in self._request_ids:
                 raise InvalidRequestError("call is that of an open request")
             version = self._versions.version
             if settings is not None and settings is not self._versions.settings:
                 self._restore_module(settings)
                 version = self._versions.version_of(settings)
-            self._request_ids.add(call)
+            self._request_ids.add(request_id)
             number = next(self._ids)
             self._mailboxes[number] = mailbox
             self._versions.assign(number, version)
             return number
 
-    def unregister(self, number: int, call: bytes) -> list[object]:
+    def unregister(self, number: int, request_id: bytes) -> list[object]:
         """Close a request's mailbox after its final answer; return what is left in it. Events pass until `forget`."""
         with self._lock:
-            self._request_ids.remove(call)
+            self._request_ids.remove(request_id)
             mailbox = self._mailboxes.pop(number)
             return [mailbox.get_nowait() for _ in range(mailbox.qsize())]
 
@@ -122,17 +122,17 @@
         """
         return self.put_in_force(InForce(settings))
 
-    def put_in_force(self, force: InForce, wrap: WrapModule | None = None) -> int:
+    def put_in_force(self, in_force: InForce, wrap: WrapModule | None = None) -> int:
         """Bind new requests to this version; changed settings get a new module, as in `replace_settings`.
 
         wrap wraps a new module. Returns the number of the module's version.
         """
         with self._lock:
-            if force.settings is self._versions.settings:
-                self._versions.in_force = force
+            if in_force.settings is self._versions.settings:
+                self._versions.in_force = in_force
             else:
                 faults = self._list_faults
-                for event in self._versions.replace_settings(force, wrap):
+                for event in self._versions.replace_settings(in_force, wrap):
                     self._handle(event, (self._versions.version,))
                 if self._list_faults != faults:  # apply the engines one by one: a failing one must not hide the others
                     for entry in self._versions.engine_list:
@@ -142,8 +142,8 @@
 
     def _restore_module(self, settings: api.Settings) -> None:
         """Restore a module for settings that were replaced after a request was parsed under them. Needs the lock."""
-        if (recalled := self._versions.restore(settings)) is not None:
-            version, initial_events = recalled
+        if (restored := self._versions.restore(settings)) is not None:
+            version, initial_events = restored
             for event in initial_events:
                 self._handle(event, (version,))
 
@@ -154,10 +154,10 @@
                 mailbox.put(item)
             return len(self._mailboxes)
 
-    def change_module(self, how: Callable[[Module, float], Module]) -> None:
-        """Replace the module of new requests by what `how` returns for it and the current time, under the lock."""
+    def change_module(self, change: Callable[[Module, float], Module]) -> None:
+        """Replace the module of new requests by what `change` returns for it and the current time, under the lock."""
         with self._lock:
-            self._versions.module = how(self._versions.module, time.monotonic() + self.clock_offset)
+            self._versions.module = change(self._versions.module, time.monotonic() + self.clock_offset)
 
     def update_engine_list(self, kind: api.EngineListKind, number: int, members: tuple[Member, ...]) -> bool:
         """Pass a watch update to each module, numbered by its settings; return whether all applied it completely."""
--- a/tealwing/gateway/host_load.py
+++ b/tealwing/gateway/host_load.py
@@ -41,16 +41,16 @@
 
     def _run(self) -> None:
         lag = unread = processor = 0.0
-        at, used = time.monotonic(), time.process_time()
+        last, last_cpu = time.monotonic(), time.process_time()
         while not self._stopped.wait(REPORT_INTERVAL):
-            now, took = time.monotonic(), time.process_time()
+            now, cpu = time.monotonic(), time.process_time()
             with self._lock:
                 lags, self._dispatch_delay = self._dispatch_delay, (0.0, 0)
                 ages, self._unread_age = self._unread_age, (0.0, 0)
-            # without samples nothing is known to wait; a late wake-up of this thread is lag as well
-            lateness = max(0.0, now - at - REPORT_INTERVAL)
+            # no samples count as a delay of 0; a late wake-up of this thread counts as dispatch delay too
+            lateness = max(0.0, now - last - REPORT_INTERVAL)
             lag += SAMPLE_DECAY * (max(lags[0] / lags[1] if lags[1] else 0.0, lateness) - lag)
             unread += SAMPLE_DECAY * ((ages[0] / ages[1] if ages[1] else 0.0) - unread)
-            processor += SAMPLE_DECAY * ((took - used) / ((now - at) * self._cores) - processor)
-            at, used = now, took
+            processor += SAMPLE_DECAY * ((cpu - last_cpu) / ((now - last) * self._cores) - processor)
+            last, last_cpu = now, cpu
             self._decisions.submit(api.HostLoad(lag, unread, processor))
--- a/tealwing/gateway/module_versions.py
+++ b/tealwing/gateway/module_versions.py
@@ -1,4 +1,4 @@
-"""Decision modules by version of the settings, and the requests of each. The owner's lock guards all of it."""
+"""Decision modules by version of the settings, and the requests of each; changed under the lock of `Decisions` only."""
 
 from __future__ import annotations
 
@@ -125,16 +125,16 @@
             if self._older.pop(version, None) is not None:
                 log.event("settings_retired", version=version)
 
-    def replace_settings(self, force: InForce, wrap: WrapModule | None = None) -> list[api.Event]:
+    def replace_settings(self, in_force: InForce, wrap: WrapModule | None = None) -> list[api.Event]:
         """Replace the module of new requests, and return the initial events of the new one."""
         if self._open_requests.get(self.version):
             self._older[self.version] = self.settings, self.module
         self._replaced.append(self.settings)
         self.version = next(self._numbers)
-        gateway = Gateway(force.settings, self._seed + self.version)
-        self.in_force, self.module = force, wrap(gateway) if wrap is not None else gateway
+        gateway = Gateway(in_force.settings, self._seed + self.version)
+        self.in_force, self.module = in_force, wrap(gateway) if wrap is not None else gateway
         self._update_ready_zones()
-        return self._initial_events(force.settings)
+        return self._initial_events(in_force.settings)
 
     def restore(self, settings: api.Settings) -> tuple[int, list[api.Event]] | None:
         """Restore a module of replaced settings; return its version and initial events.
--- a/tealwing/gateway/request_handler.py
+++ b/tealwing/gateway/request_handler.py
@@ -10,7 +10,7 @@
 
 from tealwing import interface as api
 from tealwing import log
-from tealwing.admin import metrics as counted
+from tealwing.admin import metrics as counters
 from tealwing.exchange import Cancelled, Failed, Query, Rejected, Reply, Served
 from tealwing.gateway.attempt import MAX_PAGES, Attempt, checked_page
 from tealwing.gateway.decisions import TIMER_GRANULARITY, Decisions, Mailbox
@@ -35,8 +35,8 @@
 class Signal(Enum):
     """Items of a request's mailbox that are neither actions nor answers."""
 
-    CLIENT_CANCELLED = "the client gave the request up"
-    SHUTDOWN = "the gateway ends"
+    CLIENT_CANCELLED = "the client cancelled the request"
+    SHUTDOWN = "the gateway shuts down"
 
 
 class RequestHandler:
@@ -49,7 +49,7 @@
         decisions: Decisions,
         engines: EnginePool,
         host_load: HostLoadMonitor | None = None,
-        metrics: counted.Metrics | None = None,
+        metrics: counters.Metrics | None = None,
         zones: frozenset[int] | None = None,
     ) -> None:
         """Register the request; only engines of `zones` may serve it, None allows all."""
@@ -72,10 +72,10 @@
         """Run the request to its reply, and count its result in the metrics."""
         reply = self._handle()
         if self._metrics is not None:
-            figure = counted.OK if isinstance(reply, Served) else counted.SHED
+            counter = counters.OK if isinstance(reply, Served) else counters.SHED
             if isinstance(reply, (Failed, Cancelled)):
-                figure = counted.ERRORS
-            self._metrics.count(figure, self._class)
+                counter = counters.ERRORS
+            self._metrics.count(counter, self._class)
         return reply
 
     def _handle(self) -> Reply:
@@ -223,7 +223,7 @@
         except ConnectionBrokenError:
             return api.AttemptResult.RESET
         if self._metrics is not None:
-            self._metrics.count(counted.TRIES, self._class)
+            self._metrics.count(counters.TRIES, self._class)
         return None
 
     def _send_fields(self, attempt: Attempt, priority: int) -> bytes:
--- a/tealwing/gateway/service_levels.py
+++ b/tealwing/gateway/service_levels.py
@@ -1,4 +1,7 @@
-"""The service-level governor round the decision module, and local evidence for gossip; imports only what is on."""
+"""Wraps the decision module in the service-level governor, and collects the module's evidence for gossip.
+
+The packages of service levels and gossip are imported only if they are on.
+"""
 
 from __future__ import annotations
 
@@ -27,13 +30,13 @@
 
     found: list[Evidence] = []
 
-    def look(module: Module, _: float) -> Module:
+    def observe(module: Module, _: float) -> Module:
         gateway = innermost_module(module)
         assert gateway is not None
         found.append((local_evidence.observe_engines(gateway), len(gateway.ready)))
         return module
 
-    change(look)
+    change(observe)
     return found[0]
 
 
--- a/tealwing/interface/settings.py
+++ b/tealwing/interface/settings.py
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The parameters of the platform's rules on sends and retries; retry_budget_floor is None without a retry budget."""
+    """The parameters of the platform's rules on sends; retry_budget_floor is None where there is no retry budget."""
 
     answer_slack: float
     poll_interval: float
--- a/tealwing/service.py
+++ b/tealwing/service.py
@@ -67,26 +67,26 @@
             daemon.metrics.count_configuration(good)
         if good:
             retries = 0
-    stopped = time.monotonic()
+    stopped_at = time.monotonic()
     serving.clear()
     daemon.stop()
     log.event("draining")
     if not server.shared:  # clients still come; with a shared queue the other process accepts them
         time.sleep(LISTEN_GRACE)
     server.stop_listening()
-    kill = stopped + min(daemon.max_deadline, MAX_DEADLINE_WAIT) + KILL_MARGIN
+    killed_at = stopped_at + min(daemon.max_deadline, MAX_DEADLINE_WAIT) + KILL_MARGIN
     cut_short = 0
-    if not server.finish(kill - FAIL_MARGIN - time.monotonic()):
+    if not server.finish(killed_at - FAIL_MARGIN - time.monotonic()):
         cut_short = daemon.fail_open_requests()
         log.event("drain_cut_short", failed=cut_short)
-        if not server.finish(kill - EXIT_MARGIN - time.monotonic()) and daemon.open_requests:
+        if not server.finish(killed_at - EXIT_MARGIN - time.monotonic()) and daemon.open_requests:
             server.finish(MAX_DEADLINE_WAIT)  # sends the errors of the failed requests, unless SIGKILL arrives first
     if admin is not None:
         admin.stop()
     ok, shed, failed, _ = daemon.metrics.totals
     log.event(
         "stopped",
-        after=time.monotonic() - stopped,
+        after=time.monotonic() - stopped_at,
         answered=ok + shed,
         failed=failed,  # includes requests that the drain cut short and requests that clients cancelled
         cut_short=cut_short,
--- a/tealwing/threads.py
+++ b/tealwing/threads.py
@@ -13,7 +13,7 @@
 
 from tealwing import log
 
-FIRST_PEAK = 8  # threads at the first logged peak; each further one is twice the last: a few log lines a process
+FIRST_PEAK = 8  # threads at the first logged peak; each further one is at least twice the last: few log lines
 
 
 class ThreadUnavailableError(RuntimeError):
