--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -18,9 +18,9 @@
 from tests.peers import Client, Peer, Program, event, member, request, say
 from tests.test_watch import ONE, TWO, make
 
-HOUR, SECONDS = 3600.0, 5.0
+HOUR, FEW_SECONDS = 3600.0, 5.0
 DISCOVERY_DELAY = 1.5  # s from an engine's start until it is listed
-STEPS = [HOUR, -HOUR, SECONDS, -SECONDS, 0.0]
+STEPS = [HOUR, -HOUR, FEW_SECONDS, -FEW_SECONDS, 0.0]
 
 
 class Clock:
@@ -34,7 +34,7 @@
         """List an engine that has just started, by a clock that is ahead of real time by the step."""
         started = round((self._real() + step - DISCOVERY_DELAY) * 1e3)
         apply_event(daemon, event(index, member(engine, "127.0.0.1:1", up_since_ms=started)))
-        return find(daemon, updates.engine_number(engine))
+        return find_engine(daemon, updates.engine_number(engine))
 
 
 def apply_event(daemon: Daemon, data: dict[str, Any]) -> None:
@@ -44,7 +44,7 @@
     daemon._on_watch_update(update)
 
 
-def find(daemon: Daemon, number: int) -> Engine:
+def find_engine(daemon: Daemon, number: int) -> Engine:
     module = daemon._decisions.module
     assert isinstance(module, Gateway)
     return module.engines[number]
@@ -66,7 +66,7 @@
     return Clock(monkeypatch)
 
 
-@pytest.mark.parametrize("step", [HOUR, -HOUR, -SECONDS, 0.0])
+@pytest.mark.parametrize("step", [HOUR, -HOUR, -FEW_SECONDS, 0.0])
 def test_new_engine_gets_slow_start_despite_a_wrong_wall_clock(step: float, tmp_path: Path, clock: Clock) -> None:
     # guards against trust in the wall clock: an hour ahead, every cold engine looked warm; an hour behind, it stayed
     # cold for an hour
@@ -80,6 +80,7 @@
 def test_new_engine_gets_slow_start_despite_a_stepped_wall_clock(
     step: float, along: bool, tmp_path: Path, clock: Clock
 ) -> None:
+    # along: the clock that gives the listed start times is stepped by as much
     daemon = make(tmp_path, ("127.0.0.1", 1))
     clock.step = step
     assert is_just_started(daemon, clock.list_engine(daemon, 2, step if along else 0.0))
@@ -90,14 +91,14 @@
     started = round((time.time() + HOUR) * 1e3)
     known = {"index": 1, "updates": [event(1, member("s-1", "127.0.0.1:1", up_since_ms=started))]}
     daemon = make(tmp_path, ("127.0.0.1", 1), known=known)
-    assert slow_start_left(daemon, find(daemon, ONE)) <= find(daemon, ONE).rules.slow_start_time + 0.1
+    assert slow_start_left(daemon, find_engine(daemon, ONE)) <= find_engine(daemon, ONE).rules.slow_start_time + 0.1
 
 
-def test_engine_restarted_by_a_clock_set_back_gets_slow_start_again(tmp_path: Path, clock: Clock) -> None:
+def test_restarted_engine_with_an_earlier_start_time_gets_slow_start_again(tmp_path: Path, clock: Clock) -> None:
     daemon = make(tmp_path, ("127.0.0.1", 1))
     first = clock.list_engine(daemon, 2)
     second = clock.list_engine(daemon, 3, -HOUR)
-    assert second is not first and find(daemon, TWO) is second
+    assert second is not first and find_engine(daemon, TWO) is second
     assert is_just_started(daemon, second)
 
 
@@ -109,7 +110,7 @@
     raw = {found.name: found.entry.started for found, _ in daemon._engines._engines.values()}["s-2"]
     again = event(3, member("s-2", "127.0.0.1:1", up_since_ms=round(raw * 1e3), phase="draining"))
     apply_event(daemon, again)
-    assert find(daemon, TWO) is first and first.started == started and not first.ready
+    assert find_engine(daemon, TWO) is first and first.started == started and not first.ready
 
 
 # The ttl that an engine gets with an attempt
@@ -162,4 +163,4 @@
     daemon = make(tmp_path, ("127.0.0.1", 1), known={"index": 1, "updates": [event(1, first)]})
     apply_event(daemon, event(2, first | {"phase": "removed"}))
     apply_event(daemon, event(3, first))
-    assert slow_start_left(daemon, find(daemon, ONE)) < 0
+    assert slow_start_left(daemon, find_engine(daemon, ONE)) < 0
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -174,10 +174,10 @@
 
 
 def zones_of(daemon: Daemon, call: int, group: int) -> frozenset[int] | None:
-    life = daemon.open(query(call, group))
-    found = life._to_request().zones
-    life.cancel()
-    life.run()
+    handler = daemon.open(query(call, group))
+    found = handler._to_request().zones
+    handler.cancel()
+    handler.run()
     return found
 
 
@@ -205,16 +205,16 @@
     daemon.on_settings = applied.append
     classes = tuple(dataclasses.replace(cls, latency_objective=cls.latency_objective / 2) for cls in old.classes)
     new = dataclasses.replace(old, classes=classes)
-    life = daemon.open(query(1), old)
+    handler = daemon.open(query(1), old)
     daemon.put_in_force(new, Table.of([Route(0, 9, ("y",))]), None, 1)
     assert applied == [new] and daemon._decisions.module is not module
     with pytest.raises(SettingsChangedError) as caught:  # never settings of one version with the table of another
         daemon.open(query(2), old)
     assert caught.value.settings is new
     versions = daemon._decisions._versions
-    assert versions.module_at(0) is module and life._to_request().zones is None
-    life.cancel()
-    life.run()
+    assert versions.module_at(0) is module and handler._to_request().zones is None
+    handler.cancel()
+    handler.run()
     assert versions.module_at(0) is None and not versions._older
     daemon.put_in_force(new, None, None, 2)
     assert daemon._decisions.settings is new and len(applied) == 1
@@ -225,28 +225,31 @@
 ) -> None:
     logged: list[tuple[str, dict[str, Any]]] = []
     monkeypatch.setattr(log, "event", lambda name, **fields: logged.append((name, fields)))
-    few = server.Server(("127.0.0.1", 0), 2, daemon.platform_settings, daemon.open)
-    daemon.on_settings = lambda settings: setattr(few, "settings", settings)
+    mysql_server = server.Server(("127.0.0.1", 0), 2, daemon.platform_settings, daemon.open)
+    daemon.on_settings = lambda settings: setattr(mysql_server, "settings", settings)
     path = Path(os.environ["LB_CONFIG"])
     given = json.loads(path.read_text())
     daemon.put_in_force(None, Table(), None, 4)
-    assert service.reload(daemon, few, None)  # the file has not changed
+    assert service.reload(daemon, mysql_server, None)  # the file has not changed
     shorter = SETTINGS["Grades"][0] | {"TargetNs": 500_000_000}
     given["settings"]["Grades"] = [shorter, *SETTINGS["Grades"][1:]]
     path.write_text(json.dumps(given | {"coordinator": "127.0.0.1:2"}))
     for _ in range(2):
         logged.clear()
-        assert not service.reload(daemon, few, None)
+        assert not service.reload(daemon, mysql_server, None)
         ((name, fields),) = logged
         assert name == "config_rejected" and "version 4" in fields["why"] and "propose" in fields["remedy"]
-    assert few.settings is daemon._decisions.settings and few.settings.classes[0].latency_objective == 1.0
+    assert (
+        mysql_server.settings is daemon._decisions.settings
+        and mysql_server.settings.classes[0].latency_objective == 1.0
+    )
     assert daemon._watch._address == ("127.0.0.1", 2)  # the coordinator is applied nevertheless
 
 
 # The server
 
 
-class Once:
+class ImmediateExchange:
     """An exchange that returns one row at once."""
 
     def run(self) -> Reply:
@@ -259,28 +262,30 @@
 @pytest.fixture
 def gated(gate: Gate) -> Iterator[server.Server]:
     """A server with the gate, whose requests are served at once."""
-    few = server.Server(("127.0.0.1", 0), 8, make_settings(tenants=("acme",)), open_noting([]))
-    few.gate = gate
-    few.start()
-    yield few
+    mysql_server = server.Server(("127.0.0.1", 0), 8, make_settings(tenants=("acme",)), recording_open([]))
+    mysql_server.gate = gate
+    mysql_server.start()
+    yield mysql_server
     gate.shut("the test ends")
-    few.stop_listening()
-    few.finish(LIMIT)
+    mysql_server.stop_listening()
+    mysql_server.finish(LIMIT)
+
 
+def recording_open(seen: list[tuple[Query, Any]], outdated: list[api.Settings] | None = None) -> Any:
+    """Return an `open` that records its calls, and raises SettingsChangedError once for each of `outdated`."""
 
-def open_noting(seen: list[tuple[Query, Any]], outdated: list[api.Settings] | None = None) -> Any:
     def open_(query: Query, settings: Any) -> Exchange:
         seen.append((query, settings))
         if outdated:
             raise SettingsChangedError(outdated.pop())
-        return Once()
+        return ImmediateExchange()
 
     return open_
 
 
 def test_held_request_is_parsed_again_under_the_new_settings(gated: server.Server, gate: Gate) -> None:
     seen: list[tuple[Query, Any]] = []
-    gated.open = open_noting(seen)
+    gated.open = recording_open(seen)
     gate.close(LoadChange())
     client = Client(gated.address)
     client.ask(op="look", ttl=9000)  # of group 7
@@ -319,19 +324,19 @@
 def test_request_is_parsed_again_if_settings_change_before_it_opens(gated: server.Server) -> None:
     seen: list[tuple[Query, Any]] = []
     new = make_settings(tenants=("acme",), classes=(request_class(name="first"), request_class()))
-    gated.open = open_noting(seen, [new])
+    gated.open = recording_open(seen, [new])
     client = Client(gated.address)
     client.ask(op="look")
     assert len(client.rows()) == 1
     assert seen[-1][1] is new and [query.cls for query, _ in seen] == [0, 1]
-    gated.open = open_noting(seen, [new] * 9)  # settings that keep changing: rejected instead of an endless loop
+    gated.open = recording_open(seen, [new] * 9)  # settings that keep changing: rejected instead of an endless loop
     client.ask(op="look")
     assert client.error()[0] == 1226
 
 
 def test_without_a_gate_a_change_of_settings_before_opening_fails_the_request(gated: server.Server) -> None:
     gated.gate = None
-    gated.open = open_noting([], [make_settings()])
+    gated.open = recording_open([], [make_settings()])
     client = Client(gated.address)
     client.ask(op="look")
     assert client.error()[0] == 1210
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -156,7 +156,8 @@
 
 
 def test_governor_changes_no_action_while_no_level_is_in_force(tmp_path: Path) -> None:
-    # until the module itself changed, the actions were also those of commit 712515d, before levels existed
+    # guards against a governor that changes the module's actions; until the module itself changed, they also equalled
+    # those of commit 712515d, which had no levels
     events, _ = recorded.load()
     digests = []
     for module in (
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -239,7 +239,7 @@
 
 
 class Recorder:
-    """A module that records its events and does nothing."""
+    """A decision module that records its events and returns no actions."""
 
     def __init__(self) -> None:
         self.events: list[object] = []
@@ -272,11 +272,11 @@
 
 
 def test_a_request_written_one_byte_at_a_time_is_answered() -> None:
-    few = server.Server(("127.0.0.1", 0), 8, make_settings(), refuse)
-    few.start()
+    mysql_server = server.Server(("127.0.0.1", 0), 8, make_settings(), refuse)
+    mysql_server.start()
     login = (0xA20D).to_bytes(4, "little") + bytes(28) + b"app\0\0reports\0"
     query = packets.packet(0, b"\x03" + request(op="look"))
-    with socket.create_connection(few.address, LIMIT) as sock:
+    with socket.create_connection(mysql_server.address, LIMIT) as sock:
         for byte in packets.packet(1, login) + query:
             sock.sendall(bytes([byte]))
         parser, got = packets.Parser(), list[bytes]()
@@ -285,8 +285,8 @@
             while (message := parser.next()) is not None:
                 got.append(message[1])
     assert got[1] == packets.ok() and got[2][0] == 0xFF and b"refused" in got[2]
-    few.stop_listening()
-    assert few.finish(LIMIT)
+    mysql_server.stop_listening()
+    assert mysql_server.finish(LIMIT)
 
 
 def test_watch_that_breaks_mid_line_resumes_from_the_same_index(tmp_path: Path) -> None:
--- a/tests/test_overdue.py
+++ b/tests/test_overdue.py
@@ -80,21 +80,21 @@
 
 
 @contextmanager
-def held(owner: Any, name: str, monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
-    """Block each caller of a method until the `with` block ends; the event is set once there is one."""
-    come, go, real = threading.Event(), threading.Event(), getattr(owner, name)
+def blocked_calls(owner: Any, name: str, monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
+    """Block each caller of a method until the `with` block ends; the yielded event is set once one is blocked."""
+    called, released, real = threading.Event(), threading.Event(), getattr(owner, name)
 
     def wait_first(*args: Any, **kwargs: Any) -> Any:
-        come.set()
-        assert go.wait(LIMIT)
+        called.set()
+        assert released.wait(LIMIT)
         return real(*args, **kwargs)
 
     with monkeypatch.context() as patch:
         patch.setattr(owner, name, wait_first)
         try:
-            yield come
+            yield called
         finally:
-            go.set()
+            released.set()
 
 
 @pytest.fixture
@@ -125,9 +125,9 @@
     rig: Rig, owner: Any, name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     client = rig.client()
-    with held(owner, name, monkeypatch) as come:
+    with blocked_calls(owner, name, monkeypatch) as called:
         ask(client, 1, SHORT_MS)
-        assert come.wait(LIMIT)
+        assert called.wait(LIMIT)
         assert client.error()[0] == FAILED
     rig.wait_until_released()
     if name != "_write":  # a blocked write may have sent some bytes
@@ -145,26 +145,26 @@
 
 
 def test_request_blocked_by_the_gate_fails_in_time(rig: Rig) -> None:
-    come, go = threading.Event(), threading.Event()
+    called, released = threading.Event(), threading.Event()
 
     class Gate:
         def admit(self, *args: Any) -> Admitted:
-            come.set()
-            assert go.wait(LIMIT)
+            called.set()
+            assert released.wait(LIMIT)
             return Admitted(False)
 
     rig.server.gate = Gate()
     client = rig.client()
     ask(client, 1, SHORT_MS)
-    assert come.wait(LIMIT)
+    assert called.wait(LIMIT)
     assert client.error()[0] == FAILED
-    go.set()
+    released.set()
     rig.wait_until_released()
     assert rig.engine.got.empty()
 
 
 def test_requests_waiting_for_a_thread_are_refused_in_time(single: Rig) -> None:
-    # fault: on a gateway with more open requests than threads, 163 requests in a day were never answered
+    # guards against unanswered requests: with more open requests than threads, 163 in a day were never answered
     busy = single.client()
     ask(busy, 1, LONG_MS)
     sock, call = single.sent(1)
@@ -290,8 +290,8 @@
 def test_session_is_not_closed_before_a_claimed_overdue_answer_is_sent(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # fault, seen in a soak: the check for overdue requests had claimed an answer but not sent it yet when the request's
-    # own thread found it claimed, and shut down the sending side: the client got no answer at all
+    # guards against a lost answer, seen in a soak test: the check for overdue requests had claimed the answer but not
+    # sent it when the request's own thread found it claimed, and shut down the sending side of the connection
     claimed, real = threading.Event(), overdue.AnswerDeadline.claim_overdue
 
     def claim(self: overdue.AnswerDeadline, now: float) -> bool:
@@ -303,9 +303,9 @@
 
     monkeypatch.setattr(overdue.AnswerDeadline, "claim_overdue", claim)
     client = rig.client()
-    with held(Engine, "send", monkeypatch) as come:
+    with blocked_calls(Engine, "send", monkeypatch) as called:
         ask(client, 1, SHORT_MS)
-        assert come.wait(LIMIT)
+        assert called.wait(LIMIT)
         assert claimed.wait(LIMIT)
     assert client.error()[0] == FAILED
     with pytest.raises(EOFError):
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -30,7 +30,7 @@
     return b"tealwing" in Path(f"/proc/{process.pid}/cmdline").read_bytes().split(b"\0")
 
 
-def started(folder: Path, engine: Peer) -> Program:
+def start_program(folder: Path, engine: Peer) -> Program:
     """Start the program; return as soon as the shell has executed it."""
     program = Program(folder, engine.address)
     until = time.monotonic() + LIMIT
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("moment", MOMENTS)
 def test_sighup_during_the_start_does_not_end_the_program(tmp_path: Path, engine: Peer, moment: float) -> None:
     # a new configuration may come right after a restart; a gateway that exits at SIGHUP counts as crashed
-    program = started(tmp_path, engine)
+    program = start_program(tmp_path, engine)
     time.sleep(moment)
     program.process.send_signal(signal.SIGHUP)
     program.address()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -24,13 +24,13 @@
     ("mixed", 5, 3, 0.5),
     ("mixed", 20, 2, 0.5),
     ("mixed", 30, 2, 0.5),
-    ("light", 200, 1, 0.7),  # earlier sampling used 1.39 of N, 1.4 times the bound in every window
+    ("light", 200, 1, 0.7),  # an earlier sampling rule used 1.39 N, and 1.4 times the bound in every window
     ("middle", 20, 1, 0.6),
     ("three at once", 30, 1, 0.45),
-    ("burst, light", 200, 1, 0.7),  # earlier sampling: twice the bound
+    ("burst, light", 200, 1, 0.7),  # an earlier sampling rule: twice the bound
     ("burst, mixed", 20, 1, 0.5),
     ("restarts, mixed", 20, 1, 0.5),
-    ("retries, mixed", 3, 2, 0.5),  # earlier sampling: 1.5 times the bound
+    ("retries, mixed", 3, 2, 0.5),  # an earlier sampling rule: 1.5 times the bound
     ("retries, mixed", 30, 1, 0.5),
 )
 
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -60,7 +60,7 @@
     engine.listener.close()
 
 
-def answer_engine(engine: Peer, stop: threading.Event) -> None:
+def answer_attempts(engine: Peer, stop: threading.Event) -> None:
     """Answer every attempt that reaches the engine with one page."""
     while not stop.is_set():
         try:
@@ -77,7 +77,7 @@
     refuser = Refuser("session")
     threads.refuse = refuser
     stop = threading.Event()
-    serving = threading.Thread(target=answer_engine, args=(engine, stop), daemon=True)
+    serving = threading.Thread(target=answer_attempts, args=(engine, stop), daemon=True)
     commands = [packets.packet(0, b"\x03" + request(call=f"{number:016x}")) for number in range(CLIENTS)]
     # each client sends its request with its login, because a client without a thread gets no greeting
     clients = [login_and_ask(server.address, command) for command in commands]
@@ -119,16 +119,16 @@
     threads.refuse = lambda name: name == "engine-reader"
     host, _, port = engine.address.rpartition(":")
     reader = ConnectionReader()
-    one = Engine((host, int(port)), 8, 1.0, 30.0, reader.watch)
+    engine_client = Engine((host, int(port)), 8, 1.0, 30.0, reader.watch)
     try:
         with pytest.raises(ConnectError, match="no thread reads"):
-            one.send(b"1" * 16, lambda: b"-", b"SELECT 1", lambda item: None, 5.0)
+            engine_client.send(b"1" * 16, lambda: b"-", b"SELECT 1", lambda item: None, 5.0)
         threads.refuse = None
-        heard: SimpleQueue[object] = SimpleQueue()
-        one.send(b"1" * 16, lambda: b"-", b"SELECT 1", heard.put, 5.0)
+        received: SimpleQueue[object] = SimpleQueue()
+        engine_client.send(b"1" * 16, lambda: b"-", b"SELECT 1", received.put, 5.0)
         sock, parts = engine.next(b"want")
         say(sock, parts[1], b"200", b"sheets=1", PAGE)
-        assert isinstance(heard.get(timeout=LIMIT), Answer)
+        assert isinstance(received.get(timeout=LIMIT), Answer)
     finally:
         threads.refuse = None
         engine.listener.close()
@@ -158,15 +158,15 @@
     monkeypatch.setattr(server_module, "FREE_THREADS", (2, 2))
     started = itertools.count()
     threads.refuse = lambda name: name == "session" and next(started) >= 2  # two session threads are started, then none
-    few = Server(("127.0.0.1", 0), 64, make_settings(), refuse)
-    few.start()
+    mysql_server = Server(("127.0.0.1", 0), 64, make_settings(), refuse)
+    mysql_server.start()
     try:
-        staying = [Client(few.address) for _ in range(20)]
+        staying = [Client(mysql_server.address) for _ in range(20)]
         for client in staying * 2:  # if each held a thread, the third would wait for another's idle timeout of 60 s
             ping(client)
         events = [json.loads(line)["event"] for line in capsys.readouterr().out.splitlines()]
         assert events.count("thread_refused") == 1  # one line for the series, not one per connection
     finally:
         threads.refuse = None
-        few.stop_listening()
-        few.finish(LIMIT)
+        mysql_server.stop_listening()
+        mysql_server.finish(LIMIT)
