--- a/tealwing/exchange.py
+++ b/tealwing/exchange.py
@@ -35,7 +35,7 @@
     idempotency_key: bytes = b""
     cost: float | None = None
     memory_estimate: float = 0.0
-    tables: int = 0
+    tables: int = 0  # its group of tables, which the routing table maps to sites
     received_at: float = 0.0  # monotonic time at which its last byte was read
     # whether the client has disconnected; must not block
     has_left: Callable[[], bool] = field(default=_never_left, compare=False)
--- a/tealwing/interface/events.py
+++ b/tealwing/interface/events.py
@@ -79,6 +79,7 @@
 class Request:
     """A client's request; cost is the estimated work in seconds, None without an estimate; key 0 means no key.
 
+    dataset is the number of its group of tables, which a bulk load locks on its engine.
     zones has the zones whose engines may serve it by locality, fixed at its admission; None allows all zones, an empty
     set none.
     """
--- a/tealwing/levels/signals.py
+++ b/tealwing/levels/signals.py
@@ -28,7 +28,7 @@
     mean_report: dict[str, float]
     slowdown: float
     cores: float
-    reports_in_flight: bool
+    reports_query_counts: bool
 
     @property
     def ready(self) -> Sequence[Engine]:
@@ -209,7 +209,7 @@
         signals["fleet.ready"] = ready / max_ready if max_ready else 1.0
         cores = sum(engine.cores for engine in fleet.ready)
         signals["fleet.cold"] = 1 - min(fleet.cores / cores, 1.0) if cores else 0.0
-        if fleet.reports_in_flight:
+        if fleet.reports_query_counts:
             signals["fleet.load"] = fleet.mean_report.get("load", 0.0)
         elif ready:
             signals["fleet.load"] = sum(engine.load for engine in fleet.ready) / ready
--- a/tealwing/policy/fleet.py
+++ b/tealwing/policy/fleet.py
@@ -43,7 +43,7 @@
         self.report_count = 0
         self.reports_at_rebuild = 0  # report_count at the last rebuild
         self.reported_at = -inf  # time of the last report
-        self.reports_in_flight = "inflight" in settings.report_fields  # whether reports count queries in flight
+        self.reports_query_counts = "inflight" in settings.report_fields  # whether reports count queries in flight
         self.best_success = 1.0  # highest success share of a ready engine
         self.is_started = False
         self.unreported_weight = 1  # estimated attempts of all gateways per unreported attempt of this one
@@ -155,7 +155,7 @@
         )
         engine.indices_valid_until, self.report_count, self.reported_at = -inf, self.report_count + 1, self.now
         reported = dict(engine.report)
-        if self.reports_in_flight:
+        if self.reports_query_counts:
             cores = engine.cores * engine.warm_up_progress(self.now)
             reported["others"] = engine.other_queries / cores
             reported["load"] = (engine.threads + engine.other_queries * self.threads_per_query) / cores
@@ -192,7 +192,7 @@
         now, cores = self.now, engine.cores * engine.warm_up_progress(self.now)
         engine.load = load = (engine.threads + engine.other_queries * self.threads_per_query) / cores
         engine.memory_utilization = (engine.memory_reserved + engine.other_queries * self.memory_per_query) / engine.ram
-        if not self.reports_in_flight:
+        if not self.reports_query_counts:
             unreported_threads = sum(
                 e.unreported * f.cls.threads for e, f in zip(engine.estimates, self.class_traffic, strict=True)
             )
@@ -233,7 +233,7 @@
         )
         factor = (
             (LOCAL_COUNT_WEIGHT + local_queries) / (LOCAL_COUNT_WEIGHT + expected_queries)
-            if self.reports_in_flight
+            if self.reports_query_counts
             else float(self.settings.gateway_count)
         )
         count = (
