--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -101,7 +101,7 @@
         return RequestHandler(query, settings, self._decisions, self._engines, self._host_load, self.metrics, zones)
 
     def _gauges(self) -> dict[str, int]:
-        """Return the gauges: open requests, listed engines, ejected engines, threads.
+        """Return the gauges of requests, engines, threads and the engine list, and the readiness of the peer link.
 
         Read without the lock of the decisions: the length of a table is consistent at any moment.
         """
