--- a/tealwing/peers/link.py
+++ b/tealwing/peers/link.py
@@ -3,8 +3,8 @@
 Each connection carries one direction. The sender dials, identifies itself with a `Hello`, and sends frames; the other
 end only reads (`inbound.PeerListener`). A send never blocks the caller: it goes into the peer's bounded send queue.
 
-A learner of the replicated log links only to voters and to the members that `reach` names: the number of links so grows
-with members times voters, not with the square of the members. It accepts connections of every member.
+A learner of the replicated log links only to voters and to the members given to `set_additional_peers`: the number of
+links so grows with members times voters, not with the square of the members. It accepts connections of every member.
 """
 
 from __future__ import annotations
@@ -47,9 +47,8 @@
         self.incarnation = int(time.time() * 1e3) if incarnation is None else incarnation
         self.lock = threading.Lock()  # guards the peer table, the connections and the senders
         self._members = {name: address for name, address in plan.members if name != plan.name}
-        self._needed: dict[
-            str, frozenset[str]
-        ] = {}  # members to link to besides the plan's, by the caller that needs them
+        # members to link to besides those of the plan, by the caller that requested them
+        self._additional: dict[str, frozenset[str]] = {}
         self._table = PeerTable(self._members, plan.times, time.monotonic())
         self._listener = PeerListener(plan, self._table, self.lock, self._notify)
         linked = plan.linked_members()
@@ -119,16 +118,22 @@
         for connection in removed:
             connection.shutdown()
 
-    def reach(self, who: str, names: Collection[str]) -> None:
-        """Link to these members too, until `who` names others. It may be called on any thread, and never blocks."""
+    def set_additional_peers(self, caller: str, names: Collection[str]) -> None:
+        """Link to these members besides those of the plan; they replace the ones that the caller named before.
+
+        It affects only fleets with learners, as otherwise each links to all members. It may be called on any thread,
+        and waits for no connection.
+        """
         with self.lock:
-            self._needed[who] = frozenset(names)
+            self._additional[caller] = frozenset(names)
         self._set_senders()
 
     def _set_senders(self) -> None:
         """Add and remove senders, so that there is one to each member that this one links to, and to no other."""
         with self.lock:
-            linked = self.plan.linked_members().union(*self._needed.values()) if self.plan.learners else self._members
+            linked = (
+                self.plan.linked_members().union(*self._additional.values()) if self.plan.learners else self._members
+            )
             targets = {name: address for name, address in self._members.items() if name in linked}
             removed = [out for name, out in self._senders.items() if targets.get(name) != out.address]
             for outbound in removed:
--- a/tealwing/replica/service/member.py
+++ b/tealwing/replica/service/member.py
@@ -181,7 +181,7 @@
         names = {*core.members, *core.learners} if core.local_id in core.members else {*core.members, core.leader}
         if names != self._connected:
             self._connected = names
-            self._link.reach(self.group.name, names)
+            self._link.set_additional_peers(self.group.name, names)
 
     def _set_leading(self, leads: bool) -> None:
         self._leading = leads
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -190,9 +190,9 @@
     assert descriptors() - before <= linked + 8
     states = {peer["state"] for peer in link.status()}
     assert states == ({"dead"} if linked == 199 else {"dead", "unlinked"})
-    link.reach("site", {"n0", "n100"})  # n100 is the leader, contrary to the configuration file
+    link.set_additional_peers("site", {"n0", "n100"})  # n100 is the leader, contrary to the configuration file
     assert len([p for p in link.status() if p["state"] == "unlinked"]) == 199 - linked - (linked == 5)
-    link.reach("site", {"n0"})
+    link.set_additional_peers("site", {"n0"})
     assert len([p for p in link.status() if p["state"] == "unlinked"]) == 199 - linked
     link.stop()
     others.close()
