--- a/tealwing/peers/link.py
+++ b/tealwing/peers/link.py
@@ -108,8 +108,8 @@
         with self.lock:
             return self._table.live()
 
-    def change(self, members: dict[str, Address]) -> None:
-        """Set the members; the senders to removed members and their state are dropped."""
+    def set_members(self, members: dict[str, Address]) -> None:
+        """Replace the members; close the connections of removed members, and drop their senders and state."""
         with self.lock:
             self._members = {name: address for name, address in members.items() if name != self.plan.name}
             self._table.set_members(self._members, time.monotonic())
@@ -151,7 +151,7 @@
         for outbound in added if started else ():
             try:
                 outbound.start()
-            except threads.ThreadUnavailableError:  # logged where it is raised; the peer then counts as unreachable
+            except threads.ThreadUnavailableError:  # logged by `threads`; messages to this peer are not sent
                 continue
 
     def traffic(self) -> Traffic:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -137,7 +137,7 @@
     again = Link(b.plan, incarnation=2)
     again.start()
     until(lambda: a.live() == ["b"] and again.live() == ["a"])
-    again.change({"b": b.plan.address("b") or ("", 0)})  # a is no longer a member
+    again.set_members({"b": b.plan.address("b") or ("", 0)})  # a is no longer a member
     until(lambda: again.status() == [])
     until(lambda: a.status()[0]["connected"] is False or a.status()[0]["dials"] > 2)
     again.stop()
