--- a/tealwing/commands/lease.py
+++ b/tealwing/commands/lease.py
@@ -50,7 +50,7 @@
     granted, local = found["lease"], found["here"]
     if granted is not None:
         state = "held by" if granted["held"] else "free; last held by"
-        click.echo(f"{state} {granted['holder']}, token {granted['token']}, newest {granted['newest']}")
+        click.echo(f"{state} {granted['holder']}, token {granted['token']}, newest token {granted['newest']}")
     if local is not None:
         click.echo(
             f"here: {'held' if local['valid'] else 'wanted'}, token {local['token']}, {local['left_s']:.1f} s left"
--- a/tealwing/commands/levels.py
+++ b/tealwing/commands/levels.py
@@ -28,7 +28,7 @@
     return plan
 
 
-def line(record: dict[str, Any]) -> None:
+def print_json(record: dict[str, Any]) -> None:
     """Write one record as a line of JSON."""
     click.echo(orjson.dumps(record).decode())
 
@@ -57,7 +57,7 @@
         source = sys.stdin.buffer if trace == "-" else Path(trace).open("rb")  # noqa: SIM115
         with source:
             for record in module.replay(plan, module.read_trace(source)):
-                line(record)
+                print_json(record)
     except OSError as error:
         raise Finding(f"{trace}: {error.strerror}") from None
     except module.TraceError as error:
@@ -96,7 +96,7 @@
         )
     for last in module.swing(plan, seed, minutes * 60, jobs or os.cpu_count() or 1):
         if as_json:
-            line(last)
+            print_json(last)
         elif "summary" not in last:
             click.echo(
                 f"{last['threshold']:20} {last['form']:9} {last['period_s']:>6g}s {last['load']:>6.2f}"
--- a/tealwing/gossip/anti_entropy.py
+++ b/tealwing/gossip/anti_entropy.py
@@ -14,7 +14,7 @@
 
 RESYNC_FACTOR = 0.1  # of the sync interval: delay of the next comparison after one that found a difference
 SYNC_SCALING_MEMBERS = 32  # members beyond which the sync interval grows with their binary log (as in memberlist)
-SEED_PROBABILITY = 0.1  # of a comparison with seeds too, through which the sides of a healed partition meet again
+SEED_PROBABILITY = 0.1  # that digests go to seeds too: through them the sides of a healed partition find each other
 SEEDS_PER_SYNC = 2
 MAX_PENDING_FETCHES = 16  # fetches that wait to be answered; beyond that the oldest is dropped
 PAYLOAD_RESERVE_BYTES = 120  # of a datagram, for all fields of the payload but the rumours
--- a/tealwing/gossip/dissemination.py
+++ b/tealwing/gossip/dissemination.py
@@ -15,7 +15,7 @@
 
 RETRANSMIT_FACTOR = 4  # times the decimal log of the members: sends of a rumour (memberlist's RetransmitMult)
 GOSSIP_FANOUT = 3  # members that receive a round of rumours (memberlist's GossipNodes)
-SHORT_DATAGRAM_BYTES = 420  # of a probe or an answer while the byte limit is nearly reached: room for two rumours
+SHORT_DATAGRAM_BYTES = 420  # limit of a probe or an answer without spare tokens: room for two rumours
 ARRAY_HEADER_BYTES = 8  # by which the payload's header of its array of rumours may grow
 
 
--- a/tealwing/gossip/health_reports.py
+++ b/tealwing/gossip/health_reports.py
@@ -13,7 +13,7 @@
 from tealwing.gossip.messages import EngineObservation, HealthReport
 from tealwing.gossip.verification import RumourVerifier
 
-REPUBLISH_INTERVAL = 1.0  # s until a report without a change, to a factor of two in cost, is published again
+REPUBLISH_INTERVAL = 1.0  # s until a report with the same health summaries as the last is published again
 MAX_REPORT_AGE = 10.0  # s after which a report is not passed on: it no longer counts in an estimate
 MAX_ENGINES = 16  # of one report; the format allows no more
 
--- a/tealwing/gossip/membership.py
+++ b/tealwing/gossip/membership.py
@@ -9,7 +9,7 @@
 from tealwing.gossip.messages import Alive, Dead, HealthReport, Left, Payload, Rumour, Suspect
 from tealwing.gossip.verification import RumourVerifier
 
-SUSPICION_RATE, SUSPICION_BURST = 2.0, 16.0  # accepted suspicions per sender: a second, and in a burst; a rack may fail
+SUSPICION_RATE, SUSPICION_BURST = 2.0, 16.0  # suspicions accepted of a sender per second and in a burst (a rack fails)
 
 
 class Membership:
--- a/tealwing/peers/inbound.py
+++ b/tealwing/peers/inbound.py
@@ -154,7 +154,7 @@
                 full = len(self.connections) >= len(self._table.names()) + SPARE_INBOUND
                 if not full:
                     self.connections.add(connection)
-            if full:  # others have not identified themselves: each ends after at most `hello_timeout` seconds
+            if full:  # connections without a hello are closed after `hello_timeout` seconds, which makes room
                 connection.close()
                 continue
             try:
--- a/tealwing/peers/outbound.py
+++ b/tealwing/peers/outbound.py
@@ -14,7 +14,7 @@
 from tealwing.peers.send_queue import SendQueue
 from tealwing.sockets import set_limit
 
-RECONNECT_BACKOFF = 0.05, 1.0  # s between two dials, least and most, jittered: the delay after a healed partition
+RECONNECT_BACKOFF = 0.05, 1.0  # least and most s between two dials, jittered; a healed partition is noticed at the next
 CONNECT_TIMEOUT = 1.0  # s that a dial may take
 WRITE_TIMEOUT = 1.0  # s that a peer may read nothing before the connection is closed
 MAX_BATCH_BYTES = 256 * 1024  # bytes of messages written to a socket at once
