--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -34,7 +34,7 @@
 MODES: tuple[PartitionMode, ...] = ("serve", "hold")
 
 
-def make(fleet: HollowFleet, number: int) -> tuple[float, str]:
+def make_change(fleet: HollowFleet, number: int) -> tuple[float, str]:
     """Make one change; returns its first proposal's monotonic time and the phase in which the change ended."""
     begun = time.monotonic()
     while True:
@@ -65,7 +65,7 @@
             time.sleep(control.SMALL_SECONDS)
             before = fleet.metrics()
             for number in range(changes):
-                begun.append(make(fleet, number))
+                begun.append(make_change(fleet, number))
                 time.sleep(PAUSE)
             after = fleet.metrics()
             everywhere = [
@@ -73,7 +73,7 @@
                 for number, (at, phase) in enumerate(begun, 1)
                 if phase == "active" and len(found := after.in_force(number)) == size
             ]
-            at_rest, spent = control.roles(fleet, rest, before), control.roles(fleet, before, after)
+            at_rest, spent = control.costs_by_role(fleet, rest, before), control.costs_by_role(fleet, before, after)
             seconds = (after.at - before.at) / changes
             costs = {
                 role: [(now - then) * seconds for now, then in zip(spent[role], at_rest[role], strict=True)]
--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -30,7 +30,7 @@
 )
 
 
-def roles(fleet: HollowFleet, before: FleetMetrics, after: FleetMetrics) -> dict[str, list[float]]:
+def costs_by_role(fleet: HollowFleet, before: FleetMetrics, after: FleetMetrics) -> dict[str, list[float]]:
     """Mean cost of a member of each role between two readings, in the order of `QUANTITIES`."""
     leader, seconds = after.leader(), after.at - before.at
     sums: dict[str, list[float]] = {role: [0.0] * len(QUANTITIES) for role in ROLES}
@@ -60,7 +60,7 @@
             time.sleep(SETTLE)
             before = fleet.metrics()
             time.sleep(seconds)
-            return roles(fleet, before, fleet.metrics())
+            return costs_by_role(fleet, before, fleet.metrics())
     except (FleetTooLargeError, HollowFleetError) as error:
         raise CapacityError(f"control at {size} members: {error}") from None
 
--- a/benchmarks/capacity/day.py
+++ b/benchmarks/capacity/day.py
@@ -64,7 +64,7 @@
             staying = set(fleet.fleet.members) - set(fleet.singles)
             end = time.monotonic() + seconds
             while time.monotonic() < end:
-                at, phase = change.make(fleet, len(begun))
+                at, phase = change.make_change(fleet, len(begun))
                 begun.append((at, phase))
                 found.phases.append(phase)
                 time.sleep(max(0.0, at + every - time.monotonic()))
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -17,7 +17,7 @@
 
 QUIET = Budget(times=0, crashes=0, lapses=0, reads=0)
 FAULTS = Budget(times=12, crashes=4, old=2, empty=1, flips=2, lapses=3, aborts=1, proposals=3, reads=16)
-GENTLE = Budget(times=4, crashes=1, old=1, empty=0, flips=0, lapses=1, aborts=1, proposals=3, reads=60)
+FEW_FAULTS = Budget(times=4, crashes=1, old=1, empty=0, flips=0, lapses=1, aborts=1, proposals=3, reads=60)
 DISKS = Budget(times=2, crashes=2, old=1, empty=1, flips=1, lapses=1, aborts=1, reads=2)
 CORES = 3  # processes that check models in parallel
 LENGTH = 160  # steps of a random walk
@@ -65,13 +65,13 @@
     "sites that serve": (lambda: Federation("sss", FAULTS), 800),
     "sites that hold": (lambda: Federation("hhh", FAULTS), 800),
     "sites, mixed": (lambda: Federation("shh", FAULTS), 800),
-    "sites that hold, few faults": (lambda: Federation("hhh", GENTLE), 300),
+    "sites that hold, few faults": (lambda: Federation("hhh", FEW_FAULTS), 300),
 }
 
 
-def patient(word: str) -> float:
+def few_reads_likely(step: str) -> float:
     """Weight of a step in a walk of sites that hold: few reads and time steps, so that it reaches several versions."""
-    return 0.15 if "reads" in word else 0.05 if "pass" in word else likely(word)
+    return 0.15 if "reads" in step else 0.05 if "pass" in step else likely(step)
 
 
 def check(kind: str, name: str) -> str:
@@ -83,7 +83,7 @@
         found = explore(model(), depth, MOST)
     else:
         model, walks = WALKED[name]
-        found = wander(model(), walks, LENGTH, 7, patient if "few faults" in name else likely)
+        found = wander(model(), walks, LENGTH, 7, few_reads_likely if "few faults" in name else likely)
     return f"{kind}: {name}: {found.text()}"
 
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks.capacity import control
-from benchmarks.capacity.change import make
+from benchmarks.capacity.change import make_change
 from tealwing.lab.hollow import requirements
 from tealwing.lab.hollow.fleet import HollowFleet
 from tealwing.lab.hollow.specification import Fleet, peers_plan
@@ -31,14 +31,14 @@
         pids = [host.process.pid for host in fleet.hosts if host.process is not None]
         assert len(pids) == fleet.need.processes == 6
         before = fleet.metrics()
-        at, phase = make(fleet, 0)
+        at, phase = make_change(fleet, 0)
         assert phase == "active"
         until = time.monotonic() + OPEN_LIMIT
         while len(found := (after := fleet.metrics()).in_force(1)) < 9 and time.monotonic() < until:
             time.sleep(0.05)
         assert len(found) == 9 and all(when > at for when in found.values())
         assert after.leader() in fleet.fleet.members[:5]
-        rows = control.roles(fleet, before, after)
+        rows = control.costs_by_role(fleet, before, after)
         assert all(rows[role][0] > 0 and rows[role][1] > 0 for role in control.ROLES)
         # bytes are counted by the sender and by the receiver, so both totals must roughly agree
         then, now = before.members(), after.members()
--- a/tests/test_rollout_model.py
+++ b/tests/test_rollout_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benchmarks.rollout import GENTLE, MUTATIONS, patient
+from benchmarks.rollout import FEW_FAULTS, MUTATIONS, few_reads_likely
 from tealwing.lab.models.explore import explore, wander
 from tealwing.lab.models.federation import Federation, closing
 from tealwing.lab.models.rollout import Rollout
@@ -43,7 +43,7 @@
 
 
 def test_no_hold_site_decides_under_older_rules_in_random_walks() -> None:
-    found = wander(Federation("hhh", GENTLE), 10, 160, 11, patient)
+    found = wander(Federation("hhh", FEW_FAULTS), 10, 160, 11, few_reads_likely)
     assert found.broken == "" and found.steps > 1_000
 
 
