--- a/benchmarks/capacity/calibration.py
+++ b/benchmarks/capacity/calibration.py
@@ -1,4 +1,7 @@
-"""Compares an idle fleet of hollow gateways with one of real gateways: bytes, messages and processor time by role."""
+"""Compares an idle fleet of hollow gateways with one of real gateways: bytes, messages and processor time by role.
+
+Hollow gateways (`tealwing.lab.hollow`) run a gateway's control plane without clients and engines, many per process.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -110,14 +110,14 @@
     sizes = VIRTUAL_SMALL if options.small else VIRTUAL_SIZES
     series = []
     found = [trials.sized(trials.shape(1, size, mode), VIRTUAL_CHANGES, SEED, 0.0)[0] for size in sizes]
-    if wrong := [text for one_ in found for text in one_.wrong]:
+    if wrong := [text for run in found for text in run.wrong]:
         raise CapacityError(f"in virtual time, {mode}: {wrong[0]}")
     for name, unit, values in (
-        ("gap", "ms, median over changes and gateways", [share(one_.gaps, 0.5) * 1e3 for one_ in found]),
-        ("open everywhere", "s, longest", [max(one_.opened, default=0.0) for one_ in found]),
-        ("messages of the leader", "a change", [share(one_.by_leader, 0.5) for one_ in found]),
-        ("messages of a gateway", "a change", [share(one_.by_gateway, 0.5) for one_ in found]),
-        ("in force", "share of changes", [1 - one_.failed / max(1, one_.changes) for one_ in found]),
+        ("gap", "ms, median over changes and gateways", [share(run.gaps, 0.5) * 1e3 for run in found]),
+        ("open everywhere", "s, longest", [max(run.opened, default=0.0) for run in found]),
+        ("messages of the leader", "a change", [share(run.by_leader, 0.5) for run in found]),
+        ("messages of a gateway", "a change", [share(run.by_gateway, 0.5) for run in found]),
+        ("in force", "share of changes", [1 - run.failed / max(1, run.changes) for run in found]),
     ):
         points = tuple(Point(size, value) for size, value in zip(sizes, values, strict=True))
         series.append(Series(name, unit, points, fit(points) if all(values) else None))
--- a/benchmarks/capacity/clients.py
+++ b/benchmarks/capacity/clients.py
@@ -19,7 +19,7 @@
 SETTLE = 1.0  # s from the last login to the reading of memory
 SOURCES = 8  # loopback addresses from which clients connect
 LIMIT = 10.0  # s that a client waits for a connection or an answer
-LOGIN = packets.packet(1, (0xA20D).to_bytes(4, "little") + bytes(28) + b"app\0\0reports\0")
+LOGIN = packets.packet(1, (0xA20D).to_bytes(4, "little") + bytes(28) + b"app\0\0reports\0")  # user app, no password
 PING = packets.packet(0, b"\x0e")
 
 
--- a/benchmarks/capacity/gateway_process.py
+++ b/benchmarks/capacity/gateway_process.py
@@ -20,8 +20,8 @@
 from tests.peers import SETTINGS, Client, event, member, say
 
 ROOT = Path(__file__).parent.parent.parent
-PAGE = b"1\t2\t3\n"
-REPORT = b"sheets=1,rep=queue:0;inflight:3"
+PAGE = b"1\t2\t3\n"  # the only page of every answer: one row
+REPORT = b"sheets=1,rep=queue:0;inflight:3"  # number of pages, and the engine's load
 POLL = 0.1  # s between two checks whether the stand-in engines are to stop
 READ_SIZE = 64 * 1024
 
--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -44,7 +44,7 @@
     name: str
     unit: str
     points: tuple[Point, ...]
-    fit: Fit | None  # None if there are too few sizes
+    fit: Fit | None  # None if the points are not fitted, for example because they are too few
 
 
 class Measured(msgspec.Struct, frozen=True):
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -1,5 +1,7 @@
 """Model-checks the core of the replicated log; prints states, time and the mutations detected.
 
+Some models start from figure 8 (b) of the Raft paper.
+
 Example: python -m benchmarks.consensus [DEPTH]
 """
 
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -68,12 +68,12 @@
         made[0].crash(range(1, len(draws) // 2 + 1), 15.0, 30.0)
     outcomes = made[0].run(SECONDS + load_swing.AFTER)
     found = score.count(asked, outcomes, settings)
-    inside = score.count(asked, outcomes, settings, account=0)
+    first_account = score.count(asked, outcomes, settings, account=0)
     return {
         "worth": found.total,
         "worst": found.worst,
         "lookups": found.in_time["lookup"],
-        "within": inside.total,
+        "first_account": first_account.total,
         "changes": max(map(max_changes_in_window, changes)),
         "total": sum(map(len, changes)),
         "broken": load_swing.broken(outcomes),
@@ -100,13 +100,13 @@
         def mean(figure: str, mode: str, name: str = name) -> float:
             return float(np.mean([results[name, s, mode, conf, before][figure] for s in range(1, seeds + 1)]))
 
-        of = [results[name, s, "on", conf, before] for s in range(1, seeds + 1)]
+        runs = [results[name, s, "on", conf, before] for s in range(1, seeds + 1)]
         print(
             f"| {name} | {' / '.join(format(mean('worth', m), '.3f') for m in MODES)}"
             f" | {mean('worst', 'off'):.3f} / {mean('worst', 'on'):.3f}"
             f" | {mean('lookups', 'off'):.3f} / {mean('lookups', 'on'):.3f}"
-            f" | {mean('within', 'off'):.3f} / {mean('within', 'on'):.3f}"
-            f" | {sum(r['total'] for r in of)}, {max(r['changes'] for r in of)} |"
+            f" | {mean('first_account', 'off'):.3f} / {mean('first_account', 'on'):.3f}"
+            f" | {sum(r['total'] for r in runs)}, {max(r['changes'] for r in runs)} |"
         )
     print(f"\nrules broken: {sum(r['broken'] for r in results.values())}; seeds 1 to {seeds}")
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -19,9 +19,9 @@
 FAULTS = Budget(times=12, crashes=4, old=2, empty=1, flips=2, lapses=3, aborts=1, proposals=3, reads=16)
 FEW_FAULTS = Budget(times=4, crashes=1, old=1, empty=0, flips=0, lapses=1, aborts=1, proposals=3, reads=60)
 DISKS = Budget(times=2, crashes=2, old=1, empty=1, flips=1, lapses=1, aborts=1, reads=2)
-CORES = 3  # processes that check models in parallel
-LENGTH = 160  # steps of a random walk
-MOST = 400_000  # states of one exploration
+WORKERS = 3  # processes that check models in parallel
+WALK_STEPS = 160  # steps of a random walk
+MAX_STATES = 400_000  # states of one exploration
 
 MUTATIONS: dict[str, Callable[[], Rollout]] = {
     "early-open": lambda: Rollout("sss", QUIET, "early-open"),
@@ -37,7 +37,7 @@
         "hhh", Budget(1, 0, lapses=1, reads=0), mutation="one-clock", wild="c", begin=nearly_closed
     ),
     "site-early": site_early,
-    # each restores a fault that was found in the design and fixed
+    # each of these restores a fault that was found in the design and fixed
     "begin-counts": lambda: Rollout("hhh", QUIET, mutation="begin-counts", begin=begun_twice),
     "mode-forgotten": lambda: Rollout(
         "sss", Budget(0, 1, flips=1, reads=0), mutation="mode-forgotten", begin=once_held
@@ -77,20 +77,20 @@
 def check(kind: str, name: str) -> str:
     """Run one check; returns its result as text."""
     if kind == "mutation":
-        found = explore(MUTATIONS[name](), 10, MOST)
+        found = explore(MUTATIONS[name](), 10, MAX_STATES)
     elif kind == "explored":
         model, depth = EXPLORED[name]
-        found = explore(model(), depth, MOST)
+        found = explore(model(), depth, MAX_STATES)
     else:
         model, walks = WALKED[name]
-        found = wander(model(), walks, LENGTH, 7, few_reads_likely if "few faults" in name else likely)
+        found = wander(model(), walks, WALK_STEPS, 7, few_reads_likely if "few faults" in name else likely)
     return f"{kind}: {name}: {found.text()}"
 
 
 def main(kinds: list[str]) -> None:
     """Run all checks of the given kinds, or of every kind if none is given."""
     tables: dict[str, Iterable[str]] = {"mutation": MUTATIONS, "explored": EXPLORED, "walked": WALKED}
-    with ProcessPoolExecutor(CORES) as pool:
+    with ProcessPoolExecutor(WORKERS) as pool:
         jobs = [pool.submit(check, kind, name) for kind in kinds or tables for name in tables[kind]]
         for job in jobs:
             print(job.result(), flush=True)
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -3,7 +3,8 @@
     python -m benchmarks.slow_start [SEEDS] [GATEWAYS ...]
 
 Prints for each case and number of gateways the starts and the share of windows that exceed N + 2 sqrt(N) + 2 requests,
-the mean share of N that was sent in a window, and the fullest window relative to its bound. Runs in virtual time;
+the mean share of N that was sent in a window, and the fullest window relative to its bound. N is the number of requests
+of mean work that the settings allow all gateways together to send to one engine in a window. Runs in virtual time;
 twenty seeds take some minutes.
 """
 
