--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -47,12 +47,12 @@
     fit = series.fit
     if fit is None:
         return "no fit"
-    said = (
+    text = (
         f"{fit.term}: {fit.constant:.4g} + {fit.factor:.4g} per unit, residual {fit.residual:.1%};"
         f" at {fit.held_out_size} predicted {fit.held_out_foretold:.4g}, measured {fit.held_out_measured:.4g}"
         f" ({fit.held_out_error:+.1%})"
     )
-    return said + (" BENT: not extrapolated" if fit.bent else "")
+    return text + (" BENT: not extrapolated" if fit.bent else "")
 
 
 def _commit() -> tuple[str, bool]:
--- a/benchmarks/capacity/calibration.py
+++ b/benchmarks/capacity/calibration.py
@@ -46,15 +46,17 @@
         self._coordinator = Coordinator([])
         sections = (REPLICA + RULES).replace("LOST_TOUCH", "serve").replace("LIMIT", LIMIT)
         layout = Layout(sections=sections, stale=0, learners=self.learners)
-        dial: dict[str, Address] = {name: ("127.0.0.1", free_port()) for name in self.names}
+        peer_addresses: dict[str, Address] = {name: ("127.0.0.1", free_port()) for name in self.names}
         self.processes: dict[str, Process] = {}
         for number, name in enumerate(self.names):
             folder = Path(self._folder.name) / name
-            own: Address = ("127.0.0.1", free_port())
+            control_address: Address = ("127.0.0.1", free_port())
             known = self._coordinator.known
             platform_file = configuration.platform_file(self.names, number, 1, self._coordinator.address, known, layout)
-            conf = configuration.operators_file(name, dial, own, BEAT_MS, layout, str(folder / "data"))
-            self.processes[name] = Process(name, folder, platform_file, conf, own)
+            conf = configuration.operators_file(
+                name, peer_addresses, control_address, BEAT_MS, layout, str(folder / "data")
+            )
+            self.processes[name] = Process(name, folder, platform_file, conf, control_address)
 
     def __enter__(self) -> RealFleet:
         try:
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -45,9 +45,9 @@
 def differences() -> list[str]:
     """Names of the tables that differ from the runs or are missing from the page."""
     text, found = PAGE.read_text(), runs()
-    there = {match[2]: match[3] for match in _TABLE.finditer(text)}
-    wanted = {"runs", "slopes", "roles", "ranking", "calibration"}
-    return sorted(wanted - there.keys()) + [name for name, body in there.items() if body != table(name, found)]
+    present = {match[2]: match[3] for match in _TABLE.finditer(text)}
+    expected = {"runs", "slopes", "roles", "ranking", "calibration"}
+    return sorted(expected - present.keys()) + [name for name, body in present.items() if body != table(name, found)]
 
 
 def write() -> None:
--- a/tealwing/commands/peers.py
+++ b/tealwing/commands/peers.py
@@ -52,7 +52,7 @@
         return
     click.echo(f"{found['name']} of fleet {found['fleet']}")
     for peer in found["peers"]:
-        silence = "never heard" if peer["silence_s"] is None else f"silent for {peer['silence_s']:.1f} s"
+        silence = "no message yet" if peer["silence_s"] is None else f"silent for {peer['silence_s']:.1f} s"
         click.echo(f"  {peer['name']:32} {peer['state']:8} {peer['for_s']:>9.1f} s  {silence}; sent {peer['sent']},"
                    f" received {peer['received']}, dropped {peer['dropped']}, dials {peer['dials']}")  # fmt: skip
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""Tests the library example of the README, and the test names on the page of endings."""
+"""Tests that the README's library example runs, and that the tests named in docs/endings.md exist."""
 
 from __future__ import annotations
 
