--- a/tealwing/gossip/health_estimator.py
+++ b/tealwing/gossip/health_estimator.py
@@ -20,14 +20,16 @@
 MAX_LATENCY_FACTOR = 2.0  # most by which an estimate multiplies the engine's expected latency
 SLOW_RATIO = 1.8  # slowness from which an engine is unhealthy: below that it is noise
 FAILING_RATIO = 0.3  # share of failures from which an engine is unhealthy
-HEALTHY_SLOWNESS, HEALTHY_FAILURES = 1.3, 0.1  # up to which an engine is healthy; beyond them it may be neither
+HEALTHY_SLOWNESS, HEALTHY_FAILURES = 1.3, 0.1  # up to which an engine is healthy; above, it may be neither
 MIN_SAMPLES = 0.5  # answers that a report must rest on: each member may see few, all together see enough
 FULL_WEIGHT_SAMPLES = 1.5  # answers from which a report has its full weight, so that claiming more gains nothing
 TRUST_CHECK_SAMPLES = 2.0  # own answers, decayed, from which others' reports are checked against them
 TRIMMED_SHARE = 0.35  # of the weight that is left out at either end: that much may be false
 SUSPECTED_COST = 1.4  # mean cost from which an engine is suspected: many reports are less noisy than one
 MAX_REPORTERS = 24  # approximate number of members that report on one engine: more reports would only add cost
-REPORTABLE_SLOWNESS, REPORTABLE_SAMPLES = 1.6, 1.0  # from which a member reports an engine: earlier than it would act
+# From these a member reports an engine; the slowness is below SLOW_RATIO, so that it reports earlier than it would act
+# on its own evidence.
+REPORTABLE_SLOWNESS, REPORTABLE_SAMPLES = 1.6, 1.0
 OWN_EVIDENCE_SAMPLES = 4.0  # own answers, decayed, from which reports are not needed
 CONFIRM_TIME = 0.2  # s for which an engine must be suspected before the estimate counts
 REPORT_LIFETIME = 6.0  # s after which a report no longer counts; slow engines stay slow for 10 s or more
--- a/tests/test_gossip_service.py
+++ b/tests/test_gossip_service.py
@@ -46,11 +46,11 @@
     ring, key = SimulatedKeyring(), SimulatedKey("n0")
     clock = Clock(0.0, EPOCH)
     node = Node(LocalIdentity("n0", ("10.0.0.1", 1), key, clock), clock, ring.verify, Timing(), [], random.Random(1))
-    node.restore([alive("n1"), replace_signature(alive("n2"))], {"n1": 0.2})
+    node.restore([alive("n1"), with_zero_signature(alive("n2"))], {"n1": 0.2})
     assert [m.alive.name for m in node.members] == ["n1"] and node.health_estimator.trust == {"n1": 0.2}
 
 
-def replace_signature(alive_rumour: Alive) -> Alive:
+def with_zero_signature(alive_rumour: Alive) -> Alive:
     return Alive(
         alive_rumour.name,
         alive_rumour.host,
