--- a/tealwing/replica/commands.py
+++ b/tealwing/replica/commands.py
@@ -55,7 +55,7 @@
 
 
 class Note(Record, tag="note", frozen=True):
-    """Record a condition of an engine since a time, `cold` or `aside`; `removed` deletes the record."""
+    """Record a condition of an engine since a time, such as `cold` (slow start); `removed` deletes the record."""
 
     engine: UnsignedInt63
     started: Ms
--- a/tealwing/replica/forwarding/batching.py
+++ b/tealwing/replica/forwarding/batching.py
@@ -30,7 +30,7 @@
         if len(reports) >= MAX_BATCH_REPORTS or size + len(data) > MAX_BATCH_BYTES:
             merged.append(_encoded_batch(reports))
             reports, size = [], 0
-        if report not in reports[-8:]:
+        if report not in reports[-8:]:  # drops a report that repeats one of the last 8
             reports.append(report)
             size += len(data)
     return [*merged, _encoded_batch(reports)] if reports else merged
--- a/tealwing/replica/forwarding/client.py
+++ b/tealwing/replica/forwarding/client.py
@@ -67,7 +67,7 @@
         except OutcomeUnknownError as error:  # a read changes nothing, so its outcome is never unknown
             raise UnavailableError(str(error)) from None
         pending = Pending()
-        self._queue.put(("at", index, pending))
+        self._queue.put(("wait_for_index", index, pending))
         if not pending.done.wait(max(0.0, end - time.monotonic())):
             raise UnavailableError(f"the local state did not reach index {index} within {timeout:g} s; retry later")
         return index
@@ -76,7 +76,7 @@
         """Forward a command to the leader, if one is known; the outcome is discarded."""
         leader = self._leader()
         if leader == self._local_id:
-            self._queue.put(("ask", ForwardRequest(0, command), lambda reply: None))
+            self._queue.put(("request", ForwardRequest(0, command), lambda reply: None))
         elif leader:
             self._send(leader, encode(ForwardRequest(0, command)))
 
@@ -134,7 +134,7 @@
         number, pending = next(self._numbers), Pending()
         request = ForwardRequest(number, request.command, request.voters, request.learners)
         if leader == self._local_id:
-            self._queue.put(("ask", request, pending.set))
+            self._queue.put(("request", request, pending.set))
             self._await(pending, leader, timeout, idempotent)
             local_reply: ForwardReply | None = pending.outcome
             return local_reply
--- a/tealwing/replica/forwarding/protocol.py
+++ b/tealwing/replica/forwarding/protocol.py
@@ -68,7 +68,7 @@
     try:
         return _decoder.decode(body)
     except msgspec.DecodeError as error:
-        raise ValueError(f"not a valid request to the leader or reply of it: {error}") from None
+        raise ValueError(f"neither a request to the leader nor a reply from it: {error}") from None
 
 
 class CallbackPending(Pending):
--- a/tealwing/replica/membership/changes.py
+++ b/tealwing/replica/membership/changes.py
@@ -13,6 +13,6 @@
     return core.change_members(now, tuple(sorted(voters)), None if learners is None else tuple(sorted(learners)))
 
 
-def ready(core: Raft, now: float) -> list[str]:
+def promotable_learners(core: Raft, now: float) -> list[str]:
     """Return the learners that may be promoted now; empty on a member that does not lead."""
     return [name for name in core.learners if not core.promotion_blocked_by(now, name)]
--- a/tealwing/replica/membership/promotion.py
+++ b/tealwing/replica/membership/promotion.py
@@ -76,7 +76,7 @@
             core.members,
             core.learners,
             last_contact,
-            changes.ready(core, now),
+            changes.promotable_learners(core, now),
             now,
             self._silence_limit,
             self._desired_voters,
--- a/tealwing/replica/raft/commit.py
+++ b/tealwing/replica/raft/commit.py
@@ -29,7 +29,7 @@
             return
         unanswered = []
         for number, round_ in self._reads:
-            acknowledged = [name for name, progress in self._voting() if progress.acked_round >= round_]
+            acknowledged = [name for name, progress in self._voter_progress() if progress.acked_round >= round_]
             if round_ and self.is_quorum([self.local_id, *acknowledged]):
                 self._done_reads.append((number, self.commit))
             else:
@@ -45,7 +45,7 @@
 
     def _advance_commit(self, now: float) -> None:
         """Advance the commit index to the highest entry of the current term that a quorum has on disk."""
-        match_indexes = sorted({p.match for _, p in self._voting()} | {self.stable}, reverse=True)
+        match_indexes = sorted({p.match for _, p in self._voter_progress()} | {self.stable}, reverse=True)
         for index in match_indexes:
             if index <= self.commit or not self._may_commit(index):
                 continue
@@ -60,7 +60,7 @@
 
     def _is_replicated(self, index: int) -> bool:
         """Return whether a quorum has the entry at an index on disk."""
-        holders = [name for name, progress in self._voting() if progress.match >= index]
+        holders = [name for name, progress in self._voter_progress() if progress.match >= index]
         return self.is_quorum([self.local_id, *holders] if self.stable >= index else holders)
 
     def _commit_advanced(self, now: float) -> None:
@@ -85,10 +85,12 @@
             return
         if progress.match < self.commit:
             return
-        if self.voter_incarnations.get(name) != progress.incarnation:
-            since = [
-                other for other, p in self._voting() if other != name and p.acked_round > progress.incarnation_round
+        if self.voter_incarnations.get(name) != progress.incarnation:  # this incarnation did not vote for this leader
+            acknowledged = [
+                other
+                for other, p in self._voter_progress()
+                if other != name and p.acked_round > progress.incarnation_round
             ]
-            if not self.is_quorum([self.local_id, *since]):
+            if not self.is_quorum([self.local_id, *acknowledged]):
                 return
         self._send(name, ConfirmIncarnation(self.term, progress.incarnation))
--- a/tealwing/replica/raft/follower.py
+++ b/tealwing/replica/raft/follower.py
@@ -45,14 +45,14 @@
                 self._reject_append(source, append.round, append.prev_index)
                 return
             entries = append.entries
-        for place, entry in enumerate(entries):
+        for position, entry in enumerate(entries):
             local_term = self.term_at(entry.index)
             if local_term == entry.term:
                 continue
             if local_term is not None:  # conflict: the leader's entries replace the local ones from here
                 self._truncate(entry.index)
-            self.log += entries[place:]
-            if any(later.kind is Kind.MEMBERS for later in entries[place:]):
+            self.log += entries[position:]
+            if any(later.kind is Kind.MEMBERS for later in entries[position:]):
                 self._refresh_members()
             break
         self.commit = max(self.commit, min(append.commit, last))
--- a/tealwing/replica/raft/leader.py
+++ b/tealwing/replica/raft/leader.py
@@ -35,7 +35,9 @@
 
     def _leader_tick(self, now: float) -> None:
         if self.options.check_quorum:
-            recent = [name for name, p in self._voting() if now - p.last_contact < self.options.election_timeout]
+            recent = [
+                name for name, p in self._voter_progress() if now - p.last_contact < self.options.election_timeout
+            ]
             if not self.is_quorum([self.local_id, *recent]):
                 self._become_follower(now, self.term, "")  # another leader may have been elected
                 return
@@ -86,10 +88,10 @@
         progress.inflight.clear()
         progress.unanswered_since = 0.0
         progress.mode = Mode.PROBE
-        place = min(reply.hint_index, self.last_index)
-        while place > progress.match and (self.term_at(place) or 0) > reply.hint_term:
-            place -= 1  # the local term here is above that of the hint, so the entry cannot match
-        progress.next = max(progress.match + 1, min(place + 1, progress.next))
+        index = min(reply.hint_index, self.last_index)
+        while index > progress.match and (self.term_at(index) or 0) > reply.hint_term:
+            index -= 1  # the local term here is above that of the hint, so the entry cannot match
+        progress.next = max(progress.match + 1, min(index + 1, progress.next))
         return progress.next != before
 
     def _handle_snapshot_reply(self, now: float, name: str, progress: Progress, reply: InstallSnapshotReply) -> None:
--- a/tealwing/replica/raft/membership.py
+++ b/tealwing/replica/raft/membership.py
@@ -112,9 +112,9 @@
         for name in self.members:
             if name != self.local_id and name not in self.progress:
                 self.progress[name] = Progress(self.last_index, last_contact=now)
-        for place, name in enumerate(self.learners):
+        for position, name in enumerate(self.learners):
             if name != self.local_id and name not in self.progress:
-                due = now + self.options.learner_heartbeat_interval * place / len(self.learners)
+                due = now + self.options.learner_heartbeat_interval * position / len(self.learners)
                 self.progress[name] = Progress(self.last_index, last_contact=now, next_heartbeat=due)
         for name in [name for name in self.progress if name not in self.members and name not in self.learners]:
             del self.progress[name]
--- a/tealwing/replica/raft/quorum.py
+++ b/tealwing/replica/raft/quorum.py
@@ -11,7 +11,7 @@
 class QuorumRules(RaftState):
     """Quorum rules; only voters count, never learners."""
 
-    def _voting(self) -> list[tuple[str, Progress]]:
+    def _voter_progress(self) -> list[tuple[str, Progress]]:
         """Return name and progress of the followers that are voters."""
         return [(name, self.progress[name]) for name in self.members if name in self.progress]
 
--- a/tealwing/replica/raft/state.py
+++ b/tealwing/replica/raft/state.py
@@ -84,8 +84,8 @@
         """Return the term of the entry at an index, or None if the log has no entry there."""
         if index == self.log_base[0]:
             return self.log_base[1]
-        place = index - self.log_base[0] - 1
-        return self.log[place].term if 0 <= place < len(self.log) else None
+        position = index - self.log_base[0] - 1
+        return self.log[position].term if 0 <= position < len(self.log) else None
 
     def entries(self, first: int, last: int) -> list[Entry]:
         """Return the entries from `first` to `last` inclusive that are in the log."""
--- a/tealwing/replica/section.py
+++ b/tealwing/replica/section.py
@@ -52,7 +52,7 @@
             "replace-after",
             values.format_duration(plan.replace_after),
             f"five times election or more, {values.format_duration(5 * election_timeout)}:"
-            " within less an election may still be in progress",
+            " within a shorter time an election may still be in progress",
         )
     return plan
 
--- a/tealwing/replica/service/member.py
+++ b/tealwing/replica/service/member.py
@@ -49,7 +49,7 @@
         self.state = bootstrap.read_state(self.storage, self.stored)  # other threads read it under the lock
         self.incarnation = random.SystemRandom().randrange(1, 2**53)
         self.core = bootstrap.make_core(plan, link.plan, group, self.stored, clock.now(), self.incarnation)
-        self._queue: SimpleQueue[tuple[Any, ...]] = SimpleQueue()
+        self._queue: SimpleQueue[tuple[Any, ...]] = SimpleQueue()  # a kind and its arguments: see Replica._handle_item
         self.snapshots = SnapshotManager(plan, self.storage, self.core, self._queue, self._replace_state, group)
         bootstrap.catch_up(self.core, self.state)
         self.trust_report = assess_trust(self.state, self.core.last_index, int(time.time() * 1e3))
@@ -190,17 +190,17 @@
 
     def propose_if_leader(self, data: bytes) -> None:
         """Propose a command if this member leads; the outcome is discarded."""
-        self._queue.put(("ask", ForwardRequest(0, data), lambda reply: None))
+        self._queue.put(("request", ForwardRequest(0, data), lambda reply: None))
 
     def change_members_if_leader(
         self, voters: list[str], learners: list[str], reply: Callable[[ForwardReply], None]
     ) -> None:
         """Propose a membership change if this member leads; `reply` gets the outcome, on the member's thread."""
-        self._queue.put(("ask", ForwardRequest(0, b"", voters, learners), reply))
+        self._queue.put(("request", ForwardRequest(0, b"", voters, learners), reply))
 
     def broadcast_commit(self) -> None:
         """Send the commit index to the followers at once, not with the next heartbeat, if this member leads."""
-        self._queue.put(("hurry",))
+        self._queue.put(("broadcast_commit",))
 
     def snapshot(self) -> None:
         """Request a snapshot regardless of the number of entries since the last one."""
--- a/tealwing/replica/service/node.py
+++ b/tealwing/replica/service/node.py
@@ -69,7 +69,7 @@
     def stop(self) -> None:
         """Stop the member; pending calls fail. A leader first transfers its leadership, for a bounded time."""
         if self.core.role is Role.LEADER and not self.broken:
-            self._queue.put(("leave",))
+            self._queue.put(("transfer_leadership",))
             end = time.monotonic() + LEADERSHIP_TRANSFER_TIMEOUT
             while self.core.role is Role.LEADER and not self.broken and time.monotonic() < end:
                 time.sleep(LEADERSHIP_TRANSFER_POLL)
@@ -129,7 +129,9 @@
             self._leader_client.handle_reply(forwarded)
         elif not self.broken and not self._stopped.is_set():
             channel = self.group.forward_channel
-            self._queue.put(("ask", forwarded, lambda reply: self._link.send(name, channel, protocol.encode(reply))))
+            self._queue.put(
+                ("request", forwarded, lambda reply: self._link.send(name, channel, protocol.encode(reply)))
+            )
 
     # Called on the member's thread
 
@@ -165,7 +167,7 @@
         self._withdraw()
         log.event("replica_out", why=self.broken, **self.group.log_fields)
         while not self._stopped.wait(backoff.next_pause()):
-            written = self._drop_queue()
+            written_snapshots = self._drop_queue()
             self._update_recovery()
             try:
                 self._reopen()
@@ -174,9 +176,9 @@
                     why = str(error)
                     log.event("replica_still_out", why=why, **self.group.log_fields)
                 self.broken = f"{why}; the member resumes by itself once its directory can be read and written"
-                self._requeue(written)
+                self._requeue(written_snapshots)
                 continue
-            self._requeue(written)
+            self._requeue(written_snapshots)
             took = round(time.monotonic() - begun, 3)
             log.event(
                 "replica_back", after_s=took, term=self.core.term, last=self.core.last_index, **self.group.log_fields
@@ -185,17 +187,17 @@
 
     def _drop_queue(self) -> list[tuple[Any, ...]]:
         """Drop the items queued for the discarded core and fail their callers; return those about written snapshots."""
-        written = []
+        written_snapshots = []
         with contextlib.suppress(Empty):
             while True:
                 item = self._queue.get_nowait()
-                if item[0] == "written":
-                    written.append(item)
-                elif item[0] == "ask":
+                if item[0] == "snapshot_written":
+                    written_snapshots.append(item)
+                elif item[0] == "request":
                     item[2](ForwardReply(item[1].number, "not-leader", b"", 0))
-                elif item[0] == "at":
+                elif item[0] == "wait_for_index":
                     self._pending.wait_for_index(item[1], item[2])
-        return written
+        return written_snapshots
 
     def _requeue(self, items: list[tuple[Any, ...]]) -> None:
         for item in items:
@@ -225,7 +227,7 @@
                 listener(self.clock.now())
         self._update_recovery()
         self._connect_members()
-        status.note_leader(self)
+        status.record_leader(self)
         if not self.broken:
             self.snapshots.maybe_write(self.state)
             self._save_commit()
@@ -257,17 +259,17 @@
         match item[0]:
             case "message":
                 self.core.step(now, item[1], item[2])
-            case "ask":
+            case "request":
                 self._handle_request(now, item[1], item[2])
-            case "at":
+            case "wait_for_index":
                 self._pending.wait_for_index(item[1], item[2])
                 self._pending.index_reached(self.state.applied)
-            case "leave":
+            case "transfer_leadership":
                 to = self.core.transfer_leadership(now) or None
                 log.event("replica_handed_over", to=to, term=self.core.term, **self.group.log_fields)
-            case "hurry":
+            case "broadcast_commit":
                 self.core.broadcast_commit(now)
-            case "written":
+            case "snapshot_written":
                 self.snapshots.finish_write(item[1])
 
     def _handle_request(self, now: float, request: ForwardRequest, reply: Callable[[ForwardReply], None]) -> None:
--- a/tealwing/replica/service/snapshots.py
+++ b/tealwing/replica/service/snapshots.py
@@ -94,7 +94,7 @@
             except OSError as error:
                 log.event("replica_snapshot_not_written", index=index, error=str(error), **self._group.log_fields)
                 meta = None
-            self._queue.put(("written", meta))
+            self._queue.put(("snapshot_written", meta))
 
         try:
             threads.start(write, self._group.thread_name("replica-snapshot"))
--- a/tealwing/replica/service/status.py
+++ b/tealwing/replica/service/status.py
@@ -16,7 +16,7 @@
     core = replica.core
     role = "out" if replica.broken else core.role.value
     with replica.lock:
-        counts, digest_at = replica.state.counts(), replica.state.applied
+        counts, applied = replica.state.counts(), replica.state.applied
     return {
         "role": role,
         "term": core.term,
@@ -24,7 +24,7 @@
         "members": list(core.members),
         "learners": list(core.learners),
         "commit": core.commit,
-        "applied": digest_at,
+        "applied": applied,
         "last": core.last_index,
         "stable": core.stable,
         "snapshot": core.snapshot.index,
@@ -50,7 +50,7 @@
     )
 
 
-def note_leader(replica: Member) -> None:
+def record_leader(replica: Member) -> None:
     """Record and log the leader of the current term, once per term."""
     core, terms = replica.core, replica.leaders_by_term
     if not core.leader or terms.get(core.term) == core.leader:
--- a/tealwing/replica/state.py
+++ b/tealwing/replica/state.py
@@ -206,7 +206,8 @@
 
     def _acquire(self, index: int, name: str, holder: str, ttl: int) -> c.CommandResult:
         lease: Lease | None = self.tables["leases"].get(name)
-        if lease is not None and lease.held and lease.holder == holder:  # its reply was lost: renew the grant
+        # this client holds it already, such as after a lost reply: renew the grant
+        if lease is not None and lease.held and lease.holder == holder:
             self.tables["leases"][name] = msgspec.structs.replace(lease, ttl=ttl, renewed=index)
             return c.CommandResult(True, index, lease.token)
         if lease is not None and lease.held:
--- a/tealwing/replica/storage/durability.py
+++ b/tealwing/replica/storage/durability.py
@@ -39,8 +39,8 @@
     def _log_is_covered_by(self, found: StoredState) -> bool:
         if self.last_index <= found.snapshot.index:
             return True
-        place = self.last_index - found.snapshot.index - 1
-        return place < len(found.log) and found.log[place].term == self.last_term
+        position = self.last_index - found.snapshot.index - 1
+        return position < len(found.log) and found.log[position].term == self.last_term
 
 
 class ReopenBackoff:
--- a/tealwing/replica/storage/store.py
+++ b/tealwing/replica/storage/store.py
@@ -54,7 +54,7 @@
         self.snapshot_files = SnapshotFiles(self.directory, self.disk)
         self._file: BinaryIO | None = None
         self._segments: dict[Path, int] = {}  # highest index that each segment may contain
-        self._path_written: Path | None = None  # the current segment, even if its creation failed
+        self._segment_path: Path | None = None  # the current segment, even if its creation failed
         self._size = 0  # bytes of the current segment known to be durable
         self._number = 0  # number of the newest segment
         self._last = self._last_term = 0  # index and term of the last entry written
@@ -83,7 +83,7 @@
         self.close()
         acknowledged = self.acknowledged
         self.snapshot_files.delete_incoming()
-        found = self._load(self._path_written)
+        found = self._load(self._segment_path)
         found.lost_acknowledged = not acknowledged.is_covered_by(found)
         if found.lost_acknowledged and not allow_loss:
             self._restore_acknowledged(acknowledged)
@@ -104,7 +104,7 @@
 
     def _replace_log(self, found: StoredState) -> None:
         """Write the hard state and all entries to a new file that replaces the current segment."""
-        path = self._path_written or self._next_path()
+        path = self._segment_path or self._next_path()
         temporary = path.with_suffix(".tmp")
         size = 0
         with temporary.open("wb") as file:
@@ -114,7 +114,7 @@
             self.disk.sync(file)
         self.disk.rename(temporary, path)
         self.disk.sync_directory(self.directory)
-        self._file, self._path_written, self._size = path.open("ab"), path, size
+        self._file, self._segment_path, self._size = path.open("ab"), path, size
         self._segments[path] = self._last
 
     def _load(self, unconfirmed_file: Path | None = None) -> StoredState:
@@ -128,10 +128,10 @@
         last = 0
         paths = sorted(self.directory.glob("log-*.wal"))
         found.fresh = not paths and not found.snapshot.index
-        for place, path in enumerate(paths):
+        for position, path in enumerate(paths):
             highest = 0
             limit = self._size if path == unconfirmed_file else None
-            for record in self._records(path, place == len(paths) - 1, found, limit):
+            for record in self._records(path, position == len(paths) - 1, found, limit):
                 if isinstance(record, HardState):
                     found.term, found.vote, found.commit = record.term, record.vote, record.commit
                     self._hard_state = record
@@ -211,13 +211,13 @@
         if not records:
             return
         self._append(records)
-        assert self._path_written is not None
+        assert self._segment_path is not None
         for record in records:
             if isinstance(record, HardState):
                 self._hard_state = record
             elif isinstance(record, EntryRecord):
                 self._last, self._last_term = record.entry.index, record.entry.term
-                self._segments[self._path_written] = max(self._segments[self._path_written], self._last)
+                self._segments[self._segment_path] = max(self._segments[self._segment_path], self._last)
         if self._size >= SEGMENT_BYTES:
             self._roll()
 
@@ -241,7 +241,7 @@
         """Start a new segment with the hard state as its first record, as the older segments may be deleted."""
         self.close()
         path = self._next_path()
-        self._path_written, self._size = path, 0
+        self._segment_path, self._size = path, 0
         try:
             self._file = path.open("ab")
             self._segments[path] = self._last
@@ -258,7 +258,7 @@
         self.snapshot = meta
         self.snapshot_files.delete_others(meta)
         for path, highest in list(self._segments.items()):
-            if path != self._path_written and highest <= meta.index:
+            if path != self._segment_path and highest <= meta.index:
                 with contextlib.suppress(OSError):
                     path.unlink()
                 del self._segments[path]
@@ -292,12 +292,12 @@
         if check_snapshot(path) is None:
             problems.append(f"{path.name}: damaged")
     paths = sorted(directory.glob("log-*.wal"))
-    for place, path in enumerate(paths):
+    for position, path in enumerate(paths):
         data, at = path.read_bytes(), 0
         while at < len(data):
             payload = payload_at(data, at)
             if payload is None:
-                torn = place == len(paths) - 1 and not has_later_record(data, at + 1)
+                torn = position == len(paths) - 1 and not has_later_record(data, at + 1)
                 problems.append(f"{path.name}: {'a torn tail' if torn else 'damaged'} at byte {at} of {len(data)}")
                 break
             at += RECORD_HEADER.size + len(payload)
