--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,12 +20,12 @@
 from tealwing.policy import Gateway
 from tests.build import entry, listing, ok, sends
 
-MIX = (0.81, 0.135, 0.055)  # shares of lookups, reports and loads (the brief's)
-WORK = (0.15, 3.7, 4.9)  # mean work in s of one thread, within the brief's ranges
+MIX = (0.81, 0.135, 0.055)  # shares of lookups, reports and loads, as in arrivals.BRIEF
+WORK = (0.15, 3.7, 4.9)  # mean work in s of one thread, close to that in arrivals.BRIEF
 
 
 def cold_start(gateways: int, rate: float, seed: int) -> list[tuple[float, float]]:
-    """Times and work of all sends to one cold engine of eight cores, the only engine for all queries.
+    """Return the times and work of all sends to one cold engine of eight cores, the only engine for all queries.
 
     Half of the gateways get nine tenths of the traffic; answers take three times as long as on an idle engine.
     """
@@ -69,8 +69,8 @@
 
 def test_cold_engine_is_neither_overloaded_nor_left_idle() -> None:
     # Guards against a fault seen in a simulated day of 40 gateways after six of ten engines were replaced: the new ones
-    # got a tenth of the work that they could do during the whole slow start, as each gateway took its few loads for one
-    # a second and counted latency caused by crowding as work.
+    # got a tenth of the work that they could do during the whole slow start, as each gateway counted its few loads as
+    # one per second, and latency caused by contention as work.
     rules = site.settings().rules
     for gateways, rate in ((3, 110.0), (40, 330.0)):
         for seed in range(3):
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -149,7 +149,8 @@
     assert whole is not None and len(whole) == meta.size
     target = Storage(tmp_path / "to")
     target.open()
-    target.save((2, ""), [entry(index, 2) for index in range(1, 10)])  # of a former leader: conflicts with the snapshot
+    # entries that the leader of term 2 wrote and the leader of term 3 replaced: at index 7 the snapshot has term 3
+    target.save((2, ""), [entry(index, 2) for index in range(1, 10)])
     target.snapshot_files.write_chunk(7, 3, 0, whole[:20])
     target.close()
     again = Storage(tmp_path / "to")
--- a/tests/test_rules_judges.py
+++ b/tests/test_rules_judges.py
@@ -93,12 +93,12 @@
     assert AGREED(hold, 9.0) == []  # with `hold` a lost gateway need not close
 
 
-def last(process: str, **more: Any) -> Event:
+def final_state(process: str, **more: Any) -> Event:
     fields = {"active": 3, "in_force": 3, "in_flight": 0, "digests": {"2": "d2", "3": "d3"}}
     return {"t": 9.0, "kind": "rules-end", "process": process} | fields | more
 
 
-ENDED = [*GOOD, last("a"), last("b")]
+ENDED = [*GOOD, final_state("a"), final_state("b")]
 
 
 def test_identical_decided_versions_pass() -> None:
@@ -112,10 +112,10 @@
     [
         ([version(2, "superseded", "b", digest="other")], "changed"),
         ([version(2, "aborted", "b")], "divergent"),
-        ([last("c", active=2, in_force=2)], "divergent"),
-        ([last("c", in_force=2)], "divergent"),
-        ([last("c", digests={"3": "other"})], "divergent"),
-        ([last("c", in_flight=4)], "undecided"),
+        ([final_state("c", active=2, in_force=2)], "divergent"),
+        ([final_state("c", in_force=2)], "divergent"),
+        ([final_state("c", digests={"3": "other"})], "divergent"),
+        ([final_state("c", in_flight=4)], "undecided"),
         ([{"t": 8.0, "kind": "rules-stuck", "why": "aborted"}], "stuck"),
         ([*change(4, 5.0), version(4, "aborted")], "lost"),
         ([version(3, "active", mark="other")], "lost"),
@@ -135,7 +135,7 @@
 
 
 def test_missing_acknowledged_change_is_lost() -> None:
-    history = [*GOOD, last("a", active=2, in_force=2), last("b", active=2, in_force=2)]
+    history = [*GOOD, final_state("a", active=2, in_force=2), final_state("b", active=2, in_force=2)]
     assert rules(rules_versions.check(history, 9.0)) == ["lost"]
 
 
--- a/tests/test_rules_registry.py
+++ b/tests/test_rules_registry.py
@@ -240,13 +240,14 @@
     state.apply(1, c.encode(c.Command("x", 1, c.Put("k", b"v"))))
     state.apply(2, c.encode(c.Command("x", 2, c.Acquire("lease", "me", 2000))))
     assert state.digest() == "2524ece13afb3c28"
-    old = bytes.fromhex(
+    # the snapshot that a build without rules writes of the same two commands
+    old_snapshot = bytes.fromhex(
         "0000001193a676616c756573a16bc40592c40176010000001a93a66c6561736573a56c65617365c40a95a26d65cd07d00202"
         "c30000001193a666656e636573a56c65617365c401020000001593a873657373696f6e73a178c407920294c30202a0"
-    )  # the snapshot as a build without rules wrote it
-    assert b"".join(state.dump()) == old
+    )
+    assert b"".join(state.dump()) == old_snapshot
     loaded = State()
-    loaded.load(2, [old])
+    loaded.load(2, [old_snapshot])
     assert loaded.digest() == state.digest()
 
 
@@ -291,7 +292,7 @@
         State().load(3, [len(item).to_bytes(4, "big") + item])
 
 
-def test_replica_is_broken_with_remedy_by_an_entry_of_a_newer_build(tmp_path: Path) -> None:
+def test_entry_of_a_newer_build_takes_replica_out_of_service_and_names_the_remedy(tmp_path: Path) -> None:
     plan = SimpleNamespace(name="a", members=(("a", ("127.0.0.1", 1)),), learners=())
     silent = dict.fromkeys(("on", "send", "reach"), lambda *_: None)
     link: Any = SimpleNamespace(plan=plan, live=lambda: [], **silent)
