--- a/tealwing/federation/joining.py
+++ b/tealwing/federation/joining.py
@@ -26,14 +26,14 @@
     group = dataclasses.replace(
         FEDERATION, members=plan.initial_voters() + plan.initial_learners(), learners=plan.initial_learners()
     )
-    own = dataclasses.replace(
+    replica_plan = dataclasses.replace(
         site_plan,
         directory=plan.directory,
         heartbeat_interval=plan.heartbeat,
         election_timeout=plan.election_timeout,
         join=False,
     )
-    replica = Replica(own, link, site.clock, group=group)
+    replica = Replica(replica_plan, link, site.clock, group=group)
     if control is not None:
         ReplicaControl(replica, control, "federation")
     return Federation(plan, site, replica, link, site.clock, silence_timeout)
--- a/tealwing/federation/section.py
+++ b/tealwing/federation/section.py
@@ -39,18 +39,21 @@
     """Build the plan of a checked section; problems go to the report."""
     sites: list[Entry] = [entry for entry in block.all("site") if entry.value is not None]
     seen: dict[str, Entry] = {}
-    home: dict[str, str] = {}
+    site_of: dict[str, str] = {}
     for entry in sites:
         name, members = entry.value
         if name in seen:
             report.add(entry.place, "site", f"a second site {name}", f"each site once; {seen[name].place} has it")
         seen[name] = entry
         for member in members:
-            if member in home:
+            if member in site_of:
                 report.add(
-                    entry.place, "site", f"{member}, which is a gateway of {home[member]}", "each gateway in one site"
+                    entry.place,
+                    "site",
+                    f"{member}, which is a gateway of {site_of[member]}",
+                    "each gateway in one site",
                 )
-            home[member] = name
+            site_of[member] = name
     first = sites[0].place if sites else block.entries["site"][0].place
     if len(seen) < MIN_SITES:
         report.add(first, "site", f"{len(seen)} sites", f"{MIN_SITES} or more, as two do not tolerate the loss of one")
--- a/tealwing/federation/site_delegate.py
+++ b/tealwing/federation/site_delegate.py
@@ -42,17 +42,17 @@
     versions: Mapping[str, Version] = fed_tables["rules"]
     site_proposals = _site_proposals(site_view, federation_view, versions, fed_index)
     federation_proposals = _membership_proposals(site, site_view, federation_view, gateways)
-    me, flight = federation_view.local_member, federation_view.in_flight
-    if me is not None and not me.expiry_index and flight is not None and not federation_proposals:
+    local, flight = federation_view.local_member, federation_view.in_flight
+    if local is not None and not local.expiry_index and flight is not None and not federation_proposals:
         number = flight.number
         if flight.phase in ("proposed", "checked"):
             verdict = flight.verdicts.get(site)
-            if (verdict is None or verdict.start != me.start) and (
+            if (verdict is None or verdict.start != local.start) and (
                 new_verdict := _site_verdict(site_view, site_tables, number)
             ) is not None:
-                federation_proposals.append(Verdict(number, site, me.start, *new_verdict))
-        elif site_view.closing_for == number and me.closed_for != number and site_view.phase_of(number) == "agreed":
-            federation_proposals.append(Closed(number, site, me.start))
+                federation_proposals.append(Verdict(number, site, local.start, *new_verdict))
+        elif site_view.closing_for == number and local.closed_for != number and site_view.phase_of(number) == "agreed":
+            federation_proposals.append(Closed(number, site, local.start))
     return site_proposals, federation_proposals
 
 
@@ -65,9 +65,9 @@
             return []  # proposed before the site joined the federation: the site's log decides it
         number, federation_version = flight.number, versions.get(str(flight.number))
         if federation_version is None:  # not applied here yet, or trimmed there since its outcome
-            expired = federation_view.phase_of(number) is not None
+            trimmed = federation_view.phase_of(number) is not None
             return (
-                [Abort(number, "the federation decided it long ago and has trimmed it", fed_index)] if expired else []
+                [Abort(number, "the federation decided it long ago and has trimmed it", fed_index)] if trimmed else []
             )
         if federation_version.phase in ("rejected", "aborted", "withdrawn"):
             return [Abort(number, federation_version.outcome, federation_version.phase_index)]
@@ -110,17 +110,17 @@
     The start of a site, unlike that of a gateway, is not tied to a process: its gateways may still hold permits of an
     earlier start.
     """
-    me = federation_view.local_member
+    local = federation_view.local_member
     serves = any(member.partition_mode == "serve" for member in gateways.values())
-    mode: PartitionMode = "serve" if serves or (me is not None and me.partition_mode == "serve") else "hold"
+    mode: PartitionMode = "serve" if serves or (local is not None and local.partition_mode == "serve") else "hold"
     build = min(member.build for member in gateways.values())
     permit = max(member.permit for member in gateways.values())
-    if me is None:
+    if local is None:
         return [Begin(site, 1, mode, build, permit)] if site_view.is_up_to(federation_view) else []
-    if me.expiry_index and not (me.expiry_confirmed and site_view.is_up_to(federation_view)):
+    if local.expiry_index and not (local.expiry_confirmed and site_view.is_up_to(federation_view)):
         return []
-    if me.expiry_index or me.partition_mode != mode:
-        return [Begin(site, me.start + 1, mode, build, permit, me.start)]
+    if local.expiry_index or local.partition_mode != mode:
+        return [Begin(site, local.start + 1, mode, build, permit, local.start)]
     return []
 
 
@@ -141,7 +141,8 @@
     """The delegate of one site: its required proposals, each repeated only after its backoff."""
 
     def __init__(self, site: str, seed: int = 0) -> None:
-        self.site, self._retry, self._proposals = site, Retry(seed), Retry(seed + 1, REJECTED_RETRY_INTERVAL)
+        self.site = site
+        self._retry, self._propose_retry = Retry(seed), Retry(seed + 1, REJECTED_RETRY_INTERVAL)
 
     def due_proposals(self, now: float, site_tables: Tables, fed_tables: Tables, fed_index: int) -> Proposals:
         """Return what to propose now in the site's log and in the federation's; for the leader of the site's log."""
@@ -156,8 +157,8 @@
     def _is_due(self, now: float, key: Hashable, body: Body) -> bool:
         if not isinstance(body, Propose):
             return self._retry.ready(now, key)
-        self._proposals.retain([key])  # kept, so that the backoff grows while a site rejects the version
-        return self._proposals.ready(now, key)
+        self._propose_retry.retain([key])  # kept, so that the backoff grows while a site rejects the version
+        return self._propose_retry.ready(now, key)
 
 
 def _key(body: Body) -> Hashable:
--- a/tealwing/leases/expiry.py
+++ b/tealwing/leases/expiry.py
@@ -64,7 +64,10 @@
 
     def deadlines(self) -> tuple[tuple[str, int, int, float], ...]:
         """Return the watched grants: name, token, index of the last renewal, and deadline."""
-        return tuple((name, w.token, w.renewed, w.expires_at) for name, w in sorted(self._watched.items()))
+        return tuple(
+            (name, watched.token, watched.renewed, watched.expires_at)
+            for name, watched in sorted(self._watched.items())
+        )
 
     def expired(self, now: float) -> list[tuple[str, int, int]]:
         """Return the expired grants: name, token and index of the last renewal; the caller proposes their expiry."""
--- a/tealwing/leases/manager.py
+++ b/tealwing/leases/manager.py
@@ -149,9 +149,9 @@
         now = self.clock.now()
         with self.lock:
             local = [
-                {"name": name, "ttl_s": w.holder.ttl, "token": w.holder.token, "valid": w.holder.valid(now),
-                 "left_s": round(max(0.0, w.holder.expires_at - now), 3) if w.holder.token else 0.0}
-                for name, w in self._leases.items()
+                {"name": name, "ttl_s": lease.holder.ttl, "token": lease.holder.token, "valid": lease.holder.valid(now),
+                 "left_s": round(max(0.0, lease.holder.expires_at - now), 3) if lease.holder.token else 0.0}
+                for name, lease in self._leases.items()
             ]  # fmt: skip
         with self._replica.lock:
             state = self._replica.state
--- a/tealwing/rollout/admission/gate_control.py
+++ b/tealwing/rollout/admission/gate_control.py
@@ -48,7 +48,7 @@
     def __init__(self, gate: gates.Gate, partition_mode: PartitionMode) -> None:
         self.gate, self._holds = gate, partition_mode == "hold"
         self.in_force = 0  # number of the version active at this gateway; 0: the configured settings
-        self.followed: GateState | None = None  # the gate state applied last
+        self.applied: GateState | None = None  # the gate state applied last
         self.unusable = ""  # why the version to activate can't be activated at this gateway
         self._state: tuple[object, ...] = ()
         self._closed: tuple[int, float] | None = None  # the version that the gate is closed for, and since when
@@ -62,7 +62,7 @@
 
     def current(self) -> tuple[str, str]:
         """Return the mode (open, closed or shut) and its reason."""
-        target = self.followed
+        target = self.applied
         if target is None or target.mode == "shut":
             return "shut", target.reason if target is not None else "the rules are not known here yet"
         if target.number != self.in_force:
@@ -82,9 +82,9 @@
         """Set the affected requests of the change in flight."""
         self._affected = {(before, after): affected}
 
-    def follow(self, target: GateState, phase: Callable[[int], str]) -> None:
+    def apply(self, target: GateState, phase: Callable[[int], str]) -> None:
         """Apply a gate state; phase returns the phase of a version."""
-        before, self.followed = self.followed, target
+        before, self.applied = self.applied, target
         if target.closing and (self._closed is None or self._closed[0] != target.closing):
             self._log_opened(phase)
             self._closed = target.closing, time.monotonic()
--- a/tealwing/rollout/agent/machine.py
+++ b/tealwing/rollout/agent/machine.py
@@ -131,11 +131,11 @@
         """Apply a view of the log, and of the federation's, and return the actions that are due."""
         self._view, self._federated_view = view, federated or self._federated_view
         found: list[Action] = []
-        me, renewed = view.local_member, False
-        if me is not None and (me.start > self.start or (me.start == self.start and me.expiry_index)):
-            renewed = "no-permit" not in self._sabotage or me.start > self.start
-        if me is not None and renewed:
-            self.start = me.start + 1
+        local, renewed = view.local_member, False
+        if local is not None and (local.start > self.start or (local.start == self.start and local.expiry_index)):
+            renewed = "no-permit" not in self._sabotage or local.start > self.start
+        if local is not None and renewed:
+            self.start = local.start + 1
             found.append(Restart(self.start))
             if self.partition_mode == "hold":
                 self._site_permit.revoke()
@@ -148,19 +148,19 @@
         return found + self._reads(now, view)
 
     def _pending_actions(self, view: View) -> list[tuple[Hashable, Action]]:
-        me, holds = view.local_member, self.partition_mode == "hold"
+        local, holds = view.local_member, self.partition_mode == "hold"
         if holds and self.marker != HOLD_MARKER:
             # before the log can show this member as `hold`: if it starts as `serve` later, it must not trust its disk
             return [("mark", PersistMarker(HOLD_MARKER))]
-        if me is None or me.start != self.start or me.partition_mode != self.partition_mode:
-            replaces = me.start if me is not None else 0
+        if local is None or local.start != self.start or local.partition_mode != self.partition_mode:
+            replaces = local.start if local is not None else 0
             permit = round(self._permit * 1e3) if holds else 0
             begin = Begin(self.name, self.start, self.partition_mode, self._build, permit, replaces)
             return [(("begin", self.start, replaces), SubmitCommand(begin))]
         if view.in_flight is None:
             self._checked = {}
         if view.closing_for:
-            return self._closing_actions(view.closing_for, me.closed_for)
+            return self._closing_actions(view.closing_for, local.closed_for)
         if self.marker == HOLD_MARKER and not holds and self._site_permit.until == FOREVER:
             return [("mark", PersistMarker(view.active))]
         return self._verdict_actions(view.in_flight)
@@ -186,11 +186,11 @@
 
     def _reads(self, now: float, view: View) -> list[Action]:
         found: list[Action] = []
-        me = view.local_member
+        local = view.local_member
         if (
-            me is not None
-            and me.start == self.start
-            and me.partition_mode == self.partition_mode
+            local is not None
+            and local.start == self.start
+            and local.partition_mode == self.partition_mode
             and self._site_permit.should_read(now)
         ):
             found.append(ReadIndex())
@@ -251,15 +251,15 @@
         """Return why no request may be decided (empty if some may), and until when that is valid."""
         if "start-from-disk" in self._sabotage and self._from_disk and self.partition_mode == "hold":
             return "", FOREVER
-        me, until = view.local_member, self._site_permit.until
+        local, until = view.local_member, self._site_permit.until
         if "no-permit" in self._sabotage and until:
             return "", FOREVER
-        if me is None:
+        if local is None:
             return "not in the fleet's table yet", until
         if self.partition_mode == "hold":
-            if me.start != self.start or me.partition_mode != "hold":
+            if local.start != self.start or local.partition_mode != "hold":
                 return "its start is not in the fleet's table yet", until
-            if me.expiry_index:
+            if local.expiry_index:
                 return "the fleet has gone on without it: it begins anew", until
             if not self._site_permit.valid(now):
                 return "lost touch: its permit is over, and a majority has not answered since", until
--- a/tealwing/rollout/agent/permit.py
+++ b/tealwing/rollout/agent/permit.py
@@ -59,8 +59,8 @@
         """
         for token, index in [pair for pair in self._pending if pair[1] <= view.index]:
             self._pending.remove((token, index))
-            me = view.local_member
-            if token.start != start or me is None or me.expiry_index or me.start != registered_start:
+            local = view.local_member
+            if token.start != start or local is None or local.expiry_index or local.start != registered_start:
                 continue
             until = token.sent_at + self._bounds.holder_duration(min(duration, self._duration))
             if not self._expires:
--- a/tealwing/rollout/agent/retry.py
+++ b/tealwing/rollout/agent/retry.py
@@ -8,7 +8,7 @@
 
 MIN_BACKOFF, MAX_BACKOFF = 0.1, 1.0  # s; longer than it takes to apply the reports of 200 members
 REPEAT_RATE = 1000.0  # retries per s of all members together, to limit the leader's load
-MIN_BACKOFF_RATIO = 4.0  # least ratio of the maximum backoff to the minimum
+MIN_BACKOFF_RATIO = 4.0  # minimum ratio of the maximum backoff to the minimum backoff
 
 
 class Retry:
--- a/tealwing/rollout/agent/view.py
+++ b/tealwing/rollout/agent/view.py
@@ -26,7 +26,10 @@
     member_count: int = 0
 
     def phase_of(self, number: int) -> Phase | None:
-        """Return a version's phase; None if it is unknown here. Trimmed ones are superseded or aborted."""
+        """Return a version's phase; None if it is unknown here.
+
+        A trimmed version counts as superseded if it is older than the active one, otherwise as aborted.
+        """
         if number in self.phases:
             return self.phases[number]
         if not 0 < number <= self.last_number:
--- a/tealwing/rollout/effects/executor.py
+++ b/tealwing/rollout/effects/executor.py
@@ -28,7 +28,7 @@
 
 
 class EffectExecutor:
-    """The executor; `lock` guards the machine and the gate control, and `follow`, called under it, updates the gate."""
+    """The executor; `lock` guards the machine and the gate control, and `update_gate` is called under it."""
 
     def __init__(
         self,
@@ -37,10 +37,10 @@
         rules: RulesAdapter,
         gate_control: GateControl,
         lock: threading.Lock,
-        follow: Callable[[], None],
+        update_gate: Callable[[], None],
     ) -> None:
         self._machine, self._marker, self._rules, self._gate_control = machine, marker, rules, gate_control
-        self._lock, self._follow = lock, follow
+        self._lock, self._update_gate = lock, update_gate
         self._retry_backoff, self._next_try = Backoff(*RETRY_BACKOFF), 0.0  # of failed activations
         self._marker_failed = False
 
@@ -73,9 +73,9 @@
     def activate(self, observed_state: Callable[[], ObservedState]) -> None:
         """Activate the version that the machine names; the gate admits nothing until then."""
         with self._lock:
-            self._follow()
+            self._update_gate()
             control = self._gate_control
-            target = control.followed.number if control.followed is not None else 0
+            target = control.applied.number if control.applied is not None else 0
             log.check_invariant(
                 target == control.in_force or not control.is_open, "the gate is closed until the version is active"
             )
@@ -91,12 +91,12 @@
             self._next_try = time.monotonic() + self._retry_backoff.next()
             with self._lock:
                 control.unusable = reason
-                self._follow()
+                self._update_gate()
             return
         self._retry_backoff.reset()
         with self._lock:
             control.in_force, control.unusable = target, ""
-            self._follow()
+            self._update_gate()
 
     def update_affected(self, state: ObservedState) -> None:
         """Compute the affected requests once a version is proposed, so that only those wait when the gate closes."""
@@ -110,4 +110,4 @@
             affected = ALL_REQUESTS
         with self._lock:
             self._gate_control.set_affected(active, flight.number, affected)
-            self._follow()
+            self._update_gate()
--- a/tealwing/rollout/leader/expiry_observer.py
+++ b/tealwing/rollout/leader/expiry_observer.py
@@ -46,9 +46,9 @@
         }
         self._observed_at = {key: self._observed_at.get(key, now) for key in sorted(unconfirmed)}
         self._retry.retain(unconfirmed)
-        me = members.get(self.name)
+        local = members.get(self.name)
         found: list[ConfirmExpiry] = []
-        if me is None or me.expiry_index:
+        if local is None or local.expiry_index:
             return found
         for name, expiry_index in sorted(unconfirmed):
             member = members[name]
--- a/tealwing/rollout/local_gateway.py
+++ b/tealwing/rollout/local_gateway.py
@@ -58,11 +58,11 @@
 
     def affected_requests(self, before: bytes, after: bytes) -> affected.AffectedRequests:
         """Return the requests that a change affects. Raises RulesError if a bundle can't be parsed."""
-        return affected.affected_requests(_read(before), bundle.parse(after))
+        return affected.affected_requests(_parse_or_empty(before), bundle.parse(after))
 
     def put_in_force(self, number: int, text: bytes) -> None:
         """Decide new requests under a version. Raises ValueError, with nothing changed, if it does not fit here."""
-        found = _read(text)
+        found = _parse_or_empty(text)
         table, levels = bundle.table(found), None
         if found.levels:
             from tealwing.rules import levels_section  # imported only if needed
@@ -76,9 +76,13 @@
         sites = frozenset(settings.zones[entry.zone] for entry in listed if entry.health is not api.Health.GONE)
         sections = self._gateway.sections
         return check.Running(
-            settings, _read(before), sites if listed else None, levels="levels" in sections, gossip="gossip" in sections
+            settings,
+            _parse_or_empty(before),
+            sites if listed else None,
+            levels="levels" in sections,
+            gossip="gossip" in sections,
         )
 
 
-def _read(text: bytes) -> Bundle:
+def _parse_or_empty(text: bytes) -> Bundle:
     return bundle.parse(text) if text else EMPTY
--- a/tealwing/rollout/runtime.py
+++ b/tealwing/rollout/runtime.py
@@ -67,23 +67,24 @@
         self.name, self._clock = link.plan.name, replica.clock
         self._observed = observe(replica.state, self.name)  # set only on the replica's thread
         marker = PersistedMarker(Path(replica.plan.directory), replica.disk)
-        me = self._observed.members.get(self.name)
+        registered = self._observed.members.get(self.name)
         self._machine = Machine(
-            self.name, plan.partition_mode, max(int(time.time() * 1e3), me.start + 1 if me else 0), plan.permit,
+            self.name, plan.partition_mode, max(int(time.time() * 1e3), registered.start + 1 if registered else 0),
+            plan.permit,
             marker=executor.read_marker(marker), build=BUILD, seed=replica.incarnation, disk=self._observed.view,
             sabotage=frozenset({plan.sabotage} - {""}), federated=federation is not None,
             disk_federated=federation.state.view if federation is not None else None, peers=len(link.plan.members),
         )  # fmt: skip
         self._lock = threading.Lock()  # guards the machine, the leader's duties and the gate control
         self._wake, self._stopped = threading.Event(), threading.Event()
-        other = federation.replica if federation is not None else None
+        federation_replica = federation.replica if federation is not None else None
         self._log_client = LogClient(
-            self._machine, self._clock, replica, self._lock, self._wake.set, other, plan.permit
+            self._machine, self._clock, replica, self._lock, self._wake.set, federation_replica, plan.permit
         )
         self._leader_duties = LeaderDuties(plan, replica, link)
         self.gate_control = GateControl(gate_, plan.partition_mode)
         self._executor = executor.EffectExecutor(
-            self._machine, marker, rules, self.gate_control, self._lock, self._follow
+            self._machine, marker, rules, self.gate_control, self._lock, self._update_gate
         )
         self._fault = ""  # trace of the thread's last run; empty if it succeeded
         self._due: list[Action] = []  # actions requested and not yet executed
@@ -147,9 +148,9 @@
         """Return the status for operators."""
         with self._lock:
             now = self._clock.now()
-            self._follow()
+            self._update_gate()
             marker, start = self._machine.marker, self._machine.start
-            (mode, reason), target = self.gate_control.current(), self.gate_control.followed
+            (mode, reason), target = self.gate_control.current(), self.gate_control.applied
         holds = self.plan.partition_mode == "hold"
         left = max(0.0, target.until - now) if target is not None and target.mode != "shut" else 0.0
         return self.outcomes.status(self._observed) | {
@@ -200,10 +201,10 @@
         self._due += [
             action for action in self._machine.step(now, self._observed.view, federated) if action not in self._due
         ]
-        self._follow()
+        self._update_gate()
 
-    def _follow(self) -> None:
-        self.gate_control.follow(self._machine.gate_state(self._clock.now()), self._observed.phase)
+    def _update_gate(self) -> None:
+        self.gate_control.apply(self._machine.gate_state(self._clock.now()), self._observed.phase)
 
     # On the runtime's thread
 
--- a/tealwing/rollout/section.py
+++ b/tealwing/rollout/section.py
@@ -41,9 +41,9 @@
     if plan.limit <= plan.patience:
         allowed = f"more than patience, {values.format_duration(plan.patience)}"
         report.add(block.place("limit", place), "limit", values.format_duration(plan.limit), allowed)
-    over = DEFAULT_BOUNDS.expiry_delay(plan.permit) + plan.patience
-    if plan.partition_mode == "hold" and plan.limit <= over:
-        allowed = f"more than patience and a permit's end, {values.format_duration(round(over, 3))}"
+    lower_bound = DEFAULT_BOUNDS.expiry_delay(plan.permit) + plan.patience
+    if plan.partition_mode == "hold" and plan.limit <= lower_bound:
+        allowed = f"more than patience and a permit's end, {values.format_duration(round(lower_bound, 3))}"
         report.add(block.place("limit", place), "limit", values.format_duration(plan.limit), allowed)
     return plan
 
--- a/tealwing/rules/check.py
+++ b/tealwing/rules/check.py
@@ -103,10 +103,10 @@
     found: list[Reason] = []
     known = set(running.settings.zones)
     changed = changed_groups(bundles.table(running.active or bundles.EMPTY), bundles.table(bundle))
-    for place, route in enumerate(bundle.routes):
+    for position, route in enumerate(bundle.routes):
         if not any(first <= route.last and route.first <= last for first, last in changed.pairs):
             continue
-        where, sites = f"routes[{place}].sites", ", ".join(route.sites[:8])
+        where, sites = f"routes[{position}].sites", ", ".join(route.sites[:8])
         if not known & set(route.sites):
             found.append(
                 UnknownSiteError(
--- a/tealwing/rules/levels_section.py
+++ b/tealwing/rules/levels_section.py
@@ -17,13 +17,13 @@
 def parse_levels(text: str) -> Plan:
     """Parse the line `levels` and the lines indented below it. Raises InvalidLevelsError for the first fault."""
     report = Report()
-    tops = _nested(text, report)
+    top_level = _nested(text, report)
     _raise_first_problem(report)
-    if len(tops) != 1 or tops[0].name != SECTION.name or tops[0].arguments:
+    if len(top_level) != 1 or top_level[0].name != SECTION.name or top_level[0].arguments:
         raise InvalidLevelsError(
-            f"{FILE}:1", f"{len(tops)} top-level lines; allowed: only `levels`, with the rest indented below it"
+            f"{FILE}:1", f"{len(top_level)} top-level lines; allowed: only `levels`, with the rest indented below it"
         )
-    block = check(SECTION.specs, tops[0].children, tops[0].place, SECTION.name, report)
+    block = check(SECTION.specs, top_level[0].children, top_level[0].place, SECTION.name, report)
     _raise_first_problem(report)
     found: Plan = SECTION.build(block, report)
     _raise_first_problem(report)
--- a/tealwing/rules/records.py
+++ b/tealwing/rules/records.py
@@ -147,6 +147,7 @@
 )
 
 
+# names of the commands in log events
 COMMAND_NAMES: dict[type[Body], str] = {
     Propose: "propose",
     Verdict: "verdict",
@@ -160,7 +161,7 @@
     ExpirePermit: "lapse",
     ConfirmExpiry: "witness",
     Forget: "forget",
-}  # names of the commands in log events
+}
 
 
 # Stored records
--- a/tealwing/rules/registry_state.py
+++ b/tealwing/rules/registry_state.py
@@ -85,8 +85,8 @@
 def trim(tables: Tables) -> None:
     """Delete the oldest versions above the limit; never the active one, its parent (to roll back) or one in flight."""
     table: dict[str, Version] = tables["rules"]
-    now = active(tables)
-    protected = {now.number, now.parent} if now is not None else set()
+    in_force = active(tables)
+    protected = {in_force.number, in_force.parent} if in_force is not None else set()
     for number in sorted(map(int, table)):
         if len(table) <= MAX_VERSIONS:
             return
--- a/tealwing/rules/transitions/concluding.py
+++ b/tealwing/rules/transitions/concluding.py
@@ -21,11 +21,11 @@
         return reject(index, f"version {body.number} is not closed for at {', '.join(missing)}", body.number)
     if found.federated and not body.federation_index:
         return reject(index, _decided_by_federation(found), body.number)
-    now, before = registry_state.facts(tables), registry_state.active(tables)
+    current, before = registry_state.facts(tables), registry_state.active(tables)
     if before is not None:
         registry_state.set_phase(tables, index, before, "superseded", federation_index=before.federation_index)
     registry_state.set_phase(tables, index, found, "active", federation_index=body.federation_index)
-    tables["rule_facts"]["now"] = Facts(now.last_number, body.number)
+    tables["rule_facts"]["now"] = Facts(current.last_number, body.number)
     registry_state.trim(tables)
     return accept(index, body.number)
 
--- a/tealwing/rules/transitions/proposing.py
+++ b/tealwing/rules/transitions/proposing.py
@@ -13,14 +13,14 @@
 
 def propose(tables: Tables, index: int, body: Propose) -> CommandResult:
     """Store a new version; rejected if another is in flight or its parent is not the version in force."""
-    now = registry_state.facts(tables)
+    current = registry_state.facts(tables)
     if digest(body.text) != body.digest:
         return reject(index, f"the text's digest is not {body.digest}: it was changed on its way; propose it again")
-    if body.parent != now.active_number:
+    if body.parent != current.active_number:
         active = registry_state.active(tables)
         description = registry_state.describe(active) if active else "none"
         return reject(index, f"made from version {body.parent}, but in force is {description}; look at it, and propose"
-                         " what you want with that as the parent", now.active_number)  # fmt: skip
+                         " what you want with that as the parent", current.active_number)  # fmt: skip
     in_flight = registry_state.in_flight(tables)
     if in_flight is not None:
         return reject(
@@ -29,10 +29,12 @@
             in_flight.number,
         )
     if body.federated != bool(body.number):
-        return reject(index, "a number is given by the federation's log and by nobody else", now.last_number)
-    number = body.number or now.last_number + 1
-    if number <= now.last_number and not _is_retried(tables, body):
-        return reject(index, f"number {number} was given already; {now.last_number} is the last", now.last_number)
+        return reject(index, "a number is given by the federation's log and by nobody else", current.last_number)
+    number = body.number or current.last_number + 1
+    if number <= current.last_number and not _is_retried(tables, body):
+        return reject(
+            index, f"number {number} was given already; {current.last_number} is the last", current.last_number
+        )
     registry_state.put(
         tables,
         Version(
@@ -50,7 +52,7 @@
             body.min_build,
         ),
     )
-    tables["rule_facts"]["now"] = Facts(max(number, now.last_number), now.active_number)
+    tables["rule_facts"]["now"] = Facts(max(number, current.last_number), current.active_number)
     registry_state.trim(tables)
     return accept(index, number)
 
--- a/tealwing/rules/typed.py
+++ b/tealwing/rules/typed.py
@@ -56,7 +56,7 @@
             return msgspec.convert(data, kind)  # a list can be long: it is traversed only to locate a fault
         except msgspec.ValidationError:
             pass
-        return tuple(_convert(get_args(bare)[0], value, f"{where}[{place}]") for place, value in enumerate(data))
+        return tuple(_convert(get_args(bare)[0], value, f"{where}[{position}]") for position, value in enumerate(data))
     return _convert_scalar(kind, data, where)
 
 
@@ -103,5 +103,5 @@
     if isinstance(data, (dict, list)):
         return "a table" if isinstance(data, dict) else "a list"
     text = data if isinstance(data, str) else repr(data)
-    text = "".join(sign if sign.isprintable() else "?" for sign in text[: MAX_SHOWN_CHARACTERS + 1])
+    text = "".join(character if character.isprintable() else "?" for character in text[: MAX_SHOWN_CHARACTERS + 1])
     return text if len(text) <= MAX_SHOWN_CHARACTERS else text[:MAX_SHOWN_CHARACTERS] + "..."
