--- a/tealwing/replica/service/recovery.py
+++ b/tealwing/replica/service/recovery.py
@@ -19,7 +19,7 @@
 from tealwing.lease_bounds import DEFAULT_BOUNDS
 from tealwing.replica.state import State
 
-PEER_QUERY_TIMEOUT = 2.0  # s after which the gateway is ready without an answer of its peers
+PEER_QUERY_TIMEOUT = 2.0  # s after which the gateway is ready without an answer from its peers
 MAX_AGE_MS = 600_000  # ms of age beyond which a note or a level is marked as possibly outdated
 MAX_CLOCK_AHEAD_MS = 5_000  # ms by which a stored time may be ahead of the local clock
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrustedItem:
+class AssessedItem:
     """An item of the stored state, the degree of trust in it, and the reason."""
 
     kind: str
@@ -44,7 +44,7 @@
     until_ms: int = 0  # Unix time in ms, 0 if there is no time limit
 
 
-def assess_trust(state: State, last_index: int, now_ms: int) -> list[TrustedItem]:
+def assess_trust(state: State, last_index: int, now_ms: int) -> list[AssessedItem]:
     """Return the degree of trust in each item of a restored state; `last_index` is the end of the stored log."""
     found = [*_settings(state), *_leases(state, now_ms), *_drains(state, now_ms)]
     for table in ("notes", "levels"):
@@ -52,21 +52,21 @@
             found.append(_aged(table, key, entry.since, now_ms))
     if last_index > state.applied:
         why = f"entries {state.applied + 1} to {last_index} may be uncommitted: a leader keeps or replaces them"
-        found.append(TrustedItem("log", f"{state.applied + 1}..{last_index}", Trust.MARKED, why))
+        found.append(AssessedItem("log", f"{state.applied + 1}..{last_index}", Trust.MARKED, why))
     return found
 
 
-def _settings(state: State) -> Iterable[TrustedItem]:
+def _settings(state: State) -> Iterable[AssessedItem]:
     last_good = state.last_good()
     for key in sorted(state.tables["settings"], key=int):
         version = int(key)
         if version == last_good:
-            yield TrustedItem("settings", key, Trust.TRUSTED, "the last good version, used at once")
+            yield AssessedItem("settings", key, Trust.TRUSTED, "the last good version, used at once")
         elif version > last_good:
-            yield TrustedItem("settings", key, Trust.NEVER, "an invalid version, never used")
+            yield AssessedItem("settings", key, Trust.NEVER, "an invalid version, never used")
 
 
-def _leases(state: State, now_ms: int) -> Iterable[TrustedItem]:
+def _leases(state: State, now_ms: int) -> Iterable[AssessedItem]:
     for name, lease in state.tables["leases"].items():
         if lease.held:
             wait = DEFAULT_BOUNDS.expiry_delay(lease.ttl / 1e3)
@@ -74,25 +74,25 @@
                 f"granted to {lease.holder} before the restart: not valid here, and not granted to another holder until"
                 f" {wait:.2f} s after a leader is elected"
             )
-            yield TrustedItem("lease", name, Trust.WAITS, why, now_ms + round(wait * 1e3))
+            yield AssessedItem("lease", name, Trust.WAITS, why, now_ms + round(wait * 1e3))
 
 
-def _drains(state: State, now_ms: int) -> Iterable[TrustedItem]:
+def _drains(state: State, now_ms: int) -> Iterable[AssessedItem]:
     for key, drain in state.tables["drains"].items():
         if drain.notified > now_ms + MAX_CLOCK_AHEAD_MS:
             why = "announced at a time ahead of the local clock: the cut-off counts as past"
-            yield TrustedItem("drain", key, Trust.MARKED, why, now_ms)
+            yield AssessedItem("drain", key, Trust.MARKED, why, now_ms)
         else:
-            yield TrustedItem("drain", key, Trust.TRUSTED, "continues with its first announced cut-off", drain.cutoff)
+            yield AssessedItem("drain", key, Trust.TRUSTED, "continues with its first announced cut-off", drain.cutoff)
 
 
-def _aged(table: str, key: str, since: int, now_ms: int) -> TrustedItem:
+def _aged(table: str, key: str, since: int, now_ms: int) -> AssessedItem:
     age = now_ms - since
     if not since or age < -MAX_CLOCK_AHEAD_MS:
-        return TrustedItem(table, key, Trust.MARKED, "its age is unknown", since)
+        return AssessedItem(table, key, Trust.MARKED, "its age is unknown", since)
     if age > MAX_AGE_MS:
-        return TrustedItem(table, key, Trust.MARKED, f"{age // 1000} s old: possibly outdated", since)
-    return TrustedItem(table, key, Trust.TRUSTED, f"{age // 1000} s old", since)
+        return AssessedItem(table, key, Trust.MARKED, f"{age // 1000} s old: possibly outdated", since)
+    return AssessedItem(table, key, Trust.TRUSTED, f"{age // 1000} s old", since)
 
 
 class Phase(Enum):
@@ -186,7 +186,7 @@
             return f"no leader is known; {reachable}; serving from what this gateway knows"
         return f"catching up with {view.leader}; serving from what this gateway knows"
 
-    def report(self, view: FleetView, items: list[TrustedItem]) -> dict[str, Any]:
+    def report(self, view: FleetView, items: list[AssessedItem]) -> dict[str, Any]:
         """Return the recovery report for operators."""
         return {
             "phase": self.phase.value, "ready": self.ready, "reason": self.reason(view),
--- a/tealwing/rollout/admission/gate.py
+++ b/tealwing/rollout/admission/gate.py
@@ -1,7 +1,8 @@
 """Admission gate in front of the decision module: open, closed for the requests that a change affects, or shut.
 
-The gate has no thread. Admission through the open gate takes no lock: it reads single attributes, and a request that
-has read them began before their next change. Denial reasons also name a metric of readiness: keep their wording.
+The gate has no thread. Admission through the open gate takes no lock: it reads each attribute once, and a request that
+it admits just before a change counts as begun before that change. Denial reasons also name a metric of readiness: keep
+their wording.
 """
 
 from __future__ import annotations
--- a/tealwing/rollout/local_gateway.py
+++ b/tealwing/rollout/local_gateway.py
@@ -71,11 +71,11 @@
         settings = overlay.apply(found, self._gateway.platform_settings)
         self._gateway.put_in_force(settings, table if table.routes else None, levels, number)
 
-    def _running(self, before: bytes) -> check.Running:
+    def _running(self, before: bytes) -> check.RunningGateway:
         settings, listed = self._gateway.platform_settings, self._gateway.engine_list
         sites = frozenset(settings.zones[entry.zone] for entry in listed if entry.health is not api.Health.GONE)
         sections = self._gateway.sections
-        return check.Running(
+        return check.RunningGateway(
             settings,
             _parse_or_empty(before),
             sites if listed else None,
--- a/tealwing/rules/check.py
+++ b/tealwing/rules/check.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Running:
+class RunningGateway:
     """The state of the running gateway that the check uses."""
 
     settings: interface.Settings  # the platform's, without any bundle
@@ -39,7 +39,7 @@
     build: int = BUILD
 
 
-def check_text(text: bytes, running: Running, min_build: int = 1) -> list[Reason]:
+def check_text(text: bytes, running: RunningGateway, min_build: int = 1) -> list[Reason]:
     """Return all reasons against activating a bundle's text; a text that can't be parsed gives one."""
     try:
         return check(bundles.parse(text), running, min_build)
@@ -47,7 +47,7 @@
         return [error]
 
 
-def check(bundle: Bundle, running: Running, min_build: int = 1) -> list[Reason]:
+def check(bundle: Bundle, running: RunningGateway, min_build: int = 1) -> list[Reason]:
     """Return all reasons against activating a parsed bundle at this gateway; empty if there are none."""
     found: list[Reason] = []
     if min_build > running.build:
@@ -69,7 +69,7 @@
     return found + _route_errors(bundle, running)
 
 
-def _restart_errors(bundle: Bundle, running: Running, settings: interface.Settings) -> list[Reason]:
+def _restart_errors(bundle: Bundle, running: RunningGateway, settings: interface.Settings) -> list[Reason]:
     """Return the changes that need a restart: running levels and gossip keep the settings that they started with."""
     found: list[Reason] = []
     if bundle.levels and running.levels:
@@ -85,7 +85,7 @@
     return found
 
 
-def _level_errors(bundle: Bundle, running: Running) -> list[Reason]:
+def _level_errors(bundle: Bundle, running: RunningGateway) -> list[Reason]:
     from tealwing.rules import levels_section  # imported only if needed
 
     try:
@@ -95,7 +95,7 @@
     return []
 
 
-def _route_errors(bundle: Bundle, running: Running) -> list[Reason]:
+def _route_errors(bundle: Bundle, running: RunningGateway) -> list[Reason]:
     """Return errors of changed routes that no engine could serve.
 
     Unchanged routes are skipped, so that the failure of one site blocks no change of others.
--- a/tests/lossy_disk.py
+++ b/tests/lossy_disk.py
@@ -29,13 +29,13 @@
         """Make `count` operations from `first` on fail; a failing write writes the share `written` of its bytes."""
         self._first, self._count, self._written = first, count, written
 
-    def is_failing(self) -> bool:
+    def next_must_fail(self) -> bool:
         """Count one operation and return whether it must fail."""
         self.operations += 1
         return self._first <= self.operations < self._first + self._count
 
     def write(self, file: BinaryIO, data: bytes) -> None:
-        if not self.is_failing():
+        if not self.next_must_fail():
             super().write(file, data)
             return
         file.write(data[: round(len(data) * self._written)])
@@ -49,7 +49,7 @@
         file.flush()
         content = Path(file.name).read_bytes()
         before = self._durable.get(inode, b"")
-        if self.is_failing():
+        if self.next_must_fail():
             self._lost.setdefault(inode, []).append((len(before), len(content)))
             raise OSError(5, "Input/output error")
         kept = bytearray(content)
@@ -58,12 +58,12 @@
         self._durable[inode] = bytes(kept)
 
     def rename(self, source: Path, target: Path) -> None:
-        if self.is_failing():
+        if self.next_must_fail():
             raise OSError(30, "Read-only file system")
         super().rename(source, target)
 
     def sync_directory(self, folder: Path) -> None:
-        if self.is_failing():
+        if self.next_must_fail():
             raise OSError(5, "Input/output error")
         self._names = {path.name: path.stat().st_ino for path in folder.iterdir()}
 
--- a/tests/test_disk_returns.py
+++ b/tests/test_disk_returns.py
@@ -70,7 +70,7 @@
         self.until_done(self.open, Acknowledged())
         for index in range(1, 9):
             self.save((1, "a"), [entry(index)], index - 1)
-        self.save((2, "b"), [entry(7, 2)])  # of a new leader; replaces two entries
+        self.save((2, "b"), [entry(7, 2)])  # from the leader of term 2: replaces entries 7 and 8
         self.snapshot(5)
         self.save((2, "b"), [entry(8, 2), entry(9, 2)])
         self.receive(12, 2)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -20,11 +20,11 @@
 from tealwing.replica.service.recovery import (
     MAX_AGE_MS,
     PEER_QUERY_TIMEOUT,
+    AssessedItem,
     FleetView,
     Phase,
     Recovery,
     Trust,
-    TrustedItem,
     assess_trust,
 )
 from tealwing.replica.service.state_feed import missing_commands
@@ -35,7 +35,7 @@
 NOW = 1_800_000_000_000  # ms
 
 
-def trusted_items(state: State, last: int = 0) -> dict[tuple[str, str], TrustedItem]:
+def assessed_items(state: State, last: int = 0) -> dict[tuple[str, str], AssessedItem]:
     return {(item.kind, item.key): item for item in assess_trust(state, last or state.applied, NOW)}
 
 
@@ -44,7 +44,7 @@
     apply_body(state, 1, c.Settings(1, b"old"))
     apply_body(state, 2, c.Settings(2, b"good"))
     apply_body(state, 3, c.Settings(3, b"bad", valid=False))
-    found = trusted_items(state)
+    found = assessed_items(state)
     assert found["settings", "2"].trust is Trust.TRUSTED and found["settings", "3"].trust is Trust.NEVER
     assert ("settings", "1") not in found
 
@@ -54,7 +54,7 @@
     apply_body(state, 1, c.Acquire("sweep", "me/1", 5000))
     apply_body(state, 2, c.Acquire("free", "me/1", 5000))
     apply_body(state, 3, c.Release("free", 2))
-    found = trusted_items(state)
+    found = assessed_items(state)
     assert found["lease", "sweep"].trust is Trust.WAITS and ("lease", "free") not in found
     assert found["lease", "sweep"].until_ms == NOW + round(DEFAULT_BOUNDS.expiry_delay(5.0) * 1e3)
 
@@ -67,7 +67,7 @@
     apply_body(state, 4, c.Note(7, 0, "cold", NOW - 1000))
     apply_body(state, 5, c.Note(7, 0, "aside"))
     apply_body(state, 6, c.Level("few", "load", NOW - MAX_AGE_MS - 1))
-    found = trusted_items(state, last=9)
+    found = assessed_items(state, last=9)
     assert found["drain", "7/0"].until_ms == NOW - 2000 and found["drain", "7/0"].trust is Trust.TRUSTED
     assert found["drain", "8/0"].trust is Trust.MARKED and found["drain", "8/0"].until_ms == NOW
     assert found["notes", "7/0/cold"].trust is Trust.TRUSTED and found["notes", "7/0/aside"].trust is Trust.MARKED
--- a/tests/test_rollout_model.py
+++ b/tests/test_rollout_model.py
@@ -13,6 +13,7 @@
 from tealwing.lab.models.rollout_parts import Budget, likely
 from tealwing.lab.models.rollout_starts import lapsed, nearly_closed
 
+# crashes after which a member may restart with an older log, with an empty disk or in the other partition mode
 DISKS = Budget(times=1, crashes=2, old=1, empty=1, flips=1, lapses=1, aborts=1, reads=1)
 FAULTS = Budget(times=12, crashes=4, old=2, empty=1, flips=2, lapses=3, aborts=1, proposals=3, reads=16)
 
--- a/tests/test_rules_bundle.py
+++ b/tests/test_rules_bundle.py
@@ -68,7 +68,7 @@
     )
     assert after.classes[1] == before.classes[1] and after.limits.max_attempts == 3
     assert [account.share for account in after.tenant_quotas] == [0.81, 0.5]
-    assert overlay.apply(EMPTY, before) == before and check.check(bundle, check.Running(before)) == []
+    assert overlay.apply(EMPTY, before) == before and check.check(bundle, check.RunningGateway(before)) == []
 
 
 @pytest.mark.parametrize(
@@ -135,7 +135,7 @@
 
 def faults() -> Iterator[errors.RulesError]:
     """Yield errors of every kind that `test_bundle_error_names_key_value_and_allowed_values` does not cover."""
-    running = check.Running(platform())
+    running = check.RunningGateway(platform())
     for text, state in [
         (b"\xff", running),
         (routes((0, 5, "upington"), (5, 9, "upington")), running),
@@ -145,10 +145,10 @@
         (WHOLE.replace("look 1", "lock 1").encode(), running),
         (b"attempts.most = 5", running),
         (routes((0, 5, "kimberley")), running),
-        (routes((0, 5, "upington")), check.Running(platform(), sites=frozenset({"bloemfontein"}))),
-        (b"classes.look.aim-ms = 7", check.Running(platform(), gossip=True)),
-        (WHOLE.encode(), check.Running(platform(), levels=True)),
-        (routes((0, 5, "upington")), check.Running(platform(), memory=1000.0)),
+        (routes((0, 5, "upington")), check.RunningGateway(platform(), sites=frozenset({"bloemfontein"}))),
+        (b"classes.look.aim-ms = 7", check.RunningGateway(platform(), gossip=True)),
+        (WHOLE.encode(), check.RunningGateway(platform(), levels=True)),
+        (routes((0, 5, "upington")), check.RunningGateway(platform(), memory=1000.0)),
     ]:
         reasons = check.check_text(text, state)
         assert reasons, text[:40]
@@ -177,7 +177,7 @@
 
 def test_failed_site_does_not_block_changes_of_other_groups() -> None:
     old = routes((0, 5, "upington"), (6, 9, "bloemfontein"))
-    one_site_down = check.Running(platform(), parse(old), frozenset({"bloemfontein"}))
+    one_site_down = check.RunningGateway(platform(), parse(old), frozenset({"bloemfontein"}))
     assert check.check_text(old + b"[classes.look]\naim-ms = 5\n", one_site_down) == []
     assert check.check_text(routes((0, 9, "bloemfontein")), one_site_down) == []
     assert len(check.check_text(routes((0, 9, "upington")), one_site_down)) == 1
@@ -185,7 +185,7 @@
 
 def test_routes_can_change_while_gossip_is_on() -> None:
     active = parse(b"classes.look.aim-ms = 7")
-    running = check.Running(platform(), active, gossip=True)
+    running = check.RunningGateway(platform(), active, gossip=True)
     assert check.check_text(b"classes.look.aim-ms = 7\n" + routes((0, 5, "upington")), running) == []
     assert [type(reason) for reason in check.check_text(b"", running)] == [errors.RestartRequiredError]
 
--- a/tests/test_rules_judges.py
+++ b/tests/test_rules_judges.py
@@ -38,7 +38,7 @@
 CHAIN = [RULES, *change(1, 0.0), *change(2, 1.0), *change(3, 3.0)]
 CHAIN += [version(1, "superseded"), version(2, "superseded"), version(3, "active")]
 GOOD = [*CHAIN, *query(1, 0.5, 0.6, "x"), *query(2, 1.5, 2.0, "y"), *query(3, 1.9, 2.5, "x"), *query(4, 2.1, 2.3, "y")]
-ORDER, AGREED = rules_order.check, rules_agreement.check
+check_order, check_agreement = rules_order.check, rules_agreement.check
 
 
 def rules(found: list[Any]) -> list[str]:
@@ -46,38 +46,40 @@
 
 
 def test_older_version_may_decide_queries_begun_before_a_newer_answer() -> None:
-    assert ORDER(GOOD, 9.0) == [] and AGREED(GOOD, 9.0) == []  # query 3 began at 1.9 s, before y answered at 2.0 s
+    assert (
+        check_order(GOOD, 9.0) == [] and check_agreement(GOOD, 9.0) == []
+    )  # query 3 began at 1.9 s, before y answered at 2.0 s
 
 
 @pytest.mark.parametrize("late", [query(5, 2.05, 2.6, "x"), query(5, 2.05, 2.6, "x", process="b")])
 def test_older_version_after_a_newer_answer_is_a_violation(late: list[Event]) -> None:
-    found = ORDER([*GOOD, *late], 9.0)
+    found = check_order([*GOOD, *late], 9.0)
     assert rules(found) == ["late-old"] and "version 1 says; version 2 had answered" in found[0].what
 
 
 def test_older_version_is_found_by_the_engine_that_a_query_reached() -> None:
     refused = query(5, 2.05, 2.6, "")
-    assert ORDER([*GOOD, *refused, seen(5, 2.1, "y")], 9.0) == []
-    assert rules(ORDER([*GOOD, *refused, seen(5, 2.1, "x")], 9.0)) == ["late-old"]
+    assert check_order([*GOOD, *refused, seen(5, 2.1, "y")], 9.0) == []
+    assert rules(check_order([*GOOD, *refused, seen(5, 2.1, "x")], 9.0)) == ["late-old"]
     unanswered = [refused[0], seen(5, 2.1, "x")]
-    assert rules(ORDER([*GOOD, *unanswered], 9.0)) == ["late-old"]
+    assert rules(check_order([*GOOD, *unanswered], 9.0)) == ["late-old"]
 
 
 def test_site_of_two_versions_counts_for_the_newer_one_once_proposed() -> None:
     fourth = [*change(4, 4.0), version(4, "active")]
-    assert ORDER([*GOOD, *fourth, *query(5, 4.1, 4.5, "x")], 9.0) == []
-    assert rules(ORDER([*GOOD, *fourth, *query(5, 3.1, 3.9, "x")], 9.0)) == ["late-old"]
+    assert check_order([*GOOD, *fourth, *query(5, 4.1, 4.5, "x")], 9.0) == []
+    assert rules(check_order([*GOOD, *fourth, *query(5, 3.1, 3.9, "x")], 9.0)) == ["late-old"]
 
 
 def test_queries_of_unmoved_groups_are_ignored() -> None:
-    assert ORDER([*GOOD, *query(5, 2.05, 2.6, "x", moves=False)], 9.0) == []
+    assert check_order([*GOOD, *query(5, 2.05, 2.6, "x", moves=False)], 9.0) == []
 
 
 @pytest.mark.parametrize("phase", ["aborted", "rejected", "withdrawn", "preparing"])
 def test_answer_under_a_version_never_in_force_is_a_violation(phase: str) -> None:
     events = [*CHAIN[:-1], version(3, phase), *query(1, 0.5, 0.6, "x"), *query(2, 3.5, 3.6, "z")]
-    assert rules(AGREED(events, 9.0)) == ["unagreed"]
-    assert AGREED(events[:-2], 9.0) == []
+    assert rules(check_agreement(events, 9.0)) == ["unagreed"]
+    assert check_agreement(events[:-2], 9.0) == []
 
 
 def gate(process: str, what: str, number: int, at: float) -> Event:
@@ -86,11 +88,11 @@
 
 def test_answer_under_a_version_before_all_gates_closed_is_a_violation() -> None:
     closed = [gate("a", "closed", 2, 1.2), gate("b", "closed", 2, 1.9)]
-    assert AGREED([*GOOD, *closed], 9.0) == []
+    assert check_agreement([*GOOD, *closed], 9.0) == []
     late = [gate("a", "closed", 2, 1.2), gate("b", "closed", 2, 2.1), gate("b", "closed", 2, 4.0)]
-    assert rules(AGREED([*GOOD, *late], 9.0)) == ["early-site"]
+    assert rules(check_agreement([*GOOD, *late], 9.0)) == ["early-site"]
     hold = [event | {"lost_touch": "hold"} if event is RULES else event for event in [*GOOD, *late]]
-    assert AGREED(hold, 9.0) == []  # with `hold` a lost gateway need not close
+    assert check_agreement(hold, 9.0) == []  # with `hold` a lost gateway need not close
 
 
 def final_state(process: str, **more: Any) -> Event:
