--- a/tealwing/lab/gossip_trial.py
+++ b/tealwing/lab/gossip_trial.py
@@ -1,4 +1,4 @@
-"""Trials of gossip in virtual time: convergence, bandwidth, slow engines, lying instances and worth served.
+"""Trials of gossip in virtual time: convergence, bandwidth, detection of slow engines, lying instances, and scores.
 
 Liars sign with valid keys, as a compromised instance would: they report healthy engines as slow and the slow one as
 healthy, and declare live members dead.
@@ -30,13 +30,14 @@
 ENGINES = 8
 ANSWERS = 2.0  # a second, from one engine to one instance: 20 instances with 16 queries a second each
 LATENCY = 0.2  # s of a lookup at a healthy engine
-KEEP, PRIOR = 0.6, 3.0  # decay factor per second, and prior in answers; as `policy.PACE_KEEP` and `policy.PACE_PRIOR`
+RETENTION = 0.6  # decay factor of the counts per second: `policy.engines.SLOWDOWN_RETENTION`, and a rebuild each s
+PRIOR_ANSWERS = 3.0  # weight of the prior, in answers, as `policy.engines.SLOWDOWN_PRIOR_ANSWERS`
 TIMES_SLOWER = 5.0  # slowdown factor of the slow engine
-OBSERVE_INTERVAL = 0.25  # s between two observations, as `service.HEALTH_INTERVAL`
+OBSERVE_INTERVAL = 0.25  # s between two observations, as `gossip.service.HEALTH_INTERVAL`
 
 
 class SimulatedObserver:
-    """One instance's observations of modelled engines, counted as the decision module's pace estimate counts them.
+    """One instance's observations of modelled engines, counted as `policy.engines.SlowdownEstimate` counts them.
 
     Lookups are sent at random times and take lognormal times. Attempts in flight count too, so that a slow engine is
     noticed before it answers.
@@ -44,37 +45,37 @@
 
     def __init__(self, seed: tuple[int, int]) -> None:
         self._rng = np.random.default_rng(seed)
-        self._out: list[list[tuple[float, float]]] = [[] for _ in range(ENGINES)]  # times sent and due
-        self._exposed, self._done, self._now = [0.0] * ENGINES, [0.0] * ENGINES, 0.0
+        self._in_flight: list[list[tuple[float, float]]] = [[] for _ in range(ENGINES)]  # times sent and due
+        self._normalized_time, self._completed, self._now = [0.0] * ENGINES, [0.0] * ENGINES, 0.0
 
-    def see(self, truth: Sequence[float], seconds: float) -> None:
+    def advance(self, truth: Sequence[float], seconds: float) -> None:
         """Simulate some seconds; attempts in flight keep the slowness with which they were sent."""
         begin, end = self._now, self._now + seconds
         for engine, times in enumerate(truth):
             for _ in range(int(self._rng.poisson(ANSWERS * seconds))):
                 sent = begin + float(self._rng.random()) * seconds
                 took = LATENCY * times * float(self._rng.lognormal(-0.08, 0.4))
-                self._out[engine].append((sent, sent + took))
-            for sent, due in self._out[engine]:
-                self._exposed[engine] += max(0.0, min(due, end) - max(sent, begin)) / LATENCY
-                self._done[engine] += due <= end
-            self._out[engine] = [(sent, due) for sent, due in self._out[engine] if due > end]
-            self._exposed[engine] *= KEEP**seconds
-            self._done[engine] *= KEEP**seconds
+                self._in_flight[engine].append((sent, sent + took))
+            for sent, due in self._in_flight[engine]:
+                self._normalized_time[engine] += max(0.0, min(due, end) - max(sent, begin)) / LATENCY
+                self._completed[engine] += due <= end
+            self._in_flight[engine] = [(sent, due) for sent, due in self._in_flight[engine] if due > end]
+            self._normalized_time[engine] *= RETENTION**seconds
+            self._completed[engine] *= RETENTION**seconds
         self._now = end
 
     def evidence(self) -> dict[tuple[int, int], EngineHealth]:
         """The observations, in the form that `local_evidence.observe_engines` returns."""
         found = {}
         for engine in range(ENGINES):
-            exposed, done = self._exposed[engine], self._done[engine]
-            slow = max((exposed + PRIOR) / (done + PRIOR), 0.0)
-            found[engine, 0] = EngineHealth(engine, 0, slow, 0.0, max(done, exposed))
+            normalized_time, completed = self._normalized_time[engine], self._completed[engine]
+            slow = max((normalized_time + PRIOR_ANSWERS) / (completed + PRIOR_ANSWERS), 0.0)
+            found[engine, 0] = EngineHealth(engine, 0, slow, 0.0, max(completed, normalized_time))
         return found
 
 
 class Trial:
-    """A cluster whose instances observe engines; some instances lie, others relay no rumours."""
+    """A cluster whose instances observe engines; liars report false states, silent instances relay no rumours."""
 
     def __init__(self, instances: int, liars: int, silent: int, seed: int, times: Timing | None = None) -> None:
         self.network = Network(seed, times)
@@ -101,7 +102,7 @@
         now = self.network.clock.now
         for instance in self.network.live():
             node, observer = instance.node, self.observers[instance.node.name]
-            observer.see(self.truth, OBSERVE_INTERVAL)
+            observer.advance(self.truth, OBSERVE_INTERVAL)
             own = observer.evidence()
             if node.name in self.liars:
                 self._lie(instance)
--- a/tealwing/lab/processes.py
+++ b/tealwing/lab/processes.py
@@ -132,7 +132,7 @@
         if now >= plan["slow_at"]:
             truth[2] = gossip_trial.TIMES_SLOWER
         with lock:
-            observer.see(truth, now - seen)
+            observer.advance(truth, now - seen)
             own = observer.evidence()
         seen = now
         with service.lock:
