--- a/tealwing/lab/demo.py
+++ b/tealwing/lab/demo.py
@@ -254,7 +254,7 @@
             overdue += sum(int(at > drained_at + GRACE) for at, _, _ in self._engines[name].record.wants)
         for key, times in self._keys.ran.items():
             twice += times > 1 and bool(key)
-        overloaded = sum(engine.model.pushed for engine in self._all)
+        overloaded = sum(engine.model.knowingly_overloaded for engine in self._all)
         return {"drain": overdue, "effects": twice, "cold": overloaded}
 
 
--- a/tealwing/lab/engines.py
+++ b/tealwing/lab/engines.py
@@ -22,10 +22,11 @@
 SLOTS = 16  # initial length of an engine's arrays of queries; they double as needed
 EPSILON = 1e-9  # s of work below which a query is done
 ROUNDS = 3  # of redistributing the capacity that queries at full speed leave unused
-FALL_WINDOW = 3.0  # s over which the work sent to a cold engine is summed
-FALL_MULTIPLE = 2.0  # of its current capacity that a cold engine survives
-FALL_SLACK = 1.1  # tolerance on that for random variation (the contract's "a little")
-INFORMED = 2 / 3  # share of the work from gateways that knew of the start at which they are to blame (contract)
+OVERLOAD_WINDOW = 3.0  # s over which the work sent to a cold engine is summed
+OVERLOAD_MULTIPLE = 2.0  # work in that window, over the current capacity, that a cold engine survives
+OVERLOAD_TOLERANCE = 1.1  # tolerance on that for random variation (the contract's "a little")
+# share of a cold engine's work sent by gateways that knew of its start, from which its crash is their fault (contract)
+INFORMED_SHARE = 2 / 3
 CAPACITY = 0.85  # utilization of the cores that counts as full capacity
 
 
@@ -65,7 +66,7 @@
     waits: bool  # whether it waits for a lock on its group
     done: Callable[[Run], None]
     slot: int = -1  # index in the engine's arrays; -1 once it has ended
-    still: bool = False  # whether it is blocked by a lock on its group
+    blocked: bool = False  # whether it is blocked by a lock on its group
     total: float = field(default=0.0)  # the work before any saving on a warm group
     started: float = 0.0
 
@@ -76,7 +77,8 @@
     def __init__(self, number: int, draw: Draw, clock: Any, rng: np.random.Generator, started: float = 0.0):
         self.number, self.draw, self.clock, self._rng = number, draw, clock, rng
         self.started, self.up, self.slow = started, True, 1.0
-        self.fell = self.pushed = False  # crashed by overload while cold; and by gateways that knew of its start
+        self.crashed_by_overload = False  # whether it was sent too much work while cold
+        self.knowingly_overloaded = False  # whether gateways that knew of its start sent that work
         self.served = 0.0  # s of completed work
         self._runs: list[Run] = []
         self._left, self._rate = np.zeros(SLOTS), np.zeros(SLOTS)
@@ -138,23 +140,23 @@
         self._update_blocked()
         self._update_rates()
 
-    def pressure(self, work: float, informed: bool = True) -> None:
+    def count_cold_send(self, work: float, informed: bool = True) -> None:
         """Count a send to the engine while it is cold; sends over its budget crash it permanently.
 
         work: the mean work of the class (s of one thread); informed: whether the sender knew of the engine's start.
-        `pushed` is set, a rule violation, if at least two thirds of the work came from informed senders.
+        `knowingly_overloaded` is set, a rule violation, if at least two thirds of the work came from informed senders.
         """
         if self.warm_up_progress() >= 1:
             return
         now = self.clock.now
         self._sent.append((now, work, informed))
-        while self._sent[0][0] <= now - FALL_WINDOW:
+        while self._sent[0][0] <= now - OVERLOAD_WINDOW:
             self._sent.popleft()
         capacity = CAPACITY * self.draw.cores * self.draw.speed * self.warm_up_progress()
         total = sum(sent for _, sent, _ in self._sent)
-        if total > FALL_SLACK * FALL_MULTIPLE * capacity * FALL_WINDOW:
-            self.fell, self.up = True, False
-            self.pushed = sum(sent for _, sent, knew in self._sent if knew) >= INFORMED * total
+        if total > OVERLOAD_TOLERANCE * OVERLOAD_MULTIPLE * capacity * OVERLOAD_WINDOW:
+            self.crashed_by_overload, self.up = True, False
+            self.knowingly_overloaded = sum(sent for _, sent, knew in self._sent if knew) >= INFORMED_SHARE * total
 
     def stop(self, run: Run) -> None:
         """Abort a query; its work is lost."""
@@ -235,11 +237,11 @@
         """Mark the queries that are blocked by a load's lock."""
         if not self._held:
             for run in self._runs:
-                run.still = False
+                run.blocked = False
             return
         for run in self._runs:
             holder = self._held.get(run.group)
-            run.still = holder is not None and holder is not run and (run.holds or run.waits)
+            run.blocked = holder is not None and holder is not run and (run.holds or run.waits)
 
     def _advance(self) -> None:
         """Subtract the work done since the last update, at the current rates."""
@@ -255,7 +257,7 @@
         if not k:
             return
         draw = self.draw
-        moving = np.array([not run.still for run in self._runs])
+        moving = np.array([not run.blocked for run in self._runs])
         threads = float(self._threads[:k][moving].sum())
         threads_per_core = threads / draw.cores
         total = 1.0 if threads_per_core <= draw.knee else (draw.knee / threads_per_core) ** draw.thrash
--- a/tealwing/lab/gossip_trial.py
+++ b/tealwing/lab/gossip_trial.py
@@ -30,7 +30,7 @@
 ENGINES = 8
 ANSWERS = 2.0  # a second, from one engine to one instance: 20 instances with 16 queries a second each
 LATENCY = 0.2  # s of a lookup at a healthy engine
-RETENTION = 0.6  # decay factor of the counts per second: `policy.engines.SLOWDOWN_RETENTION`, and a rebuild each s
+RETENTION = 0.6  # decay factor of the counts per second: `policy.engines.SLOWDOWN_RETENTION`, one rebuild a second
 PRIOR_ANSWERS = 3.0  # weight of the prior, in answers, as `policy.engines.SLOWDOWN_PRIOR_ANSWERS`
 TIMES_SLOWER = 5.0  # slowdown factor of the slow engine
 OBSERVE_INTERVAL = 0.25  # s between two observations, as `gossip.service.HEALTH_INTERVAL`
--- a/tealwing/lab/harness.py
+++ b/tealwing/lab/harness.py
@@ -78,10 +78,10 @@
     failed: Any  # number of failures
     shed: Any  # number of refusals by a service level
     attempts: Any  # number of attempts
-    twice: int = 0  # answers to a try that was already over
-    doubled: int = 0  # attempts sent while another was in flight
-    wrong: int = 0  # sends to engines that are not listed, or after the grace time of a drain
-    fell: int = 0  # cold engines overloaded by gateways that knew of their start
+    duplicate_answers: int = 0  # answers to a try that was already over
+    overlapping_attempts: int = 0  # attempts sent while another was in flight
+    forbidden_sends: int = 0  # sends to engines that are not listed, or after the grace time of a drain
+    overloaded: int = 0  # cold engines overloaded by gateways that knew of their start
 
 
 class Deployment:
@@ -111,7 +111,7 @@
         self._ids = [0] * settings.gateway_count
         self._drained: dict[tuple[int, int], float] = {}  # by gateway and engine, when the drain was announced
         self._started: dict[tuple[int, int], float] = {}  # by gateway and engine, the announced start of the engine
-        self._pushed = 0  # engines that were overloaded while cold and have since been restarted
+        self._overloaded_before_restart = 0  # engines that were overloaded while cold and have since been restarted
         self._mean_work = [
             float(arrivals.work[arrivals.cls == place].mean()) if (arrivals.cls == place).any() else 0.0
             for place in range(len(settings.classes))
@@ -145,7 +145,9 @@
         if len(self.arrivals):
             self.clock.at(self._columns[0][0], self._arrive, 0)
         self.clock.run(until)
-        self.outcomes.fell = self._pushed + sum(engine.pushed for engine in self.engines.values())
+        self.outcomes.overloaded = self._overloaded_before_restart + sum(
+            engine.knowingly_overloaded for engine in self.engines.values()
+        )
         return self.outcomes
 
     # Faults
@@ -175,7 +177,7 @@
 
     def _restart(self, number: int) -> None:
         old = self.engines[number]
-        self._pushed += old.pushed
+        self._overloaded_before_restart += old.knowingly_overloaded
         rng = np.random.default_rng((number, int(self.clock.now * 1e3)))
         self.engines[number] = engines.Engine(number, old.draw, self.clock, rng, self.clock.now)
         self._publish_health(number, api.Health.READY)
@@ -241,7 +243,7 @@
             self.clock.after(pause, self._try, client_try.request_index, client_try.number + 1)
 
     def _close(self, client_try: ClientTry) -> None:
-        self.outcomes.twice += client_try.over
+        self.outcomes.duplicate_answers += client_try.over
         client_try.over = True
 
     # Gateways
@@ -282,10 +284,10 @@
     def _send(self, client_try: ClientTry, number: int, timeout: float) -> None:
         outcomes, engine = self.outcomes, self.engines.get(number)
         informed = self._drained.get((client_try.gateway, number))
-        outcomes.doubled += client_try.attempt is not None
+        outcomes.overlapping_attempts += client_try.attempt is not None
         outcomes.attempts[client_try.request_index] += 1
         if engine is None or (informed is not None and self.clock.now > informed + self.settings.rules.drain_grace):
-            outcomes.wrong += 1
+            outcomes.forbidden_sends += 1
         assert engine is not None
         attempt = client_try.attempt = Attempt(client_try, client_try.sends, engine, self.clock.now)
         client_try.sends += 1
@@ -300,7 +302,7 @@
         if not engine.up:
             self._ended(attempt, api.AttemptResult.CONNECT_FAILED)
             return
-        engine.pressure(
+        engine.count_cold_send(
             self._mean_work[cls], self._started.get((attempt.client_try.gateway, engine.number)) == engine.started
         )
         if not engine.up:
@@ -334,7 +336,7 @@
             return
         self.clock.after(self.settings.progress_interval, self._send_progress, attempt)
         client_try, run = attempt.client_try, attempt.run
-        if run.still:
+        if run.blocked:
             kind, amount = api.ProgressKind.WAITING, 2.0
         else:
             kind, amount = api.ProgressKind.PROGRESS, attempt.engine.progress(run)
--- a/tealwing/lab/load_swing.py
+++ b/tealwing/lab/load_swing.py
@@ -106,7 +106,7 @@
 
 def broken(outcomes: RequestOutcomes) -> int:
     """Number of rule violations that the harness recorded."""
-    return outcomes.twice + outcomes.doubled + outcomes.wrong + outcomes.fell
+    return outcomes.duplicate_answers + outcomes.overlapping_attempts + outcomes.forbidden_sends + outcomes.overloaded
 
 
 def thresholds(plan: Plan, seed: int) -> dict[str, float]:
--- a/tealwing/lab/standins/engine.py
+++ b/tealwing/lab/standins/engine.py
@@ -210,7 +210,7 @@
             return
         cls = self._names.index(lane)
         query, kind = truth(self._seed, call, cls, self._mix, self._site), self._settings.classes[cls]
-        self.model.pressure(query.work)
+        self.model.count_cold_send(query.work)
         if not self.model.up:
             self._clock.at(now, self.crash)
             return
@@ -279,7 +279,7 @@
         if attempt.over or run is None or attempt.sock not in self._open:
             return
         self._clock.after(self._settings.progress_interval, self._send_progress, attempt)
-        note = b"why=parked,val=2" if run.still else b"why=frac,val=%.3f" % self.model.progress(run)
+        note = b"why=parked,val=2" if run.blocked else b"why=frac,val=%.3f" % self.model.progress(run)
         self._send(attempt.sock, attempt.call, b"status", note, b"")
 
     def _send(self, sock: socket.socket, *parts: bytes) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -172,5 +172,10 @@
     # A third of the engines crash at once and return cold after 5 s. The score was 0.946 before the changes for large
     # fleets.
     outcomes, found = run_forty_gateways(lose_zone, 0.6)
-    assert not outcomes.fell and not outcomes.wrong and not outcomes.doubled and not outcomes.twice
+    assert (
+        not outcomes.overloaded
+        and not outcomes.forbidden_sends
+        and not outcomes.overlapping_attempts
+        and not outcomes.duplicate_answers
+    )
     assert found.total > 0.97, found
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -111,10 +111,10 @@
     rig.clock.run(9.0)
     assert 1.5 < rig.ends["one"] < 2.0
     rig = Rig(started=1e-9)
-    rig.engine.pressure(1.1 * 2 * 0.32 * 0.85 * 8 * 3.0 * 0.99, informed=False)
+    rig.engine.count_cold_send(1.1 * 2 * 0.32 * 0.85 * 8 * 3.0 * 0.99, informed=False)
     assert rig.engine.up
-    rig.engine.pressure(1.0)
-    assert rig.engine.fell and not rig.engine.up and not rig.engine.pushed, (
+    rig.engine.count_cold_send(1.0)
+    assert rig.engine.crashed_by_overload and not rig.engine.up and not rig.engine.knowingly_overloaded, (
         "the sends came from gateways that did not know of the start"
     )
 
@@ -149,7 +149,9 @@
     made.slow([3], 2.0, 9.0, 6.0)
     made.drain(4, 5.0)
     outcomes = made.run(45.0)
-    assert not (outcomes.twice or outcomes.doubled or outcomes.wrong or outcomes.fell)
+    assert not (
+        outcomes.duplicate_answers or outcomes.overlapping_attempts or outcomes.forbidden_sends or outcomes.overloaded
+    )
     ended = ~np.isnan(outcomes.answered) | (outcomes.refused > 0) | (outcomes.failed > 0)
     assert ended.all() and (outcomes.attempts <= 3 * 2).all()
     assert not any(made._tries), "ended tries are forgotten"
@@ -182,6 +184,6 @@
     draws = site.draws(np.random.default_rng(4), 6)
     made = Deployment(settings, draws, arrivals.draw(np.random.default_rng(4), 40.0, 10.0, 3), Watch, 4)
     made.drain(2, 2.0)
-    assert not made.run(40.0).wrong and len(seen) == 3
+    assert not made.run(40.0).forbidden_sends and len(seen) == 3
     assert all(2.78 <= at <= 6.9 and health is api.Health.DRAINING for at, health in seen)
-    assert settings.rules.overload_multiple == engines.FALL_MULTIPLE
+    assert settings.rules.overload_multiple == engines.OVERLOAD_MULTIPLE
