--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -25,7 +25,7 @@
     for case in slow_start.CASES:
         for number in gateways or GATEWAYS:
             found = slow_start.play(case, number, range(seeds))
-            starts, windows = f"{found.fell} of {found.starts}", f"{100 * found.over / found.windows:.2f}%"
+            starts, windows = f"{found.overloaded} of {found.starts}", f"{100 * found.over / found.windows:.2f}%"
             figures = f"{starts:>11}  {windows:>12}  {found.used:6.2f}  {found.worst:7.2f}"
             print(f"{case.name:24} {number:8}  {figures}", flush=True)
 
--- a/tealwing/lab/arrivals.py
+++ b/tealwing/lab/arrivals.py
@@ -30,9 +30,9 @@
 )
 ACCOUNTS = (0.81, 0.19)  # shares of the requests by account
 GROUPS = 40  # groups of tables
-ZIPF = 0.7  # exponent of the popularity of table groups
+ZIPF_EXPONENT = 0.7  # of the popularity of table groups
 MEMORY_UNIT = 1250.0  # mean MB of a query of memory 1: at load 1 about four fifths of the engines' memory is in use
-ESTIMATE = 0.2  # spread of cost estimates: those that the brief calls "close"
+COST_ESTIMATE_SPREAD = 0.2  # standard deviation over mean of the estimate for a given work; the brief: "close"
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,14 +104,14 @@
     if surge is not None:
         weights[surge[0]] *= surge[1]
     account = rng.choice(len(accounts), n, p=_normalized(weights))
-    popularity = 1 / np.arange(1, GROUPS + 1) ** ZIPF
+    popularity = 1 / np.arange(1, GROUPS + 1) ** ZIPF_EXPONENT
     group = rng.choice(GROUPS, n, p=popularity / popularity.sum())
     work, need = np.empty(n), np.empty(n)
     for place, m in enumerate(mix):
-        of = cls == place
-        work[of] = lognormal(rng, m.work, m.spread, int(of.sum()))
-        need[of] = lognormal(rng, m.memory * MEMORY_UNIT, 0.5, int(of.sum()))
-    cost = work * lognormal(rng, 1.0, ESTIMATE, n)
+        selected = cls == place
+        work[selected] = lognormal(rng, m.work, m.spread, int(selected.sum()))
+        need[selected] = lognormal(rng, m.memory * MEMORY_UNIT, 0.5, int(selected.sum()))
+    cost = work * lognormal(rng, 1.0, COST_ESTIMATE_SPREAD, n)
     io = np.array([m.io for m in mix])[cls]
     gateway = rng.integers(0, gateways, n)
     return Arrivals(at, cls, account, gateway, work, cost, group, need, io)
--- a/tealwing/lab/client.py
+++ b/tealwing/lab/client.py
@@ -1,4 +1,4 @@
-"""A minimal MySQL client for load generation, on the project's own packet parser: one query at a time a session."""
+"""A minimal MySQL client for load generation, on the project's own packet parser: one query at a time per session."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 READ = 64 * 1024  # bytes read at once
 LOGIN_LIMIT = 5.0  # s that connecting and each step of the login may take
 FLAGS = PROTOCOL_41 | CONNECT_WITH_DB | PLUGIN_AUTH | SECURE_CONNECTION
-QUERY, PING, QUIT = 0x03, 0x0E, 0x01
+QUERY, PING, QUIT = 0x03, 0x0E, 0x01  # command bytes of the MySQL protocol
 REFUSED = (1040, 1203, 1226)  # MySQL error codes of a refusal: a retry is harmless
 
 
--- a/tealwing/lab/demo.py
+++ b/tealwing/lab/demo.py
@@ -45,7 +45,7 @@
     note: str
 
 
-def facts(gateways: int, me: int) -> dict[str, Any]:
+def platform_settings(gateways: int, me: int) -> dict[str, Any]:
     """The settings of one gateway, in the form of the platform's JSON."""
     settings = site.settings(gateways)
     ns = 1_000_000_000
@@ -122,7 +122,7 @@
             config = {
                 "name": f"n{me}", "listen": "127.0.0.1:0", "seed": f"{self._seed * 16 + me:x}",
                 "coordinator": self._coordinator.address, "known": self._coordinator.known,
-                "limits": {"sockets": 1024, "cores": 1.0}, "settings": facts(GATEWAYS, me),
+                "limits": {"sockets": 1024, "cores": 1.0}, "settings": platform_settings(GATEWAYS, me),
             }  # fmt: skip
             path = Path(self._directory.name) / f"n{me}.json"
             path.write_text(json.dumps(config))
@@ -245,7 +245,7 @@
         assert self._load is not None
         kind = self._settings.classes[cls]
         objective = kind.latency_objective + kind.objective_per_work * self._mix[cls].work / kind.threads
-        return _below(self._load.latency[name], objective)
+        return _count_up_to(self._load.latency[name], objective)
 
     def _rule_violations(self) -> dict[str, int]:
         """Rule violations by kind, from the engines' own records."""
@@ -258,7 +258,7 @@
         return {"drain": overdue, "effects": twice, "cold": overloaded}
 
 
-def _below(histogram: Any, seconds: float) -> int:
+def _count_up_to(histogram: Any, seconds: float) -> int:
     """Number of a histogram's values at or below a time."""
     count = 0
     for item in histogram.get_recorded_iterator():
--- a/tealwing/lab/engines.py
+++ b/tealwing/lab/engines.py
@@ -4,7 +4,8 @@
 their priorities. Throughput falls once the threads per core pass the knee, and all queries slow down once their memory
 exceeds the engine's. A load locks its group of tables while it runs: other loads of the group, and queries of classes
 that wait for locks, are blocked. Recently read groups are warm and read faster. An engine that starts is cold and
-crashes if it is sent too much work. Parameters are drawn from the ranges of the operators' brief; see `Draw`.
+crashes if it is sent too much work. Parameters are drawn from the ranges of the operators' brief:
+see `EngineParameters` and `site.draws`.
 
 The model advances between events only: rates are constant from one arrival or departure to the next.
 """
@@ -31,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Draw:
+class EngineParameters:
     """The parameters of one engine."""
 
     cores: int
@@ -74,8 +75,10 @@
 class Engine:
     """The model of one engine process."""
 
-    def __init__(self, number: int, draw: Draw, clock: Any, rng: np.random.Generator, started: float = 0.0):
-        self.number, self.draw, self.clock, self._rng = number, draw, clock, rng
+    def __init__(
+        self, number: int, parameters: EngineParameters, clock: Any, rng: np.random.Generator, started: float = 0.0
+    ):
+        self.number, self.parameters, self.clock, self._rng = number, parameters, clock, rng
         self.started, self.up, self.slow = started, True, 1.0
         self.crashed_by_overload = False  # whether it was sent too much work while cold
         self.knowingly_overloaded = False  # whether gateways that knew of its start sent that work
@@ -102,21 +105,21 @@
     def report(self) -> tuple[float, float]:
         """The load report (queue, inflight), refreshed every `report_every` seconds, with some noise."""
         if self.clock.now >= self._report_at:
-            self._report_at = self.clock.now + self.draw.report_every
-            noise = 1 + self.draw.noise * float(self._rng.standard_normal())
+            self._report_at = self.clock.now + self.parameters.report_every
+            noise = 1 + self.parameters.noise * float(self._rng.standard_normal())
             self._report = (0.0, float(max(0, round(len(self._runs) * noise))))
         return self._report
 
     def full(self) -> bool:
         """Whether all sessions are taken."""
-        return len(self._runs) >= self.draw.sessions * self.draw.cores
+        return len(self._runs) >= self.parameters.sessions * self.parameters.cores
 
     def warm_up_progress(self) -> float:
         """Current share of full capacity, which rises linearly from a cold start."""
         if self.started <= 0:
             return 1.0
-        passed = (self.clock.now - self.started) / self.draw.slow_start_time
-        share = self.draw.slow_start_share + (1 - self.draw.slow_start_share) * max(float(passed), 0.0)
+        passed = (self.clock.now - self.started) / self.parameters.slow_start_time
+        share = self.parameters.slow_start_share + (1 - self.parameters.slow_start_share) * max(float(passed), 0.0)
         return min(1.0, share)
 
     # Queries
@@ -127,12 +130,12 @@
         run.started, run.total = self.clock.now, run.work
         if run.group in self._warm:
             self._warm.move_to_end(run.group)
-            saved = run.io * self.draw.warm_gain
+            saved = run.io * self.parameters.warm_gain
             run.work *= 1 - saved
             run.io = (run.io - saved) / (1 - saved)
         else:
             self._warm[run.group] = None
-            if len(self._warm) > self.draw.warm_groups:
+            if len(self._warm) > self.parameters.warm_groups:
                 self._warm.popitem(last=False)
         self._add(run)
         if run.holds and run.group not in self._held:
@@ -152,7 +155,7 @@
         self._sent.append((now, work, informed))
         while self._sent[0][0] <= now - OVERLOAD_WINDOW:
             self._sent.popleft()
-        capacity = CAPACITY * self.draw.cores * self.draw.speed * self.warm_up_progress()
+        capacity = CAPACITY * self.parameters.cores * self.parameters.speed * self.warm_up_progress()
         total = sum(sent for _, sent, _ in self._sent)
         if total > OVERLOAD_TOLERANCE * OVERLOAD_MULTIPLE * capacity * OVERLOAD_WINDOW:
             self.crashed_by_overload, self.up = True, False
@@ -256,19 +259,21 @@
         k = len(self._runs)
         if not k:
             return
-        draw = self.draw
+        parameters = self.parameters
         moving = np.array([not run.blocked for run in self._runs])
         threads = float(self._threads[:k][moving].sum())
-        threads_per_core = threads / draw.cores
-        total = 1.0 if threads_per_core <= draw.knee else (draw.knee / threads_per_core) ** draw.thrash
+        threads_per_core = threads / parameters.cores
+        total = (
+            1.0 if threads_per_core <= parameters.knee else (parameters.knee / threads_per_core) ** parameters.thrash
+        )
         warm_up = self.warm_up_progress()
-        cores, disks = draw.cores * total * warm_up, draw.cores * draw.disks * warm_up
+        cores, disks = parameters.cores * total * warm_up, parameters.cores * parameters.disks * warm_up
         weight = self._weight[:k] * moving
         speed = np.minimum(water_filling(weight, self._cpu[:k], cores), water_filling(weight, self._io[:k], disks))
-        excess = float(self._need[:k].sum()) / draw.memory - 1
-        speed_factor = draw.speed / self.slow
+        excess = float(self._need[:k].sum()) / parameters.memory - 1
+        speed_factor = parameters.speed / self.slow
         if excess > 0:
-            speed_factor *= 1 - (1 - 1 / draw.page) * min(excess, 1.0)
+            speed_factor *= 1 - (1 - 1 / parameters.page) * min(excess, 1.0)
         rate = self._rate[:k] = speed * moving * self._threads[:k] * speed_factor
         with np.errstate(divide="ignore", invalid="ignore"):
             ends = np.where(rate > 0, self._left[:k] / rate, np.inf)
--- a/tealwing/lab/harness.py
+++ b/tealwing/lab/harness.py
@@ -90,7 +90,7 @@
     def __init__(
         self,
         settings: api.Settings,
-        draws: Sequence[engines.Draw],
+        draws: Sequence[engines.EngineParameters],
         arrivals: Arrivals,
         make: Make,
         seed: int,
@@ -134,8 +134,8 @@
             )
         ]
 
-    def _kind(self, draw: engines.Draw) -> int:
-        return next(i for i, kind in enumerate(self.settings.machine_kinds) if kind.cores == draw.cores)
+    def _kind(self, parameters: engines.EngineParameters) -> int:
+        return next(i for i, kind in enumerate(self.settings.machine_kinds) if kind.cores == parameters.cores)
 
     def run(self, until: float) -> RequestOutcomes:
         """Run the deployment until a time, with all arrivals before it; returns the outcomes."""
@@ -179,7 +179,7 @@
         old = self.engines[number]
         self._overloaded_before_restart += old.knowingly_overloaded
         rng = np.random.default_rng((number, int(self.clock.now * 1e3)))
-        self.engines[number] = engines.Engine(number, old.draw, self.clock, rng, self.clock.now)
+        self.engines[number] = engines.Engine(number, old.parameters, self.clock, rng, self.clock.now)
         self._publish_health(number, api.Health.READY)
 
     def _publish_health(self, number: int, health: api.Health) -> None:
--- a/tealwing/lab/load.py
+++ b/tealwing/lab/load.py
@@ -50,18 +50,18 @@
 class Load:
     """One run of a load."""
 
-    def __init__(self, order: LoadSpecification) -> None:
-        self._order = order
-        rng = np.random.default_rng((order.seed, 40))
-        shares = arrivals.ACCOUNTS if len(order.accounts) == len(arrivals.ACCOUNTS) else (1.0,) * len(order.accounts)
-        drawn = arrivals.draw(rng, order.rate, order.seconds, len(order.addresses), order.shape, order.mix, shares)
+    def __init__(self, spec: LoadSpecification) -> None:
+        self._spec = spec
+        rng = np.random.default_rng((spec.seed, 40))
+        shares = arrivals.ACCOUNTS if len(spec.accounts) == len(arrivals.ACCOUNTS) else (1.0,) * len(spec.accounts)
+        drawn = arrivals.draw(rng, spec.rate, spec.seconds, len(spec.addresses), spec.shape, spec.mix, shares)
         columns = (drawn.at, drawn.cls, drawn.account, drawn.gateway, drawn.cost, drawn.group, drawn.need)
         self._plan: list[tuple[Any, ...]] = list(zip(*(column.tolist() for column in columns), strict=True))
         self._next, self._lock = 0, threading.Lock()
         self._begun = 0.0
-        self.latency = {name: HdrHistogram(1, MAX_LATENCY, DIGITS) for name in order.names}
+        self.latency = {name: HdrHistogram(1, MAX_LATENCY, DIGITS) for name in spec.names}
         self.lateness = HdrHistogram(1, MAX_LATENCY, DIGITS)
-        self.ends: dict[str, Counter[str]] = {name: Counter() for name in order.names}
+        self.ends: dict[str, Counter[str]] = {name: Counter() for name in spec.names}
         self.rows = 0
 
     def run(self) -> dict[str, Any]:
@@ -70,7 +70,7 @@
         self._begun = time.monotonic() + 0.2  # s for the threads to start
         workers = [
             threading.Thread(target=self._run_session, name=f"load-{i}", daemon=True)
-            for i in range(min(self._order.sessions, max(len(self._plan), 1)))
+            for i in range(min(self._spec.sessions, max(len(self._plan), 1)))
         ]
         for worker in workers:
             worker.start()
@@ -93,9 +93,9 @@
                 time.sleep(wait)
             text = self._text(place, cls, account, cost, group, need)
             lateness = time.monotonic() - due
-            outcome, rows = self._send_query(sessions, gateway, text, self._order.deadlines[cls] - lateness)
+            outcome, rows = self._send_query(sessions, gateway, text, self._spec.deadlines[cls] - lateness)
             took = time.monotonic() - due
-            name = self._order.names[cls]
+            name = self._spec.names[cls]
             with self._lock:
                 self.lateness.record_value(max(round(lateness * 1e6), 1))
                 self.ends[name][outcome] += 1
@@ -111,7 +111,7 @@
         try:
             session = sessions.get(gateway)
             if session is None:
-                session = sessions[gateway] = Session(self._order.addresses[gateway])
+                session = sessions[gateway] = Session(self._spec.addresses[gateway])
             answer = session.query(text, left)
             return answer.outcome, answer.rows
         except TimeoutError:
@@ -123,13 +123,11 @@
         return outcome, 0
 
     def _text(self, place: int, cls: int, account: int, cost: float, group: int, need: float) -> bytes:
-        order = self._order
-        call = f"{order.seed & 0xFFFF:04x}{place:012x}"
-        fields = (
-            f"op={order.names[cls]},call={call},ttl={round(order.deadlines[cls] * 1e3)},org={order.accounts[account]}"
-        )
+        spec = self._spec
+        call = f"{spec.seed & 0xFFFF:04x}{place:012x}"
+        fields = f"op={spec.names[cls]},call={call},ttl={round(spec.deadlines[cls] * 1e3)},org={spec.accounts[account]}"
         fields += f",work={cost * 1e3:.1f},heap_mb={need:.0f}"
-        if order.names[cls] == "load":
+        if spec.names[cls] == "load":
             fields += f",dedupe={call}"
         return f"/* {fields} */ SELECT day, count(*), max(note) FROM sales_{group}.orders GROUP BY day".encode()
 
@@ -141,7 +139,7 @@
         tool_lateness = self.lateness.get_value_at_percentile(99.0) / 1e6 if self._plan else 0.0
         return {
             "asked": len(self._plan),
-            "seconds": self._order.seconds,
+            "seconds": self._spec.seconds,
             "ends": dict(total),
             "by_class": {
                 name: {
--- a/tealwing/lab/rig/configuration.py
+++ b/tealwing/lab/rig/configuration.py
@@ -43,7 +43,7 @@
     names: Sequence[str], number: int, seed: int, coordinator: str, known: Any, layout: Layout
 ) -> dict[str, Any]:
     """Return the platform's file of the process `names[number]`."""
-    settings, name = demo.facts(len(names), number), names[number]
+    settings, name = demo.platform_settings(len(names), number), names[number]
     settings["Allowed"] = settings["Allowed"] | {"Peers": True}
     if layout.zones:
         site = layout.site_of(name)
--- a/tealwing/lab/site.py
+++ b/tealwing/lab/site.py
@@ -76,13 +76,13 @@
     )
 
 
-def draws(rng: np.random.Generator, servers: int) -> list[engines.Draw]:
+def draws(rng: np.random.Generator, servers: int) -> list[engines.EngineParameters]:
     """Draw engine parameters from the brief's ranges; the kinds keep their shares in any number of engines."""
     found = []
     for i in range(servers):
         cores, memory, _ = MACHINES[(i + 1) * MACHINES[1][2] % 1 < i * MACHINES[1][2] % 1]
         found.append(
-            engines.Draw(
+            engines.EngineParameters(
                 cores=cores,
                 memory=memory,
                 speed=float(rng.uniform(0.9, 1.1)),
@@ -100,6 +100,6 @@
     return found
 
 
-def rate(draws_: list[engines.Draw], mean_work: float, load: float) -> float:
+def rate(draws_: list[engines.EngineParameters], mean_work: float, load: float) -> float:
     """Requests a second that put a load on these engines; load 1 is what they can just handle."""
     return load * WORK_AT_FULL_LOAD * sum(draw.cores * draw.speed for draw in draws_) / mean_work
--- a/tealwing/lab/slow_start.py
+++ b/tealwing/lab/slow_start.py
@@ -22,9 +22,9 @@
 
 MIX = ((0.81, 0.15), (0.135, 3.7), (0.055, 4.9))  # shares and work (s of one thread) of the site's classes
 LIGHT = ((1.0, 0.1),)  # one class of little work: N is large and its relative variation small
-MIDDLE = ((1.0, 0.5),)  # one class for which N is too small to split into fixed shares among twenty gateways
-BEFORE = 8.0  # s of traffic before the start, from which the gateways learn their rates
-UNEVEN = 0.7  # the nth gateway gets n**-UNEVEN of the first one's traffic; of 200, the first gets 15 times the mean
+MEDIUM = ((1.0, 0.5),)  # one class for which N is too small to split into fixed shares among twenty gateways
+LEARNING_TIME = 8.0  # s of traffic before the start, from which the gateways learn their rates
+TRAFFIC_SKEW = 0.7  # the nth gateway gets n**-0.7 of the first one's traffic; of 200, the first gets 15 times the mean
 BURST_AT = 1.0  # s after the start at which a burst begins; it lasts one window
 RESTARTS = (0.0, 1.5)  # s after the start; at each, a third of the gateways restarts
 STEP = 0.1  # s between the ends of the windows checked
@@ -41,22 +41,22 @@
     burst: float = 1.0  # factor on the traffic for one window
     restarts: bool = False  # two thirds of the gateways restart and lose what they learned
     failing: float = 0.0  # share of attempts at the cold engines that end with an error and are retried
-    few: float = 1.0  # factor on the traffic
+    traffic: float = 1.0  # factor on the traffic of the whole run
 
 
 CASES = (
     Case("mixed"),
     Case("light", LIGHT),
-    Case("middle", MIDDLE),
+    Case("middle", MEDIUM),
     Case("three at once", engines=3),
     Case("burst, mixed", burst=2.5),
     Case("burst, light", LIGHT, burst=2.5),
-    Case("burst, middle", MIDDLE, burst=2.5),
+    Case("burst, middle", MEDIUM, burst=2.5),
     Case("restarts, mixed", restarts=True),
     Case("restarts, light", LIGHT, restarts=True),
     Case("retries, mixed", failing=0.5),
     Case("retries, light", LIGHT, failing=0.5),
-    Case("a third of the traffic", few=1 / 3),
+    Case("a third of the traffic", traffic=1 / 3),
 )
 
 
@@ -67,7 +67,7 @@
     windows: int
     over: int  # windows over the bound
     starts: int
-    fell: int  # starts with any window over the bound, at whatever time it begins
+    overloaded: int  # starts with any window over the bound, at whatever time it begins
     used: float  # mean over the windows of the share of N that was sent
     worst: float  # sends of the fullest window relative to its bound
 
@@ -79,7 +79,7 @@
         sum(f.windows for f in each),
         sum(f.over for f in each),
         sum(f.starts for f in each),
-        sum(f.fell for f in each),
+        sum(f.overloaded for f in each),
         sum(f.used * f.windows for f in each) / sum(f.windows for f in each),
         max(f.worst for f in each),
     )
@@ -92,7 +92,7 @@
 
 def settings(case: Case, gateways: int) -> api.Settings:
     """The settings of each gateway, with tenant quotas that load the cores to api.CAPACITY_UTILIZATION."""
-    plain, request_rate = site.settings(gateways), rate(gateways) * case.few
+    plain, request_rate = site.settings(gateways), rate(gateways) * case.traffic
     rest = (
         request_rate * sum(share * work for share, work in case.mix) / api.CAPACITY_UTILIZATION - case.engines * CORES
     )
@@ -117,14 +117,14 @@
         self.modules = [Gateway(self.settings, seed * 1000 + n) for n in range(gateways)]
         self.generations = [0] * gateways  # number of restarts by gateway
         self.due: list[tuple[float, int, int, int, api.Event]] = []
-        self.offered, self.begin = 0, 100.0
+        self.sequence, self.begin = 0, 100.0
         self.requests: dict[int, int] = {}
         self.sent: dict[int, list[tuple[float, float]]] = {n + 1: [] for n in range(case.engines)}
 
     def schedule(self, at: float, n: int, event: api.Event) -> None:
         """Schedule an event for a gateway; it is dropped if the gateway has restarted by then."""
-        self.offered += 1
-        heapq.heappush(self.due, (at, self.offered, n, self.generations[n], event))
+        self.sequence += 1
+        heapq.heappush(self.due, (at, self.sequence, n, self.generations[n], event))
 
     def schedule_lists(self, at: float, n: int, warming_up: bool) -> None:
         """Schedule a gateway's first engine list and, if warming_up, the change that leaves only the cold engines."""
@@ -142,9 +142,9 @@
 
     def schedule_traffic(self, end: float) -> None:
         """Schedule Poisson arrivals at gateways with uneven traffic."""
-        weights = [(n + 1) ** -UNEVEN for n in range(self.gateways)]
+        weights = [(n + 1) ** -TRAFFIC_SKEW for n in range(self.gateways)]
         shares = [share for share, _ in self.case.mix]
-        at, peak_rate = self.begin - BEFORE, rate(self.gateways) * self.case.few * self.case.burst
+        at, peak_rate = self.begin - LEARNING_TIME, rate(self.gateways) * self.case.traffic * self.case.burst
         window = self.settings.rules.overload_time
         while (at := at + self.random.expovariate(peak_rate)) < end:
             bursts = BURST_AT <= at - self.begin < BURST_AT + window
@@ -153,16 +153,16 @@
             cls = self.random.choices(range(len(shares)), shares)[0]
             work, left = self.case.mix[cls][1] * self.random.uniform(0.5, 1.5), self.settings.classes[cls].deadline
             n = self.random.choices(range(self.gateways), weights)[0]
-            self.requests[self.offered] = cls
-            heapq.heappush(self.due, (at, self.offered, n, -1, api.Request(self.offered, cls, left, cost=work)))
-            self.offered += 1
+            self.requests[self.sequence] = cls
+            heapq.heappush(self.due, (at, self.sequence, n, -1, api.Request(self.sequence, cls, left, cost=work)))
+            self.sequence += 1
 
     def play(self) -> Found:
         """Play from the traffic before the start to the end of the slow start."""
         end = self.begin + self.settings.rules.slow_start_time
         self.schedule_traffic(end)
         for n in range(self.gateways):
-            self.schedule_lists(self.begin - BEFORE, n, warming_up=False)
+            self.schedule_lists(self.begin - LEARNING_TIME, n, warming_up=False)
             self.schedule(self.begin, n, self.list_change())
         restarts = [(self.begin + RESTARTS[n % 3], n) for n in range(self.gateways) if n % 3 < len(RESTARTS)]
         restarts = sorted(restarts) if self.case.restarts else []
@@ -200,7 +200,7 @@
                 self.schedule(now + took, n, done)
 
     def found(self) -> Found:
-        """Check windows against the bound: those that end at each step, and for `fell` those that end at each send."""
+        """Check windows against the bound: those ending at each step, and for `overloaded` those ending at each send."""
         rules, mean = self.settings.rules, sum(share * work for share, work in self.case.mix)
         full = rules.overload_multiple * api.CAPACITY_UTILIZATION * CORES * rules.overload_time / mean
 
@@ -208,7 +208,7 @@
             begun = max(end - rules.overload_time, 0.0) / rules.slow_start_time
             return full * (rules.slow_start_share + (1 - rules.slow_start_share) * begun)
 
-        windows = over = fell = 0
+        windows = over = overloaded = 0
         used = worst = 0.0
         for sent in self.sent.values():
             times, sums = [at for at, _ in sent], [0.0, *accumulate(work / mean for _, work in sent)]
@@ -221,8 +221,8 @@
                 over += window(end) > bound(allowed(end))
                 used += window(end) / allowed(end)
             fullest = max((window(at) / bound(allowed(at)) for at in times), default=0.0)
-            fell, worst = fell + (fullest > 1), max(worst, fullest)
-        return Found(windows, over, len(self.sent), fell, used / windows, worst)
+            overloaded, worst = overloaded + (fullest > 1), max(worst, fullest)
+        return Found(windows, over, len(self.sent), overloaded, used / windows, worst)
 
 
 def bound(allowed: float) -> float:
--- a/tealwing/lab/standins/engine.py
+++ b/tealwing/lab/standins/engine.py
@@ -18,8 +18,8 @@
 
 from tealwing import interface as api
 from tealwing.lab import arrivals
-from tealwing.lab.engines import Draw, Run
 from tealwing.lab.engines import Engine as Model
+from tealwing.lab.engines import EngineParameters, Run
 from tealwing.lab.realtime import RealClock
 from tealwing.resp import messages
 
@@ -113,7 +113,7 @@
     def __init__(
         self,
         settings: api.Settings,
-        draw: Draw,
+        parameters: EngineParameters,
         clock: RealClock,
         keys: Keys,
         seed: int,
@@ -125,7 +125,7 @@
     ) -> None:
         """Start listening; `seen` is called with the id of each arriving query and the site, and must not block."""
         self._mix, self._site, self._seen = mix, site.encode(), seen
-        self._settings, self._draw, self._clock, self._keys, self._seed = settings, draw, clock, keys, seed
+        self._settings, self._parameters, self._clock, self._keys, self._seed = settings, parameters, clock, keys, seed
         self._names = [cls.name.encode() for cls in settings.classes]
         self._rng = np.random.default_rng((seed, 77))
         self.misbehaviour, self.record = Misbehaviour(), EngineRecord()
@@ -133,7 +133,7 @@
         host, port = self._listener.getsockname()
         self.address = f"{host}:{port}"
         with clock.lock:
-            self.model = Model(1, draw, clock, self._rng, started)
+            self.model = Model(1, parameters, clock, self._rng, started)
         self._open: dict[socket.socket, dict[bytes, Attempt]] = {}
         threading.Thread(target=self._accept, name="standin-engine", daemon=True).start()
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,17 +12,17 @@
 from tealwing import interface as api
 from tealwing.lab import arrivals, engines, score, site
 from tealwing.lab.clock import Clock
-from tealwing.lab.engines import Draw, Engine, Run
+from tealwing.lab.engines import Engine, EngineParameters, Run
 from tealwing.lab.harness import Clients, Deployment
 from tealwing.policy import Gateway
 
-PLAIN = Draw(cores=8, memory=1e6, knee=100.0, disks=1000.0, warm_groups=1, warm_gain=0.0)
+PLAIN = EngineParameters(cores=8, memory=1e6, knee=100.0, disks=1000.0, warm_groups=1, warm_gain=0.0)
 
 
 class Rig:
     """One engine on a virtual clock, and the end times of its queries."""
 
-    def __init__(self, draw: Draw = PLAIN, started: float = 0.0) -> None:
+    def __init__(self, draw: EngineParameters = PLAIN, started: float = 0.0) -> None:
         self.clock = Clock()
         self.engine = Engine(1, draw, self.clock, np.random.default_rng(1), started)
         self.ends: dict[object, float] = {}
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -40,7 +40,7 @@
     name: str, gateways: int, seeds: int, least: float
 ) -> None:
     found = slow_start.play(CASES[name], gateways, range(seeds))
-    assert not found.fell and not found.over and found.worst <= 1, found
+    assert not found.overloaded and not found.over and found.worst <= 1, found
     assert found.used >= least, found
 
 
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tealwing.lab import arrivals
-from tealwing.lab.engines import Draw
+from tealwing.lab.engines import EngineParameters
 from tealwing.lab.load import Load, LoadSpecification, text
 from tealwing.lab.realtime import RealClock
 from tealwing.lab.standins.coordinator import Coordinator
@@ -35,7 +35,9 @@
     def __init__(self, folder: Path) -> None:
         self.clock = RealClock()
         self.keys = Keys(self.clock)
-        self.engines = [Engine(CALM, Draw(cores=8, memory=1e6), self.clock, self.keys, SEED, mix=MIX) for _ in range(2)]
+        self.engines = [
+            Engine(CALM, EngineParameters(cores=8, memory=1e6), self.clock, self.keys, SEED, mix=MIX) for _ in range(2)
+        ]
         self.coordinator = Coordinator([member(f"s-{i}", e.address) for i, e in enumerate(self.engines)])
         self.program = Program(folder, self.engines[0].address, self.coordinator.address, known=self.coordinator.known)
         self.address = self.program.address()
@@ -104,7 +106,7 @@
 
 def test_engine_stops_a_cancelled_query_and_rejects_unknown_requests() -> None:
     clock = RealClock()
-    engine = Engine(CALM, Draw(cores=1, memory=1e6), clock, Keys(clock), SEED)
+    engine = Engine(CALM, EngineParameters(cores=1, memory=1e6), clock, Keys(clock), SEED)
     host, _, port = engine.address.rpartition(":")
     with socket.create_connection((host, int(port)), LIMIT) as sock:
         parser = messages.Parser()
