--- a/benchmarks/capacity/change.py
+++ b/benchmarks/capacity/change.py
@@ -11,7 +11,7 @@
 from tealwing.lab.hollow.fleet import HollowFleet, HollowFleetError
 from tealwing.lab.hollow.requirements import FleetTooLargeError
 from tealwing.lab.rollout import trials
-from tealwing.lab.rollout.measure import share
+from tealwing.lab.rollout.measure import quantile
 from tealwing.rules.records import PartitionMode
 
 NAME = "change"
@@ -109,14 +109,14 @@
     """Measure changes in one partition mode at each size, in virtual time."""
     sizes = VIRTUAL_SMALL if options.small else VIRTUAL_SIZES
     series = []
-    found = [trials.sized(trials.shape(1, size, mode), VIRTUAL_CHANGES, SEED, 0.0)[0] for size in sizes]
+    found = [trials.run_and_measure(trials.shape(1, size, mode), VIRTUAL_CHANGES, SEED, 0.0)[0] for size in sizes]
     if wrong := [text for one_ in found for text in one_.wrong]:
         raise CapacityError(f"in virtual time, {mode}: {wrong[0]}")
     for name, unit, values in (
-        ("gap", "ms, median over changes and gateways", [share(one_.gaps, 0.5) * 1e3 for one_ in found]),
+        ("gap", "ms, median over changes and gateways", [quantile(one_.gaps, 0.5) * 1e3 for one_ in found]),
         ("open everywhere", "s, longest", [max(one_.opened, default=0.0) for one_ in found]),
-        ("messages of the leader", "a change", [share(one_.by_leader, 0.5) for one_ in found]),
-        ("messages of a gateway", "a change", [share(one_.by_gateway, 0.5) for one_ in found]),
+        ("messages of the leader", "a change", [quantile(one_.by_leader, 0.5) for one_ in found]),
+        ("messages of a gateway", "a change", [quantile(one_.by_gateway, 0.5) for one_ in found]),
         ("in force", "share of changes", [1 - one_.failed / max(1, one_.changes) for one_ in found]),
     ):
         points = tuple(Point(size, value) for size, value in zip(sizes, values, strict=True))
--- a/benchmarks/rollout_scale.py
+++ b/benchmarks/rollout_scale.py
@@ -9,7 +9,7 @@
 import time
 
 from tealwing.lab.rollout import trials
-from tealwing.lab.rollout.measure import Found, share
+from tealwing.lab.rollout.measure import Found, quantile
 from tealwing.rules.records import PartitionMode
 
 SEED = 20
@@ -32,7 +32,7 @@
             for loss in LOSSES:
                 if _is_wanted(f"{name}/{loss:g}", prefixes):
                     begun = time.monotonic()
-                    found, fleet = trials.sized(trials.shape(sites, gateways, mode), count, SEED, loss)
+                    found, fleet = trials.run_and_measure(trials.shape(sites, gateways, mode), count, SEED, loss)
                     print(_line(name, loss, found), flush=True)
                     took = time.monotonic() - begun
                     print(f"{name}: {fleet.clock.now:.0f} s in {took:.0f} s", *found.wrong[:3], file=sys.stderr)
@@ -42,10 +42,10 @@
                 alone = trials.cut_off(trials.shape(1, gateways, mode), 10, SEED)
                 ended = ", ".join(sorted(set(alone.ended)))
                 print(f"{gateways}/{mode}, one cut off: {len(alone.ended)} changes {ended} after "
-                      f"{share(alone.took, 0.5):.2f} s (p50), {max(alone.took):.2f} s (most); wrong: "
+                      f"{quantile(alone.took, 0.5):.2f} s (p50), {max(alone.took):.2f} s (most); wrong: "
                       f"{len(alone.wrong)}", *alone.wrong[:3], flush=True)  # fmt: skip
     if _is_wanted("sabotage", prefixes):
-        found, _ = trials.sized(trials.shape(1, 20, "serve", "early-open"), 10, SEED)
+        found, _ = trials.run_and_measure(trials.shape(1, 20, "serve", "early-open"), 10, SEED)
         print(f"20/serve with early-open: {len(found.wrong)} wrong, as", *found.wrong[:1], flush=True)
 
 
@@ -55,12 +55,12 @@
 
 def _line(name: str, loss: float, found: Found) -> str:
     def ms(values: list[float]) -> str:
-        return f"{share(values, 0.5) * 1e3:.1f} {share(values, 0.99) * 1e3:.1f}"
+        return f"{quantile(values, 0.5) * 1e3:.1f} {quantile(values, 0.99) * 1e3:.1f}"
 
     cells = (
         name, f"{loss:.0%}", found.changes, found.changes - found.failed, ms(found.gaps), ms(found.decided),
-        ms(found.opened), f"{share(found.by_gateway, 0.5):.1f}", f"{share(found.by_leader, 0.5):.0f}",
-        f"{share(found.entries, 0.5):.0f}", f"{len(found.waits)} of {found.clients}", ms(found.waits),
+        ms(found.opened), f"{quantile(found.by_gateway, 0.5):.1f}", f"{quantile(found.by_leader, 0.5):.0f}",
+        f"{quantile(found.entries, 0.5):.0f}", f"{len(found.waits)} of {found.clients}", ms(found.waits),
         len(found.wrong),
     )  # fmt: skip
     return "| " + " | ".join(map(str, cells)) + " |"
--- a/tealwing/lab/rollout/measure.py
+++ b/tealwing/lab/rollout/measure.py
@@ -28,7 +28,7 @@
     wrong: list[str] = field(default_factory=list)  # the violations found
 
 
-def share(values: list[float], part: float) -> float:
+def quantile(values: list[float], part: float) -> float:
     """Return the quantile of the values, `part` from 0 to 1; 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
--- a/tealwing/lab/rollout/trials.py
+++ b/tealwing/lab/rollout/trials.py
@@ -29,7 +29,7 @@
     return Shape(sites, gateways, VOTERS if sites == 1 else 3, Plan(partition_mode=mode, sabotage=sabotage))
 
 
-def sized(what: Shape, count: int, seed: int, loss: float = 0.01) -> tuple[Found, Fleet]:
+def run_and_measure(what: Shape, count: int, seed: int, loss: float = 0.01) -> tuple[Found, Fleet]:
     """Run and measure `count` rollouts; return the results and the fleet."""
     fleet = Fleet(what, seed, Costs(loss=loss))
     return changes(fleet, count), fleet
--- a/tealwing/lab/slow_start.py
+++ b/tealwing/lab/slow_start.py
@@ -200,7 +200,7 @@
                 self.schedule(now + took, n, done)
 
     def found(self) -> Found:
-        """Check windows against the bound: those ending at each step, and for `overloaded` those ending at each send."""
+        """Check the windows against the bound: those ending at each step; for `overloaded` those at each send."""
         rules, mean = self.settings.rules, sum(share * work for share, work in self.case.mix)
         full = rules.overload_multiple * api.CAPACITY_UTILIZATION * CORES * rules.overload_time / mean
 
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -11,7 +11,7 @@
 
 from tealwing.conf import reader
 from tealwing.lab.rollout import trials
-from tealwing.lab.rollout.measure import share
+from tealwing.lab.rollout.measure import quantile
 from tealwing.peers import inbound, section
 from tealwing.peers.errors import LinkError
 from tealwing.peers.plan import MAX_HEARTBEAT_RATE, LinkTimes, Plan
@@ -173,7 +173,7 @@
     # Guards against an overload of the leader: successive rounds with entries for all left it no time to handle the
     # members' messages, so they repeated them. For one change it sent 20 messages to each of 1,100 members, and three
     # to each of 200.
-    few, _ = trials.sized(trials.shape(1, 60, "serve"), 2, 3, loss=0.0)
-    many, _ = trials.sized(trials.shape(1, 300, "serve"), 2, 3, loss=0.0)
+    few, _ = trials.run_and_measure(trials.shape(1, 60, "serve"), 2, 3, loss=0.0)
+    many, _ = trials.run_and_measure(trials.shape(1, 300, "serve"), 2, 3, loss=0.0)
     assert few.wrong == many.wrong == [] and few.failed == many.failed == 0
-    assert share(many.by_leader, 0.5) / 300 < 1.6 * share(few.by_leader, 0.5) / 60
+    assert quantile(many.by_leader, 0.5) / 300 < 1.6 * quantile(few.by_leader, 0.5) / 60
--- a/tests/test_rollout_scale.py
+++ b/tests/test_rollout_scale.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tealwing.lab.rollout import trials
-from tealwing.lab.rollout.measure import share
+from tealwing.lab.rollout.measure import quantile
 from tealwing.replica import commands as c
 from tealwing.replica.forwarding.batching import batched
 from tealwing.replica.state import State
@@ -14,22 +14,23 @@
 
 @pytest.mark.parametrize("mode", ["serve", "hold"])
 def test_fleet_of_twenty_changes_as_quickly_as_fleet_of_five(mode: PartitionMode) -> None:
-    few, _ = trials.sized(trials.shape(1, 5, mode), 5, 3, loss=0.0)
-    many, fleet = trials.sized(trials.shape(1, 20, mode), 5, 3, loss=0.0)
+    few, _ = trials.run_and_measure(trials.shape(1, 5, mode), 5, 3, loss=0.0)
+    many, fleet = trials.run_and_measure(trials.shape(1, 20, mode), 5, 3, loss=0.0)
     for found in (few, many):
         assert found.wrong == [] and found.failed == 0 and len(found.decided) == 5 and found.clients > 50
-    assert share(many.gaps, 0.5) < 2 * share(few.gaps, 0.5) < 0.1
-    assert share(many.by_gateway, 0.5) <= share(few.by_gateway, 0.5)  # learners report too, and receive commits at once
-    assert share(many.by_leader, 0.5) < 8 * len(fleet.parts) and share(many.entries, 0.5) <= 14
-    again, _ = trials.sized(trials.shape(1, 20, mode), 5, 3, loss=0.0)
+    assert quantile(many.gaps, 0.5) < 2 * quantile(few.gaps, 0.5) < 0.1
+    # learners report too, and receive commits at once
+    assert quantile(many.by_gateway, 0.5) <= quantile(few.by_gateway, 0.5)
+    assert quantile(many.by_leader, 0.5) < 8 * len(fleet.parts) and quantile(many.entries, 0.5) <= 14
+    again, _ = trials.run_and_measure(trials.shape(1, 20, mode), 5, 3, loss=0.0)
     assert (again.gaps, again.waits) == (many.gaps, many.waits)
 
 
 @pytest.mark.parametrize("mode", ["serve", "hold"])
 def test_three_sites_change_together_despite_message_loss(mode: PartitionMode) -> None:
-    found, _ = trials.sized(trials.shape(3, 3, mode), 4, 3)
+    found, _ = trials.run_and_measure(trials.shape(3, 3, mode), 4, 3)
     assert found.wrong == [] and found.failed == 0
-    assert share(found.gaps, 0.5) < 0.25  # seven times the 20 ms between sites, and the work at each
+    assert quantile(found.gaps, 0.5) < 0.25  # seven times the 20 ms between sites, and the work at each
 
 
 def test_cut_off_gateway_aborts_change_in_serve_and_delays_it_in_hold() -> None:
@@ -41,7 +42,7 @@
 
 
 def test_judge_finds_member_that_opens_early() -> None:
-    found, _ = trials.sized(trials.shape(1, 20, "serve", "early-open"), 5, 20)
+    found, _ = trials.run_and_measure(trials.shape(1, 20, "serve", "early-open"), 5, 20)
     assert any("was answered" in wrong for wrong in found.wrong)  # found by the answers to clients
     assert any("an older one until" in wrong for wrong in found.wrong)  # and by the spans of decisions
 
