--- a/benchmarks/replica_state.py
+++ b/benchmarks/replica_state.py
@@ -53,7 +53,7 @@
         found["snapshot_peak_mb"] = peak(trial.processes[leader].pid, clear=True)
         process = trial.processes[other]
         process.kill()
-        process.bring_disk("none")
+        process.prepare_disk("none")
         begun = time.monotonic()
         process.start()
         process.ready()
--- a/tealwing/lab/faults/scenario.py
+++ b/tealwing/lab/faults/scenario.py
@@ -26,7 +26,7 @@
     "leader", "settled", "ready", "answered", "served", "phase:proposed", "phase:checked", "phase:preparing",
     "phase:agreed", "phase:active",
 ]  # fmt: skip
-NEEDS: dict[str, tuple[str, ...]] = {
+REQUIRED_KEYS: dict[str, tuple[str, ...]] = {  # by the step's `do`
     "partition": ("groups",),
     "isolate": ("who",),
     "cut": ("source", "target"),
@@ -105,7 +105,7 @@
         raise ScenarioError(f"{name}: {error}") from None
     last = 0.0
     for number, step in enumerate(found.step):
-        for key in NEEDS.get(step.do, ()):
+        for key in REQUIRED_KEYS.get(step.do, ()):
             if not getattr(step, key):
                 raise ScenarioError(f"{name}: step[{number}].{key}: missing; `{step.do}` needs it")
         if isinstance(step.groups, str) and step.groups not in ("", "halves", "leader-minority", "sites"):
--- a/tealwing/lab/harness.py
+++ b/tealwing/lab/harness.py
@@ -203,23 +203,23 @@
 
     # Clients
 
-    def _arrive(self, place: int) -> None:
+    def _arrive(self, request_index: int) -> None:
         at = self._columns[0]
-        if place + 1 < len(at):
-            self.clock.at(at[place + 1], self._arrive, place + 1)
-        self._try(place, 0)
+        if request_index + 1 < len(at):
+            self.clock.at(at[request_index + 1], self._arrive, request_index + 1)
+        self._try(request_index, 0)
 
-    def _try(self, place: int, number: int) -> None:
-        _, cls, account, gateway, _, cost, group, need, _ = (column[place] for column in self._columns)
+    def _try(self, request_index: int, number: int) -> None:
+        _, cls, account, gateway, _, cost, group, need, _ = (column[request_index] for column in self._columns)
         deadline = self.settings.classes[cls].deadline
         low, high = self.clients.patience
-        patience = deadline * (low + (high - low) * float(self._random_draws[place, 0]))
-        left = self._columns[0][place] + deadline - self.clock.now
+        patience = deadline * (low + (high - low) * float(self._random_draws[request_index, 0]))
+        left = self._columns[0][request_index] + deadline - self.clock.now
         ttl = min(patience, left)
         if ttl <= 0:
             return
         self._ids[gateway] += 1
-        client_try = ClientTry(place, number, gateway, self._ids[gateway], self.clock.now + ttl)
+        client_try = ClientTry(request_index, number, gateway, self._ids[gateway], self.clock.now + ttl)
         self._tries[gateway][client_try.id] = client_try
         self.clock.at(client_try.end, self._give_up, client_try)
         request = api.Request(client_try.id, cls, ttl, float(group), cost, 0, account, need, number > 0)
@@ -297,8 +297,8 @@
     def _arrive_at_engine(self, attempt: Attempt) -> None:
         if attempt.ended:
             return
-        engine, place = attempt.engine, attempt.client_try.request_index
-        _, cls, _, _, work, _, group, need, io = (column[place] for column in self._columns)
+        engine, request_index = attempt.engine, attempt.client_try.request_index
+        _, cls, _, _, work, _, group, need, io = (column[request_index] for column in self._columns)
         if not engine.up:
             self._ended(attempt, api.AttemptResult.CONNECT_FAILED)
             return
--- a/tealwing/lab/hollow/host.py
+++ b/tealwing/lab/hollow/host.py
@@ -61,9 +61,9 @@
     peering = member.peering
     traffic = peering.link.traffic()
     assert peering.replica is not None and peering.rules is not None
-    core, steering = peering.replica.core, peering.rules.gate_control
+    core, gate = peering.replica.core, peering.rules.gate_control
     return MemberMetrics(
-        member.name, core.role.value, peering.replica.state.applied, steering.in_force, steering.is_open,
+        member.name, core.role.value, peering.replica.state.applied, gate.in_force, gate.is_open,
         traffic.sent, traffic.sent_bytes, traffic.received, traffic.received_bytes,
     )  # fmt: skip
 
@@ -83,7 +83,7 @@
         if line.strip() == "stop":
             break
         print(msgspec.json.encode(host_metrics(members, held)).decode(), flush=True)
-    os._exit(0)  # threads need no orderly end: the members' disks are scratch folders
+    os._exit(0)  # without stopping the threads: the members' directories are temporary
 
 
 if __name__ == "__main__":
--- a/tealwing/lab/load_swing.py
+++ b/tealwing/lab/load_swing.py
@@ -27,7 +27,7 @@
 MEAN_WORK = sum(mix.share * mix.work for mix in arrivals.BRIEF)
 RISE = (0.4, 3.0, 130.0)  # first load, last load and duration in s of the rise that finds thresholds
 AFTER = 26.0  # s from the last arrival until all requests have ended: the longest deadline and 1 s more
-DEPTH = 0.35  # amplitude of a swing, as a share of the load at the threshold
+AMPLITUDE = 0.35  # amplitude of a swing, as a share of the load at the threshold
 FORMS = ("square", "sawtooth", "noise")
 FLOOD = 2.5  # load of a flood, relative to the usual load
 USUAL, CALM = 0.6, 0.47  # loads before a flood, and on a calm day (the operators' quiet days: 0.39 to 0.54)
@@ -48,7 +48,7 @@
 
     def shape(self) -> arrivals.Shape:
         """The load over time, relative to the mean."""
-        low, high = 1 - DEPTH, 1 + DEPTH
+        low, high = 1 - AMPLITUDE, 1 + AMPLITUDE
         if self.form == "square":
             return arrivals.square(low, high, self.period)
         if self.form == "sawtooth":
--- a/tealwing/lab/models/explore.py
+++ b/tealwing/lab/models/explore.py
@@ -71,13 +71,13 @@
             for step, go in model.steps(state):
                 steps += 1
                 after = go()
-                its = model.key(after)
-                if its in seen:
+                its_key = model.key(after)
+                if its_key in seen:
                     continue
-                seen[its] = key, step
+                seen[its_key] = key, step
                 if wrong := model.broken(after):
-                    return found(at, True, wrong, its)
-                next_level.append((its, after))
+                    return found(at, True, wrong, its_key)
+                next_level.append((its_key, after))
                 if len(seen) >= max_states:
                     return found(at - 1, False)
         level = next_level
--- a/tealwing/lab/models/leases.py
+++ b/tealwing/lab/models/leases.py
@@ -24,11 +24,11 @@
 NAME, TTL = "task", 2.0  # s
 DT = 0.5  # s of model time per time step
 COARSE = LeaseBounds(max_drift=0.25, max_step=0.0, loss_notice=0.01)
-IGNORED = LeaseBounds(max_drift=0.0, max_step=0.0, loss_notice=0.01)  # a mutation: clock drift is ignored
+NO_DRIFT = LeaseBounds(max_drift=0.0, max_step=0.0, loss_notice=0.01)  # a mutation: no allowance for clock drift
 RATES = (0.75, 1.25)  # speeds of the slow and the fast clock, in s per s
 
 
-class RenewsForGood(State):
+class RenewsAfterExpiry(State):
     """A mutation: a renewal is accepted even if the grant has expired or was replaced."""
 
     def _renew(self, index: int, name: str, token: int) -> c.CommandResult:
@@ -39,8 +39,8 @@
 
 MUTATIONS: dict[str, tuple[LeaseBounds, type[State]]] = {
     "": (COARSE, State),
-    "drift-ignored": (IGNORED, State),
-    "renewal-after-expiry": (COARSE, RenewsForGood),
+    "drift-ignored": (NO_DRIFT, State),
+    "renewal-after-expiry": (COARSE, RenewsAfterExpiry),
 }
 
 
--- a/tealwing/lab/models/rollout.py
+++ b/tealwing/lab/models/rollout.py
@@ -304,7 +304,7 @@
         return world.at * DT * node.rate
 
     def _run_shell(self, world: World, name: str) -> World:
-        """Do what the shell does: step the machine, write its marker, accept every check, submit its commands."""
+        """Do what rollout/runtime.py does: step the machine, write its marker, accept each check, submit commands."""
         node = world.nodes[name]
         now, machine = self._clock(world, node), node.machine
         views = [self._view(world, log, node.at[log], who) for log, who in self.logs_of(name).items()]
--- a/tealwing/lab/models/rollout_faults.py
+++ b/tealwing/lab/models/rollout_faults.py
@@ -26,9 +26,9 @@
             return registry.apply(tables, index, r.Closed(flight.number, body.member, body.start)).ok
         return begun
     if mutation == "one-clock" and isinstance(body, r.ConfirmExpiry):
-        body2 = r.ConfirmExpiry(body.member, body.expiry_index, "another")
+        confirmation = r.ConfirmExpiry(body.member, body.expiry_index, "another")
         tables["rule_members"]["another"] = r.Member(1, "hold")
-        registry.apply(tables, index, body2)
+        registry.apply(tables, index, confirmation)
         del tables["rule_members"]["another"]
     return registry.apply(tables, index, body).ok
 
--- a/tealwing/lab/network.py
+++ b/tealwing/lab/network.py
@@ -1,4 +1,4 @@
-"""A datagram network in virtual time, with delay, loss, reordering, copies and one-way or two-way cuts.
+"""A datagram network in virtual time, with delay, loss, reordering, duplicates and one-way or two-way cuts.
 
 Instances run `gossip.node.Node`, the code that runs on sockets; only the network and the clocks are modelled.
 """
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class LinkConditions:
-    """The network's treatment of datagrams."""
+    """The conditions under which the network delivers datagrams."""
 
     loss: float = 0.0  # probability that a datagram is lost
     copies: float = 0.0  # probability that a datagram is duplicated
--- a/tealwing/lab/rig/loads/lease.py
+++ b/tealwing/lab/rig/loads/lease.py
@@ -44,17 +44,17 @@
         self._span = begun, begun
 
     def _acquire(self, trial: Trial, address: str) -> None:
-        reply: dict[str, int] = {}
+        started_in: dict[str, int] = {}  # process id by name, of the processes that run the task
         while not self._clients.stopped.wait(0.1):
             for name, process in trial.processes.items():
-                if not process.running or process.stopped or reply.get(name) == process.pid:
+                if not process.running or process.stopped or started_in.get(name) == process.pid:
                     continue
                 connection, pid = ProcessConnection(trial, name), process.pid
                 try:
                     connection.call(
                         "lease.run", 1.0, name=LEASE, ttl_s=LEASE_TTL, resource=address, careless=self.careless
                     )
-                    reply[name] = pid or 0
+                    started_in[name] = pid or 0
                 except (RemoteCallError, OSError):
                     pass
                 connection.close()
@@ -76,13 +76,16 @@
         """Have no further process acquire the lease; running tasks go on until the resource stops."""
         self._clients.stop()
 
-    def finish(self, trial: Trial, alone: bool = True) -> None:
-        """Let the tasks run for a moment without faults, then record each tenure and, if alone, the copies' digests."""
+    def finish(self, trial: Trial, standalone: bool = True) -> None:
+        """Let the tasks run for a moment without faults, then record each tenure.
+
+        standalone: whether the load also records the digests of the replicas; as part of another load it does not.
+        """
         trial.stopping.wait(2.0)
         self._span = self._span[0], trial.history.now()
         if self._resource is not None:
             self._resource.stop()
-        if alone:
+        if standalone:
             RegisterLoad().finish(trial)
         holders = {}
         for name in trial.names:
--- a/tealwing/lab/rig/loads/power.py
+++ b/tealwing/lab/rig/loads/power.py
@@ -42,7 +42,7 @@
 
     def finish(self, trial: Trial) -> None:
         """Record the final state of the lease and of the registers."""
-        self._leases.finish(trial, alone=False)
+        self._leases.finish(trial, standalone=False)
         self._registers.finish(trial)
 
     def summary(self, events: Sequence[Event]) -> dict[str, Any]:
--- a/tealwing/lab/rig/loads/rules/load.py
+++ b/tealwing/lab/rig/loads/rules/load.py
@@ -49,7 +49,7 @@
         self._operators = operators = Operators(trial, watch, trial.layout.zones, self._limit)
         operators.only_plain = self._only_plain
         end, rng = time.monotonic() + SETUP_LIMIT, random.Random(trial.seed)
-        while operators.change(operators.anyone(rng), "move", "first", rng, None) != "active":
+        while operators.change(operators.random_running_process(rng), "move", "first", rng, None) != "active":
             if time.monotonic() > end:
                 trial.problems.append(f"no version of the rules came into force within {SETUP_LIMIT:g} s")
                 return
@@ -63,7 +63,7 @@
             self._clients.spawn(lambda name=name: self._watch_versions(trial, watch, name), f"load-v-{name}")  # type: ignore[misc]
         self._clients.spawn(lambda: operators.run(self._clients), "load-operators")
 
-    def keep_plain(self, only: bool) -> None:
+    def set_only_plain(self, only: bool) -> None:
         """Set whether operators make only plain changes, which come into force unless a fault prevents it."""
         self._only_plain = only
         if self._operators is not None:
@@ -80,7 +80,7 @@
             if not trial.processes[name].running or trial.processes[name].stopped:
                 continue
             try:
-                watch.look(connection)
+                watch.poll(connection)
             except (RemoteCallError, OSError):
                 connection.close()
         connection.close()
@@ -98,7 +98,7 @@
             self._make_last_change(trial, self._operators)
             self._wait_until_settled(trial, self._watch, connections)
             for connection in connections:
-                self._watch.end(connection)
+                self._watch.record_final_state(connection)
         for name in trial.names:
             for event in trial.processes[name].events():
                 if (what := GATE.get(event.get("event", ""))) is not None:
@@ -124,7 +124,7 @@
                     f" {phase or 'not decided'}",
                 )
                 return
-            phase = operators.change(operators.anyone(rng), "move", "last", rng, None)
+            phase = operators.change(operators.random_running_process(rng), "move", "last", rng, None)
 
     def _wait_until_settled(
         self, trial: Trial, watch: VersionWatcher, connections: Sequence[ProcessConnection]
@@ -133,11 +133,11 @@
         end = time.monotonic() + SETTLE_LIMIT
         while time.monotonic() < end:
             try:
-                found = [watch.look(connection) for connection in connections]
+                found = [watch.poll(connection) for connection in connections]
             except (RemoteCallError, OSError):
                 found = []
-            still = {(status["active"], status["in_force"]) for status in found}
-            if found and len(still) == 1 and not any(status["in_flight"] for status in found):
+            versions = {(status["active"], status["in_force"]) for status in found}
+            if found and len(versions) == 1 and not any(status["in_flight"] for status in found):
                 return
             trial.stopping.wait(0.1)
 
--- a/tealwing/lab/rig/loads/rules/operators.py
+++ b/tealwing/lab/rig/loads/rules/operators.py
@@ -50,10 +50,10 @@
             self._make_change(clients, rng, kind, "first")
 
     def _make_change(self, clients: Clients, rng: random.Random, kind: str, who: str) -> None:
-        if name := self.anyone(rng):
+        if name := self.random_running_process(rng):
             self.change(name, kind, who, rng, clients)
 
-    def anyone(self, rng: random.Random) -> str:
+    def random_running_process(self, rng: random.Random) -> str:
         """Return a random running process; empty if none runs."""
         running = [n for n, process in self._trial.processes.items() if process.running and not process.stopped]
         return rng.choice(running) if running else ""
@@ -107,9 +107,9 @@
         end = time.monotonic() + 2 * self._limit + WAIT
         while time.monotonic() < end and not (clients is not None and clients.stopped.is_set()):
             found: dict[int, dict[str, Any]] = {}
-            if name := self.anyone(rng):
+            if name := self.random_running_process(rng):
                 try:
-                    found = self._watch.show(self._connection(who, name), [version])
+                    found = self._watch.record_versions(self._connection(who, name), [version])
                 except OSError:
                     found = {}
             if version in found and found[version]["phase"] not in OPEN:
--- a/tealwing/lab/rig/loads/rules/traffic.py
+++ b/tealwing/lab/rig/loads/rules/traffic.py
@@ -42,13 +42,13 @@
             except OSError:  # no gateway received the query
                 session = None
                 continue
-            away = self._send_query(
+            pushback = self._send_query(
                 session, name, start, rng.randrange(MOVED) if moves else rng.randrange(MOVED, GROUPS)
             )
-            if away is None:
+            if pushback is None:
                 session.close()
                 session = None
-            pause = max(PAUSE, away or 0.0)
+            pause = max(PAUSE, pushback or 0.0)
         if session is not None:
             session.close()
 
--- a/tealwing/lab/rig/loads/rules/watch.py
+++ b/tealwing/lab/rig/loads/rules/watch.py
@@ -30,7 +30,7 @@
         self.last = 0  # highest version number seen
         self.active = 0  # highest version seen in force
 
-    def look(self, connection: ProcessConnection) -> dict[str, Any]:
+    def poll(self, connection: ProcessConnection) -> dict[str, Any]:
         """Return a process's status, and record the versions whose phase is new or has changed there."""
         status = connection.call("rules.status", LIMIT)
         flight = status["in_flight"]
@@ -39,10 +39,10 @@
             self.last = max(self.last, status["active"], flight["number"] if flight else 0)
             known = range(max(1, self.last - MAX_RETAINED), self.last + 1)
             open_ = [number for number in known if self._reported.get((connection.name, number)) not in FINAL_PHASES]
-        self.show(connection, open_)
+        self.record_versions(connection, open_)
         return status
 
-    def show(self, connection: ProcessConnection, numbers: Iterable[int]) -> dict[int, dict[str, Any]]:
+    def record_versions(self, connection: ProcessConnection, numbers: Iterable[int]) -> dict[int, dict[str, Any]]:
         """Return those of the versions that the process retains, and record each phase that is new there."""
         found = {}
         for number in numbers:
@@ -66,10 +66,10 @@
             )  # fmt: skip
         return found
 
-    def end(self, connection: ProcessConnection) -> bool:
+    def record_final_state(self, connection: ProcessConnection) -> bool:
         """Record a process's version in force and retained versions; return whether it has no change in flight."""
-        status = self.look(connection)
-        retained = self.show(connection, range(max(1, self.last - MAX_RETAINED + 1), self.last + 1))
+        status = self.poll(connection)
+        retained = self.record_versions(connection, range(max(1, self.last - MAX_RETAINED + 1), self.last + 1))
         flight = status["in_flight"]["number"] if status["in_flight"] else 0
         self._trial.history.add(
             "rules-end", process=connection.name, active=status["active"], in_force=status["in_force"],
--- a/tealwing/lab/rig/process.py
+++ b/tealwing/lab/rig/process.py
@@ -149,7 +149,7 @@
             if self.running and not was_stopped:
                 self.signal(signal.SIGCONT)
 
-    def bring_disk(self, which: str) -> None:
+    def prepare_disk(self, which: str) -> None:
         """Prepare the data folder for the next start: `kept` as it is, `old` from the saved copy, or `none`, empty."""
         assert not self.running
         if which == "old" and self.old.exists():
--- a/tealwing/lab/rig/process_faults.py
+++ b/tealwing/lab/rig/process_faults.py
@@ -35,11 +35,11 @@
             process.kill()
 
     def start(self, name: str, disk: str) -> None:
-        """Start a process if it does not run; disk: the data directory that it finds, as for `Process.bring_disk`."""
+        """Start a process if it does not run; disk: the data directory that it finds, as for `Process.prepare_disk`."""
         process = self._trial.processes[name]
         if process.running:
             return
-        process.bring_disk(disk)
+        process.prepare_disk(disk)
         self._history.add("starting", who=name)  # from here on it may send; `ready` is recorded later
         process.start()
         if disk != "kept":
--- a/tealwing/lab/rig/runs.py
+++ b/tealwing/lab/rig/runs.py
@@ -58,11 +58,10 @@
 ) -> TrialResult:
     """Run the trial; out: folder for history, logs and report, None to keep none.
 
-    injection_point: the sabotage whose injection point is forced, also on an unchanged program; that of `sabotage`
-    itself is forced in any case.
-
-    lost_touch: what gateways of the load `rules` do while they are cut off. sites: number of sites of the federation;
-    0 for none. learners: number of processes that follow the log without a vote.
+    lost_touch: partition mode of the gateways under the load `rules`, `serve` or `hold`. sites: number of sites of the
+    federation; 0 for none. learners: number of processes that follow the log without a vote. injection_point: the
+    sabotage whose injection point is forced; by default that of `sabotage`, if it has one. Named without a sabotage,
+    it is forced on unchanged processes.
     """
     _check_options(scenario, procs, sites, sabotage)
     if learners and (sites or scenario.workload == "echo" or procs - learners < 3):
--- a/tealwing/lab/rig/trial.py
+++ b/tealwing/lab/rig/trial.py
@@ -175,11 +175,11 @@
         self.history.add("begin", procs=len(self.names), seconds=self.seconds, scenario=self.scenario.title)
         self._load = load
         if self.injection_point is not None:
-            load.keep_plain(True)
+            load.set_only_plain(True)
         load.start(self)
         if self.injection_point is not None:
             FaultDirector(self, self.injection_point, conditions_required=True).play()
-            load.keep_plain(False)
+            load.set_only_plain(False)
             self.begun = time.monotonic()
         director = self.spawn(FaultDirector(self, self.scenario).play, "scenario")
         self.stopping.wait(self.seconds)
--- a/tealwing/lab/rollout/copies.py
+++ b/tealwing/lab/rollout/copies.py
@@ -27,7 +27,7 @@
     command: c.Command | None
     result: c.CommandResult | None
     tables: dict[str, dict[str, Any]]
-    plain: View  # no member's: `local_member` is None
+    plain: View  # the view of no particular member: `local_member` is None
 
     def view(self, name: str) -> View:
         """Return the view of the member of that name."""
--- a/tealwing/lab/rollout/fleet.py
+++ b/tealwing/lab/rollout/fleet.py
@@ -46,9 +46,9 @@
         self.logs: dict[str, list[Log]] = {}  # by log
         self.parts: dict[str, SimulatedMember] = {}  # by gateway
         federated = shape.sites > 1
-        few = {site: names[: min(3, len(names))] for site, names in self.gateways.items()}
-        voting = tuple(name for names in few.values() for name in names)
-        learning = tuple(n for site, names in self.gateways.items() for n in names if n not in few[site])
+        federation_voters = {site: names[: min(3, len(names))] for site, names in self.gateways.items()}
+        voting = tuple(name for names in federation_voters.values() for name in names)
+        learning = tuple(n for site, names in self.gateways.items() for n in names if n not in federation_voters[site])
         self.deciding = FEDERATION_LOG if federated else "s0"
         for site, names in self.gateways.items():
             for name in names:
--- a/tealwing/lab/rollout/logs.py
+++ b/tealwing/lab/rollout/logs.py
@@ -80,7 +80,7 @@
 
     def propose_if_leader(self, body: Any) -> None:
         """Propose a command if this member leads."""
-        self.put("ask", ForwardRequest(0, c.encode(c.Command("", 0, body))), lambda reply: None)
+        self.put("request", ForwardRequest(0, c.encode(c.Command("", 0, body))), lambda reply: None)
 
     def forward(self, body: Any) -> None:
         """Have the leader propose a command: this member or another."""
@@ -91,7 +91,7 @@
 
     def flush_commit(self) -> None:
         """If this member leads, send its commit index to all members at once."""
-        self.put("hurry")
+        self.put("flush-commit")
 
     def write(self, command: c.Command, wait: float) -> Step:
         """Submit a command; return its result, or None if that does not arrive in time."""
@@ -105,7 +105,7 @@
         if reply is None:
             return None
         reached = Signal(self._clock)
-        self.put("at", reply.index, _Reached(reached))
+        self.put("wait-for-index", reply.index, _Reached(reached))
         found = yield reached, max(0.0, end - self._clock.now)
         return reply.index if found else None
 
@@ -130,7 +130,7 @@
         request = ForwardRequest(number, request.command)
         self._requests[number] = signal, found
         if leader == self.host.name:
-            self.put("ask", request, self._on_reply)
+            self.put("request", request, self._on_reply)
         else:
             self.host.send(leader, self.name, "forward", request)
         end = self._clock.now + wait
@@ -152,7 +152,7 @@
         if isinstance(message, ForwardReply):
             self._on_reply(message)
         else:
-            self.put("ask", message, lambda reply: self.host.send(source, self.name, "forward", reply))
+            self.put("request", message, lambda reply: self.host.send(source, self.name, "forward", reply))
 
     # The member's thread
 
@@ -196,12 +196,12 @@
             case "message":
                 self.host.spend(self.host.network.costs.message)
                 self.core.step(now, item[1], item[2])
-            case "ask":
+            case "request":
                 self._request(now, item[1], item[2])
-            case "at":
+            case "wait-for-index":
                 self._waiting.wait_for_index(item[1], item[2])
                 self._waiting.index_reached(self.snapshot.index)
-            case "hurry":
+            case "flush-commit":
                 self.core.broadcast_commit(now)
 
     def _request(self, now: float, request: ForwardRequest, answer: Callable[[ForwardReply], None]) -> None:
--- a/tealwing/lab/rollout/sites.py
+++ b/tealwing/lab/rollout/sites.py
@@ -71,11 +71,13 @@
             return
         for confirmation in found:
             self._federation.forward(confirmation)
-        ours, theirs = self._delegate.due_proposals(now, self._site.snapshot.tables, snapshot.tables, snapshot.index)
-        for published in ours:
-            self._site.propose_if_leader(published)
-        for published in theirs:
-            self._federation.forward(published)
+        site_bodies, federation_bodies = self._delegate.due_proposals(
+            now, self._site.snapshot.tables, snapshot.tables, snapshot.index
+        )
+        for body in site_bodies:
+            self._site.propose_if_leader(body)
+        for body in federation_bodies:
+            self._federation.forward(body)
 
     def _is_reachable(self, site: str) -> bool:
         silent = self._site.host.network.silent(self._site.host.name)
