--- a/tealwing/lab/harness.py
+++ b/tealwing/lab/harness.py
@@ -116,7 +116,7 @@
             float(arrivals.work[arrivals.cls == place].mean()) if (arrivals.cls == place).any() else 0.0
             for place in range(len(settings.classes))
         ]
-        # drawn in advance, so that a try more or less does not change the random values of other requests
+        # drawn in advance, so that an extra or a missing try does not change the random values of other requests
         self._random_draws = self._rng.random((n, 4))
         self.modules = [make(settings, seed * 1000 + i) for i in range(settings.gateway_count)]
         self._columns = [
--- a/tealwing/lab/rig/loads/rules/operators.py
+++ b/tealwing/lab/rig/loads/rules/operators.py
@@ -19,7 +19,9 @@
 OPEN = ("proposed", "checked", "preparing", "agreed")  # phases of a change that is not decided
 WAIT = 1.0  # s that a proposal waits to be accepted
 PLAIN = "move"  # the kind of change that comes into force unless a fault prevents it
-KINDS = ("move",) * 7 + ("bad", "duel", "withdraw")  # kinds of changes, drawn with equal probability
+# Kinds of changes; each element is drawn with equal probability. `bad`: one process must reject it. `duel`: a
+# second operator proposes a change at the same time. `withdraw`: the operator withdraws it right after its proposal
+KINDS = ("move",) * 7 + ("bad", "duel", "withdraw")
 BETWEEN = (0.05, 0.4)  # s between two changes of one operator, least and most
 POLL = 0.02  # s between two checks of a change's phase
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Configuration of all tests: repeatable Hypothesis examples, known failures, and no watch that outlives its test."""
+"""Configuration of all tests: repeatable Hypothesis examples, known failures, and watch clients ended with a test."""
 
 from __future__ import annotations
 
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -26,7 +26,7 @@
     WORK_PER_REQUEST,
 )
 
-RECONNECT = 2.0  # s after a watch outage within which the gateway may not have received a drain
+RECONNECT = 2.0  # s after a watch outage in which a drain may still reach the gateway late
 SMALL_BUDGET = 30  # requests; a smaller budget gets a wider tolerance for chance, as in the standing test
 
 
@@ -96,8 +96,8 @@
         for attempt in attempts
         if attempt.engine == engine and started <= attempt.arrived_at < started + SLOW_START
     )
-    for place, end in enumerate(sent):
-        held = sum(1 for at in sent[: place + 1] if at > end - OVERLOAD_WINDOW)
+    for index, end in enumerate(sent):
+        held = sum(1 for at in sent[: index + 1] if at > end - OVERLOAD_WINDOW)
         most = upper_bound(budget(max(end - OVERLOAD_WINDOW - started, 0.0)))
         if held > most:
             yield (
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -101,9 +101,8 @@
         until(lambda: "sweep-drains" in run("lease", "list", *control)[1])
         until(lambda: "held by n" in run("lease", "show", *control, "sweep-drains")[1])
         holder = next(n for n in trial.names if f"held by {n}/" in run("lease", "show", *control, "sweep-drains")[1])
-        trial.processes[
-            holder
-        ].terminate()  # on SIGTERM the holder releases its lease, so the next one need not wait for the expiry
+        # on SIGTERM the holder releases its lease, so the next one need not wait for the expiry
+        trial.processes[holder].terminate()
         left = next(name for name in trial.names if name != holder)
         control = ("--control", "{}:{}".format(*trial.processes[left].control))
         until(lambda: "held by n" in (said := run("lease", "show", *control, "sweep-drains")[1]) and holder not in said)
