--- a/tealwing/lab/engines.py
+++ b/tealwing/lab/engines.py
@@ -4,7 +4,8 @@
 their priorities. Throughput falls once the threads per core pass the knee, and all queries slow down once their memory
 exceeds the engine's. A load locks its group of tables while it runs: other loads of the group, and queries of classes
 that wait for locks, are blocked. Recently read groups are warm and read faster. An engine that starts is cold and
-crashes if it is sent too much work. Parameters are drawn from the ranges of the operators' brief; see `Draw`.
+crashes if it is sent too much work. Parameters are drawn from the ranges of the operators' brief:
+see `EngineParameters` and `site.draws`.
 
 The model advances between events only: rates are constant from one arrival or departure to the next.
 """
@@ -22,15 +23,16 @@
 SLOTS = 16  # initial length of an engine's arrays of queries; they double as needed
 EPSILON = 1e-9  # s of work below which a query is done
 ROUNDS = 3  # of redistributing the capacity that queries at full speed leave unused
-FALL_WINDOW = 3.0  # s over which the work sent to a cold engine is summed
-FALL_MULTIPLE = 2.0  # of its current capacity that a cold engine survives
-FALL_SLACK = 1.1  # tolerance on that for random variation (the contract's "a little")
-INFORMED = 2 / 3  # share of the work from gateways that knew of the start at which they are to blame (contract)
+OVERLOAD_WINDOW = 3.0  # s over which the work sent to a cold engine is summed
+OVERLOAD_MULTIPLE = 2.0  # work in that window, over the current capacity, that a cold engine survives
+OVERLOAD_TOLERANCE = 1.1  # tolerance on that for random variation (the contract's "a little")
+# share of a cold engine's work sent by gateways that knew of its start, from which its crash is their fault (contract)
+INFORMED_SHARE = 2 / 3
 CAPACITY = 0.85  # utilization of the cores that counts as full capacity
 
 
 @dataclass(frozen=True, slots=True)
-class Draw:
+class EngineParameters:
     """The parameters of one engine."""
 
     cores: int
@@ -65,7 +67,7 @@
     waits: bool  # whether it waits for a lock on its group
     done: Callable[[Run], None]
     slot: int = -1  # index in the engine's arrays; -1 once it has ended
-    still: bool = False  # whether it is blocked by a lock on its group
+    blocked: bool = False  # whether it is blocked by a lock on its group
     total: float = field(default=0.0)  # the work before any saving on a warm group
     started: float = 0.0
 
@@ -73,10 +75,13 @@
 class Engine:
     """The model of one engine process."""
 
-    def __init__(self, number: int, draw: Draw, clock: Any, rng: np.random.Generator, started: float = 0.0):
-        self.number, self.draw, self.clock, self._rng = number, draw, clock, rng
+    def __init__(
+        self, number: int, parameters: EngineParameters, clock: Any, rng: np.random.Generator, started: float = 0.0
+    ):
+        self.number, self.parameters, self.clock, self._rng = number, parameters, clock, rng
         self.started, self.up, self.slow = started, True, 1.0
-        self.fell = self.pushed = False  # crashed by overload while cold; and by gateways that knew of its start
+        self.crashed_by_overload = False  # whether it was sent too much work while cold
+        self.knowingly_overloaded = False  # whether gateways that knew of its start sent that work
         self.served = 0.0  # s of completed work
         self._runs: list[Run] = []
         self._left, self._rate = np.zeros(SLOTS), np.zeros(SLOTS)
@@ -100,21 +105,21 @@
     def report(self) -> tuple[float, float]:
         """The load report (queue, inflight), refreshed every `report_every` seconds, with some noise."""
         if self.clock.now >= self._report_at:
-            self._report_at = self.clock.now + self.draw.report_every
-            noise = 1 + self.draw.noise * float(self._rng.standard_normal())
+            self._report_at = self.clock.now + self.parameters.report_every
+            noise = 1 + self.parameters.noise * float(self._rng.standard_normal())
             self._report = (0.0, float(max(0, round(len(self._runs) * noise))))
         return self._report
 
     def full(self) -> bool:
         """Whether all sessions are taken."""
-        return len(self._runs) >= self.draw.sessions * self.draw.cores
+        return len(self._runs) >= self.parameters.sessions * self.parameters.cores
 
     def warm_up_progress(self) -> float:
         """Current share of full capacity, which rises linearly from a cold start."""
         if self.started <= 0:
             return 1.0
-        passed = (self.clock.now - self.started) / self.draw.slow_start_time
-        share = self.draw.slow_start_share + (1 - self.draw.slow_start_share) * max(float(passed), 0.0)
+        passed = (self.clock.now - self.started) / self.parameters.slow_start_time
+        share = self.parameters.slow_start_share + (1 - self.parameters.slow_start_share) * max(float(passed), 0.0)
         return min(1.0, share)
 
     # Queries
@@ -125,12 +130,12 @@
         run.started, run.total = self.clock.now, run.work
         if run.group in self._warm:
             self._warm.move_to_end(run.group)
-            saved = run.io * self.draw.warm_gain
+            saved = run.io * self.parameters.warm_gain
             run.work *= 1 - saved
             run.io = (run.io - saved) / (1 - saved)
         else:
             self._warm[run.group] = None
-            if len(self._warm) > self.draw.warm_groups:
+            if len(self._warm) > self.parameters.warm_groups:
                 self._warm.popitem(last=False)
         self._add(run)
         if run.holds and run.group not in self._held:
@@ -138,23 +143,23 @@
         self._update_blocked()
         self._update_rates()
 
-    def pressure(self, work: float, informed: bool = True) -> None:
+    def count_cold_send(self, work: float, informed: bool = True) -> None:
         """Count a send to the engine while it is cold; sends over its budget crash it permanently.
 
         work: the mean work of the class (s of one thread); informed: whether the sender knew of the engine's start.
-        `pushed` is set, a rule violation, if at least two thirds of the work came from informed senders.
+        `knowingly_overloaded` is set, a rule violation, if at least two thirds of the work came from informed senders.
         """
         if self.warm_up_progress() >= 1:
             return
         now = self.clock.now
         self._sent.append((now, work, informed))
-        while self._sent[0][0] <= now - FALL_WINDOW:
+        while self._sent[0][0] <= now - OVERLOAD_WINDOW:
             self._sent.popleft()
-        capacity = CAPACITY * self.draw.cores * self.draw.speed * self.warm_up_progress()
+        capacity = CAPACITY * self.parameters.cores * self.parameters.speed * self.warm_up_progress()
         total = sum(sent for _, sent, _ in self._sent)
-        if total > FALL_SLACK * FALL_MULTIPLE * capacity * FALL_WINDOW:
-            self.fell, self.up = True, False
-            self.pushed = sum(sent for _, sent, knew in self._sent if knew) >= INFORMED * total
+        if total > OVERLOAD_TOLERANCE * OVERLOAD_MULTIPLE * capacity * OVERLOAD_WINDOW:
+            self.crashed_by_overload, self.up = True, False
+            self.knowingly_overloaded = sum(sent for _, sent, knew in self._sent if knew) >= INFORMED_SHARE * total
 
     def stop(self, run: Run) -> None:
         """Abort a query; its work is lost."""
@@ -235,11 +240,11 @@
         """Mark the queries that are blocked by a load's lock."""
         if not self._held:
             for run in self._runs:
-                run.still = False
+                run.blocked = False
             return
         for run in self._runs:
             holder = self._held.get(run.group)
-            run.still = holder is not None and holder is not run and (run.holds or run.waits)
+            run.blocked = holder is not None and holder is not run and (run.holds or run.waits)
 
     def _advance(self) -> None:
         """Subtract the work done since the last update, at the current rates."""
@@ -254,19 +259,21 @@
         k = len(self._runs)
         if not k:
             return
-        draw = self.draw
-        moving = np.array([not run.still for run in self._runs])
+        parameters = self.parameters
+        moving = np.array([not run.blocked for run in self._runs])
         threads = float(self._threads[:k][moving].sum())
-        threads_per_core = threads / draw.cores
-        total = 1.0 if threads_per_core <= draw.knee else (draw.knee / threads_per_core) ** draw.thrash
+        threads_per_core = threads / parameters.cores
+        total = (
+            1.0 if threads_per_core <= parameters.knee else (parameters.knee / threads_per_core) ** parameters.thrash
+        )
         warm_up = self.warm_up_progress()
-        cores, disks = draw.cores * total * warm_up, draw.cores * draw.disks * warm_up
+        cores, disks = parameters.cores * total * warm_up, parameters.cores * parameters.disks * warm_up
         weight = self._weight[:k] * moving
         speed = np.minimum(water_filling(weight, self._cpu[:k], cores), water_filling(weight, self._io[:k], disks))
-        excess = float(self._need[:k].sum()) / draw.memory - 1
-        speed_factor = draw.speed / self.slow
+        excess = float(self._need[:k].sum()) / parameters.memory - 1
+        speed_factor = parameters.speed / self.slow
         if excess > 0:
-            speed_factor *= 1 - (1 - 1 / draw.page) * min(excess, 1.0)
+            speed_factor *= 1 - (1 - 1 / parameters.page) * min(excess, 1.0)
         rate = self._rate[:k] = speed * moving * self._threads[:k] * speed_factor
         with np.errstate(divide="ignore", invalid="ignore"):
             ends = np.where(rate > 0, self._left[:k] / rate, np.inf)
--- a/tealwing/lab/standins/engine.py
+++ b/tealwing/lab/standins/engine.py
@@ -18,8 +18,8 @@
 
 from tealwing import interface as api
 from tealwing.lab import arrivals
-from tealwing.lab.engines import Draw, Run
 from tealwing.lab.engines import Engine as Model
+from tealwing.lab.engines import EngineParameters, Run
 from tealwing.lab.realtime import RealClock
 from tealwing.resp import messages
 
@@ -113,7 +113,7 @@
     def __init__(
         self,
         settings: api.Settings,
-        draw: Draw,
+        parameters: EngineParameters,
         clock: RealClock,
         keys: Keys,
         seed: int,
@@ -125,7 +125,7 @@
     ) -> None:
         """Start listening; `seen` is called with the id of each arriving query and the site, and must not block."""
         self._mix, self._site, self._seen = mix, site.encode(), seen
-        self._settings, self._draw, self._clock, self._keys, self._seed = settings, draw, clock, keys, seed
+        self._settings, self._parameters, self._clock, self._keys, self._seed = settings, parameters, clock, keys, seed
         self._names = [cls.name.encode() for cls in settings.classes]
         self._rng = np.random.default_rng((seed, 77))
         self.misbehaviour, self.record = Misbehaviour(), EngineRecord()
@@ -133,7 +133,7 @@
         host, port = self._listener.getsockname()
         self.address = f"{host}:{port}"
         with clock.lock:
-            self.model = Model(1, draw, clock, self._rng, started)
+            self.model = Model(1, parameters, clock, self._rng, started)
         self._open: dict[socket.socket, dict[bytes, Attempt]] = {}
         threading.Thread(target=self._accept, name="standin-engine", daemon=True).start()
 
@@ -210,7 +210,7 @@
             return
         cls = self._names.index(lane)
         query, kind = truth(self._seed, call, cls, self._mix, self._site), self._settings.classes[cls]
-        self.model.pressure(query.work)
+        self.model.count_cold_send(query.work)
         if not self.model.up:
             self._clock.at(now, self.crash)
             return
@@ -279,7 +279,7 @@
         if attempt.over or run is None or attempt.sock not in self._open:
             return
         self._clock.after(self._settings.progress_interval, self._send_progress, attempt)
-        note = b"why=parked,val=2" if run.still else b"why=frac,val=%.3f" % self.model.progress(run)
+        note = b"why=parked,val=2" if run.blocked else b"why=frac,val=%.3f" % self.model.progress(run)
         self._send(attempt.sock, attempt.call, b"status", note, b"")
 
     def _send(self, sock: socket.socket, *parts: bytes) -> None:
