--- a/tests/test_rules_judges.py
+++ b/tests/test_rules_judges.py
@@ -46,9 +46,8 @@
 
 
 def test_older_version_may_decide_queries_begun_before_a_newer_answer() -> None:
-    assert (
-        check_order(GOOD, 9.0) == [] and check_agreement(GOOD, 9.0) == []
-    )  # query 3 began at 1.9 s, before y answered at 2.0 s
+    # query 3 began at 1.9 s, before y answered at 2.0 s
+    assert check_order(GOOD, 9.0) == [] and check_agreement(GOOD, 9.0) == []
 
 
 @pytest.mark.parametrize("late", [query(5, 2.05, 2.6, "x"), query(5, 2.05, 2.6, "x", process="b")])
