--- a/tealwing/gateway/daemon.py
+++ b/tealwing/gateway/daemon.py
@@ -287,26 +287,26 @@
         if self._peering.feed is not None:
             self._peering.feed.engine_list_changed(self._decisions.engine_list, self._settings.rules)
 
-    def _apply_gossip(self, plan: GossipConfig | None) -> None:
-        """Start, change or stop gossip. Raises GossipConfigError, with nothing changed."""
-        link = self._gossip
-        if plan is None and link is None:
+    def _apply_gossip(self, config: GossipConfig | None) -> None:
+        """Start, reconfigure or stop gossip. Raises GossipConfigError, with nothing changed."""
+        gossip = self._gossip
+        if config is None and gossip is None:
             return
         from tealwing.gossip.errors import GossipConfigError  # imported only if gossip is or was on
         from tealwing.gossip.service import GossipService
 
-        if plan is not None and not self._settings.limits.peer_messages:
+        if config is not None and not self._settings.limits.peer_messages:
             raise GossipConfigError("gossip: the platform's settings forbid messages between gateways (Allowed.Peers)")
-        if plan is not None and link is not None:
-            link.change(plan)
-        elif plan is not None:
+        if config is not None and gossip is not None:
+            gossip.reconfigure(config)
+        elif config is not None:
             self._gossip = GossipService(
-                plan, partial(service_levels.fleet_evidence, self._decisions.change_module), self._decisions.submit
+                config, partial(service_levels.fleet_evidence, self._decisions.change_module), self._decisions.submit
             )
             self._gossip.start()
-        elif link is not None:
+        elif gossip is not None:
             self._gossip = None
-            link.stop()
+            gossip.stop()
             self._decisions.submit(api.EngineHealthEstimates({}))
 
     def _apply_levels(self, plan: Plan | None) -> None:
--- a/tealwing/gossip/service.py
+++ b/tealwing/gossip/service.py
@@ -100,8 +100,8 @@
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
 
-    def change(self, config: GossipConfig) -> None:
-        """Replace the keys by those of a configuration that was read again.
+    def reconfigure(self, config: GossipConfig) -> None:
+        """Apply a configuration that was read again; only its keys may differ from the one in force.
 
         Raises:
             GossipConfigError: a field differs that only changes at a restart; nothing is changed.
