--- a/tests/peers.py
+++ b/tests/peers.py
@@ -15,7 +15,7 @@
 
 from tealwing.mysql import packets
 from tealwing.resp import messages
-from tests.test_wire import FACTS
+from tests.test_wire import WIRE_SETTINGS
 
 LIMIT = 30.0  # s after which a wait fails; no test here waits for a fixed time
 ROOT = Path(__file__).parent.parent
@@ -23,7 +23,7 @@
 # the deployed command, but with this interpreter, with asserts enabled and without TEALWING_CONF
 RUN = DEPLOYED.replace(".venv/bin/python -O", sys.executable).replace("TEALWING_CONF=deploy/tealwing.conf ", "")
 GRADE = {"Credit": 1, "DeadlineNs": 20_000_000_000, "Effect": "repeatable", "TargetNs": 1_000_000_000}
-SETTINGS = FACTS | {
+SETTINGS = WIRE_SETTINGS | {
     "Accounts": [{"Name": "acme", "QuotaRps": 5.0, "Share": 1.0}],
     "Clients": {"MarksRetry": False},
     "Grades": [
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,7 +11,7 @@
 
 from tealwing import wire
 from tealwing.adapter import Host
-from tests.test_wire import FACTS
+from tests.test_wire import WIRE_SETTINGS
 
 INSTANCES = (1, 2, 3)
 
@@ -22,7 +22,7 @@
 
 
 def start_records(instance: int, settings_json: bytes | None = None) -> list[bytes]:
-    settings_json = json.dumps(FACTS).encode() if settings_json is None else settings_json
+    settings_json = json.dumps(WIRE_SETTINGS).encode() if settings_json is None else settings_json
     entries = b"".join(struct.pack(">IBHHBfQ", 10 + n, 0, 0, n, 1, 1.0, 0) for n in range(3))
     return [
         struct.pack(">BHQI", 80, instance, instance, len(settings_json)) + settings_json,
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -16,7 +16,7 @@
 from tealwing.mysql import packets
 from tealwing.policy import Engine, Gateway
 from tests.peers import Client, Peer, Program, event, member, request, say
-from tests.test_watch import ONE, TWO, make
+from tests.test_watch import ONE, TWO, make_daemon
 
 HOUR, FEW_SECONDS = 3600.0, 5.0
 DISCOVERY_DELAY = 1.5  # s from an engine's start until it is listed
@@ -71,7 +71,7 @@
     # guards against trust in the wall clock: an hour ahead, every cold engine looked warm; an hour behind, it stayed
     # cold for an hour
     clock.step = step
-    daemon = make(tmp_path, ("127.0.0.1", 1))
+    daemon = make_daemon(tmp_path, ("127.0.0.1", 1))
     assert is_just_started(daemon, clock.list_engine(daemon, 2))
 
 
@@ -81,7 +81,7 @@
     step: float, along: bool, tmp_path: Path, clock: Clock
 ) -> None:
     # along: the clock that gives the listed start times is stepped by as much
-    daemon = make(tmp_path, ("127.0.0.1", 1))
+    daemon = make_daemon(tmp_path, ("127.0.0.1", 1))
     clock.step = step
     assert is_just_started(daemon, clock.list_engine(daemon, 2, step if along else 0.0))
 
@@ -90,12 +90,12 @@
     clock.step = -HOUR
     started = round((time.time() + HOUR) * 1e3)
     known = {"index": 1, "updates": [event(1, member("s-1", "127.0.0.1:1", up_since_ms=started))]}
-    daemon = make(tmp_path, ("127.0.0.1", 1), known=known)
+    daemon = make_daemon(tmp_path, ("127.0.0.1", 1), known=known)
     assert slow_start_left(daemon, find_engine(daemon, ONE)) <= find_engine(daemon, ONE).rules.slow_start_time + 0.1
 
 
 def test_restarted_engine_with_an_earlier_start_time_gets_slow_start_again(tmp_path: Path, clock: Clock) -> None:
-    daemon = make(tmp_path, ("127.0.0.1", 1))
+    daemon = make_daemon(tmp_path, ("127.0.0.1", 1))
     first = clock.list_engine(daemon, 2)
     second = clock.list_engine(daemon, 3, -HOUR)
     assert second is not first and find_engine(daemon, TWO) is second
@@ -103,7 +103,7 @@
 
 
 def test_start_time_that_is_listed_again_is_the_same_start(tmp_path: Path, clock: Clock) -> None:
-    daemon = make(tmp_path, ("127.0.0.1", 1))
+    daemon = make_daemon(tmp_path, ("127.0.0.1", 1))
     clock.step = HOUR
     first = clock.list_engine(daemon, 2)
     started = first.started
@@ -160,7 +160,7 @@
 def test_cached_engine_that_is_listed_again_keeps_its_start_time(tmp_path: Path, clock: Clock) -> None:
     started = round((time.time() - 60) * 1e3)
     first = member("s-1", "127.0.0.1:1", up_since_ms=started)
-    daemon = make(tmp_path, ("127.0.0.1", 1), known={"index": 1, "updates": [event(1, first)]})
+    daemon = make_daemon(tmp_path, ("127.0.0.1", 1), known={"index": 1, "updates": [event(1, first)]})
     apply_event(daemon, event(2, first | {"phase": "removed"}))
     apply_event(daemon, event(3, first))
     assert slow_start_left(daemon, find_engine(daemon, ONE)) < 0
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -25,7 +25,7 @@
 from tealwing.resp.errors import ConnectError
 from tests.peers import LIMIT, Client, member, request, say
 from tests.test_departures import ONE_ROW_PAGE, GatewayHarness, request_id, wait_until
-from tests.test_watch import make
+from tests.test_watch import make_daemon
 
 GATEWAY_THREADS = {"session", "session-limits", "engine-reader"}  # thread names
 MAX_CALLS = 12  # upper bound of the calls of one kind that two requests make
@@ -306,7 +306,7 @@
         host, _, port = coordinator.address.partition(":")
         with monkeypatch.context() as context:
             context.setattr(socket.socket, method, fault.wrap(getattr(socket.socket, method)))
-            daemon = make(tmp_path, (host, int(port)))
+            daemon = make_daemon(tmp_path, (host, int(port)))
             daemon.start()
             for number in range(2, 6):
                 coordinator.publish([member(f"s-{number}", "127.0.0.1:1")])
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -232,7 +232,7 @@
 # The daemon: an update is applied completely or requested again
 
 
-def make(folder: Path, address: tuple[str, int], **changes: Any) -> Daemon:
+def make_daemon(folder: Path, address: tuple[str, int], **changes: Any) -> Daemon:
     """Return a daemon with the cached engine s-1 that watches the coordinator at the address."""
     known = changes.pop("known", {"index": 1, "updates": [event(1, member("s-1", "127.0.0.1:1"))]})
     config = {"name": "n0", "listen": "127.0.0.1:0", "seed": "1f", "coordinator": f"{address[0]}:{address[1]}"}
@@ -258,7 +258,7 @@
     step: str, tmp_path: Path, coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # guards against an update that counts as applied although the module failed halfway through the list
-    daemon, faults = make(tmp_path, coordinator.address), SimpleQueue[str]()
+    daemon, faults = make_daemon(tmp_path, coordinator.address), SimpleQueue[str]()
     faults.put("once")
 
     def failing(call_original: Callable[..., Any]) -> Callable[..., Any]:
@@ -293,7 +293,7 @@
 def test_repeatedly_failing_update_blocks_neither_its_other_members_nor_later_updates(
     tmp_path: Path, coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    daemon, take = make(tmp_path, coordinator.address), Gateway._apply_engine_list
+    daemon, take = make_daemon(tmp_path, coordinator.address), Gateway._apply_engine_list
 
     def failing(self: Gateway, engine_list: api.EngineList) -> None:
         if any(entry.engine == TWO for entry in engine_list.entries):
@@ -325,7 +325,7 @@
     tmp_path: Path, coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # covers a drain right after a return, and a removal together with a start at the same address
-    daemon, applied, take = make(tmp_path, coordinator.address), [], Gateway._apply_engine_list
+    daemon, applied, take = make_daemon(tmp_path, coordinator.address), [], Gateway._apply_engine_list
 
     def record(self: Gateway, engine_list: api.EngineList) -> None:
         take(self, engine_list)
@@ -369,7 +369,7 @@
     tmp_path: Path, coordinator: Coordinator, log_events: LogRecorder
 ) -> None:
     # guards against updates parsed under the settings of the start, and a new module that gets the old numbers
-    daemon = make(tmp_path, coordinator.address)
+    daemon = make_daemon(tmp_path, coordinator.address)
     daemon.start()
     sock, _ = coordinator.watch()
     other = {"locality": "y", "flavor": "l"}
@@ -398,7 +398,7 @@
     tmp_path: Path, coordinator: Coordinator, log_events: LogRecorder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # the update is parsed under the old settings, and held back until the new ones are in force
-    daemon, reading, change = make(tmp_path, coordinator.address), threading.Event(), threading.Event()
+    daemon, reading, change = make_daemon(tmp_path, coordinator.address), threading.Event(), threading.Event()
     update = daemon._engines.update
 
     def wait(*args: Any) -> None:
@@ -419,7 +419,7 @@
 
 def test_max_deadline_covers_settings_in_force_and_open_requests(tmp_path: Path) -> None:
     # guards against a drain that uses the longest deadline of the configuration at the start
-    daemon = make(tmp_path, ("127.0.0.1", 1))
+    daemon = make_daemon(tmp_path, ("127.0.0.1", 1))
     grades = [grade | {"DeadlineNs": 1_000_000_000} for grade in SETTINGS["Grades"]]
     assert daemon.max_deadline == 20.0
     held = daemon._decisions.register(b"1" * 16, SimpleQueue(), daemon._decisions.settings)
@@ -435,7 +435,7 @@
 ) -> None:
     from tealwing.admin.server import AdminServer
 
-    daemon = make(tmp_path, coordinator.address)
+    daemon = make_daemon(tmp_path, coordinator.address)
     admin = AdminServer(("127.0.0.1", 0), lambda: True, daemon.metrics.statsd_lines)
     admin.start()
     daemon.start()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,8 @@
 from tealwing import interface as api
 from tealwing import wire
 
-FACTS: dict[str, Any] = {
+# the settings as the simulator sends them, before their encoding as JSON
+WIRE_SETTINGS: dict[str, Any] = {
     "Allowed": {
         "Cancelling": True,
         "MaxAttempts": 3,
@@ -169,7 +170,7 @@
 
 
 def test_settings_are_read_and_unknown_keys_ignored() -> None:
-    got = wire.parse_settings(json.dumps(FACTS).encode())
+    got = wire.parse_settings(json.dumps(WIRE_SETTINGS).encode())
     cls = got.classes[0]
     assert (cls.latency_objective, cls.deadline, cls.priority_weight, cls.threads) == (1.0, 5.0, 2.0, 2)
     assert (cls.idempotency, cls.idempotency_scope, cls.idempotency_window) == (
@@ -184,7 +185,7 @@
 
 
 def changed(path: str, value: Any) -> bytes:
-    settings = json.loads(json.dumps(FACTS))
+    settings = json.loads(json.dumps(WIRE_SETTINGS))
     *parents, last = path.split(".")
     place = settings
     for name in parents:
