--- a/tealwing/mysql/server.py
+++ b/tealwing/mysql/server.py
@@ -77,30 +77,33 @@
         self.on_unread_age: Callable[[float], None] | None = None  # called with the age (s) of the input read
         self._max_clients, self._reserved_places = max_clients, max(1, max_clients // RESERVE_DIVISOR)
         self._max_threads = min(max_clients, max_threads or max_clients)
-        self._numbers = itertools.count(1)
+        self._numbers = itertools.count(1)  # connection ids
+        # its lock guards the sessions, lingering connections, armed descriptors and thread counts; notified when a
+        # session ends or a thread has served one
         self._changed = threading.Condition()
-        self._sessions: dict[int, Session] = {}
-        # sessions that have ended, but whose connections are still open
+        self._sessions: dict[int, Session] = {}  # by connection id
+        # sessions that have ended, but whose connections are still open, by connection id
         self._lingering: Lingering[Session] = Lingering(self._reserved_places)
         self._waiting: dict[int, Session] = {}  # by descriptor: sessions in the epoll set
-        self._armed: set[int] = set()  # descriptors armed for input; the thread that claims the event removes its one
+        self._armed: set[int] = set()  # descriptors armed for input; the thread that claims one's event removes it
         self._deferred: deque[Session] = deque()  # ready sessions waiting for a free thread
         self._threads = self._free = 0  # number of threads, and of idle ones
-        self._busy_since = 0.0  # monotonic; since when no thread has been free; 0 if one is
+        # monotonic; when the last free thread took a session; 0 once a free thread finds no ready session
+        self._busy_since = 0.0
         self._busy = threading.Event()  # set while no thread is free
         self._unarmed: deque[Session] = deque()  # sessions that epoll had no room to arm; retried periodically
-        self._accept_fails = False  # since the last accepted client; an episode is logged once
-        self._listener_unarmed = False  # the listening socket could not be armed
+        self._accept_fails = False  # accept has failed since the last accepted client; logged once per episode
+        self._listener_unarmed = False  # epoll had no room to arm the listening socket; retried periodically
         self._accept_blocked = False  # no client is accepted until a descriptor is free or a session may be evicted
-        # `_stopping`: no more clients are accepted; `_over`: all threads of the server must end
-        self._stopping, self._over = threading.Event(), threading.Event()
+        self._stopping = threading.Event()  # set once no more clients are accepted
+        self._over = threading.Event()  # set once all threads of the server must end
         self.shared = inherited is not None  # the accept queue is shared with another process
         self._listener = socket.create_server(address, backlog=BACKLOG) if inherited is None else _inherit(inherited)
         self._listener.setblocking(False)  # several threads may try to accept the same client
         self._ready = select.epoll()  # one-shot: each event disarms its descriptor
         self._ready.register(self._listener, INPUT_EVENTS)
         self._end_reader, self._end_writer = os.pipe()  # closing the writer wakes every thread
-        self._ready.register(self._end_reader, 0)
+        self._ready.register(self._end_reader, 0)  # epoll reports the hangup (EPOLLHUP) without being asked to
 
     def start(self) -> None:
         """Start accepting clients."""
