--- a/tealwing/mysql/server.py
+++ b/tealwing/mysql/server.py
@@ -471,13 +471,13 @@
                 return
 
     def _serve_brief(self, session: Session, buffer: memoryview) -> None:
-        going = session.run_brief(buffer)
-        if going is None:
+        keep_open = session.run_brief(buffer)
+        if keep_open is None:
             with self._changed:
                 if self._free <= 0:  # the next free thread takes deferred sessions first
                     self._deferred.append(session)
                     return
-        if going is not False:
+        if keep_open is not False:
             self._wait_for_client(session)
 
     def _mark_all_threads_busy(self) -> None:
--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -35,7 +35,7 @@
 FIRST_LIMIT = 2.0  # s from the connect to the first complete command, login included
 PACKET_LIMIT = 2.0  # s within which an incomplete command must be completed
 IDLE_LIMIT = 60.0  # s between commands
-WRITE_LIMIT = 5  # s that a send may make no progress
+WRITE_LIMIT = 5  # s that a send may go without progress
 MAX_PARSES = 3  # of one request: it is parsed again when the rules change meanwhile
 UNPARSED_WAIT = 1.0  # s that the gate may hold a request that cannot be parsed: its time to live is unknown
 OVERDUE_PUSHBACK = 0.2  # s of pushback for a request that no thread read in time
@@ -102,7 +102,7 @@
         self._closes_after_input = False  # once all received commands are answered; under the lock
         self._closes_after_command = False  # once the command in progress is answered; under the lock
         self._idle = False  # waits between two commands, with none incomplete; under the lock
-        self._may_have_unanswered_command = False  # among the received ones; under the lock
+        self._may_have_unanswered_command = False  # the input being served may hold one; under the lock
         self._killed = False  # a KILL came before the request's exchange existed; under the lock
         self._deadline = overdue.AnswerDeadline()
         self._unread_due: float | None = None  # monotonic deadline of an unread request; None: unknown
@@ -117,15 +117,15 @@
 
         busy_for bounds the time (s) that the input waited because no thread was free.
         """
-        going = False
+        keep_open = False
         try:
-            going = self._serve_or_drain(buffer, busy_for)
+            keep_open = self._serve_or_linger(buffer, busy_for)
         finally:
-            if not going:
+            if not keep_open:
                 self.close()
-        return going
+        return keep_open
 
-    def _serve_or_drain(self, buffer: memoryview, busy_for: float) -> bool:
+    def _serve_or_linger(self, buffer: memoryview, busy_for: float) -> bool:
         """Serve the input, or drop it once the session has ended; return whether to wait for more."""
         try:
             if self._serve(buffer, busy_for):
@@ -172,22 +172,25 @@
         return None if size is None else self.run(buffer[:size])
 
     def is_unread_request_overdue(self, now: float, buffer: memoryview) -> bool:
-        """Return whether a request that waits unread is overdue. Call by the thread that claimed the session."""
+        """Return whether a request that waits unread is overdue.
+
+        Only the thread that claimed the session may call this.
+        """
         if self._unread_due is None:
             size = 0
             with contextlib.suppress(OSError):  # there is no unread input
                 size = self._sock.recv_into(buffer, 0, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-            if (left := overdue.time_to_live(self._parser.unread + bytes(buffer[:size]))) is not None:
-                self._unread_due = now - seconds_since_data(self._sock) + left
+            if (ttl := overdue.time_to_live(self._parser.unread + bytes(buffer[:size]))) is not None:
+                self._unread_due = now - seconds_since_data(self._sock) + ttl
         return self._unread_due is not None and now >= self._unread_due
 
     def refuse_overdue(self, buffer: memoryview) -> bool:
         """Reject the overdue unread request without blocking or reading beyond it; return the same as `run`."""
-        going, self._refusing = True, True
-        while going and self._refusing and self._has_input():
-            going = self.run(buffer[: self._parser.missing_bytes])
+        keep_open, self._refusing = True, True
+        while keep_open and self._refusing and self._has_input():
+            keep_open = self.run(buffer[: self._parser.missing_bytes])
         self._refusing = False
-        return going
+        return keep_open
 
     def answer_overdue(self, now: float) -> bool:
         """Fail the open request if it is overdue, in place of its blocked thread; return whether it was overdue.
@@ -263,8 +266,8 @@
         """
         with self._lock:
             self._closes_after_input = True
-            begins_linger = self._idle and not self._has_input() and self._end_waiting()
-        if begins_linger:
+            lingers = self._idle and not self._has_input() and self._end_waiting()
+        if lingers:
             self._start_lingering()
 
     def _has_incoming_command(self) -> bool:
@@ -279,8 +282,8 @@
         """Serve no more commands: a waiting session ends now, any other after its command in progress."""
         with self._lock:
             self._closes_after_command = True
-            begins_linger = self._waiting is not None and self._end_waiting()
-        if begins_linger:
+            lingers = self._waiting is not None and self._end_waiting()
+        if lingers:
             self._start_lingering()
 
     @property
@@ -306,8 +309,8 @@
         with self._lock:
             if self._waiting is None or self._has_input():
                 return False
-            begins_linger = self._end_waiting(at_once)
-        if begins_linger:
+            lingers = self._end_waiting(at_once)
+        if lingers:
             self._start_lingering()
         return True
 
@@ -348,22 +351,22 @@
         """
         begun, now = self._parser.begun, time.monotonic()
         self._incomplete_due = (self._incomplete_due or now + PACKET_LIMIT) if begun else 0.0
-        limit = self._first_due or self._last_answer_at + IDLE_LIMIT
+        due = self._first_due or self._last_answer_at + IDLE_LIMIT
+        idle = not self._first_due and not begun
         with self._lock:
-            if self._closes_after_command or (
-                self._closes_after_input and not self._first_due and not begun and not self._has_input()
-            ):
+            if self._closes_after_command or (self._closes_after_input and idle and not self._has_input()):
                 return False
-            self._waiting = self._last_answer_at, min(limit, self._incomplete_due) if self._incomplete_due else limit
-            self._idle = not self._first_due and not begun
-            self._may_have_unanswered_command, self._killed = False, self._killed and begun
+            self._waiting = self._last_answer_at, min(due, self._incomplete_due or due)
+            self._idle = idle
+            self._may_have_unanswered_command = False
+            self._killed = self._killed and begun
         return True
 
     def _serve(self, buffer: memoryview, busy_for: float) -> bool:
         """Read once, and answer all complete messages; return whether the session continues."""
         with self._lock:  # from here on the session cannot be evicted
-            self._idle, self._waiting, self._may_have_unanswered_command = False, None, True
-            self._unread_due = None
+            self._idle, self._waiting, self._unread_due = False, None, None
+            self._may_have_unanswered_command = True
             if self._linger is not None:
                 return False
         if not self._greeted:
@@ -431,12 +434,12 @@
             user = login.user.decode("utf-8", "replace")
             answer = packets.error(1045, "28000", f"Access denied for user '{user}'")
         elif login.database not in (b"", DATABASE):
-            answer = self._no_database(login.database)
+            answer = self._unknown_database(login.database)
         self._send(packets.packet(sequence + 1, answer))
         self._logged_in = answer == packets.ok()
         return self._logged_in
 
-    def _no_database(self, name: bytes) -> bytes:
+    def _unknown_database(self, name: bytes) -> bytes:
         return packets.error(1049, "42000", f"Unknown database '{name.decode('utf-8', 'replace')}'")
 
     def _command(self, payload: bytes) -> bytes:
@@ -448,7 +451,7 @@
         if command in (PING, RESET_CONNECTION):
             return packets.packet(1, packets.ok())
         if command == INIT_DB:
-            return packets.packet(1, packets.ok() if body == DATABASE else self._no_database(body))
+            return packets.packet(1, packets.ok() if body == DATABASE else self._unknown_database(body))
         if command == PROCESS_KILL and len(body) == 4:
             return packets.packet(1, self._kill(statements.Kill(int.from_bytes(body, "little"), False)))
         return packets.packet(1, UNKNOWN_COMMAND)
@@ -471,7 +474,8 @@
             reply = self._run_request(text)
         finally:
             with self._lock:  # later KILLs and events do not concern this request
-                self._exchange, self._may_have_unanswered_command, self._killed = None, False, False
+                self._exchange, self._killed = None, False
+                self._may_have_unanswered_command = False
         if self._departure.has_departed:
             raise ConnectionAbortedError("the client left while its request was open")
         return reply
