--- a/tealwing/mysql/session.py
+++ b/tealwing/mysql/session.py
@@ -352,12 +352,13 @@
         begun, now = self._parser.begun, time.monotonic()
         self._incomplete_due = (self._incomplete_due or now + PACKET_LIMIT) if begun else 0.0
         due = self._first_due or self._last_answer_at + IDLE_LIMIT
-        idle = not self._first_due and not begun
         with self._lock:
-            if self._closes_after_command or (self._closes_after_input and idle and not self._has_input()):
+            if self._closes_after_command or (
+                self._closes_after_input and not self._first_due and not begun and not self._has_input()
+            ):
                 return False
-            self._waiting = self._last_answer_at, min(due, self._incomplete_due or due)
-            self._idle = idle
+            self._waiting = self._last_answer_at, min(due, self._incomplete_due) if self._incomplete_due else due
+            self._idle = not self._first_due and not begun
             self._may_have_unanswered_command = False
             self._killed = self._killed and begun
         return True
