--- a/tests/test_rules_registry.py
+++ b/tests/test_rules_registry.py
@@ -294,7 +294,7 @@
 
 def test_entry_of_a_newer_build_takes_replica_out_of_service_and_names_the_remedy(tmp_path: Path) -> None:
     plan = SimpleNamespace(name="a", members=(("a", ("127.0.0.1", 1)),), learners=())
-    silent = dict.fromkeys(("on", "send", "reach"), lambda *_: None)
+    silent = dict.fromkeys(("on", "send", "set_additional_peers"), lambda *_: None)
     link: Any = SimpleNamespace(plan=plan, live=lambda: [], **silent)
     replica = Replica(ReplicaPlan(str(tmp_path), heartbeat_interval=0.02, election_timeout=0.1), link, Clock())
     replica.start()
